--- a/crates/archive/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -6,7 +6,7 @@
 //! [`EventReader`] cuts from the executor's stream, and proposes results to the log.
 //!
 //! ```
-//! use grebeusher_archive::*;
+//! use grebeusher_batch::*;
 //! use grebeusher_time::Moment;
 //!
 //! let now = Moment(0);
--- a/crates/archive/src/submission/reading.rs
+++ b/crates/batch/src/submission/reading.rs
@@ -100,7 +100,7 @@
 pub fn read_submission(head: SubmissionHead, body: &[u8]) -> Result<Submission, SubmissionError> {
     ensure!(body.len() <= MAX_SUBMISSION_BYTES, TooLargeSnafu { bytes: body.len() });
     let text = std::str::from_utf8(body).context(NotTextSnafu)?;
-    ensure!(grebeusher_json::is_shallow(body, MAX_DEPTH), TooDeepSnafu);
+    ensure!(grebeusher_json_depth::is_shallow(body, MAX_DEPTH), TooDeepSnafu);
     let JsonValue::Object(mut fields) = text.parse().context(NotJsonSnafu)? else {
         return NotAnObjectSnafu.fail();
     };
--- a/crates/archive/tests/batches/events.rs
+++ b/crates/batch/tests/batches/events.rs
@@ -1,6 +1,6 @@
 //! Streams are cut into whole events, however their bytes come.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/archive/tests/batches/owner_change.rs
+++ b/crates/batch/tests/batches/owner_change.rs
@@ -1,6 +1,6 @@
 //! The owner changes in the middle of everything.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use grebeusher_time::Span;
 
 use crate::part::Part;
--- a/crates/archive/tests/batches/pages.rs
+++ b/crates/batch/tests/batches/pages.rs
@@ -1,6 +1,6 @@
 //! What readers see, and what stays as it was.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use proptest::prelude::*;
 use rstest::rstest;
 use tinyjson::JsonValue;
--- a/crates/archive/tests/batches/part.rs
+++ b/crates/batch/tests/batches/part.rs
@@ -1,6 +1,6 @@
 //! One part with one owner, whose proposals are committed at once.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use grebeusher_time::Moment;
 
 use crate::sample::*;
--- a/crates/archive/tests/batches/quota.rs
+++ b/crates/batch/tests/batches/quota.rs
@@ -1,6 +1,6 @@
 //! QUOTA: what waits on a route never exceeds its limit, what is under way counted in.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 
 use crate::sample::*;
 
--- a/crates/archive/tests/batches/replay.rs
+++ b/crates/batch/tests/batches/replay.rs
@@ -1,6 +1,6 @@
 //! Replicas that apply the same entries come to the same state, by whatever way.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use nanoserde::{DeBin, SerBin};
 use proptest::prelude::*;
 
--- a/crates/archive/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -1,6 +1,6 @@
 //! What the owner runs, in which order, and what comes of it.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use rstest::rstest;
 
 use crate::part::Part;
--- a/crates/archive/tests/batches/sample.rs
+++ b/crates/batch/tests/batches/sample.rs
@@ -1,6 +1,6 @@
 //! Jobs and entries to tell stories with.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use grebeusher_time::{Moment, Span};
 
 pub const ROUTE: &str = "r-lots";
--- a/crates/archive/tests/batches/sharing.rs
+++ b/crates/batch/tests/batches/sharing.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use nanoserde::SerBin;
 
 use crate::sample::*;
--- a/crates/archive/tests/batches/storm.rs
+++ b/crates/batch/tests/batches/storm.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use grebeusher_time::{Moment, Span};
 use rstest::rstest;
 
--- a/crates/archive/tests/batches/submission.rs
+++ b/crates/batch/tests/batches/submission.rs
@@ -1,6 +1,6 @@
 //! What a submission must be, and what of it is refused before it can do harm.
 
-use grebeusher_archive::*;
+use grebeusher_batch::*;
 use nanoserde::{DeBin, SerBin};
 use proptest::prelude::*;
 use rstest::rstest;
--- a/crates/archive/tests/fair_share.rs
+++ b/crates/batch/tests/fair_share.rs
@@ -1,6 +1,6 @@
 //! How owners of parts share the room for items.
 
-use grebeusher_archive::{FairShare, PartLoad};
+use grebeusher_batch::{FairShare, PartLoad};
 use grebeusher_time::{Moment, Span};
 use rstest::rstest;
 
--- a/crates/benchlink/src/facts.rs
+++ b/crates/bench-adapter/src/facts.rs
@@ -2,7 +2,7 @@
 
 use crate::Instance;
 use crate::door::{Door, Wire};
-use grebeusher_charter::{Charter, ListComes};
+use grebeusher_node_config::{Charter, ListComes};
 use serde_json::Value;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/benchlink/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -6,11 +6,11 @@
 
 use clap::Parser;
 use door::{Door, Wire};
-use grebeusher_charter::ReportPlaces;
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId};
 use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report, Standing};
 use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_node_config::ReportPlaces;
 use serde::Deserialize;
 use serde_json::Value;
 use std::borrow::Cow;
@@ -297,7 +297,7 @@
     match serve(io::stdin().lock(), io::BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("grebeusher-benchlink: {what}");
+            eprintln!("grebeusher-bench-adapter: {what}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/tests/batches.rs
+++ b/crates/bench-adapter/tests/batches.rs
@@ -12,7 +12,7 @@
 const ARRIVAL: &str = r#"{"type":"work_item","who":3,"msg_id":"unit-1","class":0,"not_after_ns":9000000000,"effort_ns":12000000,"slots":1,"bits":1}"#;
 
 fn run(lines: &[&str]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_grebeusher-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_grebeusher-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/catalog/examples/reading_time.rs
+++ b/crates/configuration/examples/reading_time.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use grebeusher_catalog::configuration::Configuration;
-use grebeusher_catalog::register::BodyHash;
-use grebeusher_catalog::routes::RouteTable;
+use grebeusher_configuration::configuration::Configuration;
+use grebeusher_configuration::register::BodyHash;
+use grebeusher_configuration::routes::RouteTable;
 
 const LOOK_UPS: usize = 100_000;
 
--- a/crates/catalog/tests/bad_changes.rs
+++ b/crates/configuration/tests/bad_changes.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use bodies::{body, plain, route, route_with, services};
-use grebeusher_catalog::configuration::Configuration;
-use grebeusher_catalog::register::{Answer, Applied, ConfigurationRegister, Entry, Pending, Verdict};
+use grebeusher_configuration::configuration::Configuration;
+use grebeusher_configuration::register::{Answer, Applied, ConfigurationRegister, Entry, Pending, Verdict};
 use rstest::rstest;
 
 /// One node that is the owner and the only replica.
--- a/crates/catalog/tests/configuration.rs
+++ b/crates/configuration/tests/configuration.rs
@@ -3,11 +3,11 @@
 mod bodies;
 
 use bodies::{body, large, plain, route, route_with, service, services};
-use grebeusher_catalog::configuration::{
+use grebeusher_configuration::configuration::{
     ClientLimits, Configuration, Invalid, MAX_BODY_BYTES, MAX_ROUTES, MAX_SERVICES, MAX_SPLITS, Protocol,
     RouteType,
 };
-use grebeusher_catalog::{FieldError, Unreadable};
+use grebeusher_configuration::{FieldError, Unreadable};
 use rstest::rstest;
 
 const FULL: &str = r#"{"config_version":7,"route_table":[
--- a/crates/catalog/tests/register.rs
+++ b/crates/configuration/tests/register.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use grebeusher_catalog::register::{
+use grebeusher_configuration::register::{
     Answer, Applied, Change, ConfigurationRegister, Entry, EntryError, MAX_HISTORY, Pending, SnapshotError,
     Verdict,
 };
--- a/crates/catalog/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 use bodies::{body, route, route_with, services};
-use grebeusher_catalog::configuration::{Configuration, TrafficSplit, WeightedService};
-use grebeusher_catalog::routes::{RouteTable, bare_host};
+use grebeusher_configuration::configuration::{Configuration, TrafficSplit, WeightedService};
+use grebeusher_configuration::routes::{RouteTable, bare_host};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
--- a/crates/catalog/tests/settings.rs
+++ b/crates/configuration/tests/settings.rs
@@ -3,8 +3,10 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-use grebeusher_catalog::settings::{Bounds, Contract, MachineClass, ServedRole, Settings, SettingsError};
-use grebeusher_catalog::{FieldError, Unreadable};
+use grebeusher_configuration::settings::{
+    Bounds, Contract, MachineClass, ServedRole, Settings, SettingsError,
+};
+use grebeusher_configuration::{FieldError, Unreadable};
 use rstest::rstest;
 
 const EDGE: &str = r#"{
--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -176,7 +176,7 @@
     let read = |file: &PathBuf| {
         let text =
             fs::read_to_string(file).map_err(|e| Wrong::Refused(format!("{}: {e}", file.display())))?;
-        grebeusher_charter::plan::read(&text)
+        grebeusher_node_config::plan::read(&text)
             .map_err(|e| Wrong::Refused(format!("{}: {e}", file.display())))?;
         Ok(text)
     };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -11,7 +11,7 @@
 use crate::popular::Labels;
 use crate::prefix::READ_PER_S;
 use crate::service::{Service, ServiceSettings};
-use grebeusher_popularity::Popularity;
+use grebeusher_prefix_popularity::Popularity;
 use grebeusher_sizing::{lanes_by_share, share_of_lanes};
 use grebeusher_time::{Moment, Span};
 use rand::{Rng, SeedableRng};
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -2,7 +2,7 @@
 //!
 //! Each prefix (the shared parts of a prompt, for its model) has homes: the first executors of its lane in a rendezvous
 //! order that all nodes agree on without a word. How many they are goes by demand: with [`Policy::shared_prefixes`] by the
-//! tier's common sense of it (`grebeusher-popularity`), else by this node's own sends times the number of nodes.
+//! tier's common sense of it (`grebeusher-prefix-popularity`), else by this node's own sends times the number of nodes.
 //!
 //! Bound: nobody is sent to a home that is as full as [`Policy::home_bound`], or where the wait, with what is still to be
 //! read there, is longer than [`Policy::home_patience`] times the reading anew. Then the next few of the order, those that
@@ -16,7 +16,7 @@
 use crate::choose::{Candidate, Request};
 use crate::gateway::Gateway;
 use crate::prefix::READ_PER_S;
-use grebeusher_popularity::PrefixKey;
+use grebeusher_prefix_popularity::PrefixKey;
 use grebeusher_sizing::rendezvous;
 use grebeusher_time::Moment;
 
--- a/crates/gateway/src/popular.rs
+++ b/crates/gateway/src/popular.rs
@@ -3,7 +3,7 @@
 use crate::choose::Request;
 use crate::gateway::Gateway;
 use crate::ids::ServiceId;
-use grebeusher_popularity::{Identity, Popular, Popularity, PrefixKey, Settings};
+use grebeusher_prefix_popularity::{Identity, Popular, Popularity, PrefixKey, Settings};
 use grebeusher_sizing::rendezvous;
 use grebeusher_time::Moment;
 use rustc_hash::FxHashMap;
--- a/crates/gateway/tests/popular.rs
+++ b/crates/gateway/tests/popular.rs
@@ -4,7 +4,7 @@
     BatchItem, Choice, Descriptor, ExecutorId, Gateway, Kind, ModelKey, Outcome, Policy, PromptParts,
     Request, ServiceId, ServiceSettings, Standing, TokenCount, ZoneKey,
 };
-use grebeusher_popularity::{Contribution, Identity, Settings};
+use grebeusher_prefix_popularity::{Contribution, Identity, Settings};
 use grebeusher_time::{Moment, Span};
 use rstest::rstest;
 use std::collections::BTreeSet;
--- a/crates/checks/tests/stories.rs
+++ b/crates/health-reporting/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Short stories of what a node says of itself.
 
-use grebeusher_checks::{Fitness, Seen, Stands, Verdict};
 use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_health_reporting::{Fitness, Seen, Stands, Verdict};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cell::Cell;
--- a/crates/ledger/tests/stories.rs
+++ b/crates/job-log/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Short stories of the ledger: what is left after a crash at any byte, and what follows from it.
 
-use grebeusher_ledger::book::{Answer, Book, Due, Job, Record};
-use grebeusher_ledger::log::Log;
+use grebeusher_job_log::book::{Answer, Book, Due, Job, Record};
+use grebeusher_job_log::log::Log;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::fs;
--- a/crates/json/tests/depth.rs
+++ b/crates/json-depth/tests/depth.rs
@@ -1,6 +1,6 @@
 //! How deep a text nests.
 
-use grebeusher_json::is_shallow;
+use grebeusher_json_depth::is_shallow;
 
 #[test]
 fn brackets_are_counted_where_they_open_values() {
--- a/crates/load/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -4,7 +4,7 @@
 use grebeusher_emulator::figures::write_json;
 use grebeusher_emulator::plots;
 use grebeusher_emulator::scenario::Scenario;
-use grebeusher_load::{faults, run};
+use grebeusher_load_test::{faults, run};
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::flag;
 use std::env;
--- a/crates/load/tests/links/mod.rs
+++ b/crates/load-test/tests/links/mod.rs
@@ -2,9 +2,9 @@
 
 use grebeusher_dispatch::time::{Moment, Span};
 use grebeusher_emulator::scenario::Way;
-use grebeusher_load::addresses::Addresses;
-use grebeusher_load::link::Trouble;
-use grebeusher_load::wire::{News, Wire};
+use grebeusher_load_test::addresses::Addresses;
+use grebeusher_load_test::link::Trouble;
+use grebeusher_load_test::wire::{News, Wire};
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use std::io::{ErrorKind, Read, Write};
--- a/crates/load/tests/stories.rs
+++ b/crates/load-test/tests/stories.rs
@@ -1,10 +1,10 @@
 //! Short stories of the rig: with real nodes on loopback, and what it refuses to play.
 
 use grebeusher_emulator::scenario::Scenario;
-use grebeusher_load::account::{Line, merged};
-use grebeusher_load::clients::schedule;
-use grebeusher_load::faults::plan;
-use grebeusher_load::run::Needs;
+use grebeusher_load_test::account::{Line, merged};
+use grebeusher_load_test::clients::schedule;
+use grebeusher_load_test::faults::plan;
+use grebeusher_load_test::run::Needs;
 use serde_json::Value;
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -26,13 +26,13 @@
     NODE.get_or_init(|| {
         let built = Command::new(env!("CARGO")).args(["build", "--locked", "-p", "grebeusher-node"]).status();
         assert!(built.expect("cargo runs").success());
-        let own = PathBuf::from(env!("CARGO_BIN_EXE_grebeusher-load"));
+        let own = PathBuf::from(env!("CARGO_BIN_EXE_grebeusher-load-test"));
         own.with_file_name("grebeusher")
     })
 }
 
 fn play(scenario: &Path, further: &[&str]) -> (Option<i32>, String, String) {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_grebeusher-load"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_grebeusher-load-test"));
     let output = command.arg(scenario).args(further).output().expect("it runs");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (output.status.code(), text(&output.stdout), text(&output.stderr))
@@ -172,7 +172,7 @@
     let (path, logs) = (folder.path().join("talking.toml"), folder.path().join("logs"));
     fs::write(&path, format!("{talking}{faults}")).expect("written");
     let node = node().to_str().expect("plain letters");
-    let mut rig = Command::new(env!("CARGO_BIN_EXE_grebeusher-load"))
+    let mut rig = Command::new(env!("CARGO_BIN_EXE_grebeusher-load-test"))
         .arg(&path)
         .args(["--node", node, "--json", "-", "--logs", logs.to_str().expect("plain letters")])
         .stdout(Stdio::piped())
@@ -383,7 +383,7 @@
 #[test]
 fn told_to_end_it_ends_all_that_it_started() {
     let (folder, node) = (folder(), node().to_str().expect("plain letters"));
-    let mut rig = Command::new(env!("CARGO_BIN_EXE_grebeusher-load"))
+    let mut rig = Command::new(env!("CARGO_BIN_EXE_grebeusher-load-test"))
         .arg(shipped("sockets.toml"))
         .args(["--node", node, "--logs", folder.path().to_str().expect("plain letters")])
         .stderr(Stdio::piped())
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -1,8 +1,8 @@
 //! The counterpart of a posting: what was written for the old shape of a deployment, as the new one needs it. What
 //! need not change passes through untouched, also what nobody here has heard of.
 
-use grebeusher_charter::posting::Posting;
-use grebeusher_charter::{FIELDS_READ, ListComes};
+use grebeusher_node_config::posting::Posting;
+use grebeusher_node_config::{FIELDS_READ, ListComes};
 use serde_json::{Map, Value, json};
 use std::fmt;
 
--- a/crates/migrate/src/main.rs
+++ b/crates/migrate/src/main.rs
@@ -1,8 +1,8 @@
 //! Reads a node's posting of the old shape and writes its counterpart for the new one.
 
 use clap::{Parser, ValueEnum};
-use grebeusher_charter::posting::file;
 use grebeusher_migrate::{Shape, counterpart};
+use grebeusher_node_config::posting::file;
 use std::fs;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
--- a/crates/mutations/src/main.rs
+++ b/crates/mutation-testing/src/main.rs
@@ -1,9 +1,9 @@
-//! `grebeusher-mutations`: takes guards out, one at a time, and tells which of them no test misses.
+//! `grebeusher-mutation-testing`: takes guards out, one at a time, and tells which of them no test misses.
 
 use bpaf::{OptionParser, Parser, construct, long};
-use grebeusher_mutations::copy::Copy;
-use grebeusher_mutations::table::Table;
-use grebeusher_mutations::trial::{Outcome, try_without};
+use grebeusher_mutation_testing::copy::Copy;
+use grebeusher_mutation_testing::table::Table;
+use grebeusher_mutation_testing::trial::{Outcome, try_without};
 use std::error::Error;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
     let table = long("table")
         .help("The table of guards")
         .argument::<PathBuf>("FILE")
-        .fallback(PathBuf::from("crates/mutations/guards.toml"));
+        .fallback(PathBuf::from("crates/mutation-testing/guards.toml"));
     let only =
         long("only").help("Only the guards whose names contain this").argument::<String>("TEXT").optional();
     construct!(Options { table, only })
--- a/crates/mutations/tests/trial.rs
+++ b/crates/mutation-testing/tests/trial.rs
@@ -1,7 +1,7 @@
 //! What is read from the run of a test without its guard, and which guards may stand in the table.
 
-use grebeusher_mutations::table::{Guard, Table, TableError};
-use grebeusher_mutations::trial::{Outcome, read_run};
+use grebeusher_mutation_testing::table::{Guard, Table, TableError};
+use grebeusher_mutation_testing::trial::{Outcome, read_run};
 use rstest::rstest;
 use std::path::{Path, PathBuf};
 
@@ -20,7 +20,7 @@
 #[test]
 fn each_guard_of_the_table_stands_in_its_file_once() {
     let table =
-        Table::read(&workspace().join("crates/mutations/guards.toml")).expect("the table can be read");
+        Table::read(&workspace().join("crates/mutation-testing/guards.toml")).expect("the table can be read");
     assert!(table.guard.len() >= 20, "{} guards", table.guard.len());
     for guard in &table.guard {
         let without = guard.taken_out(&workspace());
--- a/crates/charter/tests/stories.rs
+++ b/crates/node-config/tests/stories.rs
@@ -1,8 +1,8 @@
 //! What the charter takes, and in which words it refuses the rest.
 
-use grebeusher_charter::fleet::Fleet;
-use grebeusher_charter::posting::Posting;
-use grebeusher_charter::{Charter, ListComes};
+use grebeusher_node_config::fleet::Fleet;
+use grebeusher_node_config::posting::Posting;
+use grebeusher_node_config::{Charter, ListComes};
 use serde_json::{Value, json};
 
 /// The least that a charter must hold, for two tariffs.
--- a/crates/node/src/life/node.rs
+++ b/crates/node/src/life/node.rs
@@ -19,13 +19,13 @@
 use crate::wire::faktory::Faktory;
 use crate::wire::fellows::{self, Fellows};
 use crate::wire::sibling::{self, Siblings};
-use grebeusher_charter::fleet::Fleet;
-use grebeusher_charter::fronts::Fronts;
-use grebeusher_charter::posting::Posting;
-use grebeusher_charter::{Charter, ListComes};
-use grebeusher_checks::{Fitness, Seen, Stands, Verdict};
 use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_health_reporting::{Fitness, Seen, Stands, Verdict};
 use grebeusher_maintenance::Command;
+use grebeusher_node_config::fleet::Fleet;
+use grebeusher_node_config::fronts::Fronts;
+use grebeusher_node_config::posting::Posting;
+use grebeusher_node_config::{Charter, ListComes};
 use grebeusher_transport::listen;
 use grebeusher_transport::signals::Signals;
 use polling::{Event, Poller};
@@ -669,7 +669,7 @@
         let command = match what {
             "submit" => {
                 let text = std::str::from_utf8(body).map_err(|_| "expected a plan in UTF-8".to_owned())?;
-                let mut plan = grebeusher_charter::plan::read(text)?;
+                let mut plan = grebeusher_node_config::plan::read(text)?;
                 self.exchange.completes(&mut plan)?;
                 Command::Submit(Box::new(plan))
             }
--- a/crates/node/src/memory/ledger.rs
+++ b/crates/node/src/memory/ledger.rs
@@ -2,10 +2,10 @@
 //! still be running.
 
 use crate::memory::clock::Clock;
-use grebeusher_charter::fronts::Ledger as Posted;
 use grebeusher_dispatch::time::{Moment, Span};
-use grebeusher_ledger::book::{Answer, Due, Job, Record};
-use grebeusher_ledger::log::Log;
+use grebeusher_job_log::book::{Answer, Due, Job, Record};
+use grebeusher_job_log::log::Log;
+use grebeusher_node_config::fronts::Ledger as Posted;
 use grebeusher_transport::alarms::Alarms;
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/node/src/memory/parts.rs
+++ b/crates/node/src/memory/parts.rs
@@ -1,8 +1,8 @@
 //! This node's parts of the fleet's budgets.
 
 use grebeusher_budgets::{Ask, Grant, Holder, Key, Purse, Whole, Wholes};
-use grebeusher_charter::fleet::{Budget, Budgets};
 use grebeusher_dispatch::time::Moment;
+use grebeusher_node_config::fleet::{Budget, Budgets};
 
 /// What is spent of a budget.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -191,7 +191,7 @@
                         [[budgets.of]]\nfurther = true\nunits = 2\nfloor = 2\nnodes = 1\n";
 
     fn posted(from: &str, to: &str) -> Budgets {
-        let fleet = grebeusher_charter::fleet::Fleet::read(&FILE.replacen(from, to, 1));
+        let fleet = grebeusher_node_config::fleet::Fleet::read(&FILE.replacen(from, to, 1));
         fleet.expect("it is whole").budgets.expect("it has some")
     }
 
--- a/crates/node/src/memory/settlement.rs
+++ b/crates/node/src/memory/settlement.rs
@@ -4,7 +4,7 @@
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Moment, Span};
 use grebeusher_maintenance::{self as maintenance, Moved, Permit, Works};
-use grebeusher_settled::Machine;
+use grebeusher_volatile_raft::Machine;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/crates/node/src/wire/checks.rs
+++ b/crates/node/src/wire/checks.rs
@@ -2,9 +2,9 @@
 
 use crate::memory::clock::Clock;
 use crate::wire::calls::Calls;
-use grebeusher_charter::fronts::Checks as Posted;
-use grebeusher_checks::Verdict;
 use grebeusher_dispatch::time::Moment;
+use grebeusher_health_reporting::Verdict;
+use grebeusher_node_config::fronts::Checks as Posted;
 use grebeusher_transport::http::{self, Request};
 use polling::Poller;
 use std::io;
--- a/crates/node/src/wire/load.rs
+++ b/crates/node/src/wire/load.rs
@@ -1,7 +1,7 @@
 //! Load reports: an object in a call-back or a probe's answer, or `TEXT name=value, ...` in a header.
 
-use grebeusher_charter::{Charter, ReportPlaces};
 use grebeusher_dispatch::tariffs::Report;
+use grebeusher_node_config::{Charter, ReportPlaces};
 use serde_json::Value;
 
 pub const HEADER: &str = "X-Load-Report";
--- a/crates/node/src/wire/settling.rs
+++ b/crates/node/src/wire/settling.rs
@@ -5,7 +5,7 @@
 use crate::wire::fellows::{KEEPER, OUTCOME, Post, STEP};
 use grebeusher_budgets::{Ask, Grant};
 use grebeusher_dispatch::time::Moment;
-use grebeusher_settled::{Host, Keeper};
+use grebeusher_volatile_raft::{Host, Keeper};
 use std::mem;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/popularity/src/lib.rs
+++ b/crates/prefix-popularity/src/lib.rs
@@ -20,7 +20,7 @@
 //! it exceeds what the nodes tell.
 //!
 //! ```
-//! use grebeusher_popularity::{Identity, Popularity, PrefixKey, Settings};
+//! use grebeusher_prefix_popularity::{Identity, Popularity, PrefixKey, Settings};
 //! use grebeusher_time::{Moment, Span};
 //!
 //! let settings = Settings::default().checked().unwrap();
--- a/crates/popularity/tests/stories/counting.rs
+++ b/crates/prefix-popularity/tests/stories/counting.rs
@@ -1,7 +1,7 @@
 //! Counts fade, stay in a fixed room, and settings are checked.
 
 use crate::fleet::{Fleet, Network, assert_near, key};
-use grebeusher_popularity::{
+use grebeusher_prefix_popularity::{
     Contribution, LARGEST_MEMORY, Merge, Popularity, PrefixKey, Settings, SettingsError,
 };
 use grebeusher_time::{Moment, Span};
--- a/crates/popularity/tests/stories/fleet.rs
+++ b/crates/prefix-popularity/tests/stories/fleet.rs
@@ -1,6 +1,6 @@
 //! Nodes in memory that tell each other, with doubling, disorder and cuts; chance from a fixed row of numbers.
 
-use grebeusher_popularity::{Contribution, Identity, Merge, Popularity, PrefixKey, Settings};
+use grebeusher_prefix_popularity::{Contribution, Identity, Merge, Popularity, PrefixKey, Settings};
 use grebeusher_time::{Moment, Span};
 
 /// What a fleet does to its messages.
--- a/crates/popularity/tests/stories/sharing.rs
+++ b/crates/prefix-popularity/tests/stories/sharing.rs
@@ -1,14 +1,14 @@
 //! The nodes have one sense of what is popular, whatever the network does to their registers.
 
 use crate::fleet::{Fleet, Network, assert_near, key};
-use grebeusher_popularity::{Contribution, LARGEST_CONTRIBUTION, Merge, Popularity, Settings};
+use grebeusher_prefix_popularity::{Contribution, LARGEST_CONTRIBUTION, Merge, Popularity, Settings};
 use grebeusher_time::{Moment, Span};
 use rstest::rstest;
 
 const MINUTE: Span = Span::millis(60_000);
 
 /// Each node sees 20 requests of 100 tokens in a second: 2,000 tokens a second.
-fn even(_: usize) -> Vec<(grebeusher_popularity::PrefixKey, u32)> {
+fn even(_: usize) -> Vec<(grebeusher_prefix_popularity::PrefixKey, u32)> {
     vec![(key(1), 100), (key(1), 100)]
 }
 
--- a/crates/registry/src/report.rs
+++ b/crates/registry/src/report.rs
@@ -77,7 +77,7 @@
 
 fn read_object(body: &[u8]) -> Result<Fields, ReportError> {
     let text = std::str::from_utf8(body).or_else(|_| NotJsonSnafu.fail())?;
-    if !grebeusher_json::is_shallow(body, DEEPEST) {
+    if !grebeusher_json_depth::is_shallow(body, DEEPEST) {
         return NotJsonSnafu.fail();
     }
     match text.parse::<JsonValue>() {
--- a/crates/simulation/src/fleet/lives.rs
+++ b/crates/simulation/src/fleet/lives.rs
@@ -5,7 +5,7 @@
 use super::step::Step;
 use crate::judge::Rule;
 use crate::world::ProcessWorld;
-use grebeusher_catalog::settings::Settings;
+use grebeusher_configuration::settings::Settings;
 use grebeusher_tier::node::Node;
 use grebeusher_tier::start::Start;
 use grebeusher_time::Span;
--- a/crates/simulation/tests/links.rs
+++ b/crates/simulation/tests/links.rs
@@ -1,6 +1,6 @@
 //! Links of a real node to another machine that has no power yet.
 
-use grebeusher_catalog::settings::Settings;
+use grebeusher_configuration::settings::Settings;
 use grebeusher_simulation::disk::Disk;
 use grebeusher_simulation::hub::{Happening, Hub, Owner, SharedHub};
 use grebeusher_simulation::world::ProcessWorld;
--- a/crates/tier/src/batch_load.rs
+++ b/crates/tier/src/batch_load.rs
@@ -3,7 +3,7 @@
 use crate::batch_front::BATCH_PARTS;
 use crate::messages::{BatchLoad, Channel};
 use crate::node::Node;
-use grebeusher_archive::PartLoad;
+use grebeusher_batch::PartLoad;
 use grebeusher_time::Span;
 use nanoserde::{DeBin, SerBin};
 use std::net::SocketAddrV4;
--- a/crates/tier/src/batch_part.rs
+++ b/crates/tier/src/batch_part.rs
@@ -5,7 +5,7 @@
 use crate::page_size::most_page_bytes;
 use crate::parts::{Application, Waiter};
 use crate::timers::Timer;
-use grebeusher_archive::{
+use grebeusher_batch::{
     Admission, Applied, Entry, JobId, JobTerms, Jobs, Owner, Runner, SharedBytes, SnapshotError, Submission,
     Wanted,
 };
@@ -211,7 +211,7 @@
                 let ended = job.clone();
                 self.answer_held_reads(place, |job| *job == ended);
                 self.cut_off_runs(place);
-                if *state == grebeusher_archive::EndState::NoSuchJob { 404 } else { 200 }
+                if *state == grebeusher_batch::EndState::NoSuchJob { 404 } else { 200 }
             }
             Applied::Progressed(_) | Applied::Forgotten(_) => 200,
         }
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use crate::promises::is_promise;
 use crate::timers::Timer;
-use grebeusher_archive::Submission;
+use grebeusher_batch::Submission;
 use grebeusher_registry::Class;
 use grebeusher_time::{Moment, Span};
 use nanoserde::{DeBin, SerBin};
--- a/crates/tier/src/configuration_part.rs
+++ b/crates/tier/src/configuration_part.rs
@@ -4,8 +4,8 @@
 use crate::messages::Reply;
 use crate::node::{Node, RunError};
 use crate::parts::{Application, Waiter};
-use grebeusher_catalog::configuration::Configuration;
-use grebeusher_catalog::register::{BodyHash, Change, ConfigurationRegister, Entry, Pending, Verdict};
+use grebeusher_configuration::configuration::Configuration;
+use grebeusher_configuration::register::{BodyHash, Change, ConfigurationRegister, Entry, Pending, Verdict};
 use std::sync::Arc;
 
 /// What a replica of part 0 keeps.
--- a/crates/tier/src/control.rs
+++ b/crates/tier/src/control.rs
@@ -6,7 +6,7 @@
 use crate::messages::{Call, Reply};
 use crate::node::Node;
 use crate::retire::RetireQuestion;
-use grebeusher_catalog::configuration::Configuration;
+use grebeusher_configuration::configuration::Configuration;
 use grebeusher_registry::{Answer, HeartbeatReport};
 use grebeusher_time::Span;
 use grebeusher_transport::http;
--- a/crates/tier/src/exchange.rs
+++ b/crates/tier/src/exchange.rs
@@ -7,7 +7,7 @@
 use crate::routing::{Candidate, Hints, Question, RouteChoice};
 use crate::timers::Timer;
 use crate::upstream::{CallOwner, Failure, MOST_UNWRITTEN, Target, UpstreamEvent};
-use grebeusher_catalog::configuration::{Route, RouteType};
+use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_gateway::{AttemptToken, Attempts, ExecutorId, FinalAnswer, Kind, Next, Outcome, ServerLoad};
 use grebeusher_time::{Moment, Span};
 use grebeusher_transport::headers::Headers;
--- a/crates/tier/src/founding.rs
+++ b/crates/tier/src/founding.rs
@@ -11,7 +11,7 @@
 use crate::node::Node;
 use crate::placement::{Candidate, spread_over_zones};
 use crate::timers::Timer;
-use grebeusher_catalog::settings::Settings;
+use grebeusher_configuration::settings::Settings;
 use grebeusher_registry::Class;
 use grebeusher_time::{Moment, Span};
 use std::collections::BTreeMap;
--- a/crates/tier/src/owner_balance.rs
+++ b/crates/tier/src/owner_balance.rs
@@ -4,7 +4,7 @@
 
 use crate::batch_front::BATCH_PARTS;
 use crate::node::Node;
-use grebeusher_archive::PartLoad;
+use grebeusher_batch::PartLoad;
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::MemberState;
 use grebeusher_time::{Moment, Span};
--- a/crates/tier/src/page_size.rs
+++ b/crates/tier/src/page_size.rs
@@ -1,6 +1,6 @@
 //! How large a page of results is: bounded by what links move in a moment, so that pages of many readers pass side by side.
 
-use grebeusher_archive::MAX_PAGE_BYTES;
+use grebeusher_batch::MAX_PAGE_BYTES;
 
 /// A page takes at most this long on the owner's link when it is alone there (seconds). A call is tried at another node
 /// after some hundred milliseconds; pages that take longer in the queue of a link are asked for again, which fills it for
--- a/crates/tier/src/part_status.rs
+++ b/crates/tier/src/part_status.rs
@@ -5,7 +5,7 @@
 use crate::messages::{Call, Reply};
 use crate::node::Node;
 use crate::parts::{Application, Waiter};
-use grebeusher_archive::Jobs;
+use grebeusher_batch::Jobs;
 use std::fmt::Write;
 
 /// So many jobs get a line of their own; a status stays readable, and the reply small.
--- a/crates/tier/src/popularity.rs
+++ b/crates/tier/src/popularity.rs
@@ -4,7 +4,7 @@
 
 use crate::messages::Channel;
 use crate::node::Node;
-use grebeusher_popularity::{Contribution, Identity, Merge, Settings};
+use grebeusher_prefix_popularity::{Contribution, Identity, Merge, Settings};
 use grebeusher_registry::NodeId;
 use grebeusher_time::Span;
 use std::fmt::Write;
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/routing.rs
@@ -3,8 +3,8 @@
 use crate::header_names as names;
 use crate::node::Node;
 use crate::upstream::Target;
-use grebeusher_archive::RunOrder;
-use grebeusher_catalog::configuration::Route;
+use grebeusher_batch::RunOrder;
+use grebeusher_configuration::configuration::Route;
 use grebeusher_gateway::{
     BatchItem, Choice, Descriptor, ExecutorId, Gateway, Kind, ModelKey, PromptParts, Request,
     ServiceSettings, Standing, TokenCount, ZoneKey,
--- a/crates/tier/src/start.rs
+++ b/crates/tier/src/start.rs
@@ -8,7 +8,7 @@
 use crate::io::{Listener, SharedWorld, World};
 use crate::node::{RunError, keys};
 use crate::parts::{Application, PartHost, Tuning};
-use grebeusher_catalog::settings::{MachineClass, Settings, SettingsError};
+use grebeusher_configuration::settings::{MachineClass, Settings, SettingsError};
 use grebeusher_quorum::ReplicaId;
 use grebeusher_quorum::disk::StoreError;
 use grebeusher_registry::{Class, Losses, Member, MemberState, Registry, Timings};
--- a/crates/tier/tests/batch_part.rs
+++ b/crates/tier/tests/batch_part.rs
@@ -1,6 +1,6 @@
 //! The state of a batch part in bytes: the form on disks stays, and what is restored refers to the bytes.
 
-use grebeusher_archive::{
+use grebeusher_batch::{
     Entry, Header, ItemSpec, JobId, JobTerms, Jobs, MAX_PAGE_BYTES, SharedBytes, Submission,
 };
 use grebeusher_tier::batch_part::{BatchPart, RestoreError};
--- a/crates/tier/tests/demo.rs
+++ b/crates/tier/tests/demo.rs
@@ -1,6 +1,6 @@
 //! A whole tier of real processes on loopback addresses, as the demonstration starts it.
 
-use grebeusher_catalog::settings::Settings;
+use grebeusher_configuration::settings::Settings;
 use grebeusher_demo::layout::{Layout, Machines};
 use grebeusher_demo::operator::{JOB_HOST, JOB_PART};
 use grebeusher_demo::{DemoError, Options, Summary, run};
--- a/crates/tier/tests/page_size.rs
+++ b/crates/tier/tests/page_size.rs
@@ -1,6 +1,6 @@
 //! Pages of results on links of all speeds.
 
-use grebeusher_archive::MAX_PAGE_BYTES;
+use grebeusher_batch::MAX_PAGE_BYTES;
 use grebeusher_tier::page_size::most_page_bytes;
 use rstest::rstest;
 
--- a/crates/tier/tests/single_node/mod.rs
+++ b/crates/tier/tests/single_node/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod network;
 
-use grebeusher_catalog::settings::Settings;
+use grebeusher_configuration::settings::Settings;
 use grebeusher_registry::{Class, Member, MemberState, Message};
 use grebeusher_tier::messages::{Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope};
 use grebeusher_tier::node::Node;
--- a/crates/tier/tests/stop.rs
+++ b/crates/tier/tests/stop.rs
@@ -1,6 +1,6 @@
 //! What a process that was told to stop still takes on.
 
-use grebeusher_catalog::configuration::{Configuration, Route};
+use grebeusher_configuration::configuration::{Configuration, Route};
 use grebeusher_tier::stop::Departure;
 use grebeusher_time::{Moment, Span};
 use rstest::rstest;
--- a/crates/settled/tests/stories.rs
+++ b/crates/volatile-raft/tests/stories.rs
@@ -3,7 +3,7 @@
 
 use grebeusher_budgets::{Ask, Division, Entry, Grant, Holder, Purse, Whole, Wholes};
 use grebeusher_dispatch::time::{Moment, Span};
-use grebeusher_settled::{Host, Keeper, Machine};
+use grebeusher_volatile_raft::{Host, Keeper, Machine};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
