--- a/crates/batch/src/runner/pace.rs
+++ b/crates/batch/src/runner/pace.rs
@@ -41,7 +41,7 @@
 
     /// A whole run took so long.
     pub fn ran(&mut self, span: Span) {
-        self.expected_run = self.expected_run * (1.0 - NEWEST_WEIGHT) + span * NEWEST_WEIGHT;
+        self.expected_run = self.expected_run.scaled(1.0 - NEWEST_WEIGHT) + span.scaled(NEWEST_WEIGHT);
     }
 
     pub fn expected_run(&self) -> Span {
--- a/crates/budgets/src/purse.rs
+++ b/crates/budgets/src/purse.rs
@@ -136,7 +136,7 @@
     /// How far back tries say what is wanted.
     fn looks_back(&self) -> Span {
         const LEASES: f64 = 3.0;
-        (self.lease * LEASES).max(self.window)
+        self.lease.scaled(LEASES).max(self.window)
     }
 
     fn wants(&self, now: Moment) -> u32 {
@@ -182,7 +182,7 @@
             } else if self.unanswered.is_some() {
                 SAID_AGAIN
             } else {
-                self.lease * (1.0 / ASKS_A_LEASE)
+                self.lease.scaled(1.0 / ASKS_A_LEASE)
             };
         let falls = self.spent.front().map(|at| *at + self.window).filter(|at| *at > now);
         Some(falls.map_or(due, |at| due.min(at.max(asked + AT_LEAST_APART))))
@@ -239,6 +239,6 @@
         // What is less from now on others can have as soon as they are told.
         self.hurries = grant.units < self.units;
         (self.number, self.units) = (grant.number, grant.units);
-        self.ends = asked + self.lease * (1.0 - DRIFT);
+        self.ends = asked + self.lease.scaled(1.0 - DRIFT);
     }
 }
--- a/crates/budgets/tests/stories.rs
+++ b/crates/budgets/tests/stories.rs
@@ -75,7 +75,7 @@
 
     /// What the time is by the clock of a node.
     fn clock(&self, at: usize) -> Moment {
-        Moment(1_000_000_000_000) + Span::millis(self.now) * self.paces[at]
+        Moment(1_000_000_000_000) + Span::millis(self.now).scaled(self.paces[at])
     }
 
     /// So many milliseconds pass, one by one.
--- a/crates/dispatch/src/decide/further.rs
+++ b/crates/dispatch/src/decide/further.rs
@@ -32,7 +32,7 @@
         let told = flights.max_by_key(|(_, f)| (f.started.is_some(), f.sent));
         let Some((executor, flight)) = told else { return };
         let id = flight.id;
-        let silent_at = self.progress.map(|pace| flight.heard + pace * SILENT_PACES);
+        let silent_at = self.progress.map(|pace| flight.heard + pace.scaled(SILENT_PACES));
         let silent = flight.started.is_some() && silent_at.is_some_and(|at| at < now);
         // Where no second copy is allowed a recalled one may run on, and where starts are not told any may
         // have started long before.
--- a/crates/dispatch/src/decide/placing.rs
+++ b/crates/dispatch/src/decide/placing.rs
@@ -116,7 +116,8 @@
         self.host.allocate(unit, executor, time_out);
         if self.tariffs[work.tariff].effect != Effect::Binding {
             let untold = self.progress.filter(|_| !self.tells_start);
-            self.host.wake(untold.map_or(REVIEW_AFTER, |pace| pace * SILENT_PACES), FIRST_UNIT + unit.0);
+            self.host
+                .wake(untold.map_or(REVIEW_AFTER, |pace| pace.scaled(SILENT_PACES)), FIRST_UNIT + unit.0);
         }
     }
 
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -568,7 +568,7 @@
 impl Clients {
     /// How long a client waits that was turned back after so many repeats.
     pub fn backoff(&self, tries: u32) -> Span {
-        Span::secs(self.backoff_ms / 1e3) * 2_f64.powi(tries.min(16) as i32)
+        Span::secs(self.backoff_ms / 1e3).scaled(2_f64.powi(tries.min(16) as i32))
     }
 }
 
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -240,9 +240,9 @@
             self.figures.dials += 1;
         }
         if !self.machines[executor].up {
-            return self.after(way * 2.0, Event::Hears(job, Word::Ended(Ending::Refused, None)));
+            return self.after(way.scaled(2.0), Event::Hears(job, Word::Ended(Ending::Refused, None)));
         }
-        let shake = if fresh { way * (2.0 * n.handshake_trips) } else { Span(0) };
+        let shake = if fresh { way.scaled(2.0 * n.handshake_trips) } else { Span(0) };
         let arrives = self.now + shake + way;
         if n.resets > 0.0 && self.net_chance.random::<f64>() < n.resets {
             let whole = self.net_chance.random::<bool>();
@@ -372,7 +372,7 @@
         let (here, there) = (self.nodes[node].zone, self.machines[executor].make.zone);
         let way = self.delay(here, there);
         let when = match self.cut(here, there) {
-            Some(until) => until + ONCE_MORE * self.net_chance.random::<f64>() + way,
+            Some(until) => until + ONCE_MORE.scaled(self.net_chance.random::<f64>()) + way,
             None => self.now + way,
         };
         self.at(when, Event::Hears(job, word));
@@ -389,7 +389,7 @@
         }
         let way = self.delay(here, there);
         self.after(way, Event::Cancels(job));
-        self.after(way * 2.0, Event::Hears(job, Word::Ended(Ending::Recalled, None)));
+        self.after(way.scaled(2.0), Event::Hears(job, Word::Ended(Ending::Recalled, None)));
     }
 
     /// An executor's process dies. Its jobs are lost, or, where it was told to leave, those that wait are handed back.
@@ -417,7 +417,8 @@
         }
         for node in 0..self.nodes.len() {
             if self.nodes[node].up && self.nodes[node].watches {
-                let notice = ms(self.scenario.discovery.notice_ms) * (0.5 + self.net_chance.random::<f64>());
+                let notice =
+                    ms(self.scenario.discovery.notice_ms).scaled(0.5 + self.net_chance.random::<f64>());
                 let life = self.nodes[node].life;
                 self.after(notice, Event::Lists(node, life, executor, standing, started));
             }
@@ -490,7 +491,7 @@
         let deadline = self.now + patience;
         let leave_share = self.scenario.clients.leave_share;
         let leaves = (leave_share > 0.0 && self.work_chance.random::<f64>() < leave_share)
-            .then(|| self.now + patience * self.work_chance.random::<f64>());
+            .then(|| self.now + patience.scaled(self.work_chance.random::<f64>()));
         if counted {
             self.figures.came(tariff, self.now);
         }
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/choose.rs
@@ -270,7 +270,8 @@
         }
         let best = self.services.get(request.service.0 as usize).map_or(0, |service| service.best_priority);
         let less_urgent = f64::from(request.priority.saturating_sub(best));
-        let left = (request.objective - request.waited).as_secs().min(request.deadline_left.as_secs());
+        let left =
+            request.objective.saturating_sub(request.waited).as_secs().min(request.deadline_left.as_secs());
         left * self.policy.queue_part / (1.0 + less_urgent)
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -429,7 +429,7 @@
         for attempt in self.attempts.iter().filter_map(|attempt| attempt.open.as_ref()) {
             let Some(executor) = self.executor(attempt.executor) else { continue };
             let usual = self.services[executor.service.0 as usize].usual_silence();
-            let limit = SILENCE.max(usual * SILENCE_TIMES);
+            let limit = SILENCE.max(usual.scaled(SILENCE_TIMES));
             if now.since(executor.heard_at.max(attempt.sent).max(self.woke)) > limit
                 && !silent.contains(&attempt.executor)
             {
--- a/crates/gateway/src/health.rs
+++ b/crates/gateway/src/health.rs
@@ -64,15 +64,15 @@
             Failure::Silence => 0.7,
             Failure::Broken => 0.5,
             Failure::Refused => {
-                self.full_until = self.full_until.max(now + REFUSAL_PAUSE * (1.0 + spread));
+                self.full_until = self.full_until.max(now + REFUSAL_PAUSE.scaled(1.0 + spread));
                 return;
             }
         };
         // Many attempts break in one crash: what they say of it together is bounded, or it would last.
         (self.suspicion, self.as_of) = ((self.suspicion(now) + weight).min(2.0), now);
         if self.suspicion >= SUSPECT && now >= self.ejected_until {
-            let doubled = EJECTION * f64::from(1_u32 << self.ejections.min(3));
-            self.ejected_until = now + doubled.min(LONGEST_EJECTION) * (1.0 + spread / 2.0);
+            let doubled = EJECTION.scaled(f64::from(1_u32 << self.ejections.min(3)));
+            self.ejected_until = now + doubled.min(LONGEST_EJECTION).scaled(1.0 + spread / 2.0);
             self.ejections += 1;
         }
     }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -150,6 +150,6 @@
         const HOLDS: Span = Span::millis(500); // a node with any requests hears more often
         const HALVES_IN_S: f64 = 0.5; // full is forgotten within a small part of any batch job's time
         let silent = now.since(self.reported);
-        if silent <= HOLDS { 1.0 } else { 0.5_f64.powf((silent - HOLDS).as_secs() / HALVES_IN_S) }
+        if silent <= HOLDS { 1.0 } else { 0.5_f64.powf(silent.saturating_sub(HOLDS).as_secs() / HALVES_IN_S) }
     }
 }
--- a/crates/load-test/src/clients.rs
+++ b/crates/load-test/src/clients.rs
@@ -54,7 +54,7 @@
             let size_s = t.size.draw(&mut chance);
             let patience = ms(t.patience_ms);
             let leaves = (chance.random::<f64>() < scenario.clients.leave_share)
-                .then(|| came + patience * chance.random::<f64>());
+                .then(|| came + patience.scaled(chance.random::<f64>()));
             errands.push(Errand {
                 tariff,
                 size_s,
--- a/crates/load-test/src/discovery.rs
+++ b/crates/load-test/src/discovery.rs
@@ -165,7 +165,7 @@
         let notice = ms(self.scenario.discovery.notice_ms);
         for (key, node) in self.registry.watches.clone() {
             if self.stands_watch(key, node) {
-                let wait = notice * (0.5 + self.chance.random::<f64>());
+                let wait = notice.scaled(0.5 + self.chance.random::<f64>());
                 self.after(wait, Task::ListLine(node, key, executor));
             }
         }
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -320,7 +320,7 @@
         let since = self.now().since(Moment(START)).as_secs();
         let cores = self.nodes.iter().zip(&self.worked).filter_map(|(node, &(life, before))| {
             let worked = node.worked().filter(|_| node.life == life)?;
-            Some((worked - before?).as_secs() / since)
+            Some(worked.saturating_sub(before?).as_secs() / since)
         });
         self.cores = cores.collect();
         Ok(())
@@ -335,7 +335,7 @@
         let now = self.now();
         // What was written while a turn lasted, by many processes that it started say, is read in no order of its own.
         let turn = now.since(self.works_since);
-        self.book.in_order_beyond(IN_ORDER.max(turn * 2.0));
+        self.book.in_order_beyond(IN_ORDER.max(turn.scaled(2.0)));
         self.longest_turn = self.longest_turn.max(turn);
         let due = self.agenda.first_key_value().map_or(now + LONGEST, |((when, _), _)| *when);
         let clock = self.clock();
--- a/crates/load-test/src/link.rs
+++ b/crates/load-test/src/link.rs
@@ -85,14 +85,16 @@
             match trouble {
                 // Each later by a time of its own: they overtake each other.
                 Trouble::Delay(span) => {
-                    passes.iter_mut().for_each(|when| *when = *when + span * (0.5 + chance.random::<f64>()));
+                    passes
+                        .iter_mut()
+                        .for_each(|when| *when = *when + span.scaled(0.5 + chance.random::<f64>()));
                 }
                 Trouble::Loss(part) => {
                     let draw = chance.random::<f64>();
                     if draw < part {
                         return Vec::new();
                     } else if draw < 2.0 * part {
-                        passes.push(now + ONCE_MORE * chance.random::<f64>());
+                        passes.push(now + ONCE_MORE.scaled(chance.random::<f64>()));
                     }
                 }
                 _ => {}
--- a/crates/maintenance/src/permission.rs
+++ b/crates/maintenance/src/permission.rs
@@ -73,8 +73,8 @@
     /// When its permission ends, and when it has been without one for long.
     fn ends(&self) -> Option<(Moment, Moment)> {
         let (_, asked) = self.by?;
-        let lasts = self.lease * (1.0 - DRIFT);
-        Some((asked + lasts, asked + lasts * (1 + LONG) as f64))
+        let lasts = self.lease.scaled(1.0 - DRIFT);
+        Some((asked + lasts, asked + lasts.scaled((1 + LONG) as f64)))
     }
 
     /// What may have been closed as of now, by the hashes of names: at these nothing may be sent.
@@ -116,8 +116,8 @@
     pub fn next_due(&self) -> Moment {
         let Some(asked) = self.asked_at else { return Moment(0) };
         let hurries = self.hurries || self.by.is_none();
-        let due = asked + if hurries { AT_LEAST_APART } else { self.lease * (1.0 / ASKS) };
-        self.nudged_at.map_or(due, |at| due.min(at.max(asked + AT_LEAST_APART * 0.25)))
+        let due = asked + if hurries { AT_LEAST_APART } else { self.lease.scaled(1.0 / ASKS) };
+        self.nudged_at.map_or(due, |at| due.min(at.max(asked + AT_LEAST_APART.scaled(0.25))))
     }
 
     /// Something was decided that this node should hear of: it asks within a moment that is its own. Guards against all nodes
--- a/crates/node/src/life/node.rs
+++ b/crates/node/src/life/node.rs
@@ -285,7 +285,8 @@
         let listens = clients.address().map_err(|e| e.to_string())?;
         info!("{} listens at {listens}; {from_outside} + {to_executors} connections at most", posting.name);
         let phase = Phase::Starting;
-        let answers_within = charter.longest_patience().min(LONGEST_STOP) + MORE_STOP - STOP_MARGIN;
+        let answers_within =
+            (charter.longest_patience().min(LONGEST_STOP) + MORE_STOP).saturating_sub(STOP_MARGIN);
         Ok(Node {
             phase,
             name: posting.name.clone(),
--- a/crates/node/src/memory/clock.rs
+++ b/crates/node/src/memory/clock.rs
@@ -26,7 +26,7 @@
     }
 
     pub fn now(&self) -> Moment {
-        self.at_start + Span(nanos(self.started.elapsed())) * self.pace
+        self.at_start + Span(nanos(self.started.elapsed())).scaled(self.pace)
     }
 }
 
--- a/crates/node/src/memory/ledger.rs
+++ b/crates/node/src/memory/ledger.rs
@@ -70,7 +70,7 @@
             clock,
             keep_ms: posted.keep_answers().0 / 1_000_000,
             most: posted.most_jobs(),
-            silent: pace.map_or(UNTOLD, |pace| pace * SILENT_PACES),
+            silent: pace.map_or(UNTOLD, |pace| pace.scaled(SILENT_PACES)),
             inside: RefCell::new(Inside {
                 log,
                 settling: HashMap::new(),
--- a/crates/node/src/wire/calls.rs
+++ b/crates/node/src/wire/calls.rs
@@ -80,7 +80,7 @@
         const TOGETHER: f64 = 16.0;
         for _ in 0..MOST {
             let now = self.clock.now();
-            let next_at = self.next_at.get().max(now - self.apart * TOGETHER);
+            let next_at = self.next_at.get().max(now - self.apart.scaled(TOGETHER));
             if next_at > now {
                 self.waits_until.set(Some(next_at));
                 return;
--- a/crates/prefix-popularity/src/ledger.rs
+++ b/crates/prefix-popularity/src/ledger.rs
@@ -32,7 +32,11 @@
 
 impl Fading {
     pub fn left(self, age: Span) -> f64 {
-        if age <= self.fresh_for { 1.0 } else { (-(age - self.fresh_for).as_secs() / self.mean_over_s).exp() }
+        if age <= self.fresh_for {
+            1.0
+        } else {
+            (-age.saturating_sub(self.fresh_for).as_secs() / self.mean_over_s).exp()
+        }
     }
 }
 
--- a/crates/prefix-popularity/src/popularity.rs
+++ b/crates/prefix-popularity/src/popularity.rs
@@ -86,7 +86,7 @@
     /// A node that knows of nothing yet. `settings` should be [`Settings::checked`].
     pub fn new(settings: Settings, own: Identity, now: Moment) -> Popularity {
         // Nodes that start together tell at different times.
-        let phase = settings.least_period * ((own.origin % 64) as f64 / 64.0);
+        let phase = settings.least_period.scaled((own.origin % 64) as f64 / 64.0);
         Popularity {
             settings,
             own,
@@ -169,7 +169,7 @@
     }
 
     fn fading(&self) -> Fading {
-        let fresh_for = self.period() * FRESH_PERIODS;
+        let fresh_for = self.period().scaled(FRESH_PERIODS);
         Fading { fresh_for, mean_over_s: self.settings.mean_over.as_secs() }
     }
 
--- a/crates/prefix-popularity/tests/stories/counting.rs
+++ b/crates/prefix-popularity/tests/stories/counting.rs
@@ -18,15 +18,15 @@
 fn a_rate_is_a_mean_that_fades() {
     // Given a prefix that is asked for at a steady pace
     let mut fleet = Fleet::new(1, Settings::default(), Network::default());
-    fleet.run(SECOND * 5.0, |_| vec![(key(1), 1_000)]);
+    fleet.run(SECOND.scaled(5.0), |_| vec![(key(1), 1_000)]);
     // Then its rate is known before the span of the mean has passed
     assert_near(&fleet.rates(key(1)), 10_000.0, 0.1);
-    fleet.run(SECOND * 60.0, |_| vec![(key(1), 1_000)]);
+    fleet.run(SECOND.scaled(60.0), |_| vec![(key(1), 1_000)]);
     assert_near(&fleet.rates(key(1)), 10_000.0, 0.05);
     // When nobody asks for it any more it fades by two thirds in twenty seconds, and is gone after minutes
-    fleet.run(SECOND * 20.0, |_| Vec::new());
+    fleet.run(SECOND.scaled(20.0), |_| Vec::new());
     assert_near(&fleet.rates(key(1)), 3_680.0, 0.1);
-    fleet.run(SECOND * 180.0, |_| Vec::new());
+    fleet.run(SECOND.scaled(180.0), |_| Vec::new());
     assert!(fleet.rates(key(1))[0] < 10.0);
 }
 
@@ -34,7 +34,7 @@
 fn rates_hold_over_hours() {
     // Given many times the span of the mean, in which the landmark of the counts has moved on
     let mut fleet = Fleet::new(1, Settings::default(), Network::default());
-    fleet.run(SECOND * 7_200.0, |_| vec![(key(1), 1_000)]);
+    fleet.run(SECOND.scaled(7_200.0), |_| vec![(key(1), 1_000)]);
     assert_near(&fleet.rates(key(1)), 10_000.0, 0.05);
 }
 
@@ -68,9 +68,9 @@
     // Then a bounded number is kept
     assert_eq!((news, node.sizes().1), (1_024, 1_024));
     // And room comes back when they fade
-    node.tick(Moment(0) + SECOND * 300.0);
+    node.tick(Moment(0) + SECOND.scaled(300.0));
     assert_eq!(node.sizes().1, 0);
-    assert_eq!(node.merge(Moment(0) + SECOND * 300.0, told(9_999)), Merge::News);
+    assert_eq!(node.merge(Moment(0) + SECOND.scaled(300.0), told(9_999)), Merge::News);
 }
 
 #[test]
@@ -78,24 +78,24 @@
     // Given a prefix whose rate needs three homes
     let settings = Settings { mean_over: SECOND, ..Settings::default() };
     let mut fleet = Fleet::new(1, settings, Network::default());
-    fleet.run(SECOND * 10.0, |_| vec![(key(1), 5_000)]);
+    fleet.run(SECOND.scaled(10.0), |_| vec![(key(1), 5_000)]);
     assert_eq!(fleet.homes(key(1)), [3]);
     // When the rate falls a little, so that it would do with two, they stay
-    fleet.run(SECOND * 60.0, |_| vec![(key(1), 3_500)]);
+    fleet.run(SECOND.scaled(60.0), |_| vec![(key(1), 3_500)]);
     assert_eq!(fleet.homes(key(1)), [3]);
     // When it falls far, they go one by one
-    fleet.run(SECOND * 3.0, |_| vec![(key(1), 100)]);
+    fleet.run(SECOND.scaled(3.0), |_| vec![(key(1), 100)]);
     assert_eq!(fleet.homes(key(1)), [2]);
-    fleet.run(SECOND * 5.0, |_| vec![(key(1), 100)]);
+    fleet.run(SECOND.scaled(5.0), |_| vec![(key(1), 100)]);
     assert_eq!(fleet.homes(key(1)), [2]);
-    fleet.run(SECOND * 8.0, |_| vec![(key(1), 100)]);
+    fleet.run(SECOND.scaled(8.0), |_| vec![(key(1), 100)]);
     assert_eq!(fleet.homes(key(1)), [1]);
 }
 
 #[test]
 fn no_prefix_has_more_homes_than_its_bound() {
     let mut fleet = Fleet::new(1, Settings::default(), Network::default());
-    fleet.run(SECOND * 10.0, |_| vec![(key(1), 4_000_000)]);
+    fleet.run(SECOND.scaled(10.0), |_| vec![(key(1), 4_000_000)]);
     assert_eq!(fleet.homes(key(1)), [Settings::default().most_homes]);
 }
 
@@ -109,7 +109,7 @@
     // Given a fleet whose prefix needs several homes
     let asks = |_: usize| vec![(key(1), 1_000)];
     let mut fleet = Fleet::new(6, Settings::default(), Network::default());
-    fleet.run(SECOND * 60.0, asks);
+    fleet.run(SECOND.scaled(60.0), asks);
     let before = fleet.homes(key(1));
     let memories: Vec<Vec<u8>> = fleet.nodes.iter().map(Popularity::remember).collect();
     assert!(memories.iter().all(|memory| memory.len() <= LARGEST_MEMORY));
@@ -129,12 +129,12 @@
 fn what_is_remembered_of_yesterday_fades() {
     // Given a memory of a prefix that nobody asks for any more
     let mut fleet = Fleet::new(1, Settings::default(), Network::default());
-    fleet.run(SECOND * 60.0, |_| vec![(key(1), 5_000)]);
+    fleet.run(SECOND.scaled(60.0), |_| vec![(key(1), 5_000)]);
     let memory = fleet.nodes[0].remember();
     fleet.restart(0, Some(&memory));
     assert!(fleet.homes(key(1))[0] > 1);
     // Then it is gone within minutes
-    fleet.run(SECOND * 180.0, |_| Vec::new());
+    fleet.run(SECOND.scaled(180.0), |_| Vec::new());
     assert_eq!(fleet.homes(key(1)), [1]);
     assert!(fleet.rates(key(1))[0] < 10.0);
 }
@@ -181,12 +181,12 @@
         let mut writer = Popularity::new(Settings::default(), crate::fleet::identity(1, 1), Moment(0));
         let mut told = Vec::new();
         for step in 1..=12_u32 {
-            let now = Moment(0) + SECOND * (f64::from(step) * 5.0);
+            let now = Moment(0) + SECOND.scaled(f64::from(step) * 5.0);
             writer.saw(now, PrefixKey(step % 3), step * 1_000);
             told.extend(writer.tick(now));
         }
         let (mut straight, mut shuffled) = (alone(), alone());
-        let now = Moment(0) + SECOND * 70.0;
+        let now = Moment(0) + SECOND.scaled(70.0);
         told.iter().for_each(|one| { straight.merge(now, one.clone()); });
         order.iter().chain(&order).for_each(|index| { shuffled.merge(now, told[*index].clone()); });
         straight.tick(now);
--- a/crates/prefix-popularity/tests/stories/sharing.rs
+++ b/crates/prefix-popularity/tests/stories/sharing.rs
@@ -34,7 +34,7 @@
     fleet.run(MINUTE, even);
     // When it is cut for two minutes
     fleet.cut(5);
-    fleet.run(MINUTE * 2.0, even);
+    fleet.run(MINUTE.scaled(2.0), even);
     // Then each side soon counts only itself
     assert_near(&fleet.rates(key(1))[..5], 10_000.0, 0.1);
     assert_near(&fleet.rates(key(1))[5..], 30_000.0, 0.1);
@@ -73,7 +73,7 @@
     fleet.run(Span::millis(3_000), even);
     assert_near(&fleet.rates(key(1))[..3], 8_000.0, 0.1);
     // And no longer after some minutes, nor does its register take memory
-    fleet.run(MINUTE * 3.0, even);
+    fleet.run(MINUTE.scaled(3.0), even);
     assert_near(&fleet.rates(key(1))[..3], 6_000.0, 0.05);
     assert_eq!(fleet.nodes[0].sizes().1, 2);
 }
@@ -128,7 +128,7 @@
     fleet.run(Span::millis(30_000), asks);
     // When it runs on
     fleet.sent_bytes = 0;
-    let four_periods = fleet.nodes[0].period() * 4.0;
+    let four_periods = fleet.nodes[0].period().scaled(4.0);
     fleet.run(four_periods, asks);
     // Then registers take no more than their share of each link, in and out, frames included
     let registers = fleet.sent_bytes as f64 / (28.0 + settings.told as f64 * 6.0);
--- a/crates/quorum/src/replica/change.rs
+++ b/crates/quorum/src/replica/change.rs
@@ -92,8 +92,8 @@
     /// Gives a change up whose learners are silent or too slow.
     pub(super) fn tick_change(&mut self) {
         let now = self.now;
-        let silence = self.timing.election_max * SILENCE;
-        let patience = self.timing.election_max * PATIENCE;
+        let silence = self.timing.election_max.scaled(SILENCE);
+        let patience = self.timing.election_max.scaled(PATIENCE);
         let group = self.group().clone();
         let Some(ownership) = self.ownership_mut() else { return };
         let Some(change) = &ownership.change else { return };
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -344,7 +344,7 @@
 
     fn put_off_election(&mut self) {
         let Timing { election_min, election_max, .. } = self.timing;
-        let extra = self.rng.random_range(0..=(election_max - election_min).0);
+        let extra = self.rng.random_range(0..=election_max.saturating_sub(election_min).0);
         self.election_at = self.now + election_min + Span(extra);
     }
 
--- a/crates/quorum/src/timing.rs
+++ b/crates/quorum/src/timing.rs
@@ -27,8 +27,8 @@
         Timing {
             heartbeat,
             election_min,
-            election_max: self.election_max.max(election_min * 1.2),
-            lease: self.lease.min(election_min * LEASE_SHARE),
+            election_max: self.election_max.max(election_min.scaled(1.2)),
+            lease: self.lease.min(election_min.scaled(LEASE_SHARE)),
         }
     }
 }
--- a/crates/registry/src/join.rs
+++ b/crates/registry/src/join.rs
@@ -68,7 +68,7 @@
             self.send(seed, Message::Join(self.own_member().clone()));
         }
         let jitter = self.random.random_range(0.9..1.1);
-        self.joining.next_try = Some(now + self.timings.join_retry * jitter);
+        self.joining.next_try = Some(now + self.timings.join_retry.scaled(jitter));
     }
 
     pub(crate) fn receive_join(&mut self, now: Moment, from: SocketAddrV4, member: Member) {
--- a/crates/registry/src/liveness.rs
+++ b/crates/registry/src/liveness.rs
@@ -137,7 +137,7 @@
     /// Whether this node has heard nobody for a while, though it knows of others: then it is likely cut off. It calls
     /// nobody dead as long as none of those it asks answers.
     pub fn is_isolated(&self, now: Moment) -> bool {
-        let bound = self.timings.heartbeat * 2.5;
+        let bound = self.timings.heartbeat.scaled(2.5);
         self.ring.len() > 1 && self.liveness.last_heard.is_none_or(|heard| now.since(heard) > bound)
     }
 
@@ -216,7 +216,7 @@
                 next = next.min(heard + suspect_after);
                 continue;
             }
-            let bound = self.timings.dead_after * entry.patience(now) + Span(STAGGER.0 * watch.rank);
+            let bound = self.timings.dead_after.scaled(entry.patience(now)) + Span(STAGGER.0 * watch.rank);
             watch.end_round(now, self.liveness.last_answer);
             if silence >= bound && watch.answered >= ANSWERED_ROUNDS {
                 dead.push(watch.name.clone());
--- a/crates/registry/src/settings.rs
+++ b/crates/registry/src/settings.rs
@@ -58,14 +58,14 @@
 impl Timings {
     /// How long an executor may miss its heartbeats before it is called silent: three of them and a little more.
     pub fn executor_silence(&self) -> Span {
-        self.executor_heartbeat * 3.0 + Span::millis(300)
+        self.executor_heartbeat.scaled(3.0) + Span::millis(300)
     }
 
     /// The same for one that is known from the disk only, since the start: two heartbeats. One that had
     /// said that it leaves calls no more, and a loss of all power has the whole tier forget what it said; by the time that
     /// nodes count as in touch again (`contact_ms`) nothing may be sent there.
     pub fn recalled_executor_silence(&self) -> Span {
-        self.executor_heartbeat * 2.0
+        self.executor_heartbeat.scaled(2.0)
     }
 }
 
--- a/crates/registry/tests/executors.rs
+++ b/crates/registry/tests/executors.rs
@@ -139,7 +139,7 @@
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
     beat_on(&mut fleet, 4, &mut last, 3);
-    fleet.run(SILENCE - Span::millis(100));
+    fleet.run(SILENCE.saturating_sub(Span::millis(100)));
     assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
     fleet.run(Span::millis(900));
     assert!(all_show(&fleet, "i-1", |executor| executor.silent));
--- a/crates/simulation/src/clients/pressed.rs
+++ b/crates/simulation/src/clients/pressed.rs
@@ -100,7 +100,7 @@
         }
         for place in 0..count {
             self.pressed.push(Some(Pressed { prefix: prefix.to_owned(), kind, to }));
-            wake(stage, now + apart * place as f64, PRESSED, self.pressed.len() as u64 - 1);
+            wake(stage, now + apart.scaled(place as f64), PRESSED, self.pressed.len() as u64 - 1);
         }
     }
 
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -46,14 +46,14 @@
     /// The identity, made of `random` if there is none; and whether it was there.
     pub fn identity(&mut self, now: Moment, random: u64) -> (u64, bool) {
         let existed = self.identity.is_some();
-        let safe = Some(now + self.sync_takes * 4.0);
+        let safe = Some(now + self.sync_takes.scaled(4.0));
         let identity = self.identity.get_or_insert(Written { what: random, at: now, safe });
         (identity.what, existed)
     }
 
     /// What a folder holds; from here on it lasts.
     pub fn open(&mut self, now: Moment, folder: &Path) -> Restored {
-        let safe = now + self.sync_takes * 2.0;
+        let safe = now + self.sync_takes.scaled(2.0);
         let store = self.stores.entry(folder.to_owned()).or_default();
         for written in &mut store.later {
             written.safe.get_or_insert(safe);
@@ -71,7 +71,7 @@
         for write in writes {
             let whole = matches!(write, Write::Snapshot { .. });
             if whole {
-                takes = takes + sync_takes * 3.0;
+                takes = takes + sync_takes.scaled(3.0);
             }
             let safe = (whole && !pretends).then_some(now + takes);
             store.later.push(Written { what: write.clone(), at: now, safe });
--- a/crates/simulation/src/executors/answers.rs
+++ b/crates/simulation/src/executors/answers.rs
@@ -81,7 +81,7 @@
             }
             return self.run_over(number, run_number, stage);
         }
-        let takes = Span::millis(6) * (1.0 + active as f64 * 0.15) * slowed;
+        let takes = Span::millis(6).scaled(1.0 + active as f64 * 0.15).scaled(slowed);
         wake(stage, number, stage.now() + takes, STEP, run_number);
     }
 
--- a/crates/simulation/src/executors/heartbeats.rs
+++ b/crates/simulation/src/executors/heartbeats.rs
@@ -113,7 +113,7 @@
         }
         if live.state == State::Up {
             let jitter = stage.hub.random.random_range(0.9..1.1);
-            wake(stage, number, stage.now() + Span::millis(1200) * jitter, HEARTBEAT, 0);
+            wake(stage, number, stage.now() + Span::millis(1200).scaled(jitter), HEARTBEAT, 0);
         }
     }
 
--- a/crates/simulation/src/executors/runs.rs
+++ b/crates/simulation/src/executors/runs.rs
@@ -61,7 +61,7 @@
             connection.run = Some(run);
         }
         match failure {
-            None | Some(Grey::Slow) => wake(stage, number, stage.now() + takes * slowed, STEP, run),
+            None | Some(Grey::Slow) => wake(stage, number, stage.now() + takes.scaled(slowed), STEP, run),
             Some(how) => self.fail_run(number, run, how, stage),
         }
     }
--- a/crates/simulation/src/fleet/executor_faults.rs
+++ b/crates/simulation/src/fleet/executor_faults.rs
@@ -64,7 +64,7 @@
             self.note(&format!("{} goes down", self.executors.made(*number).instance));
             self.stage(|actors, stage| actors.executors.fail(*number, false, stage));
         }
-        self.later(gap * 0.5, Step::Again { executors, times: times - 1, gap });
+        self.later(gap.scaled(0.5), Step::Again { executors, times: times - 1, gap });
     }
 
     pub(super) fn come_again(&mut self, executors: Vec<usize>, times: usize, gap: Span) {
@@ -73,7 +73,7 @@
             let made = self.executors.made(number).clone();
             again.push(self.add_executor(&made.service, made.zone_number, Some(made.address)));
         }
-        self.later(gap * 0.5, Step::Flap { executors: again, times, gap });
+        self.later(gap.scaled(0.5), Step::Flap { executors: again, times, gap });
     }
 
     /// All executors that are up lie for a time.
--- a/crates/simulation/src/hub.rs
+++ b/crates/simulation/src/hub.rs
@@ -231,8 +231,8 @@
             hosts: Vec::new(),
             processes: Vec::new(),
             cuts: Vec::new(),
-            in_zone: Span::millis(1) * 0.2,
-            cross_zone: Span::millis(1) * 0.5,
+            in_zone: Span::millis(1).scaled(0.2),
+            cross_zone: Span::millis(1).scaled(0.5),
             cross_region: Span::millis(20),
             regions: Vec::new(),
             wall_start_ms: 1_900_000_000_000,
@@ -307,7 +307,7 @@
             self.cross_region
         };
         let jitter = self.random.random_range(1.0..1.3);
-        (base + wires) * jitter
+        (base + wires).scaled(jitter)
     }
 
     /// A new life of a process on a host.
@@ -370,7 +370,7 @@
 
     /// Ends a turn: the process is busy until its waits for the disk are over, and turns again if anything is ready still.
     pub fn end_turn(&mut self, process: usize) {
-        let until = self.local_now() + TURN_TAKES * self.hosts[self.processes[process].host].slowed;
+        let until = self.local_now() + TURN_TAKES.scaled(self.hosts[self.processes[process].host].slowed);
         self.turn_spent = Span(0);
         let ends: Vec<End> = self.processes[process].ready.iter().copied().collect();
         let still: BTreeSet<End> = ends.into_iter().filter(|end| self.event_of(*end).is_some()).collect();
--- a/crates/simulation/src/judge/requests.rs
+++ b/crates/simulation/src/judge/requests.rs
@@ -118,7 +118,7 @@
         let passed_on = found.runs > 0;
         let late = at.since(sent) > self.bounds.loss_slack;
         let early = sent <= stopping_since + SENT_EARLY;
-        let borne = early && at >= stopping_since + self.bounds.grace * WORK_BORNE_UNTIL;
+        let borne = early && at >= stopping_since + self.bounds.grace.scaled(WORK_BORNE_UNTIL);
         if !found.broken && !borne && at < deadline && (passed_on || late) && self.only_planned(sent, at) {
             let what = format!(
                 "try {id} at host {host}, sent {:.3} s after SIGTERM, ended without an answer during planned work",
--- a/crates/simulation/src/network/opening.rs
+++ b/crates/simulation/src/network/opening.rs
@@ -79,7 +79,7 @@
 
     pub(super) fn reopen(&mut self, connection: u64, attempt: u32) {
         if attempt < MOST_OPENINGS {
-            let after = REOPEN_AFTER * f64::from(1u32 << (attempt - 1));
+            let after = REOPEN_AFTER.scaled(f64::from(1u32 << (attempt - 1)));
             self.schedule(self.now + after, Happening::Opening { connection, attempt: attempt + 1 });
         } else {
             self.break_side(connection, 0, ErrorKind::TimedOut);
--- a/crates/simulation/src/network/packets.rs
+++ b/crates/simulation/src/network/packets.rs
@@ -44,7 +44,7 @@
                     return self.break_side(connection, side, ErrorKind::TimedOut);
                 }
                 _ => {
-                    let again = self.now + RESEND_AFTER * self.random.random_range(0.5..1.5);
+                    let again = self.now + RESEND_AFTER.scaled(self.random.random_range(0.5..1.5));
                     let Some(found) = self.connections.get_mut(&connection) else { return };
                     for flying in &mut found.sides[side].flight {
                         flying.at = flying.at.max(again);
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -440,7 +440,7 @@
             }
             return;
         }
-        task.pause = (task.pause * 1.5).min(Span::millis(600));
+        task.pause = task.pause.scaled(1.5).min(Span::millis(600));
         let pause = task.pause;
         wake(stage, now + pause, AGAIN, number);
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -91,14 +91,14 @@
         let random = self.random();
         let mut hub = self.hub.borrow_mut();
         let (id, existed) = self.disk.borrow_mut().identity(hub.local_now(), random);
-        hub.turn_spent = hub.turn_spent + self.disk.borrow().sync_takes * 4.0;
+        hub.turn_spent = hub.turn_spent + self.disk.borrow().sync_takes.scaled(4.0);
         Ok(Identity { id: ReplicaId(id), existed })
     }
 
     fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartStore>, Restored), StoreError> {
         let mut hub = self.hub.borrow_mut();
         let restored = self.disk.borrow_mut().open(hub.local_now(), folder);
-        hub.turn_spent = hub.turn_spent + self.disk.borrow().sync_takes * 2.0;
+        hub.turn_spent = hub.turn_spent + self.disk.borrow().sync_takes.scaled(2.0);
         let files = Files { hub: self.hub.clone(), disk: self.disk.clone(), folder: folder.to_owned() };
         Ok((Box::new(files), restored))
     }
--- a/crates/tier/src/exchange.rs
+++ b/crates/tier/src/exchange.rs
@@ -107,8 +107,8 @@
     fn silence_borne(&self) -> Span {
         let begun = self.attempt.as_ref().is_some_and(|attempt| attempt.head_seen);
         match self.route.gap_aim_ms {
-            Some(gap_ms) if begun => PAUSE_AT_LEAST.max(Span::millis(gap_ms) * SILENT_PAUSES),
-            _ => SILENT_AT_LEAST.max(Span::millis(self.route.target_latency_ms) * SILENT_OBJECTIVES),
+            Some(gap_ms) if begun => PAUSE_AT_LEAST.max(Span::millis(gap_ms).scaled(SILENT_PAUSES)),
+            _ => SILENT_AT_LEAST.max(Span::millis(self.route.target_latency_ms).scaled(SILENT_OBJECTIVES)),
         }
     }
 }
--- a/crates/tier/src/founding.rs
+++ b/crates/tier/src/founding.rs
@@ -60,7 +60,7 @@
     pub fn look_to_found(&mut self) {
         let now = self.now;
         let Some(founder) = &self.founder else { return };
-        if now < Moment(0) + NEXT_SEED_AFTER * founder.rank as f64 {
+        if now < Moment(0) + NEXT_SEED_AFTER.scaled(founder.rank as f64) {
             self.alarms.set(now + LOOK_EVERY, Timer::Found);
             return;
         }
--- a/crates/tier/src/stop.rs
+++ b/crates/tier/src/stop.rs
@@ -40,8 +40,8 @@
 impl Departure {
     /// A process that was told to stop at `since`, and would be killed `grace` later.
     pub fn new(since: Moment, grace: Span) -> Departure {
-        let margin = EXIT_MARGIN.min(grace * EXIT_MARGIN_SHARE);
-        Departure { since, exits_at: since + (grace - margin) }
+        let margin = EXIT_MARGIN.min(grace.scaled(EXIT_MARGIN_SHARE));
+        Departure { since, exits_at: since + grace.saturating_sub(margin) }
     }
 
     /// When the process ends at the latest.
@@ -68,7 +68,7 @@
         let longest = match route.route_type {
             RouteType::Streaming => time_left,
             _ => {
-                let usual = Span::millis(route.target_latency_ms) * USUAL_OBJECTIVES;
+                let usual = Span::millis(route.target_latency_ms).scaled(USUAL_OBJECTIVES);
                 time_left.min(USUAL_AT_LEAST.max(usual))
             }
         };
--- a/crates/tier/tests/stop.rs
+++ b/crates/tier/tests/stop.rs
@@ -67,7 +67,7 @@
     // Given a grace period, then the exit lies within its last sixth, in which the operators bear a cut.
     let departure = Departure::new(Moment(0), Span::millis(grace_ms));
     assert_eq!(departure.exits_at(), at_ms(exit_ms));
-    assert!(departure.exits_at() >= Moment(0) + Span::millis(grace_ms) * (5.0 / 6.0));
+    assert!(departure.exits_at() >= Moment(0) + Span::millis(grace_ms).scaled(5.0 / 6.0));
 }
 
 #[test]
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,6 +1,6 @@
 //! Points in time and spans, kept apart by their types.
 
-use std::ops::{Add, Mul, Sub};
+use std::ops::{Add, Sub};
 
 /// A point in time, in nanoseconds of the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -19,6 +19,15 @@
         Span((secs * 1e9) as u64)
     }
 
+    /// This many times as long.
+    pub fn scaled(self, times: f64) -> Span {
+        Span((self.0 as f64 * times) as u64)
+    }
+
+    pub fn saturating_sub(self, other: Span) -> Span {
+        Span(self.0.saturating_sub(other.0))
+    }
+
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e9
     }
@@ -45,23 +54,9 @@
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
-    fn sub(self, other: Span) -> Span {
-        Span(self.0.saturating_sub(other.0))
-    }
-}
-
 impl Add for Span {
     type Output = Span;
     fn add(self, other: Span) -> Span {
         Span(self.0.saturating_add(other.0))
     }
 }
-
-impl Mul<f64> for Span {
-    type Output = Span;
-    fn mul(self, times: f64) -> Span {
-        Span((self.0 as f64 * times) as u64)
-    }
-}
--- a/crates/volatile-raft/src/keeper.rs
+++ b/crates/volatile-raft/src/keeper.rs
@@ -268,7 +268,7 @@
         }
         let Some(group) = &mut self.group else { return };
         // One that stood still does not make up for it: it would take all others for gone at once.
-        if now.since(self.ticks_at) > TICK * ELECTION_TICKS as f64 {
+        if now.since(self.ticks_at) > TICK.scaled(ELECTION_TICKS as f64) {
             self.ticks_at = now - TICK;
         }
         while self.ticks_at + TICK <= now {
