--- a/crates/batch/src/fair_share.rs
+++ b/crates/batch/src/fair_share.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 
 /// What an owner tells is true for about this long: some times the pause between two of its messages.
-const FRESH_FOR: Span = Span::millis(600);
+const FRESH_FOR: Duration = Duration::from_millis(600);
 /// Runs beyond its share that an owner may have, so that all of them together can grow into new room. With some 16
 /// messages of each owner a second a few hundred places are taken within a second.
 const HEADROOM: f64 = 24.0;
@@ -31,19 +31,19 @@
 /// What the owners of the other parts told last.
 #[derive(Clone, Debug, Default)]
 pub struct FairShare {
-    others: BTreeMap<u8, (PartLoad, Moment)>,
+    others: BTreeMap<u8, (PartLoad, Instant)>,
 }
 
 impl FairShare {
     /// The owner of another part told its load.
-    pub fn told(&mut self, now: Moment, part: u8, load: PartLoad) {
+    pub fn told(&mut self, now: Instant, part: u8, load: PartLoad) {
         self.others.insert(part, (load, now));
     }
 
     /// Whether a part with this load may begin a further item: always, while no other part has items that wait; else up to
     /// its share of all runs, by how many items each part has, and a little beyond.
-    pub fn may_begin(&self, now: Moment, part: u8, own: PartLoad) -> bool {
-        let fresh = |(other, (load, at)): (&u8, &(PartLoad, Moment))| {
+    pub fn may_begin(&self, now: Instant, part: u8, own: PartLoad) -> bool {
+        let fresh = |(other, (load, at)): (&u8, &(PartLoad, Instant))| {
             (*other != part && now.since(*at) < FRESH_FOR).then_some(*load)
         };
         let others: Vec<PartLoad> = self.others.iter().filter_map(fresh).collect();
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -7,9 +7,9 @@
 //!
 //! ```
 //! use grebeusher_batch::*;
-//! use grebeusher_time::Moment;
+//! use grebeusher_time::Instant;
 //!
-//! let now = Moment(0);
+//! let now = Instant(0);
 //! let head = SubmissionHead {
 //!     job: JobId::new("job-1").expect("a name"),
 //!     route: "lots".into(),
--- a/crates/batch/src/runner.rs
+++ b/crates/batch/src/runner.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 
 use crate::fair_share::PartLoad;
 use crate::jobs::{
@@ -99,7 +99,7 @@
 pub struct Runner {
     is_owner: bool,
     /// When each job was first seen here, on the steady clock: no earlier than its first send.
-    seen: BTreeMap<JobId, Moment>,
+    seen: BTreeMap<JobId, Instant>,
     jobs: BTreeMap<JobId, JobRun>,
     runs: HashMap<RunId, (JobId, ItemIndex)>,
     last_run: u64,
@@ -128,7 +128,7 @@
     }
 
     /// Takes note of jobs that came by a snapshot or from the disk: their ages begin now.
-    pub fn adopt(&mut self, jobs: &Jobs, now: Moment) {
+    pub fn adopt(&mut self, jobs: &Jobs, now: Instant) {
         self.seen.retain(|job, _| jobs.contains(job));
         for job in jobs.names() {
             self.seen.entry(job.clone()).or_insert(now);
@@ -138,7 +138,7 @@
     /// The part is owned from now on, all that earlier terms committed being applied. Items that are not listed
     /// begin anew, from what is committed of them. `wall_ms`, the wall clock in ms since 1970, is only a hint to
     /// which of the jobs are urgent.
-    pub fn begin(&mut self, jobs: &Jobs, now: Moment, wall_ms: u64) {
+    pub fn begin(&mut self, jobs: &Jobs, now: Instant, wall_ms: u64) {
         self.stop();
         self.adopt(jobs, now);
         self.is_owner = true;
@@ -166,19 +166,19 @@
         self.is_owner
     }
 
-    fn take_on(&mut self, jobs: &Jobs, id: &JobId, now: Moment, age_by_wall: Span) {
+    fn take_on(&mut self, jobs: &Jobs, id: &JobId, now: Instant, age_by_wall: Duration) {
         let Some(job) = jobs.job(id) else { return };
         let seen = self.seen.get(id).copied().unwrap_or(now);
         self.jobs.insert(id.clone(), JobRun::new(job, seen, age_by_wall, now, self.turns));
     }
 
     /// Takes note of an applied entry, on every replica.
-    pub fn applied(&mut self, jobs: &Jobs, applied: &Applied, now: Moment) {
+    pub fn applied(&mut self, jobs: &Jobs, applied: &Applied, now: Instant) {
         match applied {
             Applied::Submitted { job, already: false } => {
                 self.seen.insert(job.clone(), now);
                 if self.is_owner && jobs.is_open(job) {
-                    self.take_on(jobs, job, now, Span::default());
+                    self.take_on(jobs, job, now, Duration::default());
                 }
             }
             Applied::Listed(items) => {
@@ -218,7 +218,7 @@
     }
 
     /// The item that is to run now in this room, if any.
-    pub fn next_item(&mut self, jobs: &Jobs, now: Moment, room: &impl Room) -> Option<RunOrder> {
+    pub fn next_item(&mut self, jobs: &Jobs, now: Instant, room: &impl Room) -> Option<RunOrder> {
         for job in self.jobs.values_mut() {
             job.wake(now);
         }
@@ -231,7 +231,7 @@
         self.start_one(jobs, &id, now, room)
     }
 
-    fn start_one(&mut self, jobs: &Jobs, id: &JobId, now: Moment, room: &impl Room) -> Option<RunOrder> {
+    fn start_one(&mut self, jobs: &Jobs, id: &JobId, now: Instant, room: &impl Room) -> Option<RunOrder> {
         let job = jobs.job(id)?;
         let room_tokens = room.tokens_for(job.route())?;
         let run = RunId(self.last_run + 1);
@@ -264,7 +264,7 @@
     }
 
     /// A whole event of a run has come.
-    pub fn run_event(&mut self, run: RunId, id: u64, data: &str, now: Moment) -> EventTaken {
+    pub fn run_event(&mut self, run: RunId, id: u64, data: &str, now: Instant) -> EventTaken {
         let Some(item) = self.running(run) else { return EventTaken::NoSuchRun };
         if item.take_event(id, data) {
             return EventTaken::Taken;
@@ -280,7 +280,7 @@
     }
 
     /// A run is over. Runs that were cut off, or that are not known, are passed over.
-    pub fn run_ended(&mut self, run: RunId, outcome: Outcome, now: Moment) {
+    pub fn run_ended(&mut self, run: RunId, outcome: Outcome, now: Instant) {
         let Some(item) = self.running(run) else { return };
         match outcome {
             Outcome::Complete if item.last_event().is_some() => self.complete(run, now),
@@ -291,7 +291,7 @@
         }
     }
 
-    fn complete(&mut self, run: RunId, now: Moment) {
+    fn complete(&mut self, run: RunId, now: Instant) {
         let Some((id, item)) = self.runs.remove(&run) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if let Some((text, started)) = job.complete(item) {
@@ -308,7 +308,7 @@
         }
     }
 
-    fn failed(&mut self, run: RunId, now: Moment) {
+    fn failed(&mut self, run: RunId, now: Instant) {
         let Some((id, item)) = self.runs.get(&run).cloned() else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if job.count_failure(item) {
@@ -319,7 +319,7 @@
         }
     }
 
-    fn pause(&mut self, run: RunId, backoff: pace::Backoff, now: Moment) {
+    fn pause(&mut self, run: RunId, backoff: pace::Backoff, now: Instant) {
         let Some((id, item)) = self.runs.remove(&run) else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let tries = job.item_mut(item).map_or(0, ItemRun::count_try);
@@ -327,7 +327,7 @@
     }
 
     /// Gives up what is past its retention. To be called now and then, see [`Runner::next_wake`].
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Instant) {
         let late: Vec<JobId> =
             self.jobs.iter().filter(|(_, job)| job.is_given_up(now)).map(|(id, _)| id.clone()).collect();
         for id in late {
@@ -433,20 +433,20 @@
     }
 
     /// The jobs that nobody may ask for any longer: not open, and first seen here `status` ago or more.
-    pub fn forgettable(&self, jobs: &Jobs, now: Moment, status: Span) -> Vec<JobId> {
+    pub fn forgettable(&self, jobs: &Jobs, now: Instant, status: Duration) -> Vec<JobId> {
         let old = self.seen.iter().filter(|(_, seen)| now.since(**seen) >= status);
         let over = old.filter(|(job, _)| jobs.contains(job) && !jobs.is_open(job));
         over.map(|(job, _)| job.clone()).take(MAX_JOBS_IN_ENTRY).collect()
     }
 
     /// When something changes by itself: a pause ends or a job is given up.
-    pub fn next_wake(&self) -> Option<Moment> {
+    pub fn next_wake(&self) -> Option<Instant> {
         self.jobs.values().filter_map(JobRun::next_wake).min()
     }
 
     /// The tokens of the item of a route that would run next if there were room for any. Who never leaves room
     /// for it lets large items wait behind small ones for good.
-    pub fn first_in_line(&self, route: &str, now: Moment) -> Option<u64> {
+    pub fn first_in_line(&self, route: &str, now: Instant) -> Option<u64> {
         let expected = self.pace.expected_run();
         let jobs = self.jobs.values().filter(|job| job.route() == route && !job.is_given_up(now));
         let ready = jobs.filter_map(|job| Some((job.rank(now, expected, false), job.largest_ready()?)));
--- a/crates/batch/src/runner/item.rs
+++ b/crates/batch/src/runner/item.rs
@@ -1,6 +1,6 @@
 //! One item that is not listed, as its owner runs it.
 
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 use super::RunId;
 use crate::jobs::{EventsPiece, OpenItem};
@@ -18,7 +18,7 @@
     /// May run now.
     Ready,
     /// May run again from then on.
-    Pausing(Moment),
+    Pausing(Instant),
     Running(RunId),
     /// Its result is known and waits for its entry to be applied.
     Decided,
@@ -37,7 +37,7 @@
 pub(super) struct ItemRun {
     pub phase: Phase,
     pub tokens: u64,
-    pub started: Moment,
+    pub started: Instant,
     failed_attempts: u32,
     /// Runs that ended since the last event.
     tries: u32,
@@ -53,7 +53,7 @@
         ItemRun {
             phase: Phase::Ready,
             tokens: open.spec.token_count,
-            started: Moment::default(),
+            started: Instant::default(),
             failed_attempts: progress.failed_attempts,
             tries: 0,
             misfits: 0,
--- a/crates/batch/src/runner/pace.rs
+++ b/crates/batch/src/runner/pace.rs
@@ -1,30 +1,33 @@
 //! How long items pause between tries, and how long a run takes.
 
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 
 /// Pauses that double from `first` up to `longest`.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Backoff {
-    first: Span,
-    longest: Span,
+    first: Duration,
+    longest: Duration,
 }
 
 /// After an answer of 500: what makes it may pass.
-pub(super) const FAILED: Backoff = Backoff { first: Span::millis(100), longest: Span::millis(2_000) };
+pub(super) const FAILED: Backoff =
+    Backoff { first: Duration::from_millis(100), longest: Duration::from_millis(2_000) };
 /// After a break: another executor may go on soon.
-pub(super) const BROKEN: Backoff = Backoff { first: Span::millis(25), longest: Span::millis(1_000) };
+pub(super) const BROKEN: Backoff =
+    Backoff { first: Duration::from_millis(25), longest: Duration::from_millis(1_000) };
 /// After an executor was full or gone: nothing was lost but a try.
-pub(super) const NOT_EXECUTED: Backoff = Backoff { first: Span::millis(20), longest: Span::millis(500) };
+pub(super) const NOT_EXECUTED: Backoff =
+    Backoff { first: Duration::from_millis(20), longest: Duration::from_millis(500) };
 
 /// What a run is taken to last before any has been seen.
-const FIRST_EXPECTED_RUN: Span = Span::millis(1_000);
+const FIRST_EXPECTED_RUN: Duration = Duration::from_millis(1_000);
 /// The weight of the newest run in the mean.
 const NEWEST_WEIGHT: f64 = 0.1;
 
 #[derive(Debug)]
 pub(super) struct Pace {
     random: u64,
-    expected_run: Span,
+    expected_run: Duration,
 }
 
 impl Pace {
@@ -33,18 +36,18 @@
     }
 
     /// The pause after a try that had `tries` before it: half of it fixed, half by chance.
-    pub fn pause(&mut self, backoff: Backoff, tries: u32) -> Span {
-        let doubled = backoff.first.0.saturating_mul(1 << tries.min(16));
-        let whole = doubled.min(backoff.longest.0);
-        Span(whole / 2 + self.next_random() % (whole / 2 + 1))
+    pub fn pause(&mut self, backoff: Backoff, tries: u32) -> Duration {
+        let doubled = backoff.first.nanos().saturating_mul(1 << tries.min(16));
+        let whole = doubled.min(backoff.longest.nanos());
+        Duration::from_nanos(whole / 2 + self.next_random() % (whole / 2 + 1))
     }
 
     /// A whole run took so long.
-    pub fn ran(&mut self, span: Span) {
+    pub fn ran(&mut self, span: Duration) {
         self.expected_run = self.expected_run.scaled(1.0 - NEWEST_WEIGHT) + span.scaled(NEWEST_WEIGHT);
     }
 
-    pub fn expected_run(&self) -> Span {
+    pub fn expected_run(&self) -> Duration {
         self.expected_run
     }
 
--- a/crates/batch/src/runner/schedule.rs
+++ b/crates/batch/src/runner/schedule.rs
@@ -5,7 +5,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 
 use super::RunId;
 use super::item::{ItemRun, Phase};
@@ -15,7 +15,7 @@
 /// One turn in so many is the fair one.
 const FAIR_TURN: u64 = 8;
 /// The retention of a route that names none: its items are not given up.
-const NEVER: Span = Span(u64::MAX);
+const NEVER: Duration = Duration::from_nanos(u64::MAX);
 
 pub(super) fn is_fair_turn(turns: u64) -> bool {
     turns % FAIR_TURN == FAIR_TURN - 1
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Rank {
     is_late: bool,
-    due: Moment,
+    due: Instant,
     last_turn: u64,
 }
 
@@ -33,15 +33,15 @@
 pub(super) struct JobRun {
     route: String,
     max_attempts: u32,
-    due: Moment,
+    due: Instant,
     /// From then on the items may be given up.
-    given_up: Moment,
+    given_up: Instant,
     /// The turn in which an item of it last started, or in which it came.
     last_turn: u64,
     items: BTreeMap<ItemIndex, ItemRun>,
     /// The largest first: they take longest and are worth most.
     ready: BTreeSet<(Reverse<u64>, ItemIndex)>,
-    pausing: BTreeSet<(Moment, ItemIndex)>,
+    pausing: BTreeSet<(Instant, ItemIndex)>,
     /// The tokens of the items that are ready or pausing.
     idle_tokens: u64,
     /// The items whose results are known.
@@ -51,10 +51,10 @@
 impl JobRun {
     /// A job that was first seen here at `seen` and is `age_by_wall` old by the wall clock. The wall clock only
     /// moves the time when the job is due; giving up goes by what was seen, which is never too old.
-    pub fn new(job: &Job, seen: Moment, age_by_wall: Span, now: Moment, turn: u64) -> JobRun {
+    pub fn new(job: &Job, seen: Instant, age_by_wall: Duration, now: Instant, turn: u64) -> JobRun {
         let terms = job.terms();
         let retention = if terms.retention_ms == 0 { NEVER } else { millis(terms.retention_ms) };
-        let by_wall = if age_by_wall > retention { Span::default() } else { age_by_wall };
+        let by_wall = if age_by_wall > retention { Duration::default() } else { age_by_wall };
         let age = now.since(seen).max(by_wall) + millis(terms.age_at_acceptance_ms);
         let mut run = JobRun {
             route: job.route().to_owned(),
@@ -92,14 +92,14 @@
         self.ready.len()
     }
 
-    pub fn is_given_up(&self, now: Moment) -> bool {
+    pub fn is_given_up(&self, now: Instant) -> bool {
         now >= self.given_up
     }
 
     /// The job's place, if a run takes `expected`.
-    pub fn rank(&self, now: Moment, expected: Span, is_fair_turn: bool) -> Rank {
+    pub fn rank(&self, now: Instant, expected: Duration, is_fair_turn: bool) -> Rank {
         if is_fair_turn {
-            return Rank { is_late: false, due: Moment::default(), last_turn: self.last_turn };
+            return Rank { is_late: false, due: Instant::default(), last_turn: self.last_turn };
         }
         Rank { is_late: now + expected > self.due, due: self.due, last_turn: self.last_turn }
     }
@@ -113,7 +113,7 @@
     }
 
     /// Items whose pauses are over may run.
-    pub fn wake(&mut self, now: Moment) {
+    pub fn wake(&mut self, now: Instant) {
         while let Some((until, index)) = self.pausing.first().copied() {
             if until > now {
                 break;
@@ -141,7 +141,7 @@
     }
 
     /// Starts the largest item that fits.
-    pub fn start(&mut self, room: u64, run: RunId, now: Moment, turn: u64) -> Option<ItemIndex> {
+    pub fn start(&mut self, room: u64, run: RunId, now: Instant, turn: u64) -> Option<ItemIndex> {
         let key = self.largest_within(room)?;
         self.ready.remove(&key);
         let item = self.items.get_mut(&key.1)?;
@@ -153,7 +153,7 @@
     }
 
     /// Puts the item off until then.
-    pub fn pause(&mut self, index: ItemIndex, until: Moment) {
+    pub fn pause(&mut self, index: ItemIndex, until: Instant) {
         if let Some(item) = self.items.get_mut(&index) {
             item.phase = Phase::Pausing(until);
             self.idle_tokens = self.idle_tokens.saturating_add(item.tokens);
@@ -162,7 +162,7 @@
     }
 
     /// The item's text, and when its last run started.
-    pub fn complete(&mut self, index: ItemIndex) -> Option<(String, Moment)> {
+    pub fn complete(&mut self, index: ItemIndex) -> Option<(String, Instant)> {
         let item = self.items.get_mut(&index)?;
         self.decided += 1;
         Some((item.take_text(), item.started))
@@ -232,7 +232,7 @@
     }
 
     /// When a pause ends or the job is given up; nothing if all is decided.
-    pub fn next_wake(&self) -> Option<Moment> {
+    pub fn next_wake(&self) -> Option<Instant> {
         let has_undecided = self.decided < self.items.len();
         let pause = self.pausing.first().map(|(until, _)| *until);
         has_undecided.then(|| pause.map_or(self.given_up, |pause| pause.min(self.given_up)))
@@ -243,6 +243,6 @@
     }
 }
 
-pub(super) fn millis(ms: u64) -> Span {
-    Span(ms.saturating_mul(Span::millis(1).0))
+pub(super) fn millis(ms: u64) -> Duration {
+    Duration::from_nanos(ms.saturating_mul(Duration::from_millis(1).nanos()))
 }
--- a/crates/batch/tests/batches/owner_change.rs
+++ b/crates/batch/tests/batches/owner_change.rs
@@ -1,7 +1,7 @@
 //! The owner changes in the middle of everything.
 
 use grebeusher_batch::*;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 
 use crate::part::Part;
 use crate::sample::*;
@@ -204,7 +204,7 @@
 /// LOST: forgotten only so long after this replica first saw the job, and not while it is open.
 #[test]
 fn jobs_are_forgotten_by_the_steady_clock() {
-    let status = Span::millis(120_000);
+    let status = Duration::from_millis(120_000);
     let mut part = Part::with_job("open", 1);
     part.commit(submit("done", 1));
     part.commit(complete("done", 0, "text"));
--- a/crates/batch/tests/batches/part.rs
+++ b/crates/batch/tests/batches/part.rs
@@ -1,14 +1,14 @@
 //! One part with one owner, whose proposals are committed at once.
 
 use grebeusher_batch::*;
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 use crate::sample::*;
 
 pub struct Part {
     pub jobs: Jobs,
     pub runner: Runner,
-    pub now: Moment,
+    pub now: Instant,
 }
 
 impl Part {
@@ -41,7 +41,7 @@
     }
 
     pub fn pass(&mut self, ms: u64) {
-        self.now = self.now + grebeusher_time::Span::millis(ms);
+        self.now = self.now + grebeusher_time::Duration::from_millis(ms);
     }
 
     pub fn try_next(&mut self) -> Option<RunOrder> {
--- a/crates/batch/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -1,6 +1,7 @@
 //! What the owner runs, in which order, and what comes of it.
 
 use grebeusher_batch::*;
+use grebeusher_time::DurationExt;
 use rstest::rstest;
 
 use crate::part::Part;
@@ -444,7 +445,7 @@
         let order = part.next();
         part.end_run(&order, Outcome::Failed500);
         let until = part.runner.next_wake().expect("it pauses");
-        pauses.push(until.since(part.now).as_secs());
+        pauses.push(until.since(part.now).seconds());
         part.now = until;
     }
     assert!((0.05..=0.1).contains(&pauses[0]), "{pauses:?}");
@@ -462,7 +463,7 @@
         }
         part.end_run(&order, Outcome::Broken);
         let until = part.runner.next_wake().expect("it pauses");
-        let pause = until.since(part.now).as_secs();
+        let pause = until.since(part.now).seconds();
         part.now = until;
         pause
     };
--- a/crates/batch/tests/batches/sample.rs
+++ b/crates/batch/tests/batches/sample.rs
@@ -1,7 +1,7 @@
 //! Jobs and entries to tell stories with.
 
 use grebeusher_batch::*;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 
 pub const ROUTE: &str = "r-lots";
 
@@ -9,8 +9,8 @@
     JobId::new(name).expect("a proper name")
 }
 
-pub fn at(ms: u64) -> Moment {
-    Moment::default() + Span::millis(ms)
+pub fn at(ms: u64) -> Instant {
+    Instant::default() + Duration::from_millis(ms)
 }
 
 /// The item's body tells which it is, so that mixed up bodies are seen.
--- a/crates/batch/tests/batches/storm.rs
+++ b/crates/batch/tests/batches/storm.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use grebeusher_batch::*;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
 use crate::sample::*;
@@ -15,7 +15,7 @@
 const JOBS_AT_A_TIME: u64 = 6;
 const TURNS_A_JOB: u64 = 60;
 /// Long enough that no client still sends a job that may be forgotten.
-const STATUS: Span = Span::millis(30_000);
+const STATUS: Duration = Duration::from_millis(30_000);
 
 /// SplitMix64.
 struct Dice(u64);
@@ -50,7 +50,7 @@
 
 struct Storm {
     dice: Dice,
-    now: Moment,
+    now: Instant,
     log: Vec<Entry>,
     replicas: Vec<Replica>,
     owner: usize,
@@ -62,7 +62,7 @@
     listed: BTreeMap<(JobId, usize), Listing>,
     turns: u64,
     /// And when a reader first knew of them.
-    accepted: BTreeMap<JobId, Moment>,
+    accepted: BTreeMap<JobId, Instant>,
     ended: BTreeSet<JobId>,
 }
 
@@ -285,7 +285,7 @@
 
     fn turn(&mut self, calm: bool) {
         self.turns += 1;
-        self.now = self.now + Span::millis(self.dice.roll(60));
+        self.now = self.now + Duration::from_millis(self.dice.roll(60));
         if !calm {
             match self.dice.roll(60) {
                 0 => self.change_owner(),
--- a/crates/batch/tests/fair_share.rs
+++ b/crates/batch/tests/fair_share.rs
@@ -1,10 +1,10 @@
 //! How owners of parts share the room for items.
 
 use grebeusher_batch::{FairShare, PartLoad};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
-const NOW: Moment = Moment(5_000_000_000);
+const NOW: Instant = Instant(5_000_000_000);
 
 fn load(running: u32, waiting: u32) -> PartLoad {
     PartLoad { running, waiting }
@@ -46,7 +46,7 @@
 fn what_an_owner_told_long_ago_holds_nobody_back() {
     // Given an owner that told of a long queue and was heard of no more, when others go on, then they take its room.
     let shares = beside(&[(2, load(61, 700))]);
-    assert!(shares.may_begin(NOW + Span::millis(1000), 3, load(415, 60)));
+    assert!(shares.may_begin(NOW + Duration::from_millis(1000), 3, load(415, 60)));
 }
 
 #[test]
--- a/crates/bench-adapter/src/door.rs
+++ b/crates/bench-adapter/src/door.rs
@@ -2,7 +2,7 @@
 
 use grebeusher_dispatch::host::Host;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::{Duration, DurationExt};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -138,13 +138,13 @@
 pub struct Wire(pub Rc<RefCell<Door>>);
 
 impl Host for Wire {
-    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Span) {
+    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Duration) {
         let door = &mut *self.0.borrow_mut();
         let Some(named) = door.named.get_mut(&unit) else { return };
         named.out += 1;
         let executor = &*door.executor_names[executor.0];
         let (who, msg_id) = (door.who, &*named.msg_id);
-        write(&mut door.lines, &Line::Issue { who, msg_id, executor, give_up_after_ns: time_out.0 });
+        write(&mut door.lines, &Line::Issue { who, msg_id, executor, give_up_after_ns: time_out.nanos() });
     }
 
     fn recall(&mut self, allocation: AllocationId) {
@@ -154,8 +154,8 @@
         write(&mut door.lines, &Line::Recall { who, msg_id, go: allocation.number });
     }
 
-    fn turn_back(&mut self, unit: UnitId, come_back: Option<Span>) {
-        let wait_ns = come_back.map(|wait| wait.0);
+    fn turn_back(&mut self, unit: UnitId, come_back: Option<Duration>) {
+        let wait_ns = come_back.map(|wait| wait.nanos());
         self.0.borrow_mut().final_answer(unit, |who, msg_id| Line::Decline { who, msg_id, wait_ns });
     }
 
@@ -163,9 +163,9 @@
         self.0.borrow_mut().final_answer(unit, |who, msg_id| Line::DropRequest { who, msg_id });
     }
 
-    fn wake(&mut self, after: Span, alarm: u64) {
+    fn wake(&mut self, after: Duration, alarm: u64) {
         let door = &mut *self.0.borrow_mut();
-        write(&mut door.lines, &Line::SetAlarm { who: door.who, span_ns: after.0, name: alarm });
+        write(&mut door.lines, &Line::SetAlarm { who: door.who, span_ns: after.nanos(), name: alarm });
     }
 
     fn probe(&mut self, executor: ExecutorId) {
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId};
 use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report, Standing};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_node_config::ReportPlaces;
 use serde::Deserialize;
 use serde_json::Value;
@@ -97,7 +97,7 @@
 /// All hosted nodes and the time of the batch that is being read.
 #[derive(Default)]
 struct Hosted {
-    now: Moment,
+    now: Instant,
     instances: BTreeMap<u64, Instance>,
     /// Those that the batch speaks of: no other can have said anything.
     called: BTreeSet<u64>,
@@ -108,7 +108,7 @@
     fn take(&mut self, text: &str) -> Result<bool, String> {
         let line: Line = serde_json::from_str(text).map_err(|e| e.to_string())?;
         match &*line.kind {
-            "mark" => self.now = Moment(line.sim_time_ns),
+            "mark" => self.now = Instant(line.sim_time_ns),
             "flush" => return Ok(true),
             "born" => {
                 let facts = line.facts.as_ref().ok_or("no facts")?;
@@ -140,7 +140,7 @@
                                 executor: node.door.borrow_mut().executor(&e.executor),
                                 name: &e.executor,
                                 standing,
-                                started: Some(Moment(e.started_at_ns)).filter(|at| at.0 > 0),
+                                started: Some(Instant(e.started_at_ns)).filter(|at| at.0 > 0),
                                 kind: e.model,
                                 zone: e.dc,
                                 cell: e.pod,
@@ -158,9 +158,9 @@
                 let arrival = Arrival {
                     tariff: line.class,
                     customer: line.customer,
-                    patience_ends: Moment(line.not_after_ns),
+                    patience_ends: Instant(line.not_after_ns),
                     repeat: line.bits & 2 > 0,
-                    hint: Some(Span(line.effort_ns as u64)).filter(|_| line.bits & 1 != 0),
+                    hint: Some(Duration::from_nanos(line.effort_ns as u64)).filter(|_| line.bits & 1 != 0),
                     slots: line.slots.unwrap_or(1.0),
                     beyond: false,
                 };
@@ -219,7 +219,7 @@
     }
 
     /// Calls one node; a failure inside its decisions goes out as the wire's `panic`.
-    fn call(&mut self, line: &Line, call: impl FnOnce(&mut Instance, Moment)) -> Result<(), String> {
+    fn call(&mut self, line: &Line, call: impl FnOnce(&mut Instance, Instant)) -> Result<(), String> {
         let now = self.now;
         self.called.extend(line.who);
         let node = self.instance(line)?;
@@ -235,7 +235,7 @@
     fn call_known(
         &mut self,
         line: &Line,
-        call: impl FnOnce(&mut Instance, Moment, AllocationId),
+        call: impl FnOnce(&mut Instance, Instant, AllocationId),
     ) -> Result<(), String> {
         let msg_id = line.msg_id.as_deref().ok_or("no msg_id")?;
         let Some(unit) = self.instance(line)?.door.borrow().unit(msg_id) else { return Ok(()) };
--- a/crates/budgets/src/division.rs
+++ b/crates/budgets/src/division.rs
@@ -1,7 +1,7 @@
 //! The division that the keepers agree on.
 
 use grebeusher_dispatch::ids::fixed_hash;
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::{Duration, DurationExt};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -30,9 +30,9 @@
 
 impl Whole {
     /// The key of a budget of this name, with leases of so long. Only how many units it has may change under the same key.
-    pub fn key(&self, name: &str, lease: Span) -> Key {
+    pub fn key(&self, name: &str, lease: Duration) -> Key {
         let Whole { units: _, window_ms, floor, nodes } = self;
-        fixed_hash(&format!("{name} {window_ms} {floor} {nodes} {}", lease.0))
+        fixed_hash(&format!("{name} {window_ms} {floor} {nodes} {}", lease.nanos()))
     }
 
     /// How long a unit counts as spent: a window, and what a clock that goes wrong by one part in a hundred, as [`DRIFT`]
@@ -157,8 +157,8 @@
 
 impl Division {
     /// Empty, with leases of so long. `after_loss`: whether an earlier division may be out that nobody remembers.
-    pub fn new(lease: Span, after_loss: bool) -> Division {
-        let lease_ms = lease.0 / 1_000_000;
+    pub fn new(lease: Duration, after_loss: bool) -> Division {
+        let lease_ms = lease.nanos() / 1_000_000;
         // A window's rest is waited for as well when budgets are set.
         let quiet_until_ms = if after_loss { lease_ms } else { 0 };
         Division { clock_ms: 0, lease_ms, number: 0, quiet_until_ms, edition: 0, books: BTreeMap::new() }
--- a/crates/budgets/tests/stories.rs
+++ b/crates/budgets/tests/stories.rs
@@ -1,16 +1,16 @@
 //! Short stories of the division: with nodes that ask over a net that loses and doubles, and checked through and through.
 
 use grebeusher_budgets::{Ask, Division, Entry, Grant, Holder, Purse, WAITS, Whole, Wholes};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
-const LEASE: Span = Span::millis(2000);
+const LEASE: Duration = Duration::from_millis(2000);
 
-fn ms(ms: u64) -> Moment {
-    Moment(1_000_000_000_000) + Span::millis(ms)
+fn ms(ms: u64) -> Instant {
+    Instant(1_000_000_000_000) + Duration::from_millis(ms)
 }
 
 fn edition(edition: u64, of: &[Whole]) -> Entry {
@@ -74,8 +74,8 @@
     }
 
     /// What the time is by the clock of a node.
-    fn clock(&self, at: usize) -> Moment {
-        Moment(1_000_000_000_000) + Span::millis(self.now).scaled(self.paces[at])
+    fn clock(&self, at: usize) -> Instant {
+        Instant(1_000_000_000_000) + Duration::from_millis(self.now).scaled(self.paces[at])
     }
 
     /// So many milliseconds pass, one by one.
@@ -99,7 +99,7 @@
                         self.spent.push_back(now);
                         self.total += 1;
                     } else {
-                        self.waiting.push_back((now + WAITS.0 / 1_000_000, at));
+                        self.waiting.push_back((now + WAITS.nanos() / 1_000_000, at));
                     }
                 }
                 if let Some(ask) = purse.ask(clock) {
@@ -323,7 +323,7 @@
     fn purse(&self, now: u64, at: usize, life: u64) -> Purse {
         let holder = Holder { number: at as u32, generation: life };
         // What goes wrong on purpose: a lease that lasts a moment longer, as if it counted from when the grant was heard.
-        let lease = if self.early { LEASE } else { LEASE + Span::millis(TICK + 100) };
+        let lease = if self.early { LEASE } else { LEASE + Duration::from_millis(TICK + 100) };
         Purse::new(ms(now), holder, 0, &UNITS, lease)
     }
 }
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -24,7 +24,8 @@
 mod work;
 
 use crate::learnt::Known;
-use crate::{Allowance, ColdStart, Host, Moment, Span, Tariff, UnitId};
+use crate::time::DurationExt;
+use crate::{Allowance, ColdStart, Duration, Host, Instant, Tariff, UnitId};
 use executor::Executor;
 use grebeusher_sizing::CutOffs;
 use rand::Rng;
@@ -37,16 +38,16 @@
 const FOLLOW: u64 = 1;
 const FIRST_UNIT: u64 = 2;
 /// Housekeeping runs this often: well under the seconds after which reports and lists change.
-const BEAT_EVERY: Span = Span::millis(250);
+const BEAT_EVERY: Duration = Duration::from_millis(250);
 /// The final answer is due this long before patience ends: a few batches of any caller.
-const ANSWER_MARGIN: Span = Span::millis(20);
+const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// Progress is told at a steady pace: so many without a word are no chance.
 const SILENT_PACES: f64 = 2.5;
 /// Below this many sizes one lane holds every worker (design page).
 const FEWEST: usize = 50;
 /// What is sent is on its way to whoever counts it for so long at most, or they count it a little later than
 /// this node: two that are a window apart here may come closer together there.
-const HEARD_WITHIN: Span = Span::millis(50);
+const HEARD_WITHIN: Duration = Duration::from_millis(50);
 
 /// The decisions of one node, with all that it knows.
 pub struct Dispatcher<H: Host> {
@@ -61,7 +62,7 @@
     asks_list: bool,
     may_probe: bool,
     tells_start: bool,
-    progress: Option<Span>,
+    progress: Option<Duration>,
     talk: Talk,
     allotments: Vec<Allotment>,
     executors: Vec<Executor>,
@@ -70,28 +71,28 @@
     out: usize,
     work: BTreeMap<UnitId, Work>,
     /// When work units came and further allocations were sent, as far as their budget looks back.
-    came: VecDeque<Moment>,
-    further: VecDeque<Moment>,
+    came: VecDeque<Instant>,
+    further: VecDeque<Instant>,
     follow_tries: u32,
-    list_until: Option<Moment>,
+    list_until: Option<Instant>,
     known: Known,
     cut_offs: CutOffs,
-    recut: Moment,
+    recut: Instant,
 }
 
 impl<H: Host> Dispatcher<H> {
     /// Begins: nothing may be told before.
-    pub fn start(&mut self, now: Moment) {
+    pub fn start(&mut self, now: Instant) {
         (self.recut, self.talk.heard, self.cold.from) = (now, now, now + self.cold.fall_window);
         // Nodes that start together must not beat together.
-        self.host.wake(Span::secs(BEAT_EVERY.as_secs() * self.chance.random::<f64>()), BEAT);
+        self.host.wake(Duration::from_seconds(BEAT_EVERY.seconds() * self.chance.random::<f64>()), BEAT);
         if self.asks_list {
             self.host.follow_list();
         }
     }
 
     /// An alarm set earlier fell due.
-    pub fn rang(&mut self, now: Moment, alarm: u64) {
+    pub fn rang(&mut self, now: Instant, alarm: u64) {
         match alarm {
             BEAT => self.beat(now),
             FOLLOW => self.host.follow_list(),
@@ -100,13 +101,13 @@
     }
 
     /// Whether another process of this node has the cold executors: both together have one budget.
-    pub fn cold_elsewhere(&mut self, now: Moment, elsewhere: bool) {
-        self.cold.from = if elsewhere { Moment(u64::MAX) } else { now + self.cold.fall_window };
+    pub fn cold_elsewhere(&mut self, now: Instant, elsewhere: bool) {
+        self.cold.from = if elsewhere { Instant(u64::MAX) } else { now + self.cold.fall_window };
     }
 
     /// Housekeeping: cut-offs, held work units.
-    fn beat(&mut self, now: Moment) {
-        const RECUT_EVERY: Span = Span::millis(5000); // design page
+    fn beat(&mut self, now: Instant) {
+        const RECUT_EVERY: Duration = Duration::from_millis(5000); // design page
         self.host.wake(BEAT_EVERY, BEAT);
         // While one is cold a node that knows few sizes learns paces, slots and the mean at each beat. Guards
         // against nodes restarted together that leave cold executors idle, as they take a unit for too much.
--- a/crates/dispatch/src/decide/choice.rs
+++ b/crates/dispatch/src/decide/choice.rs
@@ -1,7 +1,7 @@
 //! Which executor: the weighted pick in the lane, whom it is among, and when a wait is too long.
 
 use super::{Dispatcher, executor::Executor, work::Work};
-use crate::{ExecutorId, Host, Moment, Span, Tariff, UnitId};
+use crate::{Duration, ExecutorId, Host, Instant, Tariff, UnitId};
 use grebeusher_sizing::{Candidate as Weighed, FLOOR, weights};
 use rand::{Rng, distr::weighted::WeightedIndex};
 
@@ -21,7 +21,7 @@
     /// Those that a work unit may go to: of its lane, in the order in which this node uses them, a few and
     /// one more for every two allocations out; or many of both lanes. A node that sends little uses few
     /// and so hears of them. Guards against picks all through a large fleet, one unheard of after the other.
-    fn candidates(&self, now: Moment, work: &Work, few: bool) -> Vec<Candidate> {
+    fn candidates(&self, now: Instant, work: &Work, few: bool) -> Vec<Candidate> {
         const FEW: usize = 3; // leaves the weighted pick its choice
         const MORE: usize = 4; // times as many: one of them has room unless nearly all are full
         let lane = self.cut_offs.lane_of(work.size);
@@ -82,7 +82,7 @@
     }
 
     /// The design's choice, a weighted random pick in the lane of its size; whether any had room; the wait.
-    pub(super) fn pick(&mut self, now: Moment, unit: UnitId) -> Option<(ExecutorId, bool, f64)> {
+    pub(super) fn pick(&mut self, now: Instant, unit: UnitId) -> Option<(ExecutorId, bool, f64)> {
         let work = self.work.get(&unit)?;
         let mut able = self.candidates(now, work, true);
         // What all have out is known as of a while ago, and all nodes know the same: the pick is among a
@@ -92,7 +92,7 @@
         // Own evidence does not show what others fill: at the floor of the weights it passes for full. Guards
         // against queues in one lane while the other idles. Only where most were just heard of, and out of
         // the lane only to one less than half used: late reports must not draw a crowd.
-        const FRESH: Span = Span::millis(1000); // what a report is an average over
+        const FRESH: Duration = Duration::from_millis(1000); // what a report is an average over
         let fresh = |e: &&Executor| e.reported.is_some_and(|at| now.since(at) < FRESH);
         let hears = !known && self.ready().filter(fresh).count() * 2 > self.roster.len();
         let below = |c: &Candidate| if c.in_lane { 1.0 - FLOOR } else { 0.5 };
@@ -136,7 +136,7 @@
     /// Whether a wait is too long to start with: the work unit would be late, and make others late. Waits
     /// grow while a queue builds, so less than the slack is allowed: the less a tariff earns, the less;
     /// and next to none beyond a customer's share. Guards against queues in which all is late.
-    pub(super) fn hopeless(&self, now: Moment, work: &Work, wait: f64) -> bool {
+    pub(super) fn hopeless(&self, now: Instant, work: &Work, wait: f64) -> bool {
         let best = self.tariffs.iter().map(|t| t.earnings).fold(0.0, f64::max);
         let part = match self.tariffs[work.tariff].earnings / best {
             _ if work.over_share => 0.0,
--- a/crates/dispatch/src/decide/evidence.rs
+++ b/crates/dispatch/src/decide/evidence.rs
@@ -1,12 +1,13 @@
 //! What starts, endings and reports tell of executors, and setting aside.
 
 use super::{Dispatcher, executor::Flight, work::Allocation};
-use crate::{AllocationId, Ending, ExecutorId, Host, Moment, Report, Span};
+use crate::time::DurationExt;
+use crate::{AllocationId, Duration, Ending, ExecutorId, Host, Instant, Report};
 use rand::Rng;
 
 impl<H: Host> Dispatcher<H> {
     /// An executor told that an allocation started, or how far it is.
-    pub fn noticed(&mut self, now: Moment, id: AllocationId, executor: ExecutorId) {
+    pub fn noticed(&mut self, now: Instant, id: AllocationId, executor: ExecutorId) {
         let Some(e) = self.executors.get_mut(executor.0) else { return };
         if let Some(flight) = e.flights.iter_mut().find(|f| f.id == id) {
             if flight.started.is_none() {
@@ -14,7 +15,7 @@
                 let untold = self.progress.filter(|_| !self.tells_start).unwrap_or_default();
                 let started = flight.sent.max(now - untold);
                 flight.started = Some(started);
-                (e.last_wait, e.last_start) = (started.since(flight.sent).as_secs(), started);
+                (e.last_wait, e.last_start) = (started.since(flight.sent).seconds(), started);
             }
             flight.heard = now;
         }
@@ -31,7 +32,7 @@
     /// An allocation ended. `finished`: its work unit has had its final answer.
     pub fn ended(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: AllocationId,
         executor: ExecutorId,
         ending: Ending,
@@ -53,7 +54,7 @@
 
     /// A probe ended, or something else that may bring a report. A probe without an answer may mean a full
     /// waiting room or a loss on the way: that says too little to act on.
-    pub fn probed(&mut self, now: Moment, executor: ExecutorId, report: Option<Report>) {
+    pub fn probed(&mut self, now: Instant, executor: ExecutorId, report: Option<Report>) {
         let Some((e, report)) = self.executors.get_mut(executor.0).zip(report) else { return };
         if let Some(utilisation) = report.utilisation.filter(|u| u.is_finite()) {
             e.utilisation = utilisation.clamp(0.0, 1.0);
@@ -71,7 +72,7 @@
     }
 
     /// What an ending says of the executor.
-    fn health(&mut self, now: Moment, id: AllocationId, executor: ExecutorId, ending: Ending) {
+    fn health(&mut self, now: Instant, id: AllocationId, executor: ExecutorId, ending: Ending) {
         let Some(e) = self.executors.get_mut(executor.0) else { return };
         let flight = e.flights.iter().position(|f| f.id == id).map(|at| e.flights.swap_remove(at));
         self.out -= usize::from(flight.is_some());
@@ -80,13 +81,13 @@
                 e.answers += 1;
                 match flight {
                     Some(Flight { started: Some(at), size, slots, .. }) => {
-                        (e.done, e.ran) = (e.done + size, e.ran + now.since(at).as_secs() * slots);
+                        (e.done, e.ran) = (e.done + size, e.ran + now.since(at).seconds() * slots);
                     }
                     // Where neither starts nor other nodes tell, the answer tells the wait: all that it took
                     // beyond its own run. Guards against queues unseen as work runs for less than a pace.
                     Some(f) if !self.tells_start && !self.talk.allowed => {
                         let run = f.size / f.slots / e.pace.max(1.0);
-                        let took = now.since(f.sent).as_secs();
+                        let took = now.since(f.sent).seconds();
                         // Paces only from one that is half idle, where next to nothing waits; and a run of a
                         // standard core's at most: a pace that held some waiting must not hide the next.
                         if e.flights.is_empty() && e.utilisation < 0.5 {
@@ -100,13 +101,15 @@
             }
             // A full waiting room empties in about a run: nothing until then, or it would answer fastest
             // of all and draw the more work the fuller it is.
-            Ending::Full => e.aside_until = now + Span::secs(0.5 + 0.5 * self.chance.random::<f64>()),
+            Ending::Full => {
+                e.aside_until = now + Duration::from_seconds(0.5 + 0.5 * self.chance.random::<f64>())
+            }
             Ending::Reset => e.reset = Some(now),
             Ending::Error => self.set_aside(now, executor),
             Ending::Refused => {
                 // Connections broke and now none is made: the process is gone, and what comes back under
                 // this id is cold long before the list says so. Guards against pushing it over untold.
-                const TOGETHER: Span = Span::millis(5000);
+                const TOGETHER: Duration = Duration::from_millis(5000);
                 if e.reset.is_some_and(|at| now.since(at) < TOGETHER) {
                     (e.died, e.answers) = (Some(now), 0);
                 }
@@ -118,13 +121,13 @@
 
     /// Leaves an executor out for a fixed time plus a random part, so that the nodes do not come back
     /// together. Never more than half of the ready ones: trouble of all is not the fault of each.
-    pub(super) fn set_aside(&mut self, now: Moment, executor: ExecutorId) {
+    pub(super) fn set_aside(&mut self, now: Instant, executor: ExecutorId) {
         // Long enough to pass over most of a short trouble, short enough to find the end of a long one.
         const FIXED_S: f64 = 3.0;
         const RANDOM_S: f64 = 2.0;
         let out = self.ready().filter(|e| e.aside_until > now).count();
         if (out + 1) * 2 <= self.roster.len() {
-            let span = Span::secs(FIXED_S + RANDOM_S * self.chance.random::<f64>());
+            let span = Duration::from_seconds(FIXED_S + RANDOM_S * self.chance.random::<f64>());
             self.executors[executor.0].aside_until = now + span;
         }
     }
--- a/crates/dispatch/src/decide/executor.rs
+++ b/crates/dispatch/src/decide/executor.rs
@@ -1,18 +1,19 @@
 //! What is known of one executor, and what own evidence says of its load, its wait and its room.
 
 use super::HEARD_WITHIN;
-use crate::{AllocationId, ColdStart, Moment, Span, Standing};
+use crate::time::DurationExt;
+use crate::{AllocationId, ColdStart, Duration, Instant, Standing};
 
 /// An allocation that is still out, as its executor's record keeps it.
 pub(super) struct Flight {
     pub(super) id: AllocationId,
     pub(super) size: f64,
     pub(super) slots: f64,
-    pub(super) sent: Moment,
+    pub(super) sent: Instant,
     /// By when word of its start should have come.
-    pub(super) word_due: Moment,
-    pub(super) started: Option<Moment>,
-    pub(super) heard: Moment,
+    pub(super) word_due: Instant,
+    pub(super) started: Option<Instant>,
+    pub(super) heard: Instant,
 }
 
 /// All that is known of one executor.
@@ -21,49 +22,49 @@
     pub(super) hash: u64,
     pub(super) standing: Standing,
     pub(super) speaks: bool,
-    pub(super) started: Option<Moment>,
+    pub(super) started: Option<Instant>,
     /// The latest that this start can have been, as listed ones may be off: when it was heard of, at most.
-    pub(super) cold_from: Option<Moment>,
+    pub(super) cold_from: Option<Instant>,
     pub(super) kind: usize,
     pub(super) zone: usize,
     pub(super) cell: usize,
     pub(super) weight: f64,
     pub(super) lane: usize,
     pub(super) utilisation: f64,
-    pub(super) reported: Option<Moment>,
+    pub(super) reported: Option<Instant>,
     /// Place in the order in which this node uses executors.
     pub(super) rank: u64,
     /// How many nodes come before this one among those that may warm it.
     pub(super) distance: u64,
-    pub(super) asked: Moment,
+    pub(super) asked: Instant,
     /// Slots that own work has filled at once, and the most that were reported free: a report is noisy and
     /// of a while ago, so room goes by the first, and what all nodes together may send by both.
     pub(super) slots: f64,
     pub(super) most_free: f64,
     pub(super) flights: Vec<Flight>,
     /// Slots that other nodes fill here, by their word, and when it came; and what this one told them last.
-    pub(super) others: Option<(Moment, f64)>,
+    pub(super) others: Option<(Instant, f64)>,
     pub(super) told: u8,
     pub(super) answers: usize,
-    pub(super) reset: Option<Moment>,
-    pub(super) died: Option<Moment>,
+    pub(super) reset: Option<Instant>,
+    pub(super) died: Option<Instant>,
     /// Size of the own work that was answered, and the seconds that it held slots.
     pub(super) done: f64,
     pub(super) ran: f64,
     /// Work a second of its kind when warm, on one slot and on all: a standard core until it has been seen.
     pub(super) pace: f64,
     pub(super) capacity: f64,
-    pub(super) aside_until: Moment,
+    pub(super) aside_until: Instant,
     pub(super) last_wait: f64,
-    pub(super) last_start: Moment,
+    pub(super) last_start: Instant,
     /// When something was sent here while it was cold.
-    pub(super) cold_sent: Vec<Moment>,
+    pub(super) cold_sent: Vec<Instant>,
 }
 
 impl Executor {
     /// Slots that all nodes together have filled here or wait for, where they tell each other.
-    pub(super) fn filled(&self, now: Moment) -> Option<f64> {
-        const STALE: Span = Span::millis(1500); // a few words may get lost
+    pub(super) fn filled(&self, now: Instant) -> Option<f64> {
+        const STALE: Duration = Duration::from_millis(1500); // a few words may get lost
         // Before any report its width is a guess, by which all would look full.
         let (_, others) = self.others.filter(|(at, _)| self.most_free > 0.0 && now.since(*at) < STALE)?;
         Some(others + self.own_slots())
@@ -80,9 +81,9 @@
 
     /// Utilisation as of now: the report is late, so own allocations sent since it was taken are added.
     /// Guards against piling work on one idle-looking executor. `None` where nothing is known.
-    pub(super) fn load(&self, now: Moment) -> Option<f64> {
-        const LAG: Span = Span::millis(1000); // reports are averages over it: the newest sends are missing
-        const STALE: Span = Span::millis(6000); // after several usual report spans the figure says nothing
+    pub(super) fn load(&self, now: Instant) -> Option<f64> {
+        const LAG: Duration = Duration::from_millis(1000); // reports are averages over it: the newest sends are missing
+        const STALE: Duration = Duration::from_millis(6000); // after several usual report spans the figure says nothing
         if let Some(filled) = self.filled(now) {
             return Some(filled / self.width());
         }
@@ -99,29 +100,29 @@
 
     /// Seconds that own allocations wait here for a slot: the age of the oldest that waits now, or what the
     /// last one to start waited, which counts for less as it ages. `None` where nothing was sent lately.
-    pub(super) fn wait(&self, now: Moment) -> Option<f64> {
+    pub(super) fn wait(&self, now: Instant) -> Option<f64> {
         const HALVES_EVERY_S: f64 = 2.0; // about the run of a few work units, after which a queue is another
         const STALE_S: f64 = 6.0; // as a report
-        let age = now.since(self.last_start).as_secs();
+        let age = now.since(self.last_start).seconds();
         let past = (age < STALE_S).then(|| self.last_wait * 0.5_f64.powf(age / HALVES_EVERY_S));
         past.into_iter().chain(self.oldest_wait(now)).reduce(f64::max)
     }
 
-    fn oldest_wait(&self, now: Moment) -> Option<f64> {
+    fn oldest_wait(&self, now: Instant) -> Option<f64> {
         let waiting = self.flights.iter().filter(|f| f.started.is_none() && f.word_due <= now);
-        waiting.map(|f| now.since(f.word_due).as_secs()).reduce(f64::max)
+        waiting.map(|f| now.since(f.word_due).seconds()).reduce(f64::max)
     }
 
     /// Whether own evidence leaves room here for one more. Late reports do not count: they would send all
     /// nodes onto the few that look free.
-    pub(super) fn has_room(&self, now: Moment) -> bool {
+    pub(super) fn has_room(&self, now: Instant) -> bool {
         const TOLD_WITHIN: f64 = 0.06; // seconds: a start is told within a round trip and a hand-shake
         (self.flights.len() as f64) < self.slots
             && self.oldest_wait(now).is_none_or(|wait| wait <= TOLD_WITHIN)
     }
 
     /// The work that all nodes together may send here within a window, while it is cold.
-    pub(super) fn cold_budget(&self, cold: &ColdStart, now: Moment) -> Option<f64> {
+    pub(super) fn cold_budget(&self, cold: &ColdStart, now: Instant) -> Option<f64> {
         let started = self.cold_from.max(self.died).filter(|&at| now < at + cold.warm_within)?;
         Some(cold.least(now.since(started)) * self.capacity * cold.fall_factor)
     }
@@ -130,7 +131,7 @@
     /// than by their size. Its budget is split among as many nodes as get a unit each of it, one at least:
     /// those nearest after its fixed hash; the others leave it alone until it is warm. Guards against all
     /// nodes together pushing it over, and against one that idles since the few that may use it see little.
-    pub(super) fn cold_admits(&self, cold: &ColdStart, nodes: u64, now: Moment, mean: f64) -> bool {
+    pub(super) fn cold_admits(&self, cold: &ColdStart, nodes: u64, now: Instant, mean: f64) -> bool {
         const USED: f64 = 0.8; // of the budget: the rest covers one slower than its kind
         const FIRST: usize = 3; // in flight before any answer: a long one must not keep all others out
         let Some(units) = self.cold_budget(cold, now).map(|budget| budget * USED / mean) else { return true };
--- a/crates/dispatch/src/decide/further.rs
+++ b/crates/dispatch/src/decide/further.rs
@@ -2,11 +2,12 @@
 
 use super::{ANSWER_MARGIN, Dispatcher, FIRST_UNIT, HEARD_WITHIN, SILENT_PACES};
 use super::{executor::Executor, work::Allocation};
-use crate::{AllocationId, Effect, Ending, Host, Moment, Span, UnitId};
+use crate::time::DurationExt;
+use crate::{AllocationId, Duration, Effect, Ending, Host, Instant, UnitId};
 
 impl<H: Host> Dispatcher<H> {
     /// Whether what may have run of a work unit leaves it this executor.
-    pub(super) fn repeats(&self, now: Moment, effect: Effect, earlier: &[Allocation], e: &Executor) -> bool {
+    pub(super) fn repeats(&self, now: Instant, effect: Effect, earlier: &[Allocation], e: &Executor) -> bool {
         let ran = earlier.iter().find(|a| a.may_have_run).map(|a| (a.sent, &self.executors[a.executor.0]));
         ran.is_none_or(|(sent, at)| effect.repeats(now, sent, at.zone == e.zone, at.cell == e.cell))
     }
@@ -14,8 +15,8 @@
     /// Looks at a work unit that is out and may be sent again: one that waits gets a further place where
     /// there is room, or leaves its own where a recall stops it; one whose executor fell silent goes to one
     /// with room.
-    pub(super) fn review(&mut self, now: Moment, unit: UnitId) {
-        const AGAIN: Span = Span::millis(250); // a few looks within the shortest quoted times
+    pub(super) fn review(&mut self, now: Instant, unit: UnitId) {
+        const AGAIN: Duration = Duration::from_millis(250); // a few looks within the shortest quoted times
         let Some(work) = self.work.get(&unit) else { return };
         if work.held && work.hold_ends <= now {
             return self.answer(unit);
@@ -83,7 +84,7 @@
 
     /// Whether the budget of further allocations, where there is one, has one more now. What came is counted
     /// a little shorter and what was sent a little longer than the span: whoever checks may hear later.
-    pub(super) fn may_go_further(&mut self, now: Moment) -> bool {
+    pub(super) fn may_go_further(&mut self, now: Instant) -> bool {
         let Some(budget) = self.allowance.further else { return true };
         while self.came.front().is_some_and(|&at| now.since(at) + HEARD_WITHIN >= budget.span) {
             self.came.pop_front();
@@ -106,7 +107,7 @@
     }
 
     /// An allocation ended without an answer: another one, or the final answer.
-    pub(super) fn renew(&mut self, now: Moment, unit: UnitId, ending: Ending) {
+    pub(super) fn renew(&mut self, now: Instant, unit: UnitId, ending: Ending) {
         // A stream that has started is the answer, whatever became of another copy and of patience.
         let Some(work) = self.work.get(&unit).filter(|w| !w.streaming) else { return };
         // No other will make anything of it. Guards against one bad client having all executors set aside.
--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -4,7 +4,7 @@
 use crate::ids::mixed;
 use crate::learnt::{KindLearnt, Learnt};
 use crate::word::mark;
-use crate::{Host, Moment, Standing};
+use crate::{Host, Instant, Standing};
 use grebeusher_sizing::{CutOffs, Remainder, Straddler, lanes_in_order};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     /// Sorts the ready executors by the learnt pace of their kind, by registered weight, then by the fixed
     /// hash of their ids, into two lanes. Long work earns by its size and is late on a slow worker however
     /// idle: it gets the fastest quarter. Short work bears most hand-shakes, which no size shows.
-    pub(super) fn form_lanes(&mut self, now: Moment) {
+    pub(super) fn form_lanes(&mut self, now: Instant) {
         let ready = |i: &usize| self.executors[*i].standing == Standing::Ready;
         self.roster = (0..self.executors.len()).filter(ready).collect();
         // Paces and weights are above nothing, where their bits are in the order of their values.
@@ -88,7 +88,7 @@
 
     /// Another node told what it has seen; how many sizes are known now. Guards against nodes that have just
     /// started: by a few short sizes each takes a cold executor for one that bears many; all push it over.
-    pub fn taught(&mut self, now: Moment, learnt: &Learnt) -> usize {
+    pub fn taught(&mut self, now: Instant, learnt: &Learnt) -> usize {
         self.known.joins(learnt);
         self.recompute_cut_offs();
         self.form_lanes(now);
--- a/crates/dispatch/src/decide/list.rs
+++ b/crates/dispatch/src/decide/list.rs
@@ -2,13 +2,14 @@
 
 use super::{Dispatcher, FOLLOW, HEARD_WITHIN, executor::Executor};
 use crate::ids::fixed_hash;
-use crate::{AllocationId, ExecutorId, Host, Listing, Moment, Span, Standing};
+use crate::time::DurationExt;
+use crate::{AllocationId, Duration, ExecutorId, Host, Instant, Listing, Standing};
 use grebeusher_sizing::rendezvous;
 use rand::Rng;
 
 impl<H: Host> Dispatcher<H> {
     /// The executor list, whole or only what changed in it.
-    pub fn listed(&mut self, now: Moment, whole: bool, entries: &[Listing<'_>]) {
+    pub fn listed(&mut self, now: Instant, whole: bool, entries: &[Listing<'_>]) {
         self.follow_tries = 0;
         if whole {
             // Absent from a whole list means gone.
@@ -33,7 +34,7 @@
                 e.started = entry.started;
                 e.cold_from = entry.started.map(|at| at.max(now.min(at + self.cold.starts_off)));
                 (e.reported, e.utilisation, e.answers) = (None, 0.0, 0);
-                e.aside_until = Moment(0);
+                e.aside_until = Instant(0);
                 e.cold_sent.clear();
             }
         }
@@ -43,9 +44,9 @@
 
     /// All that the list's keeper had then is known, as it says itself if it was `heard`. Once what it had
     /// later counts as told, and the grace is over, nothing goes to those for whom the list alone speaks.
-    pub fn list_proved(&mut self, as_of: Moment, heard: bool) {
+    pub fn list_proved(&mut self, as_of: Instant, heard: bool) {
         self.follow_tries *= u32::from(!heard);
-        const TOLD_WITHIN: Span = Span::millis(6000); // whatever became of the node's calls
+        const TOLD_WITHIN: Duration = Duration::from_millis(6000); // whatever became of the node's calls
         self.list_until = Some(as_of + TOLD_WITHIN + self.allowance.grace - HEARD_WITHIN);
     }
 
@@ -57,11 +58,11 @@
         // All nodes lose it together: 0.1 to 0.6 s, so that a few calls fit into 6 s; doubled up to 4.8 s.
         let wait = (0.1 + 0.5 * self.chance.random::<f64>()) * f64::from(1 << self.follow_tries.min(3));
         self.follow_tries += 1;
-        self.host.wake(Span::secs(wait), FOLLOW);
+        self.host.wake(Duration::from_seconds(wait), FOLLOW);
     }
 
     /// How many executors are listed, and how many of these get nothing now: they drain or are set aside.
-    pub fn listing(&self, now: Moment) -> (usize, usize) {
+    pub fn listing(&self, now: Instant) -> (usize, usize) {
         let listed = self.executors.iter().filter(|e| e.standing != Standing::Gone);
         let out = |e: &&Executor| e.standing == Standing::Draining || now < e.aside_until;
         (listed.clone().count(), listed.filter(out).count())
@@ -70,7 +71,7 @@
     /// Whether an allocation that waited for a connection may still go to its executor. Guards against one
     /// that begins after word of a drain, or of an age of the list that may hide one, or after the memory
     /// span of its group.
-    pub fn may_begin(&self, now: Moment, id: AllocationId, executor: ExecutorId) -> bool {
+    pub fn may_begin(&self, now: Instant, id: AllocationId, executor: ExecutorId) -> bool {
         let (e, Some(work)) = (&self.executors[executor.0], self.work.get(&id.unit)) else { return false };
         let effect = self.tariffs[work.tariff].effect;
         let earlier = &work.allocations[..id.number];
@@ -78,7 +79,7 @@
     }
 
     /// Whether what is known of its standing may be gone by.
-    pub(super) fn is_told(&self, now: Moment, e: &Executor) -> bool {
+    pub(super) fn is_told(&self, now: Instant, e: &Executor) -> bool {
         e.speaks || self.list_until.is_none_or(|until| now < until)
     }
 }
--- a/crates/dispatch/src/decide/placing.rs
+++ b/crates/dispatch/src/decide/placing.rs
@@ -2,16 +2,17 @@
 
 use super::work::{Allocation, Work};
 use super::{ANSWER_MARGIN, Dispatcher, FEWEST, FIRST_UNIT, HEARD_WITHIN, SILENT_PACES, executor::Flight};
-use crate::{AllocationId, Arrival, Effect, ExecutorId, Host, Moment, Span, UnitId};
+use crate::time::DurationExt;
+use crate::{AllocationId, Arrival, Duration, Effect, ExecutorId, Host, Instant, UnitId};
 
 impl<H: Host> Dispatcher<H> {
     /// A work unit came in; it owes exactly one final answer from here on.
-    pub fn arrived(&mut self, now: Moment, unit: UnitId, arrival: &Arrival) {
+    pub fn arrived(&mut self, now: Instant, unit: UnitId, arrival: &Arrival) {
         // Sizes beyond any sense would own the cut-offs alone: a millisecond to a day is what work takes.
         const SENSIBLE: (f64, f64) = (0.001, 86_400.0);
         let slots = if arrival.slots > 0.0 && arrival.slots.is_finite() { arrival.slots } else { 1.0 };
-        let hinted = arrival.hint.filter(|h| h.0 > 0);
-        let size = hinted.map_or(self.known.median, |h| (h.as_secs() * slots).clamp(SENSIBLE.0, SENSIBLE.1));
+        let hinted = arrival.hint.filter(|h| h.nanos() > 0);
+        let size = hinted.map_or(self.known.median, |h| (h.seconds() * slots).clamp(SENSIBLE.0, SENSIBLE.1));
         if hinted.is_some() {
             self.known.saw(size, size / slots);
             if self.known.count() == FEWEST {
@@ -31,7 +32,7 @@
         // The quoted time runs from a client's first try. Guards against late repeats taking the place of
         // what can still be in time.
         let asked = if arrival.repeat { now.min(patience_ends - terms.patience) } else { now };
-        let quoted = terms.quoted_time + Span::secs(terms.stretch * size / slots);
+        let quoted = terms.quoted_time + Duration::from_seconds(terms.stretch * size / slots);
         let over_share = self.allotments.get_mut(arrival.customer).is_some_and(|a| a.beyond(now));
         let work = Work { tariff, asked, quoted, patience_ends, size, slots, over_share, ..Work::default() };
         self.work.insert(unit, work);
@@ -44,9 +45,9 @@
     }
 
     /// Sends the work unit where the design says, holds it while nothing can take it, or turns it back.
-    pub(super) fn place(&mut self, now: Moment, unit: UnitId) {
-        const HOLD_MOST: Span = Span::millis(1000); // a slot comes free in it; longer seldom helps
-        const PART_WITHIN: Span = Span::millis(60); // a few round trips to whoever divides the fleet's budget
+    pub(super) fn place(&mut self, now: Instant, unit: UnitId) {
+        const HOLD_MOST: Duration = Duration::from_millis(1000); // a slot comes free in it; longer seldom helps
+        const PART_WITHIN: Duration = Duration::from_millis(60); // a few round trips to whoever divides the fleet's budget
         let picked = self.pick(now, unit);
         let Some(work) = self.work.get_mut(&unit) else { return };
         if work.patience_ends <= now + ANSWER_MARGIN {
@@ -74,17 +75,17 @@
     }
 
     /// Holds a work unit, with its own alarm: patience may end between two beats.
-    fn hold(&mut self, now: Moment, unit: UnitId, until: Moment) {
+    fn hold(&mut self, now: Instant, unit: UnitId, until: Instant) {
         let Some(work) = self.work.get_mut(&unit).filter(|work| !work.held) else { return };
         work.held = true;
         work.hold_ends = until.min(work.patience_ends - ANSWER_MARGIN);
         self.host.wake(work.hold_ends.since(now), FIRST_UNIT + unit.0);
     }
 
-    pub(super) fn send(&mut self, now: Moment, unit: UnitId, executor: ExecutorId) {
-        const REVIEW_AFTER: Span = Span::millis(150); // who waits to start this long is looked at again
+    pub(super) fn send(&mut self, now: Instant, unit: UnitId, executor: ExecutorId) {
+        const REVIEW_AFTER: Duration = Duration::from_millis(150); // who waits to start this long is looked at again
         // Every few seconds each executor that is used (design page), and no other: probes cost.
-        const PROBE_EVERY: Span = Span::millis(3000);
+        const PROBE_EVERY: Duration = Duration::from_millis(3000);
         let Some(work) = self.work.get_mut(&unit) else { return };
         let e = &mut self.executors[executor.0];
         (work.held, self.out) = (false, self.out + 1);
@@ -100,7 +101,7 @@
         let word_due = match self.progress {
             _ if self.tells_start => now,
             Some(pace) => now + pace,
-            None => Moment(u64::MAX),
+            None => Instant(u64::MAX),
         };
         let id = AllocationId { unit, number: work.allocations.len() - 1 };
         e.flights.push(Flight { id, size, slots, sent: now, word_due, started: None, heard: now });
@@ -123,7 +124,7 @@
 
     /// The final answer to a work unit that is given up: a turn-back where trying again is harmless.
     pub(super) fn answer(&mut self, unit: UnitId) {
-        const COME_BACK: Span = Span::millis(500); // a slot comes free in it; short against any patience
+        const COME_BACK: Duration = Duration::from_millis(500); // a slot comes free in it; short against any patience
         let Some(work) = self.work.get(&unit) else { return };
         let ran = work.allocations.iter().any(|a| a.may_have_run);
         let harmless = !ran || self.tariffs[work.tariff].effect.harmless();
@@ -144,7 +145,7 @@
     }
 
     /// Tries the held work units again, oldest first, and gives up those whose quoted time is past.
-    pub fn serve_held(&mut self, now: Moment) {
+    pub fn serve_held(&mut self, now: Instant) {
         let held = self.work.iter().filter(|(_, work)| work.held).map(|(&unit, work)| (unit, work.hold_ends));
         for (unit, hold_ends) in held.collect::<Vec<_>>() {
             if hold_ends <= now { self.answer(unit) } else { self.place(now, unit) }
--- a/crates/dispatch/src/decide/promised.rs
+++ b/crates/dispatch/src/decide/promised.rs
@@ -2,7 +2,8 @@
 
 use super::{Dispatcher, talk::Talk, work::Allotment};
 use crate::learnt::Known;
-use crate::{Allowance, ColdStart, Host, Moment, Span, Tariff};
+use crate::time::DurationExt;
+use crate::{Allowance, ColdStart, Duration, Host, Instant, Tariff};
 use grebeusher_sizing::CutOffs;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
@@ -36,7 +37,7 @@
             list_until: None,
             known: Known::default(),
             cut_offs: CutOffs::one_lane(),
-            recut: Moment(0),
+            recut: Instant(0),
         }
     }
 
@@ -53,9 +54,15 @@
     }
 
     /// Whether the list must be asked for, executors may be probed, and what is told of running work.
-    pub fn noticing(mut self, asks_list: bool, probes: bool, starts: bool, progress: Option<Span>) -> Self {
+    pub fn noticing(
+        mut self,
+        asks_list: bool,
+        probes: bool,
+        starts: bool,
+        progress: Option<Duration>,
+    ) -> Self {
         (self.asks_list, self.may_probe) = (asks_list, probes);
-        (self.tells_start, self.progress) = (starts, progress.filter(|p| p.0 > 0));
+        (self.tells_start, self.progress) = (starts, progress.filter(|p| p.nanos() > 0));
         self
     }
 
--- a/crates/dispatch/src/decide/talk.rs
+++ b/crates/dispatch/src/decide/talk.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatcher;
 use crate::word::{MOST, Word, mark};
-use crate::{Host, Moment, Span};
+use crate::{Duration, Host, Instant};
 use std::collections::BTreeMap;
 
 /// What nodes that may talk tell each other.
@@ -11,16 +11,16 @@
     pub(super) allowed: bool,
     /// The node that adds up, and when it was last heard.
     pub(super) teller: u64,
-    pub(super) heard: Moment,
+    pub(super) heard: Instant,
     /// What this one was told by others, and the ready executors in the order in which all are told of them.
-    pub(super) told: BTreeMap<u64, (Moment, Vec<(u16, u8)>)>,
+    pub(super) told: BTreeMap<u64, (Instant, Vec<(u16, u8)>)>,
     pub(super) order: Vec<usize>,
     pub(super) list: u16,
 }
 
 impl<H: Host> Dispatcher<H> {
     /// Another node sent a word.
-    pub fn told(&mut self, now: Moment, node: u64, word: &[u8]) {
+    pub fn told(&mut self, now: Instant, node: u64, word: &[u8]) {
         let talk = &mut self.talk;
         match Word::read(word).filter(|_| talk.allowed) {
             Some(Word::Own { filled }) => drop(talk.told.insert(node, (now, filled))),
@@ -39,8 +39,8 @@
 
     /// Tells the node that adds up what is out here; who is told by others adds up and tells all. The first
     /// node does so while it is heard, else the next: without any the own evidence is left.
-    pub(super) fn tell(&mut self, now: Moment) {
-        const LOST: Span = Span::millis(2000); // several words in a row
+    pub(super) fn tell(&mut self, now: Instant) {
+        const LOST: Duration = Duration::from_millis(2000); // several words in a row
         let talk = &mut self.talk;
         if talk.teller != self.node && now.since(talk.heard) > LOST {
             (talk.teller, talk.heard) = ((talk.teller + 1) % self.nodes, now);
@@ -74,7 +74,7 @@
         }
     }
 
-    fn learn(&mut self, now: Moment, first: usize, filled: &[u8]) {
+    fn learn(&mut self, now: Instant, first: usize, filled: &[u8]) {
         for (&at, count) in self.talk.order.iter().skip(first).zip(filled) {
             let e = &mut self.executors[at];
             e.others = Some((now, f64::from(count.saturating_sub(e.told))));
--- a/crates/dispatch/src/decide/work.rs
+++ b/crates/dispatch/src/decide/work.rs
@@ -1,11 +1,12 @@
 //! A work unit that owes its answer, its allocations, and the shares of customers.
 
-use crate::{ExecutorId, Moment, Span};
+use crate::time::DurationExt;
+use crate::{Duration, ExecutorId, Instant};
 
 /// One allocation of a work unit.
 pub(super) struct Allocation {
     pub(super) executor: ExecutorId,
-    pub(super) sent: Moment,
+    pub(super) sent: Instant,
     pub(super) open: bool,
     pub(super) may_have_run: bool,
     pub(super) recalled: bool,
@@ -21,22 +22,22 @@
 #[derive(Default)]
 pub(super) struct Work {
     pub(super) tariff: usize,
-    pub(super) asked: Moment,
-    pub(super) quoted: Span,
-    pub(super) patience_ends: Moment,
+    pub(super) asked: Instant,
+    pub(super) quoted: Duration,
+    pub(super) patience_ends: Instant,
     pub(super) size: f64,
     pub(super) slots: f64,
     pub(super) allocations: Vec<Allocation>,
     pub(super) streaming: bool,
     pub(super) held: bool,
-    pub(super) hold_ends: Moment,
+    pub(super) hold_ends: Instant,
     pub(super) over_share: bool,
 }
 
 impl Work {
     /// Seconds left for waiting if the quoted time is to be kept.
-    pub(super) fn slack(&self, now: Moment) -> f64 {
-        (self.asked + self.quoted).since(now).as_secs() - self.size / self.slots
+    pub(super) fn slack(&self, now: Instant) -> f64 {
+        (self.asked + self.quoted).since(now).seconds() - self.size / self.slots
     }
 }
 
@@ -44,23 +45,23 @@
 pub(super) struct Allotment {
     pub(super) per_s: f64,
     pub(super) level: f64,
-    pub(super) at: Moment,
+    pub(super) at: Instant,
 }
 
 impl Allotment {
     /// This node's part of what a customer may send a second.
     pub(super) fn of(quota: f64, nodes: u64) -> Allotment {
         // Traffic is uneven: twice the even part, or much that lies within the share is turned back.
-        Allotment { per_s: quota / nodes as f64 * 2.0, level: 0.0, at: Moment(0) }
+        Allotment { per_s: quota / nodes as f64 * 2.0, level: 0.0, at: Instant(0) }
     }
 
     /// Counts one work unit and tells whether it is beyond the share.
-    pub(super) fn beyond(&mut self, now: Moment) -> bool {
+    pub(super) fn beyond(&mut self, now: Instant) -> bool {
         // Two seconds' worth may come at once: bursts shorter than that are no overuse. Where that is next to
         // nothing a node sees too little to tell: fewer than these are no overuse either.
         const BURST_S: f64 = 2.0;
         const TOO_FEW: f64 = 4.0;
-        let leaked = now.since(self.at).as_secs() * self.per_s;
+        let leaked = now.since(self.at).seconds() * self.per_s;
         (self.level, self.at) = ((self.level - leaked).max(0.0), now);
         let beyond = self.level + 1.0 > (self.per_s * BURST_S).max(TOO_FEW);
         self.level += f64::from(u8::from(!beyond));
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -16,4 +16,4 @@
 pub use tariffs::{
     Allowance, Arrival, ColdStart, Effect, Ending, Further, Group, Listing, Report, Standing, Tariff,
 };
-pub use time::{Moment, Span};
+pub use time::{Duration, Instant};
--- a/crates/dispatch/src/tariffs.rs
+++ b/crates/dispatch/src/tariffs.rs
@@ -1,7 +1,7 @@
 //! What is known of work units, allocations and executors when something is told of them.
 
 use crate::ids::ExecutorId;
-use crate::time::{Moment, Span};
+use crate::time::{Duration, DurationExt, Instant};
 
 /// Which executors drop repeats of a fingerprinted work unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,14 +15,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Retriable,
-    Fingerprinted { group: Group, memory_span: Span },
+    Fingerprinted { group: Group, memory_span: Duration },
     Binding,
 }
 
 impl Effect {
     /// Whether one that may have run since it was `sent` may be sent again now, into the same zone and cell
     /// or not: a fingerprinted one only inside the group that drops its repeats, while it is remembered.
-    pub fn repeats(self, now: Moment, sent: Moment, same_zone: bool, same_cell: bool) -> bool {
+    pub fn repeats(self, now: Instant, sent: Instant, same_zone: bool, same_cell: bool) -> bool {
         match self {
             Effect::Retriable => true,
             Effect::Binding => false,
@@ -47,11 +47,11 @@
 pub struct Tariff {
     pub effect: Effect,
     /// Within which an answer is wanted, before the stretch.
-    pub quoted_time: Span,
+    pub quoted_time: Duration,
     /// The quoted time grows by this multiple of the work unit's own size.
     pub stretch: f64,
     /// After which the client gives up, counted from its first try.
-    pub patience: Span,
+    pub patience: Duration,
     pub earnings: f64,
     /// The one kind of executor that can run it, if only one can.
     pub kind: Option<usize>,
@@ -62,10 +62,10 @@
 pub struct Arrival {
     pub tariff: usize,
     pub customer: usize,
-    pub patience_ends: Moment,
+    pub patience_ends: Instant,
     /// The client marks it as one that it has sent before.
     pub repeat: bool,
-    pub hint: Option<Span>,
+    pub hint: Option<Duration>,
     pub slots: f64,
     /// It is beyond what the fleet may spend, as far as this node has a part of that: it goes nowhere.
     pub beyond: bool,
@@ -109,7 +109,7 @@
     pub executor: ExecutorId,
     pub name: &'a str,
     pub standing: Standing,
-    pub started: Option<Moment>,
+    pub started: Option<Instant>,
     pub kind: usize,
     pub zone: usize,
     pub cell: usize,
@@ -129,7 +129,7 @@
 /// in that time.
 #[derive(Clone, Copy, Debug)]
 pub struct Further {
-    pub span: Span,
+    pub span: Duration,
     pub free: f64,
     pub share: f64,
 }
@@ -143,34 +143,34 @@
     /// A recall takes work that waits out of its executor's queue: that is promised, nothing that a node hears tells it.
     pub recalls_stop: bool,
     /// By how much the time left that comes with a work unit may be off, either way.
-    pub patience_off: Span,
+    pub patience_off: Duration,
     /// What all work units together may have beyond their first allocations, where that is limited.
     pub further: Option<Further>,
     /// How long an executor may be sent to after word that it drains.
-    pub grace: Span,
+    pub grace: Duration,
     /// The longest wait that a client told to come back keeps to, where it can be told.
-    pub longest_come_back: Option<Span>,
+    pub longest_come_back: Option<Duration>,
 }
 
 /// What is promised of an executor that has just started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdStart {
     pub share: f64,
-    pub warm_within: Span,
+    pub warm_within: Duration,
     pub fall_factor: f64,
-    pub fall_window: Span,
+    pub fall_window: Duration,
     /// By how much a listed start may be off, either way.
-    pub starts_off: Span,
+    pub starts_off: Duration,
     /// Cold executors get nothing before this: a window after the start, as the process before may just have spent its
     /// part, which nobody tells the new one.
-    pub from: Moment,
+    pub from: Instant,
 }
 
 impl ColdStart {
     /// The seconds of a warm one's work that it can do at least within a window at this age: the share grows
     /// evenly at least.
-    pub fn least(&self, age: Span) -> f64 {
-        let grown = age.as_secs() / self.warm_within.as_secs().max(0.001);
-        (self.share + (1.0 - self.share) * grown) * self.fall_window.as_secs().max(0.001)
+    pub fn least(&self, age: Duration) -> f64 {
+        let grown = age.seconds() / self.warm_within.seconds().max(0.001);
+        (self.share + (1.0 - self.share) * grown) * self.fall_window.seconds().max(0.001)
     }
 }
--- a/crates/dispatch/tests/fake/mod.rs
+++ b/crates/dispatch/tests/fake/mod.rs
@@ -4,17 +4,17 @@
 use grebeusher_dispatch::host::Host;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
 use grebeusher_dispatch::tariffs::*;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Said {
-    Allocate(u64, usize, Span),
+    Allocate(u64, usize, Duration),
     Recall(u64, usize),
     TurnBack(u64),
     Forfeit(u64),
-    Wake(Span, u64),
+    Wake(Duration, u64),
     Probe(usize),
     Follow,
 }
@@ -27,7 +27,7 @@
 pub struct Fake(pub Rc<RefCell<Vec<Said>>>, pub Rc<RefCell<Vec<Told>>>, pub Rc<Cell<bool>>);
 
 impl Host for Fake {
-    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Span) {
+    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Duration) {
         self.0.borrow_mut().push(Said::Allocate(unit.0, executor.0, time_out));
     }
     fn may_go_further(&mut self, _: UnitId) -> bool {
@@ -36,13 +36,13 @@
     fn recall(&mut self, allocation: AllocationId) {
         self.0.borrow_mut().push(Said::Recall(allocation.unit.0, allocation.number));
     }
-    fn turn_back(&mut self, unit: UnitId, _come_back: Option<Span>) {
+    fn turn_back(&mut self, unit: UnitId, _come_back: Option<Duration>) {
         self.0.borrow_mut().push(Said::TurnBack(unit.0));
     }
     fn forfeit(&mut self, unit: UnitId) {
         self.0.borrow_mut().push(Said::Forfeit(unit.0));
     }
-    fn wake(&mut self, after: Span, alarm: u64) {
+    fn wake(&mut self, after: Duration, alarm: u64) {
         self.0.borrow_mut().push(Said::Wake(after, alarm));
     }
     fn probe(&mut self, executor: ExecutorId) {
@@ -61,9 +61,9 @@
     second_copies: true,
     recalls: true,
     recalls_stop: false,
-    patience_off: Span(0),
+    patience_off: Duration::from_nanos(0),
     further: None,
-    grace: Span(0),
+    grace: Duration::from_nanos(0),
     longest_come_back: None,
 };
 /// A size that stands for no hint at all: the unit joins no sample, and one lane stays.
@@ -74,7 +74,7 @@
 pub const ANYWHERE: usize = 3;
 
 pub fn tariffs() -> Vec<Tariff> {
-    let memory_span = Span::millis(3000);
+    let memory_span = Duration::from_millis(3000);
     let effects = [
         Effect::Retriable,
         Effect::Binding,
@@ -83,9 +83,9 @@
     ];
     let tariff = |effect| Tariff {
         effect,
-        quoted_time: Span::millis(500),
+        quoted_time: Duration::from_millis(500),
         stretch: 2.0,
-        patience: Span::millis(10_000),
+        patience: Duration::from_millis(10_000),
         earnings: 1.0,
         kind: None,
     };
@@ -101,17 +101,17 @@
 ) -> Dispatcher<Fake> {
     let cold = ColdStart {
         share: 0.2,
-        warm_within: Span::millis(20_000),
+        warm_within: Duration::from_millis(20_000),
         fall_factor: 4.0,
-        fall_window: Span::millis(1000),
-        starts_off: Span(0),
-        from: Moment(0),
+        fall_window: Duration::from_millis(1000),
+        starts_off: Duration::from_nanos(0),
+        from: Instant(0),
     };
     Dispatcher::new(host, 7, node, nodes, tariffs()).allowing(allowance).cold_starts(cold).noticing(
         true,
         probes,
         starts,
-        Some(Span::millis(1000)),
+        Some(Duration::from_millis(1000)),
     )
 }
 
@@ -119,7 +119,7 @@
 pub struct Story {
     pub node: Dispatcher<Fake>,
     pub said: Fake,
-    pub now: Moment,
+    pub now: Instant,
 }
 
 impl Story {
@@ -158,7 +158,7 @@
 
     fn new(node: (u64, u64), executors: usize, allowance: Allowance, probes: bool, starts: bool) -> Story {
         let said = Fake::default();
-        let now = Moment(1_000_000_000_000);
+        let now = Instant(1_000_000_000_000);
         let mut story = Story { node: dispatcher(said.clone(), node, allowance, probes, starts), said, now };
         story.node.start(now);
         story.list(executors);
@@ -195,7 +195,7 @@
     }
 
     pub fn pass(&mut self, ms: u64) {
-        self.now = self.now + Span::millis(ms);
+        self.now = self.now + Duration::from_millis(ms);
     }
 
     pub fn arrive(&mut self, unit: u64, tariff: usize, size_ms: u64) {
@@ -203,13 +203,13 @@
     }
 
     pub fn arrive_with(&mut self, unit: u64, tariff: usize, size_ms: u64, ms: u64) {
-        let hint = Some(Span::millis(size_ms));
+        let hint = Some(Duration::from_millis(size_ms));
         self.arrive_as(unit, Arrival { tariff, hint, ..self.arrival(ms) });
     }
 
     /// A plain arrival whose patience ends in so many milliseconds, to be changed where a story needs it.
     pub fn arrival(&self, ms: u64) -> Arrival {
-        let (patience_ends, hint) = (self.now + Span::millis(ms), Some(Span::millis(100)));
+        let (patience_ends, hint) = (self.now + Duration::from_millis(ms), Some(Duration::from_millis(100)));
         Arrival {
             tariff: BINDING,
             customer: 0,
--- a/crates/dispatch/tests/stories.rs
+++ b/crates/dispatch/tests/stories.rs
@@ -6,7 +6,7 @@
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId, fixed_hash};
 use grebeusher_dispatch::learnt::{KindLearnt, Learnt};
 use grebeusher_dispatch::tariffs::*;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_dispatch::word::{LONGEST, MOST, Word, mark};
 
 const UNIT_ALARMS: u64 = 2;
@@ -237,7 +237,7 @@
 /// Guards against a budget of further allocations that a burst of endings overruns, at a node that has just started.
 #[test]
 fn further_allocations_stay_within_their_budget_in_any_window() {
-    let further = Some(Further { span: Span::millis(5000), free: 1.0, share: 0.5 });
+    let further = Some(Further { span: Duration::from_millis(5000), free: 1.0, share: 0.5 });
     let mut story = Story::with(6, Allowance { further, ..ALLOWANCE });
     let sent = |story: &mut Story, unit| {
         story.arrive(unit, BINDING, 100);
@@ -262,16 +262,16 @@
 #[test]
 fn where_clocks_differ_a_fresh_unit_has_the_patience_of_its_tariff_within_the_error() {
     let given = |off_ms: u64, told_ms: u64| {
-        let patience_off = Span::millis(off_ms);
+        let patience_off = Duration::from_millis(off_ms);
         let mut story = Story::with(2, Allowance { patience_off, ..ALLOWANCE });
-        let patience_ends = story.now + Span::millis(told_ms);
+        let patience_ends = story.now + Duration::from_millis(told_ms);
         let arrival = Arrival { patience_ends, ..story.arrival(100) };
         story.arrive_as(1, arrival);
         let heard = story.heard();
         let Said::Allocate(_, _, time_out) = heard[0] else { panic!("{heard:?}") };
-        time_out.as_secs()
+        time_out.seconds()
     };
-    let whole = tariffs()[0].patience.as_secs();
+    let whole = tariffs()[0].patience.seconds();
     assert!((given(0, 1000) - 0.98).abs() < 1e-6, "{}", given(0, 1000));
     assert!((given(2000, 1000) - 2.98).abs() < 1e-6, "{}", given(2000, 1000));
     let told = (whole * 1e3) as u64 + 1000;
@@ -300,11 +300,11 @@
         let mut story = Story::of(1);
         let cold = ColdStart {
             share: 0.2,
-            warm_within: Span::millis(20_000),
+            warm_within: Duration::from_millis(20_000),
             fall_factor: 4.0,
-            fall_window: Span::millis(1000),
-            starts_off: Span::millis(off_ms),
-            from: Moment(0),
+            fall_window: Duration::from_millis(1000),
+            starts_off: Duration::from_millis(off_ms),
+            from: Instant(0),
         };
         story.node = dispatcher(story.said.clone(), (0, 2), ALLOWANCE, false, true).cold_starts(cold);
         story.node.start(story.now);
@@ -346,7 +346,7 @@
     let mut story = Story::of(2);
     story.arrive(1, BINDING, 100);
     let Said::Allocate(_, executor, time_out) = story.heard()[0] else { panic!("not sent") };
-    assert!(time_out < Span::millis(10_000) && time_out > Span::millis(9900));
+    assert!(time_out < Duration::from_millis(10_000) && time_out > Duration::from_millis(9900));
     story.pass(9990);
     story.end(1, 0, executor, Ending::TimedOut);
     assert_eq!(story.heard(), [Said::Forfeit(1)]);
@@ -376,7 +376,7 @@
     story.arrive_with(1, BINDING, 100, 100);
     let alarms = story.said.0.take();
     let [Said::Wake(after, alarm)] = alarms[..] else { panic!("{alarms:?}") };
-    assert!(after < Span::millis(100));
+    assert!(after < Duration::from_millis(100));
     story.now = story.now + after;
     story.node.rang(story.now, alarm);
     assert_eq!(story.heard(), [Said::TurnBack(1)]);
@@ -424,7 +424,9 @@
             story.node.rang(story.now, alarm);
             assert_eq!(story.heard(), [Said::Follow]);
         }
-        let within = |wait: Span, least, most| wait >= Span::millis(least) && wait <= Span::millis(most);
+        let within = |wait: Duration, least, most| {
+            wait >= Duration::from_millis(least) && wait <= Duration::from_millis(most)
+        };
         assert!(within(waits[0], 100, 600) && within(waits[1], 200, 1200), "{waits:?}");
         assert!(within(waits[2], 400, 2400) && within(waits[3], 800, 4800), "{waits:?}");
         // Word that the list stands begins the row anew.
@@ -435,12 +437,12 @@
 #[test]
 fn a_list_that_nothing_proves_is_gone_by_for_its_time_and_not_a_moment_longer() {
     // Failure: the calls for a list failed one after the other, and an executor that had long begun to drain got work.
-    const GRACE: Span = Span::millis(500);
+    const GRACE: Duration = Duration::from_millis(500);
     let mut story = Story::with(3, Allowance { grace: GRACE, ..ALLOWANCE });
     let proved = story.now;
     story.node.list_proved(proved, true);
     for (after, sends) in [(0, true), (6400, true), (6500, false), (9000, false)] {
-        story.now = proved + Span::millis(after);
+        story.now = proved + Duration::from_millis(after);
         story.arrive(after, BINDING, UNHINTED);
         let sent =
             story.heard().iter().any(|said| matches!(said, Said::Allocate(unit, ..) if *unit == after));
@@ -464,11 +466,11 @@
     story.end(unit, 0, at, Ending::Reset);
     let again = story.sent_to();
     assert!(begins(&story, 1, again));
-    story.now = story.now + Span::millis(2999);
+    story.now = story.now + Duration::from_millis(2999);
     assert!(begins(&story, 1, again));
-    story.now = story.now + Span::millis(1);
+    story.now = story.now + Duration::from_millis(1);
     assert!(!begins(&story, 1, again), "its group has forgotten the first");
-    story.now = story.now - Span::millis(1000);
+    story.now = story.now - Duration::from_millis(1000);
     let draining = Listing { standing: Standing::Draining, ..listing(again, "drains") };
     story.node.listed(story.now, false, &[draining]);
     assert!(!begins(&story, 1, again), "word of a drain came first");
@@ -483,7 +485,7 @@
     // Failure: small work units were counted by their size alone, and many of them from all nodes pushed one over.
     let mut stories = [Story::at(0, 0, ALLOWANCE, false), Story::at(1, 0, ALLOWANCE, false)];
     let started = stories[0].now;
-    let mut sent: Vec<Moment> = Vec::new();
+    let mut sent: Vec<Instant> = Vec::new();
     let mut early = [false; 2];
     stories.iter_mut().for_each(|story| story.list_cold(0));
     for step in 0..1500 {
@@ -492,7 +494,7 @@
             for said in story.heard() {
                 if let Said::Allocate(unit, 0, _) = said {
                     sent.push(story.now);
-                    early[node] |= story.now.since(started) < Span::millis(8000);
+                    early[node] |= story.now.since(started) < Duration::from_millis(8000);
                     story.end(unit, 0, 0, Ending::Fulfilled);
                 }
             }
@@ -502,9 +504,9 @@
     assert!(sent.len() >= 3, "it is warmed by some work: {sent:?}");
     assert!(early[0] != early[1], "one node warms it at first, the other leaves it alone");
     for (i, &from) in sent.iter().enumerate() {
-        let window = sent[i..].iter().take_while(|at| at.since(from) < Span::millis(1000)).count();
+        let window = sent[i..].iter().take_while(|at| at.since(from) < Duration::from_millis(1000)).count();
         // A mean unit takes a second of the one core that is known of; four times the share is the most.
-        let share = 0.2 + 0.8 * (from.since(started).as_secs() + 1.0) / 20.0;
+        let share = 0.2 + 0.8 * (from.since(started).seconds() + 1.0) / 20.0;
         assert!(window as f64 <= 4.0 * share, "{window} in one window at share {share}");
     }
 }
@@ -519,7 +521,7 @@
     fleet.iter_mut().for_each(|story| story.list_cold(4));
     for step in 0..200 {
         // Each node sees a unit in two seconds, the fleet ten a second.
-        let now = started + Span::millis(step * 100);
+        let now = started + Duration::from_millis(step * 100);
         let node = step as usize % 20;
         let story = &mut fleet[node];
         story.now = now;
@@ -535,8 +537,8 @@
     assert!(sent.len() >= 45, "{} units", sent.len());
     assert!(nodes.iter().filter(|&&used| used).count() >= 10, "{nodes:?}");
     for (i, &from) in sent.iter().enumerate() {
-        let window = sent[i..].iter().take_while(|at| at.since(from) < Span::millis(1000)).count();
-        let share = 0.2 + 0.8 * (from.since(started).as_secs() + 1.0) / 20.0;
+        let window = sent[i..].iter().take_while(|at| at.since(from) < Duration::from_millis(1000)).count();
+        let share = 0.2 + 0.8 * (from.since(started).seconds() + 1.0) / 20.0;
         assert!(window as f64 <= 4.0 * share / 0.25, "{window} in one window at share {share}");
     }
 }
@@ -889,7 +891,7 @@
     story.list(1);
     for (unit, customer) in (0..9).map(|unit| (unit, 0)).chain([(9, 1)]) {
         story.pass(if unit == 8 { 200 } else { 0 });
-        let hint = Some(Span::millis(2000));
+        let hint = Some(Duration::from_millis(2000));
         story.arrive_as(unit, Arrival { customer, hint, ..story.arrival(10_000) });
     }
     let turned_back = story.heard().into_iter().filter(|s| matches!(s, Said::TurnBack(_)));
@@ -1023,8 +1025,13 @@
     let report = Report { utilisation: Some(f64::NAN), free_slots: Some(f64::INFINITY) };
     story.node.probed(story.now, ExecutorId(0), Some(report));
     story.node.probed(story.now, ExecutorId(1), Some(Report { utilisation: Some(-7.0), free_slots: None }));
-    for (unit, (hint, slots)) in
-        [(Span(0), 0.0), (Span(u64::MAX), f64::NAN), (Span(1), f64::INFINITY)].into_iter().enumerate()
+    for (unit, (hint, slots)) in [
+        (Duration::from_nanos(0), 0.0),
+        (Duration::from_nanos(u64::MAX), f64::NAN),
+        (Duration::from_nanos(1), f64::INFINITY),
+    ]
+    .into_iter()
+    .enumerate()
     {
         let absurd = Arrival { tariff: 99, customer: 9, hint: Some(hint), slots, ..story.arrival(1000) };
         story.arrive_as(unit as u64, absurd);
@@ -1135,7 +1142,7 @@
     }
     story.pass(400);
     story.heard();
-    let hint = Some(Span::millis(400));
+    let hint = Some(Duration::from_millis(400));
     story.arrive_as(9, Arrival { slots: 4.0, hint, ..story.arrival(9000) });
     story.sent_to();
 }
@@ -1173,7 +1180,7 @@
     story.start_of(1, 0, executor);
     story.pass(150);
     story.node.rang(story.now, UNIT_ALARMS + 1);
-    assert_eq!(story.said.0.take(), [Said::Wake(Span::millis(2350), UNIT_ALARMS + 1)]);
+    assert_eq!(story.said.0.take(), [Said::Wake(Duration::from_millis(2350), UNIT_ALARMS + 1)]);
 }
 
 #[test]
--- a/crates/emulator/src/figures.rs
+++ b/crates/emulator/src/figures.rs
@@ -4,7 +4,7 @@
 use crate::scenario::Scenario;
 use crate::spread;
 use crate::stage::{Errand, START, Stage};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -78,8 +78,8 @@
     }
 
     /// The second of the run in which work came.
-    fn second(&mut self, came: Moment) -> &mut Second {
-        let at = came.since(Moment(START)).as_secs() as usize;
+    fn second(&mut self, came: Instant) -> &mut Second {
+        let at = came.since(Instant(START)).seconds() as usize;
         let last = self.seconds.len() - 1;
         &mut self.seconds[at.min(last)]
     }
@@ -88,17 +88,17 @@
         &self.seconds
     }
 
-    pub fn came(&mut self, tariff: usize, now: Moment) {
+    pub fn came(&mut self, tariff: usize, now: Instant) {
         self.tallies[tariff].came += 1;
         self.second(now).came += 1;
     }
 
-    pub fn waited(&mut self, wait: Span) {
-        self.waits.saturating_record(wait.0 / 1000);
-        self.wait_list.push(wait.as_secs());
+    pub fn waited(&mut self, wait: Duration) {
+        self.waits.saturating_record(wait.nanos() / 1000);
+        self.wait_list.push(wait.seconds());
     }
 
-    pub fn ended(&mut self, tariff: usize, answer: Answer, came: Moment, now: Moment, quoted: Span) {
+    pub fn ended(&mut self, tariff: usize, answer: Answer, came: Instant, now: Instant, quoted: Duration) {
         let took = now.since(came);
         let in_time = took <= quoted;
         let tally = &mut self.tallies[tariff];
@@ -109,8 +109,8 @@
             (Answer::Forfeited, _) => &mut tally.forfeited,
         } += 1;
         if answer == Answer::Fulfilled {
-            self.answers.saturating_record(took.0 / 1000);
-            self.answer_sum_s += took.as_secs();
+            self.answers.saturating_record(took.nanos() / 1000);
+            self.answer_sum_s += took.seconds();
         }
         let second = self.second(came);
         *match (answer, in_time) {
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::{Executors, Rules};
 use grebeusher_dispatch::tariffs::{Report, Standing};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use std::collections::VecDeque;
 
 /// One allocation, by its unit and number, as its executor has it.
@@ -36,7 +36,7 @@
     /// Counts its starts: what was said to an earlier life concerns this one no more.
     pub life: u32,
     /// `None` for long ago.
-    pub started: Option<Moment>,
+    pub started: Option<Instant>,
     pub slower: f64,
     /// How many faults have it fail everything.
     pub fails: u32,
@@ -45,15 +45,15 @@
     running: Vec<Job>,
     waiting: VecDeque<Job>,
     /// Part of the slots in use, averaged over about a second, and as of when.
-    busy: (f64, Moment),
+    busy: (f64, Instant),
     /// Seconds that slots were in use.
     pub busy_s: f64,
     /// When work came lately, and whether its node knew of the start.
-    came: VecDeque<(Moment, bool)>,
+    came: VecDeque<(Instant, bool)>,
 }
 
 impl Machine {
-    pub fn new(make: Make, started: Option<Moment>) -> Machine {
+    pub fn new(make: Make, started: Option<Instant>) -> Machine {
         Machine {
             make,
             up: true,
@@ -65,28 +65,28 @@
             flatters: 0,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            busy: (0.0, Moment(0)),
+            busy: (0.0, Instant(0)),
             busy_s: 0.0,
             came: VecDeque::new(),
         }
     }
 
-    pub fn share(&self, now: Moment) -> f64 {
+    pub fn share(&self, now: Instant) -> f64 {
         self.make.of.share(self.started, now)
     }
 
     /// How long work of this size runs if it starts now.
-    pub fn runs_for(&self, now: Moment, size_s: f64) -> Span {
-        Span::secs(size_s / (self.make.of.pace * self.share(now)) * self.slower)
+    pub fn runs_for(&self, now: Instant, size_s: f64) -> Duration {
+        Duration::from_seconds(size_s / (self.make.of.pace * self.share(now)) * self.slower)
     }
 
-    pub fn is_cold(&self, now: Moment) -> bool {
+    pub fn is_cold(&self, now: Instant) -> bool {
         self.share(now) < 1.0
     }
 
     /// Counts what comes, and tells how much came within the window, and how much of that from nodes that did not know
     /// of the start.
-    pub fn count(&mut self, now: Moment, window: Span, knew: bool) -> (usize, usize) {
+    pub fn count(&mut self, now: Instant, window: Duration, knew: bool) -> (usize, usize) {
         self.came.push_back((now, knew));
         while self.came.front().is_some_and(|&(at, _)| now.since(at) > window) {
             self.came.pop_front();
@@ -94,7 +94,7 @@
         (self.came.len(), self.came.iter().filter(|(_, knew)| !knew).count())
     }
 
-    pub fn take(&mut self, now: Moment, job: Job) -> Taken {
+    pub fn take(&mut self, now: Instant, job: Job) -> Taken {
         if self.running.len() < self.make.slots {
             self.account(now);
             self.running.push(job);
@@ -108,14 +108,14 @@
     }
 
     /// A run is over; `false` if it was before.
-    pub fn done(&mut self, now: Moment, job: Job) -> bool {
+    pub fn done(&mut self, now: Instant, job: Job) -> bool {
         self.account(now);
         let at = self.running.iter().position(|running| *running == job);
         at.map(|at| self.running.swap_remove(at)).is_some()
     }
 
     /// The next that gets a slot, if one is free.
-    pub fn start_next(&mut self, now: Moment) -> Option<Job> {
+    pub fn start_next(&mut self, now: Instant) -> Option<Job> {
         if self.running.len() >= self.make.slots {
             return None;
         }
@@ -132,7 +132,7 @@
 
     /// How many work units it bears within the window while it is cold: what it can do in it, times the factor, each taken
     /// for a mean one.
-    pub fn bears(&self, now: Moment, rules: &Rules, mean_size_s: f64) -> f64 {
+    pub fn bears(&self, now: Instant, rules: &Rules, mean_size_s: f64) -> f64 {
         let does = self.share(now) * self.make.of.pace * self.make.slots as f64;
         (does * rules.fall_window_ms / 1e3 * rules.fall_factor / mean_size_s).max(1.0)
     }
@@ -151,7 +151,7 @@
     }
 
     /// Its process ends: what ran, and what waited.
-    pub fn die(&mut self, now: Moment) -> (Vec<Job>, Vec<Job>) {
+    pub fn die(&mut self, now: Instant) -> (Vec<Job>, Vec<Job>) {
         self.account(now);
         (self.up, self.life) = (false, self.life + 1);
         self.came.clear();
@@ -159,12 +159,12 @@
     }
 
     /// Back under its old id, and cold.
-    pub fn rise(&mut self, now: Moment) {
+    pub fn rise(&mut self, now: Instant) {
         (self.up, self.standing, self.started) = (true, Standing::Ready, Some(now));
         self.busy = (0.0, now);
     }
 
-    pub fn report(&mut self, now: Moment) -> Report {
+    pub fn report(&mut self, now: Instant) -> Report {
         self.account(now);
         if self.flatters > 0 {
             return Report { utilisation: Some(0.0), free_slots: Some(self.make.slots as f64) };
@@ -173,9 +173,9 @@
         Report { utilisation: Some(self.busy.0), free_slots: Some(free as f64) }
     }
 
-    fn account(&mut self, now: Moment) {
+    fn account(&mut self, now: Instant) {
         let (busy, at) = self.busy;
-        let (passed, used) = (now.since(at).as_secs(), self.running.len() as f64);
+        let (passed, used) = (now.since(at).seconds(), self.running.len() as f64);
         self.busy_s += passed * used;
         // What was a second ago counts for a third.
         let kept = (-passed).exp();
--- a/crates/emulator/src/plain.rs
+++ b/crates/emulator/src/plain.rs
@@ -5,7 +5,7 @@
 use crate::world::Decide;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
 use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report, Standing};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -21,7 +21,7 @@
 
 struct Work {
     binding: bool,
-    patience_ends: Moment,
+    patience_ends: Instant,
     sent: usize,
     may_have_run: bool,
 }
@@ -70,13 +70,13 @@
         if fit.is_empty() { None } else { Some(fit[self.chance.random_range(0..fit.len())]) }
     }
 
-    fn place(&mut self, now: Moment, unit: UnitId) {
+    fn place(&mut self, now: Instant, unit: UnitId) {
         /// The answer is due this long before patience ends.
-        const MARGIN: Span = Span::millis(20);
+        const MARGIN: Duration = Duration::from_millis(20);
         let picked = self.pick(unit);
         let Some(work) = self.work.get_mut(&unit) else { return };
         let left = (work.patience_ends - MARGIN).since(now);
-        match picked.filter(|_| left.0 > 0) {
+        match picked.filter(|_| left.nanos() > 0) {
             Some(executor) => {
                 work.sent += 1;
                 work.may_have_run = true;
@@ -98,11 +98,11 @@
 }
 
 impl<H: Sees> Decide for Plain<H> {
-    fn start(&mut self, _now: Moment) {
+    fn start(&mut self, _now: Instant) {
         self.host.follow_list();
     }
 
-    fn listed(&mut self, _now: Moment, whole: bool, entries: &[Listing<'_>]) {
+    fn listed(&mut self, _now: Instant, whole: bool, entries: &[Listing<'_>]) {
         if whole {
             self.executors.iter_mut().for_each(|(usable, _)| *usable = false);
         }
@@ -116,20 +116,20 @@
 
     fn list_broken(&mut self) {
         // One call for all that may have been missed, like the rest of this at once.
-        self.host.wake(Span::millis(1000), 0);
+        self.host.wake(Duration::from_millis(1000), 0);
     }
 
-    fn arrived(&mut self, now: Moment, unit: UnitId, arrival: &Arrival) {
+    fn arrived(&mut self, now: Instant, unit: UnitId, arrival: &Arrival) {
         let (binding, patience_ends) = (self.binding[arrival.tariff], arrival.patience_ends);
         self.work.insert(unit, Work { binding, patience_ends, sent: 0, may_have_run: false });
         self.place(now, unit);
     }
 
-    fn noticed(&mut self, _now: Moment, _id: AllocationId, _executor: ExecutorId) {}
+    fn noticed(&mut self, _now: Instant, _id: AllocationId, _executor: ExecutorId) {}
 
     fn ended(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: AllocationId,
         executor: ExecutorId,
         ending: Ending,
@@ -155,7 +155,7 @@
         self.work.remove(&unit);
     }
 
-    fn rang(&mut self, _now: Moment, _alarm: u64) {
+    fn rang(&mut self, _now: Instant, _alarm: u64) {
         self.host.follow_list();
     }
 }
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,7 +1,7 @@
 //! The four rules, checked from outside of the decisions: each unit and each executor has its page in a book, and what
 //! goes against a rule is written down with its time.
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap};
 
@@ -38,62 +38,62 @@
 
 struct Page {
     binding: bool,
-    patience_ends: Moment,
+    patience_ends: Instant,
     answer: Option<Answer>,
-    answered: Moment,
+    answered: Instant,
     /// Nobody waits any more: the client left, or its node died, and when.
-    gone: Option<Moment>,
+    gone: Option<Instant>,
     runs: u32,
 }
 
 #[derive(Default)]
 pub struct Book {
     /// When the run began: breaches are told by the time since.
-    began: Moment,
-    slack: Span,
-    grace: Span,
+    began: Instant,
+    slack: Duration,
+    grace: Duration,
     /// What is told of two connections within this may have happened in either order.
-    apart: Span,
+    apart: Duration,
     pages: HashMap<u64, Page>,
     /// When a node was told that an executor leaves or is gone.
-    told: HashMap<(usize, usize), Moment>,
+    told: HashMap<(usize, usize), Instant>,
     /// Which start of an executor a node was told last.
-    starts: HashMap<(usize, usize), Option<Moment>>,
+    starts: HashMap<(usize, usize), Option<Instant>>,
     /// The first few breaches, and how many there were of each rule.
     pub breaches: Vec<Breach>,
     pub counts: BTreeMap<Rule, u64>,
 }
 
 impl Book {
-    pub fn new(began: Moment, slack: Span, grace: Span) -> Book {
+    pub fn new(began: Instant, slack: Duration, grace: Duration) -> Book {
         Book { began, slack, grace, ..Book::default() }
     }
 
     /// Where things are heard on connections of their own: closer than this nobody knows their order.
-    pub fn in_order_beyond(&mut self, apart: Span) {
+    pub fn in_order_beyond(&mut self, apart: Duration) {
         self.apart = apart;
     }
 
-    fn broken(&mut self, now: Moment, rule: Rule, what: String) {
+    fn broken(&mut self, now: Instant, rule: Rule, what: String) {
         const KEPT: usize = 20;
         *self.counts.entry(rule).or_default() += 1;
         if self.breaches.len() < KEPT {
-            self.breaches.push(Breach { at_s: now.since(self.began).as_secs(), rule, what });
+            self.breaches.push(Breach { at_s: now.since(self.began).seconds(), rule, what });
         }
     }
 
-    pub fn taken(&mut self, unit: u64, binding: bool, patience_ends: Moment) {
-        let page = Page { binding, patience_ends, answer: None, answered: Moment(0), gone: None, runs: 0 };
+    pub fn taken(&mut self, unit: u64, binding: bool, patience_ends: Instant) {
+        let page = Page { binding, patience_ends, answer: None, answered: Instant(0), gone: None, runs: 0 };
         self.pages.insert(unit, page);
     }
 
-    pub fn gone(&mut self, now: Moment, unit: u64) {
+    pub fn gone(&mut self, now: Instant, unit: u64) {
         if let Some(page) = self.pages.get_mut(&unit) {
             page.gone.get_or_insert(now);
         }
     }
 
-    pub fn answered(&mut self, now: Moment, unit: u64, answer: Answer) {
+    pub fn answered(&mut self, now: Instant, unit: u64, answer: Answer) {
         let Some(page) = self.pages.get_mut(&unit).filter(|page| page.gone.is_none()) else { return };
         let (before, late) = (page.answer.replace(answer), now > page.patience_ends + self.slack);
         if before.is_none() {
@@ -112,25 +112,25 @@
     }
 
     /// A unit's connection ended without an answer, though its node lives.
-    pub fn unanswered(&mut self, now: Moment, unit: u64, why: &str) {
+    pub fn unanswered(&mut self, now: Instant, unit: u64, why: &str) {
         self.broken(now, Rule::OneAnswer, format!("unit {unit} has no answer: {why}"));
         self.gone(now, unit);
     }
 
     /// A unit was answered with what no executor made for it.
-    pub fn foreign(&mut self, now: Moment, unit: u64) {
+    pub fn foreign(&mut self, now: Instant, unit: u64) {
         self.broken(now, Rule::OneAnswer, format!("unit {unit} was answered with what is not its own"));
     }
 
     /// The patience of a unit has ended.
-    pub fn due(&mut self, now: Moment, unit: u64) {
+    pub fn due(&mut self, now: Instant, unit: u64) {
         if self.pages.get(&unit).is_some_and(|page| page.answer.is_none() && page.gone.is_none()) {
             self.broken(now, Rule::OneAnswer, format!("unit {unit} has no answer"));
         }
     }
 
     /// A node sent a unit; `now` is when it did, which may be told later.
-    pub fn sent(&mut self, now: Moment, unit: u64, node: usize, executor: usize) {
+    pub fn sent(&mut self, now: Instant, unit: u64, node: usize, executor: usize) {
         // That a client has left is on its way to the node for a moment.
         let over = |page: &Page| {
             let answered = page
@@ -141,7 +141,7 @@
         };
         if let Some((ended, answer)) = self.pages.get(&unit).and_then(over) {
             let how = answer.map_or("nobody waits".to_owned(), |answer| format!("{answer:?}"));
-            let ago = now.since(ended).as_secs();
+            let ago = now.since(ended).seconds();
             let what = format!(
                 "unit {unit} was sent after its end, by node {node} to executor {executor}; {how} {ago:.3} s before"
             );
@@ -155,7 +155,14 @@
     }
 
     /// A node was told what the list says of an executor.
-    pub fn told(&mut self, now: Moment, node: usize, executor: usize, usable: bool, started: Option<Moment>) {
+    pub fn told(
+        &mut self,
+        now: Instant,
+        node: usize,
+        executor: usize,
+        usable: bool,
+        started: Option<Instant>,
+    ) {
         self.starts.insert((node, executor), started);
         if usable {
             self.told.remove(&(node, executor));
@@ -170,11 +177,11 @@
     }
 
     /// Whether the node was told of this start: of one that it was not told it can't know that it is cold.
-    pub fn knows(&self, node: usize, executor: usize, started: Option<Moment>) -> bool {
+    pub fn knows(&self, node: usize, executor: usize, started: Option<Instant>) -> bool {
         self.starts.get(&(node, executor)).is_some_and(|told| *told == started)
     }
 
-    pub fn ran(&mut self, now: Moment, unit: u64) {
+    pub fn ran(&mut self, now: Instant, unit: u64) {
         let Some(page) = self.pages.get_mut(&unit) else { return };
         page.runs += 1;
         if !page.binding {
@@ -190,7 +197,7 @@
     }
 
     /// More of a budget was spent within a window than the whole.
-    pub fn over_budget(&mut self, now: Moment, tariff: &str, spent: usize, whole: u32) {
+    pub fn over_budget(&mut self, now: Instant, tariff: &str, spent: usize, whole: u32) {
         self.broken(
             now,
             Rule::Budget,
@@ -199,16 +206,16 @@
     }
 
     /// Something is wrong with a node whose own machine is out for work.
-    pub fn node_at_out(&mut self, now: Moment, node: usize, what: String) {
+    pub fn node_at_out(&mut self, now: Instant, node: usize, what: String) {
         self.broken(now, Rule::Out, format!("node {node} {what}"));
     }
 
     /// Something is wrong with a machine that is out for work.
-    pub fn at_out(&mut self, now: Moment, executor: usize, what: String) {
+    pub fn at_out(&mut self, now: Instant, executor: usize, what: String) {
         self.broken(now, Rule::Out, format!("executor {executor} {what}"));
     }
 
-    pub fn fell(&mut self, now: Moment, executor: usize, units: usize, untold: usize, borne: f64) {
+    pub fn fell(&mut self, now: Instant, executor: usize, units: usize, untold: usize, borne: f64) {
         let what = format!(
             "executor {executor}: {units} units came within the window, {untold} of them from nodes that the list \
              had not told of its start; {borne:.1} are borne"
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -3,7 +3,7 @@
 
 use crate::laws::Sizes;
 use grebeusher_dispatch::ids::mixed;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use rand::distr::weighted::WeightedIndex;
 use rand::seq::index::sample;
 use rand::{Rng, SeedableRng};
@@ -547,18 +547,18 @@
     }
 
     /// Within which an answer is wanted: as the decisions do it grows by the size, here as that is.
-    pub fn quoted(&self, size_s: f64) -> Span {
-        Span::secs(self.quoted_ms / 1e3 + self.stretch * size_s)
+    pub fn quoted(&self, size_s: f64) -> Duration {
+        Duration::from_seconds(self.quoted_ms / 1e3 + self.stretch * size_s)
     }
 }
 
 impl Executors {
     /// The part of its pace that one has by now; it grows evenly after a start.
-    pub fn share(&self, started: Option<Moment>, now: Moment) -> f64 {
-        let warm = Span::secs(self.warm_s);
+    pub fn share(&self, started: Option<Instant>, now: Instant) -> f64 {
+        let warm = Duration::from_seconds(self.warm_s);
         match started {
             Some(at) if now < at + warm => {
-                self.cold_share + (1.0 - self.cold_share) * now.since(at).as_secs() / warm.as_secs()
+                self.cold_share + (1.0 - self.cold_share) * now.since(at).seconds() / warm.seconds()
             }
             _ => 1.0,
         }
@@ -567,8 +567,8 @@
 
 impl Clients {
     /// How long a client waits that was turned back after so many repeats.
-    pub fn backoff(&self, tries: u32) -> Span {
-        Span::secs(self.backoff_ms / 1e3).scaled(2_f64.powi(tries.min(16) as i32))
+    pub fn backoff(&self, tries: u32) -> Duration {
+        Duration::from_seconds(self.backoff_ms / 1e3).scaled(2_f64.powi(tries.min(16) as i32))
     }
 }
 
--- a/crates/emulator/src/spread.rs
+++ b/crates/emulator/src/spread.rs
@@ -2,7 +2,7 @@
 //! crowds, executors that nobody comes to. Model and rig count by this one code, and so do two fleets that the same work
 //! is dealt to once more: one by chance, one by a single queue that knows every slot.
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use serde::Serialize;
@@ -11,9 +11,9 @@
 use std::fmt::{self, Display, Formatter};
 
 /// Use is told by such windows: several runs of ordinary work, and short against a fault.
-const WINDOW: Span = Span::millis(5000);
+const WINDOW: Duration = Duration::from_millis(5000);
 /// Who comes together within this comes as a crowd: about as long as a report is on its way.
-const TOGETHER: Span = Span::millis(250);
+const TOGETHER: Duration = Duration::from_millis(250);
 /// To whom nobody came for so many seconds of others' queues is forgotten.
 const FORGOTTEN_S: f64 = 5.0;
 
@@ -36,12 +36,12 @@
     up: bool,
     running: usize,
     waiting: usize,
-    since: Moment,
+    since: Instant,
     /// Slot seconds in use, in this window and before.
     busy_s: f64,
     busy_before_s: f64,
     /// Who came lately, and how many slots were free then.
-    came: VecDeque<(Moment, usize)>,
+    came: VecDeque<(Instant, usize)>,
     /// How long others had queued altogether when somebody came last.
     came_at_s: f64,
 }
@@ -57,12 +57,12 @@
 pub struct Spread {
     places: Vec<Place>,
     mean_size_s: f64,
-    began: Moment,
+    began: Instant,
     /// Nothing before and after these counts.
-    counts_from: Moment,
-    ends: Moment,
-    now: Moment,
-    window_ends: Moment,
+    counts_from: Instant,
+    ends: Instant,
+    now: Instant,
+    window_ends: Instant,
     windows: Vec<Window>,
     /// Over all executors that are up; `held` is work that has no place yet.
     slots: usize,
@@ -76,7 +76,7 @@
     herd_most: f64,
     herds: u64,
     forgotten: u64,
-    steps: Vec<(Moment, Step)>,
+    steps: Vec<(Instant, Step)>,
 }
 
 /// The part of slots in use over all executors in one window.
@@ -139,7 +139,11 @@
 
 impl Spread {
     /// From `began` to `ends`, counted after `settles`; `mean_size_s` is that of what comes, in seconds of a standard core.
-    pub fn new(widths: &[Width], mean_size_s: f64, (began, settles, ends): (Moment, Span, Moment)) -> Spread {
+    pub fn new(
+        widths: &[Width],
+        mean_size_s: f64,
+        (began, settles, ends): (Instant, Duration, Instant),
+    ) -> Spread {
         let place = |&width: &Width| Place {
             width,
             up: true,
@@ -179,11 +183,11 @@
     }
 
     /// New work came to the fleet, of so many seconds on a standard core; not again with its repeats.
-    pub fn offered(&mut self, now: Moment, size_s: f64) {
+    pub fn offered(&mut self, now: Instant, size_s: f64) {
         self.steps.push((now, Step::Came(size_s)));
     }
 
-    fn advance(&mut self, now: Moment) {
+    fn advance(&mut self, now: Instant) {
         let now = now.min(self.ends);
         while now >= self.window_ends {
             self.passes(self.window_ends);
@@ -193,8 +197,8 @@
         self.passes(now);
     }
 
-    fn passes(&mut self, now: Moment) {
-        let passed = now.since(self.now.max(self.counts_from)).as_secs();
+    fn passes(&mut self, now: Instant) {
+        let passed = now.since(self.now.max(self.counts_from)).seconds();
         self.now = self.now.max(now);
         let waiting = self.waiting + self.held;
         let idle = self.slots.saturating_sub(self.running);
@@ -210,7 +214,7 @@
         for at in 0..self.places.len() {
             self.accounts(at, ends);
         }
-        let span_s = WINDOW.as_secs();
+        let span_s = WINDOW.seconds();
         let used = |p: &Place| (p.width.weight(), p.busy_s / span_s / p.width.slots as f64);
         self.windows.push(Window::of(self.places.iter().map(used)));
         for p in &mut self.places {
@@ -218,15 +222,15 @@
         }
     }
 
-    fn accounts(&mut self, at: usize, now: Moment) {
+    fn accounts(&mut self, at: usize, now: Instant) {
         let now = now.min(self.ends);
         let p = &mut self.places[at];
-        p.busy_s += now.since(p.since.max(self.counts_from)).as_secs() * p.running as f64;
+        p.busy_s += now.since(p.since.max(self.counts_from)).seconds() * p.running as f64;
         p.since = p.since.max(now);
     }
 
     /// A work unit has reached an executor, which has not looked at it yet.
-    pub fn reached(&mut self, now: Moment, executor: usize) {
+    pub fn reached(&mut self, now: Instant, executor: usize) {
         self.advance(now);
         self.meets(executor);
         let p = &mut self.places[executor];
@@ -237,7 +241,7 @@
         }
         // What was free as the first of them came, and what comes free in that time where all run.
         let free = p.came.front().map_or(0, |&(_, free)| free) as f64;
-        let starts = free + p.width.weight() * TOGETHER.as_secs() / self.mean_size_s;
+        let starts = free + p.width.weight() * TOGETHER.seconds() / self.mean_size_s;
         let herd = p.came.len() as f64 / starts.max(1.0);
         if now >= self.counts_from && now <= self.ends {
             self.herd_most = self.herd_most.max(herd);
@@ -255,7 +259,7 @@
     }
 
     /// How an executor stands after a change.
-    pub fn stands(&mut self, now: Moment, executor: usize, up: bool, running: usize, waiting: usize) {
+    pub fn stands(&mut self, now: Instant, executor: usize, up: bool, running: usize, waiting: usize) {
         self.advance(now);
         self.accounts(executor, now);
         let p = &self.places[executor];
@@ -281,7 +285,7 @@
     }
 
     /// So much work has no place yet.
-    pub fn holds(&mut self, now: Moment, held: usize) {
+    pub fn holds(&mut self, now: Instant, held: usize) {
         self.advance(now);
         self.held = held;
     }
@@ -293,7 +297,7 @@
             self.accounts(at, ends);
             self.meets(at);
         }
-        let length_s = ends.since(self.counts_from).as_secs().max(f64::MIN_POSITIVE);
+        let length_s = ends.since(self.counts_from).seconds().max(f64::MIN_POSITIVE);
         let used =
             |p: &Place| (p.width.weight(), (p.busy_before_s + p.busy_s) / length_s / p.width.slots as f64);
         let used = Window::of(self.places.iter().map(used));
@@ -332,11 +336,11 @@
     up: Vec<bool>,
     running: Vec<usize>,
     /// When it came and its size.
-    waiting: Vec<VecDeque<(Moment, f64)>>,
-    held: VecDeque<(Moment, f64)>,
+    waiting: Vec<VecDeque<(Instant, f64)>>,
+    held: VecDeque<(Instant, f64)>,
     /// How often each went: what ends afterwards ends nothing.
     lives: Vec<u32>,
-    ends: BinaryHeap<Reverse<(Moment, usize, u32)>>,
+    ends: BinaryHeap<Reverse<(Instant, usize, u32)>>,
     waits: (f64, u64),
 }
 
@@ -360,7 +364,7 @@
         }
     }
 
-    fn deal(mut self, steps: &[(Moment, Step)], ends: Moment) -> Evenness {
+    fn deal(mut self, steps: &[(Instant, Step)], ends: Instant) -> Evenness {
         for &(now, step) in steps.iter().filter(|(at, _)| *at <= ends) {
             self.runs_on(now);
             match step {
@@ -380,7 +384,7 @@
         self.spread.evenness(mean_wait_ms)
     }
 
-    fn runs_on(&mut self, until: Moment) {
+    fn runs_on(&mut self, until: Instant) {
         while self.ends.peek().is_some_and(|Reverse((at, ..))| *at <= until) {
             let Some(Reverse((now, at, life))) = self.ends.pop() else { return };
             if self.lives[at] != life {
@@ -395,7 +399,7 @@
         }
     }
 
-    fn comes(&mut self, now: Moment, size_s: f64) {
+    fn comes(&mut self, now: Instant, size_s: f64) {
         let weights: Vec<f64> = (0..self.widths.len())
             .map(|at| if self.up[at] { self.widths[at].weight() } else { 0.0 })
             .collect();
@@ -435,16 +439,16 @@
             .map(|(_, at)| at)
     }
 
-    fn starts(&mut self, now: Moment, at: usize, came: Moment, size_s: f64) {
+    fn starts(&mut self, now: Instant, at: usize, came: Instant, size_s: f64) {
         self.running[at] += 1;
-        let runs = Span::secs(size_s / self.widths[at].pace);
+        let runs = Duration::from_seconds(size_s / self.widths[at].pace);
         self.ends.push(Reverse((now + runs, at, self.lives[at])));
         if came >= self.spread.counts_from {
-            self.waits = (self.waits.0 + now.since(came).as_secs(), self.waits.1 + 1);
+            self.waits = (self.waits.0 + now.since(came).seconds(), self.waits.1 + 1);
         }
     }
 
-    fn serves_held(&mut self, now: Moment) {
+    fn serves_held(&mut self, now: Instant) {
         while let Some(&(came, size_s)) = self.held.front() {
             let Some(at) = self.emptiest() else { break };
             self.held.pop_front();
@@ -455,7 +459,7 @@
         self.spread.holds(now, self.held.len());
     }
 
-    fn says(&mut self, now: Moment, at: usize) {
+    fn says(&mut self, now: Instant, at: usize) {
         self.spread.stands(now, at, self.up[at], self.running[at], self.waiting[at].len());
     }
 }
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -10,7 +10,7 @@
 use grebeusher_dispatch::host::Host;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
 use grebeusher_dispatch::tariffs::{Ending, Report, Standing};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use rand::distr::weighted::WeightedIndex;
 use rand_pcg::Pcg32;
@@ -19,9 +19,9 @@
 use std::rc::Rc;
 
 /// A repeat of a message that got lost comes this much later.
-const ONCE_MORE: Span = Span::millis(200);
+const ONCE_MORE: Duration = Duration::from_millis(200);
 /// A job to be given up that could not be reached is tried again after this.
-const GIVE_UP_AGAIN: Span = Span::millis(300);
+const GIVE_UP_AGAIN: Duration = Duration::from_millis(300);
 
 /// What a node hears of an allocation.
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +48,7 @@
     TimesOut(Job),
     GivesUp(Job),
     Rings(usize, u32, u64),
-    Lists(usize, u32, usize, Standing, Option<Moment>),
+    Lists(usize, u32, usize, Standing, Option<Instant>),
     ListCall(usize, u32, bool),
     /// A node hears another's word.
     Told(usize, u64, Rc<[u8]>),
@@ -63,10 +63,10 @@
     pub tariff: usize,
     pub size_s: f64,
     pub hint_s: Option<f64>,
-    pub came: Moment,
-    pub deadline: Moment,
+    pub came: Instant,
+    pub deadline: Instant,
     /// When the client leaves, if it does not wait to the end.
-    pub leaves: Option<Moment>,
+    pub leaves: Option<Instant>,
     pub tries: u32,
     pub counted: bool,
 }
@@ -92,15 +92,15 @@
     pub zone: usize,
     pub up: bool,
     pub life: u32,
-    pub died: Option<Moment>,
+    pub died: Option<Instant>,
     /// Whether changes of the list are told to it.
     pub watches: bool,
 }
 
 pub struct Stage {
     pub scenario: Scenario,
-    pub now: Moment,
-    agenda: BTreeMap<(Moment, u64), Event>,
+    pub now: Instant,
+    agenda: BTreeMap<(Instant, u64), Event>,
     next_number: u64,
     pub events: u64,
     /// One for each purpose: whoever decides meets the same work and the same faults.
@@ -114,16 +114,16 @@
     pub machines: Vec<Machine>,
     mean_size_s: f64,
     /// When idle connections were used last, by node and executor, with the life of the executor.
-    idle: HashMap<(usize, usize), Vec<(u32, Moment)>>,
+    idle: HashMap<(usize, usize), Vec<(u32, Instant)>>,
     /// Zones that are cut off, each until then.
-    pub cuts: Vec<(usize, Moment)>,
+    pub cuts: Vec<(usize, Instant)>,
     pub discovery_down: u32,
-    discovery_free: Moment,
+    discovery_free: Instant,
     pub book: Book,
     pub figures: Figures,
     pub spread: Spread,
     /// When each slot comes free, for decisions that see all.
-    pub sight: Vec<Vec<Moment>>,
+    pub sight: Vec<Vec<Instant>>,
     /// What comes at each node against the others, if not alike.
     pub shares: Option<WeightedIndex<f64>>,
 }
@@ -139,10 +139,10 @@
         let widths: Vec<Width> =
             machines.iter().map(|m| Width { slots: m.make.slots, pace: m.make.of.pace }).collect();
         let settles = ms(scenario.settles_s * 1e3);
-        let ends = Moment(START) + ms(scenario.length_s * 1e3);
-        let book = Book::new(Moment(START), ms(rules.slack_ms), ms(rules.drain_grace_ms));
+        let ends = Instant(START) + ms(scenario.length_s * 1e3);
+        let book = Book::new(Instant(START), ms(rules.slack_ms), ms(rules.drain_grace_ms));
         Stage {
-            now: Moment(START),
+            now: Instant(START),
             agenda: BTreeMap::new(),
             next_number: 0,
             events: 0,
@@ -158,22 +158,22 @@
             idle: HashMap::new(),
             cuts: Vec::new(),
             discovery_down: 0,
-            discovery_free: Moment(0),
+            discovery_free: Instant(0),
             book,
             figures: Figures::new(&scenario),
-            spread: Spread::new(&widths, scenario.mean_size_s(), (Moment(START), settles, ends)),
-            sight: widths.iter().map(|w| vec![Moment(START); w.slots]).collect(),
+            spread: Spread::new(&widths, scenario.mean_size_s(), (Instant(START), settles, ends)),
+            sight: widths.iter().map(|w| vec![Instant(START); w.slots]).collect(),
             shares: scenario.shares(),
             scenario,
         }
     }
 
-    pub fn at(&mut self, when: Moment, event: Event) {
+    pub fn at(&mut self, when: Instant, event: Event) {
         self.agenda.insert((when, self.next_number), event);
         self.next_number += 1;
     }
 
-    pub fn after(&mut self, span: Span, event: Event) {
+    pub fn after(&mut self, span: Duration, event: Event) {
         self.at(self.now + span, event);
     }
 
@@ -186,17 +186,17 @@
 
     /// Seconds since the start of the run.
     pub fn clock_s(&self) -> f64 {
-        self.now.since(Moment(START)).as_secs()
+        self.now.since(Instant(START)).seconds()
     }
 
-    fn delay(&mut self, one: usize, other: usize) -> Span {
+    fn delay(&mut self, one: usize, other: usize) -> Duration {
         let n = self.scenario.network;
         let least = if one == other { n.delay_ms } else { n.cross_delay_ms };
         ms(least * (1.0 + n.spread * exponential(&mut self.net_chance)))
     }
 
     /// Until when nothing passes between two zones.
-    fn cut(&self, one: usize, other: usize) -> Option<Moment> {
+    fn cut(&self, one: usize, other: usize) -> Option<Instant> {
         let parts = |zone: usize| (zone == one) != (zone == other);
         let cuts = self.cuts.iter().filter(|(zone, until)| parts(*zone) && *until > self.now);
         cuts.map(|(_, until)| *until).max()
@@ -207,7 +207,7 @@
         let (now, life) = (self.now, self.machines[executor].life);
         let idle_s = self.scenario.network.idle_s;
         let Some(kept) = self.idle.get_mut(&(node, executor)) else { return false };
-        kept.retain(|(of, at)| *of == life && (*at > now || now.since(*at).as_secs() < idle_s));
+        kept.retain(|(of, at)| *of == life && (*at > now || now.since(*at).seconds() < idle_s));
         let found = kept.iter().position(|(_, at)| *at <= now);
         found.map(|at| kept.swap_remove(at)).is_some()
     }
@@ -217,7 +217,7 @@
         (unit.node, unit.sent[job.number].executor)
     }
 
-    fn allocate(&mut self, unit: u64, executor: usize, time_out: Span) {
+    fn allocate(&mut self, unit: u64, executor: usize, time_out: Duration) {
         let node = self.units[unit as usize].node;
         let job = Job { unit, number: self.units[unit as usize].sent.len() };
         self.units[unit as usize].sent.push(Sent { executor, open: true });
@@ -242,7 +242,7 @@
         if !self.machines[executor].up {
             return self.after(way.scaled(2.0), Event::Hears(job, Word::Ended(Ending::Refused, None)));
         }
-        let shake = if fresh { way.scaled(2.0 * n.handshake_trips) } else { Span(0) };
+        let shake = if fresh { way.scaled(2.0 * n.handshake_trips) } else { Duration::from_nanos(0) };
         let arrives = self.now + shake + way;
         if n.resets > 0.0 && self.net_chance.random::<f64>() < n.resets {
             let whole = self.net_chance.random::<bool>();
@@ -279,7 +279,10 @@
             if units as f64 > borne {
                 self.book.fell(now, executor, units, untold, borne);
                 self.kill(executor);
-                return self.after(Span::millis(3000), Event::Rises(executor, self.machines[executor].life));
+                return self.after(
+                    Duration::from_millis(3000),
+                    Event::Rises(executor, self.machines[executor].life),
+                );
             }
         }
         match self.machines[executor].take(now, job) {
@@ -430,11 +433,11 @@
         let d = self.scenario.discovery;
         self.figures.list_calls += 1;
         let begins = self.discovery_free.max(self.now);
-        let ends = begins + Span::secs(1.0 / d.calls_per_s);
+        let ends = begins + Duration::from_seconds(1.0 / d.calls_per_s);
         let within = ms(d.call_within_ms);
         if self.discovery_down > 0 {
             self.figures.list_calls_failed += 1;
-            return self.after(Span::millis(1), Event::ListCall(node, life, false));
+            return self.after(Duration::from_millis(1), Event::ListCall(node, life, false));
         }
         if ends.since(self.now) > within {
             self.figures.list_calls_failed += 1;
@@ -513,8 +516,8 @@
 /// Some time after the clock's zero, so that spans before the start are in range.
 pub const START: u64 = 1_000_000_000_000;
 
-pub fn ms(ms: f64) -> Span {
-    Span::secs(ms / 1e3)
+pub fn ms(ms: f64) -> Duration {
+    Duration::from_seconds(ms / 1e3)
 }
 
 /// Hands of decisions that see more than a node can: for bounds to compare with.
@@ -533,7 +536,7 @@
         let size_s = stage.errands[stage.units[unit.0 as usize].errand].size_s;
         let now = stage.now;
         // Its start, the permille of slots in use, the time that it runs; all are least where it goes.
-        let mut best: Option<((Moment, usize, Span), usize, usize)> = None;
+        let mut best: Option<((Instant, usize, Duration), usize, usize)> = None;
         for &at in among {
             let slots = &stage.sight[at];
             let Some((slot, &free)) = slots.iter().enumerate().min_by_key(|(_, free)| **free) else {
@@ -566,7 +569,7 @@
 }
 
 impl Host for Hands {
-    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Span) {
+    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Duration) {
         self.stage.borrow_mut().allocate(unit.0, executor.0, time_out);
     }
 
@@ -575,7 +578,7 @@
         self.stage.borrow_mut().gives_up(job);
     }
 
-    fn turn_back(&mut self, unit: UnitId, _come_back: Option<Span>) {
+    fn turn_back(&mut self, unit: UnitId, _come_back: Option<Duration>) {
         self.stage.borrow_mut().answer(unit.0, Answer::TurnedBack);
     }
 
@@ -583,7 +586,7 @@
         self.stage.borrow_mut().answer(unit.0, Answer::Forfeited);
     }
 
-    fn wake(&mut self, after: Span, alarm: u64) {
+    fn wake(&mut self, after: Duration, alarm: u64) {
         self.stage.borrow_mut().after(after, Event::Rings(self.node, self.life, alarm));
     }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -13,7 +13,7 @@
 use grebeusher_dispatch::tariffs::{
     Allowance, Arrival, ColdStart, Effect as DispatchEffect, Ending, Listing, Report, Standing, Tariff,
 };
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use rand::distr::{Distribution, weighted::WeightedIndex};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -22,14 +22,14 @@
 
 /// What a node's decisions are told; the real ones, and others to compare them with.
 pub trait Decide {
-    fn start(&mut self, now: Moment);
-    fn listed(&mut self, now: Moment, whole: bool, entries: &[Listing<'_>]);
+    fn start(&mut self, now: Instant);
+    fn listed(&mut self, now: Instant, whole: bool, entries: &[Listing<'_>]);
     fn list_broken(&mut self);
-    fn arrived(&mut self, now: Moment, unit: UnitId, arrival: &Arrival);
-    fn noticed(&mut self, now: Moment, id: AllocationId, executor: ExecutorId);
+    fn arrived(&mut self, now: Instant, unit: UnitId, arrival: &Arrival);
+    fn noticed(&mut self, now: Instant, id: AllocationId, executor: ExecutorId);
     fn ended(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: AllocationId,
         executor: ExecutorId,
         ending: Ending,
@@ -38,29 +38,29 @@
     );
     fn finish(&mut self, unit: UnitId);
     /// Another node sent a word.
-    fn told(&mut self, _now: Moment, _node: u64, _word: &[u8]) {}
-    fn rang(&mut self, now: Moment, alarm: u64);
+    fn told(&mut self, _now: Instant, _node: u64, _word: &[u8]) {}
+    fn rang(&mut self, now: Instant, alarm: u64);
 }
 
 impl<H: Host> Decide for Dispatcher<H> {
-    fn start(&mut self, now: Moment) {
+    fn start(&mut self, now: Instant) {
         Dispatcher::start(self, now);
     }
-    fn listed(&mut self, now: Moment, whole: bool, entries: &[Listing<'_>]) {
+    fn listed(&mut self, now: Instant, whole: bool, entries: &[Listing<'_>]) {
         Dispatcher::listed(self, now, whole, entries);
     }
     fn list_broken(&mut self) {
         Dispatcher::list_broken(self);
     }
-    fn arrived(&mut self, now: Moment, unit: UnitId, arrival: &Arrival) {
+    fn arrived(&mut self, now: Instant, unit: UnitId, arrival: &Arrival) {
         Dispatcher::arrived(self, now, unit, arrival);
     }
-    fn noticed(&mut self, now: Moment, id: AllocationId, executor: ExecutorId) {
+    fn noticed(&mut self, now: Instant, id: AllocationId, executor: ExecutorId) {
         Dispatcher::noticed(self, now, id, executor);
     }
     fn ended(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: AllocationId,
         executor: ExecutorId,
         ending: Ending,
@@ -72,10 +72,10 @@
     fn finish(&mut self, unit: UnitId) {
         Dispatcher::finish(self, unit);
     }
-    fn told(&mut self, now: Moment, node: u64, word: &[u8]) {
+    fn told(&mut self, now: Instant, node: u64, word: &[u8]) {
         Dispatcher::told(self, now, node, word);
     }
-    fn rang(&mut self, now: Moment, alarm: u64) {
+    fn rang(&mut self, now: Instant, alarm: u64) {
         Dispatcher::rang(self, now, alarm);
     }
 }
@@ -109,9 +109,9 @@
                     second_copies: n.second_copies,
                     recalls: n.recalls,
                     recalls_stop: n.recalls_stop,
-                    patience_off: Span(0),
+                    patience_off: Duration::from_nanos(0),
                     further: None,
-                    grace: Span(0),
+                    grace: Duration::from_nanos(0),
                     longest_come_back: None,
                 };
                 let cold = ColdStart {
@@ -119,11 +119,11 @@
                     warm_within: ms(r.warm_within_s * 1e3),
                     fall_factor: r.fall_factor,
                     fall_window: ms(r.fall_window_ms),
-                    starts_off: Span(0),
-                    from: Moment(0),
+                    starts_off: Duration::from_nanos(0),
+                    from: Instant(0),
                 };
                 let told_count = n.told_count.unwrap_or(n.count) as u64;
-                let progress = Some(ms(n.progress_ms)).filter(|pace| pace.0 > 0);
+                let progress = Some(ms(n.progress_ms)).filter(|pace| pace.nanos() > 0);
                 let dispatcher = Dispatcher::new(hands, seed, node as u64, told_count, tariffs.clone())
                     .allowing(allowance)
                     .cold_starts(cold)
@@ -177,8 +177,8 @@
     names: Vec<String>,
     seeds: Pcg32,
     /// Until when nobody comes.
-    silent_until: Moment,
-    ends: Moment,
+    silent_until: Instant,
+    ends: Instant,
 }
 
 impl<'a> World<'a> {
@@ -198,13 +198,13 @@
             }
             let make = Make { kind, zone, slots: e.slots as usize, of: e.clone() };
             names.push(format!("{}-{}", e.kind, machines.len()));
-            machines.push(Machine::new(make, (!e.warm_at_start).then_some(Moment(START))));
+            machines.push(Machine::new(make, (!e.warm_at_start).then_some(Instant(START))));
         }
         let stage = Rc::new(RefCell::new(Stage::new(scenario.clone(), chance, nodes, machines)));
-        let ends = Moment(START) + ms(scenario.length_s * 1e3);
+        let ends = Instant(START) + ms(scenario.length_s * 1e3);
         let struck = scenario.faults.iter().map(|_| Struck::Other).collect();
         let minds = Vec::new();
-        let mut world = World { stage, make, minds, struck, names, seeds, silent_until: Moment(0), ends };
+        let mut world = World { stage, make, minds, struck, names, seeds, silent_until: Instant(0), ends };
         for node in 0..scenario.nodes.count {
             let mind = world.mind(node);
             world.minds.push(mind);
@@ -237,7 +237,7 @@
     }
 
     fn whole_list(&mut self, node: usize) {
-        let entries: Vec<(usize, Standing, Option<Moment>)> = {
+        let entries: Vec<(usize, Standing, Option<Instant>)> = {
             let stage = self.stage.borrow();
             let entry = |(at, m): (usize, &Machine)| (at, m.standing, m.started);
             stage.machines.iter().enumerate().map(entry).collect()
@@ -246,14 +246,14 @@
     }
 
     /// A node hears what the list says of some executors, or of all.
-    fn tells_list(&mut self, node: usize, whole: bool, entries: &[(usize, Standing, Option<Moment>)]) {
+    fn tells_list(&mut self, node: usize, whole: bool, entries: &[(usize, Standing, Option<Instant>)]) {
         let listings: Vec<Listing> = {
             let mut stage = self.stage.borrow_mut();
             let now = stage.now;
             for &(at, standing, started) in entries {
                 stage.book.told(now, node, at, standing == Standing::Ready, started);
             }
-            let listing = |&(at, standing, started): &(usize, Standing, Option<Moment>)| {
+            let listing = |&(at, standing, started): &(usize, Standing, Option<Instant>)| {
                 let make = &stage.machines[at].make;
                 let (executor, name, kind, zone) = (ExecutorId(at), &self.names[at], make.kind, make.zone);
                 Listing { executor, name, standing, started, kind, zone, cell: 0, weight: 1.0, speaks: false }
@@ -355,7 +355,7 @@
 
     /// A client brings its work to a node that the front deals it to.
     fn tries(&mut self, errand: usize) {
-        const KNOCK_AGAIN: Span = Span::millis(50);
+        const KNOCK_AGAIN: Duration = Duration::from_millis(50);
         let (unit, node, arrival) = {
             let mut stage = self.stage.borrow_mut();
             let stage = &mut *stage;
@@ -381,7 +381,7 @@
                 customer: 0,
                 patience_ends: deadline,
                 repeat: e.tries > 0,
-                hint: e.hint_s.map(Span::secs),
+                hint: e.hint_s.map(Duration::from_seconds),
                 slots: 1.0,
                 beyond: false,
             };
@@ -390,7 +390,10 @@
             let (answered, gone, started) = (false, false, false);
             stage.units.push(Unit { errand, node, life, answered, gone, started, sent: Vec::new() });
             stage.book.taken(unit, stage.binding(tariff), deadline);
-            stage.at(deadline + ms(stage.scenario.rules.slack_ms) + Span(1), Event::PatienceEnds(unit));
+            stage.at(
+                deadline + ms(stage.scenario.rules.slack_ms) + Duration::from_nanos(1),
+                Event::PatienceEnds(unit),
+            );
             if let Some(leaves) = leaves {
                 stage.at(leaves.max(now), Event::Leaves(unit));
             }
@@ -528,7 +531,7 @@
                 for node in 0..stage.nodes.len() {
                     if std::mem::replace(&mut stage.nodes[node].watches, false) {
                         let life = stage.nodes[node].life;
-                        stage.after(Span::millis(1), Event::ListCall(node, life, false));
+                        stage.after(Duration::from_millis(1), Event::ListCall(node, life, false));
                     }
                 }
                 Struck::Other
@@ -563,7 +566,7 @@
                             }
                             stage.list_changes(at, Standing::Gone);
                             let life = stage.machines[at].life;
-                            stage.after(Span::millis(1000), Event::Rises(at, life));
+                            stage.after(Duration::from_millis(1000), Event::Rises(at, life));
                         }
                         What::SlowExecutors => stage.machines[at].slower /= factor,
                         What::FailExecutors => stage.machines[at].fails -= 1,
@@ -630,5 +633,5 @@
 /// The next work of a tariff comes after a gap that remembers nothing.
 fn next_comes(stage: &mut Stage, tariff: usize) {
     let gap_s = exponential(&mut stage.work_chance) / stage.scenario.tariffs[tariff].per_s;
-    stage.after(Span::secs(gap_s), Event::Comes(tariff));
+    stage.after(Duration::from_seconds(gap_s), Event::Comes(tariff));
 }
--- a/crates/emulator/tests/stories.rs
+++ b/crates/emulator/tests/stories.rs
@@ -4,7 +4,7 @@
 use grebeusher_dispatch::host::Host;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
 use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::figures::Outcome;
 use grebeusher_emulator::laws::Sizes;
 use grebeusher_emulator::plots;
@@ -136,20 +136,20 @@
 }
 
 impl Decide for Odd {
-    fn start(&mut self, _: Moment) {
+    fn start(&mut self, _: Instant) {
         self.hands.follow_list();
     }
-    fn listed(&mut self, _: Moment, _: bool, _: &[Listing<'_>]) {}
+    fn listed(&mut self, _: Instant, _: bool, _: &[Listing<'_>]) {}
     fn list_broken(&mut self) {}
-    fn arrived(&mut self, _: Moment, unit: UnitId, _: &Arrival) {
+    fn arrived(&mut self, _: Instant, unit: UnitId, _: &Arrival) {
         (self.does)(&mut self.hands, unit);
     }
-    fn noticed(&mut self, _: Moment, _: AllocationId, _: ExecutorId) {}
-    fn ended(&mut self, _: Moment, id: AllocationId, _: ExecutorId, _: Ending, _: bool, _: Option<Report>) {
+    fn noticed(&mut self, _: Instant, _: AllocationId, _: ExecutorId) {}
+    fn ended(&mut self, _: Instant, id: AllocationId, _: ExecutorId, _: Ending, _: bool, _: Option<Report>) {
         (self.ends)(&mut self.hands, id);
     }
     fn finish(&mut self, _: UnitId) {}
-    fn rang(&mut self, _: Moment, _: u64) {}
+    fn rang(&mut self, _: Instant, _: u64) {}
 }
 
 fn broken_by(
@@ -165,7 +165,7 @@
 
 #[test]
 fn each_rule_that_is_broken_on_purpose_is_noticed() {
-    const LONG: Span = Span::millis(3000);
+    const LONG: Duration = Duration::from_millis(3000);
     let nothing: fn(&mut Hands, AllocationId) = |_, _| {};
     let has = |broken: Vec<(Rule, String)>, rule: Rule, what: &str| {
         assert!(broken.iter().any(|(r, w)| *r == rule && w.contains(what)), "{what}: {broken:?}");
@@ -181,7 +181,8 @@
         hands.allocate(unit, ExecutorId(0), LONG);
     };
     has(broken_by("", sends_on, nothing), Rule::OneAnswer, "sent after its end");
-    let late: fn(&mut Hands, UnitId) = |hands, unit| hands.allocate(unit, ExecutorId(0), Span::secs(5.2));
+    let late: fn(&mut Hands, UnitId) =
+        |hands, unit| hands.allocate(unit, ExecutorId(0), Duration::from_seconds(5.2));
     let answers: fn(&mut Hands, AllocationId) = |hands, id| hands.forfeit(id.unit);
     let crawls = fault("slow-executors", 0, 20, "part = 1.0\nfactor = 100.0");
     has(broken_by(&crawls, late, answers), Rule::OneAnswer, "after its patience");
@@ -190,7 +191,8 @@
         hands.allocate(unit, ExecutorId(1), LONG);
     };
     has(broken_by("", two_places, nothing), Rule::NoEffectTwice, "runs a second time");
-    let one: fn(&mut Hands, UnitId) = |hands, unit| hands.allocate(unit, ExecutorId(0), Span::millis(50));
+    let one: fn(&mut Hands, UnitId) =
+        |hands, unit| hands.allocate(unit, ExecutorId(0), Duration::from_millis(50));
     let harmless: fn(&mut Hands, AllocationId) = |hands, id| hands.turn_back(id.unit, None);
     has(broken_by("", one, harmless), Rule::NoEffectTwice, "was turned back");
     let drains = fault("drain-executors", 2, 10, "part = 1.0");
@@ -319,9 +321,9 @@
 /// Two executors of two slots for ten seconds: one runs two and holds one for four of them, the other idles meanwhile.
 #[test]
 fn spread_is_what_it_says_by_hand() {
-    let second = |s: u64| Moment(s * 1_000_000_000);
+    let second = |s: u64| Instant(s * 1_000_000_000);
     let widths = [Width { slots: 2, pace: 1.0 }; 2];
-    let mut book = Spread::new(&widths, 1.0, (second(0), Span(0), second(10)));
+    let mut book = Spread::new(&widths, 1.0, (second(0), Duration::from_nanos(0), second(10)));
     for at in [0, 0, 0] {
         book.reached(second(at), 0);
     }
@@ -345,9 +347,9 @@
 
 #[test]
 fn nobody_comes_for_five_seconds_in_which_others_queue_is_counted_once() {
-    let second = |s: u64| Moment(s * 1_000_000_000);
+    let second = |s: u64| Instant(s * 1_000_000_000);
     let widths = [Width { slots: 1, pace: 1.0 }; 2];
-    let mut book = Spread::new(&widths, 1.0, (second(0), Span(0), second(20)));
+    let mut book = Spread::new(&widths, 1.0, (second(0), Duration::from_nanos(0), second(20)));
     book.stands(second(0), 0, true, 1, 1);
     book.reached(second(6), 1);
     book.stands(second(6), 1, true, 1, 0);
@@ -391,8 +393,8 @@
 /// Guards against a send that was on its way through a cut being taken for one after the answer.
 #[test]
 fn a_send_counts_from_when_it_left_its_node() {
-    let second = |s: u64| Moment(s * 1_000_000_000);
-    let mut book = Book::new(Moment(0), Span::millis(50), Span::millis(2000));
+    let second = |s: u64| Instant(s * 1_000_000_000);
+    let mut book = Book::new(Instant(0), Duration::from_millis(50), Duration::from_millis(2000));
     book.taken(1, false, second(10));
     book.answered(second(5), 1, Answer::TurnedBack);
     book.sent(second(4), 1, 0, 0);
--- a/crates/faktory/src/reservations.rs
+++ b/crates/faktory/src/reservations.rs
@@ -2,7 +2,7 @@
 //! hands one over hears exactly once what became of it.
 
 use crate::command::WorkerState;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use std::collections::HashMap;
 
 /// What became of a job that was handed to a worker.
@@ -36,7 +36,7 @@
     /// What the worker gets when it fetches.
     pub body: String,
     /// How long a worker may have it.
-    pub reserve_for: Span,
+    pub reserve_for: Duration,
 }
 
 struct Held<T> {
@@ -45,20 +45,20 @@
     /// In the order of handing over.
     number: u64,
     fetched: bool,
-    until: Moment,
+    until: Instant,
 }
 
 struct Worker {
     wid: String,
     standing: Standing,
-    heard: Moment,
+    heard: Instant,
     connections: usize,
 }
 
 pub struct Reservations<T> {
     /// How long a job waits for a fetch, and how long a worker may be silent.
-    fetched_within: Span,
-    silent_after: Span,
+    fetched_within: Duration,
+    silent_after: Duration,
     workers: Vec<Worker>,
     by_wid: HashMap<String, usize>,
     held: HashMap<String, Held<T>>,
@@ -66,7 +66,7 @@
 }
 
 impl<T: Copy + Eq> Reservations<T> {
-    pub fn new(fetched_within: Span, silent_after: Span) -> Reservations<T> {
+    pub fn new(fetched_within: Duration, silent_after: Duration) -> Reservations<T> {
         Reservations {
             fetched_within,
             silent_after,
@@ -78,7 +78,7 @@
     }
 
     /// A worker said who it is on one more connection. Its place, for good.
-    pub fn hello(&mut self, now: Moment, wid: &str) -> usize {
+    pub fn hello(&mut self, now: Instant, wid: &str) -> usize {
         let worker = *self.by_wid.entry(wid.to_owned()).or_insert_with(|| {
             let standing = Standing::Gone;
             self.workers.push(Worker { wid: wid.to_owned(), standing, heard: now, connections: 0 });
@@ -110,7 +110,7 @@
     }
 
     /// A worker's heartbeat. What it has not fetched and will not is handed back.
-    pub fn beat(&mut self, now: Moment, worker: usize, says: Option<WorkerState>) -> Vec<(T, End)> {
+    pub fn beat(&mut self, now: Instant, worker: usize, says: Option<WorkerState>) -> Vec<(T, End)> {
         let w = &mut self.workers[worker];
         w.heard = now;
         if w.standing == Standing::Gone {
@@ -141,7 +141,7 @@
     }
 
     /// Hands a job to a worker; `false` if it can't have it, and nothing will be heard of it.
-    pub fn hand(&mut self, now: Moment, worker: usize, job: Handed<T>) -> bool {
+    pub fn hand(&mut self, now: Instant, worker: usize, job: Handed<T>) -> bool {
         let fits = self.workers[worker].standing == Standing::Works && !self.held.contains_key(&job.jid);
         if fits {
             let number = self.next_number;
@@ -154,7 +154,7 @@
 
     /// The job that a worker gets that asks at these queues: of the first queue that has one, the highest priority, and
     /// of these the one handed over first.
-    pub fn fetch(&mut self, now: Moment, worker: usize, queues: &[String]) -> Option<(T, String)> {
+    pub fn fetch(&mut self, now: Instant, worker: usize, queues: &[String]) -> Option<(T, String)> {
         if self.workers[worker].standing != Standing::Works {
             return None;
         }
@@ -190,7 +190,7 @@
         self.held.remove(&jid).map(|held| held.fetched)
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let held = self.held.values().map(|held| held.until).min();
         let working = self.workers.iter().filter(|w| w.standing != Standing::Gone);
         held.into_iter().chain(working.map(|w| w.heard + self.silent_after)).min()
@@ -198,7 +198,7 @@
 
     /// What fell due: jobs that nobody fetched, reservations that are over, and workers that fell silent, which are told
     /// by their places.
-    pub fn due(&mut self, now: Moment) -> (Vec<(T, End)>, Vec<usize>) {
+    pub fn due(&mut self, now: Instant) -> (Vec<(T, End)>, Vec<usize>) {
         let end = |held: &Held<T>| if held.fetched { End::Expired } else { End::Unfetched };
         let mut ended = self.take_out(|held| held.until <= now, end);
         let silent: Vec<usize> =
--- a/crates/faktory/tests/stories.rs
+++ b/crates/faktory/tests/stories.rs
@@ -1,6 +1,6 @@
 //! Short stories of the protocol and of reservations, and generated input for both.
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_faktory::command::{Command, WorkerState, read};
 use grebeusher_faktory::handshake::{Greeting, password_hash};
 use grebeusher_faktory::reservations::{End, Handed, Reservations, Standing};
@@ -9,10 +9,10 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-const NOW: Moment = Moment(1_000_000_000_000);
+const NOW: Instant = Instant(1_000_000_000_000);
 
-fn after(ms: u64) -> Moment {
-    NOW + Span::millis(ms)
+fn after(ms: u64) -> Instant {
+    NOW + Duration::from_millis(ms)
 }
 
 #[test]
@@ -92,12 +92,12 @@
 fn job(token: u32, queue: &str, priority: u8) -> Handed<u32> {
     let jid = format!("job-{token:05}");
     let body = format!("{{\"jid\":\"{jid}\"}}");
-    let reserve_for = Span::millis(60_000);
+    let reserve_for = Duration::from_millis(60_000);
     Handed { token, jid, queue: queue.to_owned(), priority, body, reserve_for }
 }
 
 fn table() -> (Reservations<u32>, usize) {
-    let mut table = Reservations::new(Span::millis(500), Span::millis(15_000));
+    let mut table = Reservations::new(Duration::from_millis(500), Duration::from_millis(15_000));
     let worker = table.hello(NOW, "w1");
     (table, worker)
 }
@@ -227,13 +227,13 @@
     /// withdrawn, and none is told twice.
     #[test]
     fn of_each_job_one_end_is_told(steps in proptest::collection::vec((0_u8..8, 0_usize..3, 0_u32..12), 1..300)) {
-        let mut table: Reservations<u32> = Reservations::new(Span::millis(500), Span::millis(3000));
+        let mut table: Reservations<u32> = Reservations::new(Duration::from_millis(500), Duration::from_millis(3000));
         let (mut now, mut taken, mut told) = (NOW, BTreeMap::<u32, bool>::new(), Vec::new());
         for wid in ["w0", "w1", "w2"] {
             table.hello(now, wid);
         }
         for (what, worker, number) in steps {
-            now = now + Span::millis(100);
+            now = now + Duration::from_millis(100);
             match what {
                 0 | 1 => {
                     let token = taken.len() as u32 + 100;
--- a/crates/gateway/src/choose.rs
+++ b/crates/gateway/src/choose.rs
@@ -7,7 +7,7 @@
 use crate::ids::{ExecutorId, ModelKey, ServiceId};
 use crate::policy::TOKENS_PER_TOKEN_OUT;
 use grebeusher_sizing::{Candidate as Weighed, pick};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use std::net::SocketAddr;
 
@@ -29,11 +29,11 @@
     /// Executors that had it already.
     pub excluded: &'a [ExecutorId],
     /// The route's `target_latency_ms`.
-    pub objective: Span,
+    pub objective: Duration,
     /// How long ago the client's try came.
-    pub waited: Span,
+    pub waited: Duration,
     /// Until its deadline.
-    pub deadline_left: Span,
+    pub deadline_left: Duration,
     /// Whether it may have run already, so that it can't be refused any more: rather than fail it waits longer.
     pub committed: bool,
     /// Whether it is an item of a batch job.
@@ -51,9 +51,9 @@
             tokens: None,
             parts: PromptParts::default(),
             excluded: &[],
-            objective: Span::millis(300),
-            waited: Span(0),
-            deadline_left: Span::millis(3000),
+            objective: Duration::from_millis(300),
+            waited: Duration::from_nanos(0),
+            deadline_left: Duration::from_millis(3000),
             committed: false,
             batch: false,
         }
@@ -132,12 +132,12 @@
     /// No executor has room: 503 with `Retry-After`.
     Refuse {
         /// When room is expected.
-        retry_after: Span,
+        retry_after: Duration,
     },
     /// No executor of the service is known that could run it: 503 with `Retry-After`.
     Nobody {
         /// When to look again.
-        retry_after: Span,
+        retry_after: Duration,
     },
 }
 
@@ -197,7 +197,7 @@
 }
 
 /// While no executor is known: about the time until one has told its state.
-const NOBODY_RETRY: Span = Span::millis(300);
+const NOBODY_RETRY: Duration = Duration::from_millis(300);
 /// The least and the most that a client is told to wait.
 const RETRY_BOUNDS_S: (f64, f64) = (0.05, 2.0);
 /// A slow executor is never taken for more than full by that alone.
@@ -212,7 +212,7 @@
 
 impl Gateway {
     /// Decides on a request, or on its next attempt.
-    pub fn choose(&mut self, now: Moment, request: &Request<'_>) -> Choice {
+    pub fn choose(&mut self, now: Instant, request: &Request<'_>) -> Choice {
         self.refresh(now, request.service);
         let mut candidates = std::mem::take(&mut self.scratch);
         self.candidates(now, request, &mut candidates);
@@ -221,7 +221,7 @@
         choice
     }
 
-    fn decide(&mut self, now: Moment, request: &Request<'_>, candidates: &[Candidate]) -> Choice {
+    fn decide(&mut self, now: Instant, request: &Request<'_>, candidates: &[Candidate]) -> Choice {
         if candidates.is_empty() {
             self.decisions.nobody += 1;
             return Choice::Nobody { retry_after: NOBODY_RETRY };
@@ -253,7 +253,7 @@
         let least = candidates.iter().map(|c| c.wait).fold(f64::INFINITY, f64::min);
         let expected = (least - allowance).clamp(RETRY_BOUNDS_S.0, RETRY_BOUNDS_S.1);
         // Spread, so that those refused together do not come back together.
-        Choice::Refuse { retry_after: Span::secs(expected * (1.0 + self.chance.random::<f64>())) }
+        Choice::Refuse { retry_after: Duration::from_seconds(expected * (1.0 + self.chance.random::<f64>())) }
     }
 
     fn send(&self, place: u32) -> Choice {
@@ -266,12 +266,12 @@
     /// Seconds that a request may wait in an executor's queue.
     fn allowance(&self, request: &Request<'_>) -> f64 {
         if request.committed {
-            return request.deadline_left.as_secs() / 2.0;
+            return request.deadline_left.seconds() / 2.0;
         }
         let best = self.services.get(request.service.0 as usize).map_or(0, |service| service.best_priority);
         let less_urgent = f64::from(request.priority.saturating_sub(best));
         let left =
-            request.objective.saturating_sub(request.waited).as_secs().min(request.deadline_left.as_secs());
+            request.objective.saturating_sub(request.waited).seconds().min(request.deadline_left.seconds());
         left * self.policy.queue_part / (1.0 + less_urgent)
     }
 
@@ -297,13 +297,13 @@
     }
 
     /// Tokens of a request's prompt that an executor is believed to hold, and of these the ones that it has read.
-    pub(crate) fn kept(&self, now: Moment, id: ExecutorId, request: &Request<'_>) -> (u32, u32) {
+    pub(crate) fn kept(&self, now: Instant, id: ExecutorId, request: &Request<'_>) -> (u32, u32) {
         let Some(executor) = self.executor(id) else { return (0, 0) };
         let (model, parts) = (request.model_bits(), request.parts.all());
         (executor.memory.kept(model, parts), executor.memory.read(now, model, parts))
     }
 
-    fn candidates(&self, now: Moment, request: &Request<'_>, found: &mut Vec<Candidate>) {
+    fn candidates(&self, now: Instant, request: &Request<'_>, found: &mut Vec<Candidate>) {
         found.clear();
         let Some(service) = self.services.get(request.service.0 as usize) else { return };
         let (usual, _) = service.others(now);
@@ -355,7 +355,7 @@
 
     /// An executor that has room for an item of a batch job beside the live requests that may come within a step:
     /// a reserve of slots stays free that grows with how unevenly others' load was reported lately.
-    pub fn batch_room(&mut self, now: Moment, item: &BatchItem<'_>) -> Option<ExecutorId> {
+    pub fn batch_room(&mut self, now: Instant, item: &BatchItem<'_>) -> Option<ExecutorId> {
         self.refresh(now, item.service);
         let request = item.as_request();
         let mut candidates = std::mem::take(&mut self.scratch);
@@ -383,7 +383,7 @@
     }
 
     /// The part of an executor's slots that a batch item leaves free.
-    fn reserve(&self, now: Moment, item: &BatchItem<'_>) -> f64 {
+    fn reserve(&self, now: Instant, item: &BatchItem<'_>) -> f64 {
         const DEVIATIONS: f64 = 2.0; // of others' load from the mean: few bursts are beyond
         let (least, most) = self.policy.batch_reserve;
         let off = self.services.get(item.service.0 as usize).map_or(0.0, |service| service.others(now).1);
--- a/crates/gateway/src/executor.rs
+++ b/crates/gateway/src/executor.rs
@@ -4,7 +4,7 @@
 use crate::health::Health;
 use crate::ids::{ExecutorId, ModelKey, ServiceId, ZoneKey};
 use crate::prefix::PrefixMemory;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -41,7 +41,7 @@
 /// Load of all other nodes' requests, as of a report.
 #[derive(Clone, Copy)]
 struct Others {
-    at: Moment,
+    at: Instant,
     requests: f64,
 }
 
@@ -69,19 +69,19 @@
     /// Requests of others, by the newest that was heard from the executor itself or from neighbours.
     heard: Option<Others>,
     /// How many times longer the pauses between events were lately than over the whole service, and when.
-    slower: (f64, Moment),
+    slower: (f64, Instant),
     /// When anything came from it.
-    pub heard_at: Moment,
+    pub heard_at: Instant,
     /// By how many seconds first events came later than usual, and when.
-    behind: (f64, Moment),
+    behind: (f64, Instant),
 }
 
 /// After so long a report says nothing of the present: about the time that a request runs.
-const REPORT_FADES: Span = Span::millis(1200);
+const REPORT_FADES: Duration = Duration::from_millis(1200);
 /// The pace of events says something for about as long as a long prompt is read.
-const PACE_FADES: Span = Span::millis(400);
+const PACE_FADES: Duration = Duration::from_millis(400);
 /// What waits to be read is read within about this time.
-const BEHIND_FADES: Span = Span::millis(1000);
+const BEHIND_FADES: Duration = Duration::from_millis(1000);
 /// The part of the newest pause in an executor's pace.
 const NEWEST_PAUSE: f64 = 0.5;
 
@@ -106,9 +106,9 @@
             unread: 0,
             unread_batch: 0,
             heard: None,
-            slower: (1.0, Moment(0)),
-            heard_at: Moment(0),
-            behind: (0.0, Moment(0)),
+            slower: (1.0, Instant(0)),
+            heard_at: Instant(0),
+            behind: (0.0, Instant(0)),
         }
     }
 
@@ -124,7 +124,7 @@
     }
 
     /// An answer told its load. Returns what others have there, per slot.
-    pub fn reported(&mut self, now: Moment, load: ServerLoad) -> f64 {
+    pub fn reported(&mut self, now: Instant, load: ServerLoad) -> f64 {
         self.heard_at = now;
         let all = f64::from(load.running) + f64::from(load.waiting);
         let requests = (all - f64::from(self.open)).max(0.0);
@@ -133,50 +133,50 @@
     }
 
     /// Neighbours told how many requests they have out there, all together.
-    pub fn told(&mut self, now: Moment, requests: f64) {
+    pub fn told(&mut self, now: Instant, requests: f64) {
         let requests = if requests.is_finite() { requests.max(0.0) } else { 0.0 };
         self.heard = Some(Others { at: now, requests });
     }
 
     /// Requests of other nodes there, as last heard, fading into `usual` (requests per slot over the service): all
     /// nodes hear the same, and what looked idle to all a while ago is not idle now.
-    pub fn others(&self, now: Moment, usual: f64) -> f64 {
+    pub fn others(&self, now: Instant, usual: f64) -> f64 {
         let usual = usual * f64::from(self.slots);
         let Some(heard) = self.heard else { return usual };
-        let fresh = (1.0 - now.since(heard.at).as_secs() / REPORT_FADES.as_secs()).max(0.0);
+        let fresh = (1.0 - now.since(heard.at).seconds() / REPORT_FADES.seconds()).max(0.0);
         heard.requests * fresh + usual * (1.0 - fresh)
     }
 
     /// Whether anything is known of its load.
-    pub fn has_figure(&self, now: Moment) -> bool {
+    pub fn has_figure(&self, now: Instant) -> bool {
         self.open > 0 || self.heard.is_some_and(|heard| now.since(heard.at) < REPORT_FADES)
     }
 
     /// A pause between two events of an own stream was so many times the usual one.
-    pub fn paced(&mut self, now: Moment, times: f64) {
+    pub fn paced(&mut self, now: Instant, times: f64) {
         let before = 1.0 + self.slowness(now);
         self.slower = (before + (times - before) * NEWEST_PAUSE, now);
     }
 
     /// By how many times its events come slower than usual; 0 where they do not, or nothing is known.
-    pub fn slowness(&self, now: Moment) -> f64 {
+    pub fn slowness(&self, now: Instant) -> f64 {
         let (times, at) = self.slower;
         // What has faded is over: the quick of long ago must not count as slow.
-        let fresh = (1.0 - now.since(at).as_secs() / PACE_FADES.as_secs()).max(0.0);
+        let fresh = (1.0 - now.since(at).seconds() / PACE_FADES.seconds()).max(0.0);
         ((times - 1.0) * fresh).max(0.0)
     }
 
     /// A first event came so many seconds later than usual, beside what its own prompt took to read.
-    pub fn was_behind(&mut self, now: Moment, seconds: f64) {
+    pub fn was_behind(&mut self, now: Instant, seconds: f64) {
         let before = self.behind(now);
         self.behind = (before + (seconds - before) * NEWEST_PAUSE, now);
     }
 
     /// By how many seconds first events come later than usual, by the last few.
-    pub fn behind(&self, now: Moment) -> f64 {
+    pub fn behind(&self, now: Instant) -> f64 {
         let (seconds, at) = self.behind;
         // What has faded is over: one that was early long ago must not count as behind.
-        let fresh = (1.0 - now.since(at).as_secs() / BEHIND_FADES.as_secs()).max(0.0);
+        let fresh = (1.0 - now.since(at).seconds() / BEHIND_FADES.seconds()).max(0.0);
         (seconds * fresh).max(0.0)
     }
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use crate::service::{Service, ServiceSettings};
 use grebeusher_prefix_popularity::Popularity;
 use grebeusher_sizing::{lanes_by_share, share_of_lanes};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use rustc_hash::FxHashMap;
@@ -24,7 +24,7 @@
 const MOST_OPEN: usize = 16_384;
 
 /// No executor is held for silent before this: several times the longest steps.
-const SILENCE: Span = Span::millis(500);
+const SILENCE: Duration = Duration::from_millis(500);
 /// Nor before so many times as long as its service's requests usually take to show something.
 const SILENCE_TIMES: f64 = 6.0;
 
@@ -96,12 +96,12 @@
 
 pub(crate) struct OpenAttempt {
     pub executor: ExecutorId,
-    pub sent: Moment,
+    pub sent: Instant,
     pub tokens: u64,
     pub unread: u64,
     pub batch: bool,
     /// When its last event came.
-    pub event: Option<Moment>,
+    pub event: Option<Instant>,
 }
 
 /// The decisions of one node. See the crate's page.
@@ -117,8 +117,8 @@
     by_service: FxHashMap<Arc<str>, ServiceId>,
     attempts: Vec<Attempt>,
     vacant_attempts: Vec<u32>,
-    reviewed: Moment,
-    woke: Moment,
+    reviewed: Instant,
+    woke: Instant,
     pub(crate) decisions: Decisions,
     pub(crate) demand: Demand,
     pub(crate) popularity: Option<Popularity>,
@@ -141,8 +141,8 @@
             by_service: FxHashMap::default(),
             attempts: Vec::new(),
             vacant_attempts: Vec::new(),
-            reviewed: Moment(0),
-            woke: Moment(0),
+            reviewed: Instant(0),
+            woke: Instant(0),
             decisions: Decisions::default(),
             demand: Demand::default(),
             popularity: None,
@@ -239,7 +239,7 @@
     }
 
     /// What is known of an executor now.
-    pub fn view(&self, now: Moment, id: ExecutorId) -> Option<ExecutorView> {
+    pub fn view(&self, now: Instant, id: ExecutorId) -> Option<ExecutorView> {
         let executor = self.executor(id)?;
         let (usual, _) = self.services[executor.service.0 as usize].others(now);
         Some(ExecutorView {
@@ -256,7 +256,7 @@
     }
 
     /// What is known of a service now.
-    pub fn view_service(&self, now: Moment, id: ServiceId) -> Option<ServiceView> {
+    pub fn view_service(&self, now: Instant, id: ServiceId) -> Option<ServiceView> {
         let service = self.services.get(id.0 as usize)?;
         let members = service.members.iter().filter_map(|place| self.executors[*place as usize].1.as_ref());
         let (usual, _) = service.others(now);
@@ -287,14 +287,14 @@
 
     /// Neighbours told how many requests they have out at an executor, all other nodes together. Counts as a report
     /// does: the newest holds, and fades.
-    pub fn told(&mut self, now: Moment, id: ExecutorId, requests: f64) {
+    pub fn told(&mut self, now: Instant, id: ExecutorId, requests: f64) {
         if let Some(executor) = self.executor_mut(id) {
             executor.told(now, requests);
         }
     }
 
     /// An attempt goes out. `None` when more are open than any node can have; it then goes unaccounted.
-    pub fn started(&mut self, now: Moment, id: ExecutorId, request: &Request<'_>) -> Option<AttemptToken> {
+    pub fn started(&mut self, now: Instant, id: ExecutorId, request: &Request<'_>) -> Option<AttemptToken> {
         let policy = self.policy;
         let (kept, read) = self.kept(now, id, request);
         let (_, executor) = self.executors.get_mut(id.place as usize)?;
@@ -340,13 +340,13 @@
     }
 
     /// The head of an answer came, with the load that it tells.
-    pub fn head(&mut self, now: Moment, token: AttemptToken, load: Option<ServerLoad>) {
+    pub fn head(&mut self, now: Instant, token: AttemptToken, load: Option<ServerLoad>) {
         let Some((id, load)) = self.open(token).map(|attempt| attempt.executor).zip(load) else { return };
         self.load(now, id, load);
     }
 
     /// An executor told its load, in an answer or in a report that was asked for.
-    pub fn load(&mut self, now: Moment, id: ExecutorId, load: ServerLoad) {
+    pub fn load(&mut self, now: Instant, id: ExecutorId, load: ServerLoad) {
         let Some(executor) = self.executor_mut(id) else { return };
         let (others, service) = (executor.reported(now, load), executor.service);
         self.services[service.0 as usize].reported(now, others);
@@ -354,7 +354,7 @@
 
     /// An event, or the first byte of a body, came: the prompt is read, and the pause since the event before it tells
     /// the executor's pace.
-    pub fn progress(&mut self, now: Moment, token: AttemptToken) {
+    pub fn progress(&mut self, now: Instant, token: AttemptToken) {
         let Some(attempt) = self.open_mut(token) else { return };
         let (id, unread, batch) = (attempt.executor, std::mem::take(&mut attempt.unread), attempt.batch);
         let (sent, before) = (attempt.sent, attempt.event.replace(now));
@@ -366,7 +366,7 @@
         let service = executor.service;
         let service = &mut self.services[service.0 as usize];
         let Some(before) = before else {
-            let late = service.began(now.since(sent).as_secs() - unread as f64 / READ_PER_S);
+            let late = service.began(now.since(sent).seconds() - unread as f64 / READ_PER_S);
             return executor.was_behind(now, late);
         };
         let times = service.paused(now.since(before));
@@ -374,7 +374,7 @@
     }
 
     /// An attempt ended. A second call with the same token does nothing.
-    pub fn finished(&mut self, now: Moment, token: AttemptToken, outcome: Outcome) {
+    pub fn finished(&mut self, now: Instant, token: AttemptToken, outcome: Outcome) {
         if self.open(token).is_none() {
             return;
         }
@@ -406,7 +406,7 @@
 
     /// Something went wrong with an executor that is no end of an attempt: silence, or a connection that did not
     /// come up before anything was to be sent.
-    pub fn failed(&mut self, now: Moment, id: ExecutorId, failure: Failure) {
+    pub fn failed(&mut self, now: Instant, id: ExecutorId, failure: Failure) {
         let spread = self.chance.random::<f64>();
         if let Some(executor) = self.executor_mut(id) {
             executor.health.failed(now, failure, spread);
@@ -419,7 +419,7 @@
     /// Looks for executors that fell silent; to be called every 100 ms or so. One from which nothing at all came for
     /// far longer than its service's requests take to show something, while own requests are out there, is held to
     /// have failed. That keeps new requests away; it ends none.
-    pub fn review(&mut self, now: Moment) {
+    pub fn review(&mut self, now: Instant) {
         let unseen = now.since(std::mem::replace(&mut self.reviewed, now));
         if unseen > SILENCE {
             // This node itself stood still: what came meanwhile is not read yet.
@@ -472,7 +472,7 @@
     }
 
     /// Forms the lanes anew where executors came, went or changed, and computes the cut-offs when due.
-    pub(crate) fn refresh(&mut self, now: Moment, id: ServiceId) {
+    pub(crate) fn refresh(&mut self, now: Instant, id: ServiceId) {
         let Some(service) = self.services.get_mut(id.0 as usize) else { return };
         if !service.lanes_stale {
             return service.refresh(now, &self.policy);
--- a/crates/gateway/src/health.rs
+++ b/crates/gateway/src/health.rs
@@ -1,6 +1,6 @@
 //! Outlier ejection: what failures say of an executor.
 
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 
 /// Something that an executor, or the way to it, did wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
     suspicion: f64,
-    as_of: Moment,
-    ejected_until: Moment,
-    full_until: Moment,
+    as_of: Instant,
+    ejected_until: Instant,
+    full_until: Instant,
     ejections: u32,
 }
 
@@ -32,33 +32,33 @@
 /// From here on it gets requests only where no other can take them.
 const SUSPECT: f64 = 0.9;
 /// The first ejection, doubled with each that follows without a success between.
-const EJECTION: Span = Span::millis(400);
+const EJECTION: Duration = Duration::from_millis(400);
 /// No longer than this: one that is back must be found before its crash is long over.
-const LONGEST_EJECTION: Span = Span::millis(3200);
+const LONGEST_EJECTION: Duration = Duration::from_millis(3200);
 /// A full one gets nothing for about the time in which a few of its requests end.
-const REFUSAL_PAUSE: Span = Span::millis(60);
+const REFUSAL_PAUSE: Duration = Duration::from_millis(60);
 
 impl Health {
     /// How much is held against it now: 0 is nothing.
-    pub fn suspicion(&self, now: Moment) -> f64 {
+    pub fn suspicion(&self, now: Instant) -> f64 {
         if self.suspicion == 0.0 {
             return 0.0;
         }
-        self.suspicion * 0.5_f64.powf(now.since(self.as_of).as_secs() / HALVES_IN_S)
+        self.suspicion * 0.5_f64.powf(now.since(self.as_of).seconds() / HALVES_IN_S)
     }
 
     /// Whether it gets nothing while another can take it.
-    pub fn is_out(&self, now: Moment) -> bool {
+    pub fn is_out(&self, now: Instant) -> bool {
         now < self.ejected_until || self.suspicion(now) >= SUSPECT
     }
 
     /// Whether it said lately that it is full: it gets nothing for a moment, yet nothing is wrong with it.
-    pub fn is_full(&self, now: Moment) -> bool {
+    pub fn is_full(&self, now: Instant) -> bool {
         now < self.full_until
     }
 
     /// Counts a failure. `spread`, from 0 to 1, spreads the nodes' returns.
-    pub fn failed(&mut self, now: Moment, failure: Failure, spread: f64) {
+    pub fn failed(&mut self, now: Instant, failure: Failure, spread: f64) {
         let weight = match failure {
             Failure::NotConnected | Failure::Misdirected => 1.0,
             Failure::Silence => 0.7,
--- a/crates/gateway/src/homes.rs
+++ b/crates/gateway/src/homes.rs
@@ -18,7 +18,7 @@
 use crate::prefix::READ_PER_S;
 use grebeusher_prefix_popularity::PrefixKey;
 use grebeusher_sizing::rendezvous;
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 /// The most of its lane that one prefix has homes in: one of so many executors.
 const LANE_SHARE: usize = 2;
@@ -28,7 +28,7 @@
     /// the shared parts could be read anew elsewhere.
     pub(crate) fn by_parts(
         &mut self,
-        now: Moment,
+        now: Instant,
         request: &Request<'_>,
         allowance: f64,
         candidates: &[Candidate],
@@ -113,7 +113,7 @@
     /// each node, needs.
     fn by_own_demand(
         &mut self,
-        now: Moment,
+        now: Instant,
         request: &Request<'_>,
         subject: u64,
         candidates: &[Candidate],
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -27,7 +27,7 @@
 //!     Choice, Descriptor, Gateway, Kind, ModelKey, Outcome, Policy, PromptParts, Request, ServerLoad,
 //!     ServiceSettings, Standing, TokenCount, ZoneKey,
 //! };
-//! use grebeusher_time::{Moment, Span};
+//! use grebeusher_time::{Instant, Duration};
 //!
 //! let mut gateway = Gateway::new(Policy::default(), ZoneKey::of("vic"), 42);
 //! let service = gateway.set_service("katalogizator", ServiceSettings { max_connections: 220, kv_capacity_tokens: 400_843 });
@@ -45,17 +45,17 @@
 //!     model: Some(ModelKey::of("m")),
 //!     tokens: TokenCount::parse("715,288").ok(),
 //!     parts: PromptParts::parse("5c1e07a2:103,91bd3f06:69,e4402b7d:543").unwrap(),
-//!     objective: Span::millis(200),
-//!     deadline_left: Span::millis(6000),
+//!     objective: Duration::from_millis(200),
+//!     deadline_left: Duration::from_millis(6000),
 //!     ..Request::to(service)
 //! };
-//! let now = Moment(1_000_000);
+//! let now = Instant(1_000_000);
 //! let Choice::Send { executor, .. } = gateway.choose(now, &request) else { panic!("there is room") };
 //! let attempt = gateway.started(now, executor, &request).unwrap();
 //! // ... the node sends the request; then the head of the answer and the first event come:
-//! gateway.head(now + Span::millis(15), attempt, ServerLoad::parse("3,0,24").ok());
-//! gateway.progress(now + Span::millis(15), attempt);
-//! gateway.finished(now + Span::millis(600), attempt, Outcome::Served);
+//! gateway.head(now + Duration::from_millis(15), attempt, ServerLoad::parse("3,0,24").ok());
+//! gateway.progress(now + Duration::from_millis(15), attempt);
+//! gateway.finished(now + Duration::from_millis(600), attempt, Outcome::Served);
 //! ```
 
 mod attempts;
--- a/crates/gateway/src/policy.rs
+++ b/crates/gateway/src/policy.rs
@@ -1,6 +1,6 @@
 //! What may be tuned. The defaults are what the simulation in `tests/` was tuned to.
 
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 
 /// A token that comes out costs an executor as much as ten of the prompt: at a full batch of some twenty a step
 /// of two milliseconds makes one token for each, and a millisecond reads over a hundred tokens of a prompt.
@@ -20,7 +20,7 @@
     /// Below so many sizes one lane holds every executor.
     pub fewest: usize,
     /// How often the cut-offs are computed.
-    pub recompute: Span,
+    pub recompute: Duration,
     /// Shared tokens of a prompt from which on its parts count; reading fewer is not worth any unevenness.
     pub least_stake: u32,
     /// Utilisation from which on an executor is no home to anything.
@@ -70,7 +70,7 @@
             lanes: [1.0, 3.0, 0.0, 0.0],
             sample: 1000,
             fewest: 50,
-            recompute: Span::millis(5000),
+            recompute: Duration::from_millis(5000),
             least_stake: 1024,
             home_bound: 2.0,
             home_patience: 1.5,
--- a/crates/gateway/src/popular.rs
+++ b/crates/gateway/src/popular.rs
@@ -5,7 +5,7 @@
 use crate::ids::ServiceId;
 use grebeusher_prefix_popularity::{Identity, Popular, Popularity, PrefixKey, Settings};
 use grebeusher_sizing::rendezvous;
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
 
 impl Gateway {
     /// From now on this node shares a sense of popular prefixes with the other nodes, if the policy says so.
-    pub fn share_prefixes(&mut self, now: Moment, own: Identity, settings: Settings) {
+    pub fn share_prefixes(&mut self, now: Instant, own: Identity, settings: Settings) {
         if self.policy.shared_prefixes {
             self.popularity = Some(Popularity::new(settings, own, now));
         }
@@ -58,7 +58,7 @@
 
     /// Counts a live request's shared parts. Items of batch jobs are left out, so that a night's jobs never take the place
     /// of what readers ask for; so are repeats.
-    pub(crate) fn count_prefix(&mut self, now: Moment, request: &Request<'_>, size: f64, own_tokens: u32) {
+    pub(crate) fn count_prefix(&mut self, now: Instant, request: &Request<'_>, size: f64, own_tokens: u32) {
         let Some(key) = self.prefix_key(request) else { return };
         let (Some(subject), Some(popularity)) = (request.subject(), self.popularity.as_mut()) else { return };
         if request.batch || !request.excluded.is_empty() {
--- a/crates/gateway/src/prefix.rs
+++ b/crates/gateway/src/prefix.rs
@@ -1,7 +1,7 @@
 //! Which parts of prompts an executor is believed to hold, by what this node sent there.
 
 use crate::headers::PromptPart;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
     tokens: u32,
     used: u64,
     /// When the executor has read it, about.
-    read_at: Moment,
+    read_at: Instant,
 }
 
 /// Tokens of a prompt that an executor reads in a second, about: a hundred a millisecond.
@@ -42,7 +42,7 @@
     }
 
     /// As `kept`, without what is still being read: who comes meanwhile reads it as well.
-    pub fn read(&self, now: Moment, model: u64, parts: &[PromptPart]) -> u32 {
+    pub fn read(&self, now: Instant, model: u64, parts: &[PromptPart]) -> u32 {
         self.run(model, parts, |kept| kept.read_at <= now)
     }
 
@@ -52,12 +52,12 @@
     }
 
     /// The parts were sent there: they are read and kept, or kept on.
-    pub fn sent(&mut self, now: Moment, model: u64, parts: &[PromptPart]) {
+    pub fn sent(&mut self, now: Instant, model: u64, parts: &[PromptPart]) {
         if self.capacity == 0 {
             return;
         }
         let all = parts.iter().fold(0.0, |sum, part| sum + f64::from(part.tokens));
-        let read_at = now + Span::secs(all / READ_PER_S);
+        let read_at = now + Duration::from_seconds(all / READ_PER_S);
         // The first part last: the later ones are of no use without it, so they give way before it.
         for part in parts.iter().rev() {
             let key = part.chain ^ model;
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -2,7 +2,7 @@
 
 use crate::policy::Policy;
 use grebeusher_sizing::{CutOffs, Sample};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use std::sync::Arc;
 
 /// What the configuration says of a service.
@@ -25,7 +25,7 @@
     pub shares: Vec<f64>,
     pub sample: Sample,
     pub cut_offs: CutOffs,
-    pub recut: Moment,
+    pub recut: Instant,
     /// The size that stands for a request without a hint.
     pub median: f64,
     /// How long an attempt lasts, in seconds.
@@ -38,7 +38,7 @@
     pub request_tokens: f64,
     others: f64,
     others_off: f64,
-    reported: Moment,
+    reported: Instant,
     /// The most urgent priority that was seen.
     pub best_priority: u8,
 }
@@ -59,7 +59,7 @@
             shares: Vec::new(),
             sample: Sample::new(policy.sample),
             cut_offs: CutOffs::one_lane(),
-            recut: Moment(0),
+            recut: Instant(0),
             median: 1.0,
             holds: HOLDS_AT_FIRST_S,
             first: 0.0,
@@ -67,13 +67,13 @@
             request_tokens: 0.0,
             others: 0.0,
             others_off: 0.0,
-            reported: Moment(0),
+            reported: Instant(0),
             best_priority: u8::MAX,
         }
     }
 
     /// Counts a request's size, its work and its tokens.
-    pub fn saw(&mut self, now: Moment, size: f64, work: f64, tokens: f64, policy: &Policy) {
+    pub fn saw(&mut self, now: Instant, size: f64, work: f64, tokens: f64, policy: &Policy) {
         if self.sample.saw(size, work) {
             let newest = if self.request_tokens == 0.0 { 1.0 } else { NEWEST };
             self.request_tokens += (tokens - self.request_tokens) * newest;
@@ -84,26 +84,26 @@
     }
 
     /// Computes the cut-offs when they are due.
-    pub fn refresh(&mut self, now: Moment, policy: &Policy) {
+    pub fn refresh(&mut self, now: Instant, policy: &Policy) {
         if now.since(self.recut) >= policy.recompute {
             self.recompute(now, policy);
         }
     }
 
-    pub fn recompute(&mut self, now: Moment, policy: &Policy) {
+    pub fn recompute(&mut self, now: Instant, policy: &Policy) {
         self.recut = now;
         self.cut_offs = CutOffs::equalising(&self.sample, &self.shares, policy.fewest);
         self.median = self.sample.median().unwrap_or(1.0);
     }
 
     /// An attempt was served within `took`.
-    pub fn served(&mut self, took: Span) {
-        self.holds += (took.as_secs() - self.holds) * NEWEST;
+    pub fn served(&mut self, took: Duration) {
+        self.holds += (took.seconds() - self.holds) * NEWEST;
     }
 
     /// How long a request usually shows nothing: until its first event, or whole where it has none.
-    pub fn usual_silence(&self) -> Span {
-        Span::secs(if self.first > 0.0 { self.first.max(self.pause) } else { self.holds })
+    pub fn usual_silence(&self) -> Duration {
+        Duration::from_seconds(if self.first > 0.0 { self.first.max(self.pause) } else { self.holds })
     }
 
     /// A first event came `seconds` after the send, beside the reading of its prompt; returns by how much that is
@@ -115,18 +115,18 @@
     }
 
     /// A pause between two events of a stream; returns how many times the usual one it is.
-    pub fn paused(&mut self, pause: Span) -> f64 {
+    pub fn paused(&mut self, pause: Duration) -> f64 {
         const MOST_TIMES: f64 = 10.0; // one long stall must not set the scale
         if self.pause == 0.0 {
-            self.pause = pause.as_secs();
+            self.pause = pause.seconds();
         }
-        let times = (pause.as_secs() / self.pause.max(1e-6)).min(MOST_TIMES);
+        let times = (pause.seconds() / self.pause.max(1e-6)).min(MOST_TIMES);
         self.pause *= 1.0 + (times - 1.0) * NEWEST;
         times
     }
 
     /// An executor reported requests of others, per slot.
-    pub fn reported(&mut self, now: Moment, others: f64) {
+    pub fn reported(&mut self, now: Instant, others: f64) {
         let (mean, deviation) = self.others(now);
         // What has faded gives way sooner, yet one executor does not stand for all.
         const FIRST: f64 = 0.3;
@@ -140,16 +140,16 @@
     /// Requests of other nodes per slot, over all executors, and how far single reports are off that. Both fade
     /// when nothing is heard any more. Guards against a node that sends nothing as all seemed full once, and hears
     /// nothing as it sends nothing.
-    pub fn others(&self, now: Moment) -> (f64, f64) {
+    pub fn others(&self, now: Instant) -> (f64, f64) {
         let left = self.heard_part(now);
         (self.others * left, self.others_off * left)
     }
 
     /// How much of what was heard last still counts, from 1 to 0.
-    fn heard_part(&self, now: Moment) -> f64 {
-        const HOLDS: Span = Span::millis(500); // a node with any requests hears more often
+    fn heard_part(&self, now: Instant) -> f64 {
+        const HOLDS: Duration = Duration::from_millis(500); // a node with any requests hears more often
         const HALVES_IN_S: f64 = 0.5; // full is forgotten within a small part of any batch job's time
         let silent = now.since(self.reported);
-        if silent <= HOLDS { 1.0 } else { 0.5_f64.powf(silent.saturating_sub(HOLDS).as_secs() / HALVES_IN_S) }
+        if silent <= HOLDS { 1.0 } else { 0.5_f64.powf(silent.saturating_sub(HOLDS).seconds() / HALVES_IN_S) }
     }
 }
--- a/crates/gateway/tests/choice.rs
+++ b/crates/gateway/tests/choice.rs
@@ -4,16 +4,16 @@
     BatchItem, Choice, Descriptor, ExecutorId, Failure, Gateway, Kind, ModelKey, Outcome, Policy,
     PromptParts, Request, ServerLoad, ServiceId, ServiceSettings, Standing, TokenCount, ZoneKey,
 };
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use proptest::prelude::*;
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-const START: Moment = Moment(5_000_000_000);
+const START: Instant = Instant(5_000_000_000);
 const MODEL: [ModelKey; 1] = [ModelKey(1)];
 
-fn at(ms: u64) -> Moment {
-    START + Span::millis(ms)
+fn at(ms: u64) -> Instant {
+    START + Duration::from_millis(ms)
 }
 
 fn executor(number: usize, standing: Standing) -> Descriptor<'static> {
@@ -51,7 +51,7 @@
     if let Choice::Send { executor, .. } = choice { Some(executor) } else { None }
 }
 
-fn fill(gateway: &mut Gateway, now: Moment, id: ExecutorId, running: u32, waiting: u32) {
+fn fill(gateway: &mut Gateway, now: Instant, id: ExecutorId, running: u32, waiting: u32) {
     gateway.load(now, id, ServerLoad { running, waiting, slots: 4 });
 }
 
@@ -275,7 +275,7 @@
     assert_eq!(gateway.decisions().out_of_lane, 1);
 }
 
-fn fill_all(gateway: &mut Gateway, now: Moment, ids: &[ExecutorId], running: u32, waiting: u32) {
+fn fill_all(gateway: &mut Gateway, now: Instant, ids: &[ExecutorId], running: u32, waiting: u32) {
     ids.iter().for_each(|id| fill(gateway, now, *id, running, waiting));
 }
 
@@ -305,16 +305,16 @@
     // then an urgent one may wait for its part of 300 ms, and a less urgent one is refused
     assert!(sent(gateway.choose(at(400), &urgent)).is_some());
     let Choice::Refuse { retry_after } = gateway.choose(at(400), &late) else { panic!("no refusal") };
-    assert!((0.05..=0.2).contains(&retry_after.as_secs()), "{retry_after:?}");
+    assert!((0.05..=0.2).contains(&retry_after.seconds()), "{retry_after:?}");
     // and with longer queues the urgent one is refused as well, for longer
     fill_all(&mut gateway, at(400), &ids, 4, 20);
     let Choice::Refuse { retry_after } = gateway.choose(at(400), &urgent) else { panic!("no refusal") };
-    assert!((0.3..=1.2).contains(&retry_after.as_secs()), "{retry_after:?}");
+    assert!((0.3..=1.2).contains(&retry_after.seconds()), "{retry_after:?}");
     // while one that may have run already waits rather than fail
     assert!(sent(gateway.choose(at(400), &Request { committed: true, ..urgent })).is_some());
     // however long the queues are, and however little time it has
     fill_all(&mut gateway, at(400), &ids, 4, 500);
-    let committed = Request { committed: true, deadline_left: Span::millis(100), ..urgent };
+    let committed = Request { committed: true, deadline_left: Duration::from_millis(100), ..urgent };
     assert!(sent(gateway.choose(at(400), &committed)).is_some());
 }
 
@@ -381,12 +381,12 @@
     let mut now = START;
     for _ in 0..5 {
         gateway.failed(now, ids[1], Failure::NotConnected);
-        now = (1..10_000).map(|ms| now + Span::millis(ms)).find(|at| !out(&gateway, *at)).unwrap();
+        now = (1..10_000).map(|ms| now + Duration::from_millis(ms)).find(|at| !out(&gateway, *at)).unwrap();
     }
     // then it stays out for longer than the memory of any single failure lasts, yet not for ever
     gateway.failed(now, ids[1], Failure::NotConnected);
-    assert!(out(&gateway, now + Span::millis(3000)));
-    assert!(!out(&gateway, now + Span::millis(5000)));
+    assert!(out(&gateway, now + Duration::from_millis(3000)));
+    assert!(!out(&gateway, now + Duration::from_millis(5000)));
 }
 
 #[test]
@@ -483,7 +483,7 @@
 fn a_subject_in_demand_spreads_and_none_of_it_is_refused() {
     // given one subject only, asked for faster than one executor can take
     let (mut gateway, service, ids) = node(8, 3);
-    let request = Request { objective: Span::millis(300), ..with_prefix(service, 1, 13_000) };
+    let request = Request { objective: Duration::from_millis(300), ..with_prefix(service, 1, 13_000) };
     let mut counts: BTreeMap<ExecutorId, u32> = BTreeMap::new();
     for n in 0..20 {
         let chosen = sent(gateway.choose(at(n), &request)).expect("there is room elsewhere");
@@ -707,7 +707,7 @@
         let (mut now, mut open) = (START, Vec::new());
         let mut draining = [false; 8];
         for (event, which, value, ms) in events {
-            now = now + Span::millis(ms);
+            now = now + Duration::from_millis(ms);
             let id = gateway.find(executor(which, Standing::Up).instance);
             match event {
                 0 => { gateway.upsert(&executor(which, Standing::Up)); draining[which] = false; }
--- a/crates/gateway/tests/model/mod.rs
+++ b/crates/gateway/tests/model/mod.rs
@@ -13,7 +13,7 @@
     Next, Outcome, Policy, Request, ServerLoad, ServiceId, ServiceSettings, Standing, ZoneKey,
 };
 use grebeusher_sizing::rendezvous;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -279,8 +279,8 @@
         self.payload.insert(self.number, event);
     }
 
-    fn moment(&self) -> Moment {
-        Moment(1_000_000_000 + (self.now * 1e6) as u64)
+    fn moment(&self) -> Instant {
+        Instant(1_000_000_000 + (self.now * 1e6) as u64)
     }
 
     fn run(mut self, seed: u64) -> Report {
@@ -366,9 +366,9 @@
             tokens: Some(live.arrival.tokens),
             parts: live.arrival.parts,
             excluded: &live.excluded,
-            objective: Span::millis(class.aim_ms as u64),
-            waited: Span((waited * 1e6) as u64),
-            deadline_left: Span(((class.deadline_ms - waited).max(0.0) * 1e6) as u64),
+            objective: Duration::from_millis(class.aim_ms as u64),
+            waited: Duration::from_nanos((waited * 1e6) as u64),
+            deadline_left: Duration::from_nanos(((class.deadline_ms - waited).max(0.0) * 1e6) as u64),
             committed: live.attempts.may_have_run(),
             batch: live.batch,
             ..Request::to(self.service)
@@ -389,7 +389,7 @@
                         self.by_id[&executor]
                     }
                     Choice::Refuse { retry_after } | Choice::Nobody { retry_after } => {
-                        return self.refused(number, retry_after.as_secs() * 1000.0);
+                        return self.refused(number, retry_after.seconds() * 1000.0);
                     }
                 }
             }
