--- a/crates/gateway/tests/popular.rs
+++ b/crates/gateway/tests/popular.rs
@@ -5,16 +5,16 @@
     Request, ServiceId, ServiceSettings, Standing, TokenCount, ZoneKey,
 };
 use grebeusher_prefix_popularity::{Contribution, Identity, Settings};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-const START: Moment = Moment(5_000_000_000);
+const START: Instant = Instant(5_000_000_000);
 const MODEL: [ModelKey; 1] = [ModelKey(1)];
 const SLOTS: u32 = 16;
 
-fn at(ms: u64) -> Moment {
-    START + Span::millis(ms)
+fn at(ms: u64) -> Instant {
+    START + Duration::from_millis(ms)
 }
 
 fn executor(name: &str) -> Descriptor<'_> {
@@ -59,7 +59,7 @@
     }
 
     /// A request is sent to where the node chooses, and served at once; the name of the executor.
-    fn ask(&mut self, node: usize, now: Moment, request: &Request<'_>) -> String {
+    fn ask(&mut self, node: usize, now: Instant, request: &Request<'_>) -> String {
         let gateway = &mut self.nodes[node];
         let Choice::Send { executor, .. } = gateway.choose(now, request) else { panic!("there is room") };
         let name = gateway.view(now, executor).expect("it is there").instance.to_string();
@@ -70,14 +70,14 @@
     }
 
     /// All tell all.
-    fn tell(&mut self, now: Moment) {
+    fn tell(&mut self, now: Instant) {
         let told: Vec<Contribution> = self.nodes.iter_mut().filter_map(|node| tick(node, now)).collect();
         for node in &mut self.nodes {
             for one in &told {
                 node.popularity_mut().expect("it is shared").merge(now, one.clone());
             }
         }
-        self.nodes.iter_mut().for_each(|node| drop(tick(node, now + Span::millis(1_000))));
+        self.nodes.iter_mut().for_each(|node| drop(tick(node, now + Duration::from_millis(1_000))));
     }
 
     fn homes(&self, node: usize) -> Vec<String> {
@@ -90,7 +90,7 @@
     }
 }
 
-fn tick(node: &mut Gateway, now: Moment) -> Option<Contribution> {
+fn tick(node: &mut Gateway, now: Instant) -> Option<Contribution> {
     node.popularity_mut().expect("it is shared").tick(now)
 }
 
@@ -173,7 +173,7 @@
         requests
             .iter()
             .enumerate()
-            .map(|(n, request)| tier.ask(0, now + Span::millis(50 * n as u64), request))
+            .map(|(n, request)| tier.ask(0, now + Duration::from_millis(50 * n as u64), request))
             .collect()
     };
     // (the first fifty requests make the lanes)
--- a/crates/gateway/tests/simulation.rs
+++ b/crates/gateway/tests/simulation.rs
@@ -6,7 +6,7 @@
     Choice, Descriptor, Gateway, ModelKey, Outcome, Policy, PromptParts, Request, ServerLoad,
     ServiceSettings, Standing, TokenCount, ZoneKey,
 };
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use model::{Class, Deployment, Report, Router, run};
 use rstest::rstest;
 
@@ -301,7 +301,7 @@
         };
         let mut spent = std::time::Duration::ZERO;
         for n in 0..20_000_u64 {
-            let now = Moment(1_000_000_000 + n * 1_000_000);
+            let now = Instant(1_000_000_000 + n * 1_000_000);
             let begin = std::time::Instant::now();
             let choice = gateway.choose(now, &request);
             if let Choice::Send { executor, .. } = choice {
--- a/crates/health-reporting/src/lib.rs
+++ b/crates/health-reporting/src/lib.rs
@@ -1,6 +1,6 @@
 //! What a node says to balancers that ask whether it should get traffic. No I/O, no clock.
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 
 /// How the node stands by its own phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 /// What was looked at lately.
 pub struct Fitness {
     verdict: Verdict,
-    looked: Option<Moment>,
+    looked: Option<Instant>,
     /// What had been fulfilled and had failed by then, and both as they count now.
     before: (u64, u64),
     good: f64,
@@ -71,8 +71,8 @@
 
 impl Fitness {
     /// The verdict, looked at anew if that is some time ago or the node stands otherwise than it did.
-    pub fn verdict(&mut self, now: Moment, see: impl FnOnce() -> Seen, stands: Stands) -> Verdict {
-        const LOOK_EVERY: Span = Span::millis(100);
+    pub fn verdict(&mut self, now: Instant, see: impl FnOnce() -> Seen, stands: Stands) -> Verdict {
+        const LOOK_EVERY: Duration = Duration::from_millis(100);
         let fresh = self.looked.is_some_and(|at| now.since(at) < LOOK_EVERY);
         if !fresh || fits(self.verdict, stands) != Some(true) {
             let seen = see();
@@ -81,9 +81,9 @@
         self.verdict
     }
 
-    fn look(&mut self, now: Moment, seen: Seen) {
+    fn look(&mut self, now: Instant, seen: Seen) {
         const HALVES_EVERY_S: f64 = 2.0; // some attempts at a busy node, and short against a balancer's patience
-        let passed = self.looked.map_or(0.0, |at| now.since(at).as_secs());
+        let passed = self.looked.map_or(0.0, |at| now.since(at).seconds());
         let kept = 0.5_f64.powf(passed / HALVES_EVERY_S);
         let (fulfilled, failed) = self.before;
         self.good = self.good * kept + seen.fulfilled.saturating_sub(fulfilled) as f64;
--- a/crates/health-reporting/tests/stories.rs
+++ b/crates/health-reporting/tests/stories.rs
@@ -1,12 +1,12 @@
 //! Short stories of what a node says of itself.
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_health_reporting::{Fitness, Seen, Stands, Verdict};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::cell::Cell;
 
-const NOW: Moment = Moment(1_000_000_000_000);
+const NOW: Instant = Instant(1_000_000_000_000);
 
 fn well() -> Seen {
     let (open, most_open, listed, passed_over) = (0, 100, 10, 0);
@@ -47,7 +47,7 @@
     let mut said = Vec::new();
     for second in 0..12 {
         seen.fulfilled += 10;
-        let now = NOW + Span::millis(second * 1000);
+        let now = NOW + Duration::from_millis(second * 1000);
         if let Verdict::Up(percent) = fitness.verdict(now, || seen, Stands::Serving) {
             said.push(percent);
         }
@@ -64,7 +64,7 @@
             looks.set(looks.get() + 1);
             Seen { stands, ..well() }
         };
-        fitness.verdict(NOW + Span::millis(ms), see, stands)
+        fitness.verdict(NOW + Duration::from_millis(ms), see, stands)
     };
     for check in 0..10_000 {
         ask(check / 10, Stands::Serving);
--- a/crates/load-test/src/clients.rs
+++ b/crates/load-test/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Fleet, Owner, Task};
 use crate::http::{answer, said};
 use crate::wire::CLEAR;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::laws::{exponential, noise};
 use grebeusher_emulator::rules::Answer;
 use grebeusher_emulator::scenario::Scenario;
@@ -15,17 +15,17 @@
 use serde_json::json;
 
 /// What was sent this much after its time says that this machine was too busy.
-const LATE: Span = Span::millis(10);
+const LATE: Duration = Duration::from_millis(10);
 /// How soon a client whose node is gone goes to another.
-const KNOCK_AGAIN: Span = Span::millis(50);
+const KNOCK_AGAIN: Duration = Duration::from_millis(50);
 /// A process that has just died is known to be gone after this.
-const JUDGED_AFTER: Span = Span::millis(300);
+const JUDGED_AFTER: Duration = Duration::from_millis(300);
 
 /// A unit that is under way.
 pub struct Open {
     errand: usize,
     pub node: usize,
-    handed_in: Moment,
+    handed_in: Instant,
     conn: Option<usize>,
     /// On a connection that had served before: the node may have closed it just then.
     used_before: bool,
@@ -33,7 +33,7 @@
     /// Its node stood still meanwhile.
     pub froze: bool,
     /// When what reached an executor last was sent.
-    sent: Option<Moment>,
+    sent: Option<Instant>,
 }
 
 impl Open {
@@ -50,7 +50,7 @@
     for (tariff, t) in scenario.tariffs.iter().enumerate() {
         let mut at_s = exponential(&mut chance) / t.per_s;
         while at_s < scenario.length_s {
-            let came = Moment(START) + Span::secs(at_s);
+            let came = Instant(START) + Duration::from_seconds(at_s);
             let size_s = t.size.draw(&mut chance);
             let patience = ms(t.patience_ms);
             let leaves = (chance.random::<f64>() < scenario.clients.leave_share)
@@ -146,7 +146,7 @@
         let head = format!(
             "POST /{tariff} HTTP/1.1\r\nX-Call-Id: u-{unit}\r\nX-Call-Class: {tariff}\r\n{hint}{again}\
              X-Budget-Ms: {}\r\n",
-            e.deadline.since(now).0 / 1_000_000
+            e.deadline.since(now).nanos() / 1_000_000
         );
         let owner = Owner::Client(node, Some(unit));
         let conn = match kept {
@@ -227,7 +227,7 @@
     }
 
     /// A unit has reached an executor, sent at this time: with that its node has spent it.
-    pub fn unit_sent(&mut self, unit: u64, stamp: Moment) {
+    pub fn unit_sent(&mut self, unit: u64, stamp: Instant) {
         let Some(open) = self.units.get_mut(&unit) else { return };
         let tariff = self.errands[open.errand].tariff;
         match open.sent.replace(stamp) {
--- a/crates/load-test/src/discovery.rs
+++ b/crates/load-test/src/discovery.rs
@@ -4,13 +4,13 @@
 use crate::fleet::{Fleet, Owner, Task};
 use crate::http::{request, said};
 use grebeusher_dispatch::tariffs::Standing;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::stage::ms;
 use rand::Rng;
 use serde_json::{Value, json};
 
 /// While nothing changes an empty line comes so often.
-pub const EMPTY_EVERY: Span = Span::millis(2000);
+pub const EMPTY_EVERY: Duration = Duration::from_millis(2000);
 
 /// What discovery holds.
 #[derive(Default)]
@@ -19,7 +19,7 @@
     /// How many faults have it down.
     pub down: u32,
     /// When it has worked through the calls that came.
-    free: Moment,
+    free: Instant,
     /// Watches that stand, by their connection.
     watches: Vec<(usize, usize)>,
 }
@@ -104,7 +104,7 @@
         let d = self.scenario.discovery;
         let now = self.now();
         self.figures.list_calls += 1;
-        let ends = self.registry.free.max(now) + Span::secs(1.0 / d.calls_per_s);
+        let ends = self.registry.free.max(now) + Duration::from_seconds(1.0 / d.calls_per_s);
         if ends.since(now) > ms(d.call_within_ms) {
             self.figures.list_calls_failed += 1;
             return self.after(ms(d.call_within_ms), Task::ListAnswer(node, key, None));
--- a/crates/load-test/src/executors.rs
+++ b/crates/load-test/src/executors.rs
@@ -3,7 +3,7 @@
 use crate::fleet::{Fleet, Owner, Task};
 use crate::http::{Message, answer, request, said};
 use grebeusher_dispatch::tariffs::{Report, Standing};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::machine::{Job, Machine, Taken};
 use grebeusher_emulator::stage::ms;
 use serde_json::{Value, json};
@@ -13,12 +13,12 @@
 
 /// The protocol's: each call-back is tried so often.
 const TRIES: u32 = 10;
-const TRY_AGAIN: Span = Span::millis(100);
-const ANSWERED_WITHIN: Span = Span::millis(2000);
+const TRY_AGAIN: Duration = Duration::from_millis(100);
+const ANSWERED_WITHIN: Duration = Duration::from_millis(2000);
 /// A connection for call-backs that nobody needs is closed after this.
-const IDLE: Span = Span::millis(5000);
+const IDLE: Duration = Duration::from_millis(5000);
 /// One that was pushed over is back after this.
-const FALLEN_FOR: Span = Span::millis(3000);
+const FALLEN_FOR: Duration = Duration::from_millis(3000);
 
 pub struct Executor {
     pub name: String,
@@ -57,7 +57,7 @@
     /// Counts tries; a time-out of an earlier one says nothing.
     try_number: u64,
     busy: bool,
-    used: Moment,
+    used: Instant,
 }
 
 fn job(unit: u64) -> Job {
@@ -85,7 +85,7 @@
     }
 
     /// Takes one request; the head of its answer, and whether the executor fell over it.
-    fn takes(&mut self, executor: usize, request: &Message, stamp: Moment) -> (String, bool) {
+    fn takes(&mut self, executor: usize, request: &Message, stamp: Instant) -> (String, bool) {
         let head = |status: u16, further: &str| (format!("HTTP/1.1 {status} x\r\n{further}"), false);
         let now = self.now();
         if request.method == "DELETE" {
@@ -151,7 +151,7 @@
 
     fn progress_later(&mut self, executor: usize, life: u32, unit: u64) {
         let pace = ms(self.scenario.nodes.progress_ms);
-        if pace.0 > 0 {
+        if pace.nanos() > 0 {
             self.after(pace, Task::Progresses(executor, life, unit));
         }
     }
--- a/crates/load-test/src/faults.rs
+++ b/crates/load-test/src/faults.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::link::Trouble;
 use grebeusher_dispatch::tariffs::Standing;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::scenario::{Fault, Scenario, Side, What, Whom};
 use grebeusher_emulator::stage::{START, ms};
 use rand::SeedableRng;
@@ -12,9 +12,9 @@
 use std::io;
 
 /// One that leaves is back so long after it has gone.
-const AWAY: Span = Span::millis(1000);
+const AWAY: Duration = Duration::from_millis(1000);
 /// A process that was told to stop is killed after the longest patience and so much more.
-const MORE: Span = Span::millis(700);
+const MORE: Duration = Duration::from_millis(700);
 
 /// A fault begins or ends, or is through with one of those that it strikes.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,7 @@
 }
 
 /// All steps in the order of their time: the same for the same scenario and seed.
-pub fn plan(scenario: &Scenario) -> Vec<(Moment, Step)> {
+pub fn plan(scenario: &Scenario) -> Vec<(Instant, Step)> {
     let mut chance = Pcg32::seed_from_u64(scenario.seed ^ u64::MAX);
     let zones = scenario.nodes.zones.len();
     let nodes: Vec<usize> = (0..scenario.nodes.count).map(|at| at % zones).collect();
@@ -39,7 +39,7 @@
             (Whom::Zone | Whom::All, _) => None,
         };
         let whom = among.map_or_else(Vec::new, |zones| scenario.whom(fault, zones, &mut chance));
-        let strikes = Moment(START) + ms(fault.at_s * 1e3);
+        let strikes = Instant(START) + ms(fault.at_s * 1e3);
         let mends = strikes + ms(fault.for_s * 1e3);
         if fault.what == What::StopNodes {
             // One after the other, evenly over the time.
@@ -57,8 +57,8 @@
 }
 
 /// A step in words.
-pub fn told(scenario: &Scenario, when: Moment, step: &Step) -> String {
-    let s = when.since(Moment(START)).as_secs();
+pub fn told(scenario: &Scenario, when: Instant, step: &Step) -> String {
+    let s = when.since(Instant(START)).seconds();
     match step {
         Step::Strikes(at, whom) => {
             let Fault { what, side, way, zone, for_s, .. } = &scenario.faults[*at];
@@ -77,7 +77,7 @@
             let told = told(&self.scenario, *when, step);
             let message =
                 told.trim_start().split_once(" s ").map_or(told.clone(), |(_, what)| what.to_owned());
-            let at_s = self.now().since(Moment(START)).as_secs();
+            let at_s = self.now().since(Instant(START)).seconds();
             self.account.push(Line::of_rig(at_s, "fault", message));
         }
         match self.steps[at].1.clone() {
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -6,7 +6,7 @@
 use crate::faults::Step;
 use crate::nodes::Node;
 use crate::wire::{News, Wire};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::figures::Figures;
 use grebeusher_emulator::rules::Book;
 use grebeusher_emulator::scenario::Scenario;
@@ -20,10 +20,10 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
 
 /// One turn of the loop reads many connections, in no order of what was written when.
-const IN_ORDER: Span = Span::millis(20);
+const IN_ORDER: Duration = Duration::from_millis(20);
 
 /// Whose a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,9 +77,9 @@
     pub scenario: Scenario,
     pub mean_size_s: f64,
     /// The clock shows `START` as the run begins.
-    zero: Instant,
-    zero_at: Moment,
-    agenda: BTreeMap<(Moment, u64), Task>,
+    zero: std::time::Instant,
+    zero_at: Instant,
+    agenda: BTreeMap<(Instant, u64), Task>,
     next_number: u64,
     pub wire: Wire<Owner>,
     pub nodes: Vec<Node>,
@@ -88,7 +88,7 @@
     /// Which of them sent their clients away, as far as the front has noticed.
     pub sent_away: Vec<bool>,
     /// When a node was gone, for clients who have not noticed.
-    pub died: Vec<Option<Moment>>,
+    pub died: Vec<Option<Instant>>,
     pub executors: Vec<Executor>,
     pub calls: HashMap<(usize, usize), Calls>,
     pub registry: Registry,
@@ -113,19 +113,19 @@
     pub figures: Figures,
     pub spread: Spread,
     /// The longest that the loop was at work between two looks at the sockets, and since when it is.
-    pub longest_turn: Span,
-    works_since: Moment,
+    pub longest_turn: Duration,
+    works_since: Instant,
     pub staff: crate::staff::Staff,
-    pub steps: Vec<(Moment, Step)>,
-    pub silent_until: Moment,
+    pub steps: Vec<(Instant, Step)>,
+    pub silent_until: Instant,
     /// Units whose clients left while their nodes stood still.
     pub left_frozen: Vec<(usize, u64)>,
     /// Units that reached an executor, by tariff: their nodes spent them some time between when they were handed in and when they
     /// were sent. And what reached one beyond that: between the send before and this.
-    pub spent: Vec<(usize, Moment, Moment)>,
-    pub further: Vec<(usize, Moment, Moment)>,
+    pub spent: Vec<(usize, Instant, Instant)>,
+    pub further: Vec<(usize, Instant, Instant)>,
     /// How many units the first budget has had since when, where that changed.
-    pub posted_units: Vec<(Moment, u32)>,
+    pub posted_units: Vec<(Instant, u32)>,
     /// Sent more than 10 ms after their time.
     pub sent_late: u64,
     pub call_backs_lost: u64,
@@ -142,7 +142,7 @@
     pub memory: Vec<(u64, u64)>,
     /// The life of each node and how much its process had worked as the run began, and its part of a core since, of those that
     /// are still in that life.
-    worked: Vec<(u32, Option<Span>)>,
+    worked: Vec<(u32, Option<Duration>)>,
     pub cores: Vec<f64>,
     /// Held as long as the run lasts.
     pub addresses: Option<Addresses>,
@@ -160,7 +160,7 @@
     pub spread: Spread,
     pub chance: Pcg32,
     pub errands: Vec<Errand>,
-    pub steps: Vec<(Moment, Step)>,
+    pub steps: Vec<(Instant, Step)>,
     pub told_to_end: Arc<AtomicBool>,
     pub speaks: bool,
 }
@@ -171,8 +171,8 @@
         let count = made.nodes.len();
         Fleet {
             mean_size_s: made.scenario.mean_size_s(),
-            zero: Instant::now(),
-            zero_at: Moment(START / 2),
+            zero: std::time::Instant::now(),
+            zero_at: Instant(START / 2),
             agenda: BTreeMap::new(),
             next_number: 0,
             wire: made.wire,
@@ -197,14 +197,14 @@
             idle: vec![Vec::new(); count],
             shares: made.scenario.shares(),
             chance: made.chance,
-            book: Book::new(Moment(START), ms(rules.slack_ms), ms(rules.drain_grace_ms)),
-            longest_turn: Span(0),
-            works_since: Moment(START / 2),
+            book: Book::new(Instant(START), ms(rules.slack_ms), ms(rules.drain_grace_ms)),
+            longest_turn: Duration::from_nanos(0),
+            works_since: Instant(START / 2),
             figures: Figures::new(&made.scenario),
             spread: made.spread,
             staff: crate::staff::Staff::default(),
             steps: made.steps,
-            silent_until: Moment(0),
+            silent_until: Instant(0),
             left_frozen: Vec::new(),
             spent: Vec::new(),
             further: Vec::new(),
@@ -227,26 +227,26 @@
         }
     }
 
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Instant {
         (self.clock())()
     }
 
     /// The clock by itself, for a side that waits and looks at it afterwards.
-    fn clock(&self) -> impl Fn() -> Moment + use<> {
+    fn clock(&self) -> impl Fn() -> Instant + use<> {
         let (zero, zero_at) = (self.zero, self.zero_at);
-        move || zero_at + Span(zero.elapsed().as_nanos() as u64)
+        move || zero_at + Duration::from_nanos(zero.elapsed().as_nanos() as u64)
     }
 
     pub fn unix_ms(&self) -> u64 {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |passed| passed.as_millis() as u64)
     }
 
-    pub fn at(&mut self, when: Moment, task: Task) {
+    pub fn at(&mut self, when: Instant, task: Task) {
         self.agenda.insert((when, self.next_number), task);
         self.next_number += 1;
     }
 
-    pub fn after(&mut self, span: Span, task: Task) {
+    pub fn after(&mut self, span: Duration, task: Task) {
         let now = self.now();
         self.at(now + span, task);
     }
@@ -257,9 +257,9 @@
 
     /// Starts all nodes side by side, and waits until each says that it is ready.
     pub fn start(&mut self) -> Result<(), String> {
-        const WITHIN: Span = Span::millis(60_000);
+        const WITHIN: Duration = Duration::from_millis(60_000);
         self.after(EMPTY_EVERY, Task::EmptyLines);
-        self.after(Span::millis(250), Task::Looks);
+        self.after(Duration::from_millis(250), Task::Looks);
         for node in 0..self.nodes.len() {
             self.start_node(node, false).map_err(|e| e.to_string())?;
         }
@@ -275,7 +275,7 @@
             self.turn()?;
         }
         if self.speaks {
-            let took = self.now().since(Moment(START / 2)).as_secs();
+            let took = self.now().since(Instant(START / 2)).seconds();
             eprintln!("{} nodes ready after {took:.1} s", self.nodes.len());
         }
         Ok(())
@@ -288,18 +288,19 @@
             self.was_told_all(node);
         }
         (self.ready[node], self.died[node]) = (false, None);
-        self.after(Span::millis(20), Task::Knocks(node));
+        self.after(Duration::from_millis(20), Task::Knocks(node));
         Ok(())
     }
 
     /// Plays all to its end: until all that came has its answer, or nobody waits for one.
     pub fn play(&mut self) -> Result<(), String> {
-        (self.zero, self.zero_at, self.works_since) = (Instant::now(), Moment(START), Moment(START));
+        (self.zero, self.zero_at, self.works_since) =
+            (std::time::Instant::now(), Instant(START), Instant(START));
         self.began_unix_s = self.unix_ms() as f64 / 1e3;
-        self.longest_turn = Span(0);
+        self.longest_turn = Duration::from_nanos(0);
         // What was due while nodes started is due in a moment.
         let earlier = std::mem::take(&mut self.agenda);
-        earlier.into_values().for_each(|task| self.after(Span::millis(100), task));
+        earlier.into_values().for_each(|task| self.after(Duration::from_millis(100), task));
         self.sees_memory();
         self.worked = self.nodes.iter().map(|node| (node.life, node.worked())).collect();
         for at in 0..self.errands.len() {
@@ -309,25 +310,25 @@
             self.at(self.steps[at].0, Task::Step(at));
         }
         self.staff_begin();
-        self.after(Span::millis(5000), Task::Speaks);
-        let ends = Moment(START) + ms(self.scenario.length_s * 1e3);
+        self.after(Duration::from_millis(5000), Task::Speaks);
+        let ends = Instant(START) + ms(self.scenario.length_s * 1e3);
         let longest = self.scenario.tariffs.iter().map(|t| t.patience_ms).fold(0.0, f64::max);
         let last = ends + ms(longest + self.scenario.rules.slack_ms + 1000.0);
         while self.now() < ends || (self.open_errands > 0 && self.now() < last) {
             self.turn()?;
         }
         self.sees_memory();
-        let since = self.now().since(Moment(START)).as_secs();
+        let since = self.now().since(Instant(START)).seconds();
         let cores = self.nodes.iter().zip(&self.worked).filter_map(|(node, &(life, before))| {
             let worked = node.worked().filter(|_| node.life == life)?;
-            Some(worked.saturating_sub(before?).as_secs() / since)
+            Some(worked.saturating_sub(before?).seconds() / since)
         });
         self.cores = cores.collect();
         Ok(())
     }
 
     fn turn(&mut self) -> Result<(), String> {
-        const LONGEST: Span = Span::millis(100);
+        const LONGEST: Duration = Duration::from_millis(100);
         if self.told_to_end.load(Ordering::Relaxed) {
             return Err("told to end".to_owned());
         }
@@ -423,7 +424,7 @@
             }
             Task::Looks => {
                 self.looks()?;
-                self.after(Span::millis(250), Task::Looks);
+                self.after(Duration::from_millis(250), Task::Looks);
             }
             Task::Step(at) => self.step(at)?,
             Task::StaffLook => self.staff_look(),
@@ -435,7 +436,7 @@
             Task::Speaks => {
                 self.sees_memory();
                 self.says_progress();
-                self.after(Span::millis(5000), Task::Speaks);
+                self.after(Duration::from_millis(5000), Task::Speaks);
             }
         }
         Ok(())
@@ -467,7 +468,7 @@
     }
 
     fn knocks(&mut self, node: usize) {
-        const AGAIN: Span = Span::millis(100);
+        const AGAIN: Duration = Duration::from_millis(100);
         if self.ready[node] || !self.nodes[node].is_up() {
             return;
         }
@@ -495,7 +496,7 @@
 
     /// Where nodes are to be sent away the front asks them all the time.
     fn front_asks(&mut self, node: usize) {
-        const EVERY: Span = Span::millis(250);
+        const EVERY: Duration = Duration::from_millis(250);
         self.after(EVERY, Task::FrontAsks(node));
         if self.nodes[node].is_up() && !self.nodes[node].frozen {
             self.asks_ready(node, Owner::Front(node));
@@ -512,10 +513,10 @@
 
     fn says_progress(&self) {
         if self.speaks {
-            let s = self.now().since(Moment(START));
+            let s = self.now().since(Instant(START));
             eprintln!(
                 "{:.0} of {} s: {} units, {} open, {} nodes ready, {} connections",
-                Duration::from_nanos(s.0).as_secs_f64(),
+                Duration::from_nanos(s.nanos()).as_secs_f64(),
                 self.scenario.length_s,
                 self.next_unit,
                 self.units.len(),
--- a/crates/load-test/src/link.rs
+++ b/crates/load-test/src/link.rs
@@ -1,19 +1,19 @@
 //! What stands between nodes and one side: as long as nothing is wrong all passes at once.
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::scenario::Way;
 use rand::Rng;
 use rand_pcg::Pcg32;
 
 /// A message that got lost comes this much later, as TCP sends it again.
-const ONCE_MORE: Span = Span::millis(200);
+const ONCE_MORE: Duration = Duration::from_millis(200);
 /// What drips passes so often.
-pub const DRIPS_EVERY: Span = Span::millis(50);
+pub const DRIPS_EVERY: Duration = Duration::from_millis(50);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Trouble {
     Cut(Way),
-    Delay(Span),
+    Delay(Duration),
     /// The part of messages that must be sent again.
     Loss(f64),
     /// Connections that stand now say nothing any more, and nobody says so; new ones are as ever.
@@ -63,7 +63,7 @@
     }
 
     /// When a message passes that is sent now.
-    pub fn passes(&self, now: Moment, chance: &mut Pcg32) -> Moment {
+    pub fn passes(&self, now: Instant, chance: &mut Pcg32) -> Instant {
         let mut when = now;
         for &(_, trouble) in &self.troubles {
             match trouble {
@@ -76,7 +76,7 @@
     }
 
     /// When a datagram passes that comes now: never, once or twice.
-    pub fn lets_datagram(&self, now: Moment, chance: &mut Pcg32) -> Vec<Moment> {
+    pub fn lets_datagram(&self, now: Instant, chance: &mut Pcg32) -> Vec<Instant> {
         if self.is_cut() || self.has(|t| t == Trouble::HalfOpen) {
             return Vec::new();
         }
@@ -115,6 +115,6 @@
         let a_second =
             |&(_, t): &(usize, Trouble)| if let Trouble::Drip(bytes) = t { Some(bytes) } else { None };
         let least = self.troubles.iter().filter_map(a_second).min()?;
-        Some(((least as f64 * DRIPS_EVERY.as_secs()) as usize).max(1))
+        Some(((least as f64 * DRIPS_EVERY.seconds()) as usize).max(1))
     }
 }
--- a/crates/load-test/src/nodes.rs
+++ b/crates/load-test/src/nodes.rs
@@ -1,6 +1,6 @@
 //! The nodes: real processes, started with a file of their own and ended with the run.
 
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::Duration;
 use grebeusher_emulator::scenario::Scenario;
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use serde_json::{Value, json};
@@ -198,13 +198,13 @@
     }
 
     /// Time of a core that its process has used since that started; `None` where the system does not tell.
-    pub fn worked(&self) -> Option<Span> {
+    pub fn worked(&self) -> Option<Duration> {
         let told = fs::read_to_string(format!("/proc/{}/stat", self.pid()?.as_raw_nonzero())).ok()?;
         // After its name, which may hold anything, the user's and the system's time are fields 12 and 13.
         let (_, fields) = told.rsplit_once(") ")?;
         let ticks: u64 =
             fields.split(' ').skip(11).take(2).filter_map(|field| field.parse::<u64>().ok()).sum();
-        Some(Span(ticks * 1_000_000_000 / rustix::param::clock_ticks_per_second()))
+        Some(Duration::from_nanos(ticks * 1_000_000_000 / rustix::param::clock_ticks_per_second()))
     }
 
     /// Bytes of memory that it holds; `None` where the system does not tell.
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -8,7 +8,7 @@
 use crate::fleet::{Fleet, Made, Owner};
 use crate::nodes::Node;
 use crate::wire::Wire;
-use grebeusher_dispatch::time::Moment;
+use grebeusher_dispatch::time::{DurationExt, Instant};
 use grebeusher_emulator::figures::{Second, Summary, say_rules};
 use grebeusher_emulator::machine::{Machine, Make};
 use grebeusher_emulator::rules::{Breach, Rule};
@@ -169,10 +169,10 @@
         let tariff = scenario.tariffs.iter().position(|t| t.name == budget.tariff);
         let counted = if budget.further { &fleet.further } else { &fleet.spent };
         let own = counted.iter().filter(|(of, ..)| Some(*of) == tariff);
-        let mut times: Vec<(Moment, Moment)> = own.map(|(_, from, until)| (*from, *until)).collect();
+        let mut times: Vec<(Instant, Instant)> = own.map(|(_, from, until)| (*from, *until)).collect();
         times.sort_unstable();
-        let whole = |at: Moment| {
-            let changes: &[(Moment, u32)] = if place == 0 { &changes } else { &[] };
+        let whole = |at: Instant| {
+            let changes: &[(Instant, u32)] = if place == 0 { &changes } else { &[] };
             let (mut units, mut before) = (budget.units, 0);
             for &(since, new) in changes {
                 if at >= since {
@@ -200,7 +200,7 @@
         }
         let mut seconds = vec![0; scenario.length_s.ceil() as usize];
         for (_, at) in &times {
-            let second = at.since(Moment(START)).as_secs() as usize;
+            let second = at.since(Instant(START)).seconds() as usize;
             if let Some(count) = seconds.get_mut(second) {
                 *count += 1;
             }
@@ -338,7 +338,7 @@
         seed: scenario.seed,
         sent_late: fleet.sent_late,
         call_backs_lost: fleet.call_backs_lost,
-        longest_turn_ms: fleet.longest_turn.as_secs() * 1e3,
+        longest_turn_ms: fleet.longest_turn.seconds() * 1e3,
         sends: fleet.figures.sends,
         list_calls: fleet.figures.list_calls,
         list_calls_failed: fleet.figures.list_calls_failed,
@@ -389,7 +389,7 @@
     for (place, (of, zone)) in scenario.places().into_iter().enumerate() {
         let e = &scenario.executors[of];
         let make = Make { kind: of, zone, slots: e.slots as usize, of: e.clone() };
-        let started = (!e.warm_at_start).then_some(Moment(START));
+        let started = (!e.warm_at_start).then_some(Instant(START));
         let mut doors = Vec::new();
         for _ in 0..zones {
             let (address, link) = (addresses.give(), wire.link());
@@ -417,7 +417,7 @@
         .iter()
         .map(|e| Width { slots: e.machine.make.slots, pace: e.machine.make.of.pace })
         .collect();
-    let spans = (Moment(START), ms(scenario.settles_s * 1e3), Moment(START) + ms(scenario.length_s * 1e3));
+    let spans = (Instant(START), ms(scenario.settles_s * 1e3), Instant(START) + ms(scenario.length_s * 1e3));
     let mut fleet = Fleet::new(Made {
         scenario: scenario.clone(),
         wire,
--- a/crates/load-test/src/staff.rs
+++ b/crates/load-test/src/staff.rs
@@ -5,7 +5,7 @@
 use crate::http::{answer, said};
 use crate::wire::CLEAR;
 use grebeusher_dispatch::tariffs::Standing;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::scenario::{Maintenance, Scenario};
 use grebeusher_emulator::stage::{START, ms};
 use rand::Rng;
@@ -17,9 +17,9 @@
 /// A node that shows nothing fresh for so many looks is not asked on.
 const OLD_LOOKS: u32 = 10;
 const OLD_MS: u64 = 1500;
-const LOOKS_EVERY: Span = Span::millis(200);
+const LOOKS_EVERY: Duration = Duration::from_millis(200);
 /// Between seeing that a machine is out and taking it down: what was still under way to it arrives meanwhile, and is counted.
-const WATCHES: Span = Span::millis(500);
+const WATCHES: Duration = Duration::from_millis(500);
 
 /// What the agent of a machine does.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -60,10 +60,10 @@
     /// The same at the nodes' own machines, with the life that was seen out: a fault may start another meanwhile, which is back.
     node_agents: Vec<Option<(Agent, u32)>>,
     node_by: Vec<u64>,
-    draining: BTreeMap<usize, Moment>,
+    draining: BTreeMap<usize, Instant>,
     drained_s: Vec<f64>,
     name: u64,
-    began: Option<Moment>,
+    began: Option<Instant>,
     asked: usize,
     taken: bool,
     /// How often in a row the node that is asked had no fresh word of the keepers.
@@ -117,7 +117,7 @@
             self.staff.node_by = vec![0; self.nodes.len()];
             plan.nodes.clone().into_iter().for_each(|node| self.after(LOOKS_EVERY, Task::FrontAsks(node)));
             self.staff.name = self.chance.random::<u32>().into();
-            self.at(Moment(START) + ms(at_s * 1e3), Task::StaffLook);
+            self.at(Instant(START) + ms(at_s * 1e3), Task::StaffLook);
         }
     }
 
@@ -199,7 +199,7 @@
         }
         let PlanSeen { phases, course, .. } = &mut self.staff.seen;
         if course.last().is_none_or(|(_, last)| last != phases) {
-            course.push((now.since(Moment(START)).as_secs(), phases.clone()));
+            course.push((now.since(Instant(START)).seconds(), phases.clone()));
         }
         for machine in machines {
             let phase = machine["phase"].as_str().unwrap_or_default();
@@ -221,7 +221,7 @@
                 "out" => {
                     let number = machine["number"].as_u64().unwrap_or(0);
                     if let Some(since) = self.staff.draining.remove(&at) {
-                        self.staff.drained_s.push(now.since(since).as_secs());
+                        self.staff.drained_s.push(now.since(since).seconds());
                     }
                     if self.staff.agents[at].is_none() && number > self.staff.by[at] {
                         self.staff.by[at] = number;
@@ -233,7 +233,7 @@
         }
         let over = shown["standing"] == "over";
         if let Some(began) = self.staff.began.filter(|_| over && self.staff.seen.took_s.is_none()) {
-            self.staff.seen.took_s = Some(now.since(began).as_secs());
+            self.staff.seen.took_s = Some(now.since(began).seconds());
         }
     }
 
@@ -370,7 +370,7 @@
         let drained_mean_s = drained.iter().sum::<f64>() / drained.len().max(1) as f64;
         let rounds =
             self.staff.seen.machines.saturating_sub(plan.nodes.len()) as f64 / f64::from(plan.most_out);
-        let least_s = rounds * (drained_mean_s + WATCHES.as_secs() + plan.work_s);
+        let least_s = rounds * (drained_mean_s + WATCHES.seconds() + plan.work_s);
         Some(PlanSeen { drained_mean_s, least_s, nodes: plan.nodes.len(), ..self.staff.seen.clone() })
     }
 }
--- a/crates/load-test/src/wire.rs
+++ b/crates/load-test/src/wire.rs
@@ -2,7 +2,7 @@
 //! end; what comes from there is stamped when it leaves the socket and given on when its link lets it pass.
 
 use crate::link::{DRIPS_EVERY, Link};
-use grebeusher_dispatch::time::Moment;
+use grebeusher_dispatch::time::{DurationExt, Instant};
 use polling::{Event, Poller};
 use rand_pcg::Pcg32;
 use slab::Slab;
@@ -38,19 +38,19 @@
     link: usize,
     connecting: bool,
     /// From the node: when it was read and when it passes.
-    coming: VecDeque<(Moment, Moment, Piece)>,
+    coming: VecDeque<(Instant, Instant, Piece)>,
     /// To the node: when it passes.
-    going: VecDeque<(Moment, Vec<u8>)>,
+    going: VecDeque<(Instant, Vec<u8>)>,
     /// What has passed and is not written, or not taken by the owner.
     out: Vec<u8>,
     came: Vec<u8>,
     /// When the last of what has come was read.
-    stamp: Moment,
+    stamp: Instant,
     bytes: u64,
     /// Nothing passes any more, and nobody says so.
     mute: bool,
     over: bool,
-    dripped: Moment,
+    dripped: Instant,
 }
 
 struct Door<O> {
@@ -76,7 +76,7 @@
     doors: Slab<Door<O>>,
     pub links: Vec<Link>,
     /// When something is to be looked at again.
-    looks: BTreeSet<(Moment, usize)>,
+    looks: BTreeSet<(Instant, usize)>,
     chance: Pcg32,
     pub accepted: u64,
     relays: Vec<UdpSocket>,
@@ -187,7 +187,7 @@
     }
 
     /// What is wrong with a link has changed.
-    pub fn link_changed(&mut self, link: usize, now: Moment) -> io::Result<()> {
+    pub fn link_changed(&mut self, link: usize, now: Instant) -> io::Result<()> {
         let cut = self.links[link].is_cut();
         let doors: Vec<usize> =
             self.doors.iter().filter(|(_, door)| door.link == link).map(|(at, _)| at).collect();
@@ -203,7 +203,7 @@
     }
 
     /// A connection to a node's address; whether it comes up is told by its news.
-    pub fn dials(&mut self, address: SocketAddr, owner: O, link: usize, now: Moment) -> io::Result<usize> {
+    pub fn dials(&mut self, address: SocketAddr, owner: O, link: usize, now: Instant) -> io::Result<usize> {
         let stream = dial(address)?;
         self.takes(stream, owner, link, true, now)
     }
@@ -214,7 +214,7 @@
         owner: O,
         link: usize,
         connecting: bool,
-        now: Moment,
+        now: Instant,
     ) -> io::Result<usize> {
         let entry = self.conns.vacant_entry();
         let key = entry.key();
@@ -247,12 +247,12 @@
     }
 
     /// What has come, to be taken off the front, and when the last of it was read.
-    pub fn came(&mut self, key: usize) -> Option<(&mut Vec<u8>, Moment)> {
+    pub fn came(&mut self, key: usize) -> Option<(&mut Vec<u8>, Instant)> {
         self.conns.get_mut(key).map(|conn| (&mut conn.came, conn.stamp))
     }
 
     /// Says something as soon as the link lets it pass.
-    pub fn says(&mut self, key: usize, bytes: Vec<u8>, now: Moment) {
+    pub fn says(&mut self, key: usize, bytes: Vec<u8>, now: Instant) {
         let Some(conn) = self.conns.get_mut(key) else { return };
         let due = self.links[conn.link].passes(now, &mut self.chance);
         // What was said before passes before.
@@ -287,10 +287,10 @@
     }
 
     /// Waits for something to happen, up to `until`, and tells what did.
-    pub fn turns(&mut self, clock: impl Fn() -> Moment, until: Moment) -> io::Result<Vec<(usize, News)>> {
+    pub fn turns(&mut self, clock: impl Fn() -> Instant, until: Instant) -> io::Result<Vec<(usize, News)>> {
         let next = self.looks.first().map_or(until, |(when, _)| until.min(*when));
         let mut events = Vec::new();
-        let wait = Duration::from_nanos(next.since(clock()).0);
+        let wait = Duration::from_nanos(next.since(clock()).nanos());
         match self.poller.wait(&mut events, Some(wait)) {
             Err(e) if e.kind() != ErrorKind::Interrupted => return Err(e),
             _ => {}
@@ -320,7 +320,7 @@
         Ok(news)
     }
 
-    fn takes_in(&mut self, at: usize, now: Moment) -> io::Result<()> {
+    fn takes_in(&mut self, at: usize, now: Instant) -> io::Result<()> {
         loop {
             let Some(door) = self.doors.get(at) else { return Ok(()) };
             let Some(listener) = &door.listener else { return Ok(()) };
@@ -343,7 +343,7 @@
     }
 
     /// Moves all that may be moved now.
-    fn pumps(&mut self, key: usize, now: Moment) -> Option<News> {
+    fn pumps(&mut self, key: usize, now: Instant) -> Option<News> {
         let conn = &mut self.conns[key];
         let link = &self.links[conn.link];
         let mut ended = false;
@@ -441,7 +441,7 @@
 }
 
 impl<O> Conn<O> {
-    fn reads(&mut self, now: Moment, link: &Link, chance: &mut Pcg32) {
+    fn reads(&mut self, now: Instant, link: &Link, chance: &mut Pcg32) {
         if matches!(self.coming.back(), Some((_, _, Piece::End))) {
             return;
         }
--- a/crates/load-test/tests/links/mod.rs
+++ b/crates/load-test/tests/links/mod.rs
@@ -1,6 +1,6 @@
 //! Short stories of what a link does to one connection; the story's own socket is the node's.
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_emulator::scenario::Way;
 use grebeusher_load_test::addresses::Addresses;
 use grebeusher_load_test::link::Trouble;
@@ -9,7 +9,6 @@
 use rand_pcg::Pcg32;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::time::{Duration, Instant};
 
 const BRIEF: Duration = Duration::from_millis(150);
 const PATIENT: Duration = Duration::from_secs(20);
@@ -19,7 +18,7 @@
     link: usize,
     door: usize,
     address: SocketAddr,
-    began: Instant,
+    began: std::time::Instant,
     _addresses: Addresses,
 }
 
@@ -29,11 +28,11 @@
         let mut wire = Wire::new(Pcg32::seed_from_u64(1)).expect("a poller");
         let (address, link) = (addresses.give(), wire.link());
         let door = wire.opens(address, 0, link).expect("it is free");
-        Side { wire, link, door, address, began: Instant::now(), _addresses: addresses }
+        Side { wire, link, door, address, began: std::time::Instant::now(), _addresses: addresses }
     }
 
-    fn now(&self) -> Moment {
-        Moment(self.began.elapsed().as_nanos() as u64)
+    fn now(&self) -> Instant {
+        Instant(self.began.elapsed().as_nanos() as u64)
     }
 
     fn strikes(&mut self, trouble: Trouble) {
@@ -48,10 +47,10 @@
 
     /// Turns for a while, or until something is heard.
     fn hears(&mut self, within: Duration) -> Option<(usize, News)> {
-        let until = self.now() + Span(within.as_nanos() as u64);
+        let until = self.now() + Duration::from_nanos(within.as_nanos() as u64);
         while self.now() < until {
             let began = self.began;
-            let clock = move || Moment(began.elapsed().as_nanos() as u64);
+            let clock = move || Instant(began.elapsed().as_nanos() as u64);
             let news = self.wire.turns(clock, until).expect("it turns");
             if let Some(heard) = news.into_iter().next() {
                 return Some(heard);
@@ -115,13 +114,13 @@
 fn what_is_late_keeps_its_order_and_its_time_of_sending() {
     let mut side = Side::new();
     let (mut stream, key) = side.connected();
-    side.strikes(Trouble::Delay(Span::millis(200)));
+    side.strikes(Trouble::Delay(Duration::from_millis(200)));
     let sent = side.now();
     stream.write_all(b"late").expect("it is open");
     assert_eq!(side.hears(PATIENT), Some((key, News::Came)));
-    assert!(side.now().since(sent) >= Span::millis(200));
+    assert!(side.now().since(sent) >= Duration::from_millis(200));
     let (bytes, stamp) = side.wire.came(key).expect("it is there");
-    assert_eq!((bytes.as_slice(), stamp.since(sent) < Span::millis(200)), (&b"late"[..], true));
+    assert_eq!((bytes.as_slice(), stamp.since(sent) < Duration::from_millis(200)), (&b"late"[..], true));
 }
 
 #[test]
@@ -162,7 +161,7 @@
         assert!(piece.len() <= 5);
         came.extend(piece);
     }
-    assert!(side.now().since(sent) >= Span::millis(150));
+    assert!(side.now().since(sent) >= Duration::from_millis(150));
 }
 
 #[test]
--- a/crates/maintenance/src/permission.rs
+++ b/crates/maintenance/src/permission.rs
@@ -3,13 +3,13 @@
 use crate::LONG;
 use crate::works::{Ask, Permit, Stage};
 use grebeusher_budgets::{DRIFT, Holder};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use std::collections::BTreeMap;
 
 /// So often in a permission: several may get lost, and the next still comes in time.
 const ASKS: f64 = 5.0;
 /// While something is to be told, or staff look, and as long as no word has ever come.
-const AT_LEAST_APART: Span = Span::millis(200);
+const AT_LEAST_APART: Duration = Duration::from_millis(200);
 /// Asks whose answer may still come.
 const OPEN_ASKS: usize = 8;
 
@@ -20,22 +20,22 @@
     socket: u64,
     /// What its own machine is called, as a hash.
     own: u64,
-    lease: Span,
-    asked: BTreeMap<u32, Moment>,
+    lease: Duration,
+    asked: BTreeMap<u32, Instant>,
     next_ask: u32,
-    asked_at: Option<Moment>,
+    asked_at: Option<Instant>,
     /// The ask whose answer is gone by, and when that was asked.
-    by: Option<(u32, Moment)>,
+    by: Option<(u32, Instant)>,
     number: u64,
     machines: Vec<(u64, Stage)>,
-    longest_unit: Span,
+    longest_unit: Duration,
     hurries: bool,
-    nudged_at: Option<Moment>,
+    nudged_at: Option<Instant>,
 }
 
 impl Permission {
     /// `socket`: where this node listens for the others, and `own`: what its own machine is called, as hashes.
-    pub fn new(holder: Holder, (socket, own): (u64, u64), lease: Span) -> Permission {
+    pub fn new(holder: Holder, (socket, own): (u64, u64), lease: Duration) -> Permission {
         Permission {
             holder,
             zone: String::new(),
@@ -48,7 +48,7 @@
             by: None,
             number: 0,
             machines: Vec::new(),
-            longest_unit: Span(0),
+            longest_unit: Duration::from_nanos(0),
             hurries: false,
             nudged_at: None,
         }
@@ -71,14 +71,14 @@
     }
 
     /// When its permission ends, and when it has been without one for long.
-    fn ends(&self) -> Option<(Moment, Moment)> {
+    fn ends(&self) -> Option<(Instant, Instant)> {
         let (_, asked) = self.by?;
         let lasts = self.lease.scaled(1.0 - DRIFT);
         Some((asked + lasts, asked + lasts.scaled((1 + LONG) as f64)))
     }
 
     /// What may have been closed as of now, by the hashes of names: at these nothing may be sent.
-    pub fn closed(&self, now: Moment) -> impl Iterator<Item = u64> {
+    pub fn closed(&self, now: Instant) -> impl Iterator<Item = u64> {
         let from = match self.ends() {
             Some((ends, _)) if now < ends => Stage::Closed,
             Some((_, long)) if now < long => Stage::Next,
@@ -98,23 +98,23 @@
     }
 
     /// As long after this node stopped waiting for a unit it may still run, and counts as in hand.
-    pub fn longest_unit(&self) -> Span {
+    pub fn longest_unit(&self) -> Duration {
         self.longest_unit
     }
 
     /// How long ago the last word that this node goes by was asked for.
-    pub fn for_long(&self, now: Moment) -> Span {
-        self.by.map_or(Span(0), |(_, asked)| now.since(asked))
+    pub fn for_long(&self, now: Instant) -> Duration {
+        self.by.map_or(Duration::from_nanos(0), |(_, asked)| now.since(asked))
     }
 
     /// When what is closed may be more than before, if nothing is heard.
-    pub fn changes_at(&self, now: Moment) -> Option<Moment> {
+    pub fn changes_at(&self, now: Instant) -> Option<Instant> {
         let (ends, long) = self.ends()?;
         [ends, long].into_iter().find(|at| *at > now)
     }
 
-    pub fn next_due(&self) -> Moment {
-        let Some(asked) = self.asked_at else { return Moment(0) };
+    pub fn next_due(&self) -> Instant {
+        let Some(asked) = self.asked_at else { return Instant(0) };
         let hurries = self.hurries || self.by.is_none();
         let due = asked + if hurries { AT_LEAST_APART } else { self.lease.scaled(1.0 / ASKS) };
         self.nudged_at.map_or(due, |at| due.min(at.max(asked + AT_LEAST_APART.scaled(0.25))))
@@ -122,9 +122,9 @@
 
     /// Something was decided that this node should hear of: it asks within a moment that is its own. Guards against all nodes
     /// asking at once, of whom whoever leads could hear no more than its socket holds.
-    pub fn nudged(&mut self, now: Moment) {
+    pub fn nudged(&mut self, now: Instant) {
         let own = self.socket.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        let wait = Span(own % AT_LEAST_APART.0);
+        let wait = Duration::from_nanos(own % AT_LEAST_APART.nanos());
         let at = now + wait;
         self.nudged_at = Some(self.nudged_at.map_or(at, |before| before.min(at)));
     }
@@ -137,7 +137,7 @@
     /// What to ask the keepers now, if anything. `in_hand`: at each of `machines`, how much work this node has out there.
     pub fn ask(
         &mut self,
-        now: Moment,
+        now: Instant,
         in_hand: impl Fn(u64) -> u16,
         (units, turned_back): (u64, u64),
         (through, shows): (bool, bool),
@@ -187,7 +187,7 @@
             return true;
         };
         self.by = Some((permit.ask, asked));
-        self.longest_unit = Span::millis(permit.longest_unit_s.saturating_mul(1000));
+        self.longest_unit = Duration::from_millis(permit.longest_unit_s.saturating_mul(1000));
         // What is new to this node has to be told as known.
         self.hurries |= self.number != permit.number;
         self.number = permit.number;
--- a/crates/maintenance/src/works.rs
+++ b/crates/maintenance/src/works.rs
@@ -7,7 +7,7 @@
 use crate::LONG;
 use crate::plan::{Plan, WhenLost};
 use grebeusher_budgets::Holder;
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::{Duration, DurationExt};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -247,8 +247,8 @@
 
 impl Works {
     /// Nothing is planned. Permissions last so long; so many nodes may send.
-    pub fn empty(permission: Span, nodes: u32, keepers: &[u32]) -> Works {
-        let permission_ms = permission.0 / 1_000_000;
+    pub fn empty(permission: Duration, nodes: u32, keepers: &[u32]) -> Works {
+        let permission_ms = permission.nanos() / 1_000_000;
         Works {
             clock_ms: 0,
             permission_ms,
--- a/crates/maintenance/tests/stories.rs
+++ b/crates/maintenance/tests/stories.rs
@@ -2,7 +2,7 @@
 //! through. What is out is held against what is really under way at each machine.
 
 use grebeusher_budgets::Holder;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_maintenance::{
     Ask, Command, Outcome, Permission, Permit, Phase, Plan, Seen, Shown, Step, View, WhenLost, Works,
     ZoneSeen, node_name,
@@ -12,11 +12,11 @@
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 
-const PERMISSION: Span = Span::millis(2000);
+const PERMISSION: Duration = Duration::from_millis(2000);
 const ZONES: [&str; 3] = ["north", "middle", "south"];
 
-fn ms(ms: u64) -> Moment {
-    Moment(1_000_000_000_000) + Span::millis(ms)
+fn ms(ms: u64) -> Instant {
+    Instant(1_000_000_000_000) + Duration::from_millis(ms)
 }
 
 fn hash(name: &str) -> u64 {
@@ -696,7 +696,7 @@
 impl Through {
     fn permission(&self, at: usize, life: u64) -> Permission {
         // What goes wrong on purpose: a node that holds its permission to last three ticks longer than the keepers do.
-        let lease = if self.ends { PERMISSION } else { PERMISSION + Span::millis(3 * TICK) };
+        let lease = if self.ends { PERMISSION } else { PERMISSION + Duration::from_millis(3 * TICK) };
         Permission::new(Holder { number: at as u32, generation: life }, (at as u64, 0), lease)
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -9,7 +9,7 @@
     BroadcastHandler, Config, Foca, Identity, Invalidates, Notification, PeriodicParams, PostcardCodec,
 };
 use foca::{Runtime, Timer};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
@@ -19,7 +19,6 @@
 use std::net::SocketAddr;
 use std::num::{NonZeroU8, NonZeroU32, NonZeroUsize};
 use std::rc::Rc;
-use std::time::Duration;
 
 /// One node as the others know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -113,9 +112,9 @@
 /// Who is there, and what foca asks to be told later.
 #[derive(Default)]
 struct Kept {
-    timers: BTreeMap<(Moment, u64), Timer<Fellow>>,
+    timers: BTreeMap<(Instant, u64), Timer<Fellow>>,
     next_timer: u64,
-    members: BTreeMap<SocketAddr, (Fellow, Moment)>,
+    members: BTreeMap<SocketAddr, (Fellow, Instant)>,
     /// Whether anybody knows this node.
     active: bool,
     suspicions_refuted: u64,
@@ -124,7 +123,7 @@
 struct Acts<'a, H> {
     host: &'a mut H,
     kept: &'a mut Kept,
-    now: Moment,
+    now: Instant,
 }
 
 impl<H: Host> Runtime<Fellow> for Acts<'_, H> {
@@ -159,7 +158,7 @@
     }
 
     fn submit_after(&mut self, event: Timer<Fellow>, after: Duration) {
-        let when = self.now + Span(after.as_nanos() as u64);
+        let when = self.now + Duration::from_nanos(after.as_nanos() as u64);
         self.kept.timers.insert((when, self.kept.next_timer), event);
         self.kept.next_timer += 1;
     }
@@ -171,23 +170,23 @@
     kept: Kept,
     words: Rc<RefCell<Words>>,
     contacts: Vec<SocketAddr>,
-    knocks_at: Option<Moment>,
+    knocks_at: Option<Instant>,
     /// As long as this node is a newcomer: when it asks next who is there, how many it knew then, and how often in a row that
     /// brought nobody.
-    asks_round: Option<(Moment, usize, u32)>,
+    asks_round: Option<(Instant, usize, u32)>,
     chance: Pcg32,
     /// When news of executors is told on without waiting for the usual round.
-    hurries_at: Option<Moment>,
+    hurries_at: Option<Instant>,
 }
 
 /// News that comes together is told on together: so many milliseconds at each node on its way, of which some six lead to all of
 /// three hundred.
-const NEWS_WAITS: Span = Span::millis(10);
+const NEWS_WAITS: Duration = Duration::from_millis(10);
 /// As long as nobody knows this node it knocks so often.
-const KNOCKS_EVERY: Span = Span::millis(1000);
+const KNOCKS_EVERY: Duration = Duration::from_millis(1000);
 /// An answer holds some fifty of those who are there, drawn at random: a newcomer to three hundred knows nearly all after six
 /// rounds of three. Four in a row that bring nobody end it.
-const ROUNDS_EVERY: Span = Span::millis(250);
+const ROUNDS_EVERY: Duration = Duration::from_millis(250);
 const ASKED_A_ROUND: usize = 3;
 const IDLE_ROUNDS: u32 = 4;
 /// The most bytes of a datagram: what passes any path in one piece.
@@ -239,7 +238,7 @@
     }
 
     /// Knocks at these addresses until somebody answers.
-    pub fn join(&mut self, now: Moment, contacts: &[SocketAddr]) {
+    pub fn join(&mut self, now: Instant, contacts: &[SocketAddr]) {
         let own = self.own().address;
         self.contacts = contacts.iter().copied().filter(|contact| *contact != own).collect();
         self.knocks(now);
@@ -250,7 +249,7 @@
     }
 
     /// The others that are there, each with when this node heard that it is.
-    pub fn members(&self) -> impl Iterator<Item = (Fellow, Moment)> {
+    pub fn members(&self) -> impl Iterator<Item = (Fellow, Instant)> {
         self.kept.members.values().copied()
     }
 
@@ -262,7 +261,7 @@
     /// What foca asks is told to its host; what it can't read or do is told by `false`.
     fn asks(
         &mut self,
-        now: Moment,
+        now: Instant,
         what: impl FnOnce(
             &mut Foca<Fellow, PostcardCodec, Pcg32, Handler>,
             Acts<'_, H>,
@@ -279,11 +278,11 @@
     }
 
     /// An executor may be back within a second, and usual rounds take three to reach all of a few hundred nodes.
-    fn hurries(&mut self, now: Moment) {
+    fn hurries(&mut self, now: Instant) {
         self.hurries_at.get_or_insert(now + NEWS_WAITS);
     }
 
-    fn knocks(&mut self, now: Moment) {
+    fn knocks(&mut self, now: Instant) {
         if self.kept.active {
             self.knocks_at = None;
             self.asks_round = Some((now, 0, 0));
@@ -299,7 +298,7 @@
 
     /// A newcomer asks some of those that it knows for others. Guards against a node that knows a few dozen of hundreds for most of
     /// a minute, as whom news of a start reaches is not told of those who were there before.
-    fn asks_around(&mut self, now: Moment, before: usize, idle: u32) {
+    fn asks_around(&mut self, now: Instant, before: usize, idle: u32) {
         let known: Vec<Fellow> = self.members().map(|(fellow, _)| fellow).collect();
         let idle = if known.len() > before { 0 } else { idle + 1 };
         self.asks_round = (idle < IDLE_ROUNDS).then_some((now + ROUNDS_EVERY, known.len(), idle));
@@ -310,12 +309,12 @@
     }
 
     /// A datagram came; `false` if nothing could be made of it.
-    pub fn heard(&mut self, now: Moment, datagram: &[u8]) -> bool {
+    pub fn heard(&mut self, now: Instant, datagram: &[u8]) -> bool {
         self.asks(now, |foca, acts| foca.handle_data(datagram, acts))
     }
 
     /// This node has seen something of an executor; others are told, unless they have heard what is newer.
-    pub fn tells(&mut self, now: Moment, word: Word) {
+    pub fn tells(&mut self, now: Instant, word: Word) {
         if let Ok(data) = postcard::to_allocvec(&word) {
             self.hurries(now);
             // What is known already is told no further.
@@ -324,13 +323,13 @@
         }
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let timer = self.kept.timers.first_key_value().map(|((when, _), _)| *when);
         let round = self.asks_round.map(|(at, ..)| at);
         timer.into_iter().chain(self.knocks_at).chain(round).chain(self.hurries_at).min()
     }
 
-    pub fn due(&mut self, now: Moment) {
+    pub fn due(&mut self, now: Instant) {
         while self.kept.timers.first_key_value().is_some_and(|((when, _), _)| *when <= now) {
             let Some((_, timer)) = self.kept.timers.pop_first() else { break };
             self.asks(now, |foca, acts| foca.handle_timer(timer, acts));
@@ -348,7 +347,7 @@
     }
 
     /// Tells some that this node goes, so that nobody has to suspect it.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Instant) {
         self.asks(now, |foca, acts| foca.leave_cluster(acts));
         (self.contacts, self.knocks_at, self.asks_round) = (Vec::new(), None, None);
     }
--- a/crates/membership/tests/stories.rs
+++ b/crates/membership/tests/stories.rs
@@ -1,6 +1,6 @@
 //! Short stories of who is there: many nodes on one tiny network that loses, doubles and cuts, with a clock of its own.
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_membership::{Fellow, Host, MOST_BYTES, Membership, Word};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -10,10 +10,10 @@
 #[derive(Default)]
 struct Net {
     /// What is on its way, by when it comes.
-    way: BTreeMap<(Moment, u64), (usize, usize, Vec<u8>)>,
+    way: BTreeMap<(Instant, u64), (usize, usize, Vec<u8>)>,
     sent: Vec<u64>,
     next: u64,
-    now: Moment,
+    now: Instant,
     cut: Vec<usize>,
 }
 
@@ -42,10 +42,13 @@
         let cut = net.cut.contains(&self.own) != net.cut.contains(&to);
         // One in twenty is lost, one in twenty comes twice.
         if !cut && number % 20 != 0 {
-            net.way.insert((now + Span::millis(1 + number % 7), number), (self.own, to, datagram.to_vec()));
+            net.way.insert(
+                (now + Duration::from_millis(1 + number % 7), number),
+                (self.own, to, datagram.to_vec()),
+            );
         }
         if !cut && number % 20 == 1 {
-            let again = (now + Span::millis(40), number + (1 << 40));
+            let again = (now + Duration::from_millis(40), number + (1 << 40));
             net.way.insert(again, (self.own, to, datagram.to_vec()));
         }
     }
@@ -64,7 +67,7 @@
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
-        let net = Net { sent: vec![0; count], now: Moment(1_000_000_000_000), ..Net::default() };
+        let net = Net { sent: vec![0; count], now: Instant(1_000_000_000_000), ..Net::default() };
         let mut fleet = Fleet { net: Rc::new(RefCell::new(net)), nodes: Vec::new(), words: Vec::new() };
         for at in 0..count {
             fleet.words.push(Rc::default());
@@ -84,7 +87,7 @@
     }
 
     fn pass(&mut self, secs: f64) {
-        let until = self.net.borrow().now + Span::secs(secs);
+        let until = self.net.borrow().now + Duration::from_seconds(secs);
         loop {
             let comes = self.net.borrow().way.first_key_value().map(|((when, _), _)| *when);
             let dues = self.nodes.iter().flatten().filter_map(Membership::next_due).min();
--- a/crates/node-config/src/fleet.rs
+++ b/crates/node-config/src/fleet.rs
@@ -2,7 +2,7 @@
 //! each node is alone.
 
 use crate::fronts::{of_file, parsed, within};
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::Duration;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
 }
 
 impl Maintenance {
-    pub fn permission(&self) -> Span {
-        Span::millis(self.permission_ms)
+    pub fn permission(&self) -> Duration {
+        Duration::from_millis(self.permission_ms)
     }
 }
 
@@ -105,8 +105,8 @@
 }
 
 impl Budgets {
-    pub fn lease(&self) -> Span {
-        Span::millis(self.lease_ms)
+    pub fn lease(&self) -> Duration {
+        Duration::from_millis(self.lease_ms)
     }
 }
 
--- a/crates/node-config/src/fronts.rs
+++ b/crates/node-config/src/fronts.rs
@@ -1,7 +1,7 @@
 //! Further fronts of a node, in a file of the operators' own: TOML, read and checked whole. Without the file there are
 //! none.
 
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::{Duration, DurationExt};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -35,8 +35,8 @@
 
 impl Checks {
     /// The least time between two that are answered.
-    pub fn apart(&self) -> Span {
-        Span::secs(1.0 / self.per_s as f64)
+    pub fn apart(&self) -> Duration {
+        Duration::from_seconds(1.0 / self.per_s as f64)
     }
 
     /// How many addresses there are.
@@ -67,8 +67,8 @@
 }
 
 impl Ledger {
-    pub fn keep_answers(&self) -> Span {
-        Span::millis(self.keep_answers_s * 1000)
+    pub fn keep_answers(&self) -> Duration {
+        Duration::from_millis(self.keep_answers_s * 1000)
     }
 
     pub fn most_jobs(&self) -> usize {
@@ -115,16 +115,16 @@
         self.most_connections as usize
     }
 
-    pub fn fetched_within(&self) -> Span {
-        Span::millis(self.fetched_within_ms)
+    pub fn fetched_within(&self) -> Duration {
+        Duration::from_millis(self.fetched_within_ms)
     }
 
-    pub fn silent_after(&self) -> Span {
-        Span::millis(self.silent_after_s * 1000)
+    pub fn silent_after(&self) -> Duration {
+        Duration::from_millis(self.silent_after_s * 1000)
     }
 
-    pub fn reserve_for(&self) -> Span {
-        Span::millis(self.reserve_for_s * 1000)
+    pub fn reserve_for(&self) -> Duration {
+        Duration::from_millis(self.reserve_for_s * 1000)
     }
 }
 
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -10,7 +10,7 @@
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::host::Host;
 use grebeusher_dispatch::tariffs::{Allowance, ColdStart, Effect, Further, Group, Report, Tariff};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use section::Section;
 use serde_json::Value;
 
@@ -41,15 +41,15 @@
     pub peers: bool,
     pub probes: bool,
     /// When executors close idle connections at the latest, and when one has come up or never will.
-    pub idle: Span,
-    pub dial_within: Span,
+    pub idle: Duration,
+    pub dial_within: Duration,
     pub report_fields: Vec<String>,
     pub places: ReportPlaces,
     tariffs: Vec<Tariff>,
     allowance: Allowance,
     cold: ColdStart,
     starts: bool,
-    progress: Option<Span>,
+    progress: Option<Duration>,
     quotas: Vec<f64>,
     node: u64,
     nodes: u64,
@@ -58,8 +58,8 @@
 
 /// Used where a file does not say: the users' servers close idle connections after 15 s at the earliest, and a
 /// connection that takes longer than the other never comes up.
-const IDLE: Span = Span::millis(15_000);
-const DIAL_WITHIN: Span = Span::millis(250);
+const IDLE: Duration = Duration::from_millis(15_000);
+const DIAL_WITHIN: Duration = Duration::from_millis(250);
 
 impl Charter {
     /// Reads and checks a charter; the error names the key and what was expected.
@@ -93,7 +93,7 @@
             // The design probes where reports come in no other way.
             probes: caps.flag("may_probe")? && reports == Reports::InProbes,
             idle: caps.span("conn_idle_ns")?.unwrap_or(IDLE),
-            dial_within: caps.span("dial_timeout_ns")?.filter(|span| span.0 > 0).unwrap_or(DIAL_WITHIN),
+            dial_within: caps.span("dial_timeout_ns")?.filter(|span| span.nanos() > 0).unwrap_or(DIAL_WITHIN),
             places: ReportPlaces::of(&report_fields, tells_free_slots),
             report_fields,
             tariffs: read_tariffs(&whole, &family, &tariffs, kinds.len())?,
@@ -109,7 +109,7 @@
             },
             cold: cold_start(&whole.part("contract")?)?,
             starts: family.flag("tells_start")?,
-            progress: family.span("progress_ns")?.filter(|pace| pace.0 > 0),
+            progress: family.span("progress_ns")?.filter(|pace| pace.nanos() > 0),
             quotas: quotas(&tenants)?,
             node: whole.count("me", 0..=nodes - 1)?.unwrap_or(0),
             nodes,
@@ -120,12 +120,12 @@
     }
 
     /// The longest that any client waits.
-    pub fn longest_patience(&self) -> Span {
+    pub fn longest_patience(&self) -> Duration {
         self.tariffs.iter().map(|tariff| tariff.patience).max().unwrap_or_default()
     }
 
     /// How long the clients of a tariff wait.
-    pub fn patience(&self, tariff: usize) -> Span {
+    pub fn patience(&self, tariff: usize) -> Duration {
         self.tariffs[tariff].patience
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// How often executors tell of what runs, if they do.
-    pub fn progress(&self) -> Option<Span> {
+    pub fn progress(&self) -> Option<Duration> {
         self.progress
     }
 
@@ -268,11 +268,11 @@
 fn cold_start(contract: &Section) -> Result<ColdStart, String> {
     Ok(ColdStart {
         share: contract.due_number("cold_share", 0.0..=1.0)?,
-        warm_within: Span(contract.due_number("warm_within_ns", 0.0..=1e18)? as u64),
+        warm_within: Duration::from_nanos(contract.due_number("warm_within_ns", 0.0..=1e18)? as u64),
         fall_factor: contract.due_number("overload_factor", 0.0..=1e6)?,
         fall_window: contract.due_span("fall_ns")?,
         starts_off: contract.span("ready_margin_ns")?.unwrap_or_default(),
-        from: Moment(0),
+        from: Instant(0),
     })
 }
 
--- a/crates/node-config/src/section.rs
+++ b/crates/node-config/src/section.rs
@@ -1,7 +1,7 @@
 //! Reads single settings, and says in plain words what is wrong with one: its key, what was expected, what stands
 //! there. What is absent or null is left to the reader's default; keys that nobody asks for are skipped.
 
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::{Duration, DurationExt};
 use serde_json::Value;
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -80,14 +80,14 @@
     }
 
     /// A span, which is counted in nanoseconds.
-    pub fn span(&self, key: &str) -> Result<Option<Span>, String> {
+    pub fn span(&self, key: &str) -> Result<Option<Duration>, String> {
         let ns = |value: &Value| value.as_f64().filter(|ns| (0.0..=LONGEST_NS).contains(ns));
-        Ok(self.read(key, "nanoseconds, a number from 0 on", ns)?.map(|ns| Span(ns as u64)))
+        Ok(self.read(key, "nanoseconds, a number from 0 on", ns)?.map(|ns| Duration::from_nanos(ns as u64)))
     }
 
     /// A span that must be there, and be something.
-    pub fn due_span(&self, key: &str) -> Result<Span, String> {
-        let span = self.span(key)?.filter(|span| span.0 > 0);
+    pub fn due_span(&self, key: &str) -> Result<Duration, String> {
+        let span = self.span(key)?.filter(|span| span.nanos() > 0);
         span.ok_or_else(|| self.wrong(key, "nanoseconds, a number above 0"))
     }
 
--- a/crates/node-config/tests/stories.rs
+++ b/crates/node-config/tests/stories.rs
@@ -1,5 +1,6 @@
 //! What the charter takes, and in which words it refuses the rest.
 
+use grebeusher_dispatch::time::DurationExt;
 use grebeusher_node_config::fleet::Fleet;
 use grebeusher_node_config::posting::Posting;
 use grebeusher_node_config::{Charter, ListComes};
@@ -33,7 +34,10 @@
         let charter = Charter::read(&charter).expect("it is whole");
         assert_eq!(charter.list_comes, ListComes::ToWhoAsks);
         assert!(!charter.peers && !charter.probes && !charter.recalls());
-        assert!(charter.idle.0 > 0 && charter.dial_within.0 > 0, "nothing falls silently to zero");
+        assert!(
+            charter.idle.nanos() > 0 && charter.dial_within.nanos() > 0,
+            "nothing falls silently to zero"
+        );
     }
 }
 
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -17,7 +17,7 @@
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId, fixed_hash};
 use grebeusher_dispatch::learnt::{KindLearnt, Learnt};
 use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report, Standing};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_faktory::reservations;
 use grebeusher_job_log::book::{Due, Job};
 use grebeusher_maintenance::{Plan, Seen, View, ZoneSeen};
@@ -31,7 +31,7 @@
 
 /// How long after giving up a job that did not get through it is tried again, while the unit waits for it: a
 /// little over the time in which connections come up, so that a restarted executor is met soon.
-const GIVE_UP_AGAIN: Span = Span::millis(300);
+const GIVE_UP_AGAIN: Duration = Duration::from_millis(300);
 
 /// What both sides know.
 #[derive(Default)]
@@ -71,7 +71,7 @@
 
 impl Hands {
     /// The final answer, once.
-    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Span>, body: &[u8]) {
+    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Duration>, body: &[u8]) {
         let lasting = self.lasting(unit);
         let first = {
             let mut desk = self.desk.borrow_mut();
@@ -122,7 +122,7 @@
 }
 
 impl Host for Hands {
-    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Span) {
+    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Duration) {
         let mut desk = self.desk.borrow_mut();
         let address = desk.executors.address(executor);
         let Some((id, errand)) = desk.units.allocated(unit, executor) else { return };
@@ -182,7 +182,7 @@
         self.give_up(allocation);
     }
 
-    fn turn_back(&mut self, unit: UnitId, come_back: Option<Span>) {
+    fn turn_back(&mut self, unit: UnitId, come_back: Option<Duration>) {
         self.answer(unit, 503, come_back, b"");
     }
 
@@ -190,7 +190,7 @@
         self.answer(unit, 500, None, b"");
     }
 
-    fn wake(&mut self, after: Span, alarm: u64) {
+    fn wake(&mut self, after: Duration, alarm: u64) {
         self.desk.borrow_mut().alarms.set(self.clock.now() + after, alarm);
     }
 
@@ -225,8 +225,8 @@
     name: String,
     standing: Standing,
     /// By the list, or by a newer word of a fellow.
-    started: Option<Moment>,
-    listed_start: Option<Moment>,
+    started: Option<Instant>,
+    listed_start: Option<Instant>,
     kind: usize,
     zone: usize,
     cell: usize,
@@ -283,13 +283,13 @@
     known: BTreeMap<u64, Listed>,
     /// Executors whose process is gone, by own evidence or a fellow's word, and when they were last kept cold.
     gone: BTreeSet<ExecutorId>,
-    kept_cold: Moment,
+    kept_cold: Instant,
     /// Units for which there is no part of a budget yet, and until when they wait for one.
-    awaiting: VecDeque<(Moment, UnitId, Errand, Arrival)>,
+    awaiting: VecDeque<(Instant, UnitId, Errand, Arrival)>,
     /// What the fleet has closed.
     closed: Closed,
     /// Where this node stopped waiting for something that may still run, and when; only where machines are closed.
-    unsure: Option<BTreeMap<(ExecutorId, Rc<str>), Moment>>,
+    unsure: Option<BTreeMap<(ExecutorId, Rc<str>), Instant>>,
     own_zone: usize,
     /// The place of who is no customer.
     stranger: usize,
@@ -327,7 +327,7 @@
             dispatcher: charter.dispatcher(hands.clone(), seed, true, fellows.is_some()),
             known: BTreeMap::new(),
             gone: BTreeSet::new(),
-            kept_cold: Moment(0),
+            kept_cold: Instant(0),
             awaiting: VecDeque::new(),
             closed: Closed::These(BTreeSet::new()),
             unsure: None,
@@ -378,8 +378,8 @@
 
     /// What is out at each executor, by the hash of its name; what this node has stopped waiting for less than `longest` ago
     /// may still run and counts.
-    pub fn in_hand(&mut self, longest: Span) -> BTreeMap<u64, u16> {
-        const KEPT: Span = Span::millis(600_000); // few wait longer for what nobody waits for any more
+    pub fn in_hand(&mut self, longest: Duration) -> BTreeMap<u64, u16> {
+        const KEPT: Duration = Duration::from_millis(600_000); // few wait longer for what nobody waits for any more
         let now = self.hands.clock.now();
         // Kept from the first time that anybody asks. Guards against a list that grows where nobody ever does.
         let unsure = self.unsure.get_or_insert_default();
@@ -464,10 +464,10 @@
         self.hands.desk.borrow().executors.find(executor).is_some()
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let desk = self.hands.desk.borrow();
         if !desk.unsent.is_empty() || !desk.left.is_empty() {
-            return Some(Moment(0));
+            return Some(Instant(0));
         }
         let settles = self.hands.ledger.as_ref().and_then(|ledger| ledger.next_due());
         let waits = self.awaiting.front().map(|(until, ..)| *until);
@@ -552,7 +552,7 @@
             target: errand.target.clone(),
             headers: errand.headers.clone(),
             body: errand.body.clone(),
-            hint_us: arrival.hint.map(|hint| hint.0 / 1000),
+            hint_us: arrival.hint.map(|hint| hint.nanos() / 1000),
             taken_ms: ms(self.hands.clock.now()),
             ends_ms: ms(arrival.patience_ends),
         };
@@ -603,7 +603,7 @@
             customer: self.stranger,
             patience_ends: moment(job.ends_ms),
             repeat: false,
-            hint: job.hint_us.map(|us| Span(us.saturating_mul(1000))),
+            hint: job.hint_us.map(|us| Duration::from_nanos(us.saturating_mul(1000))),
             slots: 1.0,
             beyond: false,
         };
@@ -878,8 +878,8 @@
             let address = desk.executors.address(executor);
             self.hands.executors.forget(executor, address.filter(|_| standing != Standing::Gone));
             // A start that lies ahead would keep it cold for as long.
-            let started = Moment((entry.started_at_ms.unwrap_or(0.0) * 1e6) as u64).min(now);
-            let age = now.since(started).as_secs();
+            let started = Instant((entry.started_at_ms.unwrap_or(0.0) * 1e6) as u64).min(now);
+            let age = now.since(started).seconds();
             let (executor_name, at) = (entry.instance_id.as_str(), entry.host_port.as_str());
             info!(
                 executor = executor_name,
@@ -950,7 +950,7 @@
         }
     }
 
-    fn has_seen(&mut self, now: Moment, executor: ExecutorId, gone: bool) {
+    fn has_seen(&mut self, now: Instant, executor: ExecutorId, gone: bool) {
         let Some(fellows) = self.hands.fellows.clone() else { return };
         let hash = fixed_hash(self.hands.desk.borrow().executors.name(executor));
         fellows.has_seen(hash, now, gone);
@@ -959,7 +959,7 @@
 
     /// An executor was gone then, or had started by then, which the list has not said here: from now on it counts as cold.
     /// At worst that is too careful.
-    pub fn heard_of(&mut self, executor: u64, at: Moment, gone: bool) {
+    pub fn heard_of(&mut self, executor: u64, at: Instant, gone: bool) {
         let now = self.hands.clock.now();
         let at = at.min(now);
         let Some(known) = self.known.get_mut(&executor) else { return };
@@ -974,14 +974,14 @@
         };
         self.counters.words_heard.up();
         let (name, how) = (known.name.as_str(), if gone { "gone" } else { "back" });
-        let age_s = now.since(at).as_secs();
+        let age_s = now.since(at).seconds();
         debug!(executor = name, gone, age_s, "{name} was {how} {age_s:.1} s ago");
         let listing = self.closed.listing(executor, known);
         self.dispatcher.listed(now, false, &[listing]);
     }
 
     /// Starts that the list has not told, no longer ago than this, and what is gone.
-    pub fn seen_lately(&self, within: Span) -> impl Iterator<Item = (u64, Moment, bool)> {
+    pub fn seen_lately(&self, within: Duration) -> impl Iterator<Item = (u64, Instant, bool)> {
         let now = self.hands.clock.now();
         let seen = self.known.iter().filter(|(_, known)| known.standing != Standing::Gone);
         seen.filter_map(move |(hash, known)| {
@@ -1021,7 +1021,7 @@
 
     /// As long as one is gone it has not begun to warm up.
     fn keeps_cold(&mut self) {
-        const EVERY: Span = Span::millis(250); // as the decisions look around
+        const EVERY: Duration = Duration::from_millis(250); // as the decisions look around
         let now = self.hands.clock.now();
         if self.gone.is_empty() || now < self.kept_cold + EVERY {
             return;
@@ -1054,7 +1054,7 @@
     }
 
     /// All that discovery had then is known here.
-    pub fn list_proved(&mut self, as_of: Moment, heard: bool) {
+    pub fn list_proved(&mut self, as_of: Instant, heard: bool) {
         self.dispatcher.list_proved(as_of, heard);
     }
 
--- a/crates/node/src/life/node.rs
+++ b/crates/node/src/life/node.rs
@@ -19,7 +19,7 @@
 use crate::wire::faktory::Faktory;
 use crate::wire::fellows::{self, Fellows};
 use crate::wire::sibling::{self, Siblings};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_health_reporting::{Fitness, Seen, Stands, Verdict};
 use grebeusher_maintenance::Command;
 use grebeusher_node_config::fleet::Fleet;
@@ -37,7 +37,6 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
-use std::time::Duration;
 use tracing::{error, info, warn};
 
 /// Names the console's address, where the file does not.
@@ -82,21 +81,21 @@
 /// After word to stop or to drain, connections go on coming until the fronts have noticed, and clients go on using
 /// those that they have for a little longer: this long all are served as before, as other nodes may be away too.
 /// Then idle ones are closed.
-const NOTICED_WITHIN: Span = Span::millis(750);
+const NOTICED_WITHIN: Duration = Duration::from_millis(750);
 /// What comes later than this after word to stop must have its answer before the end: the rules excuse what came
 /// before, with some time to spare.
-const EXCUSED_FOR: Span = Span::millis(500);
+const EXCUSED_FOR: Duration = Duration::from_millis(500);
 /// From word to stop to the end: the longest patience, up to the first, and the second; less a margin.
-const LONGEST_STOP: Span = Span::millis(3000);
-const MORE_STOP: Span = Span::millis(700);
-const STOP_MARGIN: Span = Span::millis(200);
+const LONGEST_STOP: Duration = Duration::from_millis(3000);
+const MORE_STOP: Duration = Duration::from_millis(700);
+const STOP_MARGIN: Duration = Duration::from_millis(200);
 /// A connection that came late may still bring its request: idle ones are given this long.
-const IDLE_FOR: Span = Span::millis(200);
+const IDLE_FOR: Duration = Duration::from_millis(200);
 /// A node that starts beside an older process of its own is ready once discovery has said a word: what it was told to
 /// know may be old. Without any it goes by that after this long, well within the time that operators wait for a yes.
-const NEWS_WITHIN: Span = Span::millis(4000);
+const NEWS_WITHIN: Duration = Duration::from_millis(4000);
 /// How often the connections are looked at that are wound down.
-const LOOK_EVERY: Span = Span::millis(50);
+const LOOK_EVERY: Duration = Duration::from_millis(50);
 
 /// The phases of a node's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -106,15 +105,15 @@
     Serving,
     /// Its clients are sent away until further word: not ready, and what still comes is served.
     Drained {
-        since: Moment,
+        since: Instant,
     },
     /// Told to stop: not ready, and all is served that still comes.
     Leaving {
-        since: Moment,
+        since: Instant,
     },
     /// Connections are wound down; call-backs are still listened for, until all is answered.
     Closing {
-        since: Moment,
+        since: Instant,
     },
     Gone,
 }
@@ -137,7 +136,7 @@
     phase: Phase,
     name: String,
     clock: Clock,
-    started: Moment,
+    started: Instant,
     counters: Rc<Counters>,
     poller: Rc<Poller>,
     signals: Signals,
@@ -161,7 +160,7 @@
     spares: Rc<Spares>,
     exchange: Exchange,
     /// From word to stop to the last answers.
-    answers_within: Span,
+    answers_within: Duration,
     /// Its clients are sent away as a plan has it that its own machine goes out for work.
     goes_by_plan: bool,
 }
@@ -326,7 +325,7 @@
         while self.phase != Phase::Gone {
             events.clear();
             let slept = self.clock.now();
-            let wait = self.next_due().map(|at| Duration::from_nanos(at.since(self.clock.now()).0));
+            let wait = self.next_due().map(|at| Duration::from_nanos(at.since(self.clock.now()).nanos()));
             match self.poller.wait(&mut events, wait) {
                 Err(e) if e.kind() != io::ErrorKind::Interrupted => return Err(e),
                 _ => {}
@@ -368,7 +367,7 @@
         Ok(())
     }
 
-    fn next_due(&self) -> Option<Moment> {
+    fn next_due(&self) -> Option<Instant> {
         let look = self.clock.now() + LOOK_EVERY;
         let leaving = match self.phase {
             Phase::Leaving { since } => Some(since + NOTICED_WITHIN),
@@ -392,7 +391,7 @@
     }
 
     /// `slept`: since when nothing of what is there now was.
-    fn stirred(&mut self, key: usize, slept: Moment) -> io::Result<()> {
+    fn stirred(&mut self, key: usize, slept: Instant) -> io::Result<()> {
         match (key, connection(key)) {
             (LISTENER, _) => self.clients.accept(),
             (SIGNALS, _) => self.told()?,
@@ -733,7 +732,7 @@
 /// When an idle connection is retired. Executors close it after `idle` at the latest, and a request on its way
 /// then is lost: half a second covers the way and a busy moment, a quarter of it where that is less. Earlier
 /// would cost hand-shakes that nobody needs.
-fn retire_after(idle: Span) -> Span {
-    const MARGIN: Span = Span::millis(500);
-    Span(idle.0 - MARGIN.0.min(idle.0 / 4))
+fn retire_after(idle: Duration) -> Duration {
+    const MARGIN: Duration = Duration::from_millis(500);
+    Duration::from_nanos(idle.nanos() - MARGIN.nanos().min(idle.nanos() / 4))
 }
--- a/crates/node/src/memory/clock.rs
+++ b/crates/node/src/memory/clock.rs
@@ -1,8 +1,8 @@
 //! One clock for the node: monotonic, counted from the Unix time at which the process started, so that the
 //! times the list tells are on it as they are.
 
-use grebeusher_dispatch::time::{Moment, Span};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use std::time::{SystemTime, UNIX_EPOCH};
 
 /// A clock that is off, for trials: by so many milliseconds ahead (behind where negative) and running at so many times the
 /// machine's pace, as in `5000 1.02`.
@@ -10,8 +10,8 @@
 
 #[derive(Clone, Copy)]
 pub struct Clock {
-    started: Instant,
-    at_start: Moment,
+    started: std::time::Instant,
+    at_start: Instant,
     pace: f64,
 }
 
@@ -22,11 +22,11 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let by = Duration::from_millis(ahead_ms.unsigned_abs());
         let unix = if ahead_ms < 0 { unix.saturating_sub(by) } else { unix + by };
-        Ok(Clock { started: Instant::now(), at_start: Moment(nanos(unix)), pace })
+        Ok(Clock { started: std::time::Instant::now(), at_start: Instant(nanos(unix)), pace })
     }
 
-    pub fn now(&self) -> Moment {
-        self.at_start + Span(nanos(self.started.elapsed())).scaled(self.pace)
+    pub fn now(&self) -> Instant {
+        self.at_start + Duration::from_nanos(nanos(self.started.elapsed())).scaled(self.pace)
     }
 }
 
--- a/crates/node/src/memory/ledger.rs
+++ b/crates/node/src/memory/ledger.rs
@@ -2,7 +2,7 @@
 //! still be running.
 
 use crate::memory::clock::Clock;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_job_log::book::{Answer, Due, Job, Record};
 use grebeusher_job_log::log::Log;
 use grebeusher_node_config::fronts::Ledger as Posted;
@@ -13,7 +13,7 @@
 use tracing::{error, info};
 
 /// How often answers that were kept for long enough are looked for.
-const TIDY_EVERY: Span = Span::millis(10_000);
+const TIDY_EVERY: Duration = Duration::from_millis(10_000);
 
 /// A job of an earlier life that may be running: when nobody waits any more, and until when its executor must say
 /// something if it is not to be placed anew.
@@ -21,14 +21,14 @@
     job: Job,
     /// Which sending of it was open.
     number: u32,
-    until: Moment,
+    until: Instant,
 }
 
 struct Inside {
     log: Log,
     settling: HashMap<String, Settling>,
     dues: Alarms<String>,
-    tidy_at: Moment,
+    tidy_at: Instant,
 }
 
 pub struct Ledger {
@@ -36,7 +36,7 @@
     keep_ms: u64,
     most: usize,
     /// An executor that has said nothing of a retriable job for so long has lost it.
-    silent: Span,
+    silent: Duration,
     inside: RefCell<Inside>,
 }
 
@@ -48,27 +48,27 @@
 }
 
 /// The clock counts from the Unix time.
-pub fn ms(at: Moment) -> u64 {
+pub fn ms(at: Instant) -> u64 {
     at.0 / 1_000_000
 }
 
-pub fn moment(ms: u64) -> Moment {
-    Moment(0) + Span::millis(ms)
+pub fn moment(ms: u64) -> Instant {
+    Instant(0) + Duration::from_millis(ms)
 }
 
 impl Ledger {
     /// `pace`: how often executors tell of what runs.
-    pub fn open(posted: &Posted, pace: Option<Span>, clock: Clock) -> io::Result<Ledger> {
+    pub fn open(posted: &Posted, pace: Option<Duration>, clock: Clock) -> io::Result<Ledger> {
         // As the decisions have it: so many paces without a word are no chance. Where nothing is told, a moment.
         const SILENT_PACES: f64 = 2.5;
-        const UNTOLD: Span = Span::millis(2000);
+        const UNTOLD: Duration = Duration::from_millis(2000);
         let log = Log::open(&posted.folder)?;
         if log.torn > 0 {
             info!("a crash had torn the end of the log: {} bytes were cut off", log.torn);
         }
         Ok(Ledger {
             clock,
-            keep_ms: posted.keep_answers().0 / 1_000_000,
+            keep_ms: posted.keep_answers().nanos() / 1_000_000,
             most: posted.most_jobs(),
             silent: pace.map_or(UNTOLD, |pace| pace.scaled(SILENT_PACES)),
             inside: RefCell::new(Inside {
@@ -165,7 +165,7 @@
         Some(settling.job)
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let inside = self.inside.borrow();
         inside.dues.next_at().into_iter().chain([inside.tidy_at]).min()
     }
--- a/crates/node/src/memory/parts.rs
+++ b/crates/node/src/memory/parts.rs
@@ -1,7 +1,7 @@
 //! This node's parts of the fleet's budgets.
 
 use grebeusher_budgets::{Ask, Grant, Holder, Key, Purse, Whole, Wholes};
-use grebeusher_dispatch::time::Moment;
+use grebeusher_dispatch::time::Instant;
 use grebeusher_node_config::fleet::{Budget, Budgets};
 
 /// What is spent of a budget.
@@ -57,7 +57,7 @@
 impl Parts {
     /// `holder`: this node and its start.
     pub fn new(
-        now: Moment,
+        now: Instant,
         posted: &Budgets,
         (tariffs, customers): (&[String], &[String]),
         holder: Holder,
@@ -75,7 +75,7 @@
     }
 
     /// The parts by a file; those that there are already stay as they are.
-    fn read(&self, now: Moment, posted: &Budgets, mut before: Vec<Part>) -> Result<Vec<Part>, String> {
+    fn read(&self, now: Instant, posted: &Budgets, mut before: Vec<Part>) -> Result<Vec<Part>, String> {
         let place = |key: &str, at: usize, all: &[String], name: &Option<String>| {
             let Some(name) = name else { return Ok(None) };
             let place = all.iter().position(|known| known == name);
@@ -102,7 +102,7 @@
     }
 
     /// The file was read anew; an error leaves all as it was.
-    pub fn reads(&mut self, now: Moment, posted: &Budgets) -> Result<(), String> {
+    pub fn reads(&mut self, now: Instant, posted: &Budgets) -> Result<(), String> {
         if posted.edition <= self.posted.edition {
             let same = posted.edition == self.posted.edition
                 && (&posted.of, posted.lease()) == (&self.posted.of, self.posted.lease());
@@ -123,7 +123,7 @@
     }
 
     /// Spends a unit of each budget that counts this, or of none if one of them has none.
-    pub fn may_spend(&mut self, now: Moment, spends: Spends, of: Of) -> bool {
+    pub fn may_spend(&mut self, now: Instant, spends: Spends, of: Of) -> bool {
         let may = self.counting(spends, of).all(|purse| purse.has_one(now));
         // Those that have one keep it: only those that lack one are asked for more.
         for purse in self.counting(spends, of) {
@@ -135,7 +135,7 @@
     }
 
     /// The same for one that has waited for a grant.
-    pub fn may_spend_after_all(&mut self, now: Moment, spends: Spends, of: Of) -> bool {
+    pub fn may_spend_after_all(&mut self, now: Instant, spends: Spends, of: Of) -> bool {
         let may = self.counting(spends, of).all(|purse| purse.has_one(now));
         if may {
             self.counting(spends, of).for_each(|purse| _ = purse.take_after_all(now));
@@ -143,17 +143,17 @@
         may
     }
 
-    pub fn next_due(&self, now: Moment) -> Option<Moment> {
+    pub fn next_due(&self, now: Instant) -> Option<Instant> {
         self.parts.iter().filter_map(|part| part.purse.next_due(now)).min()
     }
 
     /// Whether this node has something that was granted to it.
-    pub fn holds_any(&self, now: Moment) -> bool {
+    pub fn holds_any(&self, now: Instant) -> bool {
         self.parts.iter().any(|part| part.purse.holds(now) > 0)
     }
 
     /// What is to be asked of the keepers now.
-    pub fn asks(&mut self, now: Moment) -> Vec<Ask> {
+    pub fn asks(&mut self, now: Instant) -> Vec<Ask> {
         self.parts.iter_mut().filter_map(|part| part.purse.ask(now)).collect()
     }
 
@@ -175,7 +175,7 @@
     }
 
     /// Of each budget its name, units that may be spent now, and units that were in its last window.
-    pub fn figures(&mut self, now: Moment) -> Vec<(String, u32, usize)> {
+    pub fn figures(&mut self, now: Instant) -> Vec<(String, u32, usize)> {
         let figures = |part: &mut Part| (part.name.clone(), part.purse.part(now), part.purse.spent(now));
         self.parts.iter_mut().map(figures).collect()
     }
@@ -195,11 +195,11 @@
         fleet.expect("it is whole").budgets.expect("it has some")
     }
 
-    fn parts() -> (Parts, Moment) {
+    fn parts() -> (Parts, Instant) {
         let (tariffs, customers) = (["a".to_owned(), "b".to_owned()], ["x".to_owned(), "c".to_owned()]);
         let holder = Holder { number: 0, generation: 1 };
-        let parts = Parts::new(Moment(0), &posted("", ""), (&tariffs, &customers), holder);
-        (parts.expect("all is known"), Moment(2_000_000_000))
+        let parts = Parts::new(Instant(0), &posted("", ""), (&tariffs, &customers), holder);
+        (parts.expect("all is known"), Instant(2_000_000_000))
     }
 
     /// Guards against a unit that drains one budget each time that it asks, while another has nothing for it.
--- a/crates/node/src/memory/settlement.rs
+++ b/crates/node/src/memory/settlement.rs
@@ -2,7 +2,7 @@
 
 use grebeusher_budgets::{Ask, Division, Entry, Grant, Wholes};
 use grebeusher_dispatch::ids::fixed_hash;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_maintenance::{self as maintenance, Moved, Permit, Works};
 use grebeusher_volatile_raft::Machine;
 use serde::{Deserialize, Serialize};
@@ -45,7 +45,7 @@
 
 impl Settlement {
     /// As it begins: what one that was lost has let others do may still go on.
-    pub fn empty(wholes: Wholes, lease: Span, works: Works) -> Settlement {
+    pub fn empty(wholes: Wholes, lease: Duration, works: Works) -> Settlement {
         let mut division = Division::new(lease, true);
         division.apply(&Entry { wholes: Some(wholes), ..Entry::default() });
         Settlement { division, works, rest_us: 0 }
@@ -56,8 +56,8 @@
     type Step = Step;
     type Outcome = Outcome;
 
-    fn settles(&mut self, passed: Span, steps: Vec<Step>) -> Vec<Outcome> {
-        let us = self.rest_us + passed.0 / 1000;
+    fn settles(&mut self, passed: Duration, steps: Vec<Step>) -> Vec<Outcome> {
+        let us = self.rest_us + passed.nanos() / 1000;
         self.rest_us = us % 1000;
         let passed_ms = us / 1000;
         let (mut asks, mut works, mut wholes) = (Vec::new(), Vec::new(), None);
@@ -82,7 +82,7 @@
         self.works.waits() || self.division.waits()
     }
 
-    fn founded(&mut self, at: Moment) {
+    fn founded(&mut self, at: Instant) {
         self.division.numbers_beyond(at.0 / 1000);
     }
 }
--- a/crates/node/src/memory/spares.rs
+++ b/crates/node/src/memory/spares.rs
@@ -2,7 +2,7 @@
 
 use crate::memory::clock::Clock;
 use crate::sides::Room;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use std::cell::RefCell;
 use std::fs::File;
 
@@ -10,12 +10,12 @@
 /// and call-backs come on the second when the unit has been taken.
 const HELD: usize = 2;
 /// They are taken back so long after one was given: a shortage that is over by then has let go of others.
-const AGAIN: Span = Span::millis(1000);
+const AGAIN: Duration = Duration::from_millis(1000);
 
 /// Guards against a node that has no connection to spare as its table fills, and from then on takes in nobody.
 pub struct Spares {
     clock: Clock,
-    held: RefCell<(Vec<File>, Moment)>,
+    held: RefCell<(Vec<File>, Instant)>,
 }
 
 impl Spares {
--- a/crates/node/src/memory/units.rs
+++ b/crates/node/src/memory/units.rs
@@ -2,7 +2,7 @@
 
 use crate::memory::parts::Of;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::Duration;
 use grebeusher_transport::alarms::Alarm;
 use std::cell::Cell;
 use std::collections::{BTreeMap, HashMap};
@@ -41,7 +41,7 @@
 pub struct Pushed {
     pub line: String,
     pub priority: u8,
-    pub reserve_for: Option<Span>,
+    pub reserve_for: Option<Duration>,
 }
 
 struct Out {
--- a/crates/node/src/sides.rs
+++ b/crates/node/src/sides.rs
@@ -4,7 +4,7 @@
 use crate::memory::units::Errand;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
 use grebeusher_dispatch::tariffs::Ending;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_faktory::reservations::Standing;
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 /// Clients, and who calls back.
 pub trait Front {
     /// The final answer to the client of a unit.
-    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Span>, body: &[u8]);
+    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Duration>, body: &[u8]);
     /// Whether the client of a unit is still there, as of this moment.
     fn waits(&self, unit: UnitId) -> bool;
     /// The answer to a call-back that went to another process of this node.
@@ -35,7 +35,7 @@
         executor: ExecutorId,
         address: Option<SocketAddr>,
         errand: &Errand,
-        time_out: Span,
+        time_out: Duration,
     );
     /// Gives up an allocation: before it was taken by closing its connection, later by asking for it.
     fn give_up(
@@ -71,7 +71,7 @@
     /// The final answer to a unit that was pushed as a job; `false` if it was not.
     fn answer(&self, unit: UnitId, status: u16) -> bool;
     /// Hands a job to a worker; `false` if it can't be.
-    fn hand(&self, worker: usize, id: AllocationId, errand: &Errand, time_out: Span) -> bool;
+    fn hand(&self, worker: usize, id: AllocationId, errand: &Errand, time_out: Duration) -> bool;
     fn not_handed(&self, id: AllocationId);
     fn withdraw(&self, id: AllocationId);
     /// The workers that are there.
@@ -83,7 +83,7 @@
     /// Sends a word of the decisions to one node, by its number, or to all; it may get lost.
     fn tell(&self, node: Option<u64>, word: &[u8]);
     /// An executor, by the hash of its name, was gone then, or had started by then.
-    fn has_seen(&self, executor: u64, at: Moment, gone: bool);
+    fn has_seen(&self, executor: u64, at: Instant, gone: bool);
     /// Spends of the fleet's budgets, or says that this node has none now.
     fn may_spend(&self, spends: Spends, of: Of) -> bool;
     /// The same for what has waited for a part.
--- a/crates/node/src/wire/calls.rs
+++ b/crates/node/src/wire/calls.rs
@@ -4,7 +4,7 @@
 use crate::memory::clock::Clock;
 use crate::memory::connection::Connection;
 use crate::wire::LIMITS;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_transport::buffer::Reading;
 use grebeusher_transport::http::{self, Malformed, Request};
 use grebeusher_transport::listen;
@@ -27,7 +27,7 @@
 /// Somebody who called, or may yet.
 struct Visitor {
     connection: Connection,
-    since: Moment,
+    since: Instant,
     /// Has had the answer: the rest is read and dropped until it closes, or the answer would be lost with it.
     answered: bool,
 }
@@ -41,17 +41,17 @@
     key: fn(usize) -> usize,
     visitors: RefCell<Slab<Visitor>>,
     /// The least time between two callers that are taken in, and when the next one may be.
-    apart: Span,
-    next_at: Cell<Moment>,
+    apart: Duration,
+    next_at: Cell<Instant>,
     /// Those who wait outside are left there until then.
-    waits_until: Cell<Option<Moment>>,
+    waits_until: Cell<Option<Instant>>,
 }
 
 impl Calls {
     /// `apart`: those who come sooner after each other wait outside; nothing where nobody floods.
     pub fn listen(
         at: SocketAddr,
-        apart: Span,
+        apart: Duration,
         (listener_key, key): (usize, fn(usize) -> usize),
         (poller, clock): (&Rc<Poller>, Clock),
     ) -> io::Result<Calls> {
@@ -65,7 +65,7 @@
             key,
             visitors: RefCell::default(),
             apart,
-            next_at: Cell::new(Moment(0)),
+            next_at: Cell::new(Instant(0)),
             waits_until: Cell::new(None),
         })
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         self.waits_until.get()
     }
 
--- a/crates/node/src/wire/checks.rs
+++ b/crates/node/src/wire/checks.rs
@@ -2,7 +2,7 @@
 
 use crate::memory::clock::Clock;
 use crate::wire::calls::Calls;
-use grebeusher_dispatch::time::Moment;
+use grebeusher_dispatch::time::Instant;
 use grebeusher_health_reporting::Verdict;
 use grebeusher_node_config::fronts::Checks as Posted;
 use grebeusher_transport::http::{self, Request};
@@ -69,7 +69,7 @@
         }
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         self.agent.iter().chain(&self.health).filter_map(Calls::next_due).min()
     }
 
--- a/crates/node/src/wire/clients.rs
+++ b/crates/node/src/wire/clients.rs
@@ -11,7 +11,7 @@
 use crate::wire::call_backs::{self, CallBack};
 use grebeusher_dispatch::ids::UnitId;
 use grebeusher_dispatch::tariffs::Arrival;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_node_config::Charter;
 use grebeusher_transport::alarms::Alarms;
 use grebeusher_transport::buffer::Reading;
@@ -29,11 +29,11 @@
 /// and an answer taken within as long: honest clients need two seconds on the slowest of lines, and the others are owed
 /// an error or a close within 3 s; this leaves a busy moment to either side. Guards against sockets held by those who
 /// say nothing or never end.
-const WHOLE_WITHIN: Span = Span::millis(2600);
+const WHOLE_WITHIN: Duration = Duration::from_millis(2600);
 /// How long the rest of what was refused is read and dropped: the 60 MB of a bad client within 6 s of connecting.
-const LINGER: Span = Span::millis(4000);
+const LINGER: Duration = Duration::from_millis(4000);
 /// And of what comes behind the last answer on a connection: some round trips, until the client has seen its end.
-const LINGER_BRIEFLY: Span = Span::millis(500);
+const LINGER_BRIEFLY: Duration = Duration::from_millis(500);
 /// So many are taken in before others have their turn: more wait outside for microseconds only.
 const AT_ONCE: usize = 64;
 /// A usual request is far smaller than this: only larger ones are asked whether there is memory for them.
@@ -48,7 +48,7 @@
 /// What the node writes itself at the head of each attempt.
 const OWN_HEADERS: [&str; 4] = ["Host", "X-Call-Id", "X-Call-Class", "X-Budget-Ms"];
 /// How long no connection is taken in after the system had no room for one: some are closed meanwhile.
-const BREATHER: Span = Span::millis(50);
+const BREATHER: Duration = Duration::from_millis(50);
 /// The longest patience that a client may name: a day, far beyond any work; it keeps sums of times in range.
 const LONGEST_PATIENCE_MS: u64 = 86_400_000;
 
@@ -64,9 +64,9 @@
     tariff: usize,
     body: usize,
     /// Since when a request is waited for that is not whole yet: the first one, or one that has begun.
-    waited_since: Option<Moment>,
-    came: Moment,
-    last_used: Moment,
+    waited_since: Option<Instant>,
+    came: Instant,
+    last_used: Instant,
     /// How much of a request that is not whole yet has come, and in how many pieces.
     begun: (usize, u32),
     /// Has brought work, as those do whom the node is for.
@@ -76,7 +76,7 @@
     closes: bool,
     /// Has had its last answer: until then the rest of what it sends is read and dropped before the socket is closed, or
     /// the answer would be lost with it.
-    lingers_until: Option<Moment>,
+    lingers_until: Option<Instant>,
     /// What comes is read and dropped.
     drops: bool,
 }
@@ -96,13 +96,13 @@
     /// How soon it may be closed to make room, if at all: first who was refused, then who says nothing or only asks
     /// how the node is, then who began a request and stopped, then idle clients, then who goes on with one piece
     /// after the other, then idle call-backs, which executors say again elsewhere; those whose answer is due never.
-    fn sheds(&self, now: Moment) -> Option<(u8, Moment)> {
+    fn sheds(&self, now: Instant) -> Option<(u8, Instant)> {
         // A request may be under way to a fresh or idle connection, and would be lost: a round trip and a busy
         // moment for those who have yet to say a word, more for a client that answers go back and forth with.
-        const FRESH: Span = Span::millis(50);
-        const USUAL: Span = Span::millis(250);
+        const FRESH: Duration = Duration::from_millis(50);
+        const USUAL: Duration = Duration::from_millis(250);
         let (order, after) = match self {
-            Caller { lingers_until: Some(_), .. } => (0, Span::millis(0)),
+            Caller { lingers_until: Some(_), .. } => (0, Duration::from_millis(0)),
             _ if self.is_busy() => return None,
             // Guards against a node whose descriptors are all held by executors that have nothing to say, while its
             // clients wait outside.
@@ -147,7 +147,7 @@
     }
 
     /// Writes what can be written, and watches for what comes next; `false` when the connection is over.
-    fn carry_on(&mut self, now: Moment, slow: &mut Alarms<(usize, u64)>, place: usize) -> bool {
+    fn carry_on(&mut self, now: Instant, slow: &mut Alarms<(usize, u64)>, place: usize) -> bool {
         self.bear_no_flood();
         let buffer = &self.connection.buffer;
         // What was read while an answer was due is looked at as soon as that is written.
@@ -195,8 +195,8 @@
     /// Answers ask for the end of their connections.
     winding_down: Cell<bool>,
     /// After word to stop: what comes from the first on must be answered by the second.
-    ends: Cell<Option<(Moment, Moment)>>,
-    paused_until: Cell<Option<Moment>>,
+    ends: Cell<Option<(Instant, Instant)>>,
+    paused_until: Cell<Option<Instant>>,
     wants_room: Cell<bool>,
 }
 
@@ -280,7 +280,7 @@
 
     /// What comes from then on has its answer by the other time. Guards against units that the end of the process
     /// would find without one.
-    pub fn end_by(&self, from: Moment, last: Moment) {
+    pub fn end_by(&self, from: Instant, last: Instant) {
         self.ends.set(Some((from, last)));
     }
 
@@ -291,9 +291,9 @@
 
     /// Closes connections on which nothing was in hand for a while, but for those that call-backs come on, and those
     /// whose request has stopped half way. Guards against a crowd of these that a node waits for before its end.
-    pub fn close_idle(&self, idle_for: Span) {
+    pub fn close_idle(&self, idle_for: Duration) {
         // Pieces of a request on a slow line are a few round trips apart.
-        const STOPPED: Span = Span::millis(500);
+        const STOPPED: Duration = Duration::from_millis(500);
         let now = self.clock.now();
         let goes_on = |caller: &Caller| {
             !caller.is_idle() && (caller.begun.1 == 0 || now.since(caller.last_used) < STOPPED)
@@ -309,7 +309,7 @@
 
     /// Whether all who asked have their answers, and nobody is there who might yet ask. Clients came before `noticed`;
     /// who came later and has nothing in hand calls back, and will again, or is of a crowd that never ends.
-    pub fn owes_nothing(&self, noticed: Moment) -> bool {
+    pub fn owes_nothing(&self, noticed: Instant) -> bool {
         let callers = self.callers.borrow();
         let waits = |caller: &Caller| caller.is_busy() || caller.connection.buffer.waits_to_write();
         let is_over = |caller: &Caller| {
@@ -414,7 +414,7 @@
         self.wants_room.take()
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         self.callers.borrow().slow.next_at().into_iter().chain(self.paused_until.get()).min()
     }
 
@@ -635,7 +635,7 @@
         }
         let digits = |ms: &&str| ms.bytes().all(|b| b.is_ascii_digit());
         let patience_ms = headers.once("X-Budget-Ms")?.filter(digits).and_then(|ms| ms.parse::<u64>().ok());
-        let patience = Span::millis(patience_ms.ok_or(bad)?.min(LONGEST_PATIENCE_MS));
+        let patience = Duration::from_millis(patience_ms.ok_or(bad)?.min(LONGEST_PATIENCE_MS));
         let now = self.clock.now();
         let asks_until = now + patience;
         let cut =
@@ -643,7 +643,9 @@
         let patience_ends = asks_until.min(cut);
         let customer = self.charter.customer(header("X-Caller"));
         let hint_us = header("X-Call-Cost").and_then(|us| us.parse::<f64>().ok());
-        let hint = hint_us.filter(|us| us.is_finite() && *us > 0.0).map(|us| Span((us * 1000.0) as u64));
+        let hint = hint_us
+            .filter(|us| us.is_finite() && *us > 0.0)
+            .map(|us| Duration::from_nanos((us * 1000.0) as u64));
         let info = header("X-Call-Info").unwrap_or_default();
         let figures = info.split(',').filter_map(|pair| pair.split_once('='));
         let slots =
@@ -747,7 +749,7 @@
 
 impl Front for Clients {
     /// The final answer to a work unit; the one place where one is given.
-    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Span>, body: &[u8]) {
+    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Duration>, body: &[u8]) {
         let (place, tariff) = {
             let mut callers = self.callers.borrow_mut();
             let Some(place) = callers.by_unit.remove(&unit) else { return };
@@ -758,7 +760,7 @@
             (place, caller.tariff)
         };
         self.counters.answered(tariff, status);
-        self.write(place, status, come_back.map(Span::as_secs), body);
+        self.write(place, status, come_back.map(Duration::seconds), body);
     }
 
     /// Looks at the connection itself, whose end the loop may not have come to. What did not come by a client's connection
--- a/crates/node/src/wire/console.rs
+++ b/crates/node/src/wire/console.rs
@@ -3,13 +3,12 @@
 use crate::memory::clock::Clock;
 use crate::wire::calls::Calls;
 use grebeusher_dispatch::ids::fixed_hash;
-use grebeusher_dispatch::time::Span;
+use grebeusher_dispatch::time::Duration;
 use grebeusher_transport::http::{self, Request};
 use polling::Poller;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::Instant;
 use tracing::info;
 
 /// What the console asks of the node.
@@ -39,7 +38,7 @@
         keys: (usize, fn(usize) -> usize),
         common: (&Rc<Poller>, Clock),
     ) -> io::Result<Console> {
-        Ok(Console { calls: Calls::listen(at, Span(0), keys, common)? })
+        Ok(Console { calls: Calls::listen(at, Duration::from_nanos(0), keys, common)? })
     }
 
     pub fn address(&self) -> io::Result<SocketAddr> {
@@ -87,7 +86,8 @@
             let what = &path["/fleet/".len()..];
             let query = request.target.split_once("?name=").and_then(|(_, name)| name.parse().ok());
             // Whoever asks again by the same name has it done once.
-            let name = query.unwrap_or_else(|| fixed_hash(&format!("{what} {:?}", Instant::now())));
+            let name =
+                query.unwrap_or_else(|| fixed_hash(&format!("{what} {:?}", std::time::Instant::now())));
             match office.says(name, what, &request.body) {
                 Ok(()) => {
                     info!("plan: {what} goes to the keepers as {name}");
--- a/crates/node/src/wire/discovery.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -7,7 +7,7 @@
 use crate::memory::list::Version;
 use crate::sides::{List, Room};
 use crate::wire::LIMITS;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_transport::buffer::Reading;
 use grebeusher_transport::http;
 use polling::Poller;
@@ -18,23 +18,23 @@
 use tracing::{info, warn};
 
 /// A connection comes up within round trips, or the path is cut off.
-const UP_WITHIN: Span = Span::millis(1000);
+const UP_WITHIN: Duration = Duration::from_millis(1000);
 /// Calls are worked through in turn, so the first line may wait; discovery itself fails a call that waits for 3 s. What
 /// says nothing for longer has fallen silent.
-const FIRST_LINE_WITHIN: Span = Span::millis(3200);
+const FIRST_LINE_WITHIN: Duration = Duration::from_millis(3200);
 /// One that has said nothing for so long is not waited for alone: another goes beside it, and the first line of either
 /// counts. What is usual before it in turn is over by then, and there is time for another before the list is out of date.
 /// Sooner they crowd a discovery that is slow, or has just come back. Guards against the whole of that time spent on a
 /// call that nobody will answer.
-const ASK_AGAIN_AFTER: Span = Span::millis(2000);
+const ASK_AGAIN_AFTER: Duration = Duration::from_millis(2000);
 /// An empty line comes every 2 s while nothing changes: a quarter more is a path that is cut off, and leaves time for a
 /// call that waits as long as any may.
-const SILENT_AFTER: Span = Span::millis(2500);
+const SILENT_AFTER: Duration = Duration::from_millis(2500);
 /// After word to move, what has changed counts as told 2 s sooner than otherwise.
-const MOVED: Span = Span::millis(2000);
+const MOVED: Duration = Duration::from_millis(2000);
 /// So long without a word, over some ten calls: discovery is out of reach, and the last list is as good as any. Its users
 /// are told of no change meanwhile. Guards against nodes that serve nobody for as long as discovery is being mended.
-const OUT_OF_REACH_AFTER: Span = Span::millis(30_000);
+const OUT_OF_REACH_AFTER: Duration = Duration::from_millis(30_000);
 /// A line holds the whole list at most: thousands of executors. One that is longer never ends, and the watch
 /// falls silent.
 const MOST_LINE: usize = 1024 * 1024;
@@ -50,11 +50,11 @@
     /// How much of what was read has been freed of its chunks: lines, and the beginning of one.
     plain: usize,
     /// When its silence counts as its end; also when it could not be opened at all.
-    silent_at: Option<Moment>,
+    silent_at: Option<Instant>,
     /// When another goes beside it.
-    ask_again_at: Option<Moment>,
+    ask_again_at: Option<Instant>,
     /// When it was called for.
-    called: Moment,
+    called: Instant,
     /// A line has come.
     lives: bool,
     turned_away: bool,
@@ -72,11 +72,11 @@
     version: Cell<u64>,
     heard: Cell<bool>,
     /// As of when all that discovery had was known here: a line came, be it an empty one, or nobody was there to tell.
-    proved: Cell<Moment>,
+    proved: Cell<Instant>,
     /// It has said that it serves nobody now since its last line: it is there, and busy or down.
     turns_away: Cell<bool>,
     /// The first failure since the last line.
-    failing_since: Cell<Option<Moment>>,
+    failing_since: Cell<Option<Instant>>,
     /// Whom a watch without a descriptor asks for one.
     others: Vec<Rc<dyn Room>>,
 }
@@ -125,7 +125,7 @@
         self.heard.get()
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let calls = self.calls.borrow();
         calls.iter().flat_map(|call| [call.silent_at, call.ask_again_at]).flatten().min()
     }
@@ -150,7 +150,7 @@
         let now = self.clock.now();
         let call = std::mem::take(&mut self.calls.borrow_mut()[place]);
         self.counters.watches_broken.up();
-        info!("watch of the executor list ended after {:.1} s: {what}", now.since(call.called).as_secs());
+        info!("watch of the executor list ended after {:.1} s: {what}", now.since(call.called).seconds());
         let since = self.failing_since.get().unwrap_or(now);
         self.failing_since.set(Some(since));
         if now.since(since) >= OUT_OF_REACH_AFTER && call.called > self.proved.get() {
@@ -160,13 +160,13 @@
     }
 
     /// All that discovery had then is known here, as it said or as nobody could have been told more.
-    fn proves(&self, as_of: Moment, heard: bool, exchange: &mut Exchange) {
+    fn proves(&self, as_of: Instant, heard: bool, exchange: &mut Exchange) {
         self.proved.set(as_of);
         exchange.list_proved(as_of, heard);
     }
 
     /// Something can be read, or the connection has come up; what can be read now came after `as_of`.
-    pub fn stirred(&self, place: usize, as_of: Moment, exchange: &mut Exchange) {
+    pub fn stirred(&self, place: usize, as_of: Instant, exchange: &mut Exchange) {
         let (mut ended, refused) = {
             let watch = &mut self.calls.borrow_mut()[place];
             match watch.advance(self.clock.now()) {
@@ -253,7 +253,7 @@
     }
 
     /// Reads what has come; whether the watch has ended.
-    fn advance(&mut self, now: Moment) -> io::Result<bool> {
+    fn advance(&mut self, now: Instant) -> io::Result<bool> {
         let Some(connection) = &mut self.connection else { return Ok(false) };
         if self.dialling {
             if !connection.is_up()? {
--- a/crates/node/src/wire/executors.rs
+++ b/crates/node/src/wire/executors.rs
@@ -10,7 +10,7 @@
 use crate::wire::load;
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId};
 use grebeusher_dispatch::tariffs::Ending;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_transport::alarms::{Alarm, Alarms};
 use grebeusher_transport::buffer::Reading;
 use grebeusher_transport::http::{self, Response};
@@ -23,17 +23,17 @@
 use tracing::{debug, trace};
 
 /// Giving up and probing are answered beside the work, within round trips: a second is silence.
-const ANSWERED_WITHIN: Span = Span::millis(1000);
+const ANSWERED_WITHIN: Duration = Duration::from_millis(1000);
 /// A job is taken within round trips as well, long before it starts. An executor that stands still for a moment is
 /// borne for half a second; for longer where the job can go to no other, as there is nothing to be won by it.
-const TAKEN_WITHIN: Span = Span::millis(500);
-const BINDING_TAKEN_WITHIN: Span = Span::millis(2000);
+const TAKEN_WITHIN: Duration = Duration::from_millis(500);
+const BINDING_TAKEN_WITHIN: Duration = Duration::from_millis(2000);
 /// A binding job goes only on a connection that was in use a moment ago: executors may close what stands idle long
 /// before the settings' time, and a reset then says that it may have run.
-const BINDING_IDLE: Span = Span::millis(50);
+const BINDING_IDLE: Duration = Duration::from_millis(50);
 
 /// Asking a job back is answered within round trips by an executor that is there: its unit waits for no other.
-const ASKED_BACK_WITHIN: Span = Span::millis(250);
+const ASKED_BACK_WITHIN: Duration = Duration::from_millis(250);
 
 /// Whether a job may never run twice.
 type Binding = bool;
@@ -59,7 +59,7 @@
     used: Use,
     /// When to stop waiting for what it is used for, or to retire it.
     due: Option<Alarm>,
-    idle_since: Moment,
+    idle_since: Instant,
 }
 
 struct Lines {
@@ -76,8 +76,8 @@
     counters: Rc<Counters>,
     key: fn(usize) -> usize,
     most: Cell<usize>,
-    dial_time_out: Span,
-    retire_after: Span,
+    dial_time_out: Duration,
+    retire_after: Duration,
     lines: RefCell<Lines>,
     /// Whom a dial without a descriptor asks for one.
     others: Vec<Rc<dyn Room>>,
@@ -87,7 +87,7 @@
     pub fn new(
         others: Vec<Rc<dyn Room>>,
         most: usize,
-        (dial_time_out, retire_after): (Span, Span),
+        (dial_time_out, retire_after): (Duration, Duration),
         key: fn(usize) -> usize,
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
     ) -> Executors {
@@ -205,9 +205,9 @@
         }))
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let lines = self.lines.borrow();
-        if lines.untold.is_empty() { lines.dues.next_at() } else { Some(Moment(0)) }
+        if lines.untold.is_empty() { lines.dues.next_at() } else { Some(Instant(0)) }
     }
 
     /// What fell due: connections that never came up, silence, and idle connections to be retired.
@@ -445,7 +445,7 @@
     e.kind() == ErrorKind::QuotaExceeded || no_descriptor(e)
 }
 
-fn wait(place: usize, line: &mut Line, dues: &mut Alarms<(usize, u64)>, until: Moment) {
+fn wait(place: usize, line: &mut Line, dues: &mut Alarms<(usize, u64)>, until: Instant) {
     let due = dues.set(until, (place, line.serial));
     line.due.replace(due).inspect(|&before| dues.unset(before));
 }
@@ -481,10 +481,10 @@
         executor: ExecutorId,
         address: Option<SocketAddr>,
         errand: &Errand,
-        time_out: Span,
+        time_out: Duration,
     ) {
         let Errand { call_id, tariff, target, headers, body, binding, .. } = errand;
-        let (budget, length) = (time_out.0 / 1_000_000, body.len());
+        let (budget, length) = (time_out.nanos() / 1_000_000, body.len());
         let head = format!(
             "POST {target} HTTP/1.1\r\nHost: {}\r\nX-Call-Id: {call_id}\r\nX-Call-Class: {tariff}\r\n\
              X-Budget-Ms: {budget}\r\n{headers}Content-Length: {length}\r\n\r\n",
--- a/crates/node/src/wire/faktory.rs
+++ b/crates/node/src/wire/faktory.rs
@@ -9,7 +9,7 @@
 use crate::sides::Pushes;
 use grebeusher_dispatch::ids::{AllocationId, UnitId};
 use grebeusher_dispatch::tariffs::{Arrival, Ending};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_faktory::command::{Command, Job, WorkerState, read};
 use grebeusher_faktory::handshake::Greeting;
 use grebeusher_faktory::reservations::{End, Handed, Reservations, Standing};
@@ -30,10 +30,10 @@
 use tracing::{debug, info, warn};
 
 /// A fetch that finds nothing is answered so after this, as the specification has it.
-const FETCH_WAITS: Span = Span::millis(2000);
+const FETCH_WAITS: Duration = Duration::from_millis(2000);
 /// Who connects says who it is within this, and goes on with a line that it has begun.
-const GREETED_WITHIN: Span = Span::millis(3000);
-const LINE_WITHIN: Span = Span::millis(5000);
+const GREETED_WITHIN: Duration = Duration::from_millis(3000);
+const LINE_WITHIN: Duration = Duration::from_millis(5000);
 /// So many are taken in before others have their turn.
 const AT_ONCE: usize = 32;
 /// How often a password is hashed: as often as the job server of the specification asks for.
@@ -50,7 +50,7 @@
     /// For the final answer to the job that it pushed.
     Push(UnitId),
     /// For a job of one of these queues, until then.
-    Fetch(Vec<String>, Moment),
+    Fetch(Vec<String>, Instant),
 }
 
 struct Peer {
@@ -61,7 +61,7 @@
     worker: Option<usize>,
     waits: Waits,
     /// Since when a line has begun that is not whole, or nothing was said at all.
-    begun: Option<Moment>,
+    begun: Option<Instant>,
     closes: bool,
 }
 
@@ -90,7 +90,7 @@
     key: fn(usize) -> usize,
     most: usize,
     password: Option<String>,
-    reserve_for: Span,
+    reserve_for: Duration,
     charter: Charter,
     unit_ids: UnitIds,
     /// The node sends its clients away: nothing new is taken or handed out.
@@ -208,10 +208,10 @@
         Greeting::with(password, &format!("{salt:016x}"), ITERATIONS)
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let inside = self.inside.borrow();
         if !inside.untold.is_empty() {
-            return Some(Moment(0));
+            return Some(Instant(0));
         }
         inside.dues.next_at().into_iter().chain(inside.table.next_due()).min()
     }
@@ -466,13 +466,13 @@
         }
         let now = self.clock.now();
         let patience = figure("patience_ms")
-            .map_or(self.charter.patience(tariff), |ms| Span::millis(ms.min(LONGEST_PATIENCE_MS)));
+            .map_or(self.charter.patience(tariff), |ms| Duration::from_millis(ms.min(LONGEST_PATIENCE_MS)));
         let arrival = Arrival {
             tariff,
             customer: self.charter.customer(None),
             patience_ends: now + patience,
             repeat: job.custom["again"].as_bool().unwrap_or(false),
-            hint: figure("cost_us").map(|us| Span(us.saturating_mul(1000))),
+            hint: figure("cost_us").map(|us| Duration::from_nanos(us.saturating_mul(1000))),
             slots: 1.0,
             beyond: false,
         };
@@ -488,7 +488,7 @@
             pushed: Some(Pushed {
                 line,
                 priority: job.priority,
-                reserve_for: job.reserve_for.map(|s| Span::millis(s.saturating_mul(1000).max(1000))),
+                reserve_for: job.reserve_for.map(|s| Duration::from_millis(s.saturating_mul(1000).max(1000))),
             }),
         };
         let unit = self.unit_ids.take();
@@ -539,7 +539,7 @@
     }
 
     /// Gives a peer that waits the job that it gets, if there is one.
-    fn fetch(&mut self, place: usize, now: Moment) -> bool {
+    fn fetch(&mut self, place: usize, now: Instant) -> bool {
         let peer = &self.peers[place];
         let (Waits::Fetch(queues, _), Some(worker)) = (&peer.waits, peer.worker) else { return false };
         let Some((id, body)) = self.table.fetch(now, worker, queues) else { return false };
@@ -564,10 +564,10 @@
 }
 
 /// What came by HTTP, as a job for a worker.
-fn brought(errand: &Errand, reserve_for: Span) -> String {
+fn brought(errand: &Errand, reserve_for: Duration) -> String {
     let body = String::from_utf8_lossy(&errand.body);
     json!({"jid": &*errand.call_id, "jobtype": errand.tariff, "queue": errand.tariff, "args": [body],
-        "reserve_for": reserve_for.0 / 1_000_000_000, "custom": {"target": errand.target}})
+        "reserve_for": reserve_for.nanos() / 1_000_000_000, "custom": {"target": errand.target}})
     .to_string()
 }
 
@@ -590,7 +590,7 @@
     }
 
     /// The decisions send a unit to a worker; `false` if it can't have it, or nothing is handed out any more.
-    fn hand(&self, worker: usize, id: AllocationId, errand: &Errand, time_out: Span) -> bool {
+    fn hand(&self, worker: usize, id: AllocationId, errand: &Errand, time_out: Duration) -> bool {
         if self.leaves.get() {
             return false;
         }
--- a/crates/node/src/wire/fellows.rs
+++ b/crates/node/src/wire/fellows.rs
@@ -10,7 +10,7 @@
 use crate::wire::settling::Settling;
 use grebeusher_budgets::{Holder, Wholes};
 use grebeusher_dispatch::ids::fixed_hash;
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_maintenance::{self as maintenance, Command, Permission, Permit, Shown, Works, node_name};
 use grebeusher_membership::{Fellow, Host, Membership, Word};
 use grebeusher_node_config::fleet;
@@ -51,25 +51,25 @@
 /// So many of those who hear of a newcomer tell it: one may be gone itself, and its datagram lost.
 const TELLERS: u64 = 3;
 /// A node that has just started asks so often at first: most of a fleet may have been restarted with it, and know as little.
-const ASKS_APART: Span = Span::millis(250);
+const ASKS_APART: Duration = Duration::from_millis(250);
 const FIRST_ASKS: u32 = 20;
 /// Later it asks so often, until it knows so many sizes of work: their mean is off by a sixth or so where a few are long.
-const LATER_ASKS_APART: Span = Span::millis(2000);
+const LATER_ASKS_APART: Duration = Duration::from_millis(2000);
 const KNOWS_ENOUGH: usize = 200;
 /// Budgets that were read anew are told to the keepers so often, and again whenever they answer by older ones.
 const BUDGETS_TOLD: u32 = 3;
-const BUDGETS_TOLD_APART: Span = Span::millis(500);
+const BUDGETS_TOLD_APART: Duration = Duration::from_millis(500);
 /// Decisions come in clusters: one nudge for all of them.
-const NUDGES_APART: Span = Span::millis(100);
+const NUDGES_APART: Duration = Duration::from_millis(100);
 /// The longest datagram that UDP has. What nodes say to each other all the time fits `MOST_BYTES`; a plan and what staff see of
 /// it does not, and is asked for again if a piece of it gets lost on the way.
 const LONGEST: usize = 65_536;
 /// Staff who look at a plan are shown it as long after they asked; then it is not sent any more.
-const LOOK: Span = Span::millis(3000);
+const LOOK: Duration = Duration::from_millis(3000);
 /// Whoever leads looks so often what the list says: a machine that is back makes way for the next.
-const VIEW_EVERY: Span = Span::millis(100);
+const VIEW_EVERY: Duration = Duration::from_millis(100);
 /// A start that is longer ago than this is no news: executors are warm by then.
-const RECENT: Span = Span::millis(60_000);
+const RECENT: Duration = Duration::from_millis(60_000);
 
 /// Writes and reads what stands around each datagram: version, kind and a mark over all of it that only those who know
 /// the fleet's name and secret can make.
@@ -222,7 +222,7 @@
     settling: Option<RefCell<Settling>>,
     parts: Option<RefCell<Parts>>,
     /// When the keepers are told next of budgets that they do not go by yet, and how often they are without a word back.
-    tells_budgets: Cell<(Moment, u32)>,
+    tells_budgets: Cell<(Instant, u32)>,
     works: Option<Office>,
     datagram: RefCell<Vec<u8>>,
 }
@@ -230,7 +230,7 @@
 /// How far a node that has just started has got in learning what others know.
 #[derive(Clone, Copy)]
 struct School {
-    asks_at: Moment,
+    asks_at: Instant,
     asked: u32,
     is_over: bool,
 }
@@ -241,13 +241,13 @@
     /// This node is itself to go, and has nothing in hand any more: it sends nothing before it hears that it may stay.
     is_through: Cell<bool>,
     /// When what is closed may be more than before; nothing before the first word.
-    changes_at: Cell<Option<Moment>>,
-    viewed: Cell<Moment>,
+    changes_at: Cell<Option<Instant>>,
+    viewed: Cell<Instant>,
     /// When the others are told that something was decided here.
-    nudges_at: Cell<Option<Moment>>,
+    nudges_at: Cell<Option<Instant>>,
     /// When staff looked last, and what came for them.
-    looked: Cell<Option<Moment>>,
-    shown: RefCell<Option<(Moment, Shown)>>,
+    looked: Cell<Option<Instant>>,
+    shown: RefCell<Option<(Instant, Shown)>>,
 }
 
 impl Fellows {
@@ -288,7 +288,8 @@
         let budgets = fleet.budgets.as_ref();
         let parts = budgets.map(|posted| Parts::new(now, posted, names, holder).map(RefCell::new));
         let parts = parts.transpose()?;
-        let permission = fleet.maintenance.as_ref().map_or(Span(0), |works| works.permission());
+        let permission =
+            fleet.maintenance.as_ref().map_or(Duration::from_nanos(0), |works| works.permission());
         let names = (fixed_hash(&at.to_string()), fixed_hash(&node_name(fellow.number)));
         let works = fleet.maintenance.as_ref().map(|_| Office {
             is_through: Cell::new(false),
@@ -301,7 +302,7 @@
         });
         let settling = keepers.map(|keepers| {
             let (wholes, lease) = budgets.map_or_else(
-                || (Wholes::default(), Span(0)),
+                || (Wholes::default(), Duration::from_nanos(0)),
                 |posted| (parts::wholes(posted), posted.lease()),
             );
             let empty =
@@ -373,7 +374,7 @@
     }
 
     /// Tells the keepers of budgets that are newer than those they go by.
-    fn tells_budgets(&self, now: Moment) {
+    fn tells_budgets(&self, now: Instant) {
         let Some((parts, settling)) = self.parts.as_ref().zip(self.settling.as_ref()) else { return };
         let ((at, times), (read, settled)) = (self.tells_budgets.get(), parts.borrow().editions());
         // Who has had no answer yet does not know by which they go.
@@ -385,7 +386,7 @@
         settling.borrow_mut().ask(now, Step::Budgets(parts.borrow().wholes()));
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let asks = self.parts.as_ref().and_then(|parts| parts.borrow().next_due(self.clock.now()));
         let settles = self.settling.as_ref().and_then(|settling| settling.borrow().next_due());
         let works = self.works.as_ref().and_then(|works| works.next_due(self.leads()));
@@ -478,15 +479,15 @@
         let now = self.clock.now();
         works.looked.set(Some(now));
         let shown = works.shown.borrow();
-        Some(shown.as_ref().map(|(at, shown)| (now.since(*at).0 / 1_000_000, shown.clone())))
+        Some(shown.as_ref().map(|(at, shown)| (now.since(*at).nanos() / 1_000_000, shown.clone())))
     }
 
     /// The others that are there: number, address, start, and milliseconds since when.
     pub fn members(&self) -> Vec<(u32, SocketAddr, u64, u64)> {
         let now = self.clock.now();
         let membership = self.membership.borrow();
-        let member = |(fellow, since): (Fellow, Moment)| {
-            (fellow.number, fellow.address, fellow.generation, now.since(since).0 / 1_000_000)
+        let member = |(fellow, since): (Fellow, Instant)| {
+            (fellow.number, fellow.address, fellow.generation, now.since(since).nanos() / 1_000_000)
         };
         let mut members: Vec<_> = membership.members().map(member).collect();
         members.sort_unstable();
@@ -593,7 +594,7 @@
         }
         let words = std::mem::take(&mut *self.words.borrow_mut());
         for Word { executor, at_ms, gone } in words {
-            exchange.heard_of(executor, Moment(at_ms.saturating_mul(1_000_000)), gone);
+            exchange.heard_of(executor, Instant(at_ms.saturating_mul(1_000_000)), gone);
         }
         self.tells_newcomers(exchange);
         exchange.parts_came();
@@ -616,13 +617,13 @@
 
     fn missed(exchange: &Exchange) -> Vec<Word> {
         let word =
-            |(executor, at, gone): (u64, Moment, bool)| Word { executor, at_ms: at.0 / 1_000_000, gone };
+            |(executor, at, gone): (u64, Instant, bool)| Word { executor, at_ms: at.0 / 1_000_000, gone };
         exchange.seen_lately(RECENT).map(word).collect()
     }
 
     /// Asks a few others, each time the next ones, for what it has missed and what they know of work. Guards against a node that
     /// takes the few units that it has seen itself for all: several such nodes push cold executors over.
-    fn asks_missed(&self, now: Moment) {
+    fn asks_missed(&self, now: Instant) {
         let School { asks_at, asked, is_over } = self.school.get();
         if is_over || now < asks_at {
             return;
@@ -666,15 +667,15 @@
 }
 
 impl Office {
-    fn next_due(&self, leads: bool) -> Option<Moment> {
+    fn next_due(&self, leads: bool) -> Option<Instant> {
         let views = leads.then(|| self.viewed.get() + VIEW_EVERY);
         let asks = Some(self.permission.borrow().next_due());
         [views, asks, self.changes_at.get(), self.nudges_at.get()].into_iter().flatten().min()
     }
 
-    fn wakes(&self, now: Moment, exchange: &mut Exchange) {
+    fn wakes(&self, now: Instant, exchange: &mut Exchange) {
         if self.changes_at.get().is_some_and(|at| now >= at) {
-            let for_s = self.permission.borrow().for_long(now).as_secs();
+            let for_s = self.permission.borrow().for_long(now).seconds();
             warn!(
                 for_s,
                 "no permission of the keepers since {for_s:.1} s: machines of the plan are kept away from"
@@ -683,7 +684,7 @@
         }
     }
 
-    fn closes(&self, now: Moment, exchange: &mut Exchange) {
+    fn closes(&self, now: Instant, exchange: &mut Exchange) {
         let permission = self.permission.borrow();
         self.changes_at.set(permission.changes_at(now));
         exchange.closes(match permission.has_word() && !self.is_through.get() {
@@ -692,7 +693,7 @@
         });
     }
 
-    fn ask(&self, now: Moment, exchange: &mut Exchange, counters: &Counters) -> Option<maintenance::Ask> {
+    fn ask(&self, now: Instant, exchange: &mut Exchange, counters: &Counters) -> Option<maintenance::Ask> {
         let mut permission = self.permission.borrow_mut();
         let shows = self.looked.get().is_some_and(|at| now.since(at) < LOOK);
         if shows {
@@ -707,7 +708,7 @@
         permission.ask(now, |machine| in_hand.get(&machine).copied().unwrap_or(0), tide, says)
     }
 
-    fn granted(&self, now: Moment, mut permit: Permit, exchange: &mut Exchange) {
+    fn granted(&self, now: Instant, mut permit: Permit, exchange: &mut Exchange) {
         if let Some(shown) = permit.shown.take() {
             *self.shown.borrow_mut() = Some((now, shown));
         }
@@ -744,7 +745,7 @@
         self.parts.as_ref().is_none_or(|parts| parts.borrow_mut().may_spend_after_all(now, spends, of))
     }
 
-    fn has_seen(&self, executor: u64, at: Moment, gone: bool) {
+    fn has_seen(&self, executor: u64, at: Instant, gone: bool) {
         if self.clock.now().since(at) < RECENT {
             self.membership
                 .borrow_mut()
--- a/crates/node/src/wire/settling.rs
+++ b/crates/node/src/wire/settling.rs
@@ -4,7 +4,7 @@
 use crate::memory::settlement::{Outcome, Settlement, Step};
 use crate::wire::fellows::{KEEPER, OUTCOME, Post, STEP};
 use grebeusher_budgets::{Ask, Grant};
-use grebeusher_dispatch::time::Moment;
+use grebeusher_dispatch::time::Instant;
 use grebeusher_volatile_raft::{Host, Keeper};
 use std::mem;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
 impl Settling {
     /// `seed` is another one at each start.
     pub fn new(
-        now: Moment,
+        now: Instant,
         keepers: &[u32],
         own: u32,
         seed: u64,
@@ -104,18 +104,18 @@
         (leader.map(|place| self.keepers[place]), settled)
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         self.keeper.as_ref().map(Keeper::next_due)
     }
 
-    pub fn due(&mut self, now: Moment) {
+    pub fn due(&mut self, now: Instant) {
         if let Some(keeper) = &mut self.keeper {
             keeper.due(now);
         }
     }
 
     /// Wants a step settled; it may get lost.
-    pub fn ask(&mut self, now: Moment, step: Step) {
+    pub fn ask(&mut self, now: Instant, step: Step) {
         if self.keeper.is_some() {
             return self.hands_on(now, self.post.own, step, true);
         }
@@ -131,7 +131,7 @@
     }
 
     /// To whoever leads. What another keeper has handed on goes no further: the two may be of different minds.
-    fn hands_on(&mut self, now: Moment, from: (u32, SocketAddr), step: Step, further: bool) {
+    fn hands_on(&mut self, now: Instant, from: (u32, SocketAddr), step: Step, further: bool) {
         let Some(keeper) = &mut self.keeper else { return };
         if keeper.leads() {
             keeper.propose(now, step);
@@ -141,7 +141,7 @@
     }
 
     /// What others said; `false` if nothing can be made of it.
-    pub fn heard(&mut self, now: Moment, kind: u8, body: &[u8]) -> bool {
+    pub fn heard(&mut self, now: Instant, kind: u8, body: &[u8]) -> bool {
         match kind {
             KEEPER => self.keeper.as_mut().is_some_and(|keeper| keeper.heard(now, body)),
             STEP => {
--- a/crates/node/src/wire/sibling.rs
+++ b/crates/node/src/wire/sibling.rs
@@ -6,7 +6,7 @@
 use crate::memory::clock::Clock;
 use crate::memory::connection::Connection;
 use crate::sides::{CallerId, Relatives};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_transport::alarms::Alarms;
 use grebeusher_transport::buffer::Reading;
 use polling::{Event, Poller};
@@ -24,9 +24,9 @@
 pub const DESCRIPTORS: usize = 1 + MOST;
 const MOST: usize = 4;
 /// A sibling says who it is at once. One that is silent for longer is none.
-const GREETED_WITHIN: Span = Span::millis(1000);
+const GREETED_WITHIN: Duration = Duration::from_millis(1000);
 /// A sibling answers within a turn of its loop. An executor whose call-back waits longer is told to come again.
-const ANSWERED_WITHIN: Span = Span::millis(500);
+const ANSWERED_WITHIN: Duration = Duration::from_millis(500);
 /// After so many in a row that were not answered the sibling counts as gone.
 const MOST_MISSED: u32 = 5;
 /// A call-back's body fits, with every byte of it escaped. What is longer is no word of a sibling's.
@@ -194,10 +194,10 @@
         places.into_iter().for_each(|place| links.say(place, &Word::Leaves));
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let links = self.links.borrow();
         if !links.settled.is_empty() {
-            return Some(Moment(0));
+            return Some(Instant(0));
         }
         links.ungreeted.next_at().into_iter().chain(links.unanswered.next_at()).min()
     }
--- a/crates/prefix-popularity/src/homes.rs
+++ b/crates/prefix-popularity/src/homes.rs
@@ -2,13 +2,13 @@
 
 use crate::key::PrefixKey;
 use crate::settings::Settings;
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use rustc_hash::FxHashMap;
 
 #[derive(Clone, Copy)]
 struct Homes {
     count: usize,
-    changed: Moment,
+    changed: Instant,
 }
 
 /// The prefixes that have more than one home.
@@ -32,7 +32,7 @@
     /// Follows the rates. Returns how many homes came and went.
     pub fn follow(
         &mut self,
-        now: Moment,
+        now: Instant,
         rates: &FxHashMap<PrefixKey, f64>,
         settings: &Settings,
     ) -> (u64, u64) {
--- a/crates/prefix-popularity/src/lib.rs
+++ b/crates/prefix-popularity/src/lib.rs
@@ -21,14 +21,14 @@
 //!
 //! ```
 //! use grebeusher_prefix_popularity::{Identity, Popularity, PrefixKey, Settings};
-//! use grebeusher_time::{Moment, Span};
+//! use grebeusher_time::{Instant, Duration};
 //!
 //! let settings = Settings::default().checked().unwrap();
-//! let mut node = Popularity::new(settings, Identity { origin: 1, incarnation: 1 }, Moment(0));
+//! let mut node = Popularity::new(settings, Identity { origin: 1, incarnation: 1 }, Instant(0));
 //! let key = PrefixKey::of(7, 42);
-//! let mut now = Moment(0);
+//! let mut now = Instant(0);
 //! for _ in 0..1000 {
-//!     now = now + Span::millis(20);
+//!     now = now + Duration::from_millis(20);
 //!     node.saw(now, key, 2_000);
 //!     node.tick(now);
 //! }
--- a/crates/prefix-popularity/src/popularity.rs
+++ b/crates/prefix-popularity/src/popularity.rs
@@ -8,11 +8,11 @@
 use crate::memory;
 use crate::settings::Settings;
 use crate::tracker::Tracker;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rustc_hash::FxHashMap;
 
 /// How often the sums and the homes are worked out anew.
-const REVIEW_EVERY: Span = Span::millis(1000);
+const REVIEW_EVERY: Duration = Duration::from_millis(1000);
 /// A register counts in full for so many pauses: one may be lost.
 const FRESH_PERIODS: f64 = 2.5;
 /// Bytes of a frame on a link around a register, at most.
@@ -72,19 +72,19 @@
     tracker: Tracker,
     ledger: Ledger,
     former: FxHashMap<PrefixKey, f64>,
-    recalled: Moment,
+    recalled: Instant,
     rates: FxHashMap<PrefixKey, f64>,
     homes: HomeTable,
     sequence: u32,
     told_some: bool,
-    tell_at: Moment,
-    review_at: Moment,
+    tell_at: Instant,
+    review_at: Instant,
     counters: Counters,
 }
 
 impl Popularity {
     /// A node that knows of nothing yet. `settings` should be [`Settings::checked`].
-    pub fn new(settings: Settings, own: Identity, now: Moment) -> Popularity {
+    pub fn new(settings: Settings, own: Identity, now: Instant) -> Popularity {
         // Nodes that start together tell at different times.
         let phase = settings.least_period.scaled((own.origin % 64) as f64 / 64.0);
         Popularity {
@@ -111,12 +111,12 @@
     }
 
     /// A request of this node brought so many tokens beside the prefix.
-    pub fn saw(&mut self, now: Moment, key: PrefixKey, tokens: u32) {
+    pub fn saw(&mut self, now: Instant, key: PrefixKey, tokens: u32) {
         self.tracker.saw(now, key, f64::from(tokens));
     }
 
     /// A register of another node came.
-    pub fn merge(&mut self, now: Moment, contribution: Contribution) -> Merge {
+    pub fn merge(&mut self, now: Instant, contribution: Contribution) -> Merge {
         let own = contribution.origin == self.own.origin;
         if own || !self.ledger.merge(now, contribution) {
             self.counters.known += 1;
@@ -127,7 +127,7 @@
     }
 
     /// Does what is due; returns this node's register when it is to be told to all.
-    pub fn tick(&mut self, now: Moment) -> Option<Contribution> {
+    pub fn tick(&mut self, now: Instant) -> Option<Contribution> {
         if now >= self.review_at {
             self.review_at = now + REVIEW_EVERY;
             self.review(now);
@@ -149,18 +149,18 @@
     }
 
     /// When something is due next.
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Instant {
         self.tell_at.min(self.review_at)
     }
 
     /// The pause between two own registers: as many bytes come and go as all nodes together tell in it.
-    pub fn period(&self) -> Span {
+    pub fn period(&self) -> Duration {
         let register = FRAME_BYTES + HEAD_BYTES + self.settings.told * SHARE_BYTES;
         let bytes = register as f64 * self.nodes as f64 * BOTH_WAYS;
-        self.settings.least_period.max(Span::secs(bytes / self.settings.bytes_per_s))
+        self.settings.least_period.max(Duration::from_seconds(bytes / self.settings.bytes_per_s))
     }
 
-    fn own_shares(&self, now: Moment) -> Vec<Share> {
+    fn own_shares(&self, now: Instant) -> Vec<Share> {
         let heaviest = self.tracker.heaviest(now, self.settings.told);
         let mut shares: Vec<Share> = heaviest.into_iter().map(|(key, rate)| Share::of(key, rate)).collect();
         shares.retain(|share| share.tokens_per_s() > 0.0);
@@ -170,17 +170,17 @@
 
     fn fading(&self) -> Fading {
         let fresh_for = self.period().scaled(FRESH_PERIODS);
-        Fading { fresh_for, mean_over_s: self.settings.mean_over.as_secs() }
+        Fading { fresh_for, mean_over_s: self.settings.mean_over.seconds() }
     }
 
-    fn review(&mut self, now: Moment) {
+    fn review(&mut self, now: Instant) {
         let fading = self.fading();
         self.ledger.sweep(now, fading);
         self.rates.clear();
         self.rates.extend(self.tracker.heaviest(now, self.settings.told));
         self.ledger.add_to(now, fading, &mut self.rates);
         // What an earlier process knew is the same traffic: the greater counts, never both.
-        let left = Fading { fresh_for: Span(0), ..fading }.left(now.since(self.recalled));
+        let left = Fading { fresh_for: Duration::from_nanos(0), ..fading }.left(now.since(self.recalled));
         self.former.retain(|_, rate| *rate * left >= 1.0);
         for (key, rate) in &self.former {
             let sum = self.rates.entry(*key).or_insert(0.0);
@@ -223,7 +223,7 @@
     ///
     /// # Errors
     /// Says what is wrong with bytes that are no snapshot.
-    pub fn recall(&mut self, now: Moment, bytes: &[u8]) -> Result<usize, DecodeError> {
+    pub fn recall(&mut self, now: Instant, bytes: &[u8]) -> Result<usize, DecodeError> {
         self.former = memory::decode(bytes)?;
         self.recalled = now;
         self.review(now);
--- a/crates/prefix-popularity/src/settings.rs
+++ b/crates/prefix-popularity/src/settings.rs
@@ -2,19 +2,19 @@
 
 use crate::contribution::MOST_SHARES;
 use crate::error::SettingsError;
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 
 /// Figures of the shared sense of popular prefixes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// The time over which a rate is a mean. The memory of the tier: after a few times as long nothing is left.
-    pub mean_over: Span,
+    pub mean_over: Duration,
     /// Prefixes that one node counts at once.
     pub tracked: usize,
     /// Prefixes that one node tells of, the heaviest; [`MOST_SHARES`] at most.
     pub told: usize,
     /// The least pause between two registers of a node.
-    pub least_period: Span,
+    pub least_period: Duration,
     /// Bytes a second that registers may take on a node's link, both ways together.
     pub bytes_per_s: f64,
     /// Tokens a second, beside the prefix itself, for which one home is enough.
@@ -22,7 +22,7 @@
     /// A home is given up when the rate is below this part of what the others bear.
     pub shrink_below: f64,
     /// And only so long after the last change.
-    pub shrink_after: Span,
+    pub shrink_after: Duration,
     /// The most homes of a prefix: none spreads over all executors.
     pub most_homes: usize,
 }
@@ -30,14 +30,14 @@
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
-            mean_over: Span::millis(20_000),
+            mean_over: Duration::from_millis(20_000),
             tracked: 256,
             told: 12,
-            least_period: Span::millis(2_000),
+            least_period: Duration::from_millis(2_000),
             bytes_per_s: 3_000.0,
             home_tokens_per_s: 20_000.0,
             shrink_below: 0.7,
-            shrink_after: Span::millis(10_000),
+            shrink_after: Duration::from_millis(10_000),
             most_homes: 16,
         }
     }
@@ -53,7 +53,7 @@
     /// Names the first that is not.
     pub fn checked(self) -> Result<Settings, SettingsError> {
         let span = 100.0..=3_600_000.0;
-        let millis = |span: Span| span.as_secs() * 1000.0;
+        let millis = |span: Duration| span.seconds() * 1000.0;
         let rules = [
             ("mean_over", millis(self.mean_over), span.clone(), "100 ms to an hour"),
             ("least_period", millis(self.least_period), span.clone(), "100 ms to an hour"),
--- a/crates/prefix-popularity/src/tracker.rs
+++ b/crates/prefix-popularity/src/tracker.rs
@@ -1,7 +1,7 @@
 //! What this node's own requests ask for: a Space-Saving table whose counts fade with time.
 
 use crate::key::PrefixKey;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rustc_hash::FxHashMap;
 
 /// Counts are kept as if all had come at the landmark, so that their order stays while they fade; it moves on after so many
@@ -23,19 +23,19 @@
 pub(crate) struct Tracker {
     most: usize,
     mean_over_s: f64,
-    since: Moment,
-    landmark: Moment,
+    since: Instant,
+    landmark: Instant,
     counts: FxHashMap<PrefixKey, Count>,
 }
 
 impl Tracker {
-    pub fn new(most: usize, mean_over: Span, now: Moment) -> Tracker {
+    pub fn new(most: usize, mean_over: Duration, now: Instant) -> Tracker {
         let counts = FxHashMap::default();
-        Tracker { most, mean_over_s: mean_over.as_secs(), since: now, landmark: now, counts }
+        Tracker { most, mean_over_s: mean_over.seconds(), since: now, landmark: now, counts }
     }
 
     /// A request brought so many tokens beside the prefix. Where the table is full, the smallest gives way.
-    pub fn saw(&mut self, now: Moment, key: PrefixKey, tokens: f64) {
+    pub fn saw(&mut self, now: Instant, key: PrefixKey, tokens: f64) {
         self.move_landmark(now);
         let scaled = tokens * self.growth(now);
         if let Some(count) = self.counts.get_mut(&key) {
@@ -58,14 +58,14 @@
         counts.min_by(|(a, x), (b, y)| x.scaled.total_cmp(&y.scaled).then(a.cmp(b)))
     }
 
-    fn growth(&self, now: Moment) -> f64 {
-        (now.since(self.landmark).as_secs() / self.mean_over_s).exp()
+    fn growth(&self, now: Instant) -> f64 {
+        (now.since(self.landmark).seconds() / self.mean_over_s).exp()
     }
 
     /// What is as good as gone is dropped on the way.
-    fn move_landmark(&mut self, now: Moment) {
+    fn move_landmark(&mut self, now: Instant) {
         const GONE: f64 = 1e-3;
-        if now.since(self.landmark).as_secs() < LANDMARK_MOVES_AFTER * self.mean_over_s {
+        if now.since(self.landmark).seconds() < LANDMARK_MOVES_AFTER * self.mean_over_s {
             return;
         }
         let growth = self.growth(now);
@@ -78,8 +78,8 @@
     }
 
     /// Tokens a second of the heaviest, by what is certain of each; heaviest first.
-    pub fn heaviest(&self, now: Moment, most: usize) -> Vec<(PrefixKey, f64)> {
-        let seen_for = (now.since(self.since).as_secs() / self.mean_over_s).max(YOUNGEST);
+    pub fn heaviest(&self, now: Instant, most: usize) -> Vec<(PrefixKey, f64)> {
+        let seen_for = (now.since(self.since).seconds() / self.mean_over_s).max(YOUNGEST);
         // A mean over a span that is not over yet.
         let whole = 1.0 - (-seen_for).exp();
         let scale = 1.0 / (self.growth(now) * self.mean_over_s * whole);
--- a/crates/prefix-popularity/tests/stories/counting.rs
+++ b/crates/prefix-popularity/tests/stories/counting.rs
@@ -4,14 +4,14 @@
 use grebeusher_prefix_popularity::{
     Contribution, LARGEST_MEMORY, Merge, Popularity, PrefixKey, Settings, SettingsError,
 };
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use proptest::prelude::*;
 use rstest::rstest;
 
-const SECOND: Span = Span::millis(1_000);
+const SECOND: Duration = Duration::from_millis(1_000);
 
 fn alone() -> Popularity {
-    Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Moment(0))
+    Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Instant(0))
 }
 
 #[test]
@@ -42,9 +42,9 @@
 fn a_flood_of_prefixes_takes_no_room_and_hides_no_popular_one() {
     // Given one popular prefix among ever new ones
     let mut node = alone();
-    let mut now = Moment(0);
+    let mut now = Instant(0);
     for number in 0..200_000 {
-        now = now + Span::millis(1);
+        now = now + Duration::from_millis(1);
         node.saw(now, key(1_000 + number), 500);
         if number % 10 == 0 {
             node.saw(now, key(1), 500);
@@ -64,13 +64,13 @@
     // Given registers of ever new origins
     let mut node = alone();
     let told = |origin| Contribution { origin, incarnation: 1, sequence: 1, shares: Vec::new() };
-    let news = (0..5_000).filter(|origin| node.merge(Moment(0), told(*origin)) == Merge::News).count();
+    let news = (0..5_000).filter(|origin| node.merge(Instant(0), told(*origin)) == Merge::News).count();
     // Then a bounded number is kept
     assert_eq!((news, node.sizes().1), (1_024, 1_024));
     // And room comes back when they fade
-    node.tick(Moment(0) + SECOND.scaled(300.0));
+    node.tick(Instant(0) + SECOND.scaled(300.0));
     assert_eq!(node.sizes().1, 0);
-    assert_eq!(node.merge(Moment(0) + SECOND.scaled(300.0), told(9_999)), Merge::News);
+    assert_eq!(node.merge(Instant(0) + SECOND.scaled(300.0), told(9_999)), Merge::News);
 }
 
 #[test]
@@ -143,21 +143,21 @@
 fn a_spoilt_memory_is_refused_and_costs_only_sense() {
     // Given a memory
     let mut node = alone();
-    (0..40).for_each(|number| node.saw(Moment(0), key(number), 1_000));
-    node.tick(Moment(0) + SECOND);
+    (0..40).for_each(|number| node.saw(Instant(0), key(number), 1_000));
+    node.tick(Instant(0) + SECOND);
     let memory = node.remember();
     // Then nothing but the whole of it is read
     for length in 0..memory.len() {
-        assert!(alone().recall(Moment(0), &memory[..length]).is_err(), "{length}");
+        assert!(alone().recall(Instant(0), &memory[..length]).is_err(), "{length}");
     }
-    assert!(alone().recall(Moment(0), &vec![0; LARGEST_MEMORY + 1]).is_err());
-    assert_eq!(alone().recall(Moment(0), &memory), Ok(12));
+    assert!(alone().recall(Instant(0), &vec![0; LARGEST_MEMORY + 1]).is_err());
+    assert_eq!(alone().recall(Instant(0), &memory), Ok(12));
 }
 
 #[rstest]
-#[case("mean_over", Settings { mean_over: Span(0), ..Settings::default() })]
-#[case("least_period", Settings { least_period: Span(0), ..Settings::default() })]
-#[case("shrink_after", Settings { shrink_after: Span(u64::MAX), ..Settings::default() })]
+#[case("mean_over", Settings { mean_over: Duration::from_nanos(0), ..Settings::default() })]
+#[case("least_period", Settings { least_period: Duration::from_nanos(0), ..Settings::default() })]
+#[case("shrink_after", Settings { shrink_after: Duration::from_nanos(u64::MAX), ..Settings::default() })]
 #[case("tracked", Settings { tracked: 0, ..Settings::default() })]
 #[case("told", Settings { told: 17, ..Settings::default() })]
 #[case("bytes_per_s", Settings { bytes_per_s: f64::NAN, ..Settings::default() })]
@@ -173,20 +173,20 @@
     #[test]
     fn bytes_from_outside_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = Contribution::decode(&bytes);
-        let _ = alone().recall(Moment(0), &bytes);
+        let _ = alone().recall(Instant(0), &bytes);
     }
 
     #[test]
     fn registers_merge_to_the_same_in_any_order(order in Just((0..12_usize).collect::<Vec<_>>()).prop_shuffle()) {
-        let mut writer = Popularity::new(Settings::default(), crate::fleet::identity(1, 1), Moment(0));
+        let mut writer = Popularity::new(Settings::default(), crate::fleet::identity(1, 1), Instant(0));
         let mut told = Vec::new();
         for step in 1..=12_u32 {
-            let now = Moment(0) + SECOND.scaled(f64::from(step) * 5.0);
+            let now = Instant(0) + SECOND.scaled(f64::from(step) * 5.0);
             writer.saw(now, PrefixKey(step % 3), step * 1_000);
             told.extend(writer.tick(now));
         }
         let (mut straight, mut shuffled) = (alone(), alone());
-        let now = Moment(0) + SECOND.scaled(70.0);
+        let now = Instant(0) + SECOND.scaled(70.0);
         told.iter().for_each(|one| { straight.merge(now, one.clone()); });
         order.iter().chain(&order).for_each(|index| { shuffled.merge(now, told[*index].clone()); });
         straight.tick(now);
--- a/crates/prefix-popularity/tests/stories/fleet.rs
+++ b/crates/prefix-popularity/tests/stories/fleet.rs
@@ -1,7 +1,7 @@
 //! Nodes in memory that tell each other, with doubling, disorder and cuts; chance from a fixed row of numbers.
 
 use grebeusher_prefix_popularity::{Contribution, Identity, Merge, Popularity, PrefixKey, Settings};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 
 /// What a fleet does to its messages.
 #[derive(Clone, Copy, Default)]
@@ -14,7 +14,7 @@
 
 pub struct Fleet {
     pub nodes: Vec<Popularity>,
-    pub now: Moment,
+    pub now: Instant,
     pub sent_bytes: u64,
     network: Network,
     alive: Vec<bool>,
@@ -22,11 +22,11 @@
     sides: Vec<u8>,
     incarnations: Vec<u64>,
     settings: Settings,
-    waiting: Vec<(Moment, usize, Vec<u8>)>,
+    waiting: Vec<(Instant, usize, Vec<u8>)>,
     chance: u64,
 }
 
-pub const STEP: Span = Span::millis(100);
+pub const STEP: Duration = Duration::from_millis(100);
 
 pub fn key(number: u64) -> PrefixKey {
     PrefixKey::of(1, number.wrapping_mul(0x1234_5678_9abc_def1))
@@ -34,7 +34,7 @@
 
 impl Fleet {
     pub fn new(count: usize, settings: Settings, network: Network) -> Fleet {
-        let now = Moment(0);
+        let now = Instant(0);
         let mut nodes: Vec<Popularity> =
             (0..count).map(|index| Popularity::new(settings, identity(index, 1), now)).collect();
         nodes.iter_mut().for_each(|node| node.set_nodes(count));
@@ -53,7 +53,7 @@
     }
 
     /// Runs for a time; in each step every node that runs sees what `asks` gives for it, as keys and tokens.
-    pub fn run(&mut self, span: Span, mut asks: impl FnMut(usize) -> Vec<(PrefixKey, u32)>) {
+    pub fn run(&mut self, span: Duration, mut asks: impl FnMut(usize) -> Vec<(PrefixKey, u32)>) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + STEP;
@@ -77,10 +77,14 @@
                 continue;
             }
             self.sent_bytes += bytes.len() as u64;
-            let wait = if self.network.disorder { Span(self.random() % 1_000_000_000) } else { Span(0) };
+            let wait = if self.network.disorder {
+                Duration::from_nanos(self.random() % 1_000_000_000)
+            } else {
+                Duration::from_nanos(0)
+            };
             self.waiting.push((self.now + wait, to, bytes.clone()));
             if self.network.doubles {
-                self.waiting.push((self.now + wait + Span::millis(7_000), to, bytes.clone()));
+                self.waiting.push((self.now + wait + Duration::from_millis(7_000), to, bytes.clone()));
             }
         }
     }
--- a/crates/prefix-popularity/tests/stories/sharing.rs
+++ b/crates/prefix-popularity/tests/stories/sharing.rs
@@ -2,10 +2,10 @@
 
 use crate::fleet::{Fleet, Network, assert_near, key};
 use grebeusher_prefix_popularity::{Contribution, LARGEST_CONTRIBUTION, Merge, Popularity, Settings};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rstest::rstest;
 
-const MINUTE: Span = Span::millis(60_000);
+const MINUTE: Duration = Duration::from_millis(60_000);
 
 /// Each node sees 20 requests of 100 tokens in a second: 2,000 tokens a second.
 fn even(_: usize) -> Vec<(grebeusher_prefix_popularity::PrefixKey, u32)> {
@@ -40,7 +40,7 @@
     assert_near(&fleet.rates(key(1))[5..], 30_000.0, 0.1);
     // And when the cut heals all count each node once
     fleet.heal();
-    fleet.run(Span::millis(20_000), even);
+    fleet.run(Duration::from_millis(20_000), even);
     assert_near(&fleet.rates(key(1)), 40_000.0, 0.05);
 }
 
@@ -52,13 +52,13 @@
     // When all nodes are restarted one after the other, without a disk
     for index in 0..10 {
         fleet.restart(index, None);
-        fleet.run(Span::millis(3_000), even);
+        fleet.run(Duration::from_millis(3_000), even);
         // Then no node's requests count twice meanwhile
         let most = fleet.rates(key(1))[..].iter().fold(0.0_f64, |most, rate| most.max(*rate));
         assert!(most < 24_000.0, "{most}");
     }
     // And afterwards the sense is whole
-    fleet.run(Span::millis(10_000), even);
+    fleet.run(Duration::from_millis(10_000), even);
     assert_near(&fleet.rates(key(1)), 20_000.0, 0.1);
 }
 
@@ -70,7 +70,7 @@
     // When one dies and its clients go away
     fleet.kill(3);
     // Then it still counts for a moment, as its clients may come back elsewhere
-    fleet.run(Span::millis(3_000), even);
+    fleet.run(Duration::from_millis(3_000), even);
     assert_near(&fleet.rates(key(1))[..3], 8_000.0, 0.1);
     // And no longer after some minutes, nor does its register take memory
     fleet.run(MINUTE.scaled(3.0), even);
@@ -85,7 +85,7 @@
     fleet.run(MINUTE, even);
     // When a machine is replaced by one without a disk
     fleet.restart(7, None);
-    fleet.run(Span::millis(8_000), even);
+    fleet.run(Duration::from_millis(8_000), even);
     // Then it knows what the others know
     assert_near(&fleet.rates(key(1))[7..8], 156_000.0, 0.05);
 }
@@ -93,26 +93,26 @@
 #[test]
 fn old_and_repeated_registers_change_nothing() {
     // Given a node that holds the second register of another one's second life
-    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Moment(0));
+    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Instant(0));
     let of = |incarnation, sequence| Contribution { origin: 9, incarnation, sequence, shares: Vec::new() };
-    assert_eq!(node.merge(Moment(0), of(2, 2)), Merge::News);
+    assert_eq!(node.merge(Instant(0), of(2, 2)), Merge::News);
     // When the same, an earlier one, or one of an earlier life comes
     for old in [of(2, 2), of(2, 1), of(1, 900)] {
         // Then it is not news, and so not passed on
-        assert_eq!(node.merge(Moment(0), old), Merge::Known);
+        assert_eq!(node.merge(Instant(0), old), Merge::Known);
     }
     // And a later one, or one of a later life, is
-    assert_eq!(node.merge(Moment(0), of(2, 3)), Merge::News);
-    assert_eq!(node.merge(Moment(0), of(3, 1)), Merge::News);
+    assert_eq!(node.merge(Instant(0), of(2, 3)), Merge::News);
+    assert_eq!(node.merge(Instant(0), of(3, 1)), Merge::News);
 }
 
 #[test]
 fn its_own_register_that_comes_back_is_no_news() {
     // Given a node whose register another doubled back to it
-    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Moment(0));
+    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Instant(0));
     let own = Contribution { origin: 1_000, incarnation: 7, sequence: 7, shares: Vec::new() };
     // Then it counts nothing of it, even if it names a life that is not there
-    assert_eq!(node.merge(Moment(0), own), Merge::Known);
+    assert_eq!(node.merge(Instant(0), own), Merge::Known);
     assert_eq!(node.sizes().1, 0);
 }
 
@@ -125,25 +125,25 @@
     let settings = Settings::default();
     let mut fleet = Fleet::new(count, settings, Network::default());
     let asks = |index: usize| (0..30).map(|number| (key(number), 100 + index as u32)).collect();
-    fleet.run(Span::millis(30_000), asks);
+    fleet.run(Duration::from_millis(30_000), asks);
     // When it runs on
     fleet.sent_bytes = 0;
     let four_periods = fleet.nodes[0].period().scaled(4.0);
     fleet.run(four_periods, asks);
     // Then registers take no more than their share of each link, in and out, frames included
     let registers = fleet.sent_bytes as f64 / (28.0 + settings.told as f64 * 6.0);
-    let per_node = (fleet.sent_bytes as f64 + registers * 16.0) * 2.0 / count as f64 / four_periods.as_secs();
+    let per_node = (fleet.sent_bytes as f64 + registers * 16.0) * 2.0 / count as f64 / four_periods.seconds();
     println!("{count} nodes: {per_node:.0} bytes a second, a register every {:?}", fleet.nodes[0].period());
     assert!(per_node <= settings.bytes_per_s * 1.1, "{per_node}");
-    assert!(fleet.nodes[0].period() <= Span::millis(30_000));
+    assert!(fleet.nodes[0].period() <= Duration::from_millis(30_000));
 }
 
 #[test]
 fn a_register_of_any_length_is_read_or_refused() {
     // Given a register
-    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Moment(0));
-    (0..40).for_each(|number| node.saw(Moment(0), key(number), 1_000));
-    let told = node.tick(Moment(0) + Span::millis(4_000)).expect("it is due");
+    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Instant(0));
+    (0..40).for_each(|number| node.saw(Instant(0), key(number), 1_000));
+    let told = node.tick(Instant(0) + Duration::from_millis(4_000)).expect("it is due");
     let bytes = told.encode();
     assert_eq!(Contribution::decode(&bytes).as_ref(), Ok(&told));
     assert!(bytes.len() <= LARGEST_CONTRIBUTION);
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -9,11 +9,11 @@
 //! ```no_run
 //! use grebeusher_quorum::disk::{Identity, Store};
 //! use grebeusher_quorum::{Group, Index, Message, Replica, ReplicaId, Timing};
-//! use grebeusher_time::{Moment, Span};
-//! # fn now() -> Moment { Moment(0) }
+//! use grebeusher_time::{Instant, Duration};
+//! # fn now() -> Instant { Instant(0) }
 //! # fn random() -> u64 { 4 }
 //! # fn send(to: ReplicaId, message: Message) {}
-//! # fn next_message(until: Moment) -> Option<Message> { None }
+//! # fn next_message(until: Instant) -> Option<Message> { None }
 //! # fn load(bytes: &[u8]) {}
 //! # fn apply(index: Index, command: &[u8]) {}
 //! # fn snapshot_of_application() -> Vec<u8> { Vec::new() }
@@ -21,10 +21,10 @@
 //! let identity = Identity::load_or_create("data".as_ref(), random())?;
 //! let (mut store, restored) = Store::open("data/part-0".as_ref())?;
 //! let timing = Timing {
-//!     heartbeat: Span::millis(50),
-//!     election_min: Span::millis(500),
-//!     election_max: Span::millis(900),
-//!     lease: Span::millis(400),
+//!     heartbeat: Duration::from_millis(50),
+//!     election_min: Duration::from_millis(500),
+//!     election_max: Duration::from_millis(900),
+//!     lease: Duration::from_millis(400),
 //! };
 //! let mut replica = Replica::new(identity.id, restored, timing, random(), now());
 //! // Only where the system starts for the first time, on each replica that the group names:
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -1,6 +1,6 @@
 //! The messages between replicas, and their binary form.
 
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use snafu::{Snafu, ensure};
 
@@ -63,12 +63,12 @@
 pub struct Stamp(pub u64);
 
 impl Stamp {
-    pub(crate) fn at(moment: Moment) -> Stamp {
+    pub(crate) fn at(moment: Instant) -> Stamp {
         Stamp(moment.0)
     }
 
-    pub(crate) fn moment(self) -> Moment {
-        Moment(self.0)
+    pub(crate) fn moment(self) -> Instant {
+        Instant(self.0)
     }
 }
 
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 use crate::entry::Snapshot;
 use crate::ids::Index;
@@ -69,7 +69,7 @@
     pub(crate) next: Index,
     pub(crate) flow: Flow,
     /// When the newest message that it answered in this term was sent.
-    pub(crate) answered: Option<Moment>,
+    pub(crate) answered: Option<Instant>,
     /// A heartbeat is due, if nothing else is sent.
     pub(crate) beat_due: bool,
 }
@@ -88,7 +88,7 @@
 
     /// Notes that a message sent at `sent` was answered. If pieces of a snapshot were lost, they are sent anew now that
     /// somebody is there to take them.
-    pub(crate) fn note_answer(&mut self, sent: Moment) {
+    pub(crate) fn note_answer(&mut self, sent: Instant) {
         self.answered = self.answered.max(Some(sent));
         match &mut self.flow {
             Flow::Snapshot(transfer) if transfer.beats_without_news >= STALLED_BEATS => transfer.resume(),
--- a/crates/quorum/src/replica/change.rs
+++ b/crates/quorum/src/replica/change.rs
@@ -8,6 +8,7 @@
 use crate::message::Body;
 use crate::progress::Progress;
 use crate::role::{HandOver, PendingChange, Role};
+use grebeusher_time::DurationExt;
 
 /// How many entries a learner may be behind when it becomes a voter.
 const SMALL_LAG: u64 = 32;
@@ -27,7 +28,7 @@
     /// When this replica is not the owner, or something else is under way.
     pub fn change_group(
         &mut self,
-        now: grebeusher_time::Moment,
+        now: grebeusher_time::Instant,
         voters: Vec<ReplicaId>,
     ) -> Result<(), ChangeError> {
         self.advance(now);
@@ -158,7 +159,7 @@
     /// When this replica is not the owner, is handing over already, or nobody can take over.
     pub fn hand_over(
         &mut self,
-        now: grebeusher_time::Moment,
+        now: grebeusher_time::Instant,
         to: Option<ReplicaId>,
     ) -> Result<ReplicaId, HandOverError> {
         self.advance(now);
--- a/crates/quorum/src/replica/election.rs
+++ b/crates/quorum/src/replica/election.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 
 use super::Replica;
@@ -44,8 +44,8 @@
     /// A question that some refuse because they heard of the owner a little later is put again soon.
     fn put_off_question(&mut self) {
         let election_min = self.timing.election_min;
-        let wait = self.rng.random_range(election_min.0 / 2..=election_min.0);
-        self.election_at = self.now + Span(wait);
+        let wait = self.rng.random_range(election_min.nanos() / 2..=election_min.nanos());
+        self.election_at = self.now + Duration::from_nanos(wait);
     }
 
     fn ask_others(&mut self, term: Term, body: Body) {
@@ -151,7 +151,7 @@
     }
 
     /// When a quorum was last asked something that it has answered since.
-    pub(super) fn quorum_contact(&self) -> Option<Moment> {
+    pub(super) fn quorum_contact(&self) -> Option<Instant> {
         let ownership = self.ownership()?;
         self.group().agreed(|voter| {
             if voter == self.identity {
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -7,7 +7,7 @@
 mod ownership;
 mod sending;
 
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -28,7 +28,7 @@
 const MAX_UNCOMMITTED: usize = 6 * 1024 * 1024;
 
 /// "Never", for a replica that waits for nothing but messages.
-const NEVER: Moment = Moment(u64::MAX);
+const NEVER: Instant = Instant(u64::MAX);
 
 /// A replica of one part.
 #[derive(Clone, Debug)]
@@ -36,7 +36,7 @@
     identity: ReplicaId,
     timing: Timing,
     rng: Pcg64Mcg,
-    now: Moment,
+    now: Instant,
     hard: HardState,
     log: Log,
     commit: Index,
@@ -45,9 +45,9 @@
     role: Role,
     /// The last sign of an owner that lives; the start counts as one, because a lease may rest on an answer that was
     /// given before it.
-    heard: Moment,
+    heard: Instant,
     /// When the next election starts, for all but owners.
-    election_at: Moment,
+    election_at: Instant,
     assembly: Option<Assembly>,
     output: Output,
 }
@@ -80,7 +80,7 @@
 impl Replica {
     /// A replica with what its disk holds. It votes for nobody for `timing.election_min`, because it may have answered
     /// an owner just before it ended.
-    pub fn new(identity: ReplicaId, restored: Restored, timing: Timing, seed: u64, now: Moment) -> Replica {
+    pub fn new(identity: ReplicaId, restored: Restored, timing: Timing, seed: u64, now: Instant) -> Replica {
         let hard = restored.hard;
         let log = Log::restored(restored);
         let snapshot = log.snapshot_last().index;
@@ -138,7 +138,7 @@
     /// # Errors
     ///
     /// When this replica is not the owner, or can't take more at the moment.
-    pub fn propose(&mut self, now: Moment, command: Vec<u8>) -> Result<Index, ProposeError> {
+    pub fn propose(&mut self, now: Instant, command: Vec<u8>) -> Result<Index, ProposeError> {
         self.advance(now);
         if command.len() > crate::MAX_COMMAND {
             return Err(ProposeError::TooLarge { size: command.len() });
@@ -155,7 +155,7 @@
     }
 
     /// Takes a message in. One that is not for this replica, of another founding or out of bounds is dropped.
-    pub fn receive(&mut self, now: Moment, from: ReplicaId, message: Message) {
+    pub fn receive(&mut self, now: Instant, from: ReplicaId, message: Message) {
         self.advance(now);
         let addressed = message.to == self.identity && message.from == from && from != self.identity;
         if !addressed || !message.is_plausible() || !self.shares_founding(&message) {
@@ -177,7 +177,7 @@
     }
 
     /// Does what is due: heartbeats, elections, the end of an ownership without a quorum.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Instant) {
         self.advance(now);
         match &self.role {
             Role::Owner(_) => self.tick_owner(),
@@ -187,7 +187,7 @@
     }
 
     /// When [`Replica::tick`] is due next.
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Instant {
         match &self.role {
             Role::Owner(ownership) => ownership.next_beat,
             _ if self.may_stand() => self.election_at,
@@ -323,7 +323,7 @@
     }
 
     /// Time only goes forward, also if the caller's does not.
-    fn advance(&mut self, now: Moment) {
+    fn advance(&mut self, now: Instant) {
         self.now = self.now.max(now);
     }
 
@@ -344,8 +344,8 @@
 
     fn put_off_election(&mut self) {
         let Timing { election_min, election_max, .. } = self.timing;
-        let extra = self.rng.random_range(0..=election_max.saturating_sub(election_min).0);
-        self.election_at = self.now + election_min + Span(extra);
+        let extra = self.rng.random_range(0..=election_max.saturating_sub(election_min).nanos());
+        self.election_at = self.now + election_min + Duration::from_nanos(extra);
     }
 
     /// Adds an entry to the own log.
--- a/crates/quorum/src/replica/ownership.rs
+++ b/crates/quorum/src/replica/ownership.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 use super::Replica;
 use crate::entry::Payload;
@@ -46,7 +46,7 @@
 
     /// Whether reads may be answered from the application's state: this replica owns the part, has committed an entry
     /// of its own term, and a quorum has answered what was sent within the lease.
-    pub fn lease_holds(&self, now: Moment) -> bool {
+    pub fn lease_holds(&self, now: Instant) -> bool {
         let Some(ownership) = self.ownership() else { return false };
         let settled = self.commit >= ownership.opening && !ownership.lease_given_up;
         let now = now.max(self.now);
--- a/crates/quorum/src/role.rs
+++ b/crates/quorum/src/role.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 use crate::ids::{Index, ReplicaId};
 use crate::progress::Progress;
@@ -23,11 +23,11 @@
 /// What an owner keeps.
 #[derive(Clone, Debug)]
 pub(crate) struct Ownership {
-    pub(crate) since: Moment,
+    pub(crate) since: Instant,
     /// The first entry of its own term.
     pub(crate) opening: Index,
     pub(crate) followers: BTreeMap<ReplicaId, Progress>,
-    pub(crate) next_beat: Moment,
+    pub(crate) next_beat: Instant,
     /// The bytes of the entries that wait for a quorum.
     pub(crate) uncommitted: usize,
     pub(crate) change: Option<PendingChange>,
@@ -41,14 +41,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingChange {
     pub(crate) voters: Vec<ReplicaId>,
-    pub(crate) since: Moment,
+    pub(crate) since: Instant,
 }
 
 /// The ownership on its way to another voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct HandOver {
     pub(crate) target: ReplicaId,
-    pub(crate) deadline: Moment,
+    pub(crate) deadline: Instant,
     /// Whether the target was told.
     pub(crate) told: bool,
 }
--- a/crates/quorum/src/timing.rs
+++ b/crates/quorum/src/timing.rs
@@ -1,18 +1,18 @@
 //! The spans that an ownership rests on.
 
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 
 /// The spans of heartbeats, elections and the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// Between two heartbeats of an owner.
-    pub heartbeat: Span,
+    pub heartbeat: Duration,
     /// How long a voter that has heard from an owner votes for nobody else, and the least wait for an election.
-    pub election_min: Span,
+    pub election_min: Duration,
     /// The longest wait for an election. An owner that has no quorum's answers for so long steps down.
-    pub election_max: Span,
+    pub election_max: Duration,
     /// How long a quorum's answers allow reads, from the sending of what was answered.
-    pub lease: Span,
+    pub lease: Duration,
 }
 
 /// The part of `election_min` that a lease may take: clocks whose rates are 1% apart, twice, and a margin.
@@ -22,7 +22,7 @@
     /// The spans with those that are unsafe or contradict each other brought into bounds: a lease is at most 0.9 of
     /// `election_min`, and `election_max` is at least 1.2 times that.
     pub fn bounded(self) -> Timing {
-        let heartbeat = self.heartbeat.max(Span(1));
+        let heartbeat = self.heartbeat.max(Duration::from_nanos(1));
         let election_min = self.election_min.max(heartbeat);
         Timing {
             heartbeat,
--- a/crates/quorum/tests/codec.rs
+++ b/crates/quorum/tests/codec.rs
@@ -5,7 +5,7 @@
     Index, MAX_MESSAGE, Message, Outcome, Payload, Position, Replica, ReplicaId, Restored, Stamp, Term,
     VoteReply, decode, encode,
 };
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use proptest::collection::vec;
 use proptest::prelude::*;
 
@@ -117,10 +117,10 @@
 
 fn timing() -> grebeusher_quorum::Timing {
     grebeusher_quorum::Timing {
-        heartbeat: Span::millis(20),
-        election_min: Span::millis(200),
-        election_max: Span::millis(400),
-        lease: Span::millis(150),
+        heartbeat: Duration::from_millis(20),
+        election_min: Duration::from_millis(200),
+        election_max: Duration::from_millis(400),
+        lease: Duration::from_millis(150),
     }
 }
 
@@ -161,14 +161,14 @@
         let voters = Group::of((1..4).map(ReplicaId));
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(voters) };
         let restored = Restored { hard, snapshot: None, entries: vec![entry] };
-        let mut now = Moment(0);
+        let mut now = Instant(0);
         let mut replica = Replica::new(ReplicaId(1), restored, timing(), seed, now);
         let mut commit = Index(0);
         for step in steps {
             match step {
                 Step::Receive(message) => replica.receive(now, message.from, message),
                 Step::Wait(ms) => {
-                    now = now + Span::millis(ms);
+                    now = now + Duration::from_millis(ms);
                     replica.tick(now);
                 }
                 Step::Work => {
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -8,7 +8,7 @@
     Blob, Entry, Founding, Group, HardState, Index, Payload, Position, Replica, ReplicaId, Restored,
     Snapshot, Term, Timing, Write,
 };
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -479,12 +479,12 @@
     let folder = new_folder();
     let part: PathBuf = folder.path().join("part-0");
     let timing = Timing {
-        heartbeat: Span::millis(20),
-        election_min: Span::millis(200),
-        election_max: Span::millis(400),
-        lease: Span::millis(150),
+        heartbeat: Duration::from_millis(20),
+        election_min: Duration::from_millis(200),
+        election_max: Duration::from_millis(400),
+        lease: Duration::from_millis(150),
     };
-    let mut now = Moment(0);
+    let mut now = Instant(0);
     let mut sum = 0;
     for life in 0..6u64 {
         // Given a replica that is alone, with what it left on disk in its life before
@@ -495,7 +495,7 @@
         let mut state = 0u64;
         for round in 0..60 {
             // When it owns the part, and takes commands
-            now = now + Span::millis(20);
+            now = now + Duration::from_millis(20);
             replica.tick(now);
             if round > 40 {
                 replica.propose(now, vec![1]).expect("it is the owner");
--- a/crates/quorum/tests/elections.rs
+++ b/crates/quorum/tests/elections.rs
@@ -4,19 +4,19 @@
 
 use grebeusher_quorum::{FoundError, Group, HandOverError, ReplicaId, Restored};
 use grebeusher_quorum::{Message, ProposeError, Replica};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 use world::{Site, TIMING, World};
 
 /// Long enough for an election and some more.
-const A_WHILE: Span = Span::millis(1_500);
+const A_WHILE: Duration = Duration::from_millis(1_500);
 
 /// A world of three with an owner that has decided something; the owner and the others.
 fn three(seed: u64) -> (World, Site, Vec<Site>) {
     let mut world = World::new(seed, 3, 0);
     let owner = world.elect();
     world.propose(owner);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     let others = world.others(&[owner]);
     (world, owner, others)
 }
@@ -35,7 +35,7 @@
         world.propose(owner);
     }
     // Then all replicas apply all of them
-    world.run(Span::millis(200));
+    world.run(Duration::from_millis(200));
     for site in world.sites() {
         assert_eq!(world.machines[site.0].application.state.commands, 100);
     }
@@ -47,7 +47,7 @@
     // Given an empty replica
     let id = ReplicaId(5);
     let group = Group::of([id, ReplicaId(6), ReplicaId(7)]);
-    let mut replica = Replica::new(id, Restored::default(), TIMING, 1, Moment(0));
+    let mut replica = Replica::new(id, Restored::default(), TIMING, 1, Instant(0));
     // When it is founded, the same again is fine, and anything else is refused
     assert_eq!(replica.found(Group::of([ReplicaId(6)])), Err(FoundError::Invalid));
     assert_eq!(replica.found(group.clone()), Ok(()));
@@ -63,7 +63,7 @@
     // Given a disk that kept the promises of a founding, and not the entry
     let id = ReplicaId(5);
     let group = Group::of([id]);
-    let mut replica = Replica::new(id, Restored::default(), TIMING, 1, Moment(0));
+    let mut replica = Replica::new(id, Restored::default(), TIMING, 1, Instant(0));
     replica.found(group.clone()).expect("it is empty");
     let ready = replica.take_ready();
     let Some(grebeusher_quorum::Write::Hard(hard)) = ready.writes.first() else {
@@ -71,7 +71,7 @@
     };
     let restored = Restored { hard: *hard, ..Restored::default() };
     // When it is founded anew
-    let mut replica = Replica::new(id, restored, TIMING, 1, Moment(0));
+    let mut replica = Replica::new(id, restored, TIMING, 1, Instant(0));
     replica.found(group.clone()).expect("it is the same");
     // Then it has the entry
     assert_eq!(replica.group(), &group);
@@ -86,7 +86,7 @@
     world.elect();
     world.run(A_WHILE);
     // Then it has no timer and nobody has talked to it
-    assert_eq!(world.replica(empty).next_wake(), Moment(u64::MAX));
+    assert_eq!(world.replica(empty).next_wake(), Instant(u64::MAX));
     assert_eq!(world.sent_to(empty).messages, 0);
     assert!(!world.machines[empty.0].has_ready());
 }
@@ -95,11 +95,11 @@
 fn heartbeats_without_news_cost_no_sync_and_two_messages_a_follower() {
     // Given a part that is quiet
     let (mut world, owner, others) = three(11);
-    world.run(Span::millis(200));
+    world.run(Duration::from_millis(200));
     let syncs: Vec<u64> = world.machines.iter().map(|machine| machine.syncs).collect();
     let sent = world.sent_to(others[0]).messages + world.sent_to(owner).messages;
     // When a second passes
-    world.run(Span::millis(1_000));
+    world.run(Duration::from_millis(1_000));
     // Then nothing was synced, and each heartbeat was one message and one answer
     let after: Vec<u64> = world.machines.iter().map(|machine| machine.syncs).collect();
     assert_eq!(syncs, after);
@@ -111,13 +111,13 @@
 fn commands_that_wait_for_a_sync_share_the_next_one() {
     // Given an owner whose disk is slow
     let (mut world, owner, _) = three(12);
-    world.sync = Span::millis(30);
+    world.sync = Duration::from_millis(30);
     let syncs = world.machines[owner.0].syncs;
     // When it is given many commands at once
     for _ in 0..200 {
         world.propose(owner);
     }
-    world.run(Span::millis(300));
+    world.run(Duration::from_millis(300));
     // Then few syncs served them all
     assert_eq!(world.machines[owner.0].application.state.commands, 201);
     assert!(world.machines[owner.0].syncs - syncs <= 4);
@@ -133,7 +133,7 @@
     let heir = world.owner().expect("just seen");
     assert!(others.contains(&heir));
     world.propose(heir);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     assert_eq!(world.machines[heir.0].application.state.commands, 2);
 }
 
@@ -143,7 +143,7 @@
     for _ in 0..50 {
         world.propose(owner);
     }
-    world.run(Span::millis(200));
+    world.run(Duration::from_millis(200));
     // When all lose power and come back
     for site in world.sites() {
         world.cut_power(site, false);
@@ -164,7 +164,7 @@
     world.run(A_WHILE);
     let heir = world.elect();
     world.propose(heir);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     // Then it answers no read when it wakes, not even before it has heard of anybody
     assert!(!world.machines[owner.0].lease_holds(world.now));
     world.wake(owner);
@@ -205,7 +205,7 @@
     // When the owner is heard, and hears nobody
     others.iter().for_each(|other| world.network.cut(*other, owner));
     // Then another one takes over
-    world.run_until(Span::millis(2_000), "another owner", |world| {
+    world.run_until(Duration::from_millis(2_000), "another owner", |world| {
         world.owner().is_some_and(|new| new != owner)
     });
     assert_eq!(world.read(owner), None);
@@ -224,7 +224,7 @@
             world.network.cut(others[0], site);
         }
     }
-    world.run(Span::millis(5_000));
+    world.run(Duration::from_millis(5_000));
     world.heal();
     world.run(A_WHILE);
     // Then the owner is still the owner of the same term
@@ -238,7 +238,7 @@
     let term = world.newest_term();
     // When a follower and the owner hear nothing of each other, while the third one hears both
     world.part(owner, others[0]);
-    world.run(Span::millis(5_000));
+    world.run(Duration::from_millis(5_000));
     // Then the third one holds to the owner, whose lease holds by it
     assert_eq!(world.owner(), Some(owner));
     assert_eq!(world.newest_term(), term);
@@ -290,7 +290,9 @@
         matches!(refused, Err(ProposeError::NotOwner { hint }) if hint == Some(target) || hint.is_none())
     );
     // And the other one owns the part far earlier than by an election
-    world.run_until(Span::millis(60), "a new owner", |world| world.owner().is_some_and(|new| new != owner));
+    world.run_until(Duration::from_millis(60), "a new owner", |world| {
+        world.owner().is_some_and(|new| new != owner)
+    });
     assert!(others.contains(&world.owner().expect("just seen")));
 }
 
@@ -304,10 +306,10 @@
     // Then reads are over for the rest of the term
     assert_eq!(world.read(owner), None);
     // And there is an owner again soon
-    world.run_until(Span::millis(1_000), "an owner", |world| world.owner().is_some());
+    world.run_until(Duration::from_millis(1_000), "an owner", |world| world.owner().is_some());
     let owner = world.owner().expect("just seen");
     world.propose(owner);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     assert_eq!(world.machines[owner.0].application.state.commands, 2);
 }
 
@@ -325,7 +327,7 @@
     let again = world.call(owner, |replica, now| replica.hand_over(now, Some(other)));
     assert_eq!(again, Err(HandOverError::UnderWay));
     // When the time for it is over
-    world.run(Span::millis(500));
+    world.run(Duration::from_millis(500));
     // Then the owner goes on as before: the lease was never given up
     assert_eq!(world.owner(), Some(owner));
     assert!(world.call(owner, |replica, now| replica.propose(now, vec![1; 9])).is_ok());
@@ -350,7 +352,7 @@
     // When the owner is given commands
     for _ in 0..20 {
         world.propose(owner);
-        world.run(Span::millis(10));
+        world.run(Duration::from_millis(10));
     }
     // Then they are decided by the rest
     assert_eq!(world.machines[owner.0].application.state.commands, 21);
@@ -377,13 +379,13 @@
     let mut world = World::new(25, 5, 0);
     world.network.loss = 0.2;
     world.network.doubling = 0.2;
-    world.network.delay = Span::millis(15);
+    world.network.delay = Duration::from_millis(15);
     // When clients go on for a while, and the links become good
-    world.propose_for(Span::millis(4_000), Span::millis(5));
+    world.propose_for(Duration::from_millis(4_000), Duration::from_millis(5));
     world.network.loss = 0.0;
     let owner = world.elect();
     world.propose(owner);
-    world.run(Span::millis(500));
+    world.run(Duration::from_millis(500));
     // Then all have the same
     let sites = world.sites();
     world.settle(&sites, A_WHILE);
