--- a/crates/quorum/tests/groups.rs
+++ b/crates/quorum/tests/groups.rs
@@ -3,11 +3,11 @@
 mod world;
 
 use grebeusher_quorum::{ChangeError, Index, ReplicaId};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 use world::{Site, World};
 
-const BOUND: Span = Span::millis(3_000);
+const BOUND: Duration = Duration::from_millis(3_000);
 
 fn start(seed: u64, voters: usize, spares: usize) -> (World, Site) {
     let mut world = World::new(seed, voters, spares);
@@ -15,7 +15,7 @@
     for _ in 0..20 {
         world.propose(owner);
     }
-    world.run(Span::millis(200));
+    world.run(Duration::from_millis(200));
     (world, owner)
 }
 
@@ -31,7 +31,7 @@
     // When a disk is lost for good and the spare takes its place
     world.wipe(lost);
     let keep: Vec<Site> = world.others(&[lost]);
-    world.change_to(&keep, Span::millis(500));
+    world.change_to(&keep, Duration::from_millis(500));
     // Then the spare has everything and its vote counts: another loss is borne
     world.lose_power(owner);
     let heir = world.elect();
@@ -51,7 +51,7 @@
         world.change_to(&sites, BOUND);
         let owner = world.elect();
         world.propose(owner);
-        world.run(Span::millis(50));
+        world.run(Duration::from_millis(50));
     }
     // Then nothing was lost, though none of the first disks is left
     let owner = world.elect();
@@ -68,7 +68,7 @@
         let wanted = [owner, rest[2], rest[3]];
         change(&mut world, owner, &wanted).expect("nothing is under way");
         // When it loses power some milliseconds later
-        world.run(Span::millis(after_ms));
+        world.run(Duration::from_millis(after_ms));
         world.lose_power(owner);
         // Then the others have an owner, and finish what was begun or stay as they were
         world.run_until(BOUND, "an owner of a settled group", |world| {
@@ -95,7 +95,7 @@
         let owner = world.elect();
         assert!(sites.contains(&owner));
         world.propose(owner);
-        world.run(Span::millis(100));
+        world.run(Duration::from_millis(100));
         world.settle(&sites, BOUND);
     }
 }
@@ -107,10 +107,12 @@
     // When the owner takes itself out of the group
     change(&mut world, owner, &others).expect("nothing is under way");
     // Then another one owns the part, sooner than by an election
-    world.run_until(Span::millis(150), "a new owner", |world| world.owner().is_some_and(|new| new != owner));
+    world.run_until(Duration::from_millis(150), "a new owner", |world| {
+        world.owner().is_some_and(|new| new != owner)
+    });
     // And the retired one is quiet
     world.run(BOUND);
-    assert_eq!(world.replica(owner).next_wake(), Moment(u64::MAX));
+    assert_eq!(world.replica(owner).next_wake(), Instant(u64::MAX));
 }
 
 #[test]
@@ -125,7 +127,7 @@
     let term = world.newest_term();
     // When it is back
     world.heal();
-    world.run(Span::millis(5_000));
+    world.run(Duration::from_millis(5_000));
     // Then it asks in vain
     assert_eq!(world.newest_term(), term);
     assert_eq!(world.owner(), Some(owner));
@@ -142,12 +144,12 @@
     // When a voter is taken out of the group
     let keep = world.others(&[left]);
     world.change_to(&keep, BOUND);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     // Then it knows, has no timer, and is sent nothing more
-    assert_eq!(world.replica(left).next_wake(), Moment(u64::MAX));
+    assert_eq!(world.replica(left).next_wake(), Instant(u64::MAX));
     let before = world.sent_to(left);
     world.propose(owner);
-    world.run(Span::millis(1_000));
+    world.run(Duration::from_millis(1_000));
     assert_eq!(world.sent_to(left), before);
 }
 
@@ -167,7 +169,7 @@
     // Then nothing else can begin
     assert_eq!(change(&mut world, owner, &[owner]), Err(ChangeError::UnderWay));
     // When some time has passed
-    world.run(Span::millis(1_500));
+    world.run(Duration::from_millis(1_500));
     // Then the group is as it was, still decides, and the next change is taken
     assert_eq!(world.replica(owner).pending_change(), None);
     assert_eq!(world.replica(owner).group(), &group);
@@ -195,7 +197,7 @@
     assert!(world.replica(heir).group().is_joint());
     // When the owner dies, and the new voter, whose log is too short to win, is back
     world.lose_power(owner);
-    world.run(Span::millis(20));
+    world.run(Duration::from_millis(20));
     world.heal();
     // Then it owns the part soon
     world.run_until(BOUND, "an owner", |world| world.owner() == Some(heir));
@@ -224,7 +226,7 @@
     // When the owner is given a command
     let before = world.oracle.commands();
     world.propose(owner);
-    world.run(Span::millis(30));
+    world.run(Duration::from_millis(30));
     // Then the old group decides it
     assert_eq!(world.oracle.commands(), before + 1);
     // And without the other voter nothing is decided, whatever the learner does
@@ -232,7 +234,7 @@
     world.heal();
     let before = world.oracle.commands();
     world.propose(owner);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     assert_eq!(world.oracle.commands(), before);
 }
 
@@ -262,7 +264,7 @@
         // Given a group that is whole, and a command that was just acknowledged
         let owner = world.elect();
         world.propose(owner);
-        world.run(Span::millis(60));
+        world.run(Duration::from_millis(60));
         commands += 1;
         // When as many disks are lost as may be, the oldest, and all other machines lose power at that moment
         let wiped = oldest(&world, &ages, losses);
@@ -277,7 +279,7 @@
         }
         // Then the empty ones are taken in anew, and nothing is lost
         let members: Vec<Site> = all.into_iter().take(voters).collect();
-        world.change_to(&members, Span::millis(6_000));
+        world.change_to(&members, Duration::from_millis(6_000));
         let leader = world.elect();
         assert_eq!(world.machines[leader.0].application.state.commands, commands, "round {round}");
     }
@@ -296,7 +298,7 @@
     let keep: Vec<Site> = world.others(&[first]);
     change(&mut world, owner, &keep).expect("nothing is under way");
     // When a second one is lost in the middle of it: the owner's, or another's
-    world.run(Span::millis(after_ms));
+    world.run(Duration::from_millis(after_ms));
     let lost = if seed.is_multiple_of(2) { owner } else { second };
     world.lose_power(lost);
     world.wipe(lost);
@@ -304,9 +306,9 @@
     world.start(lost);
     let members: Vec<Site> =
         world.sites().into_iter().filter(|site| *site != first || *site == spare).collect();
-    world.change_to(&members, Span::millis(8_000));
+    world.change_to(&members, Duration::from_millis(8_000));
     let leader = world.elect();
     world.propose(leader);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     assert_eq!(world.machines[leader.0].application.state.commands, 21);
 }
--- a/crates/quorum/tests/guards.rs
+++ b/crates/quorum/tests/guards.rs
@@ -3,7 +3,7 @@
 
 mod world;
 
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 use world::{Fault, Site, World};
 
@@ -16,7 +16,7 @@
     let owner = world.elect();
     world.oracle.lenient = true;
     world.propose(owner);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     let others = world.others(&[owner]);
     (world, [owner, others[0], others[1]])
 }
@@ -26,13 +26,13 @@
     // Given an owner whose command only the first of the others gets
     let (mut world, [owner, first, second]) = start(seed, fault);
     world.part(owner, second);
-    world.run(Span::millis(10));
+    world.run(Duration::from_millis(10));
     let before = world.oracle.last_committed();
-    world.sync = Span::millis(40);
+    world.sync = Duration::from_millis(40);
     world.propose(owner);
     // When power goes as soon as the command is decided, or soon
     for _ in 0..100 {
-        world.run(Span::millis(1));
+        world.run(Duration::from_millis(1));
         if world.oracle.last_committed() > before {
             break;
         }
@@ -41,11 +41,11 @@
         world.cut_power(site, false);
     }
     // Then the two others go on without the owner
-    world.sync = Span::millis(2);
+    world.sync = Duration::from_millis(2);
     world.start(first);
     world.start(second);
     world.heal();
-    world.propose_for(Span::millis(2_000), Span::millis(20));
+    world.propose_for(Duration::from_millis(2_000), Duration::from_millis(20));
     world
 }
 
@@ -53,25 +53,25 @@
 fn an_old_append_arrives_late(seed: u64, fault: Fault) -> World {
     // Given an owner whose messages to the second one take long, and that is otherwise cut off
     let (mut world, [owner, first, second]) = start(seed, fault);
-    world.network.slow.insert((owner, second), Span::millis(1_500));
+    world.network.slow.insert((owner, second), Duration::from_millis(1_500));
     world.part(owner, first);
     world.network.cut(second, owner);
     world.propose(owner);
-    world.run(Span::millis(5));
+    world.run(Duration::from_millis(5));
     // And that loses power, so that nothing else of it is under way
     world.cut_power(owner, true);
     // When the others decide something else in its place, the first entry of a new owner
-    world.run(Span::millis(1_350));
+    world.run(Duration::from_millis(1_350));
     // And the second one knows no owner when the old message arrives
     world.restart(second);
     world.part(first, second);
-    world.run(Span::millis(400));
+    world.run(Duration::from_millis(400));
     // Then what the first one decided is still there when the first one is lost
     world.lose_power(first);
     world.network.slow.clear();
     world.heal();
     world.start(owner);
-    world.propose_for(Span::millis(2_000), Span::millis(20));
+    world.propose_for(Duration::from_millis(2_000), Duration::from_millis(20));
     world
 }
 
@@ -82,7 +82,7 @@
     world.part(owner, second);
     world.part(first, second);
     world.propose(owner);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     // When the first one's disk is lost and the others lose power, the owner for longer
     world.lose_power(owner);
     world.wipe(first);
@@ -90,9 +90,9 @@
     world.start(first);
     world.heal();
     // Then nothing is decided without the owner that still has it
-    world.propose_for(Span::millis(2_000), Span::millis(20));
+    world.propose_for(Duration::from_millis(2_000), Duration::from_millis(20));
     world.start(owner);
-    world.propose_for(Span::millis(1_000), Span::millis(20));
+    world.propose_for(Duration::from_millis(1_000), Duration::from_millis(20));
     world
 }
 
@@ -101,12 +101,12 @@
     // Given an owner that holds its lease by the first one, while the second one would like to take over
     let (mut world, [owner, first, second]) = start(seed, fault);
     world.part(owner, second);
-    world.run(Span::millis(800));
+    world.run(Duration::from_millis(800));
     // When the first one is cut off from the owner and restarted
     world.part(owner, first);
     world.restart(first);
     // Then reads at the owner are not stale
-    world.propose_for(Span::millis(400), Span::millis(2));
+    world.propose_for(Duration::from_millis(400), Duration::from_millis(2));
     world
 }
 
@@ -114,14 +114,14 @@
 fn answers_arrive_late(seed: u64, fault: Fault) -> World {
     // Given an owner that the first one answers slowly, and the second one not at all
     let (mut world, [owner, first, second]) = start(seed, fault);
-    world.network.slow.insert((first, owner), Span::millis(350));
+    world.network.slow.insert((first, owner), Duration::from_millis(350));
     world.network.cut(second, owner);
-    world.run(Span::millis(380));
+    world.run(Duration::from_millis(380));
     // When nothing of it arrives any more, so that the others elect one of them
     world.network.cut(owner, first);
     world.network.cut(owner, second);
     // Then reads at the owner are not stale when the last answers arrive
-    world.propose_for(Span::millis(700), Span::millis(2));
+    world.propose_for(Duration::from_millis(700), Duration::from_millis(2));
     world
 }
 
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -9,7 +9,7 @@
     Body, Entry, Group, HardState, Index, Message, Payload, Replica, ReplicaId, Restored, Term, Timing,
     Write, decode, encode,
 };
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 use stateright::{Checker, Model, Property};
 
@@ -22,10 +22,10 @@
 const CHANGED: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(4)];
 
 const TIMING: Timing = Timing {
-    heartbeat: Span::millis(20),
-    election_min: Span::millis(200),
-    election_max: Span::millis(400),
-    lease: Span::millis(150),
+    heartbeat: Duration::from_millis(20),
+    election_min: Duration::from_millis(200),
+    election_max: Duration::from_millis(400),
+    lease: Duration::from_millis(150),
 };
 
 /// What is deliberately broken.
@@ -52,7 +52,7 @@
 struct Voter {
     replica: Replica,
     disk: Restored,
-    now: Moment,
+    now: Instant,
 }
 
 #[derive(Clone, Debug)]
@@ -129,8 +129,8 @@
         let disk = Restored { hard, snapshot: None, entries: vec![entry] };
         let machine = |id: ReplicaId| {
             let disk = if VOTERS.contains(&id) { disk.clone() } else { Restored::default() };
-            let replica = Replica::new(id, disk.clone(), TIMING, id.0, Moment(0));
-            Voter { replica, disk, now: Moment(0) }
+            let replica = Replica::new(id, disk.clone(), TIMING, id.0, Instant(0));
+            Voter { replica, disk, now: Instant(0) }
         };
         let count = if with_spare { MACHINES.len() } else { VOTERS.len() };
         let mut world = World {
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -4,7 +4,7 @@
     Append, AppendReply, Blob, Body, Candidacy, Entry, Group, HardState, Index, Message, Outcome, Payload,
     Position, Replica, ReplicaId, Restored, Stamp, Term, Timing, VoteReply, Write,
 };
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
 const ME: ReplicaId = ReplicaId(1);
@@ -12,10 +12,10 @@
 const THIRD: ReplicaId = ReplicaId(3);
 
 const TIMING: Timing = Timing {
-    heartbeat: Span::millis(20),
-    election_min: Span::millis(200),
-    election_max: Span::millis(400),
-    lease: Span::millis(150),
+    heartbeat: Duration::from_millis(20),
+    election_min: Duration::from_millis(200),
+    election_max: Duration::from_millis(400),
+    lease: Duration::from_millis(150),
 };
 
 fn group() -> Group {
@@ -38,7 +38,7 @@
 struct Bench {
     replica: Replica,
     disk: Restored,
-    now: Moment,
+    now: Instant,
 }
 
 impl Bench {
@@ -48,8 +48,8 @@
         let founding = Some(group().founding());
         let hard = HardState { term: Term(term), voted: None, founding, commit: Index(0) };
         let disk = Restored { hard, snapshot: None, entries };
-        let replica = Replica::new(ME, disk.clone(), TIMING, 1, Moment(0));
-        Bench { replica, disk, now: Moment(1_000_000_000) }
+        let replica = Replica::new(ME, disk.clone(), TIMING, 1, Instant(0));
+        Bench { replica, disk, now: Instant(1_000_000_000) }
     }
 
     /// A message arrives; all that comes of it is synced. What the replica sends.
@@ -81,7 +81,7 @@
     /// The process ends and starts again, long ago.
     fn restart(&mut self) {
         self.replica = Replica::new(ME, self.disk.clone(), TIMING, 1, self.now);
-        self.now = self.now + Span::millis(1_000);
+        self.now = self.now + Duration::from_millis(1_000);
     }
 
     fn hear_owner(&mut self, owner: ReplicaId, term: u64) -> Vec<Message> {
@@ -205,7 +205,7 @@
         assert_eq!(bench.pre_vote(THIRD, 4, position(9, 3)), Some(false));
         assert_eq!(bench.vote(THIRD, 4, position(9, 3), false), None);
         assert_eq!(bench.replica.term(), Term(3));
-        bench.now = bench.now + Span::millis(199);
+        bench.now = bench.now + Duration::from_millis(199);
     }
     // But for one to whom the owner has handed over, which gave up its lease for that
     assert_eq!(bench.vote(THIRD, 4, position(9, 3), true), Some(true));
@@ -215,10 +215,10 @@
 fn a_voter_that_was_just_started_helps_nobody() {
     let mut bench = Bench::new(3, &[1]);
     bench.restart();
-    bench.now = bench.now - Span::millis(801);
+    bench.now = bench.now - Duration::from_millis(801);
     assert_eq!(bench.pre_vote(THIRD, 4, position(9, 3)), Some(false));
     assert_eq!(bench.vote(THIRD, 4, position(9, 3), false), None);
-    bench.now = bench.now + Span::millis(2);
+    bench.now = bench.now + Duration::from_millis(2);
     assert_eq!(bench.pre_vote(THIRD, 4, position(9, 3)), Some(true));
     assert_eq!(bench.vote(THIRD, 4, position(9, 3), false), Some(true));
 }
@@ -228,7 +228,7 @@
     // Given a replica whose disk was lost, and that has heard an owner since
     let mut bench = Bench::new(2, &[]);
     bench.hear_owner(SECOND, 2);
-    bench.now = bench.now + Span::millis(1_000);
+    bench.now = bench.now + Duration::from_millis(1_000);
     // When a candidate asks for its vote, with however little in its log, then it gets none
     assert_eq!(bench.pre_vote(THIRD, 3, position(0, 0)), Some(false));
     assert_eq!(bench.vote(THIRD, 3, position(0, 0), false), Some(false));
@@ -352,7 +352,7 @@
     let mut bench = Bench::new(3, &[1]);
     let smaller = Group::of([ME, SECOND]);
     bench.append(SECOND, 3, position(1, 1), 2, vec![group_entry(2, 3, smaller)]);
-    bench.now = bench.now + Span::millis(1_000);
+    bench.now = bench.now + Duration::from_millis(1_000);
     // When the third one, which has the entry and does not know that it is decided, would like to own the part
     assert_eq!(bench.pre_vote(THIRD, 4, position(2, 3)), Some(false));
     assert_eq!(bench.vote(THIRD, 4, position(2, 3), false), Some(false));
@@ -528,8 +528,8 @@
 #[test]
 fn an_empty_replica_listens_to_owners_only() {
     // Given a replica with nothing on disk
-    let mut replica = Replica::new(ME, Restored::default(), TIMING, 1, Moment(0));
-    let now = Moment(1_000_000_000);
+    let mut replica = Replica::new(ME, Restored::default(), TIMING, 1, Instant(0));
+    let now = Instant(1_000_000_000);
     let founding = group().founding();
     let last = position(9, 3);
     let candidacy = Candidacy { last, handed_over: true };
--- a/crates/quorum/tests/snapshots.rs
+++ b/crates/quorum/tests/snapshots.rs
@@ -3,11 +3,11 @@
 mod world;
 
 use grebeusher_quorum::{CompactError, Index};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 use world::{Site, World};
 
-const BOUND: Span = Span::millis(3_000);
+const BOUND: Duration = Duration::from_millis(3_000);
 
 /// What a member that was away is sent at most where the state is small, in bytes.
 const MOST_SENT: u64 = 256 * 1024;
@@ -19,7 +19,7 @@
         let mut bytes = world.fresh_command();
         bytes.resize(120_000, 3);
         world.propose_bytes(owner, bytes);
-        world.run(Span::millis(10));
+        world.run(Duration::from_millis(10));
     }
 }
 
@@ -56,10 +56,10 @@
     // When it is back behind links that lose, double and reorder
     world.network.loss = 0.3;
     world.network.doubling = 0.2;
-    world.network.delay = Span::millis(10);
+    world.network.delay = Duration::from_millis(10);
     world.start(behind);
     // Then it has everything in the end
-    world.settle(&[behind], Span::millis(30_000));
+    world.settle(&[behind], Duration::from_millis(30_000));
 }
 
 #[test]
@@ -67,14 +67,14 @@
     let (mut world, behind) = one_far_behind(3);
     // Given a snapshot that is on its way
     let owner = world.elect();
-    world.network.slow.insert((owner, behind), Span::millis(40));
+    world.network.slow.insert((owner, behind), Duration::from_millis(40));
     world.start(behind);
-    world.run(Span::millis(150));
+    world.run(Duration::from_millis(150));
     assert_eq!(world.replica(behind).snapshot_index(), Index(0));
     // When its owner is lost: its heir needs the one that is behind for a quorum
     world.lose_power(owner);
     // Then it gets all of it from the heir
-    world.run_until(Span::millis(6_000), "an owner", |world| world.owner().is_some());
+    world.run_until(Duration::from_millis(6_000), "an owner", |world| world.owner().is_some());
     world.settle(&[behind], BOUND);
 }
 
@@ -82,13 +82,13 @@
 fn the_receiver_restarts_in_the_middle_of_a_snapshot() {
     let (mut world, behind) = one_far_behind(4);
     let owner = world.elect();
-    world.network.slow.insert((owner, behind), Span::millis(40));
+    world.network.slow.insert((owner, behind), Duration::from_millis(40));
     world.start(behind);
     // When it restarts with some pieces, which are only in memory
-    world.run(Span::millis(150));
+    world.run(Duration::from_millis(150));
     world.restart(behind);
     // Then it starts anew and gets there
-    world.settle(&[behind], Span::millis(6_000));
+    world.settle(&[behind], Duration::from_millis(6_000));
 }
 
 #[test]
@@ -101,7 +101,7 @@
     // Given a follower that missed some small commands, which are in a snapshot already
     for _ in 0..20 {
         world.propose(owner);
-        world.run(Span::millis(5));
+        world.run(Duration::from_millis(5));
     }
     assert!(world.replica(owner).snapshot_index() > Index(10));
     let own_snapshot = world.replica(behind).snapshot_index();
@@ -116,13 +116,13 @@
 #[test]
 fn a_dead_follower_is_not_sent_much() {
     let (mut world, behind) = one_far_behind(6);
-    world.run(Span::millis(1_000));
+    world.run(Duration::from_millis(1_000));
     let before = world.sent_to(behind);
     // When seconds pass without it, and commands go on
     for _ in 0..100 {
         let owner = world.elect();
         world.propose(owner);
-        world.run(Span::millis(30));
+        world.run(Duration::from_millis(30));
     }
     // Then it was sent heartbeats, hardly more
     let bytes = world.sent_to(behind).bytes - before.bytes;
@@ -133,7 +133,7 @@
 fn a_follower_that_answers_nothing_is_sent_a_window_and_no_more() {
     let mut world = World::new(9, 3, 0);
     let owner = world.elect();
-    world.run(Span::millis(200));
+    world.run(Duration::from_millis(200));
     let frozen = world.others(&[owner])[0];
     // Given a follower that freezes
     world.freeze(frozen);
@@ -143,7 +143,7 @@
         let mut bytes = world.fresh_command();
         bytes.resize(size, 3);
         world.propose_bytes(owner, bytes);
-        world.run(Span::millis(5));
+        world.run(Duration::from_millis(5));
     }
     // Then it has been sent a window
     let bytes = world.sent_to(frozen).bytes - before.bytes;
@@ -166,7 +166,7 @@
         world.propose_bytes(owner, bytes);
     }
     // When seconds pass
-    world.run(Span::millis(3_000));
+    world.run(Duration::from_millis(3_000));
     // Then it has been sent the entries hardly more than once
     let bytes = world.sent_to(dead).bytes;
     assert!(bytes < 600_000, "{bytes} bytes to the dead");
@@ -183,7 +183,7 @@
         world.propose_bytes(owner, bytes);
     }
     let sites = world.sites();
-    world.run(Span::millis(300));
+    world.run(Duration::from_millis(300));
     world.settle(&sites, BOUND);
     // Then no message was larger than the bound and its surroundings
     for site in sites {
@@ -196,7 +196,7 @@
     let mut world = World::new(8, 3, 0);
     let owner = world.elect();
     world.propose(owner);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     let applied = world.machines[owner.0].application.applied;
     let compact =
         |world: &mut World, index| world.call(owner, |replica, _| replica.compact(index, vec![0; 16]));
@@ -220,12 +220,12 @@
     for _ in 0..changes {
         let owner = world.elect();
         world.propose(owner);
-        world.run(Span::millis(5));
+        world.run(Duration::from_millis(5));
     }
     // When it is back, then it has all of them within a blink, however many they were
     world.start(behind);
     let before = world.sent_to(behind).bytes;
-    world.settle(&[behind], Span::millis(400));
+    world.settle(&[behind], Duration::from_millis(400));
     assert_eq!(world.machines[behind.0].application.state.commands, changes);
     let bytes = world.sent_to(behind).bytes - before;
     assert!(bytes < MOST_SENT, "{changes} changes: {bytes} bytes");
@@ -237,20 +237,20 @@
 fn a_receiver_that_restarts_again_and_again_gets_there_while_changes_go_on() {
     let (mut world, behind) = one_far_behind(10);
     let owner = world.elect();
-    world.network.slow.insert((owner, behind), Span::millis(20));
+    world.network.slow.insert((owner, behind), Duration::from_millis(20));
     // When it restarts with a part of the snapshot each time, and the others go on
     for _ in 0..8 {
         world.start(behind);
         for _ in 0..6 {
             let owner = world.elect();
             world.propose(owner);
-            world.run(Span::millis(20));
+            world.run(Duration::from_millis(20));
         }
         world.lose_power(behind);
     }
     // Then it has everything as soon as it stays
     world.start(behind);
-    world.settle(&[behind], Span::millis(6_000));
+    world.settle(&[behind], Duration::from_millis(6_000));
 }
 
 #[rstest]
@@ -261,7 +261,7 @@
     let (mut world, behind) = one_far_behind(seed);
     world.start(behind);
     // Pieces that overtake each other, as they never do on a link, go again only after some heartbeats.
-    world.settle(&[behind], Span::millis(6_000));
+    world.settle(&[behind], Duration::from_millis(6_000));
     let commands = world.machines[behind.0].application.state.commands;
     // When the other two lose power, one of them for good, so that it is needed for each decision
     let owner = world.elect();
@@ -272,7 +272,7 @@
     // Then whoever leads has all of it, and the oracle finds nothing that was taken back
     let leader = world.elect();
     world.propose(leader);
-    world.run(Span::millis(100));
+    world.run(Duration::from_millis(100));
     assert_eq!(world.machines[leader.0].application.state.commands, commands + 1);
 }
 
@@ -282,7 +282,7 @@
     let (mut world, behind) = one_far_behind(11);
     // When it is back
     world.start(behind);
-    world.settle(&[behind], Span::millis(6_000));
+    world.settle(&[behind], Duration::from_millis(6_000));
     // Then it went by the entries, each of which stays though the owner changes in the middle: a snapshot begins anew
     assert_eq!(world.machines[behind.0].loads, 0);
 }
--- a/crates/quorum/tests/world/machine.rs
+++ b/crates/quorum/tests/world/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use grebeusher_quorum::{Body, Index, Message, Ready, Replica, ReplicaId, Restore, Stamp, Timing};
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use rand::rngs::SmallRng;
 
 use super::{Disk, Fault, Oracle, Site};
@@ -53,7 +53,7 @@
 }
 
 pub struct Syncing {
-    pub done_at: Moment,
+    pub done_at: Instant,
     ready: Ready,
 }
 
@@ -70,7 +70,7 @@
     pub syncing: Option<Syncing>,
     /// Counts the starts, so that events of an earlier life are void.
     pub life: u64,
-    pub wake_scheduled: Moment,
+    pub wake_scheduled: Instant,
     /// The size of snapshots beyond their content.
     pub filler: usize,
     /// States loaded from an owner or the own disk in this life.
@@ -94,7 +94,7 @@
             frozen: false,
             syncing: None,
             life: 0,
-            wake_scheduled: Moment(0),
+            wake_scheduled: Instant(0),
             filler: 0,
             loads: 0,
             syncs: 0,
@@ -103,17 +103,17 @@
     }
 
     /// The machine's own clock.
-    pub fn local(&self, now: Moment) -> Moment {
+    pub fn local(&self, now: Instant) -> Instant {
         let drift = (now.0 as i128 * self.rate as i128) / 1_000_000;
-        Moment((now.0 as i128 + drift) as u64)
+        Instant((now.0 as i128 + drift) as u64)
     }
 
-    fn global(&self, local: Moment) -> Moment {
+    fn global(&self, local: Instant) -> Instant {
         let now = (local.0 as i128 * 1_000_000) / (1_000_000 + self.rate as i128);
-        Moment(now as u64 + 1000)
+        Instant(now as u64 + 1000)
     }
 
-    pub fn start(&mut self, now: Moment, seed: u64, timing: Timing, fault: Fault) {
+    pub fn start(&mut self, now: Instant, seed: u64, timing: Timing, fault: Fault) {
         let local = self.local(now);
         let local = match fault {
             Fault::RestartedVotesAtOnce => local - timing.election_min,
@@ -124,7 +124,7 @@
         self.life += 1;
         self.loads = 0;
         self.frozen = false;
-        self.wake_scheduled = Moment(0);
+        self.wake_scheduled = Instant(0);
     }
 
     pub fn lose_power(&mut self, rng: Option<&mut SmallRng>) {
@@ -142,7 +142,7 @@
         self.replica.is_some() && !self.frozen && self.syncing.is_none()
     }
 
-    pub fn take_in(&mut self, now: Moment, fault: Fault) {
+    pub fn take_in(&mut self, now: Instant, fault: Fault) {
         let now = self.local(now);
         let Some(replica) = &mut self.replica else { return };
         for message in self.inbox.drain(..) {
@@ -162,7 +162,7 @@
     }
 
     /// Takes a batch: the messages that leave at once, and whether there is a sync to wait for.
-    pub fn take_batch(&mut self, done_at: Moment, fault: Fault) -> Option<(Vec<Message>, bool)> {
+    pub fn take_batch(&mut self, done_at: Instant, fault: Fault) -> Option<(Vec<Message>, bool)> {
         let replica = self.replica.as_mut()?;
         if !replica.has_ready() {
             return None;
@@ -179,7 +179,7 @@
         Some((unaddressed(messages), syncs))
     }
 
-    pub fn finish_sync(&mut self, oracle: &mut Oracle, now: Moment, site: Site) -> Vec<Message> {
+    pub fn finish_sync(&mut self, oracle: &mut Oracle, now: Instant, site: Site) -> Vec<Message> {
         let Some(syncing) = self.syncing.take() else { return Vec::new() };
         let Some(replica) = self.replica.as_mut() else { return Vec::new() };
         let ready = syncing.ready;
@@ -215,17 +215,17 @@
         }
     }
 
-    pub fn lease_holds(&self, now: Moment) -> bool {
+    pub fn lease_holds(&self, now: Instant) -> bool {
         let now = self.local(now);
         self.replica.as_ref().is_some_and(|replica| replica.lease_holds(now))
     }
 
-    pub fn next_wake(&self) -> Option<Moment> {
+    pub fn next_wake(&self) -> Option<Instant> {
         let wake = self.replica.as_ref()?.next_wake();
-        (wake < Moment(u64::MAX)).then(|| self.global(wake))
+        (wake < Instant(u64::MAX)).then(|| self.global(wake))
     }
 
-    pub fn picture(&self, now: Moment) -> String {
+    pub fn picture(&self, now: Instant) -> String {
         let Some(replica) = &self.replica else { return format!("{:?}: off", self.identity) };
         format!(
             "{:?}: term {:?} owner {} lease {} hint {:?} last {:?} commit {:?} group {:?} frozen {}",
@@ -256,7 +256,7 @@
 }
 
 /// The message as a receiver with a fault sees it.
-fn faulty(mut message: Message, replica: &Replica, now: Moment, fault: Fault) -> Message {
+fn faulty(mut message: Message, replica: &Replica, now: Instant, fault: Fault) -> Message {
     match fault {
         Fault::TermsNotChecked => message.term = message.term.max(replica.term()),
         Fault::LeaseFromArrival => match &mut message.body {
--- a/crates/quorum/tests/world/mod.rs
+++ b/crates/quorum/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::BinaryHeap;
 
 use grebeusher_quorum::{Group, Index, Message, Replica, ReplicaId, Term, Timing};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -27,10 +27,10 @@
 pub struct Site(pub usize);
 
 pub const TIMING: Timing = Timing {
-    heartbeat: Span::millis(20),
-    election_min: Span::millis(200),
-    election_max: Span::millis(400),
-    lease: Span::millis(170),
+    heartbeat: Duration::from_millis(20),
+    election_min: Duration::from_millis(200),
+    election_max: Duration::from_millis(400),
+    lease: Duration::from_millis(170),
 };
 
 /// What is deliberately broken, to see that it is noticed.
@@ -58,7 +58,7 @@
 }
 
 pub struct World {
-    pub now: Moment,
+    pub now: Instant,
     pub rng: SmallRng,
     pub machines: Vec<Machine>,
     pub network: Network,
@@ -66,10 +66,10 @@
     pub timing: Timing,
     pub fault: Fault,
     /// How long a sync takes, at most.
-    pub sync: Span,
+    pub sync: Duration,
     /// Snapshots are taken after so many commands.
     pub compact_every: u64,
-    events: BinaryHeap<Reverse<(Moment, u64, Event)>>,
+    events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     sequence: u64,
     next_identity: u64,
     next_command: u64,
@@ -83,14 +83,14 @@
 
     pub fn with_fault(seed: u64, founders: usize, spares: usize, fault: Fault) -> World {
         let mut world = World {
-            now: Moment(1_000_000_000),
+            now: Instant(1_000_000_000),
             rng: SmallRng::seed_from_u64(seed),
             machines: Vec::new(),
             network: Network::default(),
             oracle: Oracle::default(),
             timing: TIMING,
             fault,
-            sync: Span::millis(2),
+            sync: Duration::from_millis(2),
             compact_every: 40,
             events: BinaryHeap::new(),
             sequence: 0,
@@ -140,7 +140,7 @@
         ReplicaId(self.next_identity.wrapping_mul(0x9E37_79B9_7F4A_7C15))
     }
 
-    fn schedule(&mut self, at: Moment, event: Event) {
+    fn schedule(&mut self, at: Instant, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((at.max(self.now), self.sequence, event)));
     }
@@ -228,7 +228,7 @@
     // ---- time ----
 
     /// Lets time pass.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(Reverse((at, _, _))) = self.events.peek() {
             if *at > end {
@@ -242,11 +242,11 @@
     }
 
     /// Lets time pass until something holds; fails after `bound`.
-    pub fn run_until(&mut self, bound: Span, what: &str, holds: impl Fn(&World) -> bool) {
+    pub fn run_until(&mut self, bound: Duration, what: &str, holds: impl Fn(&World) -> bool) {
         let end = self.now + bound;
         while !holds(self) {
             assert!(self.now < end, "not within the bound: {what}\n{}", self.picture());
-            self.run(Span::millis(1));
+            self.run(Duration::from_millis(1));
         }
     }
 
@@ -310,7 +310,7 @@
     fn work(&mut self, site: Site) {
         loop {
             let now = self.now;
-            let sync = Span(self.rng.random_range(0..=self.sync.0));
+            let sync = Duration::from_nanos(self.rng.random_range(0..=self.sync.nanos()));
             let fault = self.fault;
             let machine = &mut self.machines[site.0];
             if !machine.is_free() {
@@ -376,7 +376,7 @@
     }
 
     /// A client hands commands to whoever owns the part, a few at a time, while time passes.
-    pub fn propose_for(&mut self, span: Span, every: Span) {
+    pub fn propose_for(&mut self, span: Duration, every: Duration) {
         let end = self.now + span;
         while self.now < end {
             if let Some(owner) = self.owner() {
@@ -406,9 +406,9 @@
     }
 
     /// Calls a replica that runs, and does what comes of it.
-    pub fn call<T>(&mut self, site: Site, act: impl FnOnce(&mut Replica, Moment) -> T) -> T {
+    pub fn call<T>(&mut self, site: Site, act: impl FnOnce(&mut Replica, Instant) -> T) -> T {
         while self.machines[site.0].syncing.is_some() {
-            self.run(Span::millis(1));
+            self.run(Duration::from_millis(1));
         }
         let now = self.machines[site.0].local(self.now);
         let result = act(self.machines[site.0].replica.as_mut().expect("it runs"), now);
@@ -426,12 +426,12 @@
 
     /// Waits for an owner whose lease holds.
     pub fn elect(&mut self) -> Site {
-        self.run_until(Span::millis(5_000), "an owner", |world| world.owner().is_some());
+        self.run_until(Duration::from_millis(5_000), "an owner", |world| world.owner().is_some());
         self.owner().expect("just seen")
     }
 
     /// Changes the group by whoever owns the part, again and again until it stands.
-    pub fn change_to(&mut self, sites: &[Site], bound: Span) {
+    pub fn change_to(&mut self, sites: &[Site], bound: Duration) {
         let wanted = self.group_of(sites.iter().copied());
         let end = self.now + bound;
         loop {
@@ -443,12 +443,12 @@
                 let _ = self.call(owner, |replica, now| replica.change_group(now, wanted.voters.clone()));
             }
             assert!(self.now < end, "the group did not change\n{}", self.picture());
-            self.run(Span::millis(10));
+            self.run(Duration::from_millis(10));
         }
     }
 
     /// All running machines have applied the same up to the end.
-    pub fn settle(&mut self, sites: &[Site], bound: Span) {
+    pub fn settle(&mut self, sites: &[Site], bound: Duration) {
         let index = self.oracle.last_committed();
         self.run_until(bound, "all have applied everything", |world| {
             sites.iter().all(|site| world.machines[site.0].application.applied >= index)
--- a/crates/quorum/tests/world/network.rs
+++ b/crates/quorum/tests/world/network.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use rand::Rng;
 use rand::rngs::SmallRng;
 
@@ -21,11 +21,11 @@
     pub loss: f64,
     pub doubling: f64,
     /// The delay of a message lies between nothing and this, so messages overtake each other.
-    pub delay: Span,
+    pub delay: Duration,
     /// With this chance a message takes very long.
     pub straggling: f64,
     /// What a direction of a link takes longer than others.
-    pub slow: BTreeMap<(Site, Site), Span>,
+    pub slow: BTreeMap<(Site, Site), Duration>,
     cuts: BTreeSet<(Site, Site)>,
     /// The messages and bytes sent to each machine, also those that got lost.
     pub sent_to: BTreeMap<Site, Sent>,
@@ -36,7 +36,7 @@
         Network {
             loss: 0.0,
             doubling: 0.0,
-            delay: Span::millis(2),
+            delay: Duration::from_millis(2),
             straggling: 0.0,
             slow: BTreeMap::new(),
             cuts: BTreeSet::new(),
@@ -65,7 +65,7 @@
     }
 
     /// The delays of the copies of a message that arrive.
-    pub fn fates(&mut self, from: Site, to: Site, bytes: usize, rng: &mut SmallRng) -> Vec<Span> {
+    pub fn fates(&mut self, from: Site, to: Site, bytes: usize, rng: &mut SmallRng) -> Vec<Duration> {
         let sent = self.sent_to.entry(to).or_default();
         sent.messages += 1;
         sent.bytes += bytes as u64;
@@ -75,12 +75,14 @@
         }
         let copies = if rng.random_bool(self.doubling) { 2 } else { 1 };
         let straggling = self.straggling;
-        let most = self.delay.0;
+        let most = self.delay.nanos();
         let slow = self.slow.get(&(from, to)).copied().unwrap_or_default();
         (0..copies)
             .map(|_| {
                 let long = rng.random_bool(straggling);
-                slow + Span(rng.random_range(0..=if long { Span::millis(700).0 } else { most }))
+                slow + Duration::from_nanos(
+                    rng.random_range(0..=if long { Duration::from_millis(700).nanos() } else { most }),
+                )
             })
             .collect()
     }
--- a/crates/quorum/tests/world/oracle.rs
+++ b/crates/quorum/tests/world/oracle.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use grebeusher_quorum::{Blob, Committed, Group, Index, Payload, Replica, ReplicaId, Term};
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 use super::{Site, State};
 
@@ -107,7 +107,7 @@
         }
     }
 
-    pub fn acknowledge(&mut self, applied: Index, _now: Moment) {
+    pub fn acknowledge(&mut self, applied: Index, _now: Instant) {
         self.shown = self.shown.max(applied);
         self.acknowledged += 1;
     }
--- a/crates/quorum/tests/world/storm.rs
+++ b/crates/quorum/tests/world/storm.rs
@@ -1,7 +1,7 @@
 //! Storms: troubles drawn from a seed, then calm, in which everything has to come right again.
 
 use grebeusher_quorum::ReplicaId;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rand::Rng;
 
 use super::{Fault, Site, World};
@@ -28,10 +28,10 @@
     world.compact_every = [5, 40, 1_000_000][world.rng.random_range(0..3)];
     let filler = [0, 700_000][usize::from(world.rng.random_bool(0.1))];
     world.machines.iter_mut().for_each(|machine| machine.filler = filler);
-    let end = world.now + Span::millis(3_000);
+    let end = world.now + Duration::from_millis(3_000);
     while world.now < end {
         trouble(&mut world, weather);
-        let span = Span::millis(world.rng.random_range(1..120));
+        let span = Duration::from_millis(world.rng.random_range(1..120));
         pass(&mut world, span, weather);
     }
     calm(&mut world, weather);
@@ -39,14 +39,14 @@
 }
 
 /// Lets time pass with clients at work.
-fn pass(world: &mut World, span: Span, weather: Weather) {
+fn pass(world: &mut World, span: Duration, weather: Weather) {
     let end = world.now + span;
     while world.now < end {
         clients(world);
         if weather == Weather::Wiping {
             replace_lost(world);
         }
-        let step = Span::millis(world.rng.random_range(1..8));
+        let step = Duration::from_millis(world.rng.random_range(1..8));
         world.run(step);
     }
 }
@@ -171,13 +171,13 @@
     start_all(world);
     wake_all(world);
     if world.oracle.lenient {
-        pass(world, Span::millis(1_500), weather);
+        pass(world, Duration::from_millis(1_500), weather);
         return;
     }
-    let end = world.now + Span::millis(10_000);
+    let end = world.now + Duration::from_millis(10_000);
     while !is_well(world) {
         assert!(world.now < end, "the calm does not help\n{}", world.picture());
-        pass(world, Span::millis(50), weather);
+        pass(world, Duration::from_millis(50), weather);
     }
     let before = world.oracle.last_committed();
     while world.oracle.last_committed() == before {
@@ -185,12 +185,12 @@
         // The owner refuses while it hands over; a client tries again.
         let owner = world.elect();
         world.propose(owner);
-        world.run(Span::millis(50));
+        world.run(Duration::from_millis(50));
     }
     let owner = world.elect();
     let members = world.machines[owner.0].replica.as_ref().expect("it runs").group().voters.clone();
     let sites: Vec<Site> = members.into_iter().filter_map(|member| world.site_of(member)).collect();
-    world.settle(&sites, Span::millis(3_000));
+    world.settle(&sites, Duration::from_millis(3_000));
 }
 
 fn is_well(world: &World) -> bool {
--- a/crates/registry/src/confirmation.rs
+++ b/crates/registry/src/confirmation.rs
@@ -10,12 +10,12 @@
 use crate::register::Key;
 use crate::registry::{Answer, CallToken, Registry};
 use crate::{Class, ExecutorState, Losses, Member, Register, Timings};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
 /// For how long nodes that have not confirmed are told again directly, also after the call was answered.
-const INSISTENCE: Span = Span::millis(2_000);
+const INSISTENCE: Duration = Duration::from_millis(2_000);
 
 /// News that everyone has to confirm.
 struct Telling {
@@ -23,8 +23,8 @@
     outstanding: BTreeSet<SocketAddrV4>,
     copies: Copies,
     calls: Vec<CallToken>,
-    started: Moment,
-    next_retry: Moment,
+    started: Instant,
+    next_retry: Instant,
 }
 
 /// The machines of the core that have some news.
@@ -61,12 +61,12 @@
     tellings: Vec<Telling>,
     /// Executors whose news go out with the next flush, and the calls that wait for them.
     gathered: BTreeMap<String, Vec<CallToken>>,
-    flush: Option<Moment>,
+    flush: Option<Instant>,
     next_token: u64,
 }
 
 impl Confirmations {
-    pub(crate) fn next_wake(&self, timings: &Timings) -> Option<Moment> {
+    pub(crate) fn next_wake(&self, timings: &Timings) -> Option<Instant> {
         let tellings = self.tellings.iter().map(|telling| {
             let bound = telling.started + timings.confirm_bound;
             if telling.calls.is_empty() { telling.next_retry } else { telling.next_retry.min(bound) }
@@ -74,7 +74,7 @@
         tellings.chain(self.flush).min()
     }
 
-    pub(crate) fn shift(&mut self, by: Span) {
+    pub(crate) fn shift(&mut self, by: Duration) {
         for telling in &mut self.tellings {
             telling.started = telling.started + by;
         }
@@ -83,7 +83,7 @@
 
 impl Registry {
     /// The calls that may be answered now. To be asked after each message and tick; each call is named once.
-    pub fn settled_calls(&mut self, now: Moment) -> SettledCalls {
+    pub fn settled_calls(&mut self, now: Instant) -> SettledCalls {
         let (bound, losses) = (self.timings.confirm_bound, self.losses);
         let mut settled = SettledCalls::default();
         for telling in &mut self.confirmations.tellings {
@@ -97,7 +97,7 @@
     }
 
     /// Has everyone told of an executor that takes no more requests; the call waits for that.
-    pub(crate) fn tell_all(&mut self, now: Moment, id: &str, state: ExecutorState) -> Answer {
+    pub(crate) fn tell_all(&mut self, now: Instant, id: &str, state: ExecutorState) -> Answer {
         let (bound, losses) = (self.timings.confirm_bound, self.losses);
         let tellings = &mut self.confirmations.tellings;
         let under_way = tellings.iter_mut().find(|telling| telling.covers(id, state));
@@ -130,7 +130,7 @@
         self.settle_tellings();
     }
 
-    pub(crate) fn tick_confirmations(&mut self, now: Moment) {
+    pub(crate) fn tick_confirmations(&mut self, now: Instant) {
         if self.confirmations.flush.is_some_and(|flush| flush <= now) {
             self.flush_tellings(now);
         }
@@ -156,7 +156,7 @@
         self.settle_tellings();
     }
 
-    fn flush_tellings(&mut self, now: Moment) {
+    fn flush_tellings(&mut self, now: Instant) {
         self.confirmations.flush = None;
         let mut gathered = std::mem::take(&mut self.confirmations.gathered);
         let keys: Vec<Key> = gathered.keys().cloned().map(Key::Executor).collect();
@@ -200,12 +200,12 @@
 
 impl Telling {
     /// Whether its calls may be acknowledged.
-    fn is_told(&self, now: Moment, bound: Span, losses: Losses) -> bool {
+    fn is_told(&self, now: Instant, bound: Duration, losses: Losses) -> bool {
         self.copies.outlast(losses) && (self.outstanding.is_empty() || self.is_late(now, bound))
     }
 
     /// Whether its calls wait no longer.
-    fn is_late(&self, now: Moment, bound: Span) -> bool {
+    fn is_late(&self, now: Instant, bound: Duration) -> bool {
         now.since(self.started) >= bound
     }
 
--- a/crates/registry/src/executors.rs
+++ b/crates/registry/src/executors.rs
@@ -5,11 +5,11 @@
 use crate::register::{Key, Register};
 use crate::registry::{Answer, Event, HeartbeatEffect, Registry};
 use crate::report::HeartbeatReport;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// Between two looks at all executors.
-const SCAN: Span = Span::millis(500);
+const SCAN: Duration = Duration::from_millis(500);
 
 /// How many executors are taken in at most: seven times the largest design.
 const MOST_EXECUTORS: usize = 16_384;
@@ -29,11 +29,11 @@
     /// The latest call to this node, whose news may not have been worth telling.
     latest_call: u64,
     /// When this node last had a call, or came to see to the executor.
-    last_beat: Moment,
+    last_beat: Instant,
     /// Since when the node that saw to it is gone.
-    orphan_since: Option<Moment>,
+    orphan_since: Option<Instant>,
     /// Since when it is silent or gone.
-    quiet_since: Option<Moment>,
+    quiet_since: Option<Instant>,
     /// The state that this node has told everyone, with confirmation.
     told_state: ExecutorState,
     /// Whether all that is known of it is what an earlier process of this node kept on its disk.
@@ -41,7 +41,7 @@
 }
 
 impl Entry {
-    fn new(executor: Executor, now: Moment) -> Entry {
+    fn new(executor: Executor, now: Instant) -> Entry {
         Entry {
             told_silent: executor.silent,
             latest_call: executor.call_seq,
@@ -58,7 +58,7 @@
         Executor { silent: self.told_silent, ..self.shown.clone() }
     }
 
-    fn show(&mut self, executor: Executor, now: Moment) {
+    fn show(&mut self, executor: Executor, now: Instant) {
         if executor.heard_by != self.shown.heard_by {
             self.last_beat = now;
         }
@@ -79,12 +79,12 @@
     entries: BTreeMap<String, Entry>,
     tombstones: BTreeMap<String, Executor>,
     /// The tombstones from the oldest on.
-    buried: VecDeque<(Moment, String)>,
-    next_scan: Moment,
+    buried: VecDeque<(Instant, String)>,
+    next_scan: Instant,
 }
 
 impl Executors {
-    pub(crate) fn new(now: Moment) -> Executors {
+    pub(crate) fn new(now: Instant) -> Executors {
         Executors {
             entries: BTreeMap::new(),
             tombstones: BTreeMap::new(),
@@ -93,7 +93,7 @@
         }
     }
 
-    pub(crate) fn next_wake(&self) -> Moment {
+    pub(crate) fn next_wake(&self) -> Instant {
         self.next_scan
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// Leaves a span out of all waits.
-    pub(crate) fn shift(&mut self, by: Span) {
+    pub(crate) fn shift(&mut self, by: Duration) {
         for entry in self.entries.values_mut() {
             entry.last_beat = entry.last_beat + by;
             entry.orphan_since = entry.orphan_since.map(|since| since + by);
@@ -139,7 +139,7 @@
 
 impl Registry {
     /// Takes a heartbeat of an executor.
-    pub fn heartbeat(&mut self, now: Moment, report: HeartbeatReport) -> HeartbeatEffect {
+    pub fn heartbeat(&mut self, now: Instant, report: HeartbeatReport) -> HeartbeatEffect {
         self.enter(now);
         let members = self.members.values().map(|entry| &entry.member);
         let isolated = self.is_isolated(now);
@@ -155,7 +155,7 @@
     }
 
     /// Takes the last call of an executor.
-    pub fn deregister(&mut self, now: Moment, id: &str) -> Answer {
+    pub fn deregister(&mut self, now: Instant, id: &str) -> Answer {
         self.enter(now);
         if id.is_empty() || id.len() > LONGEST_ID {
             return Answer::Never;
@@ -173,7 +173,7 @@
         if told { Answer::Now } else { self.tell_all(now, id, ExecutorState::Gone) }
     }
 
-    fn take_report(&mut self, now: Moment, report: HeartbeatReport) {
+    fn take_report(&mut self, now: Instant, report: HeartbeatReport) {
         let drains = report.state == ExecutorState::Draining;
         let Some(told) = self.executors.told(&report.id) else {
             let fresh = register_of(report, &self.own_name);
@@ -206,7 +206,7 @@
         }
     }
 
-    fn take_new(&mut self, now: Moment, fresh: Executor) {
+    fn take_new(&mut self, now: Instant, fresh: Executor) {
         let (id, address, drains) = (fresh.id.clone(), fresh.address, fresh.state != ExecutorState::Up);
         if !self.put_executor(now, fresh) {
             return;
@@ -222,7 +222,7 @@
     }
 
     /// Merges the register of an executor that another node told.
-    pub(crate) fn merge_executor(&mut self, now: Moment, incoming: Executor) {
+    pub(crate) fn merge_executor(&mut self, now: Instant, incoming: Executor) {
         let Some(mut told) = self.executors.told(&incoming.id) else {
             self.put_executor(now, incoming);
             return;
@@ -245,7 +245,7 @@
     }
 
     /// Puts a register in the place of the one before. Whether there was room.
-    fn put_executor(&mut self, now: Moment, executor: Executor) -> bool {
+    fn put_executor(&mut self, now: Instant, executor: Executor) -> bool {
         let id = executor.id.clone();
         let remembered = self.executors.tombstones.contains_key(&id);
         if remembered && (executor.silent || !executor.exists()) {
@@ -281,7 +281,7 @@
     }
 
     /// Follows another node that no longer shows these: it knew earlier that they are silent.
-    pub(crate) fn forget_executors(&mut self, now: Moment, keys: &[Key]) {
+    pub(crate) fn forget_executors(&mut self, now: Instant, keys: &[Key]) {
         for key in keys {
             if let Key::Executor(id) = key
                 && self.executors.entries.get(id).is_some_and(|entry| entry.told_silent)
@@ -291,14 +291,14 @@
         }
     }
 
-    fn tell_silent(&mut self, now: Moment, id: &str) {
+    fn tell_silent(&mut self, now: Instant, id: &str) {
         if let Some(told) = self.executors.told(id) {
             self.put_executor(now, Executor { silent: true, ..told });
             self.announce(now, Key::Executor(id.to_owned()));
         }
     }
 
-    pub(crate) fn tick_executors(&mut self, now: Moment) {
+    pub(crate) fn tick_executors(&mut self, now: Instant) {
         if self.executors.next_scan > now {
             return;
         }
@@ -341,7 +341,7 @@
     }
 
     /// No longer shows an executor, but remembers it so that late news of it are known for what they are.
-    fn bury(&mut self, now: Moment, id: &str) {
+    fn bury(&mut self, now: Instant, id: &str) {
         let Some(entry) = self.executors.entries.remove(id) else {
             return;
         };
@@ -353,7 +353,7 @@
         self.note_executor_change(id.to_owned());
     }
 
-    fn forget_buried(&mut self, now: Moment) {
+    fn forget_buried(&mut self, now: Instant) {
         while let Some((since, id)) = self.executors.buried.front().cloned() {
             let many = self.executors.buried.len() > MOST_TOMBSTONES;
             if !many && now.since(since) <= self.timings.tombstone_retention {
--- a/crates/registry/src/join.rs
+++ b/crates/registry/src/join.rs
@@ -5,7 +5,7 @@
 use crate::message::{Message, REGISTERS_PER_MESSAGE};
 use crate::register::Register;
 use crate::registry::Registry;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use rand::seq::IteratorRandom;
 use std::net::SocketAddrV4;
@@ -14,18 +14,18 @@
 const WELCOME_MEMBERS: usize = 16;
 
 /// How long a node goes on calling the seeds that have not answered, after others have.
-const INSISTENCE: Span = Span::millis(3_000);
+const INSISTENCE: Duration = Duration::from_millis(3_000);
 
 /// The state of joining.
 pub(crate) struct Joining {
     pub(crate) seeds: Vec<SocketAddrV4>,
-    started: Moment,
-    next_try: Option<Moment>,
+    started: Instant,
+    next_try: Option<Instant>,
     welcomed: bool,
 }
 
 impl Joining {
-    pub(crate) fn new(mut seeds: Vec<SocketAddrV4>, own: SocketAddrV4, now: Moment) -> Joining {
+    pub(crate) fn new(mut seeds: Vec<SocketAddrV4>, own: SocketAddrV4, now: Instant) -> Joining {
         seeds.sort();
         seeds.dedup();
         seeds.retain(|seed| *seed != own);
@@ -33,7 +33,7 @@
         Joining { seeds, started: now, next_try, welcomed: false }
     }
 
-    pub(crate) fn next_wake(&self) -> Option<Moment> {
+    pub(crate) fn next_wake(&self) -> Option<Instant> {
         self.next_try
     }
 }
@@ -53,7 +53,7 @@
         self.joining.seeds.iter().copied().filter(move |seed| !is_live(seed))
     }
 
-    pub(crate) fn tick_joining(&mut self, now: Moment) {
+    pub(crate) fn tick_joining(&mut self, now: Instant) {
         if self.joining.next_try.is_none_or(|next| next > now) {
             return;
         }
@@ -71,7 +71,7 @@
         self.joining.next_try = Some(now + self.timings.join_retry.scaled(jitter));
     }
 
-    pub(crate) fn receive_join(&mut self, now: Moment, from: SocketAddrV4, member: Member) {
+    pub(crate) fn receive_join(&mut self, now: Instant, from: SocketAddrV4, member: Member) {
         self.merge_member(now, member, Source::Peer(from));
         let own = self.own_member().clone();
         let others = self.live_members().filter(|other| other.address != from && other.id() != self.own);
@@ -90,7 +90,7 @@
         self.send(from, Message::Welcome(members));
     }
 
-    pub(crate) fn receive_welcome(&mut self, now: Moment, from: SocketAddrV4, members: Vec<Member>) {
+    pub(crate) fn receive_welcome(&mut self, now: Instant, from: SocketAddrV4, members: Vec<Member>) {
         self.joining.welcomed = true;
         let addresses: Vec<SocketAddrV4> =
             members.iter().filter(|member| member.serves()).map(|member| member.address).collect();
--- a/crates/registry/src/liveness.rs
+++ b/crates/registry/src/liveness.rs
@@ -5,14 +5,14 @@
 use crate::register::Key;
 use crate::registry::{Event, Registry};
 use crate::ring::Place;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use rand::seq::IteratorRandom;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
 /// Between two questions after a node that is silent.
-const ASK_AGAIN: Span = Span::millis(300);
+const ASK_AGAIN: Duration = Duration::from_millis(300);
 
 /// How many rounds of questions somebody must have answered before the one in question is dead. In the first the
 /// question to it may have been lost in a cut that has just healed.
@@ -22,7 +22,7 @@
 const HELPERS: usize = 3;
 
 /// How much later the next watcher calls a node dead than the one before, so that mostly one tells.
-const STAGGER: Span = Span::millis(100);
+const STAGGER: Duration = Duration::from_millis(100);
 
 /// How many calls a second a dead node gets from all others together, and a node makes at most.
 const PROBES_PER_SECOND: f64 = 4.0;
@@ -31,16 +31,16 @@
 const LONG_DEAD_SHARE: f64 = 0.25;
 
 /// After this a dead node is hardly expected back.
-const LONG_DEAD: Span = Span::millis(30_000);
+const LONG_DEAD: Duration = Duration::from_millis(30_000);
 
 /// Between two looks at tombstones.
-const SWEEP: Span = Span::millis(5_000);
+const SWEEP: Duration = Duration::from_millis(5_000);
 
 /// Between two events that say that the configuration is behind the same version.
-const CONFIGURATION_AGAIN: Span = Span::millis(200);
+const CONFIGURATION_AGAIN: Duration = Duration::from_millis(200);
 
 /// How long after a change of the ring the watches are looked at, so that changes that come together share a look.
-const SOON: Span = Span::millis(1);
+const SOON: Duration = Duration::from_millis(1);
 
 /// Every so many heartbeats a random node hears one in the stead of one of the far members of the ring: whom all nodes
 /// place differently in their rings hears of it all the same.
@@ -50,9 +50,9 @@
 struct Watch {
     name: String,
     /// Silence counts from here at the earliest.
-    since: Moment,
+    since: Instant,
     /// When others were last asked after it in this silence.
-    asked: Option<Moment>,
+    asked: Option<Instant>,
     /// How often some other node answered, so that the silence is not this node's own.
     answered: u32,
     rounds: u32,
@@ -66,7 +66,7 @@
     }
 
     /// Ends a round of questions that has lasted long enough.
-    fn end_round(&mut self, now: Moment, last_answer: Option<Moment>) {
+    fn end_round(&mut self, now: Instant, last_answer: Option<Instant>) {
         if let Some(asked) = self.asked.take_if(|asked| now.since(*asked) >= ASK_AGAIN)
             && last_answer.is_some_and(|answer| answer >= asked)
         {
@@ -77,23 +77,23 @@
 
 /// The state of heartbeats and watches.
 pub(crate) struct Liveness {
-    next_beat: Moment,
-    next_probe: Option<Moment>,
-    next_sweep: Moment,
-    next_watch: Option<Moment>,
+    next_beat: Instant,
+    next_probe: Option<Instant>,
+    next_sweep: Instant,
+    next_watch: Option<Instant>,
     /// When anything last came from anyone.
-    pub(crate) last_heard: Option<Moment>,
+    pub(crate) last_heard: Option<Instant>,
     /// When another node last answered a question of this one, and so has heard it.
-    last_answer: Option<Moment>,
+    last_answer: Option<Instant>,
     watches: BTreeMap<NodeId, Watch>,
     probe_cursor: usize,
     /// How many heartbeats were sent.
     beats: usize,
-    behind: Option<(Moment, u64)>,
+    behind: Option<(Instant, u64)>,
 }
 
 impl Liveness {
-    pub(crate) fn new(now: Moment, first_beat: Moment, probe_cursor: usize) -> Liveness {
+    pub(crate) fn new(now: Instant, first_beat: Instant, probe_cursor: usize) -> Liveness {
         Liveness {
             next_beat: first_beat,
             next_probe: None,
@@ -109,7 +109,7 @@
         }
     }
 
-    pub(crate) fn next_wake(&self) -> Option<Moment> {
+    pub(crate) fn next_wake(&self) -> Option<Instant> {
         [Some(self.next_beat), self.next_probe, Some(self.next_sweep), self.next_watch]
             .into_iter()
             .flatten()
@@ -122,7 +122,7 @@
     }
 
     /// Counts every silence from now on.
-    pub(crate) fn restart(&mut self, now: Moment) {
+    pub(crate) fn restart(&mut self, now: Instant) {
         self.last_heard = None;
         self.next_beat = now;
         self.next_watch = Some(now);
@@ -136,13 +136,13 @@
 impl Registry {
     /// Whether this node has heard nobody for a while, though it knows of others: then it is likely cut off. It calls
     /// nobody dead as long as none of those it asks answers.
-    pub fn is_isolated(&self, now: Moment) -> bool {
+    pub fn is_isolated(&self, now: Instant) -> bool {
         let bound = self.timings.heartbeat.scaled(2.5);
         self.ring.len() > 1 && self.liveness.last_heard.is_none_or(|heard| now.since(heard) > bound)
     }
 
     /// Follows a change of the ring: takes up whom this node has to watch now.
-    pub(crate) fn rewatch(&mut self, now: Moment) {
+    pub(crate) fn rewatch(&mut self, now: Instant) {
         let mut before = std::mem::take(&mut self.liveness.watches);
         let mut watches = BTreeMap::new();
         for (rank, place) in self.ring.predecessors(self.timings.watchers).enumerate() {
@@ -165,7 +165,7 @@
         self.liveness.next_watch = Some(now + SOON);
     }
 
-    pub(crate) fn tick_liveness(&mut self, now: Moment) {
+    pub(crate) fn tick_liveness(&mut self, now: Instant) {
         if self.liveness.next_beat <= now {
             self.beat(now);
         }
@@ -179,7 +179,7 @@
         self.tick_probes(now);
     }
 
-    fn beat(&mut self, now: Moment) {
+    fn beat(&mut self, now: Instant) {
         self.liveness.next_beat = now + self.timings.heartbeat;
         let watchers: Vec<SocketAddrV4> =
             self.ring.successors(self.timings.watchers).map(|place| place.address).collect();
@@ -201,14 +201,14 @@
         self.ring.far(self.timings.watchers, beats).map(|place| place.address)
     }
 
-    fn check_watches(&mut self, now: Moment) {
+    fn check_watches(&mut self, now: Instant) {
         let mut next = now + self.timings.suspect_after;
         let (mut ask, mut dead) = (Vec::new(), Vec::new());
         for (id, watch) in &mut self.liveness.watches {
             let Some(entry) = self.members.get(&watch.name) else {
                 continue;
             };
-            let heard = entry.last_heard.unwrap_or(Moment(0)).max(watch.since);
+            let heard = entry.last_heard.unwrap_or(Instant(0)).max(watch.since);
             let silence = now.since(heard);
             let suspect_after = self.timings.suspect_after;
             if silence < suspect_after {
@@ -216,7 +216,8 @@
                 next = next.min(heard + suspect_after);
                 continue;
             }
-            let bound = self.timings.dead_after.scaled(entry.patience(now)) + Span(STAGGER.0 * watch.rank);
+            let bound = self.timings.dead_after.scaled(entry.patience(now))
+                + Duration::from_nanos(STAGGER.nanos() * watch.rank);
             watch.end_round(now, self.liveness.last_answer);
             if silence >= bound && watch.answered >= ANSWERED_ROUNDS {
                 dead.push(watch.name.clone());
@@ -239,7 +240,7 @@
         }
     }
 
-    fn ask_after(&mut self, now: Moment, id: NodeId, name: &str, address: SocketAddrV4, rounds: u32) {
+    fn ask_after(&mut self, now: Instant, id: NodeId, name: &str, address: SocketAddrV4, rounds: u32) {
         if rounds > 1 {
             self.set_suspect(name, true);
         }
@@ -259,7 +260,7 @@
         }
     }
 
-    fn declare_dead(&mut self, now: Moment, name: &str) {
+    fn declare_dead(&mut self, now: Instant, name: &str) {
         let Some(entry) = self.members.get(name) else {
             return;
         };
@@ -281,7 +282,7 @@
         }
     }
 
-    pub(crate) fn receive_pong(&mut self, now: Moment, subject: NodeId, asker: Option<NodeId>) {
+    pub(crate) fn receive_pong(&mut self, now: Instant, subject: NodeId, asker: Option<NodeId>) {
         if let Some(asker) = asker.filter(|asker| *asker != self.own) {
             let address = self.member_of(asker).map(|entry| entry.member.address);
             if let Some(address) = address {
@@ -299,7 +300,7 @@
         self.set_suspect(&name, false);
     }
 
-    pub(crate) fn receive_heartbeat(&mut self, now: Moment, from: SocketAddrV4, heartbeat: Heartbeat) {
+    pub(crate) fn receive_heartbeat(&mut self, now: Instant, from: SocketAddrV4, heartbeat: Heartbeat) {
         self.note_configuration(now, from, heartbeat.configuration_version);
         let theirs = (heartbeat.incarnation, heartbeat.status_version);
         let known = self.member_of(heartbeat.node).map(|entry| {
@@ -317,7 +318,7 @@
         self.compare_digests(now, from, heartbeat.digest, heartbeat.answer);
     }
 
-    fn note_configuration(&mut self, now: Moment, peer: SocketAddrV4, version: u64) {
+    fn note_configuration(&mut self, now: Instant, peer: SocketAddrV4, version: u64) {
         if version <= self.configuration_version {
             return;
         }
@@ -330,7 +331,7 @@
     }
 
     /// Calls one of the dead now and then: all live nodes together call each at a bounded pace.
-    fn tick_probes(&mut self, now: Moment) {
+    fn tick_probes(&mut self, now: Instant) {
         if self.liveness.next_probe.is_some_and(|next| next > now) {
             return;
         }
@@ -346,7 +347,7 @@
         }
         let rate = PROBES_PER_SECOND * (weight / self.ring.len().max(1) as f64).min(1.0);
         let first = self.liveness.next_probe.is_none();
-        let wait = Span::secs(self.random.random_range(0.5..1.5) / rate);
+        let wait = Duration::from_seconds(self.random.random_range(0.5..1.5) / rate);
         self.liveness.next_probe = Some(now + wait);
         if first {
             return;
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -3,7 +3,7 @@
 use crate::member::{Member, MemberState, NodeId};
 use crate::register::{Key, Register};
 use crate::registry::{Event, Registry};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rand::Rng;
 use std::net::SocketAddrV4;
 
@@ -14,7 +14,7 @@
 const MOST_MEMBERS: usize = 2_048;
 
 /// A node that was falsely called dead again within this span is given more time from then on.
-const DOUBT: Span = Span::millis(20_000);
+const DOUBT: Duration = Duration::from_millis(20_000);
 
 /// How often the time that a node is given doubles at most.
 const MOST_DOUBTS: u32 = 3;
@@ -23,17 +23,17 @@
 pub(crate) struct MemberEntry {
     pub(crate) member: Member,
     /// When the register last changed.
-    pub(crate) changed: Moment,
+    pub(crate) changed: Instant,
     /// When anything last came from it.
-    pub(crate) last_heard: Option<Moment>,
+    pub(crate) last_heard: Option<Instant>,
     /// How often it came back from the dead within one life, lately.
     doubts: u32,
-    last_doubt: Moment,
+    last_doubt: Instant,
 }
 
 impl MemberEntry {
     /// How much more time the node is given before it is called dead.
-    pub(crate) fn patience(&self, now: Moment) -> f64 {
+    pub(crate) fn patience(&self, now: Instant) -> f64 {
         if now.since(self.last_doubt) > DOUBT {
             return 1.0;
         }
@@ -58,7 +58,7 @@
 
 impl Registry {
     /// Puts the register of a node in the place of the one before.
-    pub(crate) fn put_member(&mut self, now: Moment, member: Member) {
+    pub(crate) fn put_member(&mut self, now: Instant, member: Member) {
         let name = member.name.clone();
         let before = self.members.remove(&name);
         if let Some(before) = &before {
@@ -66,7 +66,7 @@
         }
         let (last_heard, mut doubts, mut last_doubt) = before
             .as_ref()
-            .map_or((None, 0, Moment(0)), |entry| (entry.last_heard, entry.doubts, entry.last_doubt));
+            .map_or((None, 0, Instant(0)), |entry| (entry.last_heard, entry.doubts, entry.last_doubt));
         let came_back = before.as_ref().is_some_and(|entry| {
             entry.is_dead() && member.serves() && entry.member.incarnation == member.incarnation
         });
@@ -125,7 +125,7 @@
         }
     }
 
-    pub(crate) fn note_heard(&mut self, now: Moment, from: SocketAddrV4) {
+    pub(crate) fn note_heard(&mut self, now: Instant, from: SocketAddrV4) {
         self.liveness.last_heard = Some(now);
         let Some(name) = self.by_address.get(&from) else {
             return;
@@ -140,7 +140,7 @@
         }
     }
 
-    pub(crate) fn change_own_state(&mut self, now: Moment, state: MemberState) {
+    pub(crate) fn change_own_state(&mut self, now: Instant, state: MemberState) {
         let mut own = self.own_member().clone();
         if own.state == state || own.state == MemberState::Left {
             return;
@@ -152,7 +152,7 @@
     }
 
     /// Merges the register of a node.
-    pub(crate) fn merge_member(&mut self, now: Moment, member: Member, source: Source) {
+    pub(crate) fn merge_member(&mut self, now: Instant, member: Member, source: Source) {
         if member.id() == self.own {
             return self.answer_to(now, &member, source);
         }
@@ -190,7 +190,7 @@
     }
 
     /// Answers to what another node holds of this one: a death is refuted, and an older register is set right.
-    fn answer_to(&mut self, now: Moment, said: &Member, source: Source) {
+    fn answer_to(&mut self, now: Instant, said: &Member, source: Source) {
         let own = self.own_member();
         if said.order() > own.order() && own.state != MemberState::Left {
             self.outbid(now, said);
@@ -202,7 +202,7 @@
         }
     }
 
-    fn outbid(&mut self, now: Moment, said: &Member) {
+    fn outbid(&mut self, now: Instant, said: &Member) {
         let mut own = self.own_member().clone();
         if said.incarnation > own.incarnation {
             // Of an older life, under a clock that was ahead.
@@ -224,8 +224,8 @@
     }
 
     /// Forgets who has been dead for long, and the oldest dead beyond the bound.
-    pub(crate) fn forget_dead(&mut self, now: Moment) {
-        let mut dead: Vec<(Moment, String)> = self
+    pub(crate) fn forget_dead(&mut self, now: Instant) {
+        let mut dead: Vec<(Instant, String)> = self
             .members
             .values()
             .filter(|entry| !entry.member.serves() && entry.member.id() != self.own)
--- a/crates/registry/src/recall.rs
+++ b/crates/registry/src/recall.rs
@@ -4,7 +4,7 @@
 use crate::error::{DecodeError, UnknownVariantSnafu};
 use crate::executor::Executor;
 use crate::registry::Registry;
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 /// The version of the form.
 const VERSION: u8 = 1;
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// The bytes are not in the form of [`Registry::remember`].
-    pub fn recall(&mut self, now: Moment, bytes: &[u8]) -> Result<usize, DecodeError> {
+    pub fn recall(&mut self, now: Instant, bytes: &[u8]) -> Result<usize, DecodeError> {
         let mut input = Reader::new(bytes);
         let version = input.u8()?;
         if version != VERSION {
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -13,7 +13,7 @@
 use crate::repair::Repairs;
 use crate::ring::Ring;
 use crate::{Executor, Facts, FactsTooLarge, LARGEST_FACTS, Losses, Settings, Timings};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
@@ -21,7 +21,7 @@
 
 /// A process that was not called for so long beyond what it asked for has been frozen: its own silence must not
 /// count as that of others.
-const FREEZE: Span = Span::millis(600);
+const FREEZE: Duration = Duration::from_millis(600);
 
 /// Who is there, as one node knows it.
 pub struct Registry {
@@ -45,7 +45,7 @@
     pub(crate) confirmations: Confirmations,
     pub(crate) generation: Generation,
     pub(crate) output: Output,
-    expected: Moment,
+    expected: Instant,
 }
 
 /// Counters that rise whenever something changes.
@@ -123,13 +123,13 @@
 
 impl Registry {
     /// A node that has just started and knows only itself and its seeds. Equal seeds of chance give equal runs.
-    pub fn new(settings: Settings, seed: u64, now: Moment) -> Registry {
+    pub fn new(settings: Settings, seed: u64, now: Instant) -> Registry {
         let Settings { mut member, seeds, timings, losses } = settings;
         member.state = MemberState::Alive;
         let own = member.id();
         let own_address = member.address;
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let phase = Span(random.random_range(0..=timings.heartbeat.0));
+        let phase = Duration::from_nanos(random.random_range(0..=timings.heartbeat.nanos()));
         let mut registry = Registry {
             own,
             own_name: member.name.clone(),
@@ -159,7 +159,7 @@
     }
 
     /// Takes a message in from the node at the internal address `from`.
-    pub fn receive(&mut self, now: Moment, from: SocketAddrV4, message: Message) {
+    pub fn receive(&mut self, now: Instant, from: SocketAddrV4, message: Message) {
         self.enter(now);
         if from == self.own_address {
             return;
@@ -182,7 +182,7 @@
     }
 
     /// Does what is due. To be called at [`Registry::next_wake`], and any time before.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Instant) {
         self.enter(now);
         self.tick_joining(now);
         self.tick_liveness(now);
@@ -194,7 +194,7 @@
     }
 
     /// When something is due next.
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Instant {
         let wakes = [
             self.joining.next_wake(),
             self.liveness.next_wake(),
@@ -227,7 +227,7 @@
     }
 
     /// Since when this node holds the node of this name for what it is now.
-    pub fn state_since(&self, name: &str) -> Option<Moment> {
+    pub fn state_since(&self, name: &str) -> Option<Instant> {
         Some(self.members.get(name)?.changed)
     }
 
@@ -293,7 +293,7 @@
     ///
     /// # Errors
     /// Refuses more than [`LARGEST_FACTS`] bytes.
-    pub fn set_facts(&mut self, now: Moment, payload: Vec<u8>) -> Result<(), FactsTooLarge> {
+    pub fn set_facts(&mut self, now: Instant, payload: Vec<u8>) -> Result<(), FactsTooLarge> {
         if payload.len() > LARGEST_FACTS {
             return Err(FactsTooLarge { length: payload.len() });
         }
@@ -306,13 +306,13 @@
     }
 
     /// Says that this node was asked to stop. It still serves, but executors are sent elsewhere.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Instant) {
         self.enter(now);
         self.change_own_state(now, MemberState::Leaving);
     }
 
     /// Says that this node stops now: to be called once, last.
-    pub fn left(&mut self, now: Moment) {
+    pub fn left(&mut self, now: Instant) {
         self.enter(now);
         self.change_own_state(now, MemberState::Left);
         self.flush_news();
@@ -376,13 +376,13 @@
     }
 
     /// To be called before anything changes.
-    pub(crate) fn enter(&mut self, now: Moment) {
+    pub(crate) fn enter(&mut self, now: Instant) {
         self.notice_freeze(now);
         self.repairs.record(now, self.digest.total());
     }
 
     /// After a freeze all waits begin anew.
-    fn notice_freeze(&mut self, now: Moment) {
+    fn notice_freeze(&mut self, now: Instant) {
         let late = now.since(self.expected);
         if late > FREEZE {
             self.liveness.restart(now);
--- a/crates/registry/src/relay.rs
+++ b/crates/registry/src/relay.rs
@@ -5,7 +5,7 @@
 use crate::message::{Message, REGISTERS_PER_MESSAGE, Relay};
 use crate::register::{Key, Register};
 use crate::registry::Registry;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -15,10 +15,10 @@
 
 /// What a repair brought is told on by each node that it reached after a random part of this span, unless it has come
 /// down a tree of relays by then. So mostly one node tells all, however many were repaired.
-const TELL_ON_WITHIN: Span = Span::millis(100);
+const TELL_ON_WITHIN: Duration = Duration::from_millis(100);
 
 /// What is due within this span is told on together.
-const TELL_ON_TOGETHER: Span = Span::millis(30);
+const TELL_ON_TOGETHER: Duration = Duration::from_millis(30);
 
 /// How many registers wait to be told on at most; the others spread by repair alone.
 const MOST_TOLD_ON: usize = 1_024;
@@ -62,12 +62,12 @@
     windows: HashMap<NodeId, Window>,
     sequence: u64,
     news: BTreeSet<Key>,
-    flush: Option<Moment>,
-    told_on: BTreeMap<Key, Moment>,
+    flush: Option<Instant>,
+    told_on: BTreeMap<Key, Instant>,
 }
 
 impl Relays {
-    pub(crate) fn next_wake(&self) -> Option<Moment> {
+    pub(crate) fn next_wake(&self) -> Option<Instant> {
         self.told_on.values().copied().chain(self.flush).min()
     }
 
@@ -83,20 +83,20 @@
 
 impl Registry {
     /// Has all nodes told of a register, together with what else comes up shortly.
-    pub(crate) fn announce(&mut self, now: Moment, key: Key) {
+    pub(crate) fn announce(&mut self, now: Instant, key: Key) {
         self.relays.news.insert(key);
         self.relays.flush.get_or_insert(now + self.timings.batch);
     }
 
     /// Has all nodes told of a register that a repair brought, if nobody else does.
-    pub(crate) fn tell_on(&mut self, now: Moment, key: Key) {
+    pub(crate) fn tell_on(&mut self, now: Instant, key: Key) {
         if self.relays.told_on.len() < MOST_TOLD_ON {
-            let wait = Span(self.random.random_range(0..=TELL_ON_WITHIN.0));
+            let wait = Duration::from_nanos(self.random.random_range(0..=TELL_ON_WITHIN.nanos()));
             self.relays.told_on.entry(key).or_insert(now + wait);
         }
     }
 
-    fn tick_told_on(&mut self, now: Moment) {
+    fn tick_told_on(&mut self, now: Instant) {
         if self.relays.told_on.values().all(|due| *due > now) {
             return;
         }
@@ -109,7 +109,7 @@
         self.relays.flush = Some(now);
     }
 
-    pub(crate) fn tick_relays(&mut self, now: Moment) {
+    pub(crate) fn tick_relays(&mut self, now: Instant) {
         self.tick_told_on(now);
         if self.relays.flush.is_some_and(|flush| flush <= now) {
             self.flush_news();
@@ -165,7 +165,7 @@
         }
     }
 
-    pub(crate) fn receive_relay(&mut self, now: Moment, from: SocketAddrV4, relay: Relay) {
+    pub(crate) fn receive_relay(&mut self, now: Instant, from: SocketAddrV4, relay: Relay) {
         if relay.origin == self.own {
             return;
         }
@@ -187,7 +187,7 @@
     }
 
     /// Merges a register of any kind.
-    pub(crate) fn merge(&mut self, now: Moment, register: Register, source: Source) {
+    pub(crate) fn merge(&mut self, now: Instant, register: Register, source: Source) {
         match register {
             Register::Member(member) => self.merge_member(now, member, source),
             Register::Executor(executor) => {
--- a/crates/registry/src/repair.rs
+++ b/crates/registry/src/repair.rs
@@ -7,7 +7,7 @@
 use crate::message::{Message, SUMMARIES_PER_MESSAGE, WANTS_PER_MESSAGE};
 use crate::register::{Key, Register};
 use crate::registry::Registry;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
@@ -18,17 +18,17 @@
 const REPAIRS_PER_SECOND: f64 = 2.5;
 
 /// When the digests are compared again after a repair brought something.
-const COMPARE_AGAIN: Span = Span::millis(100);
+const COMPARE_AGAIN: Duration = Duration::from_millis(100);
 
 /// For how long a node remembers which digests it had: one that has such a digest is only behind by news that are
 /// still on their way to it.
-const NEWS_UNDER_WAY: Span = Span::millis(300);
+const NEWS_UNDER_WAY: Duration = Duration::from_millis(300);
 
 /// How many of its digests a node remembers.
 const MOST_PAST_DIGESTS: usize = 128;
 
 /// How long a node that another called dead has to refute it before it is believed.
-const REFUTATION: Span = Span::millis(600);
+const REFUTATION: Duration = Duration::from_millis(600);
 
 /// How many deaths wait for a refutation at most.
 const MOST_HELD: usize = 1_024;
@@ -37,36 +37,36 @@
 const MOST_TRANSFERS: usize = 64;
 
 /// Between two batches of messages of the transfers that wait.
-const TRANSFER_PACE: Span = Span::millis(50);
+const TRANSFER_PACE: Duration = Duration::from_millis(50);
 
 /// How many messages of a transfer are sent in a batch.
 const TRANSFER_BATCH: usize = 4;
 
 /// A node that has just started is brought what all others know.
-const NEWCOMER: Span = Span::millis(3_000);
+const NEWCOMER: Duration = Duration::from_millis(3_000);
 
 /// For how long a node that has just started and is brought much compares with nobody else, who would bring the same.
-const FILLING: Span = Span::millis(150);
+const FILLING: Duration = Duration::from_millis(150);
 
 /// A message with so many registers is part of much.
 const MUCH: usize = 32;
 
 /// The state of repairs.
 pub(crate) struct Repairs {
-    started: Moment,
-    filling_until: Moment,
+    started: Instant,
+    filling_until: Instant,
     tokens: f64,
-    refilled: Moment,
+    refilled: Instant,
     /// Until when each digest was this node's.
-    past: VecDeque<(Moment, u64)>,
-    compare_again: Option<(Moment, SocketAddrV4)>,
-    held: BTreeMap<String, (Moment, Member)>,
+    past: VecDeque<(Instant, u64)>,
+    compare_again: Option<(Instant, SocketAddrV4)>,
+    held: BTreeMap<String, (Instant, Member)>,
     transfers: VecDeque<(SocketAddrV4, VecDeque<Key>)>,
-    next_transfer: Moment,
+    next_transfer: Instant,
 }
 
 impl Repairs {
-    pub(crate) fn new(now: Moment) -> Repairs {
+    pub(crate) fn new(now: Instant) -> Repairs {
         Repairs {
             started: now,
             filling_until: now,
@@ -80,7 +80,7 @@
         }
     }
 
-    pub(crate) fn next_wake(&self) -> Option<Moment> {
+    pub(crate) fn next_wake(&self) -> Option<Instant> {
         let again = self.compare_again.map(|(at, _)| at);
         let held = self.held.values().map(|(until, _)| *until).min();
         let transfer = (!self.transfers.is_empty()).then_some(self.next_transfer);
@@ -88,7 +88,7 @@
     }
 
     /// Notes the digest as it is now, before a change.
-    pub(crate) fn record(&mut self, now: Moment, digest: u64) {
+    pub(crate) fn record(&mut self, now: Instant, digest: u64) {
         match self.past.back_mut() {
             Some((until, last)) if *last == digest => *until = now,
             _ => self.past.push_back((now, digest)),
@@ -98,12 +98,12 @@
         }
     }
 
-    fn is_filling(&self, now: Moment) -> bool {
+    fn is_filling(&self, now: Instant) -> bool {
         now < self.filling_until
     }
 
     /// From here on the node is brought much by one other. Whether it was not already.
-    pub(crate) fn begin_filling(&mut self, now: Moment) -> bool {
+    pub(crate) fn begin_filling(&mut self, now: Instant) -> bool {
         let begins = !self.is_filling(now);
         if begins {
             self.filling_until = now + FILLING;
@@ -111,12 +111,12 @@
         begins
     }
 
-    fn had_lately(&self, now: Moment, digest: u64) -> bool {
+    fn had_lately(&self, now: Instant, digest: u64) -> bool {
         self.past.iter().any(|(until, past)| *past == digest && now.since(*until) <= NEWS_UNDER_WAY)
     }
 
-    fn take_token(&mut self, now: Moment) -> bool {
-        self.tokens = (self.tokens + now.since(self.refilled).as_secs() * REPAIRS_PER_SECOND).min(BURST);
+    fn take_token(&mut self, now: Instant) -> bool {
+        self.tokens = (self.tokens + now.since(self.refilled).seconds() * REPAIRS_PER_SECOND).min(BURST);
         self.refilled = now;
         let there = self.tokens >= 1.0;
         if there {
@@ -129,7 +129,7 @@
 impl Registry {
     /// Compares digests with another node. Unless one of the two was lately where the other is now, they need repair;
     /// the one who is behind can't see which of the two it is, so it answers with its own.
-    pub(crate) fn compare_digests(&mut self, now: Moment, peer: SocketAddrV4, theirs: u64, answer: bool) {
+    pub(crate) fn compare_digests(&mut self, now: Instant, peer: SocketAddrV4, theirs: u64, answer: bool) {
         let expected = theirs == self.digest.total() || self.repairs.had_lately(now, theirs);
         if expected || self.repairs.is_filling(now) {
             return;
@@ -141,14 +141,14 @@
         }
     }
 
-    pub(crate) fn start_repair(&mut self, now: Moment, peer: SocketAddrV4) {
+    pub(crate) fn start_repair(&mut self, now: Instant, peer: SocketAddrV4) {
         if self.repairs.take_token(now) {
             let sums = self.digest.sums().to_vec();
             self.send(peer, Message::Buckets(sums));
         }
     }
 
-    pub(crate) fn receive_buckets(&mut self, now: Moment, from: SocketAddrV4, sums: &[u64]) {
+    pub(crate) fn receive_buckets(&mut self, now: Instant, from: SocketAddrV4, sums: &[u64]) {
         let busy = self.repairs.is_filling(now) || self.repairs.transfers.iter().any(|(to, _)| *to == from);
         if sums.len() != BUCKETS || busy {
             return;
@@ -183,7 +183,7 @@
 
     pub(crate) fn receive_summaries(
         &mut self,
-        now: Moment,
+        now: Instant,
         from: SocketAddrV4,
         complete: u64,
         entries: &[Summary],
@@ -196,12 +196,12 @@
         self.transfer(now, from, difference.lacking);
     }
 
-    pub(crate) fn receive_want(&mut self, now: Moment, from: SocketAddrV4, keys: &[u64]) {
+    pub(crate) fn receive_want(&mut self, now: Instant, from: SocketAddrV4, keys: &[u64]) {
         let keys = keys.iter().filter_map(|key| self.digest.key(*key)).cloned().collect();
         self.transfer(now, from, keys);
     }
 
-    pub(crate) fn receive_registers(&mut self, now: Moment, from: SocketAddrV4, registers: Vec<Register>) {
+    pub(crate) fn receive_registers(&mut self, now: Instant, from: SocketAddrV4, registers: Vec<Register>) {
         let before = self.generation;
         // What is news to an old node may be so to others on its side.
         let tell_on = now.since(self.repairs.started) > NEWCOMER;
@@ -222,7 +222,7 @@
     }
 
     /// Sends registers that fit in a message at once, and more of them at a pace.
-    fn transfer(&mut self, now: Moment, to: SocketAddrV4, keys: Vec<Key>) {
+    fn transfer(&mut self, now: Instant, to: SocketAddrV4, keys: Vec<Key>) {
         if keys.is_empty() {
             return;
         }
@@ -242,7 +242,7 @@
         }
     }
 
-    pub(crate) fn tick_repairs(&mut self, now: Moment) {
+    pub(crate) fn tick_repairs(&mut self, now: Instant) {
         if let Some((_, peer)) = self.repairs.compare_again.take_if(|(at, _)| *at <= now) {
             let heartbeat = self.own_heartbeat();
             self.send(peer, heartbeat);
@@ -281,7 +281,7 @@
 
     /// Another node, perhaps one from beyond a cut, holds for dead whom this one holds alive: the one in question is
     /// asked first, so that a cut that heals does not make all of its other side look dead for a moment.
-    pub(crate) fn hold_death(&mut self, now: Moment, member: Member) {
+    pub(crate) fn hold_death(&mut self, now: Instant, member: Member) {
         let newer = self.repairs.held.get(&member.name).is_none_or(|(_, held)| held.order() < member.order());
         if !newer || self.repairs.held.len() >= MOST_HELD {
             return;
@@ -291,7 +291,7 @@
         self.repairs.held.insert(member.name.clone(), (now + REFUTATION, member));
     }
 
-    fn believe_deaths(&mut self, now: Moment) {
+    fn believe_deaths(&mut self, now: Instant) {
         if self.repairs.held.values().all(|(until, _)| *until > now) {
             return;
         }
--- a/crates/registry/src/settings.rs
+++ b/crates/registry/src/settings.rs
@@ -1,70 +1,70 @@
 //! What a node is told at its start.
 
 use crate::Member;
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use std::net::SocketAddrV4;
 
 /// The bounds in time and number. All nodes should have the same.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timings {
     /// Between two heartbeats of a node.
-    pub heartbeat: Span,
+    pub heartbeat: Duration,
     /// How long a node may be silent before it is asked directly and by way of others.
-    pub suspect_after: Span,
+    pub suspect_after: Duration,
     /// How long a node may be silent before it is dead.
-    pub dead_after: Span,
+    pub dead_after: Duration,
     /// How many nodes watch each node.
     pub watchers: usize,
     /// How many nodes each node passes news on to.
     pub fan_out: usize,
     /// Between two tries at a seed that has not answered.
-    pub join_retry: Span,
+    pub join_retry: Duration,
     /// How long news wait for more to share their message.
-    pub batch: Span,
+    pub batch: Duration,
     /// The same for what a call waits for.
-    pub urgent_batch: Span,
+    pub urgent_batch: Duration,
     /// Between two tries at a node that has not confirmed.
-    pub confirm_retry: Span,
+    pub confirm_retry: Duration,
     /// How long a call waits at most for all to confirm.
-    pub confirm_bound: Span,
+    pub confirm_bound: Duration,
     /// Between two heartbeats of an executor (`heartbeat_ms`).
-    pub executor_heartbeat: Span,
+    pub executor_heartbeat: Duration,
     /// How long an executor that is silent or gone is shown.
-    pub executor_retention: Span,
+    pub executor_retention: Duration,
     /// How long the dead and gone are remembered, so that late news of them are known for what they are.
-    pub tombstone_retention: Span,
+    pub tombstone_retention: Duration,
 }
 
 impl Default for Timings {
     fn default() -> Timings {
         Timings {
-            heartbeat: Span::millis(400),
-            suspect_after: Span::millis(1_000),
-            dead_after: Span::millis(1_600),
+            heartbeat: Duration::from_millis(400),
+            suspect_after: Duration::from_millis(1_000),
+            dead_after: Duration::from_millis(1_600),
             watchers: 3,
             fan_out: 8,
-            join_retry: Span::millis(250),
-            batch: Span::millis(40),
-            urgent_batch: Span::millis(4),
-            confirm_retry: Span::millis(120),
-            confirm_bound: Span::millis(700),
-            executor_heartbeat: Span::millis(1_200),
-            executor_retention: Span::millis(60_000),
-            tombstone_retention: Span::millis(600_000),
+            join_retry: Duration::from_millis(250),
+            batch: Duration::from_millis(40),
+            urgent_batch: Duration::from_millis(4),
+            confirm_retry: Duration::from_millis(120),
+            confirm_bound: Duration::from_millis(700),
+            executor_heartbeat: Duration::from_millis(1_200),
+            executor_retention: Duration::from_millis(60_000),
+            tombstone_retention: Duration::from_millis(600_000),
         }
     }
 }
 
 impl Timings {
     /// How long an executor may miss its heartbeats before it is called silent: three of them and a little more.
-    pub fn executor_silence(&self) -> Span {
-        self.executor_heartbeat.scaled(3.0) + Span::millis(300)
+    pub fn executor_silence(&self) -> Duration {
+        self.executor_heartbeat.scaled(3.0) + Duration::from_millis(300)
     }
 
     /// The same for one that is known from the disk only, since the start: two heartbeats. One that had
     /// said that it leaves calls no more, and a loss of all power has the whole tier forget what it said; by the time that
     /// nodes count as in touch again (`contact_ms`) nothing may be sent there.
-    pub fn recalled_executor_silence(&self) -> Span {
+    pub fn recalled_executor_silence(&self) -> Duration {
         self.executor_heartbeat.scaled(2.0)
     }
 }
--- a/crates/registry/tests/cost.rs
+++ b/crates/registry/tests/cost.rs
@@ -4,7 +4,7 @@
 
 use fleet::{Fleet, next, report};
 use grebeusher_registry::NodeId;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 
 /// The share of the link that a node may use for control, in bytes a second, both ways together.
@@ -23,9 +23,9 @@
 #[case(360)]
 fn at_rest_messages_do_not_grow_with_the_fleet(#[case] count: usize) {
     let mut fleet = Fleet::settled(count, 1);
-    fleet.run(Span::millis(4_000));
+    fleet.run(Duration::from_millis(4_000));
     fleet.forget_traffic();
-    fleet.run(Span::millis(10_000));
+    fleet.run(Duration::from_millis(10_000));
     let (messages, bytes) = busiest(&fleet, 10);
     println!(
         "{count} nodes at rest: {messages} messages and {bytes} bytes a second in and out at the busiest"
@@ -55,7 +55,7 @@
     for (number, first) in reports.iter().enumerate() {
         fleet.heartbeat(number % edges, first);
     }
-    fleet.run(Span::millis(3_000));
+    fleet.run(Duration::from_millis(3_000));
     assert!(fleet.all_show_same_executors());
     fleet.forget_traffic();
     // Each beats on at its node; some end and others start.
@@ -74,14 +74,14 @@
                 fleet.heartbeat(round % edges, &fresh);
             }
         }
-        fleet.run(Span::millis(100));
+        fleet.run(Duration::from_millis(100));
     }
     let (messages, bytes) = busiest(&fleet, 10);
     println!(
         "{count} nodes, {executors} executors: {messages} messages and {bytes} bytes a second at the busiest"
     );
     assert!(bytes <= MOST_BYTES, "{bytes} bytes a second");
-    fleet.run(Span::millis(2_000));
+    fleet.run(Duration::from_millis(2_000));
     assert!(fleet.all_show_same_executors());
 }
 
@@ -91,17 +91,17 @@
 fn the_dead_are_called_at_a_bounded_pace(#[case] count: usize, #[case] dead: usize) {
     let mut fleet = Fleet::settled(count, 1);
     (count - dead..count).for_each(|index| fleet.kill(index));
-    fleet.run(Span::millis(6_000));
+    fleet.run(Duration::from_millis(6_000));
     fleet.assert_all_agree();
     fleet.forget_traffic();
-    fleet.run(Span::millis(10_000));
+    fleet.run(Duration::from_millis(10_000));
     let calls: u64 = fleet.nodes.iter().map(|node| node.to_nobody).sum();
     println!("{dead} dead of {count}: {calls} calls to nobody in 10 s");
     assert!(calls as usize <= dead * 50 + 20, "{calls} calls");
     assert!(calls as usize >= dead * 25, "only {calls} calls");
-    fleet.run(Span::millis(30_000));
+    fleet.run(Duration::from_millis(30_000));
     fleet.forget_traffic();
-    fleet.run(Span::millis(10_000));
+    fleet.run(Duration::from_millis(10_000));
     let calls: u64 = fleet.nodes.iter().map(|node| node.to_nobody).sum();
     println!("{dead} long dead of {count}: {calls} calls to nobody in 10 s");
     assert!(calls as usize <= dead * 14 + 10, "{calls} calls");
@@ -115,19 +115,19 @@
         first.address.set_port(9_000 + number as u16);
         fleet.heartbeat(number % 60, &first);
         if number % 60 == 59 {
-            fleet.run(Span::millis(20));
+            fleet.run(Duration::from_millis(20));
         }
     }
-    fleet.run(Span::millis(2_000));
+    fleet.run(Duration::from_millis(2_000));
     assert!(fleet.all_show_same_executors());
     fleet.kill(50);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     fleet.forget_traffic();
     fleet.start(50);
-    let took = fleet.run_until(Span::millis(3_000), Fleet::all_show_same_executors);
+    let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_show_same_executors);
     let received = fleet.nodes[50].received;
     println!("a newcomer had 2,200 executors after {took:?}, by {received:?}");
-    assert!(took.is_some_and(|took| took <= Span::millis(1_500)), "took {took:?}");
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(1_500)), "took {took:?}");
     assert!(received.bytes < 500_000, "{received:?}");
 }
 
@@ -140,12 +140,12 @@
         first.address.set_port(9_000 + number as u16);
         fleet.heartbeat(0, &first);
     }
-    fleet.run(Span::millis(1_000));
+    fleet.run(Duration::from_millis(1_000));
     fleet.start(1);
-    let took = fleet.run_until(Span::millis(3_000), Fleet::all_show_same_executors);
+    let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_show_same_executors);
     println!("2,200 executors came from one node in {took:?}");
     assert!(
-        took.is_some_and(|took| took >= Span::millis(100) && took <= Span::millis(1_500)),
+        took.is_some_and(|took| took >= Duration::from_millis(100) && took <= Duration::from_millis(1_500)),
         "took {took:?}"
     );
 }
@@ -154,9 +154,9 @@
 #[test]
 fn the_processor_time_of_a_node_among_many() {
     let mut fleet = Fleet::settled(78, 1);
-    fleet.run(Span::millis(2_000));
+    fleet.run(Duration::from_millis(2_000));
     let start = std::time::Instant::now();
-    fleet.run(Span::millis(10_000));
+    fleet.run(Duration::from_millis(10_000));
     let share = start.elapsed().as_secs_f64() / 10.0 / 78.0;
     println!("a node of 78 at rest took {:.4} % of a core, the simulation included", share * 100.0);
 }
--- a/crates/registry/tests/cuts.rs
+++ b/crates/registry/tests/cuts.rs
@@ -4,7 +4,7 @@
 
 use fleet::{Fleet, draining, report};
 use grebeusher_registry::{Event, ExecutorState, MemberState};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 
 fn executors_agree(fleet: &Fleet) -> bool {
@@ -15,9 +15,9 @@
 fn a_death_is_known_to_all_within_its_bound(#[values(14, 78)] count: usize, #[values(1, 2, 3)] seed: u64) {
     let mut fleet = Fleet::settled(count, seed);
     fleet.kill(5);
-    let took = fleet.run_until(Span::millis(4_000), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(4_000), Fleet::all_know_all);
     assert!(
-        took.is_some_and(|took| took >= Span::millis(1_100) && took <= Span::millis(2_000)),
+        took.is_some_and(|took| took >= Duration::from_millis(1_100) && took <= Duration::from_millis(2_000)),
         "took {took:?}"
     );
 }
@@ -26,9 +26,9 @@
 fn a_third_dies_at_once(#[values(14, 78)] count: usize) {
     let mut fleet = Fleet::settled(count, 1);
     (0..count / 3).for_each(|index| fleet.kill(index * 3));
-    let took = fleet.run_until(Span::millis(8_000), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(8_000), Fleet::all_know_all);
     println!("a third of {count} was known to be dead after {took:?}");
-    assert!(took.is_some_and(|took| took <= Span::millis(4_000)), "took {took:?}");
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(4_000)), "took {took:?}");
 }
 
 #[rstest]
@@ -49,7 +49,7 @@
         first.address.set_port(9_000 + number as u16);
         fleet.heartbeat(number % count, &first);
     }
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     fleet.cut_off(side);
     // Both sides learn things that the other does not.
     for number in 0..20 {
@@ -61,7 +61,7 @@
         fresh.address.set_port(10_000 + number as u16);
         fleet.heartbeat(index, &fresh);
     }
-    fleet.run(Span::millis(length));
+    fleet.run(Duration::from_millis(length));
     fleet.heal();
     let drained = |fleet: &Fleet| {
         fleet.running().into_iter().all(|index| {
@@ -72,12 +72,12 @@
             })
         })
     };
-    let told = fleet.run_until(Span::millis(3_000), drained);
-    let took = fleet.run_until(Span::millis(3_000), Fleet::all_know_all);
+    let told = fleet.run_until(Duration::from_millis(3_000), drained);
+    let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_know_all);
     println!("{count} nodes, {} cut off for {length} ms: drains {told:?}, members {took:?} more", side.len());
-    assert!(told.is_some_and(|took| took <= Span::millis(1_000)), "drains known after {told:?}");
-    assert!(took.is_some_and(|took| took <= Span::millis(600)), "members known after {took:?}");
-    fleet.run(Span::millis(4_000));
+    assert!(told.is_some_and(|took| took <= Duration::from_millis(1_000)), "drains known after {told:?}");
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(600)), "members known after {took:?}");
+    fleet.run(Duration::from_millis(4_000));
     fleet.assert_all_agree();
     assert!(executors_agree(&fleet), "not all show the same executors");
 }
@@ -87,14 +87,14 @@
     let mut fleet = Fleet::settled(14, seed);
     fleet.forget_traffic();
     fleet.cut_off(&[5]);
-    fleet.run(Span::millis(10_000));
+    fleet.run(Duration::from_millis(10_000));
     assert!(fleet.registry(5).is_isolated(fleet.now));
     assert_eq!(fleet.nodes[5].deaths_seen(), 0);
     assert_eq!(fleet.heartbeat(5, &report("i-1", 5)).heartbeat_target, None);
     fleet.heal();
-    let took = fleet.run_until(Span::millis(1_000), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(1_000), Fleet::all_know_all);
     assert!(took.is_some(), "they do not know each other");
-    fleet.run(Span::millis(5_000));
+    fleet.run(Duration::from_millis(5_000));
     // The others saw it die once; it saw nobody die, also when their answers came again.
     for (index, node) in fleet.nodes.iter().enumerate() {
         assert_eq!(node.deaths_seen(), usize::from(index != 5), "{}", node.name);
@@ -102,17 +102,17 @@
 }
 
 #[rstest]
-#[case::short(Span::millis(1_200))]
-#[case::long(Span::millis(9_000))]
-fn a_frozen_node_that_wakes_calls_nobody_dead_and_is_known_again(#[case] length: Span) {
+#[case::short(Duration::from_millis(1_200))]
+#[case::long(Duration::from_millis(9_000))]
+fn a_frozen_node_that_wakes_calls_nobody_dead_and_is_known_again(#[case] length: Duration) {
     let mut fleet = Fleet::settled(14, 8);
     fleet.forget_traffic();
     fleet.freeze(5);
     fleet.run(length);
     fleet.thaw(5);
-    let took = fleet.run_until(Span::millis(1_000), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(1_000), Fleet::all_know_all);
     assert!(took.is_some(), "it is not known again");
-    fleet.run(Span::millis(3_000));
+    fleet.run(Duration::from_millis(3_000));
     fleet.assert_all_agree();
     let own = fleet.nodes[5].name.clone();
     let others_died = |(_, event): &&(_, Event)| matches!(event, Event::MemberChanged { name, state: MemberState::Dead } if *name != own);
@@ -126,9 +126,9 @@
     let mut fleet = Fleet::settled(14, 8);
     fleet.forget_traffic();
     (0..14).for_each(|index| fleet.freeze(index));
-    fleet.run(Span::millis(5_000));
+    fleet.run(Duration::from_millis(5_000));
     (0..14).for_each(|index| fleet.thaw(index));
-    fleet.run(Span::millis(5_000));
+    fleet.run(Duration::from_millis(5_000));
     fleet.assert_all_agree();
     assert!(fleet.nodes.iter().all(|node| node.deaths_seen() == 0));
 }
@@ -140,7 +140,7 @@
     let mut fleet = Fleet::settled(14, seed);
     fleet.forget_traffic();
     links.iter().for_each(|(from, to)| fleet.cut_one_way(*from, *to));
-    fleet.run(Span::millis(20_000));
+    fleet.run(Duration::from_millis(20_000));
     fleet.assert_all_agree();
     let deaths: usize = fleet.nodes.iter().map(fleet::Node::deaths_seen).sum();
     assert_eq!(deaths, 0);
@@ -153,11 +153,11 @@
     // Some of these watch it.
     for to in (0..14).filter(|to| *to != 5) {
         fleet.cut_one_way(5, to);
-        fleet.run(Span::millis(5_000));
+        fleet.run(Duration::from_millis(5_000));
         fleet.heal();
         let deaths: usize = fleet.nodes.iter().map(fleet::Node::deaths_seen).sum();
         assert_eq!(deaths, 0, "called dead as {to} did not hear it");
-        fleet.run(Span::millis(500));
+        fleet.run(Duration::from_millis(500));
     }
 }
 
@@ -166,7 +166,7 @@
     let mut fleet = Fleet::settled(14, 2);
     fleet.forget_traffic();
     (0..14).filter(|index| *index != 5).for_each(|index| fleet.cut_one_way(index, 5));
-    fleet.run(Span::millis(20_000));
+    fleet.run(Duration::from_millis(20_000));
     let deaths: usize = fleet.nodes.iter().map(fleet::Node::deaths_seen).sum();
     assert_eq!(deaths, 0);
 }
@@ -176,11 +176,11 @@
     let mut fleet = Fleet::settled(14, 2);
     fleet.forget_traffic();
     (0..14).filter(|index| *index != 5).for_each(|index| fleet.cut_one_way(5, index));
-    fleet.run(Span::millis(20_000));
+    fleet.run(Duration::from_millis(20_000));
     let most = fleet.nodes.iter().map(fleet::Node::deaths_seen).max().unwrap_or(0);
     assert!(most <= 1, "a node saw {most} deaths");
     fleet.heal();
-    let took = fleet.run_until(Span::millis(1_000), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(1_000), Fleet::all_know_all);
     assert!(took.is_some(), "it is not known again");
 }
 
@@ -189,12 +189,12 @@
     let mut fleet = Fleet::settled(14, seed);
     fleet.forget_traffic();
     fleet.links.loss = 0.2;
-    fleet.links.longest = Span::millis(80);
-    fleet.run(Span::millis(60_000));
+    fleet.links.longest = Duration::from_millis(80);
+    fleet.run(Duration::from_millis(60_000));
     let deaths: usize = fleet.nodes.iter().map(fleet::Node::deaths_seen).sum();
     assert!(deaths <= 14, "{deaths} deaths were seen in a minute");
     fleet.links.loss = 0.0;
-    fleet.run(Span::millis(3_000));
+    fleet.run(Duration::from_millis(3_000));
     fleet.assert_all_agree();
 }
 
@@ -202,10 +202,10 @@
 fn all_restart_together_and_know_each_other() {
     let mut fleet = Fleet::settled(14, 2);
     (0..14).for_each(|index| fleet.kill(index));
-    fleet.run(Span::millis(3_000));
-    fleet.start_all(Span::millis(300));
-    let took =
-        fleet.run_until(Span::millis(1_500), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
+    fleet.run(Duration::from_millis(3_000));
+    fleet.start_all(Duration::from_millis(300));
+    let took = fleet
+        .run_until(Duration::from_millis(1_500), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
     assert!(took.is_some(), "they do not know each other");
 }
 
@@ -214,9 +214,9 @@
     let mut fleet = Fleet::settled(14, 2);
     [0, 1, 2].into_iter().for_each(|seed| fleet.kill(seed));
     fleet.kill(7);
-    fleet.run(Span::millis(4_000));
+    fleet.run(Duration::from_millis(4_000));
     fleet.start(7);
-    let took = fleet.run_until(Span::millis(3_000), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_know_all);
     assert!(took.is_some(), "it is not found");
 }
 
@@ -228,7 +228,7 @@
     let (now, from) = (fleet.now, fleet.nodes[1].address);
     let message = grebeusher_registry::Message::Registers(vec![grebeusher_registry::Register::Member(said)]);
     fleet.with(0, |registry| registry.receive(now, from, message));
-    fleet.run(Span::millis(2_000));
+    fleet.run(Duration::from_millis(2_000));
     fleet.assert_all_agree();
     // It was asked before it was believed.
     assert!(fleet.nodes[0].deaths_seen() == 0);
@@ -239,16 +239,16 @@
     let mut fleet = Fleet::settled(14, 2);
     let (now, name) = (fleet.now, fleet.nodes[5].name.clone());
     fleet.with(5, |registry| registry.leave(now));
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     let state = |fleet: &Fleet, index| fleet.registry(index).member(&name).map(|member| member.state);
     assert!((0..14).all(|index| state(&fleet, index) == Some(MemberState::Leaving)));
     let now = fleet.now;
     fleet.with(5, |registry| registry.left(now));
     fleet.kill(5);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     assert!(fleet.running().into_iter().all(|index| state(&fleet, index) == Some(MemberState::Left)));
     fleet.start(5);
-    let took = fleet.run_until(Span::millis(1_000), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(1_000), Fleet::all_know_all);
     assert!(took.is_some(), "its next life is not known");
 }
 
@@ -258,9 +258,9 @@
     fleet.forget_traffic();
     for _ in 0..10 {
         fleet.cut_off(&[5]);
-        fleet.run(Span::millis(2_200));
+        fleet.run(Duration::from_millis(2_200));
         fleet.heal();
-        fleet.run(Span::millis(2_800));
+        fleet.run(Duration::from_millis(2_800));
     }
     let own = fleet.nodes[5].name.clone();
     let died =
@@ -273,8 +273,8 @@
         assert_eq!(all, its, "{} saw others die that were never in trouble", node.name);
     }
     // In calm times trust comes back.
-    fleet.run(Span::millis(25_000));
+    fleet.run(Duration::from_millis(25_000));
     fleet.kill(5);
-    let took = fleet.run_until(Span::millis(4_000), Fleet::all_know_all);
-    assert!(took.is_some_and(|took| took <= Span::millis(2_000)), "took {took:?}");
+    let took = fleet.run_until(Duration::from_millis(4_000), Fleet::all_know_all);
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(2_000)), "took {took:?}");
 }
--- a/crates/registry/tests/drains.rs
+++ b/crates/registry/tests/drains.rs
@@ -4,7 +4,7 @@
 
 use fleet::{Fleet, draining, next, report};
 use grebeusher_registry::{Answer, ExecutorState, HeartbeatReport, Losses};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 
 fn state_at(fleet: &Fleet, index: usize, id: &str) -> Option<ExecutorState> {
@@ -20,7 +20,7 @@
     let mut fleet = Fleet::settled(count, seed);
     let first = report("i-1", 0);
     assert_eq!(fleet.heartbeat(4, &first).answer, Answer::Now);
-    let took = fleet.run_until(Span::millis(500), |fleet| all_show(fleet, "i-1", ExecutorState::Up));
+    let took = fleet.run_until(Duration::from_millis(500), |fleet| all_show(fleet, "i-1", ExecutorState::Up));
     assert!(took.is_some(), "not all know the executor");
     (fleet, first)
 }
@@ -30,9 +30,9 @@
     let (mut fleet, first) = with_executor(count, 1);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
     assert!(!fleet.is_told(5, answer));
-    let took = fleet.run_until(Span::millis(600), |fleet| fleet.is_told(5, answer));
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_told(5, answer));
     println!("{count} nodes: the drain was answered after {took:?}");
-    assert!(took.is_some_and(|took| took <= Span::millis(100)), "took {took:?}");
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(100)), "took {took:?}");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
 }
 
@@ -41,9 +41,9 @@
     let (mut fleet, first) = with_executor(14, seed);
     fleet.links.loss = 0.2;
     fleet.links.doubled = 0.2;
-    fleet.links.longest = Span::millis(40);
+    fleet.links.longest = Duration::from_millis(40);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    let took = fleet.run_until(Span::millis(690), |fleet| fleet.is_told(5, answer));
+    let took = fleet.run_until(Duration::from_millis(690), |fleet| fleet.is_told(5, answer));
     assert!(took.is_some(), "not answered before the bound");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
 }
@@ -55,7 +55,7 @@
     // The end comes while the drain is still being told, and must not be answered with it.
     let end = fleet.deregister(5, "i-1");
     assert!(matches!(end, Answer::WhenTold(_)));
-    let took = fleet.run_until(Span::millis(600), |fleet| fleet.is_told(5, end));
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_told(5, end));
     assert!(took.is_some(), "not answered");
     assert!(fleet.is_told(5, drain));
     assert!(all_show(&fleet, "i-1", ExecutorState::Gone));
@@ -66,9 +66,9 @@
 fn the_end_said_while_a_drain_is_on_its_way_is_told_by_itself() {
     let (mut fleet, first) = with_executor(14, 2);
     fleet.heartbeat(5, &draining(&first));
-    fleet.run(Span::millis(5));
+    fleet.run(Duration::from_millis(5));
     let end = fleet.deregister(5, "i-1");
-    let took = fleet.run_until(Span::millis(600), |fleet| fleet.is_told(5, end));
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_told(5, end));
     assert!(took.is_some(), "not answered");
     assert!(all_show(&fleet, "i-1", ExecutorState::Gone));
 }
@@ -77,11 +77,12 @@
 fn an_end_is_told_also_by_a_node_that_does_not_know_the_executor() {
     let (mut fleet, _) = with_executor(14, 2);
     fleet.kill(6);
-    fleet.run(Span::millis(100));
+    fleet.run(Duration::from_millis(100));
     fleet.start(6);
     let end = fleet.deregister(6, "i-1");
     assert!(matches!(end, Answer::WhenTold(_)));
-    let took = fleet.run_until(Span::millis(2_000), |fleet| all_show(fleet, "i-1", ExecutorState::Gone));
+    let took =
+        fleet.run_until(Duration::from_millis(2_000), |fleet| all_show(fleet, "i-1", ExecutorState::Gone));
     assert!(took.is_some(), "not all know the end");
 }
 
@@ -90,12 +91,16 @@
     let (mut fleet, first) = with_executor(14, 3);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    let took = fleet.run_until(Span::millis(1_000), |fleet| fleet.is_told(5, answer));
-    assert!(took.is_some_and(|took| took >= Span::millis(700) && took <= Span::millis(710)), "took {took:?}");
+    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_told(5, answer));
+    assert!(
+        took.is_some_and(|took| took >= Duration::from_millis(700) && took <= Duration::from_millis(710)),
+        "took {took:?}"
+    );
     assert_eq!(state_at(&fleet, 9, "i-1"), Some(ExecutorState::Up));
-    fleet.run(Span::millis(4_000));
+    fleet.run(Duration::from_millis(4_000));
     fleet.heal();
-    let took = fleet.run_until(Span::millis(1_000), |fleet| all_show(fleet, "i-1", ExecutorState::Draining));
+    let took = fleet
+        .run_until(Duration::from_millis(1_000), |fleet| all_show(fleet, "i-1", ExecutorState::Draining));
     println!("the node that was cut off knew {took:?} after the heal");
     assert!(took.is_some(), "the node that was cut off does not learn of the drain");
 }
@@ -104,10 +109,10 @@
 fn a_dead_node_is_not_waited_for() {
     let (mut fleet, first) = with_executor(14, 3);
     fleet.kill(9);
-    fleet.run(Span::millis(2_500));
+    fleet.run(Duration::from_millis(2_500));
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    let took = fleet.run_until(Span::millis(1_000), |fleet| fleet.is_told(5, answer));
-    assert!(took.is_some_and(|took| took <= Span::millis(60)), "took {took:?}");
+    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_told(5, answer));
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(60)), "took {took:?}");
 }
 
 #[rstest]
@@ -115,11 +120,12 @@
     let (mut fleet, first) = with_executor(count, seed);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    fleet.run_until(Span::millis(1_000), |fleet| fleet.is_told(5, answer)).expect("an answer");
-    fleet.run(Span::millis(4));
+    fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_told(5, answer)).expect("an answer");
+    fleet.run(Duration::from_millis(4));
     fleet.kill(5);
     fleet.heal();
-    let took = fleet.run_until(Span::millis(1_000), |fleet| all_show(fleet, "i-1", ExecutorState::Draining));
+    let took = fleet
+        .run_until(Duration::from_millis(1_000), |fleet| all_show(fleet, "i-1", ExecutorState::Draining));
     assert!(took.is_some(), "the node that was cut off does not learn of the drain");
 }
 
@@ -128,10 +134,10 @@
     let (mut fleet, first) = with_executor(14, 3);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    fleet.run(Span::millis(20));
+    fleet.run(Duration::from_millis(20));
     fleet.heal();
-    let took = fleet.run_until(Span::millis(600), |fleet| fleet.is_told(5, answer));
-    assert!(took.is_some_and(|took| took <= Span::millis(200)), "took {took:?}");
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_told(5, answer));
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(200)), "took {took:?}");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
 }
 
@@ -140,15 +146,15 @@
     let (mut fleet, first) = with_executor(14, 3);
     let drain = draining(&first);
     fleet.heartbeat(5, &drain);
-    fleet.run(Span::millis(5));
+    fleet.run(Duration::from_millis(5));
     fleet.kill(5);
     let answer = fleet.heartbeat(6, &next(&drain)).answer;
     assert!(matches!(answer, Answer::WhenTold(_)), "answered though nobody knows who has it");
-    fleet.run_until(Span::millis(710), |fleet| fleet.is_told(6, answer)).expect("an answer");
+    fleet.run_until(Duration::from_millis(710), |fleet| fleet.is_told(6, answer)).expect("an answer");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
     // Later heartbeats need not wait again, also when nothing is under way any more.
     assert_eq!(fleet.heartbeat(6, &next(&next(&drain))).answer, Answer::Now);
-    fleet.run(Span::millis(3_000));
+    fleet.run(Duration::from_millis(3_000));
     assert_eq!(fleet.heartbeat(6, &next(&next(&next(&drain)))).answer, Answer::Now);
 }
 
@@ -158,11 +164,11 @@
     fleet.cut_off(&[9]);
     let drain = draining(&first);
     let one = fleet.heartbeat(5, &drain).answer;
-    fleet.run(Span::millis(300));
+    fleet.run(Duration::from_millis(300));
     let two = fleet.heartbeat(5, &next(&drain)).answer;
-    fleet.run(Span::millis(390));
+    fleet.run(Duration::from_millis(390));
     assert!(!fleet.is_told(5, one) && !fleet.is_told(5, two));
-    fleet.run(Span::millis(20));
+    fleet.run(Duration::from_millis(20));
     assert!(fleet.is_told(5, one) && fleet.is_told(5, two));
 }
 
@@ -171,7 +177,7 @@
     let (mut fleet, first) = with_executor(14, 3);
     let drain = draining(&first);
     fleet.heartbeat(5, &drain);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     // A call that says up, whether late or not, at a node that knows and at one that just started.
     fleet.kill(7);
     fleet.start(7);
@@ -179,13 +185,13 @@
         fleet.heartbeat(index, &first);
         fleet.heartbeat(index, &HeartbeatReport { call_seq: 50 + index as u64, ..first.clone() });
         assert_ne!(state_at(&fleet, 4, "i-1"), Some(ExecutorState::Up));
-        fleet.run(Span::millis(1_500));
+        fleet.run(Duration::from_millis(1_500));
         assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
     }
     fleet.deregister(3, "i-1");
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     fleet.heartbeat(8, &HeartbeatReport { call_seq: 90, ..drain });
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     assert!(all_show(&fleet, "i-1", ExecutorState::Gone));
 }
 
@@ -195,7 +201,7 @@
     fleet.heartbeat(4, &HeartbeatReport { call_seq: 9, ..first.clone() });
     let late = HeartbeatReport { call_seq: 3, ..draining(&first) };
     let answer = fleet.heartbeat(4, &late).answer;
-    fleet.run(Span::millis(100));
+    fleet.run(Duration::from_millis(100));
     assert!(fleet.is_told(4, answer));
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
 }
@@ -210,13 +216,14 @@
         report.address.set_port(9_000 + number as u16);
         fleet.heartbeat(number % 60, &report);
     }
-    fleet.run(Span::millis(1_000));
+    fleet.run(Duration::from_millis(1_000));
     fleet.forget_traffic();
     let answers: Vec<Answer> =
         reports.iter().map(|report| fleet.heartbeat(7, &draining(report)).answer).collect();
-    let took =
-        fleet.run_until(Span::millis(600), |fleet| answers.iter().all(|answer| fleet.is_told(7, *answer)));
-    assert!(took.is_some_and(|took| took <= Span::millis(100)), "took {took:?}");
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| {
+        answers.iter().all(|answer| fleet.is_told(7, *answer))
+    });
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(100)), "took {took:?}");
     let reached = reports.iter().all(|report| all_show(&fleet, &report.id, ExecutorState::Draining));
     assert!(reached);
     let most = fleet.nodes.iter().map(|node| node.received.messages).max().unwrap_or(0);
@@ -231,7 +238,7 @@
     let first = report("i-1", 0);
     fleet.heartbeat(0, &first);
     let answer = fleet.heartbeat(0, &draining(&first)).answer;
-    fleet.run(Span::millis(10));
+    fleet.run(Duration::from_millis(10));
     assert!(fleet.is_told(0, answer));
 }
 
@@ -241,7 +248,7 @@
     for _ in 0..10 {
         let answer =
             if ends { fleet.deregister(index, &first.id) } else { fleet.heartbeat(index, &call).answer };
-        fleet.run(Span::millis(900));
+        fleet.run(Duration::from_millis(900));
         if fleet.is_told(index, answer) {
             return true;
         }
@@ -264,11 +271,11 @@
     // Given a fleet of which so many machines of the core may be lost, and nodes that are cut off with that many at most,
     let mut fleet = Fleet::new(22, 4);
     fleet.bear(Losses { machines, zones: 0 });
-    fleet.start_all(Span::millis(300));
-    fleet.run(Span::millis(6_000));
+    fleet.start_all(Duration::from_millis(300));
+    fleet.run(Duration::from_millis(6_000));
     let first = report("i-1", 0);
     fleet.heartbeat(side[0], &first);
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     fleet.cut_off(side);
     // when an executor leaves there, also once they hold all others for dead, then that is never acknowledged,
     assert!(!is_ever_acknowledged(&mut fleet, side[0], &first, ends));
@@ -284,7 +291,7 @@
     fleet.cut_off(&[5]);
     let drain = draining(&first);
     fleet.heartbeat(5, &drain);
-    fleet.run(Span::millis(4_000));
+    fleet.run(Duration::from_millis(4_000));
     // when the call comes again, then it waits again: nobody has confirmed anything.
     let answer = fleet.heartbeat(5, &next(&drain)).answer;
     assert!(matches!(answer, Answer::WhenTold(_)), "{answer:?}");
@@ -295,7 +302,7 @@
     // Given a node that knows nobody yet, when an executor leaves there,
     let (mut fleet, first) = with_executor(14, 3);
     fleet.kill(6);
-    fleet.run(Span::millis(2_500));
+    fleet.run(Duration::from_millis(2_500));
     fleet.cut_off(&[6]);
     fleet.start(6);
     // then that is not acknowledged.
@@ -310,6 +317,6 @@
     fleet.cut_off(&[13]);
     // when an executor leaves, then its call is acknowledged when the bound is over.
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    let took = fleet.run_until(Span::millis(1_000), |fleet| fleet.is_told(5, answer));
-    assert!(took.is_some_and(|took| took <= Span::millis(710)), "took {took:?}");
+    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_told(5, answer));
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(710)), "took {took:?}");
 }
--- a/crates/registry/tests/executors.rs
+++ b/crates/registry/tests/executors.rs
@@ -4,13 +4,13 @@
 
 use fleet::{Fleet, control, draining, next, report, zone};
 use grebeusher_registry::{Answer, Executor, ExecutorState, HeartbeatReport, Model};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
 /// A little over three heartbeats.
-const SILENCE: Span = Span::millis(3 * 1_200 + 300);
+const SILENCE: Duration = Duration::from_millis(3 * 1_200 + 300);
 
 fn shown(fleet: &Fleet, index: usize, id: &str) -> Option<Executor> {
     fleet.registry(index).executor(id).cloned()
@@ -23,7 +23,7 @@
 /// Has an executor beat at one node for a while.
 fn beat_on(fleet: &mut Fleet, index: usize, last: &mut HeartbeatReport, times: usize) {
     for _ in 0..times {
-        fleet.run(Span::millis(1_200));
+        fleet.run(Duration::from_millis(1_200));
         *last = next(last);
         fleet.heartbeat(index, last);
     }
@@ -34,17 +34,17 @@
     let mut fleet = Fleet::settled(14, 1);
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     assert!(all_show(&fleet, "i-1", |executor| executor.call_seq == 1
         && executor.heard_by == fleet.nodes[4].name));
     let before = fleet.registry(9).generation();
     beat_on(&mut fleet, 4, &mut last, 5);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     assert_eq!(fleet.registry(9).generation(), before);
     last = next(&last);
     last.models = vec![Model { name: "m".to_owned(), config_version: 2 }];
     fleet.heartbeat(4, &last);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     assert!(all_show(&fleet, "i-1", |executor| executor.models.len() == 1 && executor.call_seq == 7));
     assert_eq!(fleet.registry(9).executors_of("huvo11a").count(), 1);
     assert_eq!(fleet.registry(9).executors_of("another").count(), 0);
@@ -60,7 +60,7 @@
     let mut late = HeartbeatReport { service: "another".to_owned(), ..late };
     late.address.set_port(1);
     assert_eq!(fleet.heartbeat(4, &late).answer, Answer::Now);
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     assert!(
         all_show(&fleet, "i-1", |executor| executor.service == "huvo11a" && executor.address.port() == 8_080)
     );
@@ -75,7 +75,7 @@
     beat_on(&mut fleet, 4, &mut last, 4);
     // Plain heartbeats are not told, so the other node takes the late call for news.
     fleet.heartbeat(9, &late);
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     let owner = fleet.nodes[4].name.clone();
     assert!(all_show(&fleet, "i-1", |executor| executor.heard_by == owner && executor.call_seq == 5));
 }
@@ -116,7 +116,7 @@
     let before: Vec<_> = reports.iter().map(|first| fleet.heartbeat(0, first).heartbeat_target).collect();
     let now = fleet.now;
     fleet.with(5, |registry| registry.leave(now));
-    fleet.run(Span::millis(300));
+    fleet.run(Duration::from_millis(300));
     for (first, before) in reports.iter().zip(before) {
         let after = fleet.heartbeat(0, &next(first)).heartbeat_target;
         assert_ne!(after, Some(control(5)));
@@ -139,12 +139,12 @@
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
     beat_on(&mut fleet, 4, &mut last, 3);
-    fleet.run(SILENCE.saturating_sub(Span::millis(100)));
+    fleet.run(SILENCE.saturating_sub(Duration::from_millis(100)));
     assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
-    fleet.run(Span::millis(900));
+    fleet.run(Duration::from_millis(900));
     assert!(all_show(&fleet, "i-1", |executor| executor.silent));
     fleet.heartbeat(4, &next(&last));
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
 }
 
@@ -156,7 +156,7 @@
     moves.address.set_port(8_081);
     fleet.heartbeat(4, &lost);
     fleet.heartbeat(4, &moves);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     fleet.kill(4);
     beat_on(&mut fleet, 6, &mut moves, 6);
     assert!(all_show(&fleet, "i-1", |executor| executor.silent));
@@ -168,15 +168,15 @@
     let mut fleet = Fleet::settled(14, 1);
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     fleet.freeze(4);
-    fleet.run(Span::millis(6_000));
+    fleet.run(Duration::from_millis(6_000));
     fleet.thaw(4);
-    fleet.run(Span::millis(1_000));
+    fleet.run(Duration::from_millis(1_000));
     assert!(shown(&fleet, 4, "i-1").is_some_and(|executor| !executor.silent));
     last = next(&last);
     fleet.heartbeat(4, &last);
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
 }
 
@@ -184,13 +184,13 @@
 fn an_owner_that_restarts_sees_to_its_executors_again() {
     let mut fleet = Fleet::settled(14, 1);
     fleet.heartbeat(4, &report("i-1", 0));
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     fleet.kill(4);
-    fleet.run(Span::millis(100));
+    fleet.run(Duration::from_millis(100));
     fleet.start(4);
-    fleet.run(Span::millis(1_000));
+    fleet.run(Duration::from_millis(1_000));
     assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
-    fleet.run(Span::millis(5_000));
+    fleet.run(Duration::from_millis(5_000));
     assert!(all_show(&fleet, "i-1", |executor| executor.silent));
 }
 
@@ -201,24 +201,24 @@
     let mut ended = report("i-2", 0);
     ended.address.set_port(8_081);
     fleet.heartbeat(4, &ended);
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     fleet.deregister(4, "i-2");
-    fleet.run(Span::millis(30_000));
+    fleet.run(Duration::from_millis(30_000));
     // A node that starts late is brought the silent one, and forgets it with the others.
     fleet.kill(7);
     fleet.start(7);
-    fleet.run(Span::millis(40_000));
+    fleet.run(Duration::from_millis(40_000));
     for index in 0..14 {
         assert_eq!(fleet.registry(index).executors().count(), 0, "{}", fleet.nodes[index].name);
     }
     fleet.forget_traffic();
-    fleet.run(Span::millis(5_000));
+    fleet.run(Duration::from_millis(5_000));
     let bytes = fleet.nodes.iter().map(|node| node.sent.bytes + node.received.bytes).max().unwrap_or(0) / 5;
     assert!(bytes < 1_200, "{bytes} bytes a second over what is forgotten");
     // A call that was under way for all this time brings nobody back from the end; a new one from silence does.
     fleet.heartbeat(6, &next(&ended));
     fleet.heartbeat(6, &next(&report("i-1", 0)));
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
     assert!((0..14).all(|index| shown(&fleet, index, "i-2").is_none()));
 }
@@ -232,13 +232,13 @@
     let mut heir = report("i-2", 0);
     heir.service = "wuno96b".to_owned();
     fleet.heartbeat(9, &heir);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     assert!(all_show(&fleet, "i-2", |executor| !executor.silent && executor.service == "wuno96b"));
     // The owner has heard the former later than what was told; its silence is a matter of the missing heartbeats then.
-    fleet.run(Span::millis(4_500));
+    fleet.run(Duration::from_millis(4_500));
     assert!(all_show(&fleet, "i-1", |executor| executor.silent));
     fleet.heartbeat(9, &next(&heir));
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     assert!(all_show(&fleet, "i-2", |executor| !executor.silent));
 }
 
@@ -246,9 +246,9 @@
 fn an_executor_that_called_once_is_silent_as_soon_as_its_address_is_used_again() {
     let mut fleet = Fleet::settled(14, 1);
     fleet.heartbeat(4, &report("i-1", 0));
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     fleet.heartbeat(9, &report("i-2", 0));
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     assert!(all_show(&fleet, "i-1", |executor| executor.silent));
     assert!(all_show(&fleet, "i-2", |executor| !executor.silent));
 }
@@ -258,15 +258,15 @@
     let mut fleet = Fleet::settled(14, 1);
     let first = report("i-1", 0);
     fleet.heartbeat(4, &first);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     fleet.cut_off(&[9]);
     fleet.heartbeat(4, &draining(&first));
     // On the far side a later call still says up.
     let far = HeartbeatReport { call_seq: 40, ..first.clone() };
     fleet.heartbeat(9, &far);
-    fleet.run(Span::millis(1_000));
+    fleet.run(Duration::from_millis(1_000));
     fleet.heal();
-    fleet.run(Span::millis(1_500));
+    fleet.run(Duration::from_millis(1_500));
     assert!(all_show(&fleet, "i-1", |executor| executor.state == ExecutorState::Draining
         && executor.call_seq == 40));
     assert!(fleet.all_show_same_executors());
@@ -277,7 +277,7 @@
     let mut fleet = Fleet::settled(14, 1);
     let first = report("i-1", 0);
     fleet.heartbeat(4, &first);
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     let kept = fleet.registry(4).remember();
     (0..14).for_each(|index| fleet.kill(index));
     (0..14).for_each(|index| fleet.start(index));
@@ -290,10 +290,10 @@
 fn an_executor_that_is_only_remembered_is_not_relied_on_for_as_long_as_nodes_need_to_be_in_touch() {
     // Given a tier that has lost all power, with an executor on a disk which had meanwhile said that it leaves,
     let (mut fleet, _) = restarted_with_a_hint();
-    fleet.run(Span::millis(2_000));
+    fleet.run(Duration::from_millis(2_000));
     assert!(shown(&fleet, 4, "i-1").is_some_and(|executor| !executor.silent));
     // when it does not call again, then nothing is sent to it by the time that nodes count as in touch.
-    fleet.run(Span::millis(1_000));
+    fleet.run(Duration::from_millis(1_000));
     assert!(fleet.registry(4).is_only_recalled("i-1"));
     assert!(all_show(&fleet, "i-1", |executor| executor.silent));
 }
--- a/crates/registry/tests/facts.rs
+++ b/crates/registry/tests/facts.rs
@@ -4,7 +4,7 @@
 
 use fleet::Fleet;
 use grebeusher_registry::{Event, LARGEST_FACTS};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 
 fn facts_everywhere(fleet: &Fleet, node: usize) -> Vec<Option<Vec<u8>>> {
     let name = &fleet.nodes[node].name;
@@ -18,7 +18,7 @@
     for payload in [b"one".to_vec(), b"two".to_vec(), vec![7; LARGEST_FACTS]] {
         let now = fleet.now;
         fleet.with(5, |registry| registry.set_facts(now, payload.clone())).expect("small enough");
-        fleet.run(Span::millis(200));
+        fleet.run(Duration::from_millis(200));
         assert!(facts_everywhere(&fleet, 5).iter().all(|held| held.as_ref() == Some(&payload)));
     }
     let now = fleet.now;
@@ -33,13 +33,13 @@
         let now = fleet.now;
         fleet.with(5, |registry| registry.set_facts(now, b"old".to_vec())).expect("small enough");
     }
-    fleet.run(Span::millis(200));
+    fleet.run(Duration::from_millis(200));
     fleet.kill(5);
-    fleet.run(Span::millis(100));
+    fleet.run(Duration::from_millis(100));
     fleet.start_with_clock_behind(5);
     let now = fleet.now;
     fleet.with(5, |registry| registry.set_facts(now, b"new".to_vec())).expect("small enough");
-    fleet.run(Span::millis(1_500));
+    fleet.run(Duration::from_millis(1_500));
     assert!(facts_everywhere(&fleet, 5).iter().all(|held| held.as_deref() == Some(b"new")));
 }
 
@@ -49,9 +49,9 @@
     fleet.cut_off(&[9]);
     let now = fleet.now;
     fleet.with(5, |registry| registry.set_facts(now, b"one".to_vec())).expect("small enough");
-    fleet.run(Span::millis(800));
+    fleet.run(Duration::from_millis(800));
     fleet.heal();
-    fleet.run(Span::millis(1_000));
+    fleet.run(Duration::from_millis(1_000));
     assert!(facts_everywhere(&fleet, 5).iter().all(|held| held.as_deref() == Some(b"one")));
 }
 
@@ -62,7 +62,7 @@
         fleet.with(index, |registry| registry.set_configuration_version(7));
     });
     fleet.forget_traffic();
-    fleet.run(Span::millis(900));
+    fleet.run(Duration::from_millis(900));
     let behind = |index: usize| {
         let is = |(_, event): &&(_, Event)| matches!(event, Event::ConfigurationBehind { version: 7, .. });
         fleet.nodes[index].events.iter().filter(is).count()
--- a/crates/registry/tests/fleet/mod.rs
+++ b/crates/registry/tests/fleet/mod.rs
@@ -6,7 +6,7 @@
     Answer, CallToken, Class, Event, Executor, ExecutorState, HeartbeatEffect, HeartbeatReport, Losses,
     Member, MemberState, Message, Registry, Settings, Timings,
 };
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -18,8 +18,8 @@
 /// What a link does to messages.
 #[derive(Clone, Copy, Debug)]
 pub struct Links {
-    pub shortest: Span,
-    pub longest: Span,
+    pub shortest: Duration,
+    pub longest: Duration,
     /// The share of messages that are lost.
     pub loss: f64,
     /// The share that comes twice.
@@ -28,7 +28,12 @@
 
 impl Default for Links {
     fn default() -> Links {
-        Links { shortest: Span::millis(1), longest: Span::millis(6), loss: 0.0, doubled: 0.0 }
+        Links {
+            shortest: Duration::from_millis(1),
+            longest: Duration::from_millis(6),
+            loss: 0.0,
+            doubled: 0.0,
+        }
     }
 }
 
@@ -46,11 +51,11 @@
     pub sent: Traffic,
     pub received: Traffic,
     pub to_nobody: u64,
-    pub told: BTreeMap<CallToken, Moment>,
-    pub untold: BTreeMap<CallToken, Moment>,
-    pub events: Vec<(Moment, Event)>,
+    pub told: BTreeMap<CallToken, Instant>,
+    pub untold: BTreeMap<CallToken, Instant>,
+    pub events: Vec<(Instant, Event)>,
     waiting: Vec<(SocketAddrV4, Message)>,
-    wake: Option<Moment>,
+    wake: Option<Instant>,
     settings: Settings,
     starts: u64,
 }
@@ -62,12 +67,12 @@
 }
 
 pub struct Fleet {
-    pub now: Moment,
+    pub now: Instant,
     pub nodes: Vec<Node>,
     pub links: Links,
     pub random: Pcg64Mcg,
     cut: BTreeSet<(usize, usize)>,
-    queue: BinaryHeap<Reverse<(Moment, u64)>>,
+    queue: BinaryHeap<Reverse<(Instant, u64)>>,
     happenings: BTreeMap<u64, Happening>,
     next: u64,
     seed: u64,
@@ -113,7 +118,7 @@
         let seeds = [0, 1, 2];
         let nodes = (0..count).map(|index| Node::new(settings(index, &seeds, count - count / 8))).collect();
         Fleet {
-            now: Moment(1_000_000_000),
+            now: Instant(1_000_000_000),
             nodes,
             links: Links::default(),
             random: Pcg64Mcg::seed_from_u64(seed),
@@ -128,8 +133,8 @@
     /// A fleet whose nodes all started within 0.3 s and have had time to settle.
     pub fn settled(count: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(count, seed);
-        fleet.start_all(Span::millis(300));
-        fleet.run(Span::millis(6_000));
+        fleet.start_all(Duration::from_millis(300));
+        fleet.run(Duration::from_millis(6_000));
         fleet.assert_all_agree();
         fleet
     }
@@ -139,14 +144,14 @@
         self.nodes.len() - 1
     }
 
-    pub fn start_all(&mut self, within: Span) {
+    pub fn start_all(&mut self, within: Duration) {
         for index in 0..self.nodes.len() {
-            let wait = Span(self.random.random_range(0..=within.0));
+            let wait = Duration::from_nanos(self.random.random_range(0..=within.nanos()));
             self.start_in(index, wait);
         }
     }
 
-    pub fn start_in(&mut self, index: usize, wait: Span) {
+    pub fn start_in(&mut self, index: usize, wait: Duration) {
         self.schedule(self.now + wait, Happening::Start(index));
     }
 
@@ -211,7 +216,7 @@
         self.cut.clear();
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
             if at > until {
@@ -227,13 +232,13 @@
     }
 
     /// Runs until `done` holds, looked at every 5 ms; how long that took, or `None` after `within`.
-    pub fn run_until(&mut self, within: Span, mut done: impl FnMut(&Fleet) -> bool) -> Option<Span> {
+    pub fn run_until(&mut self, within: Duration, mut done: impl FnMut(&Fleet) -> bool) -> Option<Duration> {
         let start = self.now;
         while !done(self) {
             if self.now.since(start) >= within {
                 return None;
             }
-            self.run(Span::millis(5));
+            self.run(Duration::from_millis(5));
         }
         Some(self.now.since(start))
     }
@@ -334,7 +339,7 @@
         }
     }
 
-    fn schedule(&mut self, at: Moment, happening: Happening) {
+    fn schedule(&mut self, at: Instant, happening: Happening) {
         self.next += 1;
         self.happenings.insert(self.next, happening);
         self.queue.push(Reverse((at, self.next)));
@@ -385,7 +390,7 @@
         node.untold.extend(settled.untold.into_iter().map(|token| (token, now)));
         let output = registry.take_output();
         node.events.extend(output.events.into_iter().map(|event| (now, event)));
-        let wake = registry.next_wake().max(now + Span(1));
+        let wake = registry.next_wake().max(now + Duration::from_nanos(1));
         if node.wake.is_none_or(|planned| wake < planned || planned < now) {
             node.wake = Some(wake);
             self.schedule(wake, Happening::Wake(index));
@@ -414,7 +419,9 @@
         }
         let times = 1 + usize::from(self.random.random_bool(self.links.doubled));
         for _ in 0..times {
-            let delay = Span(self.random.random_range(self.links.shortest.0..=self.links.longest.0));
+            let delay = Duration::from_nanos(
+                self.random.random_range(self.links.shortest.nanos()..=self.links.longest.nanos()),
+            );
             self.schedule(self.now + delay, Happening::Arrive { from, to, message: message.clone() });
         }
     }
--- a/crates/registry/tests/start.rs
+++ b/crates/registry/tests/start.rs
@@ -4,7 +4,7 @@
 
 use fleet::{Fleet, address, settings};
 use grebeusher_registry::MemberState;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 
 #[rstest]
@@ -13,11 +13,11 @@
     #[values(1, 2, 3)] seed: u64,
 ) {
     let mut fleet = Fleet::new(count, seed);
-    fleet.start_all(Span::millis(300));
-    fleet.run(Span::millis(300));
-    let took = fleet.run_until(Span::millis(1_500), Fleet::all_know_all);
+    fleet.start_all(Duration::from_millis(300));
+    fleet.run(Duration::from_millis(300));
+    let took = fleet.run_until(Duration::from_millis(1_500), Fleet::all_know_all);
     println!("{count} nodes knew each other {took:?} after the last start");
-    assert!(took.is_some_and(|took| took <= Span::millis(1_200)), "took {took:?}");
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(1_200)), "took {took:?}");
 }
 
 #[rstest]
@@ -27,10 +27,10 @@
 fn the_order_of_starts_does_not_matter(#[case] order: &[usize]) {
     let mut fleet = Fleet::new(14, 7);
     for (place, index) in order.iter().enumerate() {
-        fleet.start_in(*index, Span::millis(place as u64 * 23));
+        fleet.start_in(*index, Duration::from_millis(place as u64 * 23));
     }
-    let took =
-        fleet.run_until(Span::millis(1_500), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
+    let took = fleet
+        .run_until(Duration::from_millis(1_500), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
     assert!(took.is_some(), "they do not know each other");
 }
 
@@ -40,7 +40,7 @@
     for index in (3..14).chain([up]) {
         fleet.start(index);
     }
-    let took = fleet.run_until(Span::millis(1_500), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(1_500), Fleet::all_know_all);
     assert!(took.is_some(), "they do not know each other");
 }
 
@@ -48,10 +48,10 @@
 fn nodes_wait_for_a_seed_that_comes_late() {
     let mut fleet = Fleet::new(6, 5);
     (3..6).for_each(|index| fleet.start(index));
-    fleet.run(Span::millis(21_700));
+    fleet.run(Duration::from_millis(21_700));
     assert!((3..6).all(|index| !fleet.registry(index).is_joined()));
     fleet.start(1);
-    let took = fleet.run_until(Span::millis(400), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(400), Fleet::all_know_all);
     assert!(took.is_some(), "they do not know each other");
 }
 
@@ -60,24 +60,24 @@
     let mut fleet = Fleet::new(14, seed);
     fleet.links.loss = 0.1;
     fleet.links.doubled = 0.1;
-    fleet.links.longest = Span::millis(60);
-    fleet.start_all(Span::millis(300));
-    let took =
-        fleet.run_until(Span::millis(3_000), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
+    fleet.links.longest = Duration::from_millis(60);
+    fleet.start_all(Duration::from_millis(300));
+    let took = fleet
+        .run_until(Duration::from_millis(3_000), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
     assert!(took.is_some(), "they do not know each other");
 }
 
 #[rstest]
-#[case::at_once(Span::millis(50))]
-#[case::after_its_death(Span::millis(4_000))]
-fn a_restarted_node_is_known_by_its_new_life(#[case] pause: Span) {
+#[case::at_once(Duration::from_millis(50))]
+#[case::after_its_death(Duration::from_millis(4_000))]
+fn a_restarted_node_is_known_by_its_new_life(#[case] pause: Duration) {
     let mut fleet = Fleet::settled(14, 3);
     let before = fleet.registry(5).own_member().incarnation;
     fleet.kill(5);
     fleet.run(pause);
     fleet.start(5);
     let name = fleet.nodes[5].name.clone();
-    let took = fleet.run_until(Span::millis(1_000), |fleet| {
+    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| {
         fleet.all_know_all()
             && fleet.running().iter().all(|index| {
                 fleet.registry(*index).member(&name).is_some_and(|member| member.incarnation > before)
@@ -92,16 +92,16 @@
     let mut fleet = Fleet::settled(14, 3);
     let before = fleet.registry(5).own_member().incarnation;
     fleet.kill(5);
-    fleet.run(Span::millis(100));
+    fleet.run(Duration::from_millis(100));
     fleet.start_with_clock_behind(5);
     let name = fleet.nodes[5].name.clone();
-    let took = fleet.run_until(Span::millis(1_500), |fleet| {
+    let took = fleet.run_until(Duration::from_millis(1_500), |fleet| {
         fleet.running().iter().all(|index| {
             fleet.registry(*index).member(&name).is_some_and(|member| member.incarnation > before)
         })
     });
     assert!(took.is_some(), "its older life hides the new one");
-    fleet.run(Span::millis(3_000));
+    fleet.run(Duration::from_millis(3_000));
     fleet.assert_all_agree();
 }
 
@@ -114,7 +114,7 @@
     replacement.member.bootstrap = false;
     let index = fleet.add(replacement);
     fleet.start(index);
-    let took = fleet.run_until(Span::millis(3_000), Fleet::all_know_all);
+    let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_know_all);
     assert!(took.is_some(), "the replacement is not known, or its predecessor still lives");
     assert_eq!(fleet.registry(0).member(&former).map(|member| member.state), Some(MemberState::Dead));
     assert_eq!(fleet.registry(0).member_by_replica(15).map(|member| member.address), Some(address(14)));
@@ -126,16 +126,16 @@
     fleet.forget_traffic();
     let restarted: Vec<usize> = (20..66).collect();
     restarted.iter().for_each(|index| fleet.kill(*index));
-    fleet.run(Span::millis(500));
+    fleet.run(Duration::from_millis(500));
     for index in &restarted {
-        let wait = Span::millis(*index as u64 % 30 * 10);
+        let wait = Duration::from_millis(*index as u64 % 30 * 10);
         fleet.start_in(*index, wait);
     }
-    fleet.run(Span::millis(310));
-    let took = fleet.run_until(Span::millis(3_000), Fleet::all_know_all);
+    fleet.run(Duration::from_millis(310));
+    let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_know_all);
     println!("46 of 78 restarted and were known {took:?} after the last start");
-    assert!(took.is_some_and(|took| took <= Span::millis(1_500)), "took {took:?}");
-    fleet.run(Span::millis(3_000));
+    assert!(took.is_some_and(|took| took <= Duration::from_millis(1_500)), "took {took:?}");
+    fleet.run(Duration::from_millis(3_000));
     fleet.assert_all_agree();
     let most =
         fleet.nodes.iter().map(|node| node.sent.messages.max(node.received.messages)).max().unwrap_or(0);
@@ -158,7 +158,7 @@
         for payload in 0..20 {
             let now = fleet.now;
             fleet.with(5, |registry| registry.set_facts(now, vec![payload])).expect("small enough");
-            fleet.run(Span::millis(60));
+            fleet.run(Duration::from_millis(60));
         }
         told.push(sent(&fleet) - start);
     }
--- a/crates/registry/tests/wire.rs
+++ b/crates/registry/tests/wire.rs
@@ -4,7 +4,7 @@
     Class, DecodeError, Executor, ExecutorState, Facts, Heartbeat, LARGEST_MESSAGE, Losses, Member,
     MemberState, Message, Model, NodeId, Register, Registry, Relay, Settings, Summary, Timings,
 };
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use nanoserde::{DeBin, SerBin};
 use proptest::prelude::*;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -151,7 +151,7 @@
     };
     let settings =
         Settings { member, seeds: Vec::new(), timings: Timings::default(), losses: Losses::default() };
-    Registry::new(settings, 1, Moment(1_000_000_000))
+    Registry::new(settings, 1, Instant(1_000_000_000))
 }
 
 proptest! {
@@ -191,9 +191,9 @@
         messages in proptest::collection::vec((messages(), 0..4_u8, 0..900_u64), 0..80),
     ) {
         let mut registry = registry();
-        let mut now = Moment(1_000_000_000);
+        let mut now = Instant(1_000_000_000);
         for (message, from, wait) in messages {
-            now = Moment(now.0 + wait * 1_000_000);
+            now = Instant(now.0 + wait * 1_000_000);
             let from = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, from + 1), 7_660);
             registry.receive(now, from, message);
             registry.tick(now);
@@ -221,7 +221,7 @@
                 // Not of this node, which has its own view of what it hears itself.
                 executor.heard_by = "b".to_owned();
                 let message = Message::Registers(vec![Register::Executor(executor)]);
-                registry.receive(Moment(1_000_000_000), from, message);
+                registry.receive(Instant(1_000_000_000), from, message);
             }
             registry.executors().cloned().collect()
         };
--- a/crates/simulation/src/bulk.rs
+++ b/crates/simulation/src/bulk.rs
@@ -3,6 +3,7 @@
 use crate::fleet::Report;
 use crate::judge::{Counts, Rule};
 use crate::times::What;
+use grebeusher_time::DurationExt;
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
@@ -55,7 +56,7 @@
         self.counts.add(&report.counts);
         for (what, span) in &report.times.taken {
             if let Some(histogram) = self.times.get_mut(what) {
-                histogram.saturating_record((span.0 / 1000).max(1));
+                histogram.saturating_record((span.nanos() / 1000).max(1));
             }
         }
     }
--- a/crates/simulation/src/call.rs
+++ b/crates/simulation/src/call.rs
@@ -1,7 +1,7 @@
 //! One HTTP request on a connection, and its answer.
 
 use crate::hub::{End, Hub};
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use grebeusher_transport::body::{self, BodyReader};
 use grebeusher_transport::headers::Headers;
 use grebeusher_transport::http::{self, Limits};
@@ -39,7 +39,7 @@
     /// The body as far as it came.
     pub body: Vec<u8>,
     /// When the last byte of the request was sent.
-    pub sent: Option<Moment>,
+    pub sent: Option<Instant>,
 }
 
 impl HttpCall {
--- a/crates/simulation/src/clients/job_messages.rs
+++ b/crates/simulation/src/clients/job_messages.rs
@@ -5,16 +5,16 @@
 use crate::content::names;
 use crate::judge::{Listed, MadeItem};
 use base64::Engine;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
 /// How long a submission waits for its answer.
-const SUBMIT_WITHIN: Span = Span::millis(4000);
+const SUBMIT_WITHIN: Duration = Duration::from_millis(4000);
 /// A read waits for this longer than it allows to be held.
-const READ_MARGIN: Span = Span::millis(1500);
+const READ_MARGIN: Duration = Duration::from_millis(1500);
 
-pub(super) fn job_request(job: &Job, asked: JobCall) -> (&'static str, Vec<u8>, Span) {
+pub(super) fn job_request(job: &Job, asked: JobCall) -> (&'static str, Vec<u8>, Duration) {
     let host = ("Host", job.host_name);
     match asked {
         JobCall::Submit => {
@@ -37,7 +37,7 @@
             let target = format!("/api/lots/{}?resume_after={from}", job.id);
             let holds = job.state == JobState::Reading && from == job.position;
             let hold = if holds { "1000" } else { "0" };
-            let within = READ_MARGIN + Span::millis(if holds { 1000 } else { 0 });
+            let within = READ_MARGIN + Duration::from_millis(if holds { 1000 } else { 0 });
             ("GET", request("GET", &target, &[host, (names::HOLD_MS, hold)], b""), within)
         }
         JobCall::End => {
--- a/crates/simulation/src/clients/jobs.rs
+++ b/crates/simulation/src/clients/jobs.rs
@@ -7,13 +7,13 @@
 use crate::hub::Owner;
 use crate::judge::{MadeItem, Rule};
 use crate::stage::Stage;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rand::Rng;
 
 /// How long submitting goes on.
-const SUBMITS_FOR: Span = Span::millis(8000);
+const SUBMITS_FOR: Duration = Duration::from_millis(8000);
 /// Between two reads of a job.
-const READ_EVERY: Span = Span::millis(500);
+const READ_EVERY: Duration = Duration::from_millis(500);
 /// The share of reads that go to any zone.
 const ANYWHERE: f64 = 0.4;
 /// The share of pages with results that are read again at once, by way of another node.
@@ -44,15 +44,15 @@
     pub(super) prefix: &'static str,
     pub(super) items: Vec<MadeItem>,
     pub(super) state: JobState,
-    pub(super) made: Moment,
+    pub(super) made: Instant,
     pub(super) accepted: bool,
     pub(super) position: usize,
-    pub(super) ends_at: Option<Moment>,
+    pub(super) ends_at: Option<Instant>,
     pub(super) asked: JobCall,
     pub(super) call: Option<HttpCall>,
-    pub(super) called: Moment,
+    pub(super) called: Instant,
     pub(super) host: usize,
-    pub(super) gives_up: Moment,
+    pub(super) gives_up: Instant,
     pub(super) last_from: usize,
     pub(super) bodies: usize,
     /// An item without a body: the list must show it when it is read on.
@@ -107,7 +107,7 @@
         stage.judge.job_made(&id, prefix, &items);
         let now = stage.now();
         let ends = stage.hub.random.random_bool(0.15);
-        let ends_after = Span::millis(stage.hub.random.random_range(100..3000));
+        let ends_after = Duration::from_millis(stage.hub.random.random_range(100..3000));
         let job = Job {
             id,
             zone: stage.hub.random.random_range(0..self.hosts.len()),
@@ -159,7 +159,7 @@
             JobState::Resting => return,
         };
         let Some((host, address)) = picked else {
-            return wake(stage, now + Span::millis(300), AGAIN, number);
+            return wake(stage, now + Duration::from_millis(300), AGAIN, number);
         };
         let end = stage.hub.dial(Owner::Clients, self.hosts[job.zone], address, 0);
         let (method, bytes, within) = job_request(job, asked);
@@ -236,7 +236,7 @@
             job.state = JobState::Resting;
             return;
         }
-        let pause = Span::millis(stage.hub.random.random_range(100..500));
+        let pause = Duration::from_millis(stage.hub.random.random_range(100..500));
         wake(stage, now + pause, AGAIN, number);
     }
 
@@ -264,7 +264,7 @@
         job.position = job.position.max(reached);
         job.checks = !job.checks && !results.is_empty() && stage.hub.random.random_bool(READ_AGAIN);
         if job.checks {
-            wake(stage, now + Span::millis(1), AGAIN, number);
+            wake(stage, now + Duration::from_millis(1), AGAIN, number);
         } else if job.position >= total {
             job.state = JobState::Resting;
         } else {
--- a/crates/simulation/src/clients/live.rs
+++ b/crates/simulation/src/clients/live.rs
@@ -7,12 +7,12 @@
 use crate::hub::Owner;
 use crate::judge::{Judge, Kind, Rule};
 use crate::stage::Stage;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use std::net::SocketAddrV4;
 
 /// A new connection gets this long to come up.
-const CONNECT_WITHIN: Span = Span::millis(1000);
+const CONNECT_WITHIN: Duration = Duration::from_millis(1000);
 /// Tries of a live request.
 const MOST_TRIES: u32 = 3;
 
@@ -23,7 +23,7 @@
     pub(super) path: String,
     pub(super) body: Vec<u8>,
     pub(super) method: &'static str,
-    pub(super) until: Moment,
+    pub(super) until: Instant,
     pub(super) tries: u32,
     pub(super) last_event: u64,
     pub(super) probe: bool,
@@ -31,7 +31,7 @@
     pub(super) host: usize,
     pub(super) address: SocketAddrV4,
     pub(super) call: Option<HttpCall>,
-    pub(super) gives_up: Moment,
+    pub(super) gives_up: Instant,
     /// The node that it goes to, where that isn't the platform's choice.
     pub(super) only: Option<(usize, SocketAddrV4)>,
 }
@@ -73,7 +73,7 @@
             prefix,
             body,
             method,
-            until: stage.now() + Span::millis(wait),
+            until: stage.now() + Duration::from_millis(wait),
             tries: 0,
             last_event: 0,
             probe,
@@ -81,7 +81,7 @@
             host: 0,
             address: SocketAddrV4::new(std::net::Ipv4Addr::UNSPECIFIED, 0),
             call: None,
-            gives_up: Moment(0),
+            gives_up: Instant(0),
             only,
         };
         self.tasks.insert(number, Task::Live(Box::new(live)));
@@ -106,7 +106,7 @@
         live.tries += 1;
         live.attempt = format!("{:016x}", content::hash(&[&number.to_le_bytes(), &live.tries.to_le_bytes()]));
         (live.host, live.address) = (host, address);
-        let left = live.until.since(now).0 / 1_000_000;
+        let left = live.until.since(now).nanos() / 1_000_000;
         let left_text = left.to_string();
         let tokens = format!("{},80", 100 + number % 900);
         let prefix_parts = format!("{:x}:60,{:x}:30,{number:x}:10", number % 4, 100 + number % 20);
@@ -172,7 +172,7 @@
             (Some(status @ (429 | 503 | 408 | 421)), Progress::Done) => {
                 stage.judge.try_refused(&live.attempt, status, now);
                 let again = stage.hub.random.random_range(50..300);
-                return self.retry(number, Span::millis(again), stage);
+                return self.retry(number, Duration::from_millis(again), stage);
             }
             (Some(400 | 401 | 413 | 431), Progress::Done) => return self.live_over(number, false, stage),
             (Some(_), Progress::Done) => {}
@@ -188,14 +188,14 @@
     pub(super) fn try_failed(&mut self, number: u64, stage: &mut Stage<'_>) {
         let Some(Task::Live(live)) = self.tasks.get(&number) else { return };
         match live.kind {
-            Kind::Idempotent | Kind::Resumable => self.retry(number, Span::millis(20), stage),
+            Kind::Idempotent | Kind::Resumable => self.retry(number, Duration::from_millis(20), stage),
             Kind::Once | Kind::Stream => self.live_over(number, false, stage),
         }
     }
 
-    fn retry(&mut self, number: u64, after: Span, stage: &mut Stage<'_>) {
+    fn retry(&mut self, number: u64, after: Duration, stage: &mut Stage<'_>) {
         let Some(Task::Live(live)) = self.tasks.get(&number) else { return };
-        if live.tries >= MOST_TRIES || stage.now() + after + Span::millis(50) >= live.until {
+        if live.tries >= MOST_TRIES || stage.now() + after + Duration::from_millis(50) >= live.until {
             return self.live_over(number, false, stage);
         }
         wake(stage, stage.now() + after, AGAIN, number);
--- a/crates/simulation/src/clients/mod.rs
+++ b/crates/simulation/src/clients/mod.rs
@@ -11,7 +11,7 @@
 use crate::hub::{End, Happening, Owner};
 use crate::judge::{Kind, Rule};
 use crate::stage::{Class, Stage};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use jobs::{Job, JobState};
 use live::Live;
 use pressed::Pressed;
@@ -70,7 +70,7 @@
     /// Batch jobs that were accepted: the hosts of the nodes that said so.
     pub taken: Vec<usize>,
     /// When new requests end.
-    until: Moment,
+    until: Instant,
     tasks: BTreeMap<u64, Task>,
     ends: BTreeMap<End, u64>,
     idle: Vec<(usize, End, usize, SocketAddrV4)>,
@@ -81,7 +81,7 @@
 
 impl Clients {
     /// Clients at places, one for each zone.
-    pub fn new(hosts: Vec<usize>, traffic: Traffic, until: Moment) -> Clients {
+    pub fn new(hosts: Vec<usize>, traffic: Traffic, until: Instant) -> Clients {
         Clients {
             hosts,
             traffic,
@@ -98,7 +98,7 @@
     }
 
     /// Traffic begins at a moment.
-    pub fn begin(&mut self, at: Moment, stage: &mut Stage<'_>) {
+    pub fn begin(&mut self, at: Instant, stage: &mut Stage<'_>) {
         self.begun = true;
         wake(stage, at, ARRIVAL, 0);
         wake(stage, at, NEW_JOB, 0);
@@ -249,12 +249,12 @@
     choice.get(pick).copied()
 }
 
-fn wake(stage: &mut Stage<'_>, at: Moment, kind: u64, value: u64) {
+fn wake(stage: &mut Stage<'_>, at: Instant, kind: u64, value: u64) {
     stage.hub.schedule(at, Happening::Wake { owner: Owner::Clients, token: kind | (value << 3) });
 }
 
 /// Wakes the clients for the next of what comes at random, so many a second.
 fn wake_for_next(stage: &mut Stage<'_>, per_s: f64, kind: u64) {
     let drawn: f64 = stage.hub.random.random_range(1e-9..1.0);
-    wake(stage, stage.now() + Span::secs(-drawn.ln() / per_s), kind, 0);
+    wake(stage, stage.now() + Duration::from_seconds(-drawn.ln() / per_s), kind, 0);
 }
--- a/crates/simulation/src/clients/pressed.rs
+++ b/crates/simulation/src/clients/pressed.rs
@@ -3,7 +3,7 @@
 use super::{Clients, LIVE_ROUTES, PRESSED, wake};
 use crate::judge::Kind;
 use crate::stage::{Class, Machine, Stage};
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use std::net::SocketAddrV4;
 
 /// One request that waits for its moment.
@@ -29,7 +29,7 @@
 /// Probes to a node that is back without its disk, and learns all anew.
 const AFTER_WIPE: u64 = 300;
 /// Between two requests on a route to a node that stops.
-const WHILE_STOPPING_EVERY: Span = Span::millis(400);
+const WHILE_STOPPING_EVERY: Duration = Duration::from_millis(400);
 
 impl Clients {
     /// A drain of an executor of a service was acknowledged: requests for the service go to all nodes at once.
@@ -38,7 +38,7 @@
             return;
         };
         for to in fronts(stage, |_| true) {
-            self.press(prefix, *kind, to, AFTER_DRAIN, Span::millis(1), stage);
+            self.press(prefix, *kind, to, AFTER_DRAIN, Duration::from_millis(1), stage);
         }
     }
 
@@ -46,7 +46,14 @@
     /// in two ways.
     pub fn press_after_change(&mut self, version: u64, stage: &mut Stage<'_>) {
         for to in fronts(stage, |machine| machine.counted) {
-            self.press(&format!("/v{version}/"), Kind::Idempotent, to, AFTER_CHANGE, Span::millis(8), stage);
+            self.press(
+                &format!("/v{version}/"),
+                Kind::Idempotent,
+                to,
+                AFTER_CHANGE,
+                Duration::from_millis(8),
+                stage,
+            );
         }
     }
 
@@ -54,7 +61,14 @@
     pub fn press_after_return(&mut self, host: usize, stage: &mut Stage<'_>) {
         let newest = stage.judge.newest_acknowledged();
         for to in fronts(stage, |machine| machine.host == host) {
-            self.press(&format!("/v{newest}/"), Kind::Idempotent, to, AFTER_RETURN, Span::millis(4), stage);
+            self.press(
+                &format!("/v{newest}/"),
+                Kind::Idempotent,
+                to,
+                AFTER_RETURN,
+                Duration::from_millis(4),
+                stage,
+            );
         }
     }
 
@@ -62,7 +76,14 @@
     pub fn press_after_wipe(&mut self, host: usize, stage: &mut Stage<'_>) {
         let newest = stage.judge.newest_acknowledged();
         for to in fronts(stage, |machine| machine.host == host) {
-            self.press(&format!("/v{newest}/"), Kind::Idempotent, to, AFTER_WIPE, Span::millis(10), stage);
+            self.press(
+                &format!("/v{newest}/"),
+                Kind::Idempotent,
+                to,
+                AFTER_WIPE,
+                Duration::from_millis(10),
+                stage,
+            );
         }
     }
 
@@ -70,14 +91,14 @@
     pub fn press_before_stop(&mut self, host: usize, stage: &mut Stage<'_>) {
         for to in fronts(stage, |machine| machine.host == host) {
             for (_, prefix, kind) in ROUTE_OF_SERVICE {
-                self.press(prefix, kind, to, 2, Span::millis(1), stage);
+                self.press(prefix, kind, to, 2, Duration::from_millis(1), stage);
             }
         }
     }
 
     /// Requests go on coming to a node that was told to stop, as where the platform has no other one.
-    pub fn press_while_stopping(&mut self, host: usize, grace: Span, stage: &mut Stage<'_>) {
-        let count = (grace.0 / WHILE_STOPPING_EVERY.0).max(1);
+    pub fn press_while_stopping(&mut self, host: usize, grace: Duration, stage: &mut Stage<'_>) {
+        let count = (grace.nanos() / WHILE_STOPPING_EVERY.nanos()).max(1);
         for to in fronts(stage, |machine| machine.host == host) {
             for (prefix, kind) in LIVE_ROUTES {
                 self.press(prefix, kind, to, count, WHILE_STOPPING_EVERY, stage);
@@ -91,7 +112,7 @@
         kind: Kind,
         to: (usize, SocketAddrV4),
         count: u64,
-        apart: Span,
+        apart: Duration,
         stage: &mut Stage<'_>,
     ) {
         let now = stage.now();
--- a/crates/simulation/src/clients/witness.rs
+++ b/crates/simulation/src/clients/witness.rs
@@ -6,21 +6,21 @@
 use crate::content::names;
 use crate::hub::Owner;
 use crate::stage::Stage;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rand::seq::IndexedRandom;
 
 /// Nodes that are asked each time.
 const NODES: usize = 2;
 /// One that has not answered by then is asked no more.
-const WITHIN: Span = Span::millis(1500);
+const WITHIN: Duration = Duration::from_millis(1500);
 
 /// One read of a job, from its first position.
 pub(super) struct Witness {
     pub(super) job: String,
     host: usize,
-    sent: Moment,
+    sent: Instant,
     pub(super) call: Option<HttpCall>,
-    pub(super) gives_up: Moment,
+    pub(super) gives_up: Instant,
 }
 
 impl Clients {
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -5,7 +5,7 @@
 //! of the store itself check that on bytes; here a loss keeps a drawn beginning.
 
 use grebeusher_quorum::{Entry, HardState, Restored, Snapshot, Write};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use rand_pcg::Pcg64;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub struct Disk {
     /// What a sync takes.
-    pub sync_takes: Span,
+    pub sync_takes: Duration,
     /// Whether syncs only pretend: a fault that no machine should have, to show that it is found.
     pub pretends: bool,
     /// Whether it takes no more writes.
@@ -27,8 +27,8 @@
 #[derive(Debug)]
 struct Written<T> {
     what: T,
-    at: Moment,
-    safe: Option<Moment>,
+    at: Instant,
+    safe: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
@@ -39,12 +39,12 @@
 
 impl Disk {
     /// An empty disk.
-    pub fn new(sync_takes: Span) -> Disk {
+    pub fn new(sync_takes: Duration) -> Disk {
         Disk { sync_takes, pretends: false, full: false, identity: None, stores: BTreeMap::new() }
     }
 
     /// The identity, made of `random` if there is none; and whether it was there.
-    pub fn identity(&mut self, now: Moment, random: u64) -> (u64, bool) {
+    pub fn identity(&mut self, now: Instant, random: u64) -> (u64, bool) {
         let existed = self.identity.is_some();
         let safe = Some(now + self.sync_takes.scaled(4.0));
         let identity = self.identity.get_or_insert(Written { what: random, at: now, safe });
@@ -52,7 +52,7 @@
     }
 
     /// What a folder holds; from here on it lasts.
-    pub fn open(&mut self, now: Moment, folder: &Path) -> Restored {
+    pub fn open(&mut self, now: Instant, folder: &Path) -> Restored {
         let safe = now + self.sync_takes.scaled(2.0);
         let store = self.stores.entry(folder.to_owned()).or_default();
         for written in &mut store.later {
@@ -62,16 +62,16 @@
     }
 
     /// Writes; what it takes.
-    pub fn write(&mut self, now: Moment, folder: &Path, writes: &[Write]) -> Span {
+    pub fn write(&mut self, now: Instant, folder: &Path, writes: &[Write]) -> Duration {
         let sync_takes = self.sync_takes;
         let pretends = self.pretends;
-        let Some(store) = self.stores.get_mut(folder) else { return Span(0) };
+        let Some(store) = self.stores.get_mut(folder) else { return Duration::from_nanos(0) };
         store.settle(now);
-        let mut takes = Span(20_000);
+        let mut takes = Duration::from_nanos(20_000);
         for write in writes {
             let whole = matches!(write, Write::Snapshot { .. });
             if whole {
-                takes = takes + sync_takes.scaled(3.0);
+                takes += sync_takes.scaled(3.0);
             }
             let safe = (whole && !pretends).then_some(now + takes);
             store.later.push(Written { what: write.clone(), at: now, safe });
@@ -80,7 +80,7 @@
     }
 
     /// Syncs; what it takes.
-    pub fn sync(&mut self, now: Moment, folder: &Path) -> Span {
+    pub fn sync(&mut self, now: Instant, folder: &Path) -> Duration {
         let takes = self.sync_takes;
         if self.pretends {
             return takes;
@@ -93,7 +93,7 @@
     }
 
     /// The process is gone; what it would only have written later is not there.
-    pub fn process_ended(&mut self, now: Moment) {
+    pub fn process_ended(&mut self, now: Instant) {
         self.identity.take_if(|identity| identity.at > now);
         for store in self.stores.values_mut() {
             store.later.retain(|written| written.at <= now);
@@ -101,7 +101,7 @@
     }
 
     /// The power is gone.
-    pub fn power_lost(&mut self, now: Moment, random: &mut Pcg64) {
+    pub fn power_lost(&mut self, now: Instant, random: &mut Pcg64) {
         self.process_ended(now);
         self.identity.take_if(|identity| identity.safe.is_none_or(|safe| safe > now));
         let takes_all = random.random_bool(0.3);
@@ -131,7 +131,7 @@
     }
 
     /// Writes that last are put into one, so that memory stays bounded.
-    fn settle(&mut self, now: Moment) {
+    fn settle(&mut self, now: Instant) {
         let safe = self.later.iter().take_while(|written| written.safe.is_some_and(|safe| safe <= now));
         let count = safe.count();
         for written in self.later.drain(..count) {
--- a/crates/simulation/src/executors/answers.rs
+++ b/crates/simulation/src/executors/answers.rs
@@ -4,7 +4,7 @@
 use crate::content::{self, names};
 use crate::hub::End;
 use crate::stage::Stage;
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use grebeusher_transport::http;
 use rand::Rng;
 
@@ -81,7 +81,7 @@
             }
             return self.run_over(number, run_number, stage);
         }
-        let takes = Span::millis(6).scaled(1.0 + active as f64 * 0.15).scaled(slowed);
+        let takes = Duration::from_millis(6).scaled(1.0 + active as f64 * 0.15).scaled(slowed);
         wake(stage, number, stage.now() + takes, STEP, run_number);
     }
 
--- a/crates/simulation/src/executors/heartbeats.rs
+++ b/crates/simulation/src/executors/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::call::{HttpCall, Progress, request};
 use crate::hub::Owner;
 use crate::stage::{Class, Stage};
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use rand::Rng;
 use std::net::SocketAddrV4;
 
@@ -37,7 +37,7 @@
         let path = format!("/api/Instances.Deregister/{}", self.all[number].made.instance);
         self.call(number, &path, "{}", true, stage);
         if !ends_without_draining(number) {
-            wake(stage, number, stage.now() + Span::millis(2500), LEFT, 0);
+            wake(stage, number, stage.now() + Duration::from_millis(2500), LEFT, 0);
         }
     }
 
@@ -62,7 +62,7 @@
                     .map(|machine| machine.control())
                     .collect();
                 let Some(pick) = edges.get(stage.hub.random.random_range(0..edges.len().max(1))) else {
-                    return wake(stage, number, stage.now() + Span::millis(300), HEARTBEAT, 0);
+                    return wake(stage, number, stage.now() + Duration::from_millis(300), HEARTBEAT, 0);
                 };
                 *pick
             }
@@ -113,7 +113,7 @@
         }
         if live.state == State::Up {
             let jitter = stage.hub.random.random_range(0.9..1.1);
-            wake(stage, number, stage.now() + Span::millis(1200).scaled(jitter), HEARTBEAT, 0);
+            wake(stage, number, stage.now() + Duration::from_millis(1200).scaled(jitter), HEARTBEAT, 0);
         }
     }
 
@@ -121,7 +121,7 @@
         let live = &mut self.all[number];
         drop_call(live, stage);
         live.target = None;
-        let pause = Span::millis(stage.hub.random.random_range(20..200));
+        let pause = Duration::from_millis(stage.hub.random.random_range(20..200));
         let kind = if live.deregistering { LEAVE } else { HEARTBEAT };
         wake(stage, number, stage.now() + pause, kind, 0);
     }
--- a/crates/simulation/src/executors/mod.rs
+++ b/crates/simulation/src/executors/mod.rs
@@ -10,7 +10,7 @@
 use crate::hub::{End, Owner};
 use crate::scenario::Grey;
 use crate::stage::Stage;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::body::BodyReader;
 use grebeusher_transport::http::RequestHead;
 use rand::Rng;
@@ -18,11 +18,11 @@
 use std::net::SocketAddrV4;
 
 /// A heartbeat that is not acknowledged by then failed.
-const HEARTBEAT_WITHIN: Span = Span::millis(1000);
+const HEARTBEAT_WITHIN: Duration = Duration::from_millis(1000);
 /// One that leaves serves for this long beyond `drain_timeout_ms`.
-const LINGERS: Span = Span::millis(600);
+const LINGERS: Duration = Duration::from_millis(600);
 /// One that leaves without an acknowledgement ends after this.
-const LEAVES_ANYWAY: Span = Span::millis(6500);
+const LEAVES_ANYWAY: Duration = Duration::from_millis(6500);
 /// Connections from all callers.
 const MOST_CONNECTIONS: usize = 220;
 /// Kept parts of prompts, in tokens.
@@ -84,7 +84,7 @@
     state: State,
     lies: Lies,
     connections: BTreeMap<End, ServerConnection>,
-    waiting: VecDeque<(End, Moment, Asked)>,
+    waiting: VecDeque<(End, Instant, Asked)>,
     runs: BTreeMap<u64, Run>,
     next_run: u64,
     kept: VecDeque<(String, u64)>,
@@ -160,7 +160,7 @@
             deregistering: false,
             lured: true,
         });
-        let first = stage.now() + Span::millis(stage.hub.random.random_range(0..1200));
+        let first = stage.now() + Duration::from_millis(stage.hub.random.random_range(0..1200));
         wake(stage, number, first, HEARTBEAT, 0);
         number
     }
@@ -281,7 +281,7 @@
     }
 }
 
-fn wake(stage: &mut Stage<'_>, number: usize, at: Moment, kind: u64, value: u64) {
+fn wake(stage: &mut Stage<'_>, number: usize, at: Instant, kind: u64, value: u64) {
     let happening =
         crate::hub::Happening::Wake { owner: Owner::Executor(number), token: kind | (value << 3) };
     stage.hub.schedule(at, happening);
--- a/crates/simulation/src/executors/runs.rs
+++ b/crates/simulation/src/executors/runs.rs
@@ -7,7 +7,7 @@
 use crate::judge::Arrival;
 use crate::scenario::Grey;
 use crate::stage::Stage;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 
 impl Executors {
@@ -15,7 +15,7 @@
         &mut self,
         number: usize,
         end: End,
-        came: Moment,
+        came: Instant,
         asked: Asked,
         stage: &mut Stage<'_>,
     ) {
@@ -45,10 +45,10 @@
                 headers.get(names::TOKEN_COUNT),
                 headers.get(names::PROMPT_PREFIX),
             );
-            Span::secs(prompt as f64 / TOKENS_A_MS / 1000.0) + Span::millis(2)
+            Duration::from_seconds(prompt as f64 / TOKENS_A_MS / 1000.0) + Duration::from_millis(2)
         } else {
             let drawn: f64 = stage.hub.random.random_range(0.0..1.0);
-            Span::secs(0.003 - 0.02 * (1.0 - drawn).max(1e-6).ln())
+            Duration::from_seconds(0.003 - 0.02 * (1.0 - drawn).max(1e-6).ln())
         };
         let failure = self.all[number].lies.failure(stage);
         let slowed = if failure == Some(Grey::Slow) { SLOW_TIMES } else { 1.0 };
--- a/crates/simulation/src/fleet/build.rs
+++ b/crates/simulation/src/fleet/build.rs
@@ -10,7 +10,7 @@
 use crate::operators::Operators;
 use crate::scenario::{Scenario, Shape, Timed};
 use crate::stage::{Class, Machine};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,28 +18,28 @@
 use std::rc::Rc;
 
 /// Traffic goes on for this long after the machines are back from a final fault.
-const AFTER_CLOSING: Span = Span::millis(18_000);
+const AFTER_CLOSING: Duration = Duration::from_millis(18_000);
 /// Machines with addresses in one net.
 const MACHINES_A_NET: usize = 200;
 /// What open batch jobs get after traffic.
-const FINISH: Span = Span::millis(4_000);
+const FINISH: Duration = Duration::from_millis(4_000);
 /// What the last reads get.
-const LAST_READS: Span = Span::millis(10_000);
+const LAST_READS: Duration = Duration::from_millis(10_000);
 
 impl Fleet {
     pub(super) fn new(scenario: Scenario, seed: u64) -> Fleet {
         let mut hub = Hub::new(seed);
-        hub.in_zone = Span::secs(scenario.shape.in_zone_ms / 1000.0);
-        hub.cross_zone = Span::secs(scenario.shape.cross_zone_ms / 1000.0);
-        hub.cross_region = Span::secs(scenario.shape.cross_region_ms / 1000.0);
+        hub.in_zone = Duration::from_seconds(scenario.shape.in_zone_ms / 1000.0);
+        hub.cross_zone = Duration::from_seconds(scenario.shape.cross_zone_ms / 1000.0);
+        hub.cross_region = Duration::from_seconds(scenario.shape.cross_region_ms / 1000.0);
         hub.regions = regions(&scenario.shape);
         let mut judge = Judge::new(Bounds::default());
         judge.quota = scenario.load.quota;
         let zones = scenario.shape.zones.len();
         let client_hosts: Vec<usize> = (0..zones)
-            .map(|zone| hub.add_host(Ipv4Addr::new(10, 200, zone as u8, 1), zone, Span::millis(1)))
+            .map(|zone| hub.add_host(Ipv4Addr::new(10, 200, zone as u8, 1), zone, Duration::from_millis(1)))
             .collect();
-        let operator_host = hub.add_host(Ipv4Addr::new(10, 201, 0, 1), 0, Span::millis(1));
+        let operator_host = hub.add_host(Ipv4Addr::new(10, 201, 0, 1), 0, Duration::from_millis(1));
         let load = &scenario.load;
         let traffic = Traffic {
             live_per_s: load.live_per_s,
@@ -47,11 +47,11 @@
             item_bytes: load.item_bytes,
             probes_per_s: load.probes_per_s,
         };
-        let mut until = Span::secs(load.lead_s + load.length_s);
+        let mut until = Duration::from_seconds(load.lead_s + load.length_s);
         if scenario.closing.is_some() {
-            until = until + AFTER_CLOSING + Span::millis(3000);
+            until = until + AFTER_CLOSING + Duration::from_millis(3000);
         }
-        let clients = Clients::new(client_hosts, traffic, Moment(0) + until);
+        let clients = Clients::new(client_hosts, traffic, Instant(0) + until);
         let operators = Operators::new(operator_host, load);
         let mut fleet = Fleet {
             scenario,
@@ -74,7 +74,7 @@
             next_executor: 0,
             cuts: 0,
             closing: None,
-            closing_after: Span(0),
+            closing_after: Duration::from_nanos(0),
             over: false,
             trace: Vec::new(),
             turns: 0,
@@ -86,7 +86,7 @@
         fleet
     }
 
-    fn build(&mut self, until: Span) {
+    fn build(&mut self, until: Duration) {
         let zones = self.scenario.shape.zones.clone();
         for (zone, shape) in zones.iter().enumerate() {
             for place in 0..shape.edge {
@@ -104,7 +104,7 @@
         });
         self.seeds = cores.iter().take(3).map(|machine| machine.control()).collect();
         for machine in 0..self.machines.len() {
-            let after = Span::millis(self.hub.borrow_mut().random.random_range(0..300));
+            let after = Duration::from_millis(self.hub.borrow_mut().random.random_range(0..300));
             self.later(after, Step::StartMachine { machine });
         }
         let services = ["model-a", "plain", "other"];
@@ -113,13 +113,13 @@
                 self.add_executor(service, place % zones.len(), None);
             }
         }
-        let lead = Span::secs(self.scenario.load.lead_s);
-        self.later(Span::millis(300), Step::FirstChange);
+        let lead = Duration::from_seconds(self.scenario.load.lead_s);
+        self.later(Duration::from_millis(300), Step::FirstChange);
         self.later(lead, Step::Traffic);
         for Timed { at_s, fault } in self.scenario.faults.clone() {
-            self.later(lead + Span::secs(at_s), Step::Begin(fault));
+            self.later(lead + Duration::from_seconds(at_s), Step::Begin(fault));
         }
-        let length = lead + Span::secs(self.scenario.load.length_s);
+        let length = lead + Duration::from_seconds(self.scenario.load.length_s);
         if self.scenario.closing.is_some() {
             self.later(length, Step::LastChange);
         }
@@ -133,7 +133,7 @@
         let (net, place) = ((number / MACHINES_A_NET) as u8, (number % MACHINES_A_NET) as u8);
         let ip = Ipv4Addr::new(10, 1 + zone as u8, net, 10 + place);
         let mut hub = self.hub.borrow_mut();
-        let host = hub.add_host(ip, zone, Span(0));
+        let host = hub.add_host(ip, zone, Duration::from_nanos(0));
         if class == Class::Storage {
             hub.hosts[host].link = self.scenario.shape.storage_link_mbps.map(HostLink::new);
         }
@@ -151,7 +151,7 @@
             listed: true,
             ready: false,
         });
-        let mut empty = Disk::new(Span::secs(self.scenario.shape.sync_ms / 1000.0));
+        let mut empty = Disk::new(Duration::from_seconds(self.scenario.shape.sync_ms / 1000.0));
         empty.pretends = self.scenario.broken.pretended_syncs;
         self.hardware.push(Hardware {
             disk: Rc::new(RefCell::new(empty)),
@@ -181,7 +181,7 @@
             (Some(host), Some(address)) => (host, address),
             _ => {
                 let ip = Ipv4Addr::new(10, 128, (number / 250) as u8, (number % 250) as u8);
-                let host = self.hub.borrow_mut().add_host(ip, zone, Span(0));
+                let host = self.hub.borrow_mut().add_host(ip, zone, Duration::from_nanos(0));
                 (host, SocketAddrV4::new(ip, 8080))
             }
         };
--- a/crates/simulation/src/fleet/closing.rs
+++ b/crates/simulation/src/fleet/closing.rs
@@ -4,12 +4,12 @@
 use super::step::Step;
 use crate::operators::Change;
 use crate::scenario::{Closing, When};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
 /// After this the final fault waits for its moment no longer: it strikes, if nothing is lost, or not at all.
-const ARMED_FOR: Span = Span::millis(9000);
+const ARMED_FOR: Duration = Duration::from_millis(9000);
 /// How long the struck machines are away, in seconds.
 const DOWN_S: f64 = 2.0;
 
@@ -20,13 +20,13 @@
         self.acknowledged = self.operators.acknowledged.len();
         self.taken = self.clients.taken.len();
         let after = self.hub.borrow_mut().random.random_range(5..400);
-        self.closing_after = Span::millis(after);
+        self.closing_after = Duration::from_millis(after);
         let armed = self.now();
-        self.later(Span::millis(2), Step::Closing { armed });
+        self.later(Duration::from_millis(2), Step::Closing { armed });
     }
 
     /// The final fault, as soon as the last change is acknowledged, or some seconds later.
-    pub(super) fn closing_step(&mut self, armed: Moment) {
+    pub(super) fn closing_step(&mut self, armed: Instant) {
         let now = self.now();
         let due = match self.scenario.closing_when {
             When::Acknowledged => self.operators.acknowledged.len() > self.acknowledged,
@@ -36,7 +36,7 @@
         // Until then all that were lost have come back, and are whole.
         let whole = self.lost() == 0;
         if !((due && whole) || now.since(armed) > ARMED_FOR) {
-            return self.later(Span::millis(1), Step::Closing { armed });
+            return self.later(Duration::from_millis(1), Step::Closing { armed });
         }
         let Some(closing) = self.scenario.closing else { return };
         if !whole {
@@ -50,7 +50,7 @@
         let now = self.now();
         self.note(&format!("the final fault: {closing:?}"));
         self.hub.borrow_mut().cuts.clear();
-        let back = now + Span::secs(DOWN_S);
+        let back = now + Duration::from_seconds(DOWN_S);
         self.closing = Some((now, back));
         let wiped = self.wiped_by(closing);
         let all = !matches!(closing, Closing::WipeSome);
--- a/crates/simulation/src/fleet/cuts.rs
+++ b/crates/simulation/src/fleet/cuts.rs
@@ -5,7 +5,7 @@
 use crate::hub::Cut;
 use crate::scenario::{CutFrom, Fault, On};
 use crate::stage::{Class, Machine};
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 
 impl Fleet {
     /// Cuts a machine off from the counted ones for a time.
@@ -33,7 +33,7 @@
         if from == CutFrom::Halves {
             // Nothing is lost, and nobody is in touch.
             let now = self.now();
-            self.judge.core_slow(now, now + Span::secs(for_s));
+            self.judge.core_slow(now, now + Duration::from_seconds(for_s));
         }
         for machine in &side {
             self.troubled(*machine, for_s);
@@ -93,8 +93,8 @@
         }
         drop(hub);
         self.judge.core_event(now);
-        self.judge.link_trouble(now, now + Span::secs(for_s));
-        self.later(Span::secs(for_s), Step::Heal { cut: number });
+        self.judge.link_trouble(now, now + Duration::from_seconds(for_s));
+        self.later(Duration::from_seconds(for_s), Step::Heal { cut: number });
     }
 
     pub(super) fn heal(&mut self, cut: usize) {
--- a/crates/simulation/src/fleet/departures.rs
+++ b/crates/simulation/src/fleet/departures.rs
@@ -4,11 +4,11 @@
 use super::step::Step;
 use crate::scenario::On;
 use crate::stage::Class;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 
 /// Requests are on their way to their executors by then.
-const BUSY_AFTER: Span = Span::millis(5);
+const BUSY_AFTER: Duration = Duration::from_millis(5);
 
 impl Fleet {
     pub(super) fn add_node(&mut self, on: On) {
@@ -39,13 +39,13 @@
     }
 
     /// Some machines get SIGTERM, one after the other.
-    pub(super) fn roll(&mut self, on: On, count: usize, gap: Span, remove: bool) {
+    pub(super) fn roll(&mut self, on: On, count: usize, gap: Duration, remove: bool) {
         let machines = self.chosen_to_roll(on, count, remove);
         self.terminate(machines, gap, remove);
     }
 
     /// Each gets SIGTERM just after requests went there.
-    pub(super) fn terminate_busy(&mut self, mut machines: Vec<usize>, gap: Span) {
+    pub(super) fn terminate_busy(&mut self, mut machines: Vec<usize>, gap: Duration) {
         let Some(machine) = machines.pop() else { return };
         let host = self.machines[machine].host;
         let grace = self.judge.bounds.grace;
@@ -53,7 +53,10 @@
             actors.clients.press_before_stop(host, stage);
             actors.clients.press_while_stopping(host, grace, stage);
         });
-        self.later(BUSY_AFTER, Step::Terminate { machines: vec![machine], gap: Span(0), remove: false });
+        self.later(
+            BUSY_AFTER,
+            Step::Terminate { machines: vec![machine], gap: Duration::from_nanos(0), remove: false },
+        );
         if !machines.is_empty() {
             self.later(gap, Step::TerminateBusy { machines, gap });
         }
@@ -84,26 +87,29 @@
             self.hardware[machine].replaced = true;
             self.start_machine(new);
             let machines = vec![machine];
-            self.later(Span::secs(after_s), Step::Terminate { machines, gap: Span(0), remove: true });
+            self.later(
+                Duration::from_seconds(after_s),
+                Step::Terminate { machines, gap: Duration::from_nanos(0), remove: true },
+            );
             return;
         }
         self.hardware[machine].stays = false;
         self.touched(machine);
         let now = self.now();
         let host = self.machines[machine].host;
-        self.judge.trouble(host, now, Moment(u64::MAX), false);
+        self.judge.trouble(host, now, Instant(u64::MAX), false);
         self.end_life(machine, true);
         self.machines[machine].listed = false;
         self.machines[machine].ready = false;
-        self.later(Span::secs(after_s), Step::StartMachine { machine: new });
+        self.later(Duration::from_seconds(after_s), Step::StartMachine { machine: new });
     }
 
-    pub(super) fn terminate(&mut self, mut machines: Vec<usize>, gap: Span, remove: bool) {
+    pub(super) fn terminate(&mut self, mut machines: Vec<usize>, gap: Duration, remove: bool) {
         let Some(machine) = machines.pop() else { return };
         if !remove && !self.may_lose(machine, 4.0) {
             machines.push(machine);
             if self.now() < self.traffic_ends() {
-                self.later(Span::millis(700), Step::Terminate { machines, gap, remove });
+                self.later(Duration::from_millis(700), Step::Terminate { machines, gap, remove });
             }
             return;
         }
--- a/crates/simulation/src/fleet/executor_faults.rs
+++ b/crates/simulation/src/fleet/executor_faults.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use super::step::Step;
 use crate::executors::Lies;
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use rand::seq::IndexedRandom;
 use std::net::SocketAddrV4;
 
@@ -16,7 +16,7 @@
     }
 
     /// The new one starts first, at an address that another service's executor had before, if there is one.
-    pub(super) fn release(&mut self, mut executors: Vec<usize>, gap: Span) {
+    pub(super) fn release(&mut self, mut executors: Vec<usize>, gap: Duration) {
         let Some(number) = executors.pop() else { return };
         let made = self.executors.made(number).clone();
         let taken: Vec<SocketAddrV4> = self.executors.up().iter().map(|(_, other)| other.address).collect();
@@ -52,11 +52,11 @@
             self.note(&format!("{} lies: {lies:?}", self.executors.made(number).instance));
             self.executors.lie(number, lies);
         }
-        self.later(Span::secs(for_s), Step::Honest);
+        self.later(Duration::from_seconds(for_s), Step::Honest);
     }
 
     /// Executors go down, and come again at the same address half a period later.
-    pub(super) fn flap(&mut self, executors: Vec<usize>, times: usize, gap: Span) {
+    pub(super) fn flap(&mut self, executors: Vec<usize>, times: usize, gap: Duration) {
         if times == 0 {
             return;
         }
@@ -67,7 +67,7 @@
         self.later(gap.scaled(0.5), Step::Again { executors, times: times - 1, gap });
     }
 
-    pub(super) fn come_again(&mut self, executors: Vec<usize>, times: usize, gap: Span) {
+    pub(super) fn come_again(&mut self, executors: Vec<usize>, times: usize, gap: Duration) {
         let mut again = Vec::new();
         for number in executors {
             let made = self.executors.made(number).clone();
@@ -79,7 +79,7 @@
     /// All executors that are up lie for a time.
     pub(super) fn lie_for(&mut self, lies: Lies, for_s: f64) {
         self.all_lie(lies);
-        self.later(Span::secs(for_s), Step::Honest);
+        self.later(Duration::from_seconds(for_s), Step::Honest);
     }
 
     pub(super) fn all_lie(&mut self, lies: Lies) {
--- a/crates/simulation/src/fleet/faults.rs
+++ b/crates/simulation/src/fleet/faults.rs
@@ -6,7 +6,7 @@
 use crate::executors::Lies;
 use crate::operators::Change;
 use crate::scenario::{Fault, On, WrongKind};
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 
 impl Fleet {
     pub(super) fn begin_fault(&mut self, fault: Fault) {
@@ -22,7 +22,9 @@
                     self.freeze(machine, for_s);
                 }
             }
-            Fault::RollTerm { on, count, gap_s, remove } => self.roll(on, count, Span::secs(gap_s), remove),
+            Fault::RollTerm { on, count, gap_s, remove } => {
+                self.roll(on, count, Duration::from_seconds(gap_s), remove)
+            }
             Fault::AddNode { on } => self.add_node(on),
             Fault::Replace { on, after_s, planned } => {
                 if let Some(machine) = self.victim(on, false, after_s + 1.0, fault) {
@@ -30,12 +32,12 @@
                 }
             }
             Fault::AfterAckKill { after_ms, wipe, for_s } => {
-                let after = Span::secs(after_ms / 1000.0);
+                let after = Duration::from_seconds(after_ms / 1000.0);
                 self.armed.push(Armed { after, wipe, for_s });
                 self.change(Change::Valid);
             }
             Fault::AfterTakenKill { after_ms, for_s } => {
-                let after = Span::secs(after_ms / 1000.0);
+                let after = Duration::from_seconds(after_ms / 1000.0);
                 self.armed_for_jobs.push(Armed { after, wipe: false, for_s });
             }
             Fault::DiskSlow { on, times, for_s } => {
@@ -57,14 +59,14 @@
             Fault::AckLost { x, for_s } => {
                 self.note(&format!("{x:.2} of the answers to orders are lost"));
                 self.operators.lost_answers = x;
-                self.later(Span::secs(for_s), Step::AnswersArrive);
+                self.later(Duration::from_seconds(for_s), Step::AnswersArrive);
             }
             Fault::BadConfig { how } => self.change(Change::Wrong(wrong(how))),
             Fault::Retire => self.retire(),
             Fault::ExecutorCrash { share, silent } => self.crash_executors(share, silent),
             Fault::Release { share, gap_s } => {
                 let executors = self.some_executors(share);
-                self.release(executors, Span::secs(gap_s));
+                self.release(executors, Duration::from_seconds(gap_s));
             }
             Fault::ConfigSeries { count } => (0..count).for_each(|_| self.change(Change::Valid)),
             Fault::NodeSlow { on, times, for_s } => {
@@ -80,7 +82,7 @@
             Fault::IdleDrop { on } => self.drop_idle(on),
             Fault::RollTermBusy { on, count, gap_s } => {
                 let machines = self.chosen_to_roll(on, count, false);
-                self.terminate_busy(machines, Span::secs(gap_s));
+                self.terminate_busy(machines, Duration::from_seconds(gap_s));
             }
             Fault::RetireWipe { for_s } => {
                 self.wipe_after_retire = Some(for_s);
@@ -94,7 +96,7 @@
             }
             Fault::ExecutorFlap { share, times, gap_s } => {
                 let executors = self.some_executors(share);
-                self.flap(executors, times, Span::secs(gap_s));
+                self.flap(executors, times, Duration::from_seconds(gap_s));
             }
             Fault::Burst { times, for_s } => self.burst(times, for_s),
             Fault::AnswerLost { x, for_s } => {
@@ -119,7 +121,7 @@
     fn burst(&mut self, times: f64, for_s: f64) {
         self.note(&format!("{times:.1} times as many clients"));
         self.clients.burst(times);
-        self.later(Span::secs(for_s), Step::Usual);
+        self.later(Duration::from_seconds(for_s), Step::Usual);
     }
 }
 
