--- a/crates/simulation/src/fleet/hollow.rs
+++ b/crates/simulation/src/fleet/hollow.rs
@@ -4,7 +4,7 @@
 use crate::scenario::{Load, Scenario, Shape, ZoneShape};
 use crate::stage::Class;
 use grebeusher_tier::traffic::{FRAME_KINDS, TIMER_KINDS, Tally, Traffic};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeMap;
 
@@ -29,9 +29,9 @@
     /// For all that is left to chance.
     pub seed: u64,
     /// How long the fleet finds its feet.
-    pub settle: Span,
+    pub settle: Duration,
     /// How long is counted.
-    pub measure: Span,
+    pub measure: Duration,
 }
 
 /// What one node did in the time that was counted.
@@ -40,14 +40,14 @@
     /// Its counters, as differences.
     pub traffic: Traffic,
     /// Processor time of its turns, the simulated sockets included.
-    pub processor: Span,
+    pub processor: Duration,
 }
 
 /// What a hollow fleet's nodes did.
 #[derive(Clone, Debug)]
 pub struct Idle {
     /// How long was counted.
-    pub measured: Span,
+    pub measured: Duration,
     /// Each node with what it is.
     pub nodes: Vec<(&'static str, NodeCost)>,
 }
@@ -55,20 +55,20 @@
 /// The processor time of each life's turns.
 #[derive(Debug, Default)]
 pub(super) struct Meter {
-    spent: BTreeMap<usize, Span>,
+    spent: BTreeMap<usize, Duration>,
 }
 
 impl Meter {
     /// The processor time of this thread.
-    pub(super) fn read() -> Span {
+    pub(super) fn read() -> Duration {
         let time = clock_gettime(ClockId::ThreadCPUTime);
-        Span(time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64)
+        Duration::from_nanos(time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64)
     }
 
-    pub(super) fn add(&mut self, life: usize, since: Span) {
-        let spent = Span(Meter::read().0.saturating_sub(since.0));
-        let sum = self.spent.entry(life).or_insert(Span(0));
-        *sum = *sum + spent;
+    pub(super) fn add(&mut self, life: usize, since: Duration) {
+        let spent = Duration::from_nanos(Meter::read().nanos().saturating_sub(since.nanos()));
+        let sum = self.spent.entry(life).or_insert(Duration::from_nanos(0));
+        *sum += spent;
     }
 }
 
@@ -113,15 +113,15 @@
     /// Runs the fleet and counts.
     pub fn run(&self) -> Idle {
         let mut fleet = Fleet::new(self.scenario(), self.seed);
-        fleet.run_until(Moment(0) + self.settle);
+        fleet.run_until(Instant(0) + self.settle);
         let before = fleet.traffic_by_life();
         fleet.meter = Some(Meter::default());
-        fleet.run_until(Moment(0) + self.settle + self.measure);
+        fleet.run_until(Instant(0) + self.settle + self.measure);
         let meter = fleet.meter.take().unwrap_or_default();
         let mut nodes = Vec::new();
         for (life, after) in fleet.traffic_by_life() {
             let Some(before) = before.get(&life) else { continue };
-            let processor = meter.spent.get(&life).copied().unwrap_or(Span(0));
+            let processor = meter.spent.get(&life).copied().unwrap_or(Duration::from_nanos(0));
             nodes.push((
                 fleet.kind_of_life(life),
                 NodeCost { traffic: difference(&after, before), processor },
@@ -133,7 +133,7 @@
 
 impl Fleet {
     /// Lets time pass up to a moment.
-    pub(super) fn run_until(&mut self, end: Moment) {
+    pub(super) fn run_until(&mut self, end: Instant) {
         while let Some(happening) = self.next(end) {
             self.happens(happening);
         }
@@ -212,7 +212,7 @@
             row("part ticks", &|cost| cost.traffic.part_ticks as f64);
             row("messages in and out", &|cost| cost.frames().frames as f64);
             row("bytes in and out", &|cost| cost.frames().bytes as f64);
-            row("processor, microseconds", &|cost| cost.processor.0 as f64 / 1e3);
+            row("processor, microseconds", &|cost| cost.processor.nanos() as f64 / 1e3);
             for (kind, name) in TIMER_KINDS.iter().enumerate() {
                 row(&format!("timer {name}"), &|cost| cost.traffic.timers[kind] as f64);
             }
@@ -226,7 +226,7 @@
 
     /// Mean and most of a figure, a second.
     pub fn spread(&self, nodes: &[&NodeCost], value: &dyn Fn(&NodeCost) -> f64) -> (f64, f64) {
-        let seconds = self.measured.as_secs();
+        let seconds = self.measured.seconds();
         let values = nodes.iter().map(|cost| value(cost) / seconds);
         let most = values.clone().fold(0.0, f64::max);
         (values.sum::<f64>() / nodes.len().max(1) as f64, most)
--- a/crates/simulation/src/fleet/lives.rs
+++ b/crates/simulation/src/fleet/lives.rs
@@ -8,7 +8,7 @@
 use grebeusher_configuration::settings::Settings;
 use grebeusher_tier::node::Node;
 use grebeusher_tier::start::Start;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rand::Rng;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
@@ -28,7 +28,7 @@
         let mut hub = self.hub.borrow_mut();
         let started = hub.processes[process].started;
         hub.end_turn(process);
-        hub.turn_process(process, started + Span(wakes.0));
+        hub.turn_process(process, started + Duration::from_nanos(wakes.0));
         let now = hub.now;
         drop(hub);
         self.digest = crate::content::hash(&[
@@ -63,7 +63,7 @@
         self.note(&format!("{name} ends"));
         self.end_life(machine, false);
         if self.hardware[machine].stays {
-            let after = Span::millis(self.hub.borrow_mut().random.random_range(200..900));
+            let after = Duration::from_millis(self.hub.borrow_mut().random.random_range(200..900));
             self.later(after, Step::StartMachine { machine });
         } else {
             self.machines[machine].listed = false;
@@ -109,7 +109,7 @@
             disk: self.hardware[machine].disk.clone(),
             settings: self.hardware[machine].settings.clone(),
         });
-        self.hub.borrow_mut().turn_spent = Span(0);
+        self.hub.borrow_mut().turn_spent = Duration::from_nanos(0);
         let started = Settings::read(&text)
             .map_err(|error| error.to_string())
             .and_then(|settings| Start::open(settings, world).map_err(|error| error.to_string()))
--- a/crates/simulation/src/fleet/losses.rs
+++ b/crates/simulation/src/fleet/losses.rs
@@ -4,7 +4,7 @@
 use super::step::Step;
 use crate::scenario::{Fault, On};
 use crate::stage::{Class, Machine};
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use rand::seq::IndexedRandom;
 
 /// How often a further machine is drawn for each that is wanted, as some are drawn twice.
@@ -26,7 +26,7 @@
         if !already && self.lost() >= self.scenario.shape.losses as usize {
             return false;
         }
-        let until = self.now() + Span::secs(for_s) + self.judge.bounds.sync_time;
+        let until = self.now() + Duration::from_seconds(for_s) + self.judge.bounds.sync_time;
         self.hardware[machine].lost_until = Some(until);
         true
     }
@@ -82,8 +82,8 @@
 
     /// Tries a fault again a little later, if there is time.
     pub(super) fn postpone(&mut self, fault: Fault) {
-        if self.now() + Span::millis(1000) < self.traffic_ends() {
-            self.later(Span::millis(500), Step::Begin(fault));
+        if self.now() + Duration::from_millis(1000) < self.traffic_ends() {
+            self.later(Duration::from_millis(500), Step::Begin(fault));
         }
     }
 
@@ -101,6 +101,6 @@
     pub(super) fn troubled(&mut self, machine: usize, for_s: f64) {
         let now = self.now();
         let host = self.machines[machine].host;
-        self.judge.trouble(host, now, now + Span::secs(for_s), false);
+        self.judge.trouble(host, now, now + Duration::from_seconds(for_s), false);
     }
 }
--- a/crates/simulation/src/fleet/mod.rs
+++ b/crates/simulation/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 use crate::times::Times;
 use crate::world::SharedDisk;
 use grebeusher_tier::node::Node;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -37,7 +37,7 @@
 /// Lines of a trace.
 const MOST_LINES: usize = 400;
 /// A storm ends here at the latest.
-const LONGEST: Span = Span::millis(600_000);
+const LONGEST: Duration = Duration::from_millis(600_000);
 
 /// What a storm came to.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
     wall_offset_ms: i64,
     /// Whether it is to start again when its process ends.
     stays: bool,
-    lost_until: Option<Moment>,
+    lost_until: Option<Instant>,
     started_before: bool,
     /// Whether its disk was lost since it ran last.
     wiped: bool,
@@ -74,7 +74,7 @@
 }
 
 struct Armed {
-    after: Span,
+    after: Duration,
     wipe: bool,
     for_s: f64,
 }
@@ -101,8 +101,8 @@
     wipe_after_retire: Option<f64>,
     next_executor: usize,
     cuts: usize,
-    closing: Option<(Moment, Moment)>,
-    closing_after: Span,
+    closing: Option<(Instant, Instant)>,
+    closing_after: Duration,
     over: bool,
     trace: Vec<String>,
     turns: u64,
@@ -130,11 +130,11 @@
         act(&mut actors, &mut stage)
     }
 
-    fn now(&self) -> Moment {
+    fn now(&self) -> Instant {
         self.hub.borrow().now
     }
 
-    fn later(&mut self, after: Span, step: Step) {
+    fn later(&mut self, after: Duration, step: Step) {
         self.steps.push(step);
         let mut hub = self.hub.borrow_mut();
         let at = hub.now + after;
@@ -149,7 +149,7 @@
     }
 
     fn run(&mut self) -> Report {
-        let end = Moment(0) + LONGEST;
+        let end = Instant(0) + LONGEST;
         while !self.over {
             let Some(happening) = self.next(end) else { break };
             self.happens(happening);
@@ -177,7 +177,7 @@
         }
     }
 
-    fn next(&mut self, until: Moment) -> Option<Happening> {
+    fn next(&mut self, until: Instant) -> Option<Happening> {
         self.hub.borrow_mut().next(until)
     }
 
--- a/crates/simulation/src/fleet/settings.rs
+++ b/crates/simulation/src/fleet/settings.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use crate::stage::{CONTROL_PORT, Class, FRONTEND_PORT, INTERNAL_PORT, READINESS_PORT};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::net::SocketAddrV4;
 
 /// What settings say of a link without a bound.
@@ -12,7 +12,7 @@
     pub(super) fn settings_of(&self, machine: usize) -> String {
         let own = &self.machines[machine];
         let hardware = &self.hardware[machine];
-        let bootstrap = !hardware.started_before && self.now() < Moment(0) + Span::millis(400);
+        let bootstrap = !hardware.started_before && self.now() < Instant(0) + Duration::from_millis(400);
         let seeds: Vec<SocketAddrV4> = if bootstrap {
             self.seeds.clone()
         } else {
--- a/crates/simulation/src/fleet/step.rs
+++ b/crates/simulation/src/fleet/step.rs
@@ -4,7 +4,7 @@
 use crate::executors::Lies;
 use crate::operators::Change;
 use crate::scenario::Fault;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 
 /// A step of a fault.
 #[derive(Clone, Debug)]
@@ -14,22 +14,22 @@
     Thaw { machine: usize },
     Heal { cut: usize },
     Calm { machine: usize },
-    Terminate { machines: Vec<usize>, gap: Span, remove: bool },
+    Terminate { machines: Vec<usize>, gap: Duration, remove: bool },
     GraceOver { machine: usize, life: usize },
-    Release { executors: Vec<usize>, gap: Span },
+    Release { executors: Vec<usize>, gap: Duration },
     Honest,
     AnswersArrive,
     Quick { machine: usize },
     Room { machine: usize },
-    Flap { executors: Vec<usize>, times: usize, gap: Span },
-    Again { executors: Vec<usize>, times: usize, gap: Span },
-    TerminateBusy { machines: Vec<usize>, gap: Span },
+    Flap { executors: Vec<usize>, times: usize, gap: Duration },
+    Again { executors: Vec<usize>, times: usize, gap: Duration },
+    TerminateBusy { machines: Vec<usize>, gap: Duration },
     Usual,
     Strike { machine: usize, wipe: bool, for_s: f64 },
     FirstChange,
     Traffic,
     LastChange,
-    Closing { armed: Moment },
+    Closing { armed: Instant },
     LastReads,
     Over,
 }
@@ -64,8 +64,8 @@
     }
 
     /// When the scenario's traffic is over.
-    pub(super) fn traffic_ends(&self) -> Moment {
-        Moment(0) + Span::secs(self.scenario.load.lead_s + self.scenario.load.length_s)
+    pub(super) fn traffic_ends(&self) -> Instant {
+        Instant(0) + Duration::from_seconds(self.scenario.load.lead_s + self.scenario.load.length_s)
     }
 
     fn first_change(&mut self) {
--- a/crates/simulation/src/fleet/strikes.rs
+++ b/crates/simulation/src/fleet/strikes.rs
@@ -2,7 +2,7 @@
 
 use super::Fleet;
 use super::step::Step;
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 
 /// After its disk has room again, a process that ended for the lack of it is there within this, in seconds.
 const RESTARTS_WITHIN_S: f64 = 1.5;
@@ -23,7 +23,7 @@
             self.hardware[machine].wiped = true;
             self.hardware[machine].empty = true;
         }
-        self.later(Span::secs(for_s), Step::StartMachine { machine });
+        self.later(Duration::from_seconds(for_s), Step::StartMachine { machine });
     }
 
     /// All processes of the core are killed at once. No disk is lost by it.
@@ -34,7 +34,7 @@
         counted.into_iter().for_each(|machine| self.strike(machine, false, false, for_s));
         let now = self.now();
         let contact = self.judge.bounds.contact;
-        self.judge.core_slow(now, now + Span::secs(for_s) + contact);
+        self.judge.core_slow(now, now + Duration::from_seconds(for_s) + contact);
     }
 
     /// A machine's process stands still for a time.
@@ -45,7 +45,7 @@
         self.troubled(machine, for_s);
         self.hub.borrow_mut().freeze(life, true);
         self.watch_gone(life);
-        self.later(Span::secs(for_s), Step::Thaw { machine });
+        self.later(Duration::from_seconds(for_s), Step::Thaw { machine });
     }
 
     pub(super) fn thaw(&mut self, machine: usize) {
@@ -64,14 +64,14 @@
         self.note(&format!("the disk of {} takes {times:.0} times as long", self.machines[machine].name));
         let now = self.now();
         self.troubled(machine, for_s);
-        self.judge.core_slow(now, now + Span::secs(for_s));
-        let slow = Span::secs(self.scenario.shape.sync_ms * times / 1000.0);
+        self.judge.core_slow(now, now + Duration::from_seconds(for_s));
+        let slow = Duration::from_seconds(self.scenario.shape.sync_ms * times / 1000.0);
         self.hardware[machine].disk.borrow_mut().sync_takes = slow;
-        self.later(Span::secs(for_s), Step::Calm { machine });
+        self.later(Duration::from_seconds(for_s), Step::Calm { machine });
     }
 
     pub(super) fn calm_disk(&mut self, machine: usize) {
-        let normal = Span::secs(self.scenario.shape.sync_ms / 1000.0);
+        let normal = Duration::from_seconds(self.scenario.shape.sync_ms / 1000.0);
         self.hardware[machine].disk.borrow_mut().sync_takes = normal;
         self.note(&format!("the disk of {} is fast again", self.machines[machine].name));
     }
@@ -83,11 +83,11 @@
         self.touched(machine);
         self.troubled(machine, for_s);
         if self.machines[machine].counted {
-            self.judge.core_slow(now, now + Span::secs(for_s));
+            self.judge.core_slow(now, now + Duration::from_seconds(for_s));
         }
         let host = self.machines[machine].host;
         self.hub.borrow_mut().hosts[host].slowed = times;
-        self.later(Span::secs(for_s), Step::Quick { machine });
+        self.later(Duration::from_seconds(for_s), Step::Quick { machine });
     }
 
     pub(super) fn quick(&mut self, machine: usize) {
@@ -102,7 +102,7 @@
         self.touched(machine);
         self.troubled(machine, for_s + RESTARTS_WITHIN_S);
         self.hardware[machine].disk.borrow_mut().full = true;
-        self.later(Span::secs(for_s), Step::Room { machine });
+        self.later(Duration::from_seconds(for_s), Step::Room { machine });
     }
 
     pub(super) fn room(&mut self, machine: usize) {
--- a/crates/simulation/src/fleet/watch.rs
+++ b/crates/simulation/src/fleet/watch.rs
@@ -5,7 +5,7 @@
 use crate::times::{Times, What};
 use grebeusher_quorum::ReplicaId;
 use grebeusher_tier::node::Node;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Parts of the tier: the configuration and three of batch jobs.
@@ -18,13 +18,13 @@
     /// The life that owns each part.
     owners: BTreeMap<u8, usize>,
     /// Parts whose owner is gone: since when, and which life it was.
-    orphans: BTreeMap<u8, (Moment, usize)>,
+    orphans: BTreeMap<u8, (Instant, usize)>,
     /// Configurations on their way: the version, when it was acknowledged, and the lives that don't have it.
-    spreading: Vec<(u64, Moment, BTreeSet<usize>)>,
+    spreading: Vec<(u64, Instant, BTreeSet<usize>)>,
     /// Classes of machines of which one came with an empty disk, and when, until their groups are whole.
-    repairing: Vec<(Class, Moment)>,
+    repairing: Vec<(Class, Instant)>,
     /// When the machines were back from a final fault, until each part has an owner.
-    back: Option<Moment>,
+    back: Option<Instant>,
 }
 
 impl Fleet {
@@ -59,7 +59,7 @@
         for class in [Class::Edge, Class::Storage] {
             if self.groups_are_whole(class) {
                 let whole = self.watch.repairing.extract_if(.., |(of, _)| *of == class);
-                let times: Vec<Span> = whole.map(|(_, since)| now.since(since)).collect();
+                let times: Vec<Duration> = whole.map(|(_, since)| now.since(since)).collect();
                 self.watch.times.taken.extend(times.into_iter().map(|time| (What::GroupWhole, time)));
             }
         }
@@ -108,7 +108,7 @@
     }
 
     /// A final fault strikes; the machines will be back then.
-    pub(super) fn watch_closing(&mut self, back: Moment) {
+    pub(super) fn watch_closing(&mut self, back: Instant) {
         self.watch.back = Some(back);
         self.watch.owners.clear();
         self.watch.orphans.clear();
@@ -117,7 +117,7 @@
 }
 
 impl Watch {
-    fn owned(&mut self, part: u8, life: usize, now: Moment) {
+    fn owned(&mut self, part: u8, life: usize, now: Instant) {
         if self.owners.get(&part) == Some(&life) {
             return;
         }
@@ -135,7 +135,7 @@
         }
     }
 
-    fn note_applied(&mut self, now: Moment) {
+    fn note_applied(&mut self, now: Instant) {
         for (_, since, _) in self.spreading.extract_if(.., |(_, _, lives)| lives.is_empty()) {
             self.times.taken.push((What::Applied, now.since(since)));
         }
--- a/crates/simulation/src/fleet/wave.rs
+++ b/crates/simulation/src/fleet/wave.rs
@@ -4,15 +4,15 @@
 use super::hollow::{Hollow, sum};
 use crate::stage::Class;
 use grebeusher_tier::traffic::Tally;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::collections::BTreeMap;
 
 /// The stretch in which the busiest node is looked for.
-const STRETCH: Span = Span::millis(100);
+const STRETCH: Duration = Duration::from_millis(100);
 /// The processes start again within this span after they were killed.
 const START_WITHIN_MS: u64 = 300;
 /// All are to be back by then.
-const LONGEST: Span = Span::millis(20_000);
+const LONGEST: Duration = Duration::from_millis(20_000);
 
 /// What came of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     /// How many restarted.
     pub restarted: usize,
     /// When all of them were ready for clients and had the configuration, from their end; `None`: never.
-    pub all_back: Option<Span>,
+    pub all_back: Option<Duration>,
     /// The most that a node sent within a tenth of a second.
     pub most_sent: Tally,
     /// The most that a node sent within a tenth of a second while nothing happened.
@@ -32,7 +32,7 @@
 /// Has up to `count` edge machines without a disk restart together, in a fleet that has settled.
 pub fn restart_together(hollow: &Hollow, count: usize) -> Wave {
     let mut fleet = Fleet::new(hollow.scenario(), hollow.seed);
-    fleet.run_until(Moment(0) + hollow.settle);
+    fleet.run_until(Instant(0) + hollow.settle);
     let mut wave = Wave::default();
     let calm = fleet.now() + hollow.measure;
     while fleet.now() < calm {
@@ -87,7 +87,7 @@
         let killed: Vec<usize> = plain.take(count).collect();
         for (place, machine) in killed.iter().enumerate() {
             self.end_life(*machine, false);
-            let wait = Span::millis(START_WITHIN_MS * place as u64 / killed.len() as u64);
+            let wait = Duration::from_millis(START_WITHIN_MS * place as u64 / killed.len() as u64);
             self.later(wait, super::step::Step::StartMachine { machine: *machine });
         }
         killed
--- a/crates/simulation/src/hub.rs
+++ b/crates/simulation/src/hub.rs
@@ -1,7 +1,7 @@
 //! Virtual time and what all share in it: the queue of happenings, hosts, and processes as the kernel knows them.
 
 use crate::network::{Connection, Listening};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::poller::Event;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 /// What one turn of a process's loop takes of its processor.
-const TURN_TAKES: Span = Span(120_000);
+const TURN_TAKES: Duration = Duration::from_nanos(120_000);
 
 /// One side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -80,7 +80,7 @@
     /// Whether it has power.
     pub powered: bool,
     /// What its wires add to each packet's way.
-    pub delay: Span,
+    pub delay: Duration,
     /// How many bytes go through its wires in a second, and when they are free; without a bound if there is none.
     pub link: Option<HostLink>,
 }
@@ -89,28 +89,28 @@
 #[derive(Clone, Copy, Debug)]
 pub struct HostLink {
     bytes_per_s: f64,
-    out_free: Moment,
-    in_free: Moment,
+    out_free: Instant,
+    in_free: Instant,
 }
 
 impl HostLink {
     /// Wires of so many megabits a second.
     pub fn new(mbps: f64) -> HostLink {
-        HostLink { bytes_per_s: mbps * 1e6 / 8.0, out_free: Moment(0), in_free: Moment(0) }
+        HostLink { bytes_per_s: mbps * 1e6 / 8.0, out_free: Instant(0), in_free: Instant(0) }
     }
 
-    fn pass(&self, free: Moment, at: Moment, bytes: usize) -> Moment {
-        free.max(at) + Span::secs(bytes as f64 / self.bytes_per_s)
+    fn pass(&self, free: Instant, at: Instant, bytes: usize) -> Instant {
+        free.max(at) + Duration::from_seconds(bytes as f64 / self.bytes_per_s)
     }
 
     /// When bytes that are sent at a moment have left.
-    pub fn leave(&mut self, at: Moment, bytes: usize) -> Moment {
+    pub fn leave(&mut self, at: Instant, bytes: usize) -> Instant {
         self.out_free = self.pass(self.out_free, at, bytes);
         self.out_free
     }
 
     /// When bytes that come at a moment are in.
-    pub fn arrive(&mut self, at: Moment, bytes: usize) -> Moment {
+    pub fn arrive(&mut self, at: Instant, bytes: usize) -> Instant {
         self.in_free = self.pass(self.in_free, at, bytes);
         self.in_free
     }
@@ -122,16 +122,16 @@
     /// Its host.
     pub host: usize,
     /// When it started.
-    pub started: Moment,
+    pub started: Instant,
     /// Whether it still runs.
     pub alive: bool,
     /// Whether it stands still.
     pub frozen: bool,
     /// Since when.
-    frozen_at: Moment,
+    frozen_at: Instant,
     /// What it read from its clock just before it was frozen, between that and its sockets: the turn in which it goes on
     /// begins with this.
-    pub(crate) clock_before_freeze: Option<Moment>,
+    pub(crate) clock_before_freeze: Option<Instant>,
     /// How far its time of day is off, in milliseconds.
     pub wall_offset_ms: i64,
     /// Signals that it has not taken yet.
@@ -140,9 +140,9 @@
     pub reload: bool,
     ready: BTreeSet<End>,
     ready_listeners: BTreeSet<SocketAddrV4>,
-    turns_at: Option<Moment>,
+    turns_at: Option<Instant>,
     stamp: u64,
-    busy_until: Moment,
+    busy_until: Instant,
 }
 
 /// A cut between groups of hosts.
@@ -172,7 +172,7 @@
 /// All that is shared.
 pub struct Hub {
     /// The true time.
-    pub now: Moment,
+    pub now: Instant,
     /// For all that is left to chance.
     pub random: Pcg64,
     /// Machines and other places.
@@ -182,11 +182,11 @@
     /// Cuts in force.
     pub cuts: Vec<Cut>,
     /// Between machines of one zone.
-    pub in_zone: Span,
+    pub in_zone: Duration,
     /// Between zones.
-    pub cross_zone: Span,
+    pub cross_zone: Duration,
     /// Between regions.
-    pub cross_region: Span,
+    pub cross_region: Duration,
     /// The region's number of each zone.
     pub regions: Vec<usize>,
     /// Milliseconds since 1970 at the start.
@@ -194,7 +194,7 @@
     pub(crate) connections: FxHashMap<u64, Connection>,
     pub(crate) next_connection: u64,
     pub(crate) listeners: FxHashMap<SocketAddrV4, Listening>,
-    pub(crate) turn_spent: Span,
+    pub(crate) turn_spent: Duration,
     by_ip: FxHashMap<Ipv4Addr, usize>,
     queue: BinaryHeap<Reverse<Scheduled>>,
     serial: u64,
@@ -205,7 +205,7 @@
 
 #[derive(PartialEq, Eq)]
 struct Scheduled {
-    at: Moment,
+    at: Instant,
     serial: u64,
     happening: Happening,
 }
@@ -226,20 +226,20 @@
     /// An empty world.
     pub fn new(seed: u64) -> Hub {
         Hub {
-            now: Moment(0),
+            now: Instant(0),
             random: Pcg64::seed_from_u64(seed),
             hosts: Vec::new(),
             processes: Vec::new(),
             cuts: Vec::new(),
-            in_zone: Span::millis(1).scaled(0.2),
-            cross_zone: Span::millis(1).scaled(0.5),
-            cross_region: Span::millis(20),
+            in_zone: Duration::from_millis(1).scaled(0.2),
+            cross_zone: Duration::from_millis(1).scaled(0.5),
+            cross_region: Duration::from_millis(20),
             regions: Vec::new(),
             wall_start_ms: 1_900_000_000_000,
             connections: FxHashMap::default(),
             next_connection: 0,
             listeners: FxHashMap::default(),
-            turn_spent: Span(0),
+            turn_spent: Duration::from_nanos(0),
             by_ip: FxHashMap::default(),
             queue: BinaryHeap::new(),
             serial: 0,
@@ -247,7 +247,7 @@
     }
 
     /// Adds a host with power.
-    pub fn add_host(&mut self, ip: Ipv4Addr, zone: usize, delay: Span) -> usize {
+    pub fn add_host(&mut self, ip: Ipv4Addr, zone: usize, delay: Duration) -> usize {
         self.hosts.push(Host { ip, zone, slowed: 1.0, powered: true, delay, link: None });
         self.by_ip.insert(ip, self.hosts.len() - 1);
         self.hosts.len() - 1
@@ -259,19 +259,19 @@
     }
 
     /// The time as the process sees it that is in its turn: its waits for the disk are behind it.
-    pub fn local_now(&self) -> Moment {
+    pub fn local_now(&self) -> Instant {
         self.now + self.turn_spent
     }
 
     /// Has something happen.
-    pub fn schedule(&mut self, at: Moment, happening: Happening) {
+    pub fn schedule(&mut self, at: Instant, happening: Happening) {
         self.serial += 1;
         let at = at.max(self.now);
         self.queue.push(Reverse(Scheduled { at, serial: self.serial, happening }));
     }
 
     /// The next thing that happens up to `until`; time goes there.
-    pub fn next(&mut self, until: Moment) -> Option<Happening> {
+    pub fn next(&mut self, until: Instant) -> Option<Happening> {
         if self.queue.peek().is_none_or(|Reverse(next)| next.at > until) {
             self.now = until;
             return None;
@@ -296,7 +296,7 @@
     }
 
     /// How long a packet takes from one host to another.
-    pub fn way(&mut self, from: usize, to: usize) -> Span {
+    pub fn way(&mut self, from: usize, to: usize) -> Duration {
         let (a, b) = (&self.hosts[from], &self.hosts[to]);
         let wires = a.delay + b.delay;
         let base = if a.zone == b.zone {
@@ -317,7 +317,7 @@
             started: self.now,
             alive: true,
             frozen: false,
-            frozen_at: Moment(0),
+            frozen_at: Instant(0),
             clock_before_freeze: None,
             wall_offset_ms,
             stop: false,
@@ -332,7 +332,7 @@
     }
 
     /// Has a process's loop turn at a moment, or as soon after it as it can.
-    pub fn turn_process(&mut self, process: usize, at: Moment) {
+    pub fn turn_process(&mut self, process: usize, at: Instant) {
         let state = &mut self.processes[process];
         let at = at.max(state.busy_until).max(self.now);
         if !state.alive || state.frozen || state.turns_at.is_some_and(|turns| turns <= at) {
@@ -351,7 +351,7 @@
             return None;
         }
         state.turns_at = None;
-        self.turn_spent = Span(0);
+        self.turn_spent = Duration::from_nanos(0);
         let mut events = Vec::new();
         if state.stop || state.reload {
             events.push(Event { key: grebeusher_tier::node::keys::SIGNALS, readable: true, writable: false });
@@ -371,7 +371,7 @@
     /// Ends a turn: the process is busy until its waits for the disk are over, and turns again if anything is ready still.
     pub fn end_turn(&mut self, process: usize) {
         let until = self.local_now() + TURN_TAKES.scaled(self.hosts[self.processes[process].host].slowed);
-        self.turn_spent = Span(0);
+        self.turn_spent = Duration::from_nanos(0);
         let ends: Vec<End> = self.processes[process].ready.iter().copied().collect();
         let still: BTreeSet<End> = ends.into_iter().filter(|end| self.event_of(*end).is_some()).collect();
         let addresses: Vec<SocketAddrV4> = self.processes[process].ready_listeners.iter().copied().collect();
--- a/crates/simulation/src/judge/batch.rs
+++ b/crates/simulation/src/judge/batch.rs
@@ -4,7 +4,7 @@
 use super::results::Listed;
 use super::{Judge, Rule};
 use crate::content;
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use std::collections::BTreeSet;
 
 /// An item as a client makes it up.
@@ -38,13 +38,13 @@
     pub(super) route: String,
     pub(super) tries: u32,
     pub(super) refusals: u32,
-    pub(super) accepted: Option<Moment>,
-    pub(super) end_sent: Option<Moment>,
-    pub(super) end_acknowledged: Option<Moment>,
+    pub(super) accepted: Option<Instant>,
+    pub(super) end_sent: Option<Instant>,
+    pub(super) end_acknowledged: Option<Instant>,
     pub(super) positions: Vec<Listed>,
-    pub(super) read: Option<Moment>,
+    pub(super) read: Option<Instant>,
     /// How many positions had been read by when, rising.
-    pub(super) seen: Vec<(Moment, usize)>,
+    pub(super) seen: Vec<(Instant, usize)>,
 }
 
 impl Judge {
@@ -79,7 +79,7 @@
     }
 
     /// It is accepted.
-    pub fn job_accepted(&mut self, job: &str, at: Moment) {
+    pub fn job_accepted(&mut self, job: &str, at: Instant) {
         let Some(found) = self.jobs.get_mut(job) else { return };
         if found.accepted.is_some() {
             return;
@@ -90,7 +90,7 @@
         self.check_quota(&route, at);
     }
 
-    fn check_quota(&mut self, route: &str, at: Moment) {
+    fn check_quota(&mut self, route: &str, at: Instant) {
         let counted = |job: &Job| job.route == route && job.accepted.is_some() && job.end_sent.is_none();
         let open: BTreeSet<&String> =
             self.jobs.iter().filter(|(_, job)| counted(job)).map(|(id, _)| id).collect();
@@ -107,14 +107,14 @@
     }
 
     /// Its end is sent.
-    pub fn job_end_sent(&mut self, job: &str, at: Moment) {
+    pub fn job_end_sent(&mut self, job: &str, at: Instant) {
         if let Some(found) = self.jobs.get_mut(job) {
             found.end_sent.get_or_insert(at);
         }
     }
 
     /// Its end is acknowledged.
-    pub fn job_ended(&mut self, job: &str, host: usize, at: Moment) {
+    pub fn job_ended(&mut self, job: &str, host: usize, at: Instant) {
         if !self.in_touch(host, at, at) {
             return;
         }
@@ -168,7 +168,7 @@
     }
 
     /// A node says that it knows no such batch job, or has nothing at a position that was read.
-    pub fn job_missing(&mut self, job: &str, host: usize, sent: Moment, at: Moment, last: bool) {
+    pub fn job_missing(&mut self, job: &str, host: usize, sent: Instant, at: Instant, last: bool) {
         let Some(found) = self.jobs.get(job) else { return };
         let Some(accepted) = found.accepted else { return };
         if sent > accepted {
@@ -186,7 +186,7 @@
     }
 
     /// At the end a batch job can't be read, or doesn't give what it gave.
-    pub fn job_lost(&mut self, job: &str, what: &str, at: Moment) {
+    pub fn job_lost(&mut self, job: &str, what: &str, at: Instant) {
         if self.jobs.get(job).is_some_and(|found| found.accepted.is_some()) {
             self.breach(Rule::Lost, at, format!("job {job}: {what}"));
         }
--- a/crates/simulation/src/judge/bounds.rs
+++ b/crates/simulation/src/judge/bounds.rs
@@ -1,51 +1,51 @@
 //! The bounds of the rules.
 
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 
 /// The bounds of the rules; the same as the processes' settings tell.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// How long a machine must be without trouble.
-    pub contact: Span,
+    pub contact: Duration,
     /// From an acknowledged configuration to its use by all.
-    pub config_apply: Span,
+    pub config_apply: Duration,
     /// How late a request may reach an executor that leaves.
-    pub drain: Span,
+    pub drain: Duration,
     /// Until proper orders are acknowledged.
-    pub ack: Span,
+    pub ack: Duration,
     /// After this a regress shows.
-    pub downgrade_slack: Span,
+    pub downgrade_slack: Duration,
     /// What a node may take to settle what was accepted or read.
-    pub settle: Span,
+    pub settle: Duration,
     /// How long items of an ended job may still reach executors.
-    pub cancel: Span,
+    pub cancel: Duration,
     /// Until service is back after a final fault.
-    pub recovery: Span,
+    pub recovery: Duration,
     /// What a SIGTERM gives.
-    pub grace: Span,
+    pub grace: Duration,
     /// The slack of a request that was read and lost.
-    pub loss_slack: Span,
+    pub loss_slack: Duration,
     /// A machine stays lost for this long after its return.
-    pub sync_time: Span,
+    pub sync_time: Duration,
     /// A core that is unstable may make configurations late by so much.
-    pub max_stretch: Span,
+    pub max_stretch: Duration,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
-            contact: Span::millis(3000),
-            config_apply: Span::millis(2000),
-            drain: Span::millis(2000),
-            ack: Span::millis(4000),
-            downgrade_slack: Span::millis(250),
-            settle: Span::millis(1000),
-            cancel: Span::millis(3000),
-            recovery: Span::millis(12_000),
-            grace: Span::millis(8000),
-            loss_slack: Span::millis(200),
-            sync_time: Span::millis(5000),
-            max_stretch: Span::millis(5000),
+            contact: Duration::from_millis(3000),
+            config_apply: Duration::from_millis(2000),
+            drain: Duration::from_millis(2000),
+            ack: Duration::from_millis(4000),
+            downgrade_slack: Duration::from_millis(250),
+            settle: Duration::from_millis(1000),
+            cancel: Duration::from_millis(3000),
+            recovery: Duration::from_millis(12_000),
+            grace: Duration::from_millis(8000),
+            loss_slack: Duration::from_millis(200),
+            sync_time: Duration::from_millis(5000),
+            max_stretch: Duration::from_millis(5000),
         }
     }
 }
--- a/crates/simulation/src/judge/closing.rs
+++ b/crates/simulation/src/judge/closing.rs
@@ -1,7 +1,7 @@
 //! What only the whole shows.
 
 use super::{Judge, Rule};
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 /// A fleet is in service when this share of the requests is served.
 const IN_SERVICE: f64 = 0.25;
@@ -10,14 +10,14 @@
 
 impl Judge {
     /// Judges what only the whole shows. `fault` is when a final fault struck and when the machines were back.
-    pub fn close(&mut self, fault: Option<(Moment, Moment)>, at: Moment) {
+    pub fn close(&mut self, fault: Option<(Instant, Instant)>, at: Instant) {
         if let Some((struck, back)) = fault {
             self.check_recovery(struck, back, at);
         }
         self.check_leaves(at);
     }
 
-    fn check_recovery(&mut self, struck: Moment, back: Moment, at: Moment) {
+    fn check_recovery(&mut self, struck: Instant, back: Instant, at: Instant) {
         let recovered = back + self.bounds.recovery;
         let (before, _) = self.share_served(|ended| ended < struck);
         let (after, count) = self.share_served(|ended| ended > recovered);
@@ -28,7 +28,7 @@
     }
 
     /// The share that was served of the requests that ended within a time, and how many those were.
-    fn share_served(&self, within: impl Fn(Moment) -> bool) -> (f64, usize) {
+    fn share_served(&self, within: impl Fn(Instant) -> bool) -> (f64, usize) {
         let count = self.served.iter().filter(|(ended, _)| within(*ended)).count();
         let served = self.served.iter().filter(|(ended, served)| *served && within(*ended)).count();
         (served as f64 / count.max(1) as f64, count)
--- a/crates/simulation/src/judge/configuration.rs
+++ b/crates/simulation/src/judge/configuration.rs
@@ -1,7 +1,7 @@
 //! Configurations: which are in force, and which requests were handled by.
 
 use super::{Judge, Rule};
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use std::collections::BTreeMap;
 
 /// A configuration that was sent.
@@ -18,9 +18,9 @@
     /// Whether it is valid.
     pub valid: bool,
     /// When it was sent first.
-    pub sent: Moment,
+    pub sent: Instant,
     /// When it was acknowledged.
-    pub acknowledged: Option<Moment>,
+    pub acknowledged: Option<Instant>,
     /// Whether it was refused for good.
     pub refused: bool,
     /// Whether it was acknowledged by an answer that was lost on its way.
@@ -55,7 +55,7 @@
     }
 
     /// It is acknowledged.
-    pub fn version_acknowledged(&mut self, order: SentOrder<'_>, at: Moment) {
+    pub fn version_acknowledged(&mut self, order: SentOrder<'_>, at: Instant) {
         let SentOrder { number, base, .. } = order;
         let twin = self.versions.iter().find(|version| {
             version.base == base && !version.is(order) && (version.acknowledged.is_some() || version.taken)
@@ -88,7 +88,7 @@
     }
 
     /// It is refused for good.
-    pub fn version_refused(&mut self, order: SentOrder<'_>, at: Moment) {
+    pub fn version_refused(&mut self, order: SentOrder<'_>, at: Instant) {
         let Some(version) = self.versions.iter_mut().find(|version| version.is(order)) else { return };
         version.refused = true;
         if version.taken || version.acknowledged.is_some() {
@@ -103,7 +103,7 @@
     }
 
     /// What an operator reads in between, by a call that was sent at `sent`: nothing older than what was acknowledged then.
-    pub fn peeked(&mut self, body: &[u8], sent: Moment, at: Moment) {
+    pub fn peeked(&mut self, body: &[u8], sent: Instant, at: Instant) {
         let due =
             self.versions.iter().filter(|v| v.acknowledged.is_some_and(|acknowledged| acknowledged < sent));
         let due = due.map(|version| version.number).max().unwrap_or(0);
@@ -115,7 +115,7 @@
     }
 
     /// What the operator reads back; nothing if it was told that there is none.
-    pub fn shown(&mut self, body: Option<&[u8]>, at: Moment, last: bool) -> Option<u64> {
+    pub fn shown(&mut self, body: Option<&[u8]>, at: Instant, last: bool) -> Option<u64> {
         let newest = self.newest_acknowledged();
         let Some(body) = body else {
             if newest > 0 && last {
@@ -139,7 +139,7 @@
     }
 
     /// Nothing was read back in all the time that was given for it.
-    pub fn never_shown(&mut self, at: Moment) {
+    pub fn never_shown(&mut self, at: Instant) {
         if self.newest_acknowledged() > 0 {
             self.breach(Rule::Config, at, "the configuration could not be read back at the end".to_owned());
         }
@@ -148,8 +148,8 @@
     /// `newest` is the newest version that explains what was done with a request.
     pub(super) fn check_version(
         &mut self,
-        sent: Moment,
-        at: Moment,
+        sent: Instant,
+        at: Instant,
         host: usize,
         life: Option<usize>,
         newest: u64,
@@ -182,7 +182,7 @@
     }
 
     /// The valid versions, sent by then, that give a service to a prefix.
-    pub(super) fn allowing(&self, prefix: &str, service: &str, at: Moment) -> Vec<u64> {
+    pub(super) fn allowing(&self, prefix: &str, service: &str, at: Instant) -> Vec<u64> {
         self.versions
             .iter()
             .filter(|version| version.valid && version.sent <= at && version.allows(prefix, service))
--- a/crates/simulation/src/judge/drains.rs
+++ b/crates/simulation/src/judge/drains.rs
@@ -2,20 +2,20 @@
 
 use super::requests::Arrival;
 use super::{Judge, Rule};
-use grebeusher_time::Moment;
+use grebeusher_time::{DurationExt, Instant};
 
 /// An executor's leave.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Leave {
-    pub(super) at: Moment,
-    pub(super) acknowledged: Option<Moment>,
+    pub(super) at: Instant,
+    pub(super) acknowledged: Option<Instant>,
     /// Whether it crashed meanwhile.
     pub(super) crashed: bool,
 }
 
 impl Judge {
     /// An executor says that it leaves.
-    pub fn leaves(&mut self, at: Moment) -> usize {
+    pub fn leaves(&mut self, at: Instant) -> usize {
         self.leaving.push(Leave { at, acknowledged: None, crashed: false });
         self.leaving.len() - 1
     }
@@ -28,7 +28,7 @@
     }
 
     /// A node acknowledges it. That binds also where this node is in no touch with the others.
-    pub fn drain_acknowledged(&mut self, instance: &str, leaving: usize, at: Moment) {
+    pub fn drain_acknowledged(&mut self, instance: &str, leaving: usize, at: Instant) {
         if let Some(found) = self.leaving.get_mut(leaving) {
             found.acknowledged.get_or_insert(at);
             self.counts.drained += 1;
@@ -39,13 +39,13 @@
 
     /// In calm times no request that was sent after the acknowledgement of a drain reaches the executor: all nodes have
     /// confirmed by then. Later than `Bounds::drain` the operators' own rule holds.
-    pub(super) fn check_told(&mut self, arrival: &Arrival<'_>, sent: Moment) {
+    pub(super) fn check_told(&mut self, arrival: &Arrival<'_>, sent: Instant) {
         let Arrival { at, instance, attempt, .. } = *arrival;
         let Some(acknowledged) = self.told.get(instance).copied().filter(|told| sent > *told) else { return };
         if self.all_calm(acknowledged, sent) {
             let what = format!(
                 "{attempt} was sent {:.4} s after the drain of {instance} was acknowledged, and reached it",
-                sent.since(acknowledged).as_secs()
+                sent.since(acknowledged).seconds()
             );
             self.breach(Rule::Untold, at, what);
         }
@@ -60,14 +60,14 @@
         {
             let what = format!(
                 "{attempt} reached {instance} {:.3} s after its drain was acknowledged",
-                arrival.came.since(acknowledged).as_secs()
+                arrival.came.since(acknowledged).seconds()
             );
             self.breach(Rule::Drain, at, what);
         }
     }
 
     /// Judges at the end how many of those that left in calm times were acknowledged in time.
-    pub(super) fn check_leaves(&mut self, at: Moment) {
+    pub(super) fn check_leaves(&mut self, at: Instant) {
         let bound = self.bounds.ack;
         let calm: Vec<Leave> = self
             .leaving
--- a/crates/simulation/src/judge/mod.rs
+++ b/crates/simulation/src/judge/mod.rs
@@ -22,7 +22,7 @@
 
 use batch::{Item, Job};
 use drains::Leave;
-use grebeusher_time::Moment;
+use grebeusher_time::{DurationExt, Instant};
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use troubles::{Stretch, Trouble};
@@ -40,18 +40,18 @@
     versions: Vec<Version>,
     jobs: BTreeMap<String, Job>,
     items: FxHashMap<String, Item>,
-    drained: FxHashMap<String, Moment>,
-    told: FxHashMap<String, Moment>,
+    drained: FxHashMap<String, Instant>,
+    told: FxHashMap<String, Instant>,
     troubles: Vec<Trouble>,
-    core_events: Vec<Moment>,
+    core_events: Vec<Instant>,
     core_slow: Vec<Stretch>,
     links: Vec<Stretch>,
-    evidence: FxHashMap<usize, Vec<(Moment, u64)>>,
+    evidence: FxHashMap<usize, Vec<(Instant, u64)>>,
     /// The limit of each bulk route, in tokens.
     pub quota: u64,
     /// Counters for reports.
     pub counts: Counts,
-    served: Vec<(Moment, bool)>,
+    served: Vec<(Instant, bool)>,
     leaving: Vec<Leave>,
 }
 
@@ -115,20 +115,20 @@
     }
 
     /// Notes a breach.
-    pub fn breach(&mut self, rule: Rule, at: Moment, what: String) {
+    pub fn breach(&mut self, rule: Rule, at: Instant, what: String) {
         if self.breaches.len() < MOST_BREACHES {
             self.breaches.push(Breach { rule, at, what });
         }
     }
 
     /// A proper order was not acknowledged in its time.
-    pub fn unacknowledged(&mut self, what: &str, since: Moment, at: Moment) {
+    pub fn unacknowledged(&mut self, what: &str, since: Instant, at: Instant) {
         let bound = self.bounds.ack;
         if at.since(since) > bound && self.all_calm(since, since + bound) {
             self.breach(
                 Rule::Acks,
                 at,
-                format!("{what} had no acknowledgement in {:.1} s", at.since(since).as_secs()),
+                format!("{what} had no acknowledgement in {:.1} s", at.since(since).seconds()),
             );
         }
     }
--- a/crates/simulation/src/judge/requests.rs
+++ b/crates/simulation/src/judge/requests.rs
@@ -2,10 +2,10 @@
 
 use super::{Judge, Rule};
 use crate::content;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 
 /// A request that was sent to a stopping node within this may still run when the node ends,
-const SENT_EARLY: Span = Span::millis(3000);
+const SENT_EARLY: Duration = Duration::from_millis(3000);
 /// if it ran beyond this share of the grace period.
 const WORK_BORNE_UNTIL: f64 = 5.0 / 6.0;
 
@@ -34,7 +34,7 @@
     /// The bytes of its body, hashed.
     pub body: u64,
     /// When it was sent.
-    pub sent: Moment,
+    pub sent: Instant,
     /// The host of the node.
     pub host: usize,
     /// The life of its process.
@@ -47,9 +47,9 @@
 /// A request that reaches an executor.
 pub struct Arrival<'a> {
     /// When it begins to run.
-    pub at: Moment,
+    pub at: Instant,
     /// When it came.
-    pub came: Moment,
+    pub came: Instant,
     /// The executor.
     pub instance: &'a str,
     /// Its service.
@@ -74,7 +74,7 @@
     }
 
     /// A new try, as it is noted.
-    pub fn new_try(kind: Kind, line: &str, prefix: &str, body: &[u8], sent: Moment, host: usize) -> Try {
+    pub fn new_try(kind: Kind, line: &str, prefix: &str, body: &[u8], sent: Instant, host: usize) -> Try {
         Try {
             kind,
             line: line.to_owned(),
@@ -90,7 +90,7 @@
     }
 
     /// The client hears a promise that the try has not run.
-    pub fn try_refused(&mut self, id: &str, status: u16, at: Moment) {
+    pub fn try_refused(&mut self, id: &str, status: u16, at: Instant) {
         let Some(found) = self.tries.get_mut(id) else { return };
         found.refused = true;
         let ran = found.runs > 0 && matches!(found.kind, Kind::Once | Kind::Stream);
@@ -100,7 +100,7 @@
     }
 
     /// The outcome of a request, for the share that is served.
-    pub fn request_over(&mut self, at: Moment, served: bool) {
+    pub fn request_over(&mut self, at: Instant, served: bool) {
         if served {
             self.counts.served += 1;
         } else {
@@ -111,7 +111,7 @@
 
     /// A try was read whole by its node, and the connection ended without a complete answer. `deadline`: the end of the
     /// time that the client gave it.
-    pub fn try_cut(&mut self, id: &str, sent: Moment, at: Moment, deadline: Moment) {
+    pub fn try_cut(&mut self, id: &str, sent: Instant, at: Instant, deadline: Instant) {
         let Some(found) = self.tries.get(id) else { return };
         let host = found.host;
         let Some(stopping_since) = self.stopping_since(host, sent) else { return };
@@ -122,7 +122,7 @@
         if !found.broken && !borne && at < deadline && (passed_on || late) && self.only_planned(sent, at) {
             let what = format!(
                 "try {id} at host {host}, sent {:.3} s after SIGTERM, ended without an answer during planned work",
-                sent.since(stopping_since).as_secs()
+                sent.since(stopping_since).seconds()
             );
             self.breach(Rule::Lost, at, what);
         }
@@ -165,7 +165,7 @@
         self.check_route(arrival, sent, &prefix, attempt);
     }
 
-    fn check_route(&mut self, arrival: &Arrival<'_>, sent: Moment, prefix: &str, attempt: &str) {
+    fn check_route(&mut self, arrival: &Arrival<'_>, sent: Instant, prefix: &str, attempt: &str) {
         let (at, service) = (arrival.at, arrival.service);
         let allowing = self.allowing(prefix, service, at);
         let Some(newest) = allowing.iter().max().copied() else {
@@ -179,7 +179,7 @@
     }
 
     /// A node answers a request on a prefix with its own 404.
-    pub fn unrouted(&mut self, id: &str, at: Moment) {
+    pub fn unrouted(&mut self, id: &str, at: Instant) {
         let Some(found) = self.tries.get(id) else { return };
         let (sent, host, life, prefix) = (found.sent, found.host, found.life, found.prefix.clone());
         let lacking =
--- a/crates/simulation/src/judge/results.rs
+++ b/crates/simulation/src/judge/results.rs
@@ -2,7 +2,7 @@
 
 use super::{Judge, Rule};
 use crate::content;
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 
 /// `max_attempts` of the bulk routes: an item that was answered 500 so often may be given up.
 pub const MOST_FAILURES: u32 = 3;
@@ -26,8 +26,8 @@
         from: usize,
         results: &[Listed],
         total: usize,
-        sent: Moment,
-        at: Moment,
+        sent: Instant,
+        at: Instant,
     ) {
         self.check_page_is_new(job, from + results.len(), sent, at);
         let wanted = self.items.values().filter(|item| item.job == job).count();
@@ -45,7 +45,7 @@
     }
 
     /// A page that was asked for after another had come shows at least as much.
-    fn check_page_is_new(&mut self, job: &str, reached: usize, sent: Moment, at: Moment) {
+    fn check_page_is_new(&mut self, job: &str, reached: usize, sent: Instant, at: Instant) {
         let Some(found) = self.jobs.get_mut(job) else { return };
         let known = found.seen.iter().filter(|(when, _)| *when < sent).map(|(_, count)| *count).max();
         if found.seen.last().is_none_or(|(_, count)| *count < reached) {
@@ -57,7 +57,7 @@
         }
     }
 
-    fn result_read(&mut self, job: &str, position: usize, result: &Listed, at: Moment) {
+    fn result_read(&mut self, job: &str, position: usize, result: &Listed, at: Instant) {
         let Listed { item: id, state, text } = result;
         self.check_result(job, id, state, text, at);
         let Some(found) = self.jobs.get_mut(job) else { return };
@@ -83,7 +83,7 @@
         }
     }
 
-    fn check_result(&mut self, job: &str, id: &str, state: &str, text: &str, at: Moment) {
+    fn check_result(&mut self, job: &str, id: &str, state: &str, text: &str, at: Instant) {
         let Some(item) = self.items.get_mut(id).filter(|item| item.job == job) else {
             return self.breach(Rule::Mixed, at, format!("item {id} is none of {job}"));
         };
--- a/crates/simulation/src/judge/rules.rs
+++ b/crates/simulation/src/judge/rules.rs
@@ -1,6 +1,6 @@
 //! The rules by name, and what a broken one shows.
 
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use std::fmt;
 
 /// A broken rule.
@@ -51,7 +51,7 @@
     /// The rule.
     pub rule: Rule,
     /// When it showed.
-    pub at: Moment,
+    pub at: Instant,
     /// What was seen.
     pub what: String,
 }
--- a/crates/simulation/src/judge/times.rs
+++ b/crates/simulation/src/judge/times.rs
@@ -2,11 +2,11 @@
 
 use super::Judge;
 use crate::times::What;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 
 impl Judge {
     /// The times of all that was acknowledged.
-    pub fn times(&self) -> Vec<(What, Span)> {
+    pub fn times(&self) -> Vec<(What, Duration)> {
         let versions = self.versions.iter().filter_map(|version| Some((version.sent, version.acknowledged?)));
         let orders = versions.map(|(sent, acknowledged)| (What::Acknowledged, acknowledged.since(sent)));
         let told = self.leaving.iter().filter_map(|leave| Some((leave.at, leave.acknowledged?)));
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -6,10 +6,9 @@
 use grebeusher_simulation::fleet::hollow::Hollow;
 use grebeusher_simulation::scenario::Scenario;
 use grebeusher_simulation::storm::{drawn, shrink, storm};
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use std::time::Instant;
 
 #[derive(Clone, Debug)]
 enum Command {
@@ -69,7 +68,7 @@
 fn main() -> ExitCode {
     let command = command_line().run();
     if let Command::Hollow { machines, executors, seed, settle_s, measure_s } = command {
-        let (settle, measure) = (Span::secs(settle_s), Span::secs(measure_s));
+        let (settle, measure) = (Duration::from_seconds(settle_s), Duration::from_seconds(measure_s));
         println!("{machines} machines, {executors} executors, seed {seed}, {measure_s} s counted");
         print!("{}", Hollow { machines, executors, seed, settle, measure }.run().to_text());
         return ExitCode::SUCCESS;
@@ -106,7 +105,7 @@
 }
 
 fn storms(scenario: &Scenario, seed: u64, count: u64, plot: Option<&Path>) -> ExitCode {
-    let begun = Instant::now();
+    let begun = std::time::Instant::now();
     let mut bulk = Bulk::new();
     for seed in seed..seed + count {
         let report = storm(scenario, seed);
--- a/crates/simulation/src/network/ends.rs
+++ b/crates/simulation/src/network/ends.rs
@@ -2,12 +2,12 @@
 
 use super::{Flying, Packet, Side, State};
 use crate::hub::{End, Hub, Owner};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use std::io::ErrorKind;
 use std::net::SocketAddrV4;
 
 /// A connection on which nothing went for so long may be forgotten by something on the way.
-const IDLE: Span = Span::millis(2000);
+const IDLE: Duration = Duration::from_millis(2000);
 
 impl Hub {
     /// Says that nothing more will be written.
@@ -85,7 +85,7 @@
     }
 
     /// An end breaks by itself when what was sent on it has not arrived for so long.
-    pub fn break_after(&mut self, end: End, within: Span) {
+    pub fn break_after(&mut self, end: End, within: Duration) {
         if let Some(found) = self.connections.get_mut(&end.connection()) {
             found.sides[end.side()].breaks_after = Some(within);
         }
--- a/crates/simulation/src/network/mod.rs
+++ b/crates/simulation/src/network/mod.rs
@@ -6,7 +6,7 @@
 mod sockets;
 
 use crate::hub::{End, Owner};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::poller::Interest;
 use std::collections::VecDeque;
 use std::io::ErrorKind;
@@ -17,9 +17,9 @@
 /// Bytes that a link carries in a second.
 const BYTES_PER_S: f64 = 60e6;
 /// After this a packet that was lost is sent again.
-const RESEND_AFTER: Span = Span::millis(200);
+const RESEND_AFTER: Duration = Duration::from_millis(200);
 /// An opening packet is sent again after this, doubled each time.
-const REOPEN_AFTER: Span = Span::millis(1000);
+const REOPEN_AFTER: Duration = Duration::from_millis(1000);
 /// Opening packets that are sent in all.
 const MOST_OPENINGS: u32 = 5;
 
@@ -49,8 +49,8 @@
 }
 
 struct Flying {
-    sent: Moment,
-    at: Moment,
+    sent: Instant,
+    at: Instant,
     packet: Packet,
 }
 
@@ -68,10 +68,10 @@
     /// What it has sent that has not arrived.
     flight: VecDeque<Flying>,
     flying: usize,
-    last_at: Moment,
+    last_at: Instant,
     fin_sent: bool,
     /// It breaks when what was sent has not arrived for so long.
-    breaks_after: Option<Span>,
+    breaks_after: Option<Duration>,
     notified: bool,
 }
 
@@ -89,7 +89,7 @@
             ended: false,
             flight: VecDeque::new(),
             flying: 0,
-            last_at: Moment(0),
+            last_at: Instant(0),
             fin_sent: false,
             breaks_after: None,
             notified: false,
@@ -97,7 +97,7 @@
     }
 
     /// Whether what it sent has not arrived for longer than it bears.
-    fn is_overdue(&self, now: Moment) -> bool {
+    fn is_overdue(&self, now: Instant) -> bool {
         let first = self.flight.front().map(|flying| flying.sent);
         self.breaks_after.zip(first).is_some_and(|(within, sent)| now > sent + within)
     }
--- a/crates/simulation/src/network/opening.rs
+++ b/crates/simulation/src/network/opening.rs
@@ -2,7 +2,7 @@
 
 use super::{Connection, Listening, MOST_OPENINGS, REOPEN_AFTER, Side, State};
 use crate::hub::{End, Happening, Hub, Owner, Path};
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddrV4;
@@ -43,7 +43,7 @@
         let mut target = Side::new(owner, host, 0, State::Opening);
         target.open = false;
         self.connections.insert(connection, Connection { sides: [dialler, target], to, forgotten: false });
-        let way = self.host_of(*to.ip()).map_or(Span::millis(1), |target| self.way(host, target));
+        let way = self.host_of(*to.ip()).map_or(Duration::from_millis(1), |target| self.way(host, target));
         self.schedule(self.local_now() + way, Happening::Opening { connection, attempt: 1 });
         End::new(connection, 0)
     }
--- a/crates/simulation/src/network/packets.rs
+++ b/crates/simulation/src/network/packets.rs
@@ -2,7 +2,7 @@
 
 use super::{BYTES_PER_S, Flying, Packet, RESEND_AFTER, State};
 use crate::hub::{End, Happening, Hub, Path};
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use rand::Rng;
 use std::io::ErrorKind;
 
@@ -13,7 +13,7 @@
         let way = self.way(from, to);
         let sent = self.local_now();
         let length = if let Packet::Data(bytes) = &packet { bytes.len() } else { 0 };
-        let transfer = Span::secs(length as f64 / BYTES_PER_S);
+        let transfer = Duration::from_seconds(length as f64 / BYTES_PER_S);
         let left = self.hosts[from].link.as_mut().map_or(sent, |link| link.leave(sent, length));
         let come = self.hosts[to].link.as_mut().map_or(left + way, |link| link.arrive(left + way, length));
         let Some(found) = self.connections.get_mut(&end.connection()) else { return };
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -7,19 +7,19 @@
 use crate::judge::{SentOrder, Version};
 use crate::scenario::Load;
 use crate::stage::{Class, Stage};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
 /// Silence after which a call goes to another node.
-const SILENCE: Span = Span::millis(1000);
+const SILENCE: Duration = Duration::from_millis(1000);
 /// Orders are sent again for this long.
-const SENDS_FOR: Span = Span::millis(9000);
+const SENDS_FOR: Duration = Duration::from_millis(9000);
 /// Between two checks of a node.
-const CHECK_EVERY: Span = Span::millis(1000);
+const CHECK_EVERY: Duration = Duration::from_millis(1000);
 /// A check that is not answered by then is missed.
-const CHECK_WITHIN: Span = Span::millis(900);
+const CHECK_WITHIN: Duration = Duration::from_millis(900);
 
 const CHECK: u64 = 0;
 const EXPIRES: u64 = 1;
@@ -55,12 +55,12 @@
 struct Task {
     order: Order,
     body: Vec<u8>,
-    since: Moment,
-    until: Moment,
-    pause: Span,
+    since: Instant,
+    until: Instant,
+    pause: Duration,
     others: u32,
     call: Option<HttpCall>,
-    called: Moment,
+    called: Instant,
     to: Option<SocketAddrV4>,
     /// Whether an answer to it was lost on its way: then no time is due any more.
     answer_lost: bool,
@@ -84,7 +84,7 @@
     host: usize,
     ballast: usize,
     /// Between two reads of the configuration while changes come and go.
-    peek_every: Option<Span>,
+    peek_every: Option<Duration>,
     tasks: BTreeMap<u64, Task>,
     ends: BTreeMap<End, u64>,
     next: u64,
@@ -109,7 +109,7 @@
         Operators {
             host,
             ballast: load.ballast_routes,
-            peek_every: (load.reads_per_s > 0.0).then(|| Span::secs(1.0 / load.reads_per_s)),
+            peek_every: (load.reads_per_s > 0.0).then(|| Duration::from_seconds(1.0 / load.reads_per_s)),
             tasks: BTreeMap::new(),
             ends: BTreeMap::new(),
             next: 8,
@@ -135,7 +135,7 @@
     fn peek(&mut self, stage: &mut Stage<'_>) {
         let Some(every) = self.peek_every else { return };
         wake(stage, stage.now() + every, PEEK, 0);
-        self.add(Order::Peek, Vec::new(), Span(0), stage);
+        self.add(Order::Peek, Vec::new(), Duration::from_nanos(0), stage);
     }
 
     /// A change was acknowledged: each node is asked for the configuration at once.
@@ -143,7 +143,7 @@
         let nodes = stage.machines.iter().filter(|m| m.class == Class::Edge && m.listed && m.life.is_some());
         let nodes: Vec<SocketAddrV4> = nodes.map(|machine| machine.control()).collect();
         for node in nodes {
-            self.add(Order::PeekAt { node }, Vec::new(), Span(0), stage);
+            self.add(Order::PeekAt { node }, Vec::new(), Duration::from_nanos(0), stage);
         }
     }
 
@@ -213,7 +213,7 @@
 
     /// Reads the configuration back until it comes.
     pub fn show(&mut self, stage: &mut Stage<'_>) {
-        self.add(Order::Show { last: true }, Vec::new(), Span::millis(60_000), stage);
+        self.add(Order::Show { last: true }, Vec::new(), Duration::from_millis(60_000), stage);
     }
 
     /// What never came.
@@ -224,7 +224,7 @@
         }
     }
 
-    fn add(&mut self, order: Order, body: Vec<u8>, within: Span, stage: &mut Stage<'_>) {
+    fn add(&mut self, order: Order, body: Vec<u8>, within: Duration, stage: &mut Stage<'_>) {
         self.next += 1;
         let now = stage.now();
         let task = Task {
@@ -232,7 +232,7 @@
             body,
             since: now,
             until: now + within,
-            pause: Span::millis(30),
+            pause: Duration::from_millis(30),
             others: 0,
             call: None,
             called: now,
@@ -255,7 +255,7 @@
                 nodes.get(stage.hub.random.random_range(0..nodes.len().max(1))).copied()
             }
         };
-        let Some(to) = to else { return wake(stage, now + Span::millis(200), AGAIN, number) };
+        let Some(to) = to else { return wake(stage, now + Duration::from_millis(200), AGAIN, number) };
         let host = to.to_string();
         let base_text;
         let (method, target, mut headers) = match &task.order {
@@ -410,7 +410,7 @@
             (Order::Retire { node, begins: true }, Some(200)) => {
                 self.tasks.remove(&number);
                 let order = Order::Retire { node, begins: false };
-                self.add(order, Vec::new(), Span::millis(20_000), stage);
+                self.add(order, Vec::new(), Duration::from_millis(20_000), stage);
             }
             (Order::Retire { begins: true, .. }, Some(404 | 409)) => drop(self.tasks.remove(&number)),
             (Order::Retire { node, begins: false }, Some(200))
@@ -440,7 +440,7 @@
             }
             return;
         }
-        task.pause = task.pause.scaled(1.5).min(Span::millis(600));
+        task.pause = task.pause.scaled(1.5).min(Duration::from_millis(600));
         let pause = task.pause;
         wake(stage, now + pause, AGAIN, number);
     }
@@ -453,6 +453,6 @@
     }
 }
 
-fn wake(stage: &mut Stage<'_>, at: Moment, kind: u64, value: u64) {
+fn wake(stage: &mut Stage<'_>, at: Instant, kind: u64, value: u64) {
     stage.hub.schedule(at, Happening::Wake { owner: Owner::Operators, token: kind | (value << 3) });
 }
--- a/crates/simulation/src/stage.rs
+++ b/crates/simulation/src/stage.rs
@@ -2,7 +2,7 @@
 
 use crate::hub::Hub;
 use crate::judge::Judge;
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// The port for clients.
@@ -75,7 +75,7 @@
 
 impl Stage<'_> {
     /// The time.
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Instant {
         self.hub.now
     }
 
--- a/crates/simulation/src/times.rs
+++ b/crates/simulation/src/times.rs
@@ -1,6 +1,6 @@
 //! How long things took in a storm.
 
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use std::fmt;
 
 /// What a time is of.
@@ -50,5 +50,5 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Times {
     /// Each one that was taken.
-    pub taken: Vec<(What, Span)>,
+    pub taken: Vec<(What, Duration)>,
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -5,7 +5,7 @@
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_quorum::{ReplicaId, Restored, Write};
 use grebeusher_tier::io::{Accepted, Listener, PartStore, Signalled, Stream, World};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use grebeusher_transport::socket::USER_TIMEOUT;
 use rand::Rng;
@@ -31,11 +31,11 @@
 }
 
 impl World for ProcessWorld {
-    fn now(&self) -> Moment {
+    fn now(&self) -> Instant {
         let mut hub = self.hub.borrow_mut();
         let now = hub.local_now();
         let process = &mut hub.processes[self.process];
-        Moment(process.clock_before_freeze.take().unwrap_or(now).since(process.started).0)
+        Instant(process.clock_before_freeze.take().unwrap_or(now).since(process.started).nanos())
     }
 
     fn wall_ms(&self) -> u64 {
@@ -48,7 +48,7 @@
         self.hub.borrow_mut().random.random()
     }
 
-    fn wait(&self, _: Span, _: &mut Vec<Event>) -> io::Result<()> {
+    fn wait(&self, _: Duration, _: &mut Vec<Event>) -> io::Result<()> {
         // Whoever steps the loop waits.
         Err(ErrorKind::Unsupported.into())
     }
@@ -70,7 +70,7 @@
         let mut hub = self.hub.borrow_mut();
         let host = hub.processes[self.process].host;
         let end = hub.dial(Owner::Process(self.process), host, address, key);
-        hub.break_after(end, Span::secs(USER_TIMEOUT.as_secs_f64()));
+        hub.break_after(end, Duration::from_seconds(USER_TIMEOUT.as_secs_f64()));
         hub.watch(end, key, Interest::WRITABLE);
         Ok(Box::new(Line { hub: self.hub.clone(), end }))
     }
@@ -91,14 +91,14 @@
         let random = self.random();
         let mut hub = self.hub.borrow_mut();
         let (id, existed) = self.disk.borrow_mut().identity(hub.local_now(), random);
-        hub.turn_spent = hub.turn_spent + self.disk.borrow().sync_takes.scaled(4.0);
+        hub.turn_spent += self.disk.borrow().sync_takes.scaled(4.0);
         Ok(Identity { id: ReplicaId(id), existed })
     }
 
     fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartStore>, Restored), StoreError> {
         let mut hub = self.hub.borrow_mut();
         let restored = self.disk.borrow_mut().open(hub.local_now(), folder);
-        hub.turn_spent = hub.turn_spent + self.disk.borrow().sync_takes.scaled(2.0);
+        hub.turn_spent += self.disk.borrow().sync_takes.scaled(2.0);
         let files = Files { hub: self.hub.clone(), disk: self.disk.clone(), folder: folder.to_owned() };
         Ok((Box::new(files), restored))
     }
@@ -121,14 +121,14 @@
         }
         let mut hub = self.hub.borrow_mut();
         let takes = self.disk.borrow_mut().write(hub.local_now(), &self.folder, writes);
-        hub.turn_spent = hub.turn_spent + takes;
+        hub.turn_spent += takes;
         Ok(())
     }
 
     fn sync(&mut self) -> Result<(), StoreError> {
         let mut hub = self.hub.borrow_mut();
         let takes = self.disk.borrow_mut().sync(hub.local_now(), &self.folder);
-        hub.turn_spent = hub.turn_spent + takes;
+        hub.turn_spent += takes;
         Ok(())
     }
 }
--- a/crates/simulation/tests/hollow.rs
+++ b/crates/simulation/tests/hollow.rs
@@ -3,7 +3,7 @@
 
 use grebeusher_simulation::fleet::hollow::{Hollow, Idle};
 use grebeusher_tier::traffic::TIMER_KINDS;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 
 /// Wake-ups a second that an edge node without a disk may have.
@@ -14,7 +14,14 @@
 const MOST_BYTES: f64 = 2_000.0;
 
 fn at_rest(machines: usize, executors: usize) -> Idle {
-    Hollow { machines, executors, seed: 1, settle: Span::millis(12_000), measure: Span::millis(6_000) }.run()
+    Hollow {
+        machines,
+        executors,
+        seed: 1,
+        settle: Duration::from_millis(12_000),
+        measure: Duration::from_millis(6_000),
+    }
+    .run()
 }
 
 #[rstest]
--- a/crates/simulation/tests/judge.rs
+++ b/crates/simulation/tests/judge.rs
@@ -4,11 +4,11 @@
 use grebeusher_simulation::judge::{
     Arrival, Bounds, Judge, Kind, Listed, MadeItem, Rule, SentOrder, Version,
 };
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::collections::BTreeMap;
 
-fn at(ms: u64) -> Moment {
-    Moment(0) + Span::millis(ms)
+fn at(ms: u64) -> Instant {
+    Instant(0) + Duration::from_millis(ms)
 }
 
 fn version(number: u64, base: u64, service: &str, sent: u64) -> Version {
--- a/crates/simulation/tests/links.rs
+++ b/crates/simulation/tests/links.rs
@@ -6,7 +6,7 @@
 use grebeusher_simulation::world::ProcessWorld;
 use grebeusher_tier::node::Node;
 use grebeusher_tier::start::Start;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
@@ -39,8 +39,8 @@
 /// A node whose only seed's machine is without power.
 fn started() -> World {
     let mut hub = Hub::new(1);
-    let host = hub.add_host(NODE, 0, Span(0));
-    let seed = hub.add_host(SEED, 1, Span(0));
+    let host = hub.add_host(NODE, 0, Duration::from_nanos(0));
+    let seed = hub.add_host(SEED, 1, Duration::from_nanos(0));
     hub.hosts[host].powered = true;
     hub.hosts[seed].powered = false;
     hub.listen(Owner::Clients, SocketAddrV4::new(SEED, INTERNAL_PORT), 0).expect("nobody listens there");
@@ -49,19 +49,19 @@
     let world = ProcessWorld {
         hub: hub.clone(),
         process,
-        disk: Rc::new(RefCell::new(Disk::new(Span::millis(1)))),
+        disk: Rc::new(RefCell::new(Disk::new(Duration::from_millis(1)))),
         settings: Rc::new(RefCell::new(settings())),
     };
     let settings = Settings::read(&settings()).expect("the settings are right");
     let node = Node::new(Start::open(settings, Rc::new(world)).expect("it starts")).expect("it starts");
     hub.borrow_mut().end_turn(process);
-    hub.borrow_mut().turn_process(process, Moment(0));
+    hub.borrow_mut().turn_process(process, Instant(0));
     World { hub, node, process, seed }
 }
 
 impl World {
     fn drive(&mut self, until_ms: u64) {
-        let until = Moment(0) + Span::millis(until_ms);
+        let until = Instant(0) + Duration::from_millis(until_ms);
         loop {
             let happening = self.hub.borrow_mut().next(until);
             match happening {
@@ -88,7 +88,7 @@
         let wakes = self.node.next_wake();
         let mut hub = self.hub.borrow_mut();
         hub.end_turn(self.process);
-        hub.turn_process(self.process, Moment(wakes.0));
+        hub.turn_process(self.process, Instant(wakes.0));
     }
 }
 
--- a/crates/simulation/tests/lives.rs
+++ b/crates/simulation/tests/lives.rs
@@ -7,11 +7,11 @@
 use grebeusher_simulation::fleet::run;
 use grebeusher_simulation::scenario::{Closing, CutFrom, Fault, Grey, Load, On, Timed, When, WrongKind};
 use grebeusher_simulation::times::What;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 
 /// A machine that is back counts as lost for this long (`sync_time_s`).
-const SYNC_TIME: Span = Span::millis(5000);
+const SYNC_TIME: Duration = Duration::from_millis(5000);
 
 #[test]
 fn a_calm_day_serves_everybody() {
@@ -274,7 +274,7 @@
     expect_clean(&report);
     // then the groups of all parts are whole again within the time for which the machine counts as lost.
     let whole = report.times.taken.iter().filter(|(what, _)| *what == What::GroupWhole);
-    let times: Vec<Span> = whole.map(|(_, time)| *time).collect();
+    let times: Vec<Duration> = whole.map(|(_, time)| *time).collect();
     assert!(times.len() >= 4, "{} repairs of {name}", times.len());
     assert!(times.iter().all(|time| *time < SYNC_TIME), "{times:?}");
 }
--- a/crates/simulation/tests/wave.rs
+++ b/crates/simulation/tests/wave.rs
@@ -3,7 +3,7 @@
 
 use grebeusher_simulation::fleet::hollow::Hollow;
 use grebeusher_simulation::fleet::wave::restart_together;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 
 /// Bytes that one node may send to others in a tenth of a second: a third of a link of 30 Mbit/s.
@@ -15,14 +15,19 @@
 fn forty_six_machines_that_restart_together_make_no_wave(#[values(1, 2)] seed: u64) {
     // Given 78 machines and 93 executors that have settled,
     let (machines, executors) = (78, 93);
-    let hollow =
-        Hollow { machines, executors, seed, settle: Span::millis(8_000), measure: Span::millis(2_000) };
+    let hollow = Hollow {
+        machines,
+        executors,
+        seed,
+        settle: Duration::from_millis(8_000),
+        measure: Duration::from_millis(2_000),
+    };
     // when 46 edge machines restart together,
     let wave = restart_together(&hollow, 46);
     println!("{wave:?}");
     // then all serve again soon, nobody sends more than a part of its link, and nobody is brought things again and again.
     assert_eq!(wave.restarted, 46);
-    assert!(wave.all_back.is_some_and(|back| back <= Span::millis(4_000)), "{wave:?}");
+    assert!(wave.all_back.is_some_and(|back| back <= Duration::from_millis(4_000)), "{wave:?}");
     assert!(wave.most_sent.bytes <= MOST_SENT, "{wave:?}");
     let registers = (2 * machines + executors) as u64;
     assert!(wave.most_brought.bytes <= registers * MOST_BROUGHT_A_REGISTER, "{wave:?}");
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -3,7 +3,7 @@
 use grebeusher_quorum::{Entry, HardState, Index, Payload, Term, Write};
 use grebeusher_simulation::disk::Disk;
 use grebeusher_simulation::hub::{Cut, End, Happening, Hub, Owner};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -11,7 +11,7 @@
 use std::path::Path;
 
 fn drive(hub: &mut Hub, ms: u64) {
-    let until = hub.now + Span::millis(ms);
+    let until = hub.now + Duration::from_millis(ms);
     while let Some(happening) = hub.next(until) {
         match happening {
             Happening::Opening { connection, attempt } => hub.opening(connection, attempt),
@@ -32,8 +32,8 @@
 fn dialled() -> Pair {
     let mut hub = Hub::new(1);
     let (a, b) = (Ipv4Addr::new(10, 0, 0, 1), Ipv4Addr::new(10, 0, 0, 2));
-    let one = hub.add_host(a, 0, Span(0));
-    hub.add_host(b, 1, Span(0));
+    let one = hub.add_host(a, 0, Duration::from_nanos(0));
+    hub.add_host(b, 1, Duration::from_nanos(0));
     let address = SocketAddrV4::new(b, 80);
     hub.listen(Owner::Clients, address, 0).expect("nobody listens there");
     let end = hub.dial(Owner::Clients, one, address, 0);
@@ -98,7 +98,7 @@
         drive(&mut hub, 5);
         let other = hub.accept(address).expect("it has come up");
         if breaks {
-            hub.break_after(end, Span::millis(1200));
+            hub.break_after(end, Duration::from_millis(1200));
         }
         // Given a connection that was idle for long and that something on the way has forgotten,
         drive(&mut hub, 3000);
@@ -135,8 +135,8 @@
 #[rstest]
 fn only_what_was_synced_is_sure_to_outlive_a_loss_of_power(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let folder = Path::new("part-0");
-    let mut disk = Disk::new(Span::millis(1));
-    let ms = |ms| Moment(0) + Span::millis(ms);
+    let mut disk = Disk::new(Duration::from_millis(1));
+    let ms = |ms| Instant(0) + Duration::from_millis(ms);
     disk.open(ms(0), folder);
     disk.write(ms(10), folder, &[hard(1), entry(1)]);
     disk.sync(ms(10), folder);
@@ -156,8 +156,8 @@
 #[test]
 fn a_killed_process_leaves_its_files_as_they_were() {
     let folder = Path::new("part-0");
-    let mut disk = Disk::new(Span::millis(1));
-    let ms = |ms| Moment(0) + Span::millis(ms);
+    let mut disk = Disk::new(Duration::from_millis(1));
+    let ms = |ms| Instant(0) + Duration::from_millis(ms);
     disk.open(ms(0), folder);
     disk.write(ms(10), folder, &[entry(1)]);
     disk.write(ms(20), folder, &[entry(2)]);
@@ -167,9 +167,9 @@
 
 #[test]
 fn a_wiped_disk_has_another_identity() {
-    let mut disk = Disk::new(Span::millis(1));
-    assert_eq!(disk.identity(Moment(0), 7), (7, false));
-    assert_eq!(disk.identity(Moment(0), 8), (7, true));
+    let mut disk = Disk::new(Duration::from_millis(1));
+    assert_eq!(disk.identity(Instant(0), 7), (7, false));
+    assert_eq!(disk.identity(Instant(0), 8), (7, true));
     disk.wipe();
-    assert_eq!(disk.identity(Moment(0), 9), (9, false));
+    assert_eq!(disk.identity(Instant(0), 9), (9, false));
 }
--- a/crates/tier/src/batch_front.rs
+++ b/crates/tier/src/batch_front.rs
@@ -10,7 +10,7 @@
 use grebeusher_batch::{JobId, SubmissionHead, read_submission};
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_hash::fixed_hash;
-use grebeusher_time::Span;
+use grebeusher_time::{Duration, DurationExt};
 use grebeusher_transport::http;
 use nanoserde::SerBin;
 use std::rc::Rc;
@@ -21,9 +21,9 @@
 /// The longest that a read is held, whatever it asks (milliseconds).
 const MOST_HOLD_MS: u64 = 1000;
 /// What a read or an end may take beside the time it is held.
-const CALL_WITHIN: Span = Span::millis(1200);
+const CALL_WITHIN: Duration = Duration::from_millis(1200);
 /// A job that is not taken by then is refused or unclear: clients wait at least this long.
-const SUBMIT_WITHIN: Span = Span::millis(2500);
+const SUBMIT_WITHIN: Duration = Duration::from_millis(2500);
 /// How long items are kept at least where the route says nothing (milliseconds).
 const DEFAULT_RETENTION_MS: u64 = 24 * 3600 * 1000;
 /// A job that can't be taken now is best sent again after this long (seconds).
@@ -67,7 +67,7 @@
     pub fn client_request(&mut self, connection: usize, request: ClientRequest) {
         let serial = self.serial(connection);
         let Some(active) = self.configuration.clone() else {
-            let seconds = format!("{:.1}", STARTING_RETRY.as_secs());
+            let seconds = format!("{:.1}", STARTING_RETRY.seconds());
             let answer = http::answer(503, &[("Retry-After", &seconds)], b"");
             return self.answer(connection, serial, answer);
         };
@@ -145,7 +145,7 @@
             query_value(&request.head.target, "resume_after").and_then(|text| text.parse().ok()).unwrap_or(0);
         let hold = request.head.headers.get(names::HOLD_MS).and_then(|text| text.trim().parse().ok());
         let hold_ms = hold.unwrap_or(0).min(MOST_HOLD_MS);
-        let within = CALL_WITHIN + Span::millis(hold_ms);
+        let within = CALL_WITHIN + Duration::from_millis(hold_ms);
         if self.refuse_call_if_too_late(connection, within) {
             return;
         }
--- a/crates/tier/src/batch_load.rs
+++ b/crates/tier/src/batch_load.rs
@@ -4,12 +4,12 @@
 use crate::messages::{BatchLoad, Channel};
 use crate::node::Node;
 use grebeusher_batch::PartLoad;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use nanoserde::{DeBin, SerBin};
 use std::net::SocketAddrV4;
 
 /// How often an owner with items tells: a share of how long an item runs.
-const TELL_EVERY: Span = Span::millis(60);
+const TELL_EVERY: Duration = Duration::from_millis(60);
 
 impl Node {
     /// The owner of another part tells its load.
--- a/crates/tier/src/batch_part.rs
+++ b/crates/tier/src/batch_part.rs
@@ -10,7 +10,7 @@
     Wanted,
 };
 use grebeusher_quorum::Blob;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use nanoserde::{DeBin, DeBinErr, SerBin};
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::collections::BTreeSet;
@@ -268,7 +268,7 @@
     pub(crate) fn forget_old_jobs(&mut self, place: usize) {
         let now = self.now;
         // Readers come for a while longer than the bound, and a client's first send was before the job was taken.
-        let status = Span::secs(self.settings.bounds.status_s + 10.0);
+        let status = Duration::from_seconds(self.settings.bounds.status_s + 10.0);
         let Some(part) = self.batch_mut(place) else { return };
         let jobs = part.runner.forgettable(&part.jobs, now, status);
         if !jobs.is_empty() {
@@ -348,7 +348,7 @@
         let listed = part.jobs.status(&job).map_or(0, |status| status.listed);
         if listed <= resume_after && hold_ms > 0 && part.jobs.is_open(&job) {
             part.held.push(HeldRead { read, waiter, job, resume_after });
-            let until = now + Span::millis(u64::from(hold_ms));
+            let until = now + Duration::from_millis(u64::from(hold_ms));
             self.alarms.set(until, Timer::HeldReadExpires { read });
             return;
         }
@@ -415,7 +415,7 @@
     }
 
     /// When an owner's runner next has something to do by itself.
-    pub(crate) fn runner_wake(&self, place: usize) -> Option<Moment> {
+    pub(crate) fn runner_wake(&self, place: usize) -> Option<Instant> {
         match &self.parts.get(place)?.application {
             Application::Batch(part) if self.parts[place].owns() => part.runner.next_wake(),
             _ => None,
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -6,25 +6,25 @@
 use crate::timers::Timer;
 use grebeusher_batch::Submission;
 use grebeusher_registry::Class;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use nanoserde::{DeBin, SerBin};
 use std::net::SocketAddrV4;
 use tracing::debug;
 
 /// A node that has not answered by then is left for another one. Owners answer once a quorum has synced.
-const TRY_FOR: Span = Span::millis(400);
+const TRY_FOR: Duration = Duration::from_millis(400);
 /// A node that has left a call unanswered, and has said nothing since, is gone round for this long.
-const UNHEARD_FOR: Span = Span::millis(2500);
+const UNHEARD_FOR: Duration = Duration::from_millis(2500);
 /// A call that takes longer is told in the log.
-const SLOW_CALL: Span = Span::millis(250);
+const SLOW_CALL: Duration = Duration::from_millis(250);
 /// What a large call gets at least of a link that others use too (bytes a second).
 const SLOWEST_BYTES_PER_S: u64 = 200_000;
 /// What a page of results may take beside the time that a read is held: it waits behind those of other readers.
-const PAGE_WITHIN: Span = Span::millis(300);
+const PAGE_WITHIN: Duration = Duration::from_millis(300);
 /// The pause before a node is asked again when none owned the part.
-const NO_OWNER_PAUSE: Span = Span::millis(60);
+const NO_OWNER_PAUSE: Duration = Duration::from_millis(60);
 /// The pause before a job is offered again that was refused while a copy of it may be under way.
-const REFUSED_PAUSE: Span = Span::millis(200);
+const REFUSED_PAUSE: Duration = Duration::from_millis(200);
 /// Batch jobs of this many bytes and more are offered before they are sent.
 const OFFERED_FROM: usize = 4 * 1024;
 
@@ -76,9 +76,9 @@
     part: Option<u8>,
     to: Option<SocketAddrV4>,
     tried: Vec<SocketAddrV4>,
-    began: Moment,
-    until: Moment,
-    expires: Moment,
+    began: Instant,
+    until: Instant,
+    expires: Instant,
     /// Whether a node may have taken it without this node hearing so.
     unheard: bool,
     /// How it was sent last.
@@ -115,15 +115,15 @@
 /// How much longer than usual a call may take without anything being wrong: reads are held, and large calls need their
 /// time on links that many of them share. Guards against large calls being sent again and again while they wait in the
 /// queue of a link: what was meant to help then keeps the owner's link full for good.
-fn held_for(call: &Call) -> Span {
-    let on_the_way = |bytes: usize| Span(bytes as u64 * 1_000_000_000 / SLOWEST_BYTES_PER_S);
+fn held_for(call: &Call) -> Duration {
+    let on_the_way = |bytes: usize| Duration::from_nanos(bytes as u64 * 1_000_000_000 / SLOWEST_BYTES_PER_S);
     match call {
-        Call::ReadJob { hold_ms, .. } => Span::millis(u64::from(*hold_ms)) + PAGE_WITHIN,
+        Call::ReadJob { hold_ms, .. } => Duration::from_millis(u64::from(*hold_ms)) + PAGE_WITHIN,
         Call::SubmitJob(submission) => on_the_way(submission.submission.len()),
         Call::ReplaceConfiguration { body, .. } => on_the_way(body.len()),
         // The relay tries more than one node.
         Call::Forward { call, .. } => TRY_FOR + on_the_way(call.len()),
-        _ => Span(0),
+        _ => Duration::from_nanos(0),
     }
 }
 
@@ -153,8 +153,8 @@
     matches!(call, Call::SubmitJob(_))
 }
 
-fn forwarded(pending: &PendingCall, call: &Call, now: Moment) -> Call {
-    let within = pending.until.since(now).0 / 1_000_000;
+fn forwarded(pending: &PendingCall, call: &Call, now: Instant) -> Call {
+    let within = pending.until.since(now).nanos() / 1_000_000;
     Call::Forward {
         part: pending.part.unwrap_or_default(),
         within_ms: u32::try_from(within).unwrap_or(u32::MAX),
@@ -185,12 +185,12 @@
 
 impl Node {
     /// Calls the owner of a part, wherever it is, until `until`.
-    pub fn call_owner(&mut self, part: u8, call: Call, until: Moment, continuation: Continuation) {
+    pub fn call_owner(&mut self, part: u8, call: Call, until: Instant, continuation: Continuation) {
         self.begin_call(Some(part), None, call, until, continuation);
     }
 
     /// Calls one node.
-    pub fn call_node(&mut self, to: SocketAddrV4, call: Call, until: Moment, continuation: Continuation) {
+    pub fn call_node(&mut self, to: SocketAddrV4, call: Call, until: Instant, continuation: Continuation) {
         self.begin_call(None, Some(to), call, until, continuation);
     }
 
@@ -199,7 +199,7 @@
         part: Option<u8>,
         to: Option<SocketAddrV4>,
         call: Call,
-        until: Moment,
+        until: Instant,
         continuation: Continuation,
     ) {
         let pending = PendingCall {
@@ -331,7 +331,7 @@
         call: &[u8],
     ) {
         let Ok(call) = <Call as DeBin>::deserialize_bin(call) else { return };
-        let until = self.now + Span::millis(u64::from(within_ms));
+        let until = self.now + Duration::from_millis(u64::from(within_ms));
         self.call_owner(part, call, until, Continuation::Forwarded { peer, number });
     }
 
@@ -404,7 +404,7 @@
     }
 
     /// All nodes are to be asked anew after a pause.
-    fn call_later(&mut self, number: CallNumber, pause: Span) {
+    fn call_later(&mut self, number: CallNumber, pause: Duration) {
         let now = self.now;
         let Some(pending) = self.calls.get_mut(&number) else { return };
         pending.expires = (now + pause).min(pending.until);
@@ -424,7 +424,7 @@
         let took = self.now.since(pending.began);
         if took > SLOW_CALL {
             let (part, tries) = (pending.part, pending.tried.len());
-            debug!("a call to the owner of part {part:?} took {:.3} s, {tries} tries", took.as_secs());
+            debug!("a call to the owner of part {part:?} took {:.3} s, {tries} tries", took.seconds());
         }
         let reply = settled(&pending.call, pending.unheard, reply);
         match pending.continuation {
--- a/crates/tier/src/configuration.rs
+++ b/crates/tier/src/configuration.rs
@@ -6,16 +6,16 @@
 use crate::node::Node;
 use grebeusher_configuration::configuration::{Configuration, Route};
 use grebeusher_configuration::routes::RouteTable;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::sync::Arc;
 use tracing::{info, warn};
 
 /// A peer that tells of a newer configuration hands it over within this.
-const FETCH_WITHIN: Span = Span::millis(300);
+const FETCH_WITHIN: Duration = Duration::from_millis(300);
 /// A node that starts asks the owner for this long; then what peers say has to do.
-const PROOF_WITHIN: Span = Span::millis(2500);
+const PROOF_WITHIN: Duration = Duration::from_millis(2500);
 
 /// A configuration in force.
 pub struct ActiveConfiguration {
--- a/crates/tier/src/control.rs
+++ b/crates/tier/src/control.rs
@@ -8,16 +8,16 @@
 use crate::retire::RetireQuestion;
 use grebeusher_configuration::configuration::Configuration;
 use grebeusher_registry::{Answer, HeartbeatReport};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use grebeusher_transport::http;
 
 /// The part that holds the configuration.
 pub const CONFIGURATION_PART: u8 = 0;
 /// The operator goes on to another node after a second of silence; a configuration is settled by then, or the answer says
 /// that it is not known.
-pub(crate) const OPERATOR_WAITS: Span = Span::millis(950);
+pub(crate) const OPERATOR_WAITS: Duration = Duration::from_millis(950);
 /// A large configuration gets more, as its caller waits for longer.
-const OPERATOR_WAITS_LARGE: Span = Span::millis(1800);
+const OPERATOR_WAITS_LARGE: Duration = Duration::from_millis(1800);
 /// From this size on a configuration is large (bytes).
 const LARGE_CONFIGURATION: usize = 256 * 1024;
 
--- a/crates/tier/src/copies.rs
+++ b/crates/tier/src/copies.rs
@@ -2,13 +2,13 @@
 
 use crate::node::Node;
 use grebeusher_quorum::{Index, ReplicaId};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use tracing::warn;
 
 /// A lone copy that lasts for less is one that others are just about to follow.
-const WARN_AFTER: Span = Span::millis(1500);
+const WARN_AFTER: Duration = Duration::from_millis(1500);
 /// Between two warnings of the same.
-const WARN_EVERY: Span = Span::millis(5000);
+const WARN_EVERY: Duration = Duration::from_millis(5000);
 
 /// Up to where a voter has the log of a part on its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,13 +33,13 @@
 /// Since when a part has had only one copy, and when that was last told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoneCopy {
-    since: Option<Moment>,
-    told: Option<Moment>,
+    since: Option<Instant>,
+    told: Option<Instant>,
 }
 
 impl LoneCopy {
     /// Looks at the part again; whether it is to be told now.
-    pub fn look(&mut self, now: Moment, is_alone: bool) -> bool {
+    pub fn look(&mut self, now: Instant, is_alone: bool) -> bool {
         if !is_alone {
             *self = LoneCopy::default();
             return false;
--- a/crates/tier/src/exchange.rs
+++ b/crates/tier/src/exchange.rs
@@ -9,7 +9,7 @@
 use crate::upstream::{CallOwner, Failure, MOST_UNWRITTEN, Target, UpstreamEvent};
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_gateway::{AttemptToken, Attempts, ExecutorId, FinalAnswer, Kind, Next, Outcome, ServerLoad};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::headers::Headers;
 use grebeusher_transport::http::{self, RequestHead};
 use std::rc::Rc;
@@ -17,16 +17,16 @@
 /// A deadline that the client doesn't name (milliseconds).
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 /// An attempt with less time than this has no sense.
-const LEAST_TIME: Span = Span::millis(3);
+const LEAST_TIME: Duration = Duration::from_millis(3);
 /// An idempotent request is sent to another executor after this many objectives without a byte.
 const SILENT_OBJECTIVES: f64 = 4.0;
 /// It is never taken for silent sooner than this.
-const SILENT_AT_LEAST: Span = Span::millis(900);
+const SILENT_AT_LEAST: Duration = Duration::from_millis(900);
 /// A resumable stream that pauses for this many of its aims for pauses goes on at another executor: the client gives it
 /// up after eight of them.
 const SILENT_PAUSES: f64 = 3.0;
 /// A pause is never taken for silence sooner than this.
-const PAUSE_AT_LEAST: Span = Span::millis(700);
+const PAUSE_AT_LEAST: Duration = Duration::from_millis(700);
 /// What a client is told to wait where nothing better is known (seconds).
 const RETRY_AFTER_S: &str = "0.2";
 
@@ -44,7 +44,7 @@
     flight: AttemptToken,
     status: u16,
     /// When anything last came of it.
-    heard: Moment,
+    heard: Instant,
     head_seen: bool,
     /// An answer that is held until it is whole.
     held: Option<HeldAnswer>,
@@ -75,8 +75,8 @@
     route: Rc<Route>,
     service: String,
     kind: Kind,
-    accepted: Moment,
-    deadline: Moment,
+    accepted: Instant,
+    deadline: Instant,
     tried: Vec<ExecutorId>,
     attempts: Attempts,
     attempt: Option<Attempt>,
@@ -104,19 +104,20 @@
     }
 
     /// How long an attempt may be silent before the request goes to another executor.
-    fn silence_borne(&self) -> Span {
+    fn silence_borne(&self) -> Duration {
         let begun = self.attempt.as_ref().is_some_and(|attempt| attempt.head_seen);
         match self.route.gap_aim_ms {
-            Some(gap_ms) if begun => PAUSE_AT_LEAST.max(Span::millis(gap_ms).scaled(SILENT_PAUSES)),
-            _ => SILENT_AT_LEAST.max(Span::millis(self.route.target_latency_ms).scaled(SILENT_OBJECTIVES)),
+            Some(gap_ms) if begun => PAUSE_AT_LEAST.max(Duration::from_millis(gap_ms).scaled(SILENT_PAUSES)),
+            _ => SILENT_AT_LEAST
+                .max(Duration::from_millis(self.route.target_latency_ms).scaled(SILENT_OBJECTIVES)),
         }
     }
 }
 
 /// How long a request may take, by its client and its route.
-pub fn time_allowed(headers: &Headers, route: &Route) -> Span {
+pub fn time_allowed(headers: &Headers, route: &Route) -> Duration {
     let asked_ms = headers.get(names::DEADLINE_MS).and_then(|text| text.trim().parse().ok());
-    Span::millis(asked_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(route.timeout_ms))
+    Duration::from_millis(asked_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(route.timeout_ms))
 }
 
 impl Node {
@@ -387,13 +388,13 @@
         self.finish(index, answer, None);
     }
 
-    fn refuse(&mut self, index: usize, retry_after: Span) {
+    fn refuse(&mut self, index: usize, retry_after: Duration) {
         let exchange = &self.exchanges[index];
         if exchange.streaming || exchange.attempts.may_have_run() {
             return self.give_up(index);
         }
         let (client, serial) = (exchange.client, exchange.client_serial);
-        let seconds = format!("{:.3}", retry_after.as_secs());
+        let seconds = format!("{:.3}", retry_after.seconds());
         self.counters.refused += 1;
         self.write_own_answer(client, serial, http::answer(503, &[("Retry-After", &seconds)], b""));
         self.end_exchange(index, true);
@@ -465,10 +466,10 @@
 }
 
 /// The request as an executor gets it.
-fn executor_request(exchange: &Exchange, target: &Target, now: Moment) -> Vec<u8> {
+fn executor_request(exchange: &Exchange, target: &Target, now: Instant) -> Vec<u8> {
     const OWN: [&str; 3] = [names::DEADLINE_MS, names::TARGET_INSTANCE, names::LAST_EVENT_ID];
     let head = &exchange.request.head;
-    let left_ms = (exchange.deadline.since(now).0 / 1_000_000).max(1);
+    let left_ms = (exchange.deadline.since(now).nanos() / 1_000_000).max(1);
     let mut text = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
     text += &head.headers.passed_on(&OWN);
     text += &format!("{}: {left_ms}\r\n", names::DEADLINE_MS);
--- a/crates/tier/src/founding.rs
+++ b/crates/tier/src/founding.rs
@@ -13,26 +13,26 @@
 use crate::timers::Timer;
 use grebeusher_configuration::settings::Settings;
 use grebeusher_registry::Class;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use std::collections::BTreeMap;
 
 /// How often the founder looks.
-pub const LOOK_EVERY: Span = Span::millis(100);
+pub const LOOK_EVERY: Duration = Duration::from_millis(100);
 /// No new replica has shown itself for this long: those that start together are all there.
-const SETTLED_FOR: Span = Span::millis(900);
+const SETTLED_FOR: Duration = Duration::from_millis(900);
 /// Fewer replicas than a group needs are waited for this long.
-const WAITS_FOR_MORE: Span = Span::millis(4000);
+const WAITS_FOR_MORE: Duration = Duration::from_millis(4000);
 /// Each further seed waits this much longer before it steps in.
-const NEXT_SEED_AFTER: Span = Span::millis(6000);
+const NEXT_SEED_AFTER: Duration = Duration::from_millis(6000);
 /// A replica that does not confirm is asked again after this.
-const CONFIRM_WITHIN: Span = Span::millis(400);
+const CONFIRM_WITHIN: Duration = Duration::from_millis(400);
 
 /// What the founding node keeps.
 pub struct Founder {
     /// Its place among the seeds.
     rank: u64,
     seen: usize,
-    changed: Moment,
+    changed: Instant,
     /// The groups that it has named, by part, and which voters still have to confirm.
     named: BTreeMap<u8, Vec<Voter>>,
 }
@@ -40,7 +40,7 @@
 struct Voter {
     replica: u64,
     confirmed: bool,
-    asked: Option<Moment>,
+    asked: Option<Instant>,
 }
 
 impl Founder {
@@ -51,7 +51,7 @@
         }
         let own = settings.bindings.control_plane?;
         let rank = settings.seed_nodes.iter().position(|seed| *seed == own)?;
-        Some(Founder { rank: rank as u64, seen: 0, changed: Moment(0), named: BTreeMap::new() })
+        Some(Founder { rank: rank as u64, seen: 0, changed: Instant(0), named: BTreeMap::new() })
     }
 }
 
@@ -60,7 +60,7 @@
     pub fn look_to_found(&mut self) {
         let now = self.now;
         let Some(founder) = &self.founder else { return };
-        if now < Moment(0) + NEXT_SEED_AFTER.scaled(founder.rank as f64) {
+        if now < Instant(0) + NEXT_SEED_AFTER.scaled(founder.rank as f64) {
             self.alarms.set(now + LOOK_EVERY, Timer::Found);
             return;
         }
@@ -97,7 +97,7 @@
         }
         let settled = now.since(founder.changed) >= SETTLED_FOR;
         let enough = edges.len() >= size && stores.len() >= size;
-        let waited = now >= Moment(0) + WAITS_FOR_MORE;
+        let waited = now >= Instant(0) + WAITS_FOR_MORE;
         if !settled || edges.is_empty() || stores.is_empty() || !(enough || waited) {
             return;
         }
--- a/crates/tier/src/group_care.rs
+++ b/crates/tier/src/group_care.rs
@@ -7,33 +7,33 @@
 use crate::timers::Timer;
 use grebeusher_quorum::{Index, ReplicaId, Term};
 use grebeusher_registry::MemberState;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use std::collections::BTreeMap;
 use tracing::{debug, info, warn};
 
 /// How often owners look after their groups.
-pub const UPKEEP_EVERY: Span = Span::millis(200);
+pub const UPKEEP_EVERY: Duration = Duration::from_millis(200);
 /// A voter whose node is not there for this long makes room for another. Its node has then been silent for over two
 /// seconds; a group that waits for longer may meet the next loss without having been mended from the first.
-const ABSENT_FOR: Span = Span::millis(800);
+const ABSENT_FOR: Duration = Duration::from_millis(800);
 /// A node that a change of a group waited for in vain is passed over for this long, while there are others.
-const PASSED_OVER_FOR: Span = Span::millis(10_000);
+const PASSED_OVER_FOR: Duration = Duration::from_millis(10_000);
 /// How often the log tells of a replica whose term and group stay.
-const TELL_EVERY: Span = Span::millis(1000);
+const TELL_EVERY: Duration = Duration::from_millis(1000);
 
 /// What is remembered for the care of one replica's group.
 #[derive(Debug, Default)]
 pub struct GroupCare {
     /// Since when voters are absent, as this owner sees it.
-    absent_since: BTreeMap<ReplicaId, Moment>,
+    absent_since: BTreeMap<ReplicaId, Instant>,
     /// The nodes that the change which was begun last takes in.
     joining: Vec<ReplicaId>,
     /// Nodes that changes waited for in vain, and until when they are passed over.
-    passed_over: BTreeMap<ReplicaId, Moment>,
+    passed_over: BTreeMap<ReplicaId, Instant>,
     pub(crate) lone_copy: LoneCopy,
     /// The term and group that the log was last told of.
     told: (Term, Index),
-    told_at: Moment,
+    told_at: Instant,
 }
 
 impl GroupCare {
@@ -52,7 +52,7 @@
 
     /// No change is under way: a node that the last one was to take in and that is no voter did not catch up, though it
     /// lives. Guards against waiting for it again and again while others could step in.
-    pub fn settle(&mut self, now: Moment, voters: &[ReplicaId]) {
+    pub fn settle(&mut self, now: Instant, voters: &[ReplicaId]) {
         let in_vain = std::mem::take(&mut self.joining).into_iter().filter(|node| !voters.contains(node));
         self.passed_over.extend(in_vain.map(|node| (node, now + PASSED_OVER_FOR)));
         self.passed_over.retain(|_, until| now < *until);
@@ -70,7 +70,7 @@
     }
 
     /// The voters that none of the living has been for long.
-    fn absent(&mut self, now: Moment, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
+    fn absent(&mut self, now: Instant, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
         let is_alive = |voter: &ReplicaId| alive.iter().any(|candidate| candidate.replica == voter.0);
         self.absent_since.retain(|voter, _| voters.contains(voter) && !is_alive(voter));
         for voter in voters.iter().filter(|voter| !is_alive(voter)) {
--- a/crates/tier/src/io.rs
+++ b/crates/tier/src/io.rs
@@ -5,7 +5,7 @@
 
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_quorum::{Restored, Write};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use std::io;
 use std::net::SocketAddrV4;
@@ -15,7 +15,7 @@
 /// What one process has of the world. All its operations return at once, but for `wait` and those of the disk.
 pub trait World {
     /// The steady clock, since the process started.
-    fn now(&self) -> Moment;
+    fn now(&self) -> Instant;
 
     /// The time of day, in milliseconds since 1970.
     fn wall_ms(&self) -> u64;
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     /// The system refuses to wait, which no later call would mend.
-    fn wait(&self, span: Span, events: &mut Vec<Event>) -> io::Result<()>;
+    fn wait(&self, span: Duration, events: &mut Vec<Event>) -> io::Result<()>;
 
     /// Listens at an address; its events carry `key`.
     ///
--- a/crates/tier/src/items.rs
+++ b/crates/tier/src/items.rs
@@ -8,20 +8,20 @@
 use grebeusher_batch::{EventReader, EventTaken, FairShare, Outcome as RunOutcome, RunId, RunOrder};
 use grebeusher_configuration::configuration::RouteType;
 use grebeusher_gateway::{AttemptToken, Outcome, ServerLoad};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::headers::Headers;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 use tracing::debug;
 
 /// How often items that wait look for room.
-const LOOK_EVERY: Span = Span::millis(15);
+const LOOK_EVERY: Duration = Duration::from_millis(15);
 /// A run without a byte for this long is taken up elsewhere.
-const SILENT_FOR: Span = Span::millis(3000);
+const SILENT_FOR: Duration = Duration::from_millis(3000);
 /// What an executor is told of the time that an item has (milliseconds): items stand outside of time-outs.
 const ITEM_DEADLINE_MS: u64 = 30_000;
 /// How often the log tells how items get on.
-const TELL_EVERY: Span = Span::millis(500);
+const TELL_EVERY: Duration = Duration::from_millis(500);
 /// Items that are begun in one turn of the loop, so that others have theirs.
 const BEGUN_AT_ONCE: usize = 16;
 
@@ -35,7 +35,7 @@
     status: u16,
     not_executed: bool,
     stamped: bool,
-    heard: Moment,
+    heard: Instant,
 }
 
 /// The runs of items on this node.
@@ -43,11 +43,11 @@
 pub struct ItemRuns {
     active: FxHashMap<u64, ActiveRun>,
     waking: bool,
-    told: Moment,
+    told: Instant,
     /// What the owners of other parts tell.
     pub(crate) shares: FairShare,
     /// When the load of each owned part was told last.
-    pub(crate) load_told: BTreeMap<u8, Moment>,
+    pub(crate) load_told: BTreeMap<u8, Instant>,
 }
 
 impl ItemRuns {
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -22,7 +22,7 @@
 use grebeusher_configuration::settings::Settings;
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::{CallToken, Registry};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::alarms::Alarms;
 use grebeusher_transport::http::Limits;
 use grebeusher_transport::poller::Event;
@@ -52,11 +52,11 @@
 }
 
 /// How often slow housekeeping is done.
-pub const SWEEP_EVERY: Span = Span::millis(500);
+pub const SWEEP_EVERY: Duration = Duration::from_millis(500);
 /// How often executors that have fallen silent are looked for.
-const REVIEW_EVERY: Span = Span::millis(100);
+const REVIEW_EVERY: Duration = Duration::from_millis(100);
 /// The loop waits at most this long.
-const LONGEST_WAIT: Span = Span::millis(1000);
+const LONGEST_WAIT: Duration = Duration::from_millis(1000);
 
 /// Counters of a process's life, for its status and its log.
 #[derive(Debug, Default)]
@@ -82,7 +82,7 @@
     control: Option<Box<dyn Listener>>,
     pub(crate) internal_listener: Option<Box<dyn Listener>>,
     pub(crate) internal_address: SocketAddrV4,
-    pub(crate) now: Moment,
+    pub(crate) now: Instant,
     random: Pcg64,
     pub(crate) serials: u64,
     pub(crate) alarms: Alarms<Timer>,
@@ -92,26 +92,26 @@
     pub(crate) input_waits: Vec<usize>,
     pub(crate) links: FxHashMap<SocketAddrV4, usize>,
     pub(crate) unflushed_links: Vec<usize>,
-    pub(crate) redial_after: FxHashMap<SocketAddrV4, Moment>,
+    pub(crate) redial_after: FxHashMap<SocketAddrV4, Instant>,
     pub(crate) http_limits: Limits,
     pub(crate) client_limits: ClientLimits,
     pub(crate) registry: Registry,
     pub(crate) remembered: Remembered,
-    pub(crate) popularity_written: Moment,
+    pub(crate) popularity_written: Instant,
     pub(crate) told_waiters: FxHashMap<CallToken, (usize, u64)>,
     pub(crate) routing: Routing,
     pub(crate) owners: OwnerIndex,
     /// When a part may next be handed on so that the parts are spread.
-    pub(crate) spread_after: Moment,
+    pub(crate) spread_after: Instant,
     pub(crate) routing_changed: bool,
     pub(crate) configuration: Option<Rc<ActiveConfiguration>>,
     pub(crate) configuration_proven: bool,
-    pub(crate) fetching: Option<Moment>,
+    pub(crate) fetching: Option<Instant>,
     pub(crate) exchanges: Slab<Exchange>,
     pub(crate) call_numbers: CallNumbers,
     pub(crate) calls: FxHashMap<CallNumber, PendingCall>,
     /// Nodes that left a call unanswered and have said nothing since.
-    pub(crate) unheard: FxHashMap<SocketAddrV4, Moment>,
+    pub(crate) unheard: FxHashMap<SocketAddrV4, Instant>,
     pub(crate) gatherings: FxHashMap<u64, RetireGathering>,
     pub(crate) identity: Option<ReplicaId>,
     pub(crate) parts: Vec<PartHost>,
@@ -138,7 +138,7 @@
         let mut node = Node {
             routing: Routing::new(settings.zone.as_str(), seed),
             owners: OwnerIndex::default(),
-            spread_after: Moment(0),
+            spread_after: Instant(0),
             items: ItemRuns::default(),
             replica_names: FxHashMap::default(),
             internal_address: listeners.internal_address,
@@ -148,7 +148,7 @@
             internal_listener: Some(listeners.internal),
             settings,
             world,
-            now: Moment(0),
+            now: Instant(0),
             random: Pcg64::seed_from_u64(seed),
             serials: 0,
             alarms: Alarms::default(),
@@ -163,7 +163,7 @@
             client_limits: ClientLimits::default(),
             registry,
             remembered: Remembered::default(),
-            popularity_written: Moment(0),
+            popularity_written: Instant(0),
             told_waiters: FxHashMap::default(),
             routing_changed: true,
             configuration: None,
@@ -246,7 +246,7 @@
     }
 
     /// When the loop turns next if nothing happens before.
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Instant {
         let mut wake = self.now + LONGEST_WAIT;
         if let Some(alarm) = self.alarms.next_at() {
             wake = wake.min(alarm);
@@ -374,7 +374,7 @@
     /// The clock as it is now. `now` is what it was at the start of the turn, and the process may have stood still since:
     /// whatever proves something to somebody (a lease to a reader, a sign of life of an owner to the other candidates) goes
     /// by a look at the clock that is later than the question or the message.
-    pub(crate) fn clock(&self) -> Moment {
+    pub(crate) fn clock(&self) -> Instant {
         self.world.now()
     }
 
--- a/crates/tier/src/owner_balance.rs
+++ b/crates/tier/src/owner_balance.rs
@@ -7,14 +7,14 @@
 use grebeusher_batch::PartLoad;
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::MemberState;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use tracing::{info, warn};
 
 /// An ownership is not handed on for balance sooner than this after it began: its end must have become known, and so must
 /// the owners of the other parts.
-const SETTLES_FOR: Span = Span::millis(300);
+const SETTLES_FOR: Duration = Duration::from_millis(300);
 /// Nor sooner than this after the last time: a hand-over interrupts the items that run.
-const AGAIN_AFTER: Span = Span::millis(5000);
+const AGAIN_AFTER: Duration = Duration::from_millis(5000);
 
 /// A voter that could take a part over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +64,7 @@
         host.owns() && (1..=BATCH_PARTS).contains(&host.part)
     }
 
-    fn may_hand_over(&self, place: usize, now: Moment) -> bool {
+    fn may_hand_over(&self, place: usize, now: Instant) -> bool {
         let host = &self.parts[place];
         let since = host.owned_since().is_some_and(|since| now.since(since) >= SETTLES_FOR);
         since && host.replica.is_settled() && !host.replica.is_handing_over()
--- a/crates/tier/src/parts.rs
+++ b/crates/tier/src/parts.rs
@@ -10,7 +10,7 @@
 use crate::owners::{OwnedPart, OwnedParts};
 use grebeusher_quorum::{Blob, Index, Replica, ReplicaId, Term, Timing, Write};
 use grebeusher_registry::{Class, MemberState};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use nanoserde::{DeBin, SerBin};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -66,7 +66,7 @@
     /// The log is written anew beyond this (bytes).
     compact_at: usize,
     /// Since when the application acts as the owner's.
-    owned_since: Option<Moment>,
+    owned_since: Option<Instant>,
     pub(crate) care: GroupCare,
 }
 
@@ -87,7 +87,7 @@
         let (store, restored) =
             world.open_store(&folder).map_err(|source| RunError::Disk { part, source })?;
         let replica =
-            Replica::new(identity, restored, timing(part, tuning.link_mbps), tuning.seed, Moment(0));
+            Replica::new(identity, restored, timing(part, tuning.link_mbps), tuning.seed, Instant(0));
         Ok(PartHost {
             part,
             replica,
@@ -104,7 +104,7 @@
     }
 
     /// When the replica next has something to do by itself.
-    pub fn next_wake(&self) -> Moment {
+    pub fn next_wake(&self) -> Instant {
         self.replica.next_wake()
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// Since when this node acts as the part's owner.
-    pub fn owned_since(&self) -> Option<Moment> {
+    pub fn owned_since(&self) -> Option<Instant> {
         self.owned_since
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Proposes an entry whose commit answers a call.
-    pub fn propose(&mut self, now: Moment, entry: Vec<u8>, waiter: Option<Waiter>) -> Option<Index> {
+    pub fn propose(&mut self, now: Instant, entry: Vec<u8>, waiter: Option<Waiter>) -> Option<Index> {
         let index = self.replica.propose(now, entry).ok()?;
         let term = self.replica.term();
         self.waiters.entry(index).or_insert((term, Vec::new())).1.extend(waiter);
@@ -154,10 +154,10 @@
         (80, 400, 750)
     };
     Timing {
-        heartbeat: Span::millis(heartbeat),
-        election_min: Span::millis(min),
-        election_max: Span::millis(max),
-        lease: Span::millis(min * 85 / 100),
+        heartbeat: Duration::from_millis(heartbeat),
+        election_min: Duration::from_millis(min),
+        election_max: Duration::from_millis(max),
+        lease: Duration::from_millis(min * 85 / 100),
     }
 }
 
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::socket::{Reading, Socket};
 use crate::timers::Timer;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::link::{self, Frame, FrameDecoder, Hello};
 use std::net::SocketAddrV4;
 use tracing::debug;
@@ -15,40 +15,40 @@
 /// packet that opens a connection and finds no machine is sent again only after a second, so that waiting longer than
 /// a round trip takes gains nothing: after a loss of all power nodes that start a moment apart would not hear of each
 /// other for that second.
-const CONNECT_WITHIN: Span = Span::millis(200);
+const CONNECT_WITHIN: Duration = Duration::from_millis(200);
 /// Bytes that a peer has not taken for this long show that it can't be reached: the link is begun anew.
-const STUCK_FOR: Span = Span::millis(1500);
+const STUCK_FOR: Duration = Duration::from_millis(1500);
 /// A link that nothing was sent on for this long is closed.
-const IDLE_FOR: Span = Span::millis(20_000);
+const IDLE_FOR: Duration = Duration::from_millis(20_000);
 /// The most that waits on a link (bytes): more is dropped, as all that is said is said again.
 const MOST_WAITING: usize = 12 * 1024 * 1024;
 /// After a link could not be made, the next is tried only after this.
-const REDIAL_AFTER: Span = Span::millis(150);
+const REDIAL_AFTER: Duration = Duration::from_millis(150);
 
 /// An outgoing link.
 pub struct OutgoingLink {
     address: SocketAddrV4,
     progress: LinkProgress,
-    used: Moment,
+    used: Instant,
 }
 
 /// Whether bytes move on a link.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkProgress {
     /// When bytes last moved, or nothing waited.
-    moved: Moment,
+    moved: Instant,
     /// Bytes that had been written then.
     sent: u64,
 }
 
 impl LinkProgress {
     /// Of a link that begins now.
-    pub fn new(now: Moment) -> LinkProgress {
+    pub fn new(now: Instant) -> LinkProgress {
         LinkProgress { moved: now, sent: 0 }
     }
 
     /// Something is put on the link while `waiting` bytes wait.
-    pub fn put(&mut self, now: Moment, waiting: usize) {
+    pub fn put(&mut self, now: Instant, waiting: usize) {
         if waiting == 0 {
             self.moved = now;
         }
@@ -56,7 +56,7 @@
 
     /// What went was written: `sent` bytes in the life of the link, and `waiting` bytes wait still. Goes by what was written,
     /// not by what waits: under load more is put on a link than goes out in a turn, and it is not stuck for that.
-    pub fn flushed(&mut self, now: Moment, sent: u64, waiting: usize) {
+    pub fn flushed(&mut self, now: Instant, sent: u64, waiting: usize) {
         if sent > self.sent || waiting == 0 {
             self.moved = now;
         }
@@ -64,7 +64,7 @@
     }
 
     /// Whether bytes wait that nobody has taken any of for longer than `within`.
-    pub fn is_stuck(&self, now: Moment, waiting: usize, within: Span) -> bool {
+    pub fn is_stuck(&self, now: Instant, waiting: usize, within: Duration) -> bool {
         waiting > 0 && now.since(self.moved) > within
     }
 }
--- a/crates/tier/src/popularity.rs
+++ b/crates/tier/src/popularity.rs
@@ -6,14 +6,14 @@
 use crate::node::Node;
 use grebeusher_prefix_popularity::{Contribution, Identity, Merge, Settings};
 use grebeusher_registry::NodeId;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use std::fmt::Write;
 use tracing::{debug, warn};
 
 /// The name of the hint on the disk. It is written beside the former one and takes its place whole, with a checksum.
 const NAME: &str = "popularity";
 /// It is written this often, as each time waits for the disk; a restart costs at most that of sense.
-const WRITTEN_EVERY: Span = Span::millis(20_000);
+const WRITTEN_EVERY: Duration = Duration::from_millis(20_000);
 /// How many prefixes operators are shown.
 const SHOWN: usize = 24;
 
--- a/crates/tier/src/remembered.rs
+++ b/crates/tier/src/remembered.rs
@@ -1,18 +1,18 @@
 //! The executors that this node knew before its restart: a hint on its disk, so that it serves before their next heartbeats.
 
 use crate::node::Node;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use tracing::{debug, warn};
 
 /// The name of the hint on the disk.
 const NAME: &str = "executors";
 /// It is written at most this often, as each time waits for the disk.
-const WRITTEN_EVERY: Span = Span::millis(2000);
+const WRITTEN_EVERY: Duration = Duration::from_millis(2000);
 
 /// What was last written.
 #[derive(Debug, Default)]
 pub struct Remembered {
-    written: Moment,
+    written: Instant,
     generation: u64,
 }
 
--- a/crates/tier/src/retire.rs
+++ b/crates/tier/src/retire.rs
@@ -11,12 +11,12 @@
 use crate::parts::{Waiter, class_of_part};
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::{Class, MemberState};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use grebeusher_transport::http;
 use tracing::info;
 
 /// A machine that is away for less than this may be back: it counts neither as there nor as gone.
-const MAY_RETURN_WITHIN: Span = Span::millis(20_000);
+const MAY_RETURN_WITHIN: Duration = Duration::from_millis(20_000);
 
 /// What the operator asks about a storage machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/routing.rs
@@ -10,7 +10,7 @@
     ServiceSettings, Standing, TokenCount, ZoneKey,
 };
 use grebeusher_registry::{Class, Executor, ExecutorState};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::headers::Headers;
 use rustc_hash::FxHashMap;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -20,9 +20,9 @@
 const DEFAULT_CONNECTIONS: u32 = 64;
 
 /// Executors beat about every second, so that long after its start a node knows them all.
-const STARTS_FOR: Span = Span::millis(2000);
+const STARTS_FOR: Duration = Duration::from_millis(2000);
 /// What a client is told to wait by a node that has just started.
-pub const STARTING_RETRY: Span = Span::millis(700);
+pub const STARTING_RETRY: Duration = Duration::from_millis(700);
 
 /// An owner of a batch part may have one of so many parts of an executor's connections.
 const OWNERS_SHARES: u32 = 3;
@@ -45,7 +45,7 @@
     /// It is refused, and may come back after this long.
     Refuse {
         /// When room is expected.
-        retry_after: Span,
+        retry_after: Duration,
     },
 }
 
@@ -97,9 +97,9 @@
     /// Its size and prompt.
     pub hints: &'a Hints,
     /// When it came.
-    pub accepted: Moment,
+    pub accepted: Instant,
     /// When its time is over.
-    pub deadline: Moment,
+    pub deadline: Instant,
     /// Executors that had it.
     pub tried: &'a [ExecutorId],
     /// Whether it may have run already, so that it can't be refused any more.
@@ -127,16 +127,16 @@
     }
 
     /// Which executor a request goes to.
-    pub fn choose(&mut self, now: Moment, question: &Question<'_>) -> RouteChoice {
+    pub fn choose(&mut self, now: Instant, question: &Question<'_>) -> RouteChoice {
         let request = self.request(now, question);
         match self.gateway.choose(now, &request) {
             Choice::Send { executor, address } => match self.candidate(now, executor, address) {
                 Some(candidate) => RouteChoice::Send(candidate),
-                None => RouteChoice::Refuse { retry_after: Span::millis(100) },
+                None => RouteChoice::Refuse { retry_after: Duration::from_millis(100) },
             },
             Choice::Refuse { retry_after } => RouteChoice::Refuse { retry_after },
             // A node that has just started hears of the executors by their next heartbeats.
-            Choice::Nobody { retry_after } if now < Moment(0) + STARTS_FOR => {
+            Choice::Nobody { retry_after } if now < Instant(0) + STARTS_FOR => {
                 RouteChoice::Refuse { retry_after: retry_after.max(STARTING_RETRY) }
             }
             Choice::Nobody { retry_after } => RouteChoice::Refuse { retry_after },
@@ -144,7 +144,7 @@
     }
 
     /// The request as the gateway takes it.
-    pub fn request<'a>(&mut self, now: Moment, question: &'a Question<'_>) -> Request<'a> {
+    pub fn request<'a>(&mut self, now: Instant, question: &'a Question<'_>) -> Request<'a> {
         let service = self.gateway.service(question.service);
         Request {
             priority: u8::try_from(question.route.priority_level).unwrap_or(u8::MAX),
@@ -153,7 +153,7 @@
             tokens: question.hints.tokens,
             parts: question.hints.parts,
             excluded: question.tried,
-            objective: Span::millis(question.route.target_latency_ms),
+            objective: Duration::from_millis(question.route.target_latency_ms),
             waited: now.since(question.accepted),
             deadline_left: question.deadline.since(now),
             committed: question.committed,
@@ -161,14 +161,14 @@
         }
     }
 
-    fn candidate(&self, now: Moment, executor: ExecutorId, address: SocketAddr) -> Option<Candidate> {
+    fn candidate(&self, now: Instant, executor: ExecutorId, address: SocketAddr) -> Option<Candidate> {
         let SocketAddr::V4(address) = address else { return None };
         let instance: Arc<str> = self.gateway.view(now, executor)?.instance;
         Some(Candidate { executor, target: Target { instance, address } })
     }
 
     /// Whether a service has an executor with room for a batch item, whatever its size.
-    pub fn has_batch_room(&mut self, now: Moment, service: &str) -> bool {
+    pub fn has_batch_room(&mut self, now: Instant, service: &str) -> bool {
         let service = self.gateway.service(service);
         let item = BatchItem {
             service,
@@ -184,7 +184,7 @@
     /// The executor that an item goes to, and the item as the gateway counts it.
     pub fn choose_for_item(
         &mut self,
-        now: Moment,
+        now: Instant,
         service: &str,
         hints: &Hints,
     ) -> Option<(Candidate, Request<'static>)> {
--- a/crates/tier/src/server.rs
+++ b/crates/tier/src/server.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::socket::{Reading, Socket};
 use crate::upstream::MOST_UNWRITTEN;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::body::{self, BodyReader, Framing};
 use grebeusher_transport::http::{self, Limits, Malformed, RequestHead};
 
@@ -51,7 +51,7 @@
     entrance: Entrance,
     state: State,
     /// When the state began: idle or slow peers are closed.
-    since: Moment,
+    since: Instant,
     closes: bool,
     /// A connection to an executor that waits until this client has taken what it was sent.
     holds_back: Option<usize>,
@@ -359,8 +359,8 @@
     /// answer; one that has begun a request hears 408.
     pub fn sweep_servers(&mut self) {
         let now = self.now;
-        let header_timeout = Span::millis(self.client_limits.header_timeout_ms);
-        let idle_timeout = Span::millis(self.client_limits.idle_timeout_ms);
+        let header_timeout = Duration::from_millis(self.client_limits.header_timeout_ms);
+        let idle_timeout = Duration::from_millis(self.client_limits.idle_timeout_ms);
         let mut idle = Vec::new();
         let mut slow = Vec::new();
         for (index, connection) in &self.connections {
--- a/crates/tier/src/start.rs
+++ b/crates/tier/src/start.rs
@@ -12,7 +12,7 @@
 use grebeusher_quorum::ReplicaId;
 use grebeusher_quorum::disk::StoreError;
 use grebeusher_registry::{Class, Losses, Member, MemberState, Registry, Timings};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use snafu::{ResultExt, Snafu};
 use std::io;
 use std::net::SocketAddrV4;
@@ -207,10 +207,11 @@
         bootstrap: settings.bootstrap,
         state: MemberState::Alive,
     };
-    let timings = Timings { executor_heartbeat: Span::millis(settings.heartbeat_ms), ..Timings::default() };
+    let timings =
+        Timings { executor_heartbeat: Duration::from_millis(settings.heartbeat_ms), ..Timings::default() };
     let seeds = seed_addresses(settings);
     let losses = losses_of(settings);
-    Registry::new(grebeusher_registry::Settings { member, seeds, timings, losses }, seed, Moment(0))
+    Registry::new(grebeusher_registry::Settings { member, seeds, timings, losses }, seed, Instant(0))
 }
 
 /// What of the core may be lost at once.
--- a/crates/tier/src/stop.rs
+++ b/crates/tier/src/stop.rs
@@ -9,66 +9,66 @@
 use crate::start::losses_of;
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_configuration::settings::Settings;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::http;
 use tracing::warn;
 
 /// The platform misses a node after two checks, a second apart; until then it sends new connections.
-const SERVES_ON_FOR: Span = Span::millis(2600);
+const SERVES_ON_FOR: Duration = Duration::from_millis(2600);
 /// Every request that is read in this time is taken. The operators bear that a request is cut which was sent in the first
 /// three seconds and still ran in the last sixth of the grace period; the rest is for its way here and a late signal.
-const TAKES_ALL_FOR: Span = Span::millis(2400);
+const TAKES_ALL_FOR: Duration = Duration::from_millis(2400);
 /// The process ends this long before it would be killed, or this part of the grace period before, whichever is shorter.
-const EXIT_MARGIN: Span = Span::millis(500);
+const EXIT_MARGIN: Duration = Duration::from_millis(500);
 const EXIT_MARGIN_SHARE: f64 = 0.125;
 /// What is left between the last moment of a request's time and the end, for its answer to leave.
-const ANSWER_MARGIN: Span = Span::millis(150);
+const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 /// An answer that is sent whole takes mostly less than this many latency objectives, and never counts as shorter than
 /// `USUAL_AT_LEAST`. One that takes longer all the same hears 504 at the end.
 const USUAL_OBJECTIVES: f64 = 4.0;
-const USUAL_AT_LEAST: Span = Span::millis(1000);
+const USUAL_AT_LEAST: Duration = Duration::from_millis(1000);
 /// What a refused client is told to wait: another node serves it at once (seconds).
 const RETRY_ELSEWHERE_S: &str = "0.1";
 
 /// The end of a process that was told to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    since: Moment,
-    exits_at: Moment,
+    since: Instant,
+    exits_at: Instant,
 }
 
 impl Departure {
     /// A process that was told to stop at `since`, and would be killed `grace` later.
-    pub fn new(since: Moment, grace: Span) -> Departure {
+    pub fn new(since: Instant, grace: Duration) -> Departure {
         let margin = EXIT_MARGIN.min(grace.scaled(EXIT_MARGIN_SHARE));
         Departure { since, exits_at: since + grace.saturating_sub(margin) }
     }
 
     /// When the process ends at the latest.
-    pub fn exits_at(&self) -> Moment {
+    pub fn exits_at(&self) -> Instant {
         self.exits_at
     }
 
     /// Whether the process may end as soon as nothing is under way.
-    pub fn may_exit(&self, now: Moment) -> bool {
+    pub fn may_exit(&self, now: Instant) -> bool {
         now.since(self.since) >= SERVES_ON_FOR
     }
 
     /// Whether something that lasts `longest` from now on is surely over when the process ends.
-    pub fn outlasts(&self, now: Moment, longest: Span) -> bool {
+    pub fn outlasts(&self, now: Instant, longest: Duration) -> bool {
         now + longest + ANSWER_MARGIN <= self.exits_at
     }
 
     /// Whether a request that is read now is still taken: any at first, later those that are over in time. A stream must
     /// be, whatever happens, as nothing can complete it once its head is out; of a whole answer the usual time counts.
-    pub fn takes(&self, now: Moment, route: &Route, time_left: Span) -> bool {
+    pub fn takes(&self, now: Instant, route: &Route, time_left: Duration) -> bool {
         if now.since(self.since) < TAKES_ALL_FOR {
             return true;
         }
         let longest = match route.route_type {
             RouteType::Streaming => time_left,
             _ => {
-                let usual = Span::millis(route.target_latency_ms).scaled(USUAL_OBJECTIVES);
+                let usual = Duration::from_millis(route.target_latency_ms).scaled(USUAL_OBJECTIVES);
                 time_left.min(USUAL_AT_LEAST.max(usual))
             }
         };
@@ -79,7 +79,7 @@
 impl Node {
     /// Begins to stop: nobody is to be sent here any more, and others take over what this process owns.
     pub(crate) fn begin_to_stop(&mut self) {
-        let departure = Departure::new(self.now, Span::secs(self.settings.bounds.grace_period_s));
+        let departure = Departure::new(self.now, Duration::from_seconds(self.settings.bounds.grace_period_s));
         self.departure = Some(departure);
         self.alarms.set(departure.exits_at(), crate::timers::Timer::Exit);
         self.registry.leave(self.now);
@@ -105,7 +105,7 @@
     }
 
     /// Refuses a call that would wait for another node for up to `longest` if this process may end before; whether it did.
-    pub(crate) fn refuse_call_if_too_late(&mut self, connection: usize, longest: Span) -> bool {
+    pub(crate) fn refuse_call_if_too_late(&mut self, connection: usize, longest: Duration) -> bool {
         if self.departure.is_none_or(|departure| departure.outlasts(self.now, longest)) {
             return false;
         }
--- a/crates/tier/src/system.rs
+++ b/crates/tier/src/system.rs
@@ -4,7 +4,7 @@
 use crate::node::keys;
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
 use grebeusher_quorum::{Restored, Write};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::listen::listen;
 use grebeusher_transport::poller::{Event, Interest, Poller, Registered};
 use grebeusher_transport::signals::Signals;
@@ -15,14 +15,14 @@
 use std::net::{SocketAddrV4, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::debug;
 
 /// The world of a process of the operating system.
 pub struct System {
     poller: Rc<Poller>,
     signals: Registered<Signals>,
-    started: Instant,
+    started: std::time::Instant,
     settings_path: PathBuf,
 }
 
@@ -34,13 +34,13 @@
     pub fn open(settings_path: PathBuf) -> io::Result<System> {
         let poller = Rc::new(Poller::new()?);
         let signals = poller.register(Signals::catch()?, keys::SIGNALS, Interest::READABLE)?;
-        Ok(System { poller, signals, started: Instant::now(), settings_path })
+        Ok(System { poller, signals, started: std::time::Instant::now(), settings_path })
     }
 }
 
 impl World for System {
-    fn now(&self) -> Moment {
-        Moment(self.started.elapsed().as_nanos() as u64)
+    fn now(&self) -> Instant {
+        Instant(self.started.elapsed().as_nanos() as u64)
     }
 
     fn wall_ms(&self) -> u64 {
@@ -51,8 +51,8 @@
         rand::rng().random()
     }
 
-    fn wait(&self, span: Span, events: &mut Vec<Event>) -> io::Result<()> {
-        self.poller.wait(Some(Duration::from_nanos(span.0)), events)
+    fn wait(&self, span: Duration, events: &mut Vec<Event>) -> io::Result<()> {
+        self.poller.wait(Some(Duration::from_nanos(span.nanos())), events)
     }
 
     fn listen(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Listener>> {
--- a/crates/tier/src/upstream.rs
+++ b/crates/tier/src/upstream.rs
@@ -5,7 +5,7 @@
 use crate::node::Node;
 use crate::socket::{Reading, Socket};
 use crate::timers::Timer;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::body::{self, BodyReader};
 use grebeusher_transport::headers::Headers;
 use grebeusher_transport::http;
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 
 /// A connection that has not come up by then is given up: nothing was sent on it. Links have a few milliseconds.
-const CONNECT_WITHIN: Span = Span::millis(250);
+const CONNECT_WITHIN: Duration = Duration::from_millis(250);
 /// An idle connection is not used this close to the end of the time that `Keep-Alive` promised.
-const KEEP_ALIVE_MARGIN: Span = Span::millis(1000);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1000);
 /// How long an idle connection is kept where the executor says nothing.
-const KEEP_IDLE: Span = Span::millis(8000);
+const KEEP_IDLE: Duration = Duration::from_millis(8000);
 /// Reads of an answer are held back while its client has this much unwritten (bytes).
 pub const MOST_UNWRITTEN: usize = 256 * 1024;
 
@@ -80,7 +80,7 @@
     state: State,
     owner: Option<CallOwner>,
     attempt_id: String,
-    usable_until: Moment,
+    usable_until: Instant,
     closes: bool,
 }
 
@@ -258,8 +258,8 @@
         let (_, upstream) = self.upstream_mut(index)?;
         upstream.closes = head.headers.closes;
         if let Some(seconds) = keep_alive_seconds(&head.headers) {
-            let until = now + Span::millis(seconds * 1000);
-            upstream.usable_until = if seconds * 1000 > KEEP_ALIVE_MARGIN.0 / 1_000_000 {
+            let until = now + Duration::from_millis(seconds * 1000);
+            upstream.usable_until = if seconds * 1000 > KEEP_ALIVE_MARGIN.nanos() / 1_000_000 {
                 until - KEEP_ALIVE_MARGIN
             } else {
                 now
--- a/crates/tier/tests/copies.rs
+++ b/crates/tier/tests/copies.rs
@@ -2,7 +2,7 @@
 
 use grebeusher_quorum::{Index, ReplicaId};
 use grebeusher_tier::copies::{LoneCopy, PartCopy, sole_holder};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
 /// Voters 1, 2 and so on, each with the last entry that it has; none for one whose node is away.
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_lone_copy_is_told_once_it_lasts_and_then_now_and_then() {
-    let at = |ms| Moment(0) + Span::millis(ms);
+    let at = |ms| Instant(0) + Duration::from_millis(ms);
     let mut lone = LoneCopy::default();
     // A moment is nothing: followers answer a little later than the owner has synced.
     assert!(!lone.look(at(0), true) && !lone.look(at(1_400), true));
--- a/crates/tier/tests/group_care.rs
+++ b/crates/tier/tests/group_care.rs
@@ -3,7 +3,7 @@
 use grebeusher_quorum::ReplicaId;
 use grebeusher_tier::group_care::GroupCare;
 use grebeusher_tier::placement::{Candidate, next_voters};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 
 fn node(replica: u64, zone: &str) -> Candidate {
     Candidate { replica, zone: zone.to_owned(), name: format!("node-{replica}") }
@@ -13,7 +13,7 @@
     replicas.iter().copied().map(ReplicaId).collect()
 }
 
-const NOW: Moment = Moment(1_000_000_000);
+const NOW: Instant = Instant(1_000_000_000);
 
 /// What an owner of the voters 1, 2 and 3, of which 3 is lost, changes the group to when these are alive.
 fn next(care: &GroupCare, alive: Vec<Candidate>) -> Option<Vec<ReplicaId>> {
@@ -34,7 +34,7 @@
     // then the other one steps in,
     assert_eq!(next(&care, alive.clone()), Some(ids(&[1, 2, 4])));
     // and the first has its turn again later.
-    care.settle(NOW + Span::millis(10_000), &ids(&[1, 2, 3]));
+    care.settle(NOW + Duration::from_millis(10_000), &ids(&[1, 2, 3]));
     assert_eq!(next(&care, alive), Some(ids(&[1, 2, 5])));
 }
 
--- a/crates/tier/tests/links.rs
+++ b/crates/tier/tests/links.rs
@@ -1,12 +1,12 @@
 //! When an outgoing link counts as stuck and is begun anew.
 
 use grebeusher_tier::peers::LinkProgress;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 
-const STUCK_FOR: Span = Span::millis(1500);
+const STUCK_FOR: Duration = Duration::from_millis(1500);
 
-fn at(ms: u64) -> Moment {
-    Moment(0) + Span::millis(ms)
+fn at(ms: u64) -> Instant {
+    Instant(0) + Duration::from_millis(ms)
 }
 
 #[test]
--- a/crates/tier/tests/owners.rs
+++ b/crates/tier/tests/owners.rs
@@ -4,11 +4,11 @@
     Class, Facts, Losses, Member, MemberState, Message, Register, Registry, Settings, Timings,
 };
 use grebeusher_tier::owners::{OwnedPart, OwnedParts, OwnerIndex};
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use nanoserde::SerBin;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-const NOW: Moment = Moment(1_000_000_000);
+const NOW: Instant = Instant(1_000_000_000);
 
 fn member(name: &str, host: u8) -> Member {
     Member {
--- a/crates/tier/tests/page_rules.rs
+++ b/crates/tier/tests/page_rules.rs
@@ -2,7 +2,7 @@
 
 mod single_node;
 
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 use single_node::{SingleNode, answer, request, status_of};
 
@@ -46,7 +46,7 @@
     let given = deadline(single.take(first));
     assert!((4_900..=5_000).contains(&given), "{given}");
     // when it is sent once more a second later, then with a second less.
-    single.pass(Span::millis(1_000));
+    single.pass(Duration::from_millis(1_000));
     let second = single.executor_line().expect("it is sent once more");
     let left = deadline(single.take(second));
     assert!(left <= 4_150, "{left}");
@@ -64,7 +64,7 @@
     let client = single.connect(8144);
     single.send(client, bytes.replace("Deadline-Ms: 5000", "Deadline-Ms: 60000").as_bytes());
     // when the route's six seconds are over, then the client has its answer.
-    single.pass(Span::millis(6_100));
+    single.pass(Duration::from_millis(6_100));
     assert!(matches!(status_of(&single.take(client)), Some(502 | 504)));
 }
 
@@ -87,14 +87,14 @@
     single.send(line, &answer("one", "done"));
     assert_eq!(status_of(&single.take(client)), Some(200));
     // when it rests for more than four fifths of that, then it carries the next one;
-    single.pass(Span::millis(9_000));
+    single.pass(Duration::from_millis(9_000));
     assert!(!single.is_closed(client));
     single.send(client, &request("idempotent", "two", b"ask"));
     let next = single.executor_line().unwrap_or(line);
     single.send(next, &answer("two", "again"));
     assert_eq!(status_of(&single.take(client)), Some(200));
     // beyond it, it is closed without a word.
-    single.pass(Span::millis(11_000));
+    single.pass(Duration::from_millis(11_000));
     assert!(single.is_closed(client));
     assert_eq!(single.take(client), b"");
 }
@@ -128,7 +128,7 @@
     let line = single.executor_line().expect("the request is sent");
     single.network.borrow_mut().stop();
     single.turn();
-    single.pass(Span::millis(3_500));
+    single.pass(Duration::from_millis(3_500));
     // when a stream comes that may take five seconds, then it is refused at once, with the time to come back, and no
     // executor hears of it;
     let late = single.client("streaming", "two", b"ask");
@@ -147,13 +147,13 @@
     let mut single = SingleNode::with_executor();
     single.network.borrow_mut().stop();
     single.turn();
-    single.pass(Span::millis(2_300));
+    single.pass(Duration::from_millis(2_300));
     let bytes = String::from_utf8(request("non_idempotent", "one", b"ask")).expect("text");
     let client = single.connect(8144);
     single.send(client, bytes.replace("Deadline-Ms: 5000", "Deadline-Ms: 60000").as_bytes());
     assert!(single.executor_line().is_some());
     // when the node ends, then the client has an answer, which promises nothing.
-    single.pass(Span::millis(5_300));
+    single.pass(Duration::from_millis(5_300));
     assert!(single.node.is_over());
     assert_eq!(status_of(&single.take(client)), Some(504));
 }
--- a/crates/tier/tests/sent_twice.rs
+++ b/crates/tier/tests/sent_twice.rs
@@ -3,7 +3,7 @@
 
 mod single_node;
 
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 use single_node::network::Line;
 use single_node::{SingleNode, answer, plain_answer, status_of};
@@ -102,7 +102,7 @@
             }
             strike(&mut single, line, trouble);
         }
-        single.pass(Span::millis(500));
+        single.pass(Duration::from_millis(500));
         read.extend(single.take(client));
     }
     assert!(status_of(&read).is_some() || single.is_closed(client), "the client is left waiting");
--- a/crates/tier/tests/single_node/mod.rs
+++ b/crates/tier/tests/single_node/mod.rs
@@ -9,7 +9,7 @@
 use grebeusher_tier::messages::{Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope};
 use grebeusher_tier::node::Node;
 use grebeusher_tier::start::Start;
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use grebeusher_transport::link::{FrameDecoder, Hello, encode_frame, encode_hello};
 use nanoserde::{DeBin, SerBin};
 use network::{Line, Network, SharedNetwork, TestWorld};
@@ -23,7 +23,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, number), 8080)
 }
 /// How far the clock goes at most between two turns.
-const STEP: Span = Span::millis(5);
+const STEP: Duration = Duration::from_millis(5);
 
 /// The types of routes, each under a prefix of its name.
 pub const ROUTE_TYPES: [&str; 4] = ["idempotent", "non_idempotent", "streaming", "resumable"];
@@ -132,7 +132,7 @@
         let hello = encode_hello(&Hello::new(PEER));
         single.send(link_in, &hello);
         single.send_frame(Channel::Registry, &Message::Join(peer()).encode());
-        single.pass(Span::millis(200));
+        single.pass(Duration::from_millis(200));
         single
     }
 
@@ -145,7 +145,7 @@
     pub fn with_executors(count: u8) -> SingleNode {
         let mut single = SingleNode::with_configuration(1);
         (1..=count).for_each(|number| drop(single.executor_calls(number, 1, "up")));
-        single.pass(Span::millis(2_500));
+        single.pass(Duration::from_millis(2_500));
         (1..=count).for_each(|number| drop(single.executor_calls(number, 2, "up")));
         single.drop_links();
         single
@@ -256,7 +256,7 @@
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, span: Span) {
+    pub fn pass(&mut self, span: Duration) {
         let until = self.network.borrow().now() + span;
         while self.network.borrow().now() < until {
             self.network.borrow_mut().pass(STEP);
--- a/crates/tier/tests/single_node/network.rs
+++ b/crates/tier/tests/single_node/network.rs
@@ -4,7 +4,7 @@
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_tier::io::{Accepted, Listener, PartStore, Signalled, Stream, World};
 use grebeusher_tier::node::keys;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -35,7 +35,7 @@
 /// All that the node's system calls touch.
 #[derive(Default)]
 pub struct Network {
-    now: Moment,
+    now: Instant,
     drawn: u64,
     stop: bool,
     listeners: BTreeMap<SocketAddrV4, (usize, VecDeque<usize>)>,
@@ -52,11 +52,11 @@
         Rc::new(RefCell::new(Network { drawn: seed, comes_up: true, ..Network::default() }))
     }
 
-    pub fn now(&self) -> Moment {
+    pub fn now(&self) -> Instant {
         self.now
     }
 
-    pub fn pass(&mut self, span: Span) {
+    pub fn pass(&mut self, span: Duration) {
         self.now = self.now + span;
     }
 
@@ -154,7 +154,7 @@
 struct NodeSide(SharedNetwork, usize);
 
 impl World for TestWorld {
-    fn now(&self) -> Moment {
+    fn now(&self) -> Instant {
         self.network.borrow().now
     }
 
@@ -168,7 +168,7 @@
         network.drawn
     }
 
-    fn wait(&self, _: Span, _: &mut Vec<Event>) -> io::Result<()> {
+    fn wait(&self, _: Duration, _: &mut Vec<Event>) -> io::Result<()> {
         Err(ErrorKind::Unsupported.into())
     }
 
--- a/crates/tier/tests/stop.rs
+++ b/crates/tier/tests/stop.rs
@@ -2,13 +2,13 @@
 
 use grebeusher_configuration::configuration::{Configuration, Route};
 use grebeusher_tier::stop::Departure;
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, DurationExt, Instant};
 use rstest::rstest;
 
-const GRACE: Span = Span::millis(8000);
+const GRACE: Duration = Duration::from_millis(8000);
 
 fn told_to_stop() -> Departure {
-    Departure::new(Moment(0), GRACE)
+    Departure::new(Instant(0), GRACE)
 }
 
 /// A route of a type with an objective of 200 ms and a time-out of 6 s.
@@ -21,8 +21,8 @@
     Configuration::read(text.as_bytes()).expect("a valid configuration").routes.remove(0)
 }
 
-fn at_ms(ms: u64) -> Moment {
-    Moment(0) + Span::millis(ms)
+fn at_ms(ms: u64) -> Instant {
+    Instant(0) + Duration::from_millis(ms)
 }
 
 #[rstest]
@@ -31,7 +31,7 @@
     #[values(0, 1200, 2399)] ms: u64,
 ) {
     // Given a process that was told to stop a moment ago, when a request of any length comes, then it is taken.
-    assert!(told_to_stop().takes(at_ms(ms), &route(route_type), Span::millis(6000)));
+    assert!(told_to_stop().takes(at_ms(ms), &route(route_type), Duration::from_millis(6000)));
 }
 
 #[rstest]
@@ -47,7 +47,7 @@
 ) {
     // Given 7.5 s from SIGTERM to the exit, when a stream comes that may take as long as its time, then it is taken if
     // that is over before the exit: once its head is out nothing but its end completes it.
-    assert_eq!(told_to_stop().takes(at_ms(ms), &route("streaming"), Span::millis(left_ms)), taken);
+    assert_eq!(told_to_stop().takes(at_ms(ms), &route("streaming"), Duration::from_millis(left_ms)), taken);
 }
 
 #[rstest]
@@ -55,8 +55,8 @@
     // Given requests whose answers are sent whole, so that one which takes too long can still hear 504, when one comes
     // with much more time than it usually needs, then its usual time decides.
     let route = route(route_type);
-    assert!(told_to_stop().takes(at_ms(6300), &route, Span::millis(6000)));
-    assert!(!told_to_stop().takes(at_ms(6400), &route, Span::millis(6000)));
+    assert!(told_to_stop().takes(at_ms(6300), &route, Duration::from_millis(6000)));
+    assert!(!told_to_stop().takes(at_ms(6400), &route, Duration::from_millis(6000)));
 }
 
 #[rstest]
@@ -65,9 +65,9 @@
 #[case::none(0, 0)]
 fn the_exit_is_never_far_before_the_kill(#[case] grace_ms: u64, #[case] exit_ms: u64) {
     // Given a grace period, then the exit lies within its last sixth, in which the operators bear a cut.
-    let departure = Departure::new(Moment(0), Span::millis(grace_ms));
+    let departure = Departure::new(Instant(0), Duration::from_millis(grace_ms));
     assert_eq!(departure.exits_at(), at_ms(exit_ms));
-    assert!(departure.exits_at() >= Moment(0) + Span::millis(grace_ms).scaled(5.0 / 6.0));
+    assert!(departure.exits_at() >= Instant(0) + Duration::from_millis(grace_ms).scaled(5.0 / 6.0));
 }
 
 #[test]
--- a/crates/tier/tests/wrong_caller.rs
+++ b/crates/tier/tests/wrong_caller.rs
@@ -4,7 +4,7 @@
 mod single_node;
 
 use grebeusher_tier::messages::{Call, Reply};
-use grebeusher_time::Span;
+use grebeusher_time::Duration;
 use rstest::rstest;
 use single_node::{SingleNode, answer, plain_answer, request, status_of};
 
@@ -214,6 +214,6 @@
     single.send(operator, order.as_bytes());
     single.next_call(|call| matches!(call, Call::ReplaceConfiguration { base: 1, .. }));
     // when no reply comes, then the operator hears within its second that nothing is known.
-    single.pass(Span::millis(960));
+    single.pass(Duration::from_millis(960));
     assert_eq!(status_of(&single.take(operator)), Some(504));
 }
--- a/crates/transport/src/alarms.rs
+++ b/crates/transport/src/alarms.rs
@@ -1,17 +1,17 @@
 //! What falls due, in order of time and, at one time, in the order in which it was set.
 
-use grebeusher_time::Moment;
+use grebeusher_time::Instant;
 use std::collections::BTreeMap;
 
 /// A queue of what falls due.
 pub struct Alarms<T> {
-    set: BTreeMap<(Moment, u64), T>,
+    set: BTreeMap<(Instant, u64), T>,
     next: u64,
 }
 
 /// One that was set.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Alarm((Moment, u64));
+pub struct Alarm((Instant, u64));
 
 impl<T> Default for Alarms<T> {
     fn default() -> Self {
@@ -21,7 +21,7 @@
 
 impl<T> Alarms<T> {
     /// Has `what` fall due at a moment.
-    pub fn set(&mut self, at: Moment, what: T) -> Alarm {
+    pub fn set(&mut self, at: Instant, what: T) -> Alarm {
         let key = (at, self.next);
         self.set.insert(key, what);
         self.next += 1;
@@ -39,12 +39,12 @@
     }
 
     /// When the next falls due.
-    pub fn next_at(&self) -> Option<Moment> {
+    pub fn next_at(&self) -> Option<Instant> {
         self.set.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// The first that is due, once.
-    pub fn due(&mut self, now: Moment) -> Option<T> {
+    pub fn due(&mut self, now: Instant) -> Option<T> {
         self.next_at().filter(|&at| at <= now)?;
         self.set.pop_first().map(|(_, what)| what)
     }
--- a/crates/transport/src/outgoing.rs
+++ b/crates/transport/src/outgoing.rs
@@ -2,7 +2,7 @@
 //! again.
 
 use crate::link::{self, Hello, LinkError};
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use snafu::Snafu;
 use std::collections::VecDeque;
 
@@ -21,11 +21,11 @@
     /// The most that waits, in bytes with the framing.
     pub most_waiting: usize,
     /// A connection that has not come up after this long is given up.
-    pub connect_within: Span,
+    pub connect_within: Duration,
     /// A connection on which bytes wait and none was taken for this long is given up.
-    pub stuck_after: Span,
+    pub stuck_after: Duration,
     /// From the end of a connection until the next is tried.
-    pub redial_after: Span,
+    pub redial_after: Duration,
 }
 
 /// Why a message was not taken.
@@ -59,11 +59,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// No connection; the next may be tried from this moment on.
-    Down { not_before: Moment },
+    Down { not_before: Instant },
     /// Dialled at a moment.
-    Dialling { since: Moment },
+    Dialling { since: Instant },
     /// Bytes were taken last, or began to wait, at a moment.
-    Up { moved: Moment },
+    Up { moved: Instant },
 }
 
 struct Waiting {
@@ -88,7 +88,7 @@
 impl Outgoing {
     /// A link that has nothing to say yet. `hello` is said first on each connection.
     pub fn new(bounds: Bounds, hello: Hello) -> Outgoing {
-        let phase = Phase::Down { not_before: Moment(0) };
+        let phase = Phase::Down { not_before: Instant(0) };
         let (greeting, queue) = (Vec::new(), VecDeque::new());
         Outgoing { bounds, hello, phase, greeting, queue, queued: 0, gone: 0 }
     }
@@ -102,7 +102,7 @@
         channel: u8,
         payload: &[u8],
         delivery: Delivery,
-        now: Moment,
+        now: Instant,
     ) -> Result<usize, SendError> {
         let mut bytes = Vec::new();
         link::append_frame(channel, payload, &mut bytes).map_err(|source| SendError::TooLarge { source })?;
@@ -137,7 +137,7 @@
     }
 
     /// So many of the next bytes were taken.
-    pub fn written(&mut self, count: usize, now: Moment) {
+    pub fn written(&mut self, count: usize, now: Instant) {
         let count = count.min(self.next_bytes().len());
         let Phase::Up { moved } = &mut self.phase else { return };
         if count == 0 {
@@ -157,7 +157,7 @@
     }
 
     /// What is to be done now.
-    pub fn poll(&mut self, now: Moment) -> Action {
+    pub fn poll(&mut self, now: Instant) -> Action {
         match self.phase {
             Phase::Down { not_before } if now >= not_before && !self.queue.is_empty() => {
                 self.phase = Phase::Dialling { since: now };
@@ -172,7 +172,7 @@
     }
 
     /// When `poll` may have something to be done next, if nothing else happens.
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Instant> {
         let waits = self.waiting() > 0;
         match self.phase {
             Phase::Down { not_before } => (!self.queue.is_empty()).then_some(not_before),
@@ -182,7 +182,7 @@
     }
 
     /// The connection has come up.
-    pub fn connected(&mut self, now: Moment) {
+    pub fn connected(&mut self, now: Instant) {
         if let Phase::Dialling { .. } = self.phase {
             self.phase = Phase::Up { moved: now };
             self.greeting = link::encode_hello(&self.hello);
@@ -191,7 +191,7 @@
 
     /// The connection has ended or never came up. A frame that was sent in part is sent whole on the next one; what the
     /// system had taken and not delivered is lost.
-    pub fn ended(&mut self, now: Moment) {
+    pub fn ended(&mut self, now: Instant) {
         self.phase = Phase::Down { not_before: now + self.bounds.redial_after };
         self.greeting.clear();
         self.gone = 0;
--- a/crates/transport/tests/outgoing.rs
+++ b/crates/transport/tests/outgoing.rs
@@ -1,6 +1,6 @@
 //! An outgoing link without its socket: what waits, what gives way, when it dials and gives up.
 
-use grebeusher_time::{Moment, Span};
+use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::link::{self, Frame, FrameDecoder, Hello, MOST_PAYLOAD};
 use grebeusher_transport::outgoing::{Action, Bounds, Delivery, Outgoing, SendError};
 use proptest::prelude::*;
@@ -9,15 +9,15 @@
 
 const BOUNDS: Bounds = Bounds {
     most_waiting: 100,
-    connect_within: Span::millis(600),
-    stuck_after: Span::millis(1500),
-    redial_after: Span::millis(150),
+    connect_within: Duration::from_millis(600),
+    stuck_after: Duration::from_millis(1500),
+    redial_after: Duration::from_millis(150),
 };
 /// A payload that makes a frame of 20 bytes.
 const PAYLOAD: usize = 15;
 
-fn at(ms: u64) -> Moment {
-    Moment(0) + Span::millis(ms)
+fn at(ms: u64) -> Instant {
+    Instant(0) + Duration::from_millis(ms)
 }
 
 fn outgoing() -> Outgoing {
@@ -38,7 +38,7 @@
     link.push(mark, &[mark; PAYLOAD], delivery, at(0))
 }
 
-fn take_all(link: &mut Outgoing, now: Moment) -> Vec<u8> {
+fn take_all(link: &mut Outgoing, now: Instant) -> Vec<u8> {
     let mut taken = Vec::new();
     while !link.next_bytes().is_empty() {
         let bytes = link.next_bytes().to_vec();
--- a/crates/volatile-raft/src/keeper.rs
+++ b/crates/volatile-raft/src/keeper.rs
@@ -3,7 +3,7 @@
 use crate::pieces::{Desk, cut};
 use crate::store::Store;
 use crate::{Host, Machine};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2, Entry, EntryType, Message, MessageType};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
@@ -15,25 +15,25 @@
 /// Each change waits for a majority of them: seven already cost more than the loss of a third one would.
 pub const MOST_KEEPERS: usize = 7;
 /// Raft's unit of time. A leader says that it is there every second one.
-const TICK: Span = Span::millis(50);
+const TICK: Duration = Duration::from_millis(50);
 const HEARTBEAT_TICKS: usize = 2;
 /// Who hears no leader for so long, up to twice, asks to be one: half a second is many round trips of any one site, and
 /// longer than a loaded machine keeps a process waiting.
 const ELECTION_TICKS: usize = 10;
 /// A keeper tells the others so often what it has, and is heard as long as three of these.
-const TELLS_EVERY: Span = Span::millis(300);
-const HEARD_FOR: Span = Span::millis(1000);
+const TELLS_EVERY: Duration = Duration::from_millis(300);
+const HEARD_FOR: Duration = Duration::from_millis(1000);
 /// One that begins listens for so long before it founds anything: some group may be there.
-const LISTENS: Span = Span::millis(1000);
+const LISTENS: Duration = Duration::from_millis(1000);
 /// A member that knows no leader for so long, while most others are elsewhere, begins anew.
-const LOST_AFTER: Span = Span::millis(3000);
+const LOST_AFTER: Duration = Duration::from_millis(3000);
 /// A state that was sent and is not acknowledged by then is sent again.
-const SNAPSHOT_WITHIN: Span = Span::millis(500);
+const SNAPSHOT_WITHIN: Duration = Duration::from_millis(500);
 /// Where time alone moves the state on, an entry is settled so often.
-const TIME_EVERY: Span = Span::millis(100);
+const TIME_EVERY: Duration = Duration::from_millis(100);
 /// What comes within so long of the last entry goes into one: a few round trips of one site, and little of what anybody waits.
 /// Guards against keepers that are busy with an entry for each ask, as round trips are short.
-const GATHERS: Span = Span::millis(2);
+const GATHERS: Duration = Duration::from_millis(2);
 /// In one entry: with more its datagrams become many, and one that is lost loses all of them.
 const MOST_STEPS: usize = 40;
 /// What waits to be settled; who asks is asked to ask again anyway.
@@ -68,7 +68,7 @@
 struct Heard {
     life: u64,
     group: Option<u64>,
-    at: Moment,
+    at: Instant,
     pieces: Desk,
 }
 
@@ -76,13 +76,13 @@
     name: u64,
     node: RawNode<Store<M>>,
     /// When the last batch was settled here, or the state came; of one that this life proposed, when it did.
-    settled: Moment,
+    settled: Instant,
     /// The batch that is under way: its term, and when it was proposed.
-    proposed: Option<(u64, Moment)>,
-    states_sent: BTreeMap<u64, Moment>,
-    changed: Moment,
+    proposed: Option<(u64, Instant)>,
+    states_sent: BTreeMap<u64, Instant>,
+    changed: Instant,
     led: (usize, u64),
-    led_at: Moment,
+    led_at: Instant,
 }
 
 impl<M: Machine> Group<M> {
@@ -100,11 +100,11 @@
     chance: Pcg32,
     empty: M,
     life: u64,
-    begun: Moment,
+    begun: Instant,
     group: Option<Group<M>>,
     heard: Vec<Option<Heard>>,
-    tells_at: Moment,
-    ticks_at: Moment,
+    tells_at: Instant,
+    ticks_at: Instant,
     waiting: Vec<M::Step>,
     next_number: u32,
 }
@@ -117,7 +117,7 @@
 impl<M: Machine, H: Host<M>> Keeper<M, H> {
     /// The keeper at this place among so many, of which there is an odd number, as it starts. `seed` must not have been
     /// that of an earlier start. `empty` is what a group begins with.
-    pub fn new(now: Moment, place: usize, keepers: usize, seed: u64, empty: M, host: H) -> Self {
+    pub fn new(now: Instant, place: usize, keepers: usize, seed: u64, empty: M, host: H) -> Self {
         assert!(place < keepers && keepers <= MOST_KEEPERS, "place {place} of {keepers} keepers");
         let mut keeper = Keeper {
             host,
@@ -139,7 +139,7 @@
     }
 
     /// A life begins, with nothing.
-    fn begins(&mut self, now: Moment) {
+    fn begins(&mut self, now: Instant) {
         self.life = self.name(self.place);
         (self.group, self.begun, self.tells_at) = (None, now, now);
         self.waiting.clear();
@@ -176,7 +176,7 @@
     }
 
     /// Wants a step settled. `false` where this one does not lead: then somebody else is to be asked.
-    pub fn propose(&mut self, now: Moment, step: M::Step) -> bool {
+    pub fn propose(&mut self, now: Instant, step: M::Step) -> bool {
         if !self.leads() || self.waiting.len() >= MOST_WAITING {
             return false;
         }
@@ -186,7 +186,7 @@
     }
 
     /// What came from another keeper; `false` if nothing can be made of it.
-    pub fn heard(&mut self, now: Moment, datagram: &[u8]) -> bool {
+    pub fn heard(&mut self, now: Instant, datagram: &[u8]) -> bool {
         match postcard::from_bytes(datagram) {
             Ok(Word::Hello { life, group }) => {
                 let Some(heard) = self.hears(now, life) else { return false };
@@ -205,7 +205,7 @@
         true
     }
 
-    fn hears(&mut self, now: Moment, life: u64) -> Option<&mut Heard> {
+    fn hears(&mut self, now: Instant, life: u64) -> Option<&mut Heard> {
         let of = self.heard.get_mut(place(life)).filter(|_| place(life) != self.place)?;
         if of.as_ref().is_none_or(|of| of.life != life) {
             *of = Some(Heard { life, group: None, at: now, pieces: Desk::default() });
@@ -216,7 +216,7 @@
     }
 
     /// A message of `raft`. The first one makes a life without a group belong to its group.
-    fn steps(&mut self, now: Moment, group: u64, message: Message) {
+    fn steps(&mut self, now: Instant, group: u64, message: Message) {
         if message.to != self.life {
             return; // for an earlier life, which is dead
         }
@@ -230,7 +230,7 @@
         self.acts(now);
     }
 
-    fn belongs(&mut self, now: Moment, name: u64, store: Store<M>, founds: bool) {
+    fn belongs(&mut self, now: Instant, name: u64, store: Store<M>, founds: bool) {
         let config = Config {
             id: self.life,
             election_tick: ELECTION_TICKS,
@@ -252,14 +252,14 @@
         self.host.belongs(name, founds);
     }
 
-    pub fn next_due(&self) -> Moment {
+    pub fn next_due(&self) -> Instant {
         let Some(group) = &self.group else { return self.tells_at };
         let due = self.tells_at.min(self.ticks_at + TICK);
         let gathers = self.leads() && !self.waiting.is_empty() && group.is_idle();
         if gathers { due.min(group.settled + GATHERS) } else { due }
     }
 
-    pub fn due(&mut self, now: Moment) {
+    pub fn due(&mut self, now: Instant) {
         if now >= self.tells_at {
             self.tells_at = now + TELLS_EVERY;
             self.tells();
@@ -300,7 +300,7 @@
         }
     }
 
-    fn lately(&self, now: Moment) -> impl Iterator<Item = (usize, &Heard)> {
+    fn lately(&self, now: Instant) -> impl Iterator<Item = (usize, &Heard)> {
         let heard = self.heard.iter().enumerate().filter_map(|(at, heard)| Some((at, heard.as_ref()?)));
         heard.filter(move |(_, heard)| now.since(heard.at) <= HEARD_FOR)
     }
@@ -310,7 +310,7 @@
     }
 
     /// Most keepers have nothing: what there was is lost, and the first of them founds a group.
-    fn founds(&mut self, now: Moment) {
+    fn founds(&mut self, now: Instant) {
         if self.group.is_some() || now.since(self.begun) < LISTENS {
             return;
         }
@@ -337,7 +337,7 @@
     /// A group whose other members are mostly elsewhere, or dead as far as this one knows of its members, can settle nothing any more:
     /// this life ends. Guards against a group of two, of which one has just been put in: to the other it is no member yet, so that
     /// neither can lead, and each takes the other for one that goes on.
-    fn is_lost(&mut self, now: Moment) {
+    fn is_lost(&mut self, now: Instant) {
         let Some(group) = &self.group else { return };
         let elsewhere = self.lately(now).filter(|(_, heard)| heard.group != Some(group.name)).count();
         // One that never heard its leader has nothing to lose, and may stand in the way of another founding.
@@ -356,8 +356,8 @@
     }
 
     /// Who leads puts a new life in the stead of the one that had its place.
-    fn puts_in(&mut self, now: Moment, life: u64, belongs_to: Option<u64>) {
-        const AT_LEAST_APART: Span = Span::millis(200);
+    fn puts_in(&mut self, now: Instant, life: u64, belongs_to: Option<u64>) {
+        const AT_LEAST_APART: Duration = Duration::from_millis(200);
         let leads = self.leads();
         let Some(group) = self.group.as_mut().filter(|_| leads && belongs_to.is_none()) else { return };
         let voters = group.node.store().voters();
@@ -382,7 +382,7 @@
     }
 
     /// One batch at a time, and only when all before is settled here: what has passed goes into the batch.
-    fn proposes(&mut self, now: Moment) {
+    fn proposes(&mut self, now: Instant) {
         loop {
             let leads = self.leads();
             let Some(group) = self.group.as_mut().filter(|_| leads) else { return };
@@ -393,7 +393,7 @@
                 return;
             }
             let steps = self.waiting.drain(..self.waiting.len().min(MOST_STEPS)).collect();
-            let passed_us = now.since(group.settled).0 / 1000;
+            let passed_us = now.since(group.settled).nanos() / 1000;
             let Ok(data) = postcard::to_allocvec(&Batch { passed_us, steps }) else { return };
             group.proposed = Some((group.node.raft.term, now));
             if group.node.propose(Vec::new(), data).is_err() {
@@ -404,7 +404,7 @@
     }
 
     /// Does what `raft` wants done: what it says goes out, what is settled goes into the state.
-    fn acts(&mut self, now: Moment) {
+    fn acts(&mut self, now: Instant) {
         while let Some(group) = self.group.as_mut().filter(|group| group.node.has_ready()) {
             let mut ready = group.node.ready();
             let mut messages = ready.take_messages();
@@ -434,7 +434,7 @@
         self.sees_leader(now);
     }
 
-    fn sees_leader(&mut self, now: Moment) {
+    fn sees_leader(&mut self, now: Instant) {
         let Some(group) = &mut self.group else { return };
         let (leader, term) = (group.node.raft.leader_id, group.node.raft.term);
         if leader == 0 {
@@ -447,7 +447,7 @@
         }
     }
 
-    fn applies(&mut self, now: Moment, entries: Vec<Entry>) {
+    fn applies(&mut self, now: Instant, entries: Vec<Entry>) {
         let leads = self.leads();
         let Some(group) = &mut self.group else { return };
         for entry in entries {
@@ -462,7 +462,7 @@
             }
             // A leader that begins settles one that is empty.
             let Ok(batch) = postcard::from_bytes::<Batch<M::Step>>(&entry.data) else { continue };
-            let passed = Span(batch.passed_us.saturating_mul(1000));
+            let passed = Duration::from_nanos(batch.passed_us.saturating_mul(1000));
             let outcomes = group.node.store().machine.borrow_mut().settles(passed, batch.steps);
             // Batches one after the other without a pause would leave no time between them: one's own count from when they
             // were proposed, before which all that they answer was asked.
@@ -474,7 +474,7 @@
         }
     }
 
-    fn sends(&mut self, now: Moment, message: &Message) {
+    fn sends(&mut self, now: Instant, message: &Message) {
         /// One lost piece loses the whole: those of a state, which are many, go out twice.
         const FEW: u16 = 2;
         // An earlier life of this place, which is dead, may still be among the voters.
--- a/crates/volatile-raft/src/lib.rs
+++ b/crates/volatile-raft/src/lib.rs
@@ -20,7 +20,7 @@
 mod pieces;
 mod store;
 
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, Instant};
 pub use keeper::{Keeper, MOST_KEEPERS};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -31,12 +31,12 @@
     type Outcome;
     /// These steps are settled, so long after the ones before: at most as long as it really is, from when a step was asked
     /// for on.
-    fn settles(&mut self, passed: Span, steps: Vec<Self::Step>) -> Vec<Self::Outcome>;
+    fn settles(&mut self, passed: Duration, steps: Vec<Self::Step>) -> Vec<Self::Outcome>;
     /// Whether time alone moves it on.
     fn waits(&self) -> bool;
     /// A group begins with this state, by the clock of whoever founds it: what is numbered should go on beyond any number of a group
     /// that was lost.
-    fn founded(&mut self, at: Moment);
+    fn founded(&mut self, at: Instant);
 }
 
 /// What a keeper asks of whoever runs it.
--- a/crates/volatile-raft/tests/stories.rs
+++ b/crates/volatile-raft/tests/stories.rs
@@ -2,7 +2,7 @@
 //! outside, and budgets that they divide are added up where they are spent.
 
 use grebeusher_budgets::{Ask, Division, Entry, Grant, Holder, Purse, Whole, Wholes};
-use grebeusher_dispatch::time::{Moment, Span};
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_volatile_raft::{Host, Keeper, Machine};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-const LEASE: Span = Span::millis(2000);
+const LEASE: Duration = Duration::from_millis(2000);
 const WHOLE: Whole = Whole { units: 60, window_ms: 1000, floor: 0, nodes: 0 };
 
 /// The division, and a count of its steps that tells two histories apart.
@@ -35,8 +35,8 @@
     type Step = Ask;
     type Outcome = Grant;
 
-    fn settles(&mut self, passed: Span, asks: Vec<Ask>) -> Vec<Grant> {
-        self.us += passed.0 / 1000;
+    fn settles(&mut self, passed: Duration, asks: Vec<Ask>) -> Vec<Grant> {
+        self.us += passed.nanos() / 1000;
         let passed_ms = self.us / 1000;
         self.us %= 1000;
         self.steps.extend(asks.iter().map(|ask| ask.ask));
@@ -47,7 +47,7 @@
         false
     }
 
-    fn founded(&mut self, at: Moment) {
+    fn founded(&mut self, at: Instant) {
         self.division.numbers_beyond(at.0 / 1000);
     }
 }
@@ -124,8 +124,8 @@
         world
     }
 
-    fn at(&self) -> Moment {
-        Moment(1_000_000_000_000) + Span::millis(self.now)
+    fn at(&self) -> Instant {
+        Instant(1_000_000_000_000) + Duration::from_millis(self.now)
     }
 
     /// A keeper starts, or is killed and back at once, with nothing.
@@ -201,7 +201,7 @@
     }
 
     /// Five nodes want more than there is.
-    fn nodes_spend(&mut self, at: Moment) {
+    fn nodes_spend(&mut self, at: Instant) {
         for node in 0..self.purses.len() {
             if self.chance.random::<f64>() < 0.03 && self.purses[node].take(at) {
                 self.spent.push_back(self.now);
