--- /dev/null
+++ b/crates/quorum/tests/stable_bytes.rs
@@ -0,0 +1,401 @@
+//! Bytes written by earlier versions that this one must read and write unchanged: the files of a replica's disk, which
+//! outlive the program that wrote them, and the messages between replicas, which may be of different versions.
+//!
+//! The files are in `tests/data`, the messages are given here as hex digits. A test that fails here says that a disk, or
+//! a replica of another version, is not understood any more: then the form needs a new number, and not a new sample.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+
+use grebeusher_quorum::disk::{Identity, Store};
+use grebeusher_quorum::{
+    Append, AppendReply, Blob, Body, Candidacy, Chunk, ChunkReply, Entry, Founding, Group, HardState, Index,
+    Message, Outcome, Payload, Position, ReplicaId, Restored, Snapshot, Stamp, Term, VoteReply, Write,
+    decode, encode,
+};
+use rstest::rstest;
+
+/// The identity in `tests/data/identity`.
+const IDENTITY: u64 = 0x1112_1314_1516_1718;
+
+fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+}
+
+fn new_folder() -> tempfile::TempDir {
+    tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a folder")
+}
+
+/// Each file of a folder by its name, in hex digits.
+fn contents(folder: &Path) -> BTreeMap<String, String> {
+    let files = std::fs::read_dir(folder).expect("it can be listed").map(|file| file.expect("it is there"));
+    files
+        .map(|file| {
+            let name = file.file_name().to_string_lossy().into_owned();
+            (name, hex(&std::fs::read(file.path()).expect("it can be read")))
+        })
+        .collect()
+}
+
+/// A copy of a folder of `tests/data`, as what opens a disk may write to it.
+fn copy_of(name: &str) -> tempfile::TempDir {
+    let copy = new_folder();
+    for file in std::fs::read_dir(data(name)).expect("it can be listed") {
+        let file = file.expect("it is there");
+        std::fs::copy(file.path(), copy.path().join(file.file_name())).expect("it can be copied");
+    }
+    copy
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The bytes of hex digits, between which there may be room.
+fn bytes_of(hex: &str) -> Vec<u8> {
+    let digits: Vec<u32> =
+        hex.chars().filter(|c| !c.is_whitespace()).map(|c| c.to_digit(16).expect("a hex digit")).collect();
+    assert_eq!(digits.len() % 2, 0, "whole bytes");
+    digits.chunks(2).map(|pair| (pair[0] << 4 | pair[1]) as u8).collect()
+}
+
+fn ids<const N: usize>(ids: [u64; N]) -> Vec<ReplicaId> {
+    ids.into_iter().map(ReplicaId).collect()
+}
+
+fn settled_group() -> Group {
+    Group { voters: ids([IDENTITY, 0x2122_2324_2526_2728]), outgoing: Vec::new() }
+}
+
+fn joint_group() -> Group {
+    Group {
+        voters: ids([IDENTITY, 0x2122_2324_2526_2728, 0x3132_3334_3536_3738]),
+        outgoing: ids([IDENTITY, 0xf1f2_f3f4_f5f6_f7f8]),
+    }
+}
+
+fn command(bytes: &[u8]) -> Payload {
+    Payload::Command(Blob::from(bytes))
+}
+
+fn entry(index: u64, term: u64, payload: Payload) -> Entry {
+    Entry { index: Index(index), term: Term(term), payload }
+}
+
+/// Each of the kinds has a sample. A kind that is new does not compile here until it is named, nor pass without a sample.
+macro_rules! assert_every_kind {
+    ($samples:expr, [$($kind:pat),+ $(,)?]) => {{
+        let kinds = $samples.into_iter().map(|sample| match sample { $($kind => stringify!($kind)),+ });
+        assert_eq!(kinds.collect::<BTreeSet<&str>>(), BTreeSet::from([$(stringify!($kind)),+]));
+    }};
+}
+
+/// What a disk is made of: the writes to an empty one, and what it holds after them.
+struct Disk {
+    writes: Vec<Write>,
+    holds: Restored,
+}
+
+/// A disk that never had a snapshot: a slot without one, and a log that began empty.
+fn first_generation() -> Disk {
+    const LARGE: u64 = 0x0102_0304_0506_0708;
+    let kept = [
+        entry(1, 1, Payload::Opening),
+        entry(2, 1, Payload::Group(settled_group())),
+        entry(3, 1, command(b"first")),
+    ];
+    let replaced = entry(4, 1, command(b"replaced"));
+    let newer = [
+        entry(4, LARGE, Payload::Opening),
+        entry(5, LARGE, Payload::Group(joint_group())),
+        entry(6, LARGE, command(b"")),
+        entry(7, LARGE, command(&[0x00, 0x7f, 0x80, 0xff])),
+    ];
+    let voted =
+        HardState { term: Term(1), voted: Some(ReplicaId(IDENTITY)), founding: None, commit: Index(0) };
+    let founding = Some(Founding(0x4142_4344_4546_4748));
+    let last = HardState { term: Term(LARGE), voted: None, founding, commit: Index(3) };
+    let writes = vec![
+        Write::Hard(voted),
+        Write::Entries([kept.to_vec(), vec![replaced]].concat()),
+        Write::Entries(newer.to_vec()),
+        Write::Hard(last),
+    ];
+    let entries = [kept.to_vec(), newer.to_vec()].concat();
+    Disk { writes, holds: Restored { hard: last, snapshot: None, entries } }
+}
+
+/// A disk with a snapshot in the midst of a change of the group, and a log that began with all kinds of entries.
+fn second_generation() -> Disk {
+    const BEFORE: u64 = 0x0a0b_0c0d_0e0f_1011;
+    const TERM: u64 = 0x0102_0304_0506_0708;
+    let snapshot = Snapshot {
+        last: Position { term: Term(TERM - 1), index: Index(BEFORE) },
+        group: joint_group(),
+        bytes: Blob::from(&b"the state of the application"[..]),
+    };
+    let first = [
+        entry(BEFORE + 1, TERM, Payload::Opening),
+        entry(BEFORE + 2, TERM, Payload::Group(settled_group())),
+        entry(BEFORE + 3, TERM, command(b"in the base")),
+    ];
+    let later = [
+        entry(BEFORE + 4, TERM + 1, Payload::Opening),
+        entry(BEFORE + 5, TERM + 1, Payload::Group(joint_group())),
+        entry(BEFORE + 6, TERM + 1, command(b"in a record")),
+    ];
+    let hard = HardState {
+        term: Term(TERM),
+        voted: Some(ReplicaId(0x2122_2324_2526_2728)),
+        founding: Some(Founding(0x4142_4344_4546_4748)),
+        commit: Index(BEFORE + 1),
+    };
+    let last = HardState { term: Term(TERM + 1), voted: None, commit: Index(BEFORE + 4), ..hard };
+    let writes = vec![
+        Write::Hard(HardState::default()),
+        Write::Snapshot { snapshot: snapshot.clone(), hard, entries: first.to_vec() },
+        Write::Hard(last),
+        Write::Entries(later.to_vec()),
+    ];
+    let holds = Restored { hard: last, snapshot: Some(snapshot), entries: [first, later].concat() };
+    Disk { writes, holds }
+}
+
+#[rstest]
+#[case::without_a_snapshot("generation-1", first_generation())]
+#[case::with_a_snapshot("generation-2", second_generation())]
+fn a_disk_of_an_earlier_version_is_read_as_it_was_meant(#[case] name: &str, #[case] disk: Disk) {
+    // Given files as an earlier version left them, when they are opened,
+    let folder = copy_of(name);
+    let (store, restored) = Store::open(folder.path()).expect("it is whole");
+    // then they hold what was written, nothing is cut off, and they stay as they are.
+    assert_eq!(restored, disk.holds);
+    assert_eq!(contents(folder.path()), contents(&data(name)));
+    let in_force = contents(folder.path()).into_iter().filter(|(file, _)| file.starts_with("log-"));
+    assert_eq!(store.log_bytes(), in_force.map(|(_, hex)| hex.len() as u64 / 2).sum::<u64>());
+}
+
+#[rstest]
+#[case::without_a_snapshot("generation-1", first_generation())]
+#[case::with_a_snapshot("generation-2", second_generation())]
+fn a_disk_is_written_as_an_earlier_version_wrote_it(#[case] name: &str, #[case] disk: Disk) {
+    // Given an empty folder, when the same is written to it, each write for itself,
+    let folder = new_folder();
+    let (mut store, _) = Store::open(folder.path()).expect("it is empty");
+    for write in disk.writes {
+        store.write(&[write]).expect("there is room");
+        store.sync().expect("the disk works");
+    }
+    // then the files have the same names and bytes.
+    assert_eq!(contents(folder.path()), contents(&data(name)));
+}
+
+#[rstest]
+#[case::without_a_snapshot("generation-1", first_generation())]
+#[case::with_a_snapshot("generation-2", second_generation())]
+fn a_disk_of_an_earlier_version_is_gone_on_with_as_one_of_this(#[case] name: &str, #[case] disk: Disk) {
+    // Given a disk of an earlier version and one of this, when both are written to after a restart,
+    let old = copy_of(name);
+    let new = new_folder();
+    Store::open(new.path()).expect("it is empty").0.write(&disk.writes).expect("there is room");
+    let next = disk.holds.entries.last().expect("there are entries").index.next();
+    for folder in [old.path(), new.path()] {
+        let (mut store, _) = Store::open(folder).expect("it is whole");
+        store
+            .write(&[Write::Entries(vec![entry(next.0, u64::MAX, command(b"more"))])])
+            .expect("there is room");
+        store.sync().expect("the disk works");
+    }
+    // then they are one and the same, and whole.
+    assert_eq!(contents(old.path()), contents(new.path()));
+    let entries = Store::open(old.path()).expect("it is whole").1.entries;
+    assert_eq!(entries.len(), disk.holds.entries.len() + 1);
+}
+
+#[test]
+fn the_disks_have_every_kind_of_write_and_entry() {
+    let writes = [first_generation().writes, second_generation().writes].concat();
+    assert_every_kind!(&writes, [Write::Hard(_), Write::Entries(_), Write::Snapshot { .. }]);
+    for disk in [first_generation(), second_generation()] {
+        let payloads = disk.holds.entries.iter().map(|entry| &entry.payload);
+        assert_every_kind!(payloads, [Payload::Opening, Payload::Group(_), Payload::Command(_)]);
+    }
+}
+
+#[test]
+fn an_identity_of_an_earlier_version_is_kept() {
+    // Given the identity as an earlier version left it, when it is read, then it is the same, and stays as it is;
+    let folder = copy_of("identity");
+    let read = Identity::load_or_create(folder.path(), 1).expect("it is whole");
+    assert_eq!(read, Identity { id: ReplicaId(IDENTITY), existed: true });
+    assert_eq!(contents(folder.path()), contents(&data("identity")));
+    // and made anew it is written in the same way.
+    let folder = new_folder();
+    let made = Identity::load_or_create(folder.path(), IDENTITY).expect("it is empty");
+    assert_eq!(made, Identity { id: ReplicaId(IDENTITY), existed: false });
+    assert_eq!(contents(folder.path()), contents(&data("identity")));
+}
+
+#[test]
+fn the_fingerprint_of_a_founding_is_the_same_in_all_versions() {
+    // Replicas that compute different ones never talk to each other.
+    assert_eq!(settled_group().founding(), Founding(0x66da_3ec1_4ae2_84a5));
+    assert_eq!(joint_group().founding(), Founding(0xb89f_0330_958b_7b75));
+    assert_eq!(
+        Group::of([ReplicaId(3), ReplicaId(1), ReplicaId(2)]).founding(),
+        Founding(0xda2b_fb22_5e0d_1f05)
+    );
+}
+
+/// What stands before each body.
+const HEAD: &str = "0807060504030201 1817161514131211 2827262524232221 3837363534333231";
+
+fn message(body: Body) -> Message {
+    Message {
+        from: ReplicaId(0x0102_0304_0506_0708),
+        to: ReplicaId(0x1112_1314_1516_1718),
+        founding: Founding(0x2122_2324_2526_2728),
+        term: Term(0x3132_3334_3536_3738),
+        body,
+    }
+}
+
+const SENT: Stamp = Stamp(0xe1e2_e3e4_e5e6_e7e8);
+
+fn position() -> Position {
+    Position { term: Term(0x1a1b_1c1d_1e1f_1011), index: Index(0x2a2b_2c2d_2e2f_2021) }
+}
+
+fn heartbeat() -> Body {
+    let commit = Index(0x0a0b_0c0d_0e0f_0001);
+    Body::Append(Append { previous: position(), commit, sent: SENT, entries: Vec::new() })
+}
+
+fn append() -> Body {
+    let (Index(before), Term(term)) = (position().index, position().term);
+    let payloads = [
+        Payload::Opening,
+        Payload::Group(settled_group()),
+        Payload::Group(joint_group()),
+        command(b""),
+        command(b"a command"),
+    ];
+    let entries = (1..).zip(payloads).map(|(n, payload)| entry(before + n, term + n, payload)).collect();
+    Body::Append(Append { previous: position(), commit: Index(before), sent: SENT, entries })
+}
+
+fn chunk(group: Group, bytes: &[u8]) -> Body {
+    let (total, offset) = (0x0301_0203, 0x0200_0102);
+    Body::Chunk(Chunk { last: position(), group, total, offset, bytes: Blob::from(bytes), sent: SENT })
+}
+
+/// Each kind of message, and what follows the head in its binary form.
+fn messages() -> Vec<(&'static str, Body, &'static str)> {
+    let candidacy = |handed_over| Candidacy { last: position(), handed_over };
+    let reply = |outcome| Body::AppendReply(AppendReply { outcome, sent: SENT });
+    let received = 0x0200_0102;
+    vec![
+        ("pre-vote", Body::PreVote(candidacy(false)), "0000 11101f1e1d1c1b1a 21202f2e2d2c2b2a 00"),
+        (
+            "pre-vote after a hand-over",
+            Body::PreVote(candidacy(true)),
+            "0000 11101f1e1d1c1b1a 21202f2e2d2c2b2a 01",
+        ),
+        ("pre-vote refused", Body::PreVoteReply(VoteReply { granted: false }), "0100 00"),
+        ("pre-vote granted", Body::PreVoteReply(VoteReply { granted: true }), "0100 01"),
+        ("vote", Body::Vote(candidacy(false)), "0200 11101f1e1d1c1b1a 21202f2e2d2c2b2a 00"),
+        ("vote after a hand-over", Body::Vote(candidacy(true)), "0200 11101f1e1d1c1b1a 21202f2e2d2c2b2a 01"),
+        ("vote refused", Body::VoteReply(VoteReply { granted: false }), "0300 00"),
+        ("vote granted", Body::VoteReply(VoteReply { granted: true }), "0300 01"),
+        (
+            "heartbeat",
+            heartbeat(),
+            "0400 11101f1e1d1c1b1a 21202f2e2d2c2b2a 01000f0e0d0c0b0a e8e7e6e5e4e3e2e1 \
+             00000000",
+        ),
+        (
+            "append",
+            append(),
+            "0400 11101f1e1d1c1b1a 21202f2e2d2c2b2a 21202f2e2d2c2b2a e8e7e6e5e4e3e2e1 05000000 \
+             22202f2e2d2c2b2a 12101f1e1d1c1b1a 0000 \
+             23202f2e2d2c2b2a 13101f1e1d1c1b1a 0100 02000000 1817161514131211 2827262524232221 \
+               00000000 \
+             24202f2e2d2c2b2a 14101f1e1d1c1b1a 0100 03000000 1817161514131211 2827262524232221 \
+               3837363534333231 02000000 1817161514131211 f8f7f6f5f4f3f2f1 \
+             25202f2e2d2c2b2a 15101f1e1d1c1b1a 0200 00000000 \
+             26202f2e2d2c2b2a 16101f1e1d1c1b1a 0200 09000000 6120636f6d6d616e64",
+        ),
+        (
+            "append matched",
+            reply(Outcome::Matched(position().index)),
+            "0500 0000 21202f2e2d2c2b2a e8e7e6e5e4e3e2e1",
+        ),
+        (
+            "append in conflict",
+            reply(Outcome::Conflict { refused: position().index, hint: Index(0x0a0b_0c0d_0e0f_0001) }),
+            "0500 0100 21202f2e2d2c2b2a 01000f0e0d0c0b0a e8e7e6e5e4e3e2e1",
+        ),
+        ("append outdated", reply(Outcome::Outdated), "0500 0200 e8e7e6e5e4e3e2e1"),
+        (
+            "chunk of a settled group",
+            chunk(settled_group(), b""),
+            "0600 11101f1e1d1c1b1a 21202f2e2d2c2b2a \
+             02000000 1817161514131211 2827262524232221 00000000 \
+             0302010300000000 0201000200000000 00000000 e8e7e6e5e4e3e2e1",
+        ),
+        (
+            "chunk of a joint group",
+            chunk(joint_group(), b"a piece"),
+            "0600 11101f1e1d1c1b1a 21202f2e2d2c2b2a \
+             03000000 1817161514131211 2827262524232221 3837363534333231 02000000 1817161514131211 \
+               f8f7f6f5f4f3f2f1 \
+             0302010300000000 0201000200000000 07000000 61207069656365 e8e7e6e5e4e3e2e1",
+        ),
+        (
+            "chunk received",
+            Body::ChunkReply(ChunkReply { last: position(), received, sent: SENT }),
+            "0700 11101f1e1d1c1b1a 21202f2e2d2c2b2a 0201000200000000 e8e7e6e5e4e3e2e1",
+        ),
+        ("take over", Body::TakeOver, "0800"),
+    ]
+}
+
+#[test]
+fn a_message_is_written_and_read_as_in_earlier_versions() {
+    for (name, body, hex_of_body) in messages() {
+        let message = message(body);
+        let bytes = bytes_of(&format!("{HEAD}{hex_of_body}"));
+        assert_eq!(hex(&encode(&message)), hex(&bytes), "{name}");
+        assert_eq!(decode(&bytes).expect(name), message, "{name}");
+    }
+}
+
+#[test]
+fn the_messages_have_every_kind_of_body_outcome_and_entry() {
+    let bodies: Vec<Body> = messages().into_iter().map(|(_, body, _)| body).collect();
+    assert_every_kind!(
+        &bodies,
+        [
+            Body::PreVote(_),
+            Body::PreVoteReply(_),
+            Body::Vote(_),
+            Body::VoteReply(_),
+            Body::Append(_),
+            Body::AppendReply(_),
+            Body::Chunk(_),
+            Body::ChunkReply(_),
+            Body::TakeOver,
+        ]
+    );
+    let outcomes = bodies.iter().filter_map(|body| match body {
+        Body::AppendReply(reply) => Some(reply.outcome),
+        _ => None,
+    });
+    assert_every_kind!(outcomes, [Outcome::Matched(_), Outcome::Conflict { .. }, Outcome::Outdated]);
+    let entries = bodies.iter().filter_map(|body| match body {
+        Body::Append(append) => Some(&append.entries),
+        _ => None,
+    });
+    let payloads = entries.flatten().map(|entry| &entry.payload);
+    assert_every_kind!(payloads, [Payload::Opening, Payload::Group(_), Payload::Command(_)]);
+}
