--- /dev/null
+++ b/crates/archive/tests/stable_bytes.rs
@@ -0,0 +1,204 @@
+//! Bytes written by earlier versions that this one must read and write unchanged.
+//!
+//! A part's log, its snapshots and the calls between the processes hold these bytes. None of them may be edited to make
+//! a test pass: a changed form needs a new kind or a new version beside the old one.
+
+use grebeusher_archive::{
+    Entry, EventsPiece, Header, ItemIndex, ItemProgress, ItemResult, ItemSpec, JobId, JobResults, JobTerms,
+    Jobs, ResultState, SharedBytes, Submission,
+};
+use nanoserde::{DeBin, SerBin};
+use rstest::rstest;
+
+const SUBMISSION: &[u8] = b"\x05job-1\x04lots\x06models\x0clots.example\x03\x01a\x07/lots/a\x02\x06Accept\x11text/event-stream\x18X-Grebeusher-Token-Count\x06940,60\x03\x00\xab\xff\xe8\x07\x01b\x07/lots/b\x00\x00\x00\x01c\x07/lots/c\x00\x05third\x7f";
+const TERMS: &[u8] = b"\xfb\xd0\x95\xff\xbc1\x7f\x80\x01\x80\x80\x01\xff\xff\xff\xff\x0f\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x00";
+const SUBMIT: &[u8] = b"\x01\x05job-1\x04lots\x06models\x0clots.example\x03\x01a\x07/lots/a\x02\x06Accept\x11text/event-stream\x18X-Grebeusher-Token-Count\x06940,60\x03\x00\xab\xff\xe8\x07\x01b\x07/lots/b\x00\x00\x00\x01c\x07/lots/c\x00\x05third\x7f\xfb\xd0\x95\xff\xbc1\x7f\x80\x01\x80\x80\x01\xff\xff\xff\xff\x0f\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x00";
+const RESULTS: &[u8] = b"\x02\x02\x05job-1\x02\x00\x00\none\ntwo \xc3\xa9\xc7\x01\x01\x00\x05job-2\x00";
+const PROGRESS: &[u8] = b"\x03\x03\x05job-1\x00\x00\x01\x00\x00\x03one\x05job-1\x01\x02\x00\x05job-1\x02\xac\x02\x01\x01\x07\xc8\x01\neight\nnine";
+const ENDED: &[u8] = b"\x04\x05job-1";
+const FORGET: &[u8] = b"\x05\x02\x05job-1\x05job-2";
+const NO_JOBS: &[u8] = b"\x01\x00";
+const JOBS: &[u8] = b"\x01\x02\x05job-1\x04lots\x06models\x0clots.example\xfb\xd0\x95\xff\xbc1\x7f\x80\x01\x80\x80\x01\xff\xff\xff\xff\x0f\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x00\x00\x03\x01\x01a\x07/lots/a\x02\x06Accept\x11text/event-stream\x18X-Grebeusher-Token-Count\x06940,60\x03\x00\xab\xff\xe8\x07\x00\x00\x00\x00\x01\x01c\x07/lots/c\x00\x05third\x7f\x01\xc8\x01\x06so far\x03\x01\x01b\x01\x04half\x05job-2\x04lots\x06models\x0clots.example\x00\x00\x00\x00\x00\x00\x00\x01\x03\x00\x00\x00\x02\x01c\x00\x05whole\x01a\x01\x00";
+
+/// The bytes of each kind. A kind that is added needs its own here.
+fn stable_bytes(entry: &Entry) -> &'static [u8] {
+    match entry {
+        Entry::Submit { .. } => SUBMIT,
+        Entry::Results(_) => RESULTS,
+        Entry::Progress(_) => PROGRESS,
+        Entry::Ended { .. } => ENDED,
+        Entry::Forget { .. } => FORGET,
+    }
+}
+
+/// The byte of each state. A state that is added needs its own here.
+fn stable_state(state: ResultState) -> u8 {
+    match state {
+        ResultState::Complete => 0,
+        ResultState::DeadLetter => 1,
+    }
+}
+
+fn job(name: &str) -> JobId {
+    JobId::new(name).expect("a name")
+}
+
+fn item(id: &str, headers: &[(&str, &str)], body: &[u8], token_count: u64) -> ItemSpec {
+    let header = |&(name, value): &(&str, &str)| Header { name: name.into(), value: value.into() };
+    ItemSpec {
+        id: id.to_owned(),
+        path: format!("/lots/{id}").as_str().into(),
+        headers: headers.iter().map(header).collect(),
+        body: SharedBytes::from(body),
+        token_count,
+    }
+}
+
+fn submission() -> Submission {
+    let headers = [("Accept", "text/event-stream"), ("X-Grebeusher-Token-Count", "940,60")];
+    Submission {
+        job: job("job-1"),
+        route: "lots".to_owned(),
+        service: "models".to_owned(),
+        host: "lots.example".to_owned(),
+        items: vec![
+            item("a", &headers, &[0x00, 0xab, 0xff], 1_000),
+            item("b", &[], b"", 0),
+            item("c", &[], b"third", 127),
+        ],
+    }
+}
+
+/// Numbers of one byte, of two, and the longest.
+fn terms() -> JobTerms {
+    JobTerms {
+        accepted_at_wall_ms: 1_700_000_000_123,
+        age_at_acceptance_ms: 127,
+        completion_target_ms: 128,
+        retention_ms: 16_384,
+        max_attempts: u32::MAX,
+        queue_token_limit: u64::MAX,
+        target_latency_ms: 0,
+    }
+}
+
+fn results() -> Entry {
+    let result = |item, state, text: &str| ItemResult { item: ItemIndex(item), state, text: text.into() };
+    Entry::Results(vec![
+        JobResults {
+            job: job("job-1"),
+            results: vec![
+                result(0, ResultState::Complete, "one\ntwo \u{e9}"),
+                result(199, ResultState::DeadLetter, ""),
+            ],
+        },
+        JobResults { job: job("job-2"), results: vec![] },
+    ])
+}
+
+fn progress() -> Entry {
+    let further = |item, failed_attempts, events| ItemProgress {
+        job: job("job-1"),
+        item: ItemIndex(item),
+        failed_attempts,
+        events,
+    };
+    let piece = |after, last, text: &str| Some(EventsPiece { after, last, text: text.to_owned() });
+    Entry::Progress(vec![
+        further(0, 0, piece(None, 0, "one")),
+        further(1, 2, None),
+        further(2, 300, piece(Some(7), 200, "eight\nnine")),
+    ])
+}
+
+#[rstest]
+#[case::submit(Entry::Submit { submission: submission(), terms: terms() })]
+#[case::results(results())]
+#[case::progress(progress())]
+#[case::ended(Entry::Ended { job: job("job-1") })]
+#[case::forget(Entry::Forget { jobs: vec![job("job-1"), job("job-2")] })]
+fn an_entry_of_each_kind_keeps_its_bytes(#[case] entry: Entry) {
+    let bytes = stable_bytes(&entry);
+    // Written as ever,
+    let written = SerBin::serialize_bin(&entry);
+    assert_eq!(written.escape_ascii().to_string(), bytes.escape_ascii().to_string());
+    // and read as ever, from the log and from a message.
+    assert_eq!(Entry::from_shared(&SharedBytes::from(bytes)).expect("an entry"), entry);
+    assert_eq!(<Entry as DeBin>::deserialize_bin(bytes).expect("an entry"), entry);
+}
+
+#[rstest]
+fn a_kind_that_was_never_written_is_refused(#[values(0, 6, 255)] kind: u8) {
+    let bytes = [&[kind], &ENDED[1..]].concat();
+    assert!(Entry::from_shared(&SharedBytes::from(bytes)).is_err());
+}
+
+#[rstest]
+fn the_state_of_a_result_keeps_its_byte(
+    #[values(ResultState::Complete, ResultState::DeadLetter)] state: ResultState,
+) {
+    let byte = [stable_state(state)];
+    assert_eq!(SerBin::serialize_bin(&state), byte);
+    assert_eq!(<ResultState as DeBin>::deserialize_bin(&byte).expect("a state"), state);
+}
+
+#[test]
+fn a_submission_keeps_its_bytes() {
+    let written = SerBin::serialize_bin(&submission());
+    assert_eq!(written.escape_ascii().to_string(), SUBMISSION.escape_ascii().to_string());
+    assert_eq!(<Submission as DeBin>::deserialize_bin(SUBMISSION).expect("a submission"), submission());
+}
+
+#[test]
+fn the_terms_of_a_job_keep_their_bytes() {
+    let written = SerBin::serialize_bin(&terms());
+    assert_eq!(written.escape_ascii().to_string(), TERMS.escape_ascii().to_string());
+    assert_eq!(<JobTerms as DeBin>::deserialize_bin(TERMS).expect("terms"), terms());
+}
+
+/// A job that is under way with all that an item may be, and one that has ended.
+fn jobs() -> Jobs {
+    let mut jobs = Jobs::new();
+    let mut second = submission();
+    second.job = job("job-2");
+    jobs.apply(Entry::Submit { submission: submission(), terms: terms() });
+    jobs.apply(Entry::Submit { submission: second, terms: JobTerms::default() });
+    let result = |item, state, text: &str| ItemResult { item: ItemIndex(item), state, text: text.into() };
+    let of_first = vec![result(1, ResultState::DeadLetter, "half")];
+    let of_second = vec![result(2, ResultState::Complete, "whole"), result(0, ResultState::DeadLetter, "")];
+    jobs.apply(Entry::Results(vec![
+        JobResults { job: job("job-1"), results: of_first },
+        JobResults { job: job("job-2"), results: of_second },
+    ]));
+    jobs.apply(Entry::Progress(vec![ItemProgress {
+        job: job("job-1"),
+        item: ItemIndex(2),
+        failed_attempts: 3,
+        events: Some(EventsPiece { after: None, last: 200, text: "so far".to_owned() }),
+    }]));
+    jobs.apply(Entry::Ended { job: job("job-2") });
+    jobs
+}
+
+#[rstest]
+#[case::nothing(Jobs::new(), NO_JOBS)]
+#[case::two_jobs(jobs(), JOBS)]
+fn a_snapshot_keeps_its_bytes(#[case] jobs: Jobs, #[case] bytes: &[u8]) {
+    // Written as ever, also behind other bytes,
+    assert_eq!(jobs.to_snapshot().escape_ascii().to_string(), bytes.escape_ascii().to_string());
+    let mut behind = b"head".to_vec();
+    jobs.write_snapshot(&mut behind);
+    assert_eq!(behind, [b"head", bytes].concat());
+    // and read as ever.
+    let read = Jobs::from_snapshot(bytes).expect("a snapshot");
+    assert_eq!(read, jobs);
+    assert_eq!(read.to_snapshot(), bytes);
+    assert_eq!(Jobs::from_shared_snapshot(&SharedBytes::from(bytes)).expect("a snapshot"), jobs);
+}
+
+#[test]
+fn a_snapshot_of_another_form_is_refused_by_its_number() {
+    let bytes = [&[2], &JOBS[1..]].concat();
+    let error = Jobs::from_snapshot(&bytes).expect_err("is refused");
+    assert_eq!(error.to_string(), "the snapshot has form 2, not 1");
+}
--- /dev/null
+++ b/crates/archive/tests/stable_words.rs
@@ -0,0 +1,125 @@
+//! Words that clients write and read, which every version must keep.
+
+use grebeusher_archive::{
+    Entry, Event, EventReader, ItemIndex, ItemResult, JobId, JobResults, JobTerms, Jobs, MAX_PAGE_BYTES,
+    ResultState, Submission, SubmissionHead, TOKEN_HEADER, Tokens, read_submission,
+};
+use rstest::rstest;
+
+const BODY: &str = r#"{"batch_items":[{"instance_id":"a","path":"/lots/a","header_map":{"Accept":"text/plain","X-Grebeusher-Token-Count":"940,60","X-Grebeusher-Attempt-Id":"t","X-Grebeusher-Deadline-Ms":"5","X-Grebeusher-Target-Instance":"i","Last-Event-Id":"3"},"payload":"q80=","token_count":1000}]}"#;
+
+fn job() -> JobId {
+    JobId::new("job-1").expect("a name")
+}
+
+fn head() -> SubmissionHead {
+    SubmissionHead {
+        job: job(),
+        route: "lots".to_owned(),
+        service: "models".to_owned(),
+        host: "lots.example".to_owned(),
+    }
+}
+
+fn submission() -> Submission {
+    read_submission(head(), BODY.as_bytes()).expect("a submission")
+}
+
+#[test]
+fn the_keys_of_a_submission_stay() {
+    let submission = submission();
+    let [item] = &submission.items[..] else { panic!("one item") };
+    assert_eq!((item.id.as_str(), &*item.path, item.token_count), ("a", "/lots/a", 1_000));
+    assert_eq!(&*item.body, [0xab, 0xcd]);
+    // What the sender of an item sets itself is left out.
+    let headers: Vec<_> = item.headers.iter().map(|header| (&*header.name, &*header.value)).collect();
+    assert_eq!(headers, [("Accept", "text/plain"), ("X-Grebeusher-Token-Count", "940,60")]);
+    assert_eq!(item.tokens(), Tokens { prompt: 940, output: 60 });
+    assert_eq!(TOKEN_HEADER, "X-Grebeusher-Token-Count");
+}
+
+#[rstest]
+#[case::items("batch_items", "`batch_items` is missing or of another kind")]
+#[case::id("instance_id", "`instance_id` of item 0 is missing or of another kind")]
+#[case::path("path", "`path` of item 0 is missing or of another kind")]
+#[case::headers("header_map", "`header_map` of item 0 is missing or of another kind")]
+#[case::payload("payload", "`payload` of item 0 is missing or of another kind")]
+#[case::tokens("token_count", "`token_count` of item 0 is missing or of another kind")]
+fn a_misspelt_key_of_a_submission_is_named(#[case] key: &str, #[case] line: &str) {
+    let body = BODY.replacen(&format!("\"{key}\""), &format!("\"{key}s\""), 1);
+    assert_ne!(body, BODY);
+    let error = read_submission(head(), body.as_bytes()).expect_err("is refused");
+    assert_eq!(error.to_string(), line);
+}
+
+#[rstest]
+#[case::cut(r#"{"batch_items":["#, "the body is no JSON")]
+#[case::list("[]", "the body is no object")]
+#[case::item(r#"{"batch_items":[7]}"#, "item 0 is no object")]
+#[case::name(&BODY.replacen(r#""a""#, r#""""#, 1), "the name of item 0 can't be one")]
+#[case::path(&BODY.replacen("/lots/a", "lots/a", 1), "the path of item 0 can't be one")]
+#[case::header(&BODY.replacen("Accept", "Acc ept", 1), "the headers of item 0 can't be sent")]
+#[case::payload(&BODY.replacen("q80=", "q", 1), "the payload of item 0 is no base64")]
+fn a_wrong_submission_is_refused_by_one_line(#[case] body: &str, #[case] line: &str) {
+    let error = read_submission(head(), body.as_bytes()).expect_err("is refused");
+    assert_eq!(error.to_string(), line);
+}
+
+#[test]
+fn the_page_of_results_keeps_its_bytes() {
+    let mut jobs = Jobs::new();
+    let mut submission = submission();
+    let mut second = submission.items[0].clone();
+    second.id = "b\"".to_owned();
+    submission.items.push(second);
+    jobs.apply(Entry::Submit { submission, terms: JobTerms::default() });
+    let page = |jobs: &Jobs, after| jobs.read(&job(), after, MAX_PAGE_BYTES).expect("a job").to_json();
+    assert_eq!(page(&jobs, 0), r#"{"total":2,"next_token":0,"result_list":[]}"#);
+    let result = |item, state, text: &str| ItemResult { item: ItemIndex(item), state, text: text.into() };
+    let results = vec![
+        result(1, ResultState::DeadLetter, ""),
+        result(0, ResultState::Complete, "one\ntwo\t\r\\\"\u{1}\u{e9}"),
+    ];
+    jobs.apply(Entry::Results(vec![JobResults { job: job(), results }]));
+    assert_eq!(
+        page(&jobs, 0),
+        r#"{"total":2,"next_token":2,"result_list":[{"instance_id":"b\"","state":"dead_letter","text":""},{"instance_id":"a","state":"complete","text":"one\ntwo\t\r\\\"\u0001é"}]}"#
+    );
+    assert_eq!(
+        page(&jobs, 1),
+        r#"{"total":2,"next_token":2,"result_list":[{"instance_id":"a","state":"complete","text":"one\ntwo\t\r\\\"\u0001é"}]}"#
+    );
+}
+
+/// The word of each state. A state that is added needs its own here.
+fn stable_word(state: ResultState) -> &'static str {
+    match state {
+        ResultState::Complete => "complete",
+        ResultState::DeadLetter => "dead_letter",
+    }
+}
+
+#[rstest]
+fn the_state_of_a_result_keeps_its_word(
+    #[values(ResultState::Complete, ResultState::DeadLetter)] state: ResultState,
+) {
+    assert_eq!(state.as_str(), stable_word(state));
+}
+
+#[test]
+fn the_fields_of_an_event_stay() {
+    let stream =
+        b": a comment\nevent: other\nid: 0\ndata: one\ndata: more\n\nid:1\r\ndata:two\r\n\r\nid: 2\n\n";
+    let mut events = Vec::new();
+    EventReader::new().push(stream, |event| events.push(event)).expect("events");
+    let event = |id, data: &str| Event { id, data: data.to_owned() };
+    assert_eq!(events, [event(0, "one\nmore"), event(1, "two"), event(2, "")]);
+}
+
+#[rstest]
+#[case::no_id("data: one\n\n", "an event has no id that is a number")]
+#[case::another_id("id: first\ndata: one\n\n", "an event has no id that is a number")]
+fn a_wrong_event_is_refused_by_one_line(#[case] stream: &str, #[case] line: &str) {
+    let error = EventReader::new().push(stream.as_bytes(), |_| ()).expect_err("is refused");
+    assert_eq!(error.to_string(), line);
+}
