--- /dev/null
+++ b/crates/tier/tests/stable_state.rs
@@ -0,0 +1,51 @@
+//! Bytes of a batch part's state that earlier versions put on disks, which this one must read and write unchanged.
+
+use grebeusher_archive::{
+    Entry, Header, ItemIndex, ItemResult, ItemSpec, JobId, JobResults, JobTerms, Jobs, ResultState,
+    SharedBytes, Submission,
+};
+use grebeusher_tier::batch_part::BatchPart;
+use rstest::rstest;
+
+const EMPTY: &[u8] = b"\x02\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x00";
+const WITH_JOBS: &[u8] = b"\\\x00\x00\x00\x00\x00\x00\x00\x01\x01\x05job-1\x04lots\x06models\x0clots.example\x00\x00\x00\xe0\xd4\x03\x03\x00\x00\x00\x02\x01\x01a\x07/lots/a\x01\x06Accept\ntext/plain\x02\x00\xff\xac\x02\x00\x00\x00\x00\x01\x01b\x00\x04done\x02\x00\x00\x00\x00\x00\x00\x00\x06\x00\x00\x00\x00\x00\x00\x00node-1\x06\x00\x00\x00\x00\x00\x00\x00node-2";
+
+fn jobs() -> Jobs {
+    let job = JobId::new("job-1").expect("a name");
+    let item = |id: &str| ItemSpec {
+        id: id.to_owned(),
+        path: "/lots/a".into(),
+        headers: vec![Header { name: "Accept".into(), value: "text/plain".into() }],
+        body: SharedBytes::from(&[0x00, 0xff][..]),
+        token_count: 300,
+    };
+    let submission = Submission {
+        job: job.clone(),
+        route: "lots".to_owned(),
+        service: "models".to_owned(),
+        host: "lots.example".to_owned(),
+        items: vec![item("a"), item("b")],
+    };
+    let terms = JobTerms { retention_ms: 60_000, max_attempts: 3, ..JobTerms::default() };
+    let mut jobs = Jobs::new();
+    jobs.apply(Entry::Submit { submission, terms });
+    let result = ItemResult { item: ItemIndex(1), state: ResultState::Complete, text: "done".into() };
+    jobs.apply(Entry::Results(vec![JobResults { job, results: vec![result] }]));
+    jobs
+}
+
+#[rstest]
+#[case::nothing(EMPTY, Jobs::new())]
+#[case::a_job_and_two_nodes_to_be_emptied(WITH_JOBS, jobs())]
+fn the_state_of_a_part_keeps_its_bytes(#[case] bytes: &[u8], #[case] jobs: Jobs) {
+    let mut part = BatchPart::new(1 << 20, 1);
+    part.restore(&SharedBytes::from(bytes)).expect("whole");
+    assert_eq!(part.jobs(), &jobs);
+    assert_eq!(part.snapshot().escape_ascii().to_string(), bytes.escape_ascii().to_string());
+}
+
+#[test]
+fn an_empty_part_writes_its_bytes() {
+    let written = BatchPart::new(1 << 20, 1).snapshot();
+    assert_eq!(written.escape_ascii().to_string(), EMPTY.escape_ascii().to_string());
+}
