--- a/crates/archive/tests/stable_words.rs
+++ b/crates/archive/tests/stable_words.rs
@@ -65,6 +65,18 @@
     assert_eq!(error.to_string(), line);
 }
 
+#[test]
+fn a_submission_beyond_the_bounds_is_refused_by_one_line() {
+    let refusal = |body: &[u8]| read_submission(head(), body).expect_err("is refused").to_string();
+    assert_eq!(refusal(b"\xff"), "the body is no UTF-8");
+    assert_eq!(refusal("[".repeat(1_000).as_bytes()), "values stand in each other too deeply");
+    let item = BODY.trim_start_matches("{\"batch_items\":[").trim_end_matches("]}");
+    let twice = format!("{{\"batch_items\":[{item},{item}]}}");
+    assert_eq!(refusal(twice.as_bytes()), "the name of item 1 is an earlier one's");
+    let many = format!("{{\"batch_items\":[{}]}}", vec!["0"; 201].join(","));
+    assert_eq!(refusal(many.as_bytes()), "201 items, more than 200");
+}
+
 #[test]
 fn the_page_of_results_keeps_its_bytes() {
     let mut jobs = Jobs::new();
@@ -123,3 +135,16 @@
     let error = EventReader::new().push(stream.as_bytes(), |_| ()).expect_err("is refused");
     assert_eq!(error.to_string(), line);
 }
+
+#[test]
+fn a_stream_that_can_t_be_read_on_is_refused_by_one_line() {
+    let refusal =
+        |stream: &[u8]| EventReader::new().push(stream, |_| ()).expect_err("is refused").to_string();
+    assert_eq!(refusal(b"id: 0\ndata: \xff\n\n"), "an event is no UTF-8");
+    assert_eq!(refusal(&vec![b'a'; (256 << 10) + 1]), "an event is larger than 262144 bytes");
+    let mut reader = EventReader::new();
+    reader.push(b"id: 0\n", |_| ()).expect("half an event");
+    assert_eq!(reader.finish().expect_err("half an event").to_string(), "the stream ends inside an event");
+    reader.push(b"id: none\n\n", |_| ()).expect_err("no number");
+    assert_eq!(reader.finish().expect_err("broken").to_string(), "the stream was unreadable before");
+}
