--- a/crates/tier/tests/stable_words.rs
+++ b/crates/tier/tests/stable_words.rs
@@ -443,6 +443,28 @@
     );
 }
 
+#[rstest]
+#[case::no_request(
+    "GARBAGE\r\n\r\n",
+    "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+)]
+#[case::long_head(&format!("GET / HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "a".repeat(20_000)), "HTTP/1.1 431 Request Header Fields Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")]
+#[case::large_body(
+    "POST /idempotent/x HTTP/1.1\r\nHost: h.example\r\nX-Grebeusher-Attempt-Id: one\r\nContent-Length: 5000000\r\n\r\n",
+    "HTTP/1.1 413 Content Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+)]
+#[case::slow_head(
+    "GET / HTTP/1.1\r\nHost: h",
+    "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+)]
+fn a_request_that_the_limits_do_not_allow_is_answered(#[case] sent: &str, #[case] expected: &str) {
+    let mut single = SingleNode::with_executor();
+    let client = single.connect(CLIENTS);
+    single.send(client, sent.as_bytes());
+    single.pass(Span::millis(3_500));
+    assert_eq!(text(single.take(client)), expected);
+}
+
 /// The program, without the variable that names its settings.
 fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_grebeusher-tier"));
