--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/peers.rs
@@ -15,15 +15,15 @@
 /// packet that opens a connection and finds no machine is sent again only after a second, so that waiting longer than
 /// a round trip takes gains nothing: after a loss of all power nodes that start a moment apart would not hear of each
 /// other for that second.
-const CONNECT_WITHIN: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Bytes that a peer has not taken for this long show that it can't be reached: the link is begun anew.
-const STUCK_FOR: Duration = Duration::from_millis(1500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A link that nothing was sent on for this long is closed.
-const IDLE_FOR: Duration = Duration::from_millis(20_000);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(20_000);
 /// The most that waits on a link (bytes): more is dropped, as all that is said is said again.
-const MOST_WAITING: usize = 12 * 1024 * 1024;
+const MAX_WAITING: usize = 12 * 1024 * 1024;
 /// After a link could not be made, the next is tried only after this.
-const REDIAL_AFTER: Duration = Duration::from_millis(150);
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
 
 /// An outgoing link.
 pub struct OutgoingLink {
@@ -86,7 +86,7 @@
         let now = self.now;
         let Some((socket, outgoing)) = self.outgoing_mut(index) else { return };
         outgoing.used = now;
-        if socket.waiting() + payload.len() > MOST_WAITING {
+        if socket.waiting() + payload.len() > MAX_WAITING {
             return;
         }
         outgoing.progress.put(now, socket.waiting());
@@ -131,7 +131,7 @@
             Ok(index) => {
                 self.links.insert(to, index);
                 let serial = self.serial(index);
-                self.alarms.set(now + CONNECT_WITHIN, Timer::LinkExpires { connection: index, serial });
+                self.alarms.set(now + CONNECT_TIMEOUT, Timer::LinkExpires { connection: index, serial });
                 let hello = link::encode_hello(&Hello::new(self.internal_address));
                 if let Some((socket, _)) = self.outgoing_mut(index) {
                     socket.put(&hello);
@@ -139,7 +139,7 @@
                 Some(index)
             }
             Err(_) => {
-                self.redial_after.insert(to, now + REDIAL_AFTER);
+                self.redial_after.insert(to, now + RECONNECT_BACKOFF);
                 None
             }
         }
@@ -167,7 +167,7 @@
         let now = self.now;
         if let Some((_, outgoing)) = self.outgoing_mut(index) {
             let address = outgoing.address;
-            self.redial_after.insert(address, now + REDIAL_AFTER);
+            self.redial_after.insert(address, now + RECONNECT_BACKOFF);
         }
         self.close(index);
     }
@@ -203,8 +203,8 @@
         for &index in self.links.values() {
             let Some(connection) = self.connections.get(index) else { continue };
             let Role::Outgoing(outgoing) = &connection.role else { continue };
-            let stuck = outgoing.progress.is_stuck(now, connection.socket.waiting(), STUCK_FOR);
-            if stuck || now.since(outgoing.used) > IDLE_FOR {
+            let stuck = outgoing.progress.is_stuck(now, connection.socket.waiting(), STALL_TIMEOUT);
+            if stuck || now.since(outgoing.used) > IDLE_TIMEOUT {
                 over.push(index);
             }
         }
--- a/crates/tier/src/popularity.rs
+++ b/crates/tier/src/popularity.rs
@@ -13,7 +13,7 @@
 /// The name of the hint on the disk. It is written beside the former one and takes its place whole, with a checksum.
 const NAME: &str = "popularity";
 /// It is written this often, as each time waits for the disk; a restart costs at most that of sense.
-const WRITTEN_EVERY: Duration = Duration::from_millis(20_000);
+const WRITE_INTERVAL: Duration = Duration::from_millis(20_000);
 /// How many prefixes operators are shown.
 const SHOWN: usize = 24;
 
@@ -71,7 +71,7 @@
     pub fn remember_popularity(&mut self) {
         let Some(folder) = self.settings.data_path.clone() else { return };
         let Some(popularity) = self.routing.gateway.popularity() else { return };
-        let due = self.now >= self.popularity_written + WRITTEN_EVERY;
+        let due = self.now >= self.popularity_written + WRITE_INTERVAL;
         if !due || self.stopping() || popularity.popular(1).is_empty() {
             return;
         }
--- a/crates/tier/src/remembered.rs
+++ b/crates/tier/src/remembered.rs
@@ -7,7 +7,7 @@
 /// The name of the hint on the disk.
 const NAME: &str = "executors";
 /// It is written at most this often, as each time waits for the disk.
-const WRITTEN_EVERY: Duration = Duration::from_millis(2000);
+const WRITE_INTERVAL: Duration = Duration::from_millis(2000);
 
 /// What was last written.
 #[derive(Debug, Default)]
@@ -32,7 +32,7 @@
     pub fn remember_executors(&mut self) {
         let Some(folder) = self.settings.data_path.clone() else { return };
         let generation = self.registry.generation().executors;
-        let due = self.now >= self.remembered.written + WRITTEN_EVERY;
+        let due = self.now >= self.remembered.written + WRITE_INTERVAL;
         if !due || generation == self.remembered.generation || self.stopping() {
             return;
         }
--- a/crates/tier/src/retire.rs
+++ b/crates/tier/src/retire.rs
@@ -5,7 +5,7 @@
 
 use crate::batch_part::RETIRE_ENTRY;
 use crate::calls::Continuation;
-use crate::control::{JSON, OPERATOR_WAITS};
+use crate::control::{JSON, OPERATOR_TIMEOUT};
 use crate::messages::{Call, Reply};
 use crate::node::Node;
 use crate::parts::{Waiter, class_of_part};
@@ -16,7 +16,7 @@
 use tracing::info;
 
 /// A machine that is away for less than this may be back: it counts neither as there nor as gone.
-const MAY_RETURN_WITHIN: Duration = Duration::from_millis(20_000);
+const RETURN_TIMEOUT: Duration = Duration::from_millis(20_000);
 
 /// What the operator asks about a storage machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,7 +116,7 @@
 impl Node {
     /// An operator's call about a storage machine.
     pub(crate) fn retire(&mut self, connection: usize, serial: u64, node: &str, question: RetireQuestion) {
-        if self.refuse_call_if_too_late(connection, OPERATOR_WAITS) {
+        if self.refuse_call_if_too_late(connection, OPERATOR_TIMEOUT) {
             return;
         }
         let parts = self.batch_parts();
@@ -137,7 +137,7 @@
                 RetireQuestion::Begin => Call::BeginRetire { part, node },
                 RetireQuestion::Show => Call::ShowRetire { part, node },
             };
-            let until = self.now + OPERATOR_WAITS;
+            let until = self.now + OPERATOR_TIMEOUT;
             self.call_owner(part, call, until, Continuation::Retire { gathering: number });
         }
     }
@@ -207,7 +207,7 @@
             let since = self.registry.state_since(&member.name).unwrap_or(self.now);
             match member.state {
                 MemberState::Alive | MemberState::Suspect => remaining.there += 1,
-                _ if self.now.since(since) < MAY_RETURN_WITHIN => remaining.may_return += 1,
+                _ if self.now.since(since) < RETURN_TIMEOUT => remaining.may_return += 1,
                 _ => {}
             }
         }
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/routing.rs
@@ -20,7 +20,7 @@
 const DEFAULT_CONNECTIONS: u32 = 64;
 
 /// Executors beat about every second, so that long after its start a node knows them all.
-const STARTS_FOR: Duration = Duration::from_millis(2000);
+const STARTUP_DURATION: Duration = Duration::from_millis(2000);
 /// What a client is told to wait by a node that has just started.
 pub const STARTING_RETRY: Duration = Duration::from_millis(700);
 
@@ -136,7 +136,7 @@
             },
             Choice::Refuse { retry_after } => RouteChoice::Refuse { retry_after },
             // A node that has just started hears of the executors by their next heartbeats.
-            Choice::Nobody { retry_after } if now < Instant(0) + STARTS_FOR => {
+            Choice::Nobody { retry_after } if now < Instant(0) + STARTUP_DURATION => {
                 RouteChoice::Refuse { retry_after: retry_after.max(STARTING_RETRY) }
             }
             Choice::Nobody { retry_after } => RouteChoice::Refuse { retry_after },
--- a/crates/tier/src/server.rs
+++ b/crates/tier/src/server.rs
@@ -6,7 +6,7 @@
 use crate::io::Accepted;
 use crate::node::Node;
 use crate::socket::{Reading, Socket};
-use crate::upstream::MOST_UNWRITTEN;
+use crate::upstream::MAX_UNWRITTEN;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::body::{self, BodyReader, Framing};
 use grebeusher_transport::http::{self, Limits, Malformed, RequestHead};
@@ -106,7 +106,7 @@
             return false;
         }
         let waiting = socket.waiting();
-        let resumes = if waiting < MOST_UNWRITTEN / 2 { server.holds_back.take() } else { None };
+        let resumes = if waiting < MAX_UNWRITTEN / 2 { server.holds_back.take() } else { None };
         let ends = waiting == 0 && matches!(server.state, State::Ending);
         if let Some(upstream) = resumes {
             self.pause_connection(upstream, false);
--- a/crates/tier/src/socket.rs
+++ b/crates/tier/src/socket.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 
 /// How much one turn of the loop reads from one connection, so that others have theirs.
-const MOST_READ_AT_ONCE: usize = 256 * 1024;
+const MAX_READ: usize = 256 * 1024;
 /// The most that one read takes. It goes to the stack first, so that a connection's buffer is only as large as what came.
 const READ_STEP: usize = 16 * 1024;
 
@@ -86,7 +86,7 @@
     pub fn read(&mut self) -> io::Result<Reading> {
         let mut bytes = 0;
         let mut piece = [0; READ_STEP];
-        while bytes < MOST_READ_AT_ONCE {
+        while bytes < MAX_READ {
             match self.stream.read(&mut piece) {
                 Ok(0) => return Ok(Reading::Ended { bytes }),
                 Ok(count) => {
@@ -166,7 +166,7 @@
         if self.written == self.output.len() {
             self.output = Vec::new();
             self.written = 0;
-        } else if self.written > MOST_READ_AT_ONCE {
+        } else if self.written > MAX_READ {
             self.output.drain(..self.written);
             self.written = 0;
         }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -6,13 +6,13 @@
 use std::fmt::Write;
 
 /// A node without the owner's word serves by what its peers have after this.
-const PROOF_WAITS: Duration = Duration::from_millis(900);
+const PROOF_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Node {
     /// Whether the platform should send clients: a configuration proven by its owner, executors known, not stopping, and
     /// not cut off from all other nodes, as clients are better off elsewhere then.
     pub fn is_ready(&self) -> bool {
-        let proven = self.configuration_proven || self.now.0 >= PROOF_WAITS.nanos();
+        let proven = self.configuration_proven || self.now.0 >= PROOF_TIMEOUT.nanos();
         let executors_known = self.registry.executors().next().is_some();
         let serves = self.configuration.is_some() && proven && executors_known;
         !self.stopping() && serves && !self.registry.is_isolated(self.now)
--- a/crates/tier/src/stop.rs
+++ b/crates/tier/src/stop.rs
@@ -14,19 +14,19 @@
 use tracing::warn;
 
 /// The platform misses a node after two checks, a second apart; until then it sends new connections.
-const SERVES_ON_FOR: Duration = Duration::from_millis(2600);
+const SERVE_WHILE_STOPPING_DURATION: Duration = Duration::from_millis(2600);
 /// Every request that is read in this time is taken. The operators bear that a request is cut which was sent in the first
 /// three seconds and still ran in the last sixth of the grace period; the rest is for its way here and a late signal.
-const TAKES_ALL_FOR: Duration = Duration::from_millis(2400);
+const ACCEPT_ALL_DURATION: Duration = Duration::from_millis(2400);
 /// The process ends this long before it would be killed, or this part of the grace period before, whichever is shorter.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
 const EXIT_MARGIN_SHARE: f64 = 0.125;
 /// What is left between the last moment of a request's time and the end, for its answer to leave.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 /// An answer that is sent whole takes mostly less than this many latency objectives, and never counts as shorter than
-/// `USUAL_AT_LEAST`. One that takes longer all the same hears 504 at the end.
+/// `MIN_USUAL`. One that takes longer all the same hears 504 at the end.
 const USUAL_OBJECTIVES: f64 = 4.0;
-const USUAL_AT_LEAST: Duration = Duration::from_millis(1000);
+const MIN_USUAL: Duration = Duration::from_millis(1000);
 /// What a refused client is told to wait: another node serves it at once (seconds).
 const RETRY_ELSEWHERE_S: &str = "0.1";
 
@@ -51,7 +51,7 @@
 
     /// Whether the process may end as soon as nothing is under way.
     pub fn may_exit(&self, now: Instant) -> bool {
-        now.since(self.since) >= SERVES_ON_FOR
+        now.since(self.since) >= SERVE_WHILE_STOPPING_DURATION
     }
 
     /// Whether something that lasts `longest` from now on is surely over when the process ends.
@@ -62,14 +62,14 @@
     /// Whether a request that is read now is still taken: any at first, later those that are over in time. A stream must
     /// be, whatever happens, as nothing can complete it once its head is out; of a whole answer the usual time counts.
     pub fn takes(&self, now: Instant, route: &Route, time_left: Duration) -> bool {
-        if now.since(self.since) < TAKES_ALL_FOR {
+        if now.since(self.since) < ACCEPT_ALL_DURATION {
             return true;
         }
         let longest = match route.route_type {
             RouteType::Streaming => time_left,
             _ => {
                 let usual = Duration::from_millis(route.target_latency_ms).scaled(USUAL_OBJECTIVES);
-                time_left.min(USUAL_AT_LEAST.max(usual))
+                time_left.min(MIN_USUAL.max(usual))
             }
         };
         self.outlasts(now, longest)
--- a/crates/tier/src/upstream.rs
+++ b/crates/tier/src/upstream.rs
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 
 /// A connection that has not come up by then is given up: nothing was sent on it. Links have a few milliseconds.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// An idle connection is not used this close to the end of the time that `Keep-Alive` promised.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1000);
 /// How long an idle connection is kept where the executor says nothing.
 const KEEP_IDLE: Duration = Duration::from_millis(8000);
 /// Reads of an answer are held back while its client has this much unwritten (bytes).
-pub const MOST_UNWRITTEN: usize = 256 * 1024;
+pub const MAX_UNWRITTEN: usize = 256 * 1024;
 
 /// Whose call a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -145,7 +145,7 @@
             socket.put(request);
         }
         let serial = self.serial(index);
-        self.alarms.set(self.now + CONNECT_WITHIN, Timer::ConnectExpires { connection: index, serial });
+        self.alarms.set(self.now + CONNECT_TIMEOUT, Timer::ConnectExpires { connection: index, serial });
         Ok(index)
     }
 
--- a/crates/tier/tests/links.rs
+++ b/crates/tier/tests/links.rs
@@ -3,7 +3,7 @@
 use grebeusher_tier::peers::LinkProgress;
 use grebeusher_time::{Duration, Instant};
 
-const STUCK_FOR: Duration = Duration::from_millis(1500);
+const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 fn at(ms: u64) -> Instant {
     Instant(0) + Duration::from_millis(ms)
@@ -22,7 +22,7 @@
         // when it moves all the same,
         link.flushed(at(turn * 100), sent, waiting);
         // then it stays.
-        assert!(!link.is_stuck(at(turn * 100 + 99), waiting, STUCK_FOR));
+        assert!(!link.is_stuck(at(turn * 100 + 99), waiting, STALL_TIMEOUT));
     }
 }
 
@@ -38,8 +38,8 @@
         link.flushed(at(turn * 100), 1_000, 700);
     }
     // then it is stuck after a while, and not before.
-    assert!(!link.is_stuck(at(1_600), 700, STUCK_FOR));
-    assert!(link.is_stuck(at(1_601), 700, STUCK_FOR));
+    assert!(!link.is_stuck(at(1_600), 700, STALL_TIMEOUT));
+    assert!(link.is_stuck(at(1_601), 700, STALL_TIMEOUT));
 }
 
 #[test]
@@ -47,6 +47,6 @@
     let mut link = LinkProgress::new(at(0));
     link.flushed(at(100), 1_000, 0);
     link.put(at(9_000), 0);
-    assert!(!link.is_stuck(at(9_100), 300, STUCK_FOR));
-    assert!(!link.is_stuck(at(90_000), 0, STUCK_FOR));
+    assert!(!link.is_stuck(at(9_100), 300, STALL_TIMEOUT));
+    assert!(!link.is_stuck(at(90_000), 0, STALL_TIMEOUT));
 }
--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -1,13 +1,13 @@
 //! Bodies that are passed on as they come: how a body is framed, and its bytes among those of its framing.
 
 use crate::headers::{Headers, elements};
-use crate::http::{MOST_CHUNK_LINE, Malformed};
+use crate::http::{MAX_CHUNK_LINE, Malformed};
 use std::ops::Range;
 
 /// The most bytes of all lines behind the last chunk.
-const MOST_TRAILERS: usize = 16 * 1024;
+const MAX_TRAILERS: usize = 16 * 1024;
 /// Hex digits of a chunk's size: as many as 60 bits need, so that no size overflows.
-const MOST_DIGITS: u8 = 15;
+const MAX_DIGITS: u8 = 15;
 
 /// How a body is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -230,7 +230,7 @@
     }
 
     fn size_line(&mut self, byte: u8) -> Result<State, Malformed> {
-        self.count_line(MOST_CHUNK_LINE)?;
+        self.count_line(MAX_CHUNK_LINE)?;
         match self.state {
             State::Size { size, digits } => after_digit(byte, size, digits),
             State::SizeEnds(size) => after_size(byte, size),
@@ -251,7 +251,7 @@
     }
 
     fn trailer(&mut self, next: State) -> Result<State, Malformed> {
-        self.count_line(MOST_TRAILERS)?;
+        self.count_line(MAX_TRAILERS)?;
         Ok(next)
     }
 
@@ -264,7 +264,7 @@
 
 fn after_digit(byte: u8, size: u64, digits: u8) -> Result<State, Malformed> {
     match char::from(byte).to_digit(16) {
-        Some(_) if digits == MOST_DIGITS => Err(Malformed(400)),
+        Some(_) if digits == MAX_DIGITS => Err(Malformed(400)),
         Some(digit) => Ok(State::Size { size: size * 16 + u64::from(digit), digits: digits + 1 }),
         None if digits == 0 => Err(Malformed(400)),
         None => after_size(byte, size),
--- a/crates/transport/src/http.rs
+++ b/crates/transport/src/http.rs
@@ -8,16 +8,16 @@
 pub use crate::headers::Headers;
 
 /// The most header lines that any limits may allow: so many are parsed on the stack.
-pub const MOST_HEADERS_EVER: usize = 256;
+pub const MAX_HEADERS_LIMIT: usize = 256;
 /// A chunk's size line is a few hex digits and perhaps an extension. In bytes.
-pub(crate) const MOST_CHUNK_LINE: usize = 256;
+pub(crate) const MAX_CHUNK_LINE: usize = 256;
 
 /// How large a message may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of the start line and all headers.
     pub most_head: usize,
-    /// Header lines; beyond [`MOST_HEADERS_EVER`] that many.
+    /// Header lines; beyond [`MAX_HEADERS_LIMIT`] that many.
     pub most_headers: usize,
     /// Bytes of the body, without its framing.
     pub most_body: usize,
@@ -25,8 +25,8 @@
 
 impl Limits {
     /// The part of the room for header lines that may be used.
-    fn room<'a, T>(&self, lines: &'a mut [T; MOST_HEADERS_EVER]) -> &'a mut [T] {
-        &mut lines[..self.most_headers.min(MOST_HEADERS_EVER)]
+    fn room<'a, T>(&self, lines: &'a mut [T; MAX_HEADERS_LIMIT]) -> &'a mut [T] {
+        &mut lines[..self.most_headers.min(MAX_HEADERS_LIMIT)]
     }
 }
 
@@ -87,7 +87,7 @@
 
 /// The head of the first request of the bytes and how many bytes it has; `None` while it is not whole.
 pub fn request_head(bytes: &[u8], limits: &Limits) -> Result<Option<(RequestHead, usize)>, Malformed> {
-    let mut lines = [const { MaybeUninit::uninit() }; MOST_HEADERS_EVER];
+    let mut lines = [const { MaybeUninit::uninit() }; MAX_HEADERS_LIMIT];
     let mut parsed = httparse::Request::new(&mut []);
     let read = parsed.parse_with_uninit_headers(bytes, limits.room(&mut lines));
     let Some(length) = head_length(read, bytes, limits)? else { return Ok(None) };
@@ -98,7 +98,7 @@
 
 /// The head of the first response of the bytes, be it an interim one, and how many bytes it has.
 pub fn response_head(bytes: &[u8], limits: &Limits) -> Result<Option<(ResponseHead, usize)>, Malformed> {
-    let mut lines = [const { MaybeUninit::uninit() }; MOST_HEADERS_EVER];
+    let mut lines = [const { MaybeUninit::uninit() }; MAX_HEADERS_LIMIT];
     let mut parsed = httparse::Response::new(&mut []);
     let config = httparse::ParserConfig::default();
     let read = config.parse_response_with_uninit_headers(&mut parsed, bytes, limits.room(&mut lines));
@@ -185,7 +185,7 @@
 pub fn chunk(bytes: &[u8], limits: &Limits) -> Result<Option<(Range<usize>, usize)>, Malformed> {
     let (start, size) = match httparse::parse_chunk_size(bytes) {
         Ok(httparse::Status::Complete((start, size))) => (start, size),
-        Ok(httparse::Status::Partial) if bytes.len() <= MOST_CHUNK_LINE => return Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_CHUNK_LINE => return Ok(None),
         _ => return Err(Malformed(400)),
     };
     let size = usize::try_from(size).ok().filter(|&size| size <= limits.most_body).ok_or(Malformed(413))?;
@@ -202,7 +202,7 @@
 
 /// The length of the lines behind the last chunk, with the empty one that ends them.
 fn trailers(bytes: &[u8], limits: &Limits) -> Result<Option<usize>, Malformed> {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_HEADERS_EVER];
+    let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS_LIMIT];
     match httparse::parse_headers(bytes, limits.room(&mut lines)) {
         Ok(httparse::Status::Complete((length, _))) => Ok(Some(length)),
         Ok(httparse::Status::Partial) if bytes.len() <= limits.most_head => Ok(None),
--- a/crates/transport/src/link.rs
+++ b/crates/transport/src/link.rs
@@ -5,9 +5,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// The largest payload, in bytes.
-pub const MOST_PAYLOAD: usize = 8 * 1024 * 1024;
+pub const MAX_PAYLOAD: usize = 8 * 1024 * 1024;
 /// The largest first frame's payload: whoever has not yet said who it is gets no memory for more.
-pub const MOST_HELLO: usize = 256;
+pub const MAX_HELLO: usize = 256;
 /// The version that this program speaks. Older ones are read.
 pub const VERSION: u16 = 1;
 /// The channel of the first frame on a connection, and of no other.
@@ -64,10 +64,10 @@
 /// Appends a frame to what is to be sent.
 ///
 /// # Errors
-/// The payload is larger than [`MOST_PAYLOAD`]; nothing is appended.
+/// The payload is larger than [`MAX_PAYLOAD`]; nothing is appended.
 pub fn append_frame(channel: u8, payload: &[u8], to: &mut Vec<u8>) -> Result<(), LinkError> {
     let length = payload.len();
-    ensure!(length <= MOST_PAYLOAD, FrameTooLargeSnafu { length, most: MOST_PAYLOAD });
+    ensure!(length <= MAX_PAYLOAD, FrameTooLargeSnafu { length, most: MAX_PAYLOAD });
     // Fits, as it was just bounded.
     let counted = (length + 1) as u32;
     to.reserve(HEAD_BYTES + length);
@@ -77,7 +77,7 @@
     Ok(())
 }
 
-/// A frame's bytes. One with a payload above [`MOST_PAYLOAD`], which no peer would bear, is logged and has none: the link
+/// A frame's bytes. One with a payload above [`MAX_PAYLOAD`], which no peer would bear, is logged and has none: the link
 /// goes on without it.
 pub fn encode_frame(channel: u8, payload: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::new();
@@ -88,7 +88,7 @@
 }
 
 /// Finds frames in what comes over a link, wherever it is cut into pieces. The first frame may have no more than
-/// [`MOST_HELLO`] bytes of payload.
+/// [`MAX_HELLO`] bytes of payload.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     bytes: Vec<u8>,
@@ -102,12 +102,12 @@
     /// Takes in what has come. All whole frames are to be taken out before it is fed again; the decoder keeps no more than
     /// two of the largest, and fails beyond.
     pub fn feed(&mut self, bytes: &[u8]) {
-        const MOST_KEPT: usize = 2 * (HEAD_BYTES + MOST_PAYLOAD);
+        const MAX_BUFFERED: usize = 2 * (HEAD_BYTES + MAX_PAYLOAD);
         if self.failed.is_some() {
             return;
         }
         self.close_up();
-        if self.bytes.len() + bytes.len() > MOST_KEPT {
+        if self.bytes.len() + bytes.len() > MAX_BUFFERED {
             return self.fail(LinkError::NotTakenOut);
         }
         self.bytes.extend_from_slice(bytes);
@@ -132,7 +132,7 @@
         let Some((counted, rest)) = unread.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let counted = u32::from_le_bytes(*counted) as usize;
         let length = counted.checked_sub(1).ok_or(LinkError::NoChannel)?;
-        let most = if self.greeted { MOST_PAYLOAD } else { MOST_HELLO };
+        let most = if self.greeted { MAX_PAYLOAD } else { MAX_HELLO };
         ensure!(length <= most, FrameTooLargeSnafu { length, most });
         let Some((&channel, payload)) = rest.get(..counted).and_then(<[u8]>::split_first) else {
             return Ok(None);
--- a/crates/transport/tests/frames.rs
+++ b/crates/transport/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Frames on links: any cut gives the same frames, no bytes take memory or make it panic, versions are told apart.
 
 use grebeusher_transport::link::{
-    self, Frame, FrameDecoder, HELLO_CHANNEL, Hello, LinkError, MOST_HELLO, MOST_PAYLOAD, VERSION,
+    self, Frame, FrameDecoder, HELLO_CHANNEL, Hello, LinkError, MAX_HELLO, MAX_PAYLOAD, VERSION,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -82,18 +82,18 @@
 #[test]
 fn a_frame_of_the_largest_size_is_borne_and_one_byte_more_is_not() {
     let mut bytes = Vec::new();
-    assert!(link::append_frame(7, &vec![1; MOST_PAYLOAD], &mut bytes).is_ok());
+    assert!(link::append_frame(7, &vec![1; MAX_PAYLOAD], &mut bytes).is_ok());
     let frames = frames_in_pieces(&mut greeted(), &bytes, &[1 << 20]).expect("borne");
-    assert_eq!(frames.iter().map(|frame| frame.payload.len()).collect::<Vec<_>>(), [MOST_PAYLOAD]);
+    assert_eq!(frames.iter().map(|frame| frame.payload.len()).collect::<Vec<_>>(), [MAX_PAYLOAD]);
 
-    let too_large = vec![1; MOST_PAYLOAD + 1];
-    let refused = LinkError::FrameTooLarge { length: MOST_PAYLOAD + 1, most: MOST_PAYLOAD };
+    let too_large = vec![1; MAX_PAYLOAD + 1];
+    let refused = LinkError::FrameTooLarge { length: MAX_PAYLOAD + 1, most: MAX_PAYLOAD };
     bytes.clear();
     assert_eq!(link::append_frame(7, &too_large, &mut bytes), Err(refused));
     assert!(bytes.is_empty() && link::encode_frame(7, &too_large).is_empty(), "nothing of it is sent");
 
     let mut decoder = greeted();
-    decoder.feed(&(MOST_PAYLOAD as u32 + 2).to_le_bytes());
+    decoder.feed(&(MAX_PAYLOAD as u32 + 2).to_le_bytes());
     assert_eq!(decoder.next_frame(), Err(refused), "its length is enough to refuse it");
 }
 
@@ -110,8 +110,8 @@
 #[test]
 fn before_the_greeting_no_large_frame_is_borne() {
     let mut decoder = FrameDecoder::default();
-    decoder.feed(&(MOST_HELLO as u32 + 2).to_le_bytes());
-    let refused = LinkError::FrameTooLarge { length: MOST_HELLO + 1, most: MOST_HELLO };
+    decoder.feed(&(MAX_HELLO as u32 + 2).to_le_bytes());
+    let refused = LinkError::FrameTooLarge { length: MAX_HELLO + 1, most: MAX_HELLO };
     assert_eq!(decoder.next_frame(), Err(refused));
 }
 
--- a/crates/transport/tests/outgoing.rs
+++ b/crates/transport/tests/outgoing.rs
@@ -1,7 +1,7 @@
 //! An outgoing link without its socket: what waits, what gives way, when it dials and gives up.
 
 use grebeusher_time::{Duration, Instant};
-use grebeusher_transport::link::{self, Frame, FrameDecoder, Hello, MOST_PAYLOAD};
+use grebeusher_transport::link::{self, Frame, FrameDecoder, Hello, MAX_PAYLOAD};
 use grebeusher_transport::outgoing::{Action, Bounds, Delivery, Outgoing, SendError};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_frame_that_no_peer_bears_is_refused() {
-    let refused = outgoing().push(1, &vec![0; MOST_PAYLOAD + 1], Delivery::Lossy, at(0));
+    let refused = outgoing().push(1, &vec![0; MAX_PAYLOAD + 1], Delivery::Lossy, at(0));
     assert!(matches!(refused, Err(SendError::TooLarge { .. })));
 }
 
--- a/crates/transport/tests/stable_bytes.rs
+++ b/crates/transport/tests/stable_bytes.rs
@@ -2,7 +2,7 @@
 //! comes first.
 
 use grebeusher_transport::link::{
-    Frame, FrameDecoder, HELLO_CHANNEL, Hello, MOST_HELLO, MOST_PAYLOAD, VERSION, append_frame, decode_hello,
+    Frame, FrameDecoder, HELLO_CHANNEL, Hello, MAX_HELLO, MAX_PAYLOAD, VERSION, append_frame, decode_hello,
     encode_frame, encode_hello,
 };
 use rstest::rstest;
@@ -80,6 +80,6 @@
 fn the_figures_that_both_ends_of_a_link_rely_on_keep_their_values() {
     assert_eq!(VERSION, 1);
     assert_eq!(HELLO_CHANNEL, 0);
-    assert_eq!(MOST_HELLO, 256);
-    assert_eq!(MOST_PAYLOAD, 8_388_608);
+    assert_eq!(MAX_HELLO, 256);
+    assert_eq!(MAX_PAYLOAD, 8_388_608);
 }
--- a/crates/volatile-raft/src/keeper.rs
+++ b/crates/volatile-raft/src/keeper.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 
 /// Each change waits for a majority of them: seven already cost more than the loss of a third one would.
-pub const MOST_KEEPERS: usize = 7;
+pub const MAX_VOTERS: usize = 7;
 /// Raft's unit of time. A leader says that it is there every second one.
 const TICK: Duration = Duration::from_millis(50);
 const HEARTBEAT_TICKS: usize = 2;
@@ -21,23 +21,23 @@
 /// longer than a loaded machine keeps a process waiting.
 const ELECTION_TICKS: usize = 10;
 /// A keeper tells the others so often what it has, and is heard as long as three of these.
-const TELLS_EVERY: Duration = Duration::from_millis(300);
-const HEARD_FOR: Duration = Duration::from_millis(1000);
+const HELLO_INTERVAL: Duration = Duration::from_millis(300);
+const LIVENESS_TTL: Duration = Duration::from_millis(1000);
 /// One that begins listens for so long before it founds anything: some group may be there.
 const LISTENS: Duration = Duration::from_millis(1000);
 /// A member that knows no leader for so long, while most others are elsewhere, begins anew.
-const LOST_AFTER: Duration = Duration::from_millis(3000);
+const LOSS_TIMEOUT: Duration = Duration::from_millis(3000);
 /// A state that was sent and is not acknowledged by then is sent again.
-const SNAPSHOT_WITHIN: Duration = Duration::from_millis(500);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Where time alone moves the state on, an entry is settled so often.
-const TIME_EVERY: Duration = Duration::from_millis(100);
+const CLOCK_INTERVAL: Duration = Duration::from_millis(100);
 /// What comes within so long of the last entry goes into one: a few round trips of one site, and little of what anybody waits.
 /// Guards against keepers that are busy with an entry for each ask, as round trips are short.
 const GATHERS: Duration = Duration::from_millis(2);
 /// In one entry: with more its datagrams become many, and one that is lost loses all of them.
-const MOST_STEPS: usize = 40;
+const MAX_STEPS: usize = 40;
 /// What waits to be settled; who asks is asked to ask again anyway.
-const MOST_WAITING: usize = 4096;
+const MAX_WAITING: usize = 4096;
 
 /// What keepers say to each other.
 #[derive(Serialize, Deserialize)]
@@ -118,7 +118,7 @@
     /// The keeper at this place among so many, of which there is an odd number, as it starts. `seed` must not have been
     /// that of an earlier start. `empty` is what a group begins with.
     pub fn new(now: Instant, place: usize, keepers: usize, seed: u64, empty: M, host: H) -> Self {
-        assert!(place < keepers && keepers <= MOST_KEEPERS, "place {place} of {keepers} keepers");
+        assert!(place < keepers && keepers <= MAX_VOTERS, "place {place} of {keepers} keepers");
         let mut keeper = Keeper {
             host,
             keepers,
@@ -177,7 +177,7 @@
 
     /// Wants a step settled. `false` where this one does not lead: then somebody else is to be asked.
     pub fn propose(&mut self, now: Instant, step: M::Step) -> bool {
-        if !self.leads() || self.waiting.len() >= MOST_WAITING {
+        if !self.leads() || self.waiting.len() >= MAX_WAITING {
             return false;
         }
         self.waiting.push(step);
@@ -261,7 +261,7 @@
 
     pub fn due(&mut self, now: Instant) {
         if now >= self.tells_at {
-            self.tells_at = now + TELLS_EVERY;
+            self.tells_at = now + HELLO_INTERVAL;
             self.tells();
             self.founds(now);
             self.is_lost(now);
@@ -276,7 +276,7 @@
             group.node.tick();
         }
         let late: Vec<u64> = {
-            let late = group.states_sent.iter().filter(|(_, at)| now.since(**at) > SNAPSHOT_WITHIN);
+            let late = group.states_sent.iter().filter(|(_, at)| now.since(**at) > SNAPSHOT_TIMEOUT);
             late.map(|(life, _)| *life).collect()
         };
         for life in late {
@@ -302,7 +302,7 @@
 
     fn lately(&self, now: Instant) -> impl Iterator<Item = (usize, &Heard)> {
         let heard = self.heard.iter().enumerate().filter_map(|(at, heard)| Some((at, heard.as_ref()?)));
-        heard.filter(move |(_, heard)| now.since(heard.at) <= HEARD_FOR)
+        heard.filter(move |(_, heard)| now.since(heard.at) <= LIVENESS_TTL)
     }
 
     fn is_most(&self, count: usize) -> bool {
@@ -350,18 +350,18 @@
         };
         let quorums = group.node.store().quorums();
         let is_dead = quorums.iter().any(|all| 2 * all.iter().filter(is_dead).count() >= all.len());
-        if now.since(group.led_at) > LOST_AFTER && (never || is_dead || self.is_most(elsewhere)) {
+        if now.since(group.led_at) > LOSS_TIMEOUT && (never || is_dead || self.is_most(elsewhere)) {
             self.begins(now);
         }
     }
 
     /// Who leads puts a new life in the stead of the one that had its place.
     fn puts_in(&mut self, now: Instant, life: u64, belongs_to: Option<u64>) {
-        const AT_LEAST_APART: Duration = Duration::from_millis(200);
+        const MIN_INTERVAL: Duration = Duration::from_millis(200);
         let leads = self.leads();
         let Some(group) = self.group.as_mut().filter(|_| leads && belongs_to.is_none()) else { return };
         let voters = group.node.store().voters();
-        if voters.contains(&life) || now.since(group.changed) < AT_LEAST_APART {
+        if voters.contains(&life) || now.since(group.changed) < MIN_INTERVAL {
             return;
         }
         group.changed = now;
@@ -387,12 +387,12 @@
             let leads = self.leads();
             let Some(group) = self.group.as_mut().filter(|_| leads) else { return };
             let since = now.since(group.settled);
-            let passes = since >= TIME_EVERY && group.node.store().machine.borrow().waits();
-            let gathered = since >= GATHERS || self.waiting.len() >= MOST_STEPS;
+            let passes = since >= CLOCK_INTERVAL && group.node.store().machine.borrow().waits();
+            let gathered = since >= GATHERS || self.waiting.len() >= MAX_STEPS;
             if !group.is_idle() || !gathered || (self.waiting.is_empty() && !passes) {
                 return;
             }
-            let steps = self.waiting.drain(..self.waiting.len().min(MOST_STEPS)).collect();
+            let steps = self.waiting.drain(..self.waiting.len().min(MAX_STEPS)).collect();
             let passed_us = now.since(group.settled).nanos() / 1000;
             let Ok(data) = postcard::to_allocvec(&Batch { passed_us, steps }) else { return };
             group.proposed = Some((group.node.raft.term, now));
--- a/crates/volatile-raft/src/lib.rs
+++ b/crates/volatile-raft/src/lib.rs
@@ -21,7 +21,7 @@
 mod store;
 
 use grebeusher_dispatch::time::{Duration, Instant};
-pub use keeper::{Keeper, MOST_KEEPERS};
+pub use keeper::{Keeper, MAX_VOTERS};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
--- a/crates/volatile-raft/src/pieces.rs
+++ b/crates/volatile-raft/src/pieces.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 
 /// What one datagram bears of a message.
-pub const MOST_BYTES: usize = 1000;
+pub const MAX_BYTES: usize = 1000;
 /// The longest message, in pieces: more is nonsense.
-const MOST_PIECES: u16 = 1024;
+const MAX_FRAGMENTS: u16 = 1024;
 /// So many messages of one sender are put together at a time; the oldest gives way.
-const MOST_OPEN: usize = 8;
+const MAX_OPEN: usize = 8;
 
 /// A message in pieces, each with its place and how many there are.
 pub fn cut(message: &[u8]) -> impl Iterator<Item = (u16, u16, &[u8])> {
-    let of = message.len().div_ceil(MOST_BYTES).max(1) as u16;
-    (0..of).zip(message.chunks(MOST_BYTES)).map(move |(at, piece)| (at, of, piece))
+    let of = message.len().div_ceil(MAX_BYTES).max(1) as u16;
+    (0..of).zip(message.chunks(MAX_BYTES)).map(move |(at, piece)| (at, of, piece))
 }
 
 /// The pieces of one sender's messages that have come.
@@ -27,7 +27,7 @@
         if of == 1 {
             return Some(piece.to_vec());
         }
-        if at >= of || of > MOST_PIECES {
+        if at >= of || of > MAX_FRAGMENTS {
             return None;
         }
         let pieces = self.open.entry(number).or_insert_with(|| vec![None; of.into()]);
@@ -36,7 +36,7 @@
         if pieces.iter().all(Option::is_some) {
             return Some(self.open.remove(&number)?.into_iter().flatten().flatten().collect());
         }
-        while self.open.len() > MOST_OPEN {
+        while self.open.len() > MAX_OPEN {
             self.open.pop_first();
         }
         None
