--- a/crates/batch/src/fair_share.rs
+++ b/crates/batch/src/fair_share.rs
@@ -1,14 +1,14 @@
-//! How the owners of the parts share the room that executors have for items. Each owner finds room by itself; one that has
+//! How the leaders of the parts share the room that executors have for items. Each leader finds room by itself; one that has
 //! many runs hears of room more often, and would keep what it has while the queue of another fills up.
 
 use std::collections::BTreeMap;
 
 use grebeusher_time::{Duration, Instant};
 
-/// What an owner tells is true for about this long: some times the pause between two of its messages.
+/// What a leader tells is true for about this long: some times the pause between two of its messages.
 const FRESHNESS_TTL: Duration = Duration::from_millis(600);
-/// Runs beyond its share that an owner may have, so that all of them together can grow into new room. With some 16
-/// messages of each owner a second a few hundred places are taken within a second.
+/// Runs beyond its share that a leader may have, so that all of them together can grow into new room. With some 16
+/// messages of each leader a second a few hundred places are taken within a second.
 const HEADROOM: f64 = 24.0;
 /// The same as a part of its share.
 const HEADROOM_SHARE: f64 = 0.1;
@@ -28,14 +28,14 @@
     }
 }
 
-/// What the owners of the other parts told last.
+/// What the leaders of the other parts told last.
 #[derive(Clone, Debug, Default)]
 pub struct FairShare {
     others: BTreeMap<u8, (PartLoad, Instant)>,
 }
 
 impl FairShare {
-    /// The owner of another part told its load.
+    /// The leader of another part told its load.
     pub fn told(&mut self, now: Instant, part: u8, load: PartLoad) {
         self.others.insert(part, (load, now));
     }
--- a/crates/batch/src/jobs/entry.rs
+++ b/crates/batch/src/jobs/entry.rs
@@ -16,7 +16,7 @@
 /// What the route's configuration asked when the job was taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobTerms {
-    /// By the wall clock of the owner that took the job, in ms since 1970. A hint to its successors for the order
+    /// By the wall clock of the leader that took the job, in ms since 1970. A hint to its successors for the order
     /// of jobs; nothing is given up by it, as wall clocks jump.
     pub accepted_at_wall_ms: u64,
     /// How long the job had been in the tier when it was taken, in ms.
@@ -94,9 +94,9 @@
 pub enum Entry {
     /// A job is kept from here on.
     Submit { submission: Submission, terms: JobTerms },
-    /// Items have come out. One entry holds all that did in one turn of the owner's loop.
+    /// Items have come out. One entry holds all that did in one turn of the leader's loop.
     Results(Vec<JobResults>),
-    /// Items have come further, so that a later owner need not begin anew.
+    /// Items have come further, so that a later leader need not begin anew.
     Progress(Vec<ItemProgress>),
     /// The client ended its job.
     Ended { job: JobId },
--- a/crates/batch/src/owner.rs
+++ b/crates/batch/src/leader.rs
@@ -1,4 +1,4 @@
-//! Admission by the owner of a part: the quota of each route, what is under way counted in.
+//! Admission by the leader of a part: the quota of each route, what is under way counted in.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It is to be proposed, and counts from now on. 202 once its entry is applied; no refusal that promises
-    /// anything once it was proposed, as the entry may come to be committed without the owner's knowing.
+    /// anything once it was proposed, as the entry may come to be committed without the leader's knowing.
     Propose,
     /// The job is kept: 202 at once.
     Kept,
@@ -33,10 +33,10 @@
     pub queue_token_limit: u64,
 }
 
-/// The jobs that the owner of a part has proposed. Made anew with each term of the owner, after all that
+/// The jobs that the leader of a part has proposed. Made anew with each term of the leader, after all that
 /// earlier terms committed is applied.
 #[derive(Clone, Debug)]
-pub struct Owner {
+pub struct Leader {
     max_cost: usize,
     under_way: BTreeMap<JobId, UnderWay>,
     cost_under_way: usize,
@@ -49,10 +49,10 @@
     cost: usize,
 }
 
-impl Owner {
-    /// An owner that lets its jobs take about `max_cost` bytes of memory.
-    pub fn new(max_cost: usize) -> Owner {
-        Owner { max_cost, under_way: BTreeMap::new(), cost_under_way: 0 }
+impl Leader {
+    /// A leader that lets its jobs take about `max_cost` bytes of memory.
+    pub fn new(max_cost: usize) -> Leader {
+        Leader { max_cost, under_way: BTreeMap::new(), cost_under_way: 0 }
     }
 
     /// What would become of a job, by all but its memory.
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,8 +1,8 @@
 //! Batch jobs: what is kept, how items are run, what readers see.
 //!
 //! All of it is a set of state machines without I/O. [`read_submission`] checks what a client sent;
-//! [`Owner::admit`] holds the quota; [`Jobs`] is moved by the committed entries of the part's log, alike on each
-//! replica, and answers readers; [`Runner`] says, on the owner, which item runs next, takes the events that
+//! [`Leader::admit`] holds the quota; [`Jobs`] is moved by the committed entries of the part's log, alike on each
+//! replica, and answers readers; [`Runner`] says, on the leader, which item runs next, takes the events that
 //! [`EventReader`] cuts from the executor's stream, and proposes results to the log.
 //!
 //! ```
@@ -21,13 +21,13 @@
 //! let submission = read_submission(head, body).expect("a proper submission");
 //! let job = submission.job.clone();
 //!
-//! // The owner admits the job, proposes it and, once it is committed, applies it and answers 202.
-//! let (mut jobs, mut owner, mut runner) = (Jobs::new(), Owner::new(1 << 20), Runner::new(1));
+//! // The leader admits the job, proposes it and, once it is committed, applies it and answers 202.
+//! let (mut jobs, mut leader, mut runner) = (Jobs::new(), Leader::new(1 << 20), Runner::new(1));
 //! runner.begin(&jobs, now, 0);
-//! assert_eq!(owner.admit(&jobs, &submission, 1_000), Admission::Propose);
+//! assert_eq!(leader.admit(&jobs, &submission, 1_000), Admission::Propose);
 //! let terms = JobTerms { completion_target_ms: 8_000, retention_ms: 60_000, ..JobTerms::default() };
 //! let applied = jobs.apply(Entry::Submit { submission, terms });
-//! owner.applied(&applied);
+//! leader.applied(&applied);
 //! runner.applied(&jobs, &applied, now);
 //! assert_eq!(jobs.item_body(&job, "a"), Some(&[0xab, 0xcd][..]));
 //!
@@ -58,8 +58,8 @@
 mod events;
 mod fair_share;
 mod jobs;
+mod leader;
 mod names;
-mod owner;
 mod runner;
 mod shared;
 mod submission;
@@ -70,8 +70,8 @@
     Applied, EndState, Entry, EventsPiece, ItemProgress, ItemResult, JobResults, JobStatus, JobTerms, Jobs,
     Listing, MAX_PAGE_BYTES, OpenItem, Page, Progress, ResultState, SnapshotError,
 };
+pub use leader::{Admission, Leader, Wanted};
 pub use names::{ItemIndex, JobId, MAX_NAME_BYTES};
-pub use owner::{Admission, Owner, Wanted};
 pub use runner::{EventTaken, MAX_TEXT_BYTES, Outcome, Room, RunId, RunOrder, Runner};
 pub use shared::{SharedBytes, SharedText};
 pub use submission::{
--- a/crates/batch/src/runner.rs
+++ b/crates/batch/src/runner.rs
@@ -1,4 +1,4 @@
-//! Running the items of a part, which its owner does: what runs next, what has come of each run, what is to be
+//! Running the items of a part, which its leader does: what runs next, what has come of each run, what is to be
 //! proposed to the log. No I/O and no clock; which executor an item goes to is decided elsewhere.
 
 mod item;
@@ -93,11 +93,11 @@
 /// The bytes of text after which results go into a further entry.
 const MAX_ENTRY_TEXT_BYTES: usize = 512 << 10;
 
-/// What the owner of a part knows of its items. Exists on each replica, as the ages of jobs are watched there
+/// What the leader of a part knows of its items. Exists on each replica, as the ages of jobs are watched there
 /// too; runs only between [`Runner::begin`] and [`Runner::cease`].
 #[derive(Debug)]
 pub struct Runner {
-    is_owner: bool,
+    is_leader: bool,
     /// When each job was first seen here, on the steady clock: no earlier than its first send.
     seen: BTreeMap<JobId, Instant>,
     jobs: BTreeMap<JobId, JobRun>,
@@ -114,7 +114,7 @@
     /// A runner that runs nothing yet. `seed` spreads the pauses of retries.
     pub fn new(seed: u64) -> Runner {
         Runner {
-            is_owner: false,
+            is_leader: false,
             seen: BTreeMap::new(),
             jobs: BTreeMap::new(),
             runs: HashMap::new(),
@@ -135,24 +135,24 @@
         }
     }
 
-    /// The part is owned from now on, all that earlier terms committed being applied. Items that are not listed
+    /// The part is led from now on, all that earlier terms committed being applied. Items that are not listed
     /// begin anew, from what is committed of them. `wall_ms`, the wall clock in ms since 1970, is only a hint to
     /// which of the jobs are urgent.
     pub fn begin(&mut self, jobs: &Jobs, now: Instant, wall_ms: u64) {
         self.stop();
         self.adopt(jobs, now);
-        self.is_owner = true;
+        self.is_leader = true;
         for (id, job) in jobs.all().filter(|(_, job)| job.is_open()) {
             let age_ms = wall_ms.saturating_sub(job.terms().accepted_at_wall_ms);
             self.take_on(jobs, id, now, schedule::millis(age_ms));
         }
     }
 
-    /// The part is no longer owned: all runs are to be cut off, see [`Runner::take_cut_off`]. What was decided
-    /// but not committed is left to the next owner.
+    /// The part is no longer led: all runs are to be cut off, see [`Runner::take_cut_off`]. What was decided
+    /// but not committed is left to the next leader.
     pub fn cease(&mut self) {
         self.stop();
-        self.is_owner = false;
+        self.is_leader = false;
     }
 
     fn stop(&mut self) {
@@ -162,8 +162,8 @@
         self.failures.clear();
     }
 
-    pub fn is_owner(&self) -> bool {
-        self.is_owner
+    pub fn is_leader(&self) -> bool {
+        self.is_leader
     }
 
     fn take_on(&mut self, jobs: &Jobs, id: &JobId, now: Instant, age_by_wall: Duration) {
@@ -177,7 +177,7 @@
         match applied {
             Applied::Submitted { job, already: false } => {
                 self.seen.insert(job.clone(), now);
-                if self.is_owner && jobs.is_open(job) {
+                if self.is_leader && jobs.is_open(job) {
                     self.take_on(jobs, job, now, Duration::default());
                 }
             }
@@ -394,10 +394,10 @@
         Some(ItemProgress { job, item, failed_attempts, events: None })
     }
 
-    /// An entry of [`Runner::take_proposals`] can never be committed, though the part is still owned: its results
+    /// An entry of [`Runner::take_proposals`] can never be committed, though the part is still led: its results
     /// are proposed again.
     pub fn not_proposed(&mut self, entry: Entry) {
-        if !self.is_owner {
+        if !self.is_leader {
             return;
         }
         match entry {
@@ -415,7 +415,7 @@
         }
     }
 
-    /// Unfinished texts as far as they are not committed, for a planned change of the owner: the next one goes on
+    /// Unfinished texts as far as they are not committed, for a planned change of the leader: the next one goes on
     /// from there. To be called until there are none; what was handed out counts as committed.
     pub fn checkpoint(&mut self) -> Option<Entry> {
         let mut progress = Vec::new();
--- a/crates/batch/src/runner/item.rs
+++ b/crates/batch/src/runner/item.rs
@@ -1,4 +1,4 @@
-//! One item that is not listed, as its owner runs it.
+//! One item that is not listed, as its leader runs it.
 
 use grebeusher_time::Instant;
 
--- a/crates/batch/src/runner/schedule.rs
+++ b/crates/batch/src/runner/schedule.rs
@@ -1,4 +1,4 @@
-//! One job as its owner runs it, and the order of jobs: those that can still be in time by the time they are
+//! One job as its leader runs it, and the order of jobs: those that can still be in time by the time they are
 //! due, then the late ones. Every few turns the job that has waited longest for a turn goes first, so that none
 //! starves behind those that are more urgent.
 
--- a/crates/batch/tests/batches/owner_change.rs
+++ b/crates/batch/tests/batches/leader_change.rs
@@ -1,4 +1,4 @@
-//! The owner changes in the middle of everything.
+//! The leader changes in the middle of everything.
 
 use grebeusher_batch::*;
 use grebeusher_time::Duration;
@@ -12,7 +12,7 @@
     for entry in log {
         part.commit(entry.clone());
     }
-    assert_eq!(part.try_next(), None, "a replica that isn't the owner runs nothing");
+    assert_eq!(part.try_next(), None, "a replica that isn't the leader runs nothing");
     assert_eq!(part.jobs, of.jobs);
     part.runner.begin(&part.jobs, part.now, wall_ms);
     part
@@ -43,14 +43,14 @@
     let running = Part::with_job("k", 1).next();
     old.runner.cease();
     assert_eq!(old.runner.take_proposals(), []);
-    assert_eq!((old.try_next(), old.runner.take_cut_off(), old.runner.is_owner()), (None, vec![], false));
+    assert_eq!((old.try_next(), old.runner.take_cut_off(), old.runner.is_leader()), (None, vec![], false));
     old.end_run(&running, Outcome::Complete);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000);
     assert_eq!(new.next().attempt_id, "j-0");
 }
 
 #[test]
-fn an_owner_that_ceases_cuts_its_runs_off() {
+fn a_leader_that_ceases_cuts_its_runs_off() {
     let mut part = Part::with_job("j", 2);
     let (first, second) = (part.next(), part.next());
     part.runner.cease();
@@ -64,7 +64,7 @@
     assert_eq!(part.event(&first, 0, "a"), EventTaken::NoSuchRun);
 }
 
-/// TWICE: both owners' results reach the log.
+/// TWICE: both leaders' results reach the log.
 #[test]
 fn a_result_that_the_predecessor_got_committed_stands() {
     let old = Part::with_job("j", 1);
@@ -177,7 +177,7 @@
 /// The wall clock only tells the successor which job is due first.
 #[test]
 fn a_successor_knows_the_older_job_by_the_wall_clock() {
-    let old = Part::owned();
+    let old = Part::led();
     let mut newer = terms();
     newer.accepted_at_wall_ms += 3_000;
     let mut jobs = Jobs::new();
@@ -192,7 +192,7 @@
 /// A job that is taken now is new, whatever the wall clock says of it.
 #[test]
 fn a_new_job_is_not_old_by_a_wrong_clock() {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     part.pass(30_000);
     let jumped = JobTerms { accepted_at_wall_ms: 0, ..terms() };
     part.commit(Entry::Submit { submission: submission("b-jumped", 1), terms: jumped });
--- a/crates/batch/tests/batches/main.rs
+++ b/crates/batch/tests/batches/main.rs
@@ -1,7 +1,7 @@
 //! What must hold of batch jobs, told as stories over in-memory parts.
 
 mod events;
-mod owner_change;
+mod leader_change;
 mod pages;
 mod part;
 mod quota;
--- a/crates/batch/tests/batches/part.rs
+++ b/crates/batch/tests/batches/part.rs
@@ -1,4 +1,4 @@
-//! One part with one owner, whose proposals are committed at once.
+//! One part with one leader, whose proposals are committed at once.
 
 use grebeusher_batch::*;
 use grebeusher_time::Instant;
@@ -12,14 +12,14 @@
 }
 
 impl Part {
-    pub fn owned() -> Part {
+    pub fn led() -> Part {
         let mut part = Part { jobs: Jobs::new(), runner: Runner::new(7), now: at(1_000) };
         part.runner.begin(&part.jobs, part.now, 1_000_000);
         part
     }
 
     pub fn with_job(name: &str, items: usize) -> Part {
-        let mut part = Part::owned();
+        let mut part = Part::led();
         part.commit(submit(name, items));
         part
     }
--- a/crates/batch/tests/batches/quota.rs
+++ b/crates/batch/tests/batches/quota.rs
@@ -4,42 +4,42 @@
 
 use crate::sample::*;
 
-fn owner() -> Owner {
-    Owner::new(usize::MAX)
+fn leader() -> Leader {
+    Leader::new(usize::MAX)
 }
 
-fn apply(jobs: &mut Jobs, owner: &mut Owner, entry: Entry) {
+fn apply(jobs: &mut Jobs, leader: &mut Leader, entry: Entry) {
     let applied = jobs.apply(entry);
-    owner.applied(&applied);
+    leader.applied(&applied);
 }
 
 #[test]
 fn jobs_under_way_count_before_they_are_committed() {
-    let (jobs, mut owner) = (Jobs::new(), owner());
-    assert_eq!(owner.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
+    let (jobs, mut leader) = (Jobs::new(), leader());
+    assert_eq!(leader.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
     let full = Admission::QueueFull { waiting: 600, limit: 1_000 };
-    assert_eq!(owner.admit(&jobs, &submission("b", 5), 1_000), full);
-    assert_eq!(owner.admit(&jobs, &submission("c", 4), 1_000), Admission::Propose, "just fits");
-    assert_eq!(owner.waiting_tokens(&jobs, ROUTE), 1_000);
+    assert_eq!(leader.admit(&jobs, &submission("b", 5), 1_000), full);
+    assert_eq!(leader.admit(&jobs, &submission("c", 4), 1_000), Admission::Propose, "just fits");
+    assert_eq!(leader.waiting_tokens(&jobs, ROUTE), 1_000);
 }
 
 #[test]
 fn a_job_counts_once_when_it_is_committed() {
-    let (mut jobs, mut owner) = (Jobs::new(), owner());
-    owner.admit(&jobs, &submission("a", 6), 1_000);
-    apply(&mut jobs, &mut owner, submit("a", 6));
-    assert_eq!(owner.waiting_tokens(&jobs, ROUTE), 600);
+    let (mut jobs, mut leader) = (Jobs::new(), leader());
+    leader.admit(&jobs, &submission("a", 6), 1_000);
+    apply(&mut jobs, &mut leader, submit("a", 6));
+    assert_eq!(leader.waiting_tokens(&jobs, ROUTE), 600);
 }
 
 #[test]
 fn the_same_job_is_the_same_job_and_counts_once() {
-    let (mut jobs, mut owner) = (Jobs::new(), owner());
-    assert_eq!(owner.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
-    assert_eq!(owner.admit(&jobs, &submission("a", 6), 1_000), Admission::UnderWay);
-    assert!(owner.is_under_way(&job("a")));
-    apply(&mut jobs, &mut owner, submit("a", 6));
+    let (mut jobs, mut leader) = (Jobs::new(), leader());
+    assert_eq!(leader.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
+    assert_eq!(leader.admit(&jobs, &submission("a", 6), 1_000), Admission::UnderWay);
+    assert!(leader.is_under_way(&job("a")));
+    apply(&mut jobs, &mut leader, submit("a", 6));
     assert_eq!(
-        owner.admit(&jobs, &submission("a", 6), 1_000),
+        leader.admit(&jobs, &submission("a", 6), 1_000),
         Admission::Kept,
         "though a second wouldn't fit"
     );
@@ -47,57 +47,57 @@
 
 #[test]
 fn what_was_not_proposed_no_longer_counts() {
-    let (jobs, mut owner) = (Jobs::new(), owner());
-    owner.admit(&jobs, &submission("a", 6), 1_000);
-    owner.dropped(&job("a"));
-    assert_eq!(owner.admit(&jobs, &submission("b", 10), 1_000), Admission::Propose);
+    let (jobs, mut leader) = (Jobs::new(), leader());
+    leader.admit(&jobs, &submission("a", 6), 1_000);
+    leader.dropped(&job("a"));
+    assert_eq!(leader.admit(&jobs, &submission("b", 10), 1_000), Admission::Propose);
 }
 
 #[test]
 fn listed_items_and_ended_jobs_make_room() {
-    let (mut jobs, mut owner) = (Jobs::new(), owner());
-    apply(&mut jobs, &mut owner, submit("a", 6));
-    apply(&mut jobs, &mut owner, submit("b", 4));
+    let (mut jobs, mut leader) = (Jobs::new(), leader());
+    apply(&mut jobs, &mut leader, submit("a", 6));
+    apply(&mut jobs, &mut leader, submit("b", 4));
     assert_eq!(jobs.waiting_tokens(ROUTE), 1_000);
-    apply(&mut jobs, &mut owner, complete("a", 0, "text"));
-    apply(&mut jobs, &mut owner, complete("a", 0, "text again"));
+    apply(&mut jobs, &mut leader, complete("a", 0, "text"));
+    apply(&mut jobs, &mut leader, complete("a", 0, "text again"));
     assert_eq!(jobs.waiting_tokens(ROUTE), 900);
-    apply(&mut jobs, &mut owner, Entry::Ended { job: job("a") });
-    apply(&mut jobs, &mut owner, Entry::Ended { job: job("a") });
-    apply(&mut jobs, &mut owner, complete("a", 1, "late"));
+    apply(&mut jobs, &mut leader, Entry::Ended { job: job("a") });
+    apply(&mut jobs, &mut leader, Entry::Ended { job: job("a") });
+    apply(&mut jobs, &mut leader, complete("a", 1, "late"));
     assert_eq!(jobs.waiting_tokens(ROUTE), 400);
 }
 
 #[test]
 fn routes_count_apart_and_no_limit_is_none() {
-    let (jobs, mut owner) = (Jobs::new(), owner());
-    assert_eq!(owner.admit(&jobs, &submission_on("r-1", "a", &[900]), 1_000), Admission::Propose);
-    assert_eq!(owner.admit(&jobs, &submission_on("r-2", "b", &[900]), 1_000), Admission::Propose);
-    assert_eq!(owner.admit(&jobs, &submission_on("r-1", "c", &[u64::MAX]), 0), Admission::Propose);
+    let (jobs, mut leader) = (Jobs::new(), leader());
+    assert_eq!(leader.admit(&jobs, &submission_on("r-1", "a", &[900]), 1_000), Admission::Propose);
+    assert_eq!(leader.admit(&jobs, &submission_on("r-2", "b", &[900]), 1_000), Admission::Propose);
+    assert_eq!(leader.admit(&jobs, &submission_on("r-1", "c", &[u64::MAX]), 0), Admission::Propose);
     let full = Admission::QueueFull { waiting: u64::MAX, limit: 1_000 };
-    assert_eq!(owner.admit(&jobs, &submission_on("r-1", "d", &[1]), 1_000), full, "sums don't run over");
+    assert_eq!(leader.admit(&jobs, &submission_on("r-1", "d", &[1]), 1_000), full, "sums don't run over");
 }
 
 #[test]
-fn a_new_owner_counts_what_its_predecessors_took() {
+fn a_new_leader_counts_what_its_predecessors_took() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("a", 9));
     let jobs = Jobs::from_snapshot(&jobs.to_snapshot()).expect("whole");
     let full = Admission::QueueFull { waiting: 900, limit: 1_000 };
-    assert_eq!(owner().admit(&jobs, &submission("b", 2), 1_000), full);
+    assert_eq!(leader().admit(&jobs, &submission("b", 2), 1_000), full);
 }
 
 #[test]
 fn jobs_that_memory_can_not_hold_are_refused() {
-    let (mut jobs, mut owner) = (Jobs::new(), Owner::new(20_000));
+    let (mut jobs, mut leader) = (Jobs::new(), Leader::new(20_000));
     let mut large = submission("a", 1);
     large.items[0].body = vec![0; 12_000].into();
-    assert_eq!(owner.admit(&jobs, &large, 0), Admission::Propose);
+    assert_eq!(leader.admit(&jobs, &large, 0), Admission::Propose);
     let mut other = large.clone();
     other.job = job("b");
-    assert_eq!(owner.admit(&jobs, &other, 0), Admission::NoMemory, "the first is under way");
-    apply(&mut jobs, &mut owner, Entry::Submit { submission: large, terms: terms() });
-    assert_eq!(owner.admit(&jobs, &other, 0), Admission::NoMemory, "the first is kept");
-    apply(&mut jobs, &mut owner, complete("a", 0, "text"));
-    assert_eq!(owner.admit(&jobs, &other, 0), Admission::Propose);
+    assert_eq!(leader.admit(&jobs, &other, 0), Admission::NoMemory, "the first is under way");
+    apply(&mut jobs, &mut leader, Entry::Submit { submission: large, terms: terms() });
+    assert_eq!(leader.admit(&jobs, &other, 0), Admission::NoMemory, "the first is kept");
+    apply(&mut jobs, &mut leader, complete("a", 0, "text"));
+    assert_eq!(leader.admit(&jobs, &other, 0), Admission::Propose);
 }
--- a/crates/batch/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -1,4 +1,4 @@
-//! What the owner runs, in which order, and what comes of it.
+//! What the leader runs, in which order, and what comes of it.
 
 use grebeusher_batch::*;
 use grebeusher_time::DurationExt;
@@ -190,7 +190,7 @@
 
 #[test]
 fn no_attempts_allowed_still_is_one() {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     let terms = JobTerms { max_attempts: 0, ..terms() };
     part.commit(Entry::Submit { submission: submission("j", 1), terms });
     assert_eq!(texts(&part.jobs, "j"), []);
@@ -234,7 +234,7 @@
 
 #[test]
 fn without_a_retention_nothing_is_given_up() {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     let terms = JobTerms { retention_ms: 0, ..terms() };
     part.commit(Entry::Submit { submission: submission("j", 1), terms });
     part.pass(10_000_000);
@@ -342,7 +342,7 @@
 /// Of jobs that can be in time, the one due first; of jobs that are late, those after them.
 #[test]
 fn the_most_urgent_job_that_can_be_in_time_goes_first() {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     for (name, completion_target_ms) in [("late", 500), ("loose", 30_000), ("tight", 9_000)] {
         let terms = JobTerms { completion_target_ms, ..terms() };
         part.commit(Entry::Submit { submission: submission(name, 1), terms });
@@ -353,7 +353,7 @@
 
 #[test]
 fn the_time_before_a_job_was_taken_counts() {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     let older = JobTerms { age_at_acceptance_ms: 3_000, completion_target_ms: 10_000, ..terms() };
     part.commit(Entry::Submit { submission: submission("a", 1), terms: terms() });
     part.commit(Entry::Submit { submission: submission("older", 1), terms: older });
@@ -365,7 +365,7 @@
 #[case::late(1)]
 #[case::loose(50_000)]
 fn no_job_starves(#[case] completion_target_ms: u64) {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     let terms = JobTerms { completion_target_ms, ..terms() };
     part.commit(Entry::Submit { submission: submission("patient", 2), terms });
     let mut patient = 0;
@@ -379,7 +379,7 @@
 
 #[test]
 fn the_largest_item_that_fits_goes_first() {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     let submission = submission_on(ROUTE, "j", &[100, 900, 500, 500]);
     part.commit(Entry::Submit { submission, terms: terms() });
     let room = |tokens| move |_: &str| Some(tokens);
@@ -406,7 +406,7 @@
 
 #[test]
 fn who_is_first_in_line_is_told() {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     let loose = JobTerms { completion_target_ms: 50_000, ..terms() };
     part.commit(Entry::Submit { submission: submission_on(ROUTE, "a", &[9_000]), terms: loose });
     part.commit(Entry::Submit { submission: submission_on(ROUTE, "b", &[100, 700]), terms: terms() });
@@ -437,7 +437,7 @@
 /// Pauses grow, differ and stay bounded.
 #[test]
 fn retries_pause_longer_each_time() {
-    let mut part = Part::owned();
+    let mut part = Part::led();
     let terms = JobTerms { max_attempts: u32::MAX, retention_ms: 0, ..terms() };
     part.commit(Entry::Submit { submission: submission("j", 1), terms });
     let mut pauses = Vec::new();
--- a/crates/batch/tests/batches/storm.rs
+++ b/crates/batch/tests/batches/storm.rs
@@ -53,9 +53,9 @@
     now: Instant,
     log: Vec<Entry>,
     replicas: Vec<Replica>,
-    owner: usize,
-    admission: Owner,
-    /// Proposed by the owner and not committed yet; lost when it changes, or some of it committed after all.
+    leader: usize,
+    admission: Leader,
+    /// Proposed by the leader and not committed yet; lost when it changes, or some of it committed after all.
     proposed: Vec<Entry>,
     runs: Vec<Run>,
     fails: BTreeMap<String, u32>,
@@ -86,8 +86,8 @@
             now: at(1_000),
             log: Vec::new(),
             replicas: (0..REPLICAS as u64).map(replica).collect(),
-            owner: 0,
-            admission: Owner::new(usize::MAX),
+            leader: 0,
+            admission: Leader::new(usize::MAX),
             proposed: Vec::new(),
             runs: Vec::new(),
             fails: BTreeMap::new(),
@@ -100,12 +100,12 @@
         storm
     }
 
-    fn begin(&mut self, owner: usize) {
-        self.owner = owner;
-        self.catch_up(owner);
-        self.admission = Owner::new(usize::MAX);
+    fn begin(&mut self, leader: usize) {
+        self.leader = leader;
+        self.catch_up(leader);
+        self.admission = Leader::new(usize::MAX);
         let wall_ms = 1_000_000 + self.dice.roll(200_000);
-        let replica = &mut self.replicas[owner];
+        let replica = &mut self.replicas[leader];
         replica.runner.begin(&replica.jobs, self.now, wall_ms);
     }
 
@@ -114,7 +114,7 @@
         for entry in &self.log[replica.applied..] {
             let applied = replica.jobs.apply(entry.clone());
             replica.runner.applied(&replica.jobs, &applied, self.now);
-            if number == self.owner {
+            if number == self.leader {
                 self.admission.applied(&applied);
             }
         }
@@ -129,11 +129,11 @@
         replica.runner.adopt(&replica.jobs, self.now);
     }
 
-    /// The owner is gone. Any beginning of what it proposed may be committed; its runs go on unheard.
-    fn change_owner(&mut self) {
+    /// The leader is gone. Any beginning of what it proposed may be committed; its runs go on unheard.
+    fn change_leader(&mut self) {
         let committed = self.dice.roll(self.proposed.len() as u64 + 1) as usize;
         self.log.extend(self.proposed.drain(..).take(committed));
-        let old = self.owner;
+        let old = self.leader;
         self.replicas[old].runner.cease();
         self.replicas[old].runner.take_cut_off();
         self.runs.clear();
@@ -146,20 +146,20 @@
 
     fn commit(&mut self) {
         self.log.append(&mut self.proposed);
-        self.catch_up(self.owner);
+        self.catch_up(self.leader);
     }
 
     fn propose(&mut self) {
-        let entries = self.replicas[self.owner].runner.take_proposals();
+        let entries = self.replicas[self.leader].runner.take_proposals();
         for entry in entries {
             if self.dice.one_in(10) {
-                self.replicas[self.owner].runner.not_proposed(entry);
+                self.replicas[self.leader].runner.not_proposed(entry);
             } else {
                 self.proposed.push(entry);
             }
         }
         if self.dice.one_in(10) {
-            self.proposed.extend(self.replicas[self.owner].runner.checkpoint());
+            self.proposed.extend(self.replicas[self.leader].runner.checkpoint());
         }
     }
 
@@ -167,7 +167,7 @@
     fn submit(&mut self) {
         let number = self.turns / TURNS_A_JOB + self.dice.roll(JOBS_AT_A_TIME);
         let submission = submission(&format!("j{number}"), 1 + number as usize % 16);
-        let jobs = &self.replicas[self.owner].jobs;
+        let jobs = &self.replicas[self.leader].jobs;
         if self.admission.admit(jobs, &submission, LIMIT) == Admission::Propose {
             let terms = JobTerms { retention_ms: 0, ..terms() };
             self.proposed.push(Entry::Submit { submission, terms });
@@ -185,7 +185,7 @@
 
     fn start_runs(&mut self) {
         let room = 1 + self.dice.roll(4) as usize;
-        let replica = &mut self.replicas[self.owner];
+        let replica = &mut self.replicas[self.leader];
         while self.runs.len() < 8 + room {
             let Some(order) = replica.runner.next_item(&replica.jobs, self.now, &any_room) else { break };
             assert_eq!(order.body.as_slice(), format!("body of {}", order.attempt_id).as_bytes());
@@ -217,7 +217,7 @@
             *self.fails.entry(order.attempt_id.clone()).or_default() += 1;
         }
         self.runs.swap_remove(place);
-        self.replicas[self.owner].runner.run_ended(order.run, outcome, self.now);
+        self.replicas[self.leader].runner.run_ended(order.run, outcome, self.now);
     }
 
     /// The executor leaves an event out or sends one again. The first event of a run from the start is the first
@@ -238,7 +238,7 @@
         let Some(data) = events.get(run.next as usize) else {
             return Some(if run.has_gap { Outcome::Broken } else { Outcome::Complete });
         };
-        let taken = self.replicas[self.owner].runner.run_event(run.order.run, run.next, data, self.now);
+        let taken = self.replicas[self.leader].runner.run_event(run.order.run, run.next, data, self.now);
         run.next += 1;
         if run.has_gap {
             assert_ne!(taken, EventTaken::Taken, "ORDER: an event that doesn't follow");
@@ -247,13 +247,13 @@
     }
 
     fn close_cut_off(&mut self) {
-        let cut_off = self.replicas[self.owner].runner.take_cut_off();
+        let cut_off = self.replicas[self.leader].runner.take_cut_off();
         self.runs.retain(|run| !cut_off.contains(&run.order.run));
     }
 
-    /// A reader looks at all of it, at the owner.
+    /// A reader looks at all of it, at the leader.
     fn judge(&mut self) {
-        let jobs = &self.replicas[self.owner].jobs;
+        let jobs = &self.replicas[self.leader].jobs;
         assert!(jobs.waiting_tokens(ROUTE) <= LIMIT, "QUOTA");
         for id in jobs.names() {
             self.accepted.entry(id.clone()).or_insert(self.now);
@@ -276,7 +276,7 @@
     }
 
     fn forget(&mut self) {
-        let replica = &self.replicas[self.owner];
+        let replica = &self.replicas[self.leader];
         let jobs = replica.runner.forgettable(&replica.jobs, self.now, STATUS);
         if !jobs.is_empty() {
             self.proposed.push(Entry::Forget { jobs });
@@ -288,7 +288,7 @@
         self.now = self.now + Duration::from_millis(self.dice.roll(60));
         if !calm {
             match self.dice.roll(60) {
-                0 => self.change_owner(),
+                0 => self.change_leader(),
                 1 => self.end_one(),
                 2..=8 => self.submit(),
                 9 => self.forget(),
@@ -299,7 +299,7 @@
         for _ in 0..6 {
             self.step_run();
         }
-        self.replicas[self.owner].runner.tick(self.now);
+        self.replicas[self.leader].runner.tick(self.now);
         self.propose();
         if self.dice.one_in(3) {
             self.commit();
@@ -311,14 +311,14 @@
         }
         if self.dice.one_in(20) {
             let follower = self.dice.roll(REPLICAS as u64) as usize;
-            if follower != self.owner {
+            if follower != self.leader {
                 self.catch_up(follower);
             }
         }
     }
 
     fn is_done(&self) -> bool {
-        let jobs = &self.replicas[self.owner].jobs;
+        let jobs = &self.replicas[self.leader].jobs;
         self.proposed.is_empty() && jobs.names().all(|id| !jobs.is_open(id))
     }
 }
@@ -351,10 +351,10 @@
         storm.judge();
         assert!(storm.accepted.len() > 20, "seed {seed}: hardly a job was tried");
         assert!(storm.listed.len() > 100, "seed {seed}: hardly an item was listed");
-        let owner = storm.replicas[storm.owner].jobs.to_snapshot();
+        let leader = storm.replicas[storm.leader].jobs.to_snapshot();
         for number in 0..REPLICAS {
             storm.catch_up(number);
-            assert_eq!(storm.replicas[number].jobs.to_snapshot(), owner, "seed {seed}: replicas differ");
+            assert_eq!(storm.replicas[number].jobs.to_snapshot(), leader, "seed {seed}: replicas differ");
         }
     }
 }
--- a/crates/batch/tests/fair_share.rs
+++ b/crates/batch/tests/fair_share.rs
@@ -1,4 +1,4 @@
-//! How owners of parts share the room for items.
+//! How leaders of parts share the room for items.
 
 use grebeusher_batch::{FairShare, PartLoad};
 use grebeusher_time::{Duration, Instant};
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn what_an_owner_told_long_ago_holds_nobody_back() {
-    // Given an owner that told of a long queue and was heard of no more, when others go on, then they take its room.
+fn what_a_leader_told_long_ago_holds_nobody_back() {
+    // Given a leader that told of a long queue and was heard of no more, when others go on, then they take its room.
     let shares = beside(&[(2, load(61, 700))]);
     assert!(shares.may_begin(NOW + Duration::from_millis(1000), 3, load(415, 60)));
 }
--- a/crates/configuration/src/register/mod.rs
+++ b/crates/configuration/src/register/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated state machine that keeps the configuration in force: a register that is changed by
 //! compare-and-set on its version.
 //!
-//! The owner of the part judges a change before it proposes it; every replica judges it again when it is applied,
+//! The leader of the part judges a change before it proposes it; every replica judges it again when it is applied,
 //! by what was applied before. So of two changes on the same base at most one is ever taken, even if both get into
 //! the log.
 //!
@@ -89,7 +89,7 @@
 
     /// Judges a change by what is committed and what is under way.
     ///
-    /// Only the owner of the part may judge, once it has applied everything that was committed before its term:
+    /// Only the leader of the part may judge, once it has applied everything that was committed before its term:
     /// then a refusal rests on committed changes alone, and as versions only rise, it is final. A register that is
     /// behind would refuse a change that builds on a version which it has not seen yet.
     pub fn judge(&self, change: &Change, pending: &Pending) -> Verdict {
--- a/crates/configuration/src/register/pending.rs
+++ b/crates/configuration/src/register/pending.rs
@@ -1,11 +1,11 @@
-//! Changes that are in the log of the part's owner and not yet committed.
+//! Changes that are in the log of the part's leader and not yet committed.
 
 use super::Change;
 
-/// The changes that the owner has proposed, or found in its log when it became the owner, and that are not yet
+/// The changes that the leader has proposed, or found in its log when it became the leader, and that are not yet
 /// applied. While there is one, no other change can be judged but by what is committed.
 ///
-/// The owner of the part keeps it; replicas have none. As a change is proposed only while nothing is pending, it
+/// The leader of the part keeps it; replicas have none. As a change is proposed only while nothing is pending, it
 /// is no longer than the uncommitted end of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pending {
@@ -30,7 +30,7 @@
         self.changes.retain(|pending| pending != change);
     }
 
-    /// The log's end is no longer this process's to decide: it lost the ownership, or is about to read the end
+    /// The log's end is no longer this process's to decide: it lost the leadership, or is about to read the end
     /// anew.
     pub fn clear(&mut self) {
         self.changes.clear();
--- a/crates/configuration/tests/bad_changes.rs
+++ b/crates/configuration/tests/bad_changes.rs
@@ -9,7 +9,7 @@
 use grebeusher_configuration::register::{Answer, Applied, ConfigurationRegister, Entry, Pending, Verdict};
 use rstest::rstest;
 
-/// One node that is the owner and the only replica.
+/// One node that is the leader and the only replica.
 #[derive(Default)]
 struct Catalog {
     register: ConfigurationRegister,
--- a/crates/configuration/tests/register.rs
+++ b/crates/configuration/tests/register.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn given_a_change_under_way_when_the_ownership_is_lost_then_nothing_is_under_way() {
+fn given_a_change_under_way_when_the_leadership_is_lost_then_nothing_is_under_way() {
     let mut pending = pending(&entry(3, 7, "one"));
     pending.propose(*entry(3, 8, "two").change());
 
@@ -304,40 +304,40 @@
     (0..8_u64, 0..9_u64, 0..3_u8).prop_map(|(base, version, body)| entry(base, version, &body.to_string()))
 }
 
-/// What the two owners of a part do, of whom one doesn't know yet that it was replaced.
+/// What the two leaders of a part do, of whom one doesn't know yet that it was replaced.
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator's call reaches an owner.
-    Call { owner: usize, entry: Entry },
-    /// The log goes on with the oldest proposal of an owner, which may stand in it more than once.
-    Commit { owner: usize, keep: bool },
-    /// An owner reads the next entry of the log.
-    Apply { owner: usize },
-    /// An owner starts again from a snapshot of itself.
-    Restart { owner: usize },
+    /// An operator's call reaches a leader.
+    Call { leader: usize, entry: Entry },
+    /// The log goes on with the oldest proposal of a leader, which may stand in it more than once.
+    Commit { leader: usize, keep: bool },
+    /// A leader reads the next entry of the log.
+    Apply { leader: usize },
+    /// A leader starts again from a snapshot of itself.
+    Restart { leader: usize },
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..2_usize, any_entry()).prop_map(|(owner, entry)| Step::Call { owner, entry }),
-        3 => (0..2_usize, any::<bool>()).prop_map(|(owner, keep)| Step::Commit { owner, keep }),
-        4 => (0..2_usize).prop_map(|owner| Step::Apply { owner }),
-        1 => (0..2_usize).prop_map(|owner| Step::Restart { owner }),
+        4 => (0..2_usize, any_entry()).prop_map(|(leader, entry)| Step::Call { leader, entry }),
+        3 => (0..2_usize, any::<bool>()).prop_map(|(leader, keep)| Step::Commit { leader, keep }),
+        4 => (0..2_usize).prop_map(|leader| Step::Apply { leader }),
+        1 => (0..2_usize).prop_map(|leader| Step::Restart { leader }),
     ]
 }
 
 #[derive(Default)]
-struct Owner {
+struct Leader {
     register: ConfigurationRegister,
     pending: Pending,
     proposals: Vec<Entry>,
     applied: usize,
 }
 
-/// Two owners over one log. Keeps what operators were told.
+/// Two leaders over one log. Keeps what operators were told.
 #[derive(Default)]
 struct Fleet {
-    owners: [Owner; 2],
+    leaders: [Leader; 2],
     log: Vec<Entry>,
     acknowledged: HashSet<Change>,
 }
@@ -345,19 +345,19 @@
 impl Fleet {
     fn step(&mut self, step: Step) {
         match step {
-            Step::Call { owner, entry } => self.call(owner, entry),
-            Step::Commit { owner, keep } => self.commit(owner, keep),
-            Step::Apply { owner } => self.apply(owner),
-            Step::Restart { owner } => self.restart(owner),
+            Step::Call { leader, entry } => self.call(leader, entry),
+            Step::Commit { leader, keep } => self.commit(leader, keep),
+            Step::Apply { leader } => self.apply(leader),
+            Step::Restart { leader } => self.restart(leader),
         }
     }
 
-    fn call(&mut self, owner: usize, entry: Entry) {
-        let owner = &mut self.owners[owner];
-        match owner.register.judge(entry.change(), &owner.pending) {
+    fn call(&mut self, leader: usize, entry: Entry) {
+        let leader = &mut self.leaders[leader];
+        match leader.register.judge(entry.change(), &leader.pending) {
             Verdict::Take => {
-                owner.pending.propose(*entry.change());
-                owner.proposals.push(entry);
+                leader.pending.propose(*entry.change());
+                leader.proposals.push(entry);
             }
             Verdict::AlreadyTaken => {
                 self.acknowledged.insert(*entry.change());
@@ -366,8 +366,8 @@
         }
     }
 
-    fn commit(&mut self, owner: usize, keep: bool) {
-        let proposals = &mut self.owners[owner].proposals;
+    fn commit(&mut self, leader: usize, keep: bool) {
+        let proposals = &mut self.leaders[leader].proposals;
         if let Some(entry) = proposals.first().cloned() {
             self.log.push(Entry::decode(&entry.encode()).expect("what was encoded"));
             if !keep {
@@ -376,38 +376,38 @@
         }
     }
 
-    fn apply(&mut self, owner: usize) {
-        let owner = &mut self.owners[owner];
-        let Some(entry) = self.log.get(owner.applied) else { return };
-        owner.applied += 1;
-        owner.pending.applied(entry.change());
-        if owner.register.apply(entry).answer() == Answer::Acknowledged {
+    fn apply(&mut self, leader: usize) {
+        let leader = &mut self.leaders[leader];
+        let Some(entry) = self.log.get(leader.applied) else { return };
+        leader.applied += 1;
+        leader.pending.applied(entry.change());
+        if leader.register.apply(entry).answer() == Answer::Acknowledged {
             self.acknowledged.insert(*entry.change());
         }
     }
 
-    fn restart(&mut self, owner: usize) {
-        let owner = &mut self.owners[owner];
-        owner.register = ConfigurationRegister::decode(&owner.register.encode()).expect("its own snapshot");
-        owner.pending.clear();
-        owner.proposals.clear();
+    fn restart(&mut self, leader: usize) {
+        let leader = &mut self.leaders[leader];
+        leader.register = ConfigurationRegister::decode(&leader.register.encode()).expect("its own snapshot");
+        leader.pending.clear();
+        leader.proposals.clear();
     }
 
-    /// Every acknowledged change is acknowledged by any owner that has read the log.
+    /// Every acknowledged change is acknowledged by any leader that has read the log.
     fn check(&mut self) {
-        for index in 0..self.owners.len() {
-            while self.owners[index].applied < self.log.len() {
+        for index in 0..self.leaders.len() {
+            while self.leaders[index].applied < self.log.len() {
                 self.apply(index);
             }
         }
         let mut successors = HashMap::new();
         for change in &self.acknowledged {
             assert_eq!(successors.insert(change.base, change), None, "two changes on one base");
-            for owner in &self.owners {
-                assert_eq!(owner.register.judge(change, &owner.pending), Verdict::AlreadyTaken);
+            for leader in &self.leaders {
+                assert_eq!(leader.register.judge(change, &leader.pending), Verdict::AlreadyTaken);
             }
         }
-        assert_eq!(self.owners[0].register, self.owners[1].register);
+        assert_eq!(self.leaders[0].register, self.leaders[1].register);
     }
 }
 
@@ -425,7 +425,7 @@
     #![proptest_config(seeded())]
 
     #[test]
-    fn given_two_owners_over_one_log_when_calls_and_commits_mix_then_one_change_is_taken_for_each_base(
+    fn given_two_leaders_over_one_log_when_calls_and_commits_mix_then_one_change_is_taken_for_each_base(
         steps in proptest::collection::vec(any_step(), 1..120),
     ) {
         let mut fleet = Fleet::default();
--- a/crates/demo/src/operator.rs
+++ b/crates/demo/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: hands in a configuration, and asks what is in force and who owns what.
+//! The operator: hands in a configuration, and asks what is in force and who leads what.
 
 use crate::client::{Answer, Call, CallError, call};
 use crate::error::DemoError;
@@ -93,8 +93,8 @@
     })
 }
 
-/// The owner of a part as the first node says that knows one.
-pub fn owner_of(controls: &[SocketAddrV4], part: u8) -> Option<SocketAddrV4> {
+/// The leader of a part as the first node says that knows one.
+pub fn leader_of(controls: &[SocketAddrV4], part: u8) -> Option<SocketAddrV4> {
     let line_start = format!("part {part} owner ");
     controls.iter().find_map(|control| {
         let status = ask(*control, "GET", "/api/status", None, "").ok()?.text();
--- a/crates/demo/src/story.rs
+++ b/crates/demo/src/story.rs
@@ -54,8 +54,8 @@
     pub items_complete: usize,
     /// The storage process that was killed while it ran the job.
     pub killed: String,
-    /// Who owned the job's part afterwards.
-    pub next_owner: String,
+    /// Who led the job's part afterwards.
+    pub next_leader: String,
     /// Requests that a draining executor got later than it must.
     pub late_after_drain: u64,
     /// Processes that ended by themselves after SIGTERM, with success.
@@ -96,7 +96,7 @@
     requests_served: usize,
     items_complete: usize,
     killed: String,
-    next_owner: String,
+    next_leader: String,
     late_after_drain: u64,
 }
 
@@ -140,9 +140,9 @@
         self.await_readiness()?;
         let requests_served = self.serve_requests()?;
         self.misdirect()?;
-        let (items_complete, killed, next_owner) = self.run_job()?;
+        let (items_complete, killed, next_leader) = self.run_job()?;
         let late_after_drain = self.end_drain()?;
-        Ok(Told { requests_served, items_complete, killed, next_owner, late_after_drain })
+        Ok(Told { requests_served, items_complete, killed, next_leader, late_after_drain })
     }
 
     /// All processes but those that were killed on purpose must run.
@@ -246,8 +246,8 @@
         self.expect(step, status, 421, ", not run")
     }
 
-    /// A job whose owner is killed in the middle, when an executor begins to drain too. How many items are complete, and
-    /// the names of both owners.
+    /// A job whose leader is killed in the middle, when an executor begins to drain too. How many items are complete, and
+    /// the names of both leaders.
     fn run_job(&mut self) -> Result<(usize, String, String), DemoError> {
         let (watch, frontends) = (self.watch.clone(), self.frontends());
         let mut job = Job::new(&watch, &frontends, ITEMS);
@@ -261,7 +261,7 @@
             results.extend(page);
         }
         self.row("results listed so far", &format!("{} of {}", results.len(), job.items()))?;
-        let (killed, address) = self.kill_owner()?;
+        let (killed, address) = self.kill_leader()?;
         let before = Instant::now();
         if let Some(executor) = self.executors.last() {
             executor.drain();
@@ -276,12 +276,12 @@
         }
         let gap = first_after.unwrap_or_default();
         self.row("the next results after the kill came after", &milliseconds(gap))?;
-        let next_owner = self.next_owner(address)?;
+        let next_leader = self.next_leader(address)?;
         self.check_results(&mut job, &results)?;
         self.show_part(&job)?;
         job.end()?;
         self.row("the job is ended", "200")?;
-        Ok((results.len(), killed, next_owner))
+        Ok((results.len(), killed, next_leader))
     }
 
     fn check_results(
@@ -314,46 +314,46 @@
         self.row("results read again from the start", "the same at each position")
     }
 
-    /// The owner's own account of the job, as `grebeusher-tier show` prints it.
+    /// The leader's own account of the job, as `grebeusher-tier show` prints it.
     fn show_part(&mut self, job: &Job<'_>) -> Result<(), DemoError> {
         let (controls, watch) = (self.controls(), self.watch.clone());
         let target = format!("/api/status/{JOB_PART}");
-        let status = watch.until("the owner shows its part", || {
+        let status = watch.until("the leader shows its part", || {
             let answer = operator::ask(controls[0], "GET", &target, None, "");
             Ok(answer.ok().filter(Answer::is_success).map(|answer| answer.text()))
         })?;
         let expected = format!("part {JOB_PART} job {}: {ITEMS} of {ITEMS} items listed, complete", job.id());
         match status.lines().find(|line| **line == expected) {
-            Some(line) => self.row("its new owner shows", line),
+            Some(line) => self.row("its new leader shows", line),
             None => Err(DemoError::Wrong { step: target, what: status }),
         }
     }
 
-    fn kill_owner(&mut self) -> Result<(String, SocketAddrV4), DemoError> {
+    fn kill_leader(&mut self) -> Result<(String, SocketAddrV4), DemoError> {
         let controls = self.controls();
         let watch = self.watch.clone();
-        let owner =
-            watch.until("the job's part has an owner", || Ok(operator::owner_of(&controls, JOB_PART)))?;
-        let place = self.processes.iter().position(|process| process.machine.address == *owner.ip());
+        let leader =
+            watch.until("the job's part has a leader", || Ok(operator::leader_of(&controls, JOB_PART)))?;
+        let place = self.processes.iter().position(|process| process.machine.address == *leader.ip());
         let Some(place) = place else {
-            let what = format!("{owner} is no process of this tier");
-            return Err(DemoError::Wrong { step: "the owner of the job's part".to_owned(), what });
+            let what = format!("{leader} is no process of this tier");
+            return Err(DemoError::Wrong { step: "the leader of the job's part".to_owned(), what });
         };
         let mut process = self.processes.remove(place);
         let (name, id) = (process.machine.name.clone(), process.id());
         process.kill()?;
         self.row("the storage process that runs it is killed", &format!("{name}, process {id}"))?;
-        Ok((name, owner))
+        Ok((name, leader))
     }
 
-    fn next_owner(&mut self, before: SocketAddrV4) -> Result<String, DemoError> {
+    fn next_leader(&mut self, before: SocketAddrV4) -> Result<String, DemoError> {
         let controls = self.controls();
         let watch = self.watch.clone();
-        let owner = watch.until("the job's part has another owner", || {
-            Ok(operator::owner_of(&controls, JOB_PART).filter(|owner| *owner != before))
+        let leader = watch.until("the job's part has another leader", || {
+            Ok(operator::leader_of(&controls, JOB_PART).filter(|leader| *leader != before))
         })?;
-        let named = self.processes.iter().find(|process| process.machine.address == *owner.ip());
-        let name = named.map_or_else(|| owner.to_string(), |process| process.machine.name.clone());
+        let named = self.processes.iter().find(|process| process.machine.address == *leader.ip());
+        let name = named.map_or_else(|| leader.to_string(), |process| process.machine.name.clone());
         self.row("its part is owned now by", &name)?;
         Ok(name)
     }
@@ -405,8 +405,8 @@
         let outcome =
             format!("{clean_exits} of {count} ended with success after {}", milliseconds(asked.elapsed()));
         self.row("all other processes get SIGTERM", &outcome)?;
-        let Told { requests_served, items_complete, killed, next_owner, late_after_drain } = told;
-        Ok(Summary { requests_served, items_complete, killed, next_owner, late_after_drain, clean_exits })
+        let Told { requests_served, items_complete, killed, next_leader, late_after_drain } = told;
+        Ok(Summary { requests_served, items_complete, killed, next_leader, late_after_drain, clean_exits })
     }
 }
 
--- a/crates/quorum/src/entry.rs
+++ b/crates/quorum/src/entry.rs
@@ -9,7 +9,7 @@
 /// What an entry says.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum Payload {
-    /// The first entry of an ownership; it carries nothing.
+    /// The first entry of a leadership; it carries nothing.
     Opening,
     /// The group from this entry on.
     Group(Group),
--- a/crates/quorum/src/error.rs
+++ b/crates/quorum/src/error.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ProposeError {
-    /// Another replica owns the part, or none does, or the ownership is being handed over.
-    #[snafu(display("not the owner"))]
-    NotOwner { hint: Option<ReplicaId> },
+    /// Another replica leads the part, or none does, or the leadership is being handed over.
+    #[snafu(display("not the leader"))]
+    NotLeader { hint: Option<ReplicaId> },
     /// Too much waits for a quorum already; try again when some of it has been committed.
     #[snafu(display("too many bytes wait for a quorum"))]
     Busy,
@@ -23,29 +23,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ChangeError {
-    #[snafu(display("not the owner"))]
-    NotOwner { hint: Option<ReplicaId> },
-    /// A change or the handing over of the ownership is under way.
+    #[snafu(display("not the leader"))]
+    NotLeader { hint: Option<ReplicaId> },
+    /// A change or the handing over of the leadership is under way.
     #[snafu(display("a change is under way"))]
     UnderWay,
-    /// The owner has not committed an entry of its own term yet; try again soon.
-    #[snafu(display("the ownership is not settled yet"))]
+    /// The leader has not committed an entry of its own term yet; try again soon.
+    #[snafu(display("the leadership is not settled yet"))]
     Unsettled,
     #[snafu(display("the new group is empty or too large"))]
     Invalid,
 }
 
-/// Why an ownership was not handed over.
+/// Why a leadership was not handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum HandOverError {
-    #[snafu(display("not the owner"))]
-    NotOwner { hint: Option<ReplicaId> },
+    #[snafu(display("not the leader"))]
+    NotLeader { hint: Option<ReplicaId> },
     /// It is being handed to somebody else already.
-    #[snafu(display("the ownership is being handed over"))]
+    #[snafu(display("the leadership is being handed over"))]
     UnderWay,
     /// Nobody else can take it, or the named one is no voter.
-    #[snafu(display("nobody can take the ownership"))]
+    #[snafu(display("nobody can take the leadership"))]
     NoTarget,
 }
 
--- a/crates/quorum/src/ids.rs
+++ b/crates/quorum/src/ids.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct ReplicaId(pub u64);
 
-/// The number of an ownership; each has at most one owner.
+/// The number of a leadership; each has at most one leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Term(pub u64);
 
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,4 +1,4 @@
-//! A replicated log for one part of the control state: terms and elections, an owner's lease, change of the group,
+//! A replicated log for one part of the control state: terms and elections, a leader's lease, change of the group,
 //! snapshots, and the files of all that.
 //!
 //! [`Replica`] is a state machine: messages, time and proposals go in, and a [`Ready`] comes out that says what to
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/log.rs
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Takes a snapshot that came from the owner. Entries after it stay if the log agrees with it.
+    /// Takes a snapshot that came from the leader. Entries after it stay if the log agrees with it.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         let last = snapshot.last;
         if self.term_at(last.index) == Some(last.term) {
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -33,13 +33,13 @@
     /// Vote for me in this term.
     Vote(Candidacy),
     VoteReply(VoteReply),
-    /// Entries of the owner; without any it is a heartbeat.
+    /// Entries of the leader; without any it is a heartbeat.
     Append(Append),
     AppendReply(AppendReply),
-    /// A piece of the owner's snapshot.
+    /// A piece of the leader's snapshot.
     Chunk(Chunk),
     ChunkReply(ChunkReply),
-    /// The owner gave up its lease: start an election at once.
+    /// The leader gave up its lease: start an election at once.
     TakeOver,
 }
 
@@ -48,7 +48,7 @@
 pub struct Candidacy {
     /// The end of its log.
     pub last: Position,
-    /// The owner of the term before gave up its lease for this election, so that nobody has to wait for its end.
+    /// The leader of the term before gave up its lease for this election, so that nobody has to wait for its end.
     pub handed_over: bool,
 }
 
@@ -58,7 +58,7 @@
     pub granted: bool,
 }
 
-/// A point of the owner's clock, echoed by the reply: the lease counts from it.
+/// A point of the leader's clock, echoed by the reply: the lease counts from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Stamp(pub u64);
 
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Append {
     pub previous: Position,
-    /// What the owner knows to be committed.
+    /// What the leader knows to be committed.
     pub commit: Index,
     pub sent: Stamp,
     pub entries: Vec<Entry>,
@@ -92,7 +92,7 @@
 /// What became of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum Outcome {
-    /// The log is the owner's up to here, synced.
+    /// The log is the leader's up to here, synced.
     Matched(Index),
     /// The entry before `refused` differs or is missing; the logs may agree at `hint` at best.
     Conflict { refused: Index, hint: Index },
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of one follower or learner, and how much it may send it.
+//! What a leader knows of one follower or learner, and how much it may send it.
 
 use std::collections::VecDeque;
 
@@ -63,7 +63,7 @@
 /// One follower or learner.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// Its log agrees with the owner's up to here, synced.
+    /// Its log agrees with the leader's up to here, synced.
     pub(crate) matched: Index,
     /// The next entry to send.
     pub(crate) next: Index,
--- a/crates/quorum/src/ready.rs
+++ b/crates/quorum/src/ready.rs
@@ -18,7 +18,7 @@
 /// is applied. The next batch is taken only after that; messages and proposals may come in between.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// Messages that promise nothing about this replica's disk: an owner's entries go out while it writes them itself.
+    /// Messages that promise nothing about this replica's disk: a leader's entries go out while it writes them itself.
     pub ahead: Vec<(ReplicaId, Message)>,
     /// What goes to disk, in order.
     pub writes: Vec<Write>,
--- a/crates/quorum/src/replica/digest.rs
+++ b/crates/quorum/src/replica/digest.rs
@@ -4,7 +4,7 @@
 
 use super::Replica;
 use crate::progress::Progress;
-use crate::role::{Ownership, Role};
+use crate::role::{Leadership, Role};
 
 impl Replica {
     /// A digest of all that decides what this replica does next, but for clocks and chance.
@@ -25,17 +25,17 @@
 fn hash_role(role: &Role, hasher: &mut DefaultHasher) {
     std::mem::discriminant(role).hash(hasher);
     match role {
-        Role::Follower { owner } => owner.hash(hasher),
+        Role::Follower { leader } => leader.hash(hasher),
         Role::PreCandidate { granted } | Role::Candidate { granted } => granted.hash(hasher),
-        Role::Owner(ownership) => hash_ownership(ownership, hasher),
+        Role::Leader(leadership) => hash_leadership(leadership, hasher),
     }
 }
 
-fn hash_ownership(ownership: &Ownership, hasher: &mut DefaultHasher) {
-    (ownership.opening, ownership.lease_given_up).hash(hasher);
-    ownership.change.as_ref().map(|change| &change.voters).hash(hasher);
-    ownership.hand_over.map(|hand_over| (hand_over.target, hand_over.told)).hash(hasher);
-    for (replica, follower) in &ownership.followers {
+fn hash_leadership(leadership: &Leadership, hasher: &mut DefaultHasher) {
+    (leadership.opening, leadership.lease_given_up).hash(hasher);
+    leadership.change.as_ref().map(|change| &change.voters).hash(hasher);
+    leadership.hand_over.map(|hand_over| (hand_over.target, hand_over.told)).hash(hasher);
+    for (replica, follower) in &leadership.followers {
         replica.hash(hasher);
         hash_progress(follower, hasher);
     }
--- a/crates/quorum/src/replica/election.rs
+++ b/crates/quorum/src/replica/election.rs
@@ -34,14 +34,14 @@
         self.role = Role::Candidate { granted };
         self.put_off_election();
         if decided {
-            self.become_owner();
+            self.become_leader();
             return;
         }
         let candidacy = Candidacy { last: self.log.last(), handed_over };
         self.ask_others(self.hard.term, Body::Vote(candidacy));
     }
 
-    /// A question that some refuse because they heard of the owner a little later is put again soon.
+    /// A question that some refuse because they heard of the leader a little later is put again soon.
     fn put_off_question(&mut self) {
         let election_min = self.timing.election_min;
         let wait = self.rng.random_range(election_min.nanos() / 2..=election_min.nanos());
@@ -57,7 +57,7 @@
     }
 
     pub(super) fn receive_pre_vote(&mut self, from: ReplicaId, term: Term, candidacy: Candidacy) {
-        let granted = term > self.hard.term && !self.hears_owner() && self.would_vote(from, candidacy.last);
+        let granted = term > self.hard.term && !self.hears_leader() && self.would_vote(from, candidacy.last);
         let answered = if granted { term } else { self.hard.term };
         self.send(from, answered, Body::PreVoteReply(VoteReply { granted }));
     }
@@ -83,12 +83,12 @@
             self.send(from, self.hard.term, Body::VoteReply(VoteReply { granted: false }));
             return;
         }
-        if !candidacy.handed_over && self.hears_owner() {
+        if !candidacy.handed_over && self.hears_leader() {
             return;
         }
         self.follow_if_newer(term);
         let free = self.hard.voted.is_none_or(|voted| voted == from);
-        let granted = free && self.owner_hint().is_none() && self.would_vote(from, candidacy.last);
+        let granted = free && self.leader_hint().is_none() && self.would_vote(from, candidacy.last);
         if granted && self.hard.voted.is_none() {
             self.hard.voted = Some(from);
             self.output.hard = true;
@@ -106,13 +106,13 @@
         granted.insert(from);
         let granted = granted.clone();
         if self.group().decides(|voter| granted.contains(&voter)) {
-            self.become_owner();
+            self.become_leader();
         }
     }
 
     pub(super) fn receive_take_over(&mut self, from: ReplicaId, term: Term) {
-        let told_by_owner = matches!(self.role, Role::Follower { owner } if owner == Some(from));
-        if term == self.hard.term && told_by_owner && self.may_stand() {
+        let told_by_leader = matches!(self.role, Role::Follower { leader } if leader == Some(from));
+        if term == self.hard.term && told_by_leader && self.may_stand() {
             self.start_vote(true);
         }
     }
@@ -123,9 +123,9 @@
         }
     }
 
-    /// Whether it must not help anybody against an owner that may hold a lease, or may have one itself.
-    fn hears_owner(&self) -> bool {
-        let heard = match self.ownership() {
+    /// Whether it must not help anybody against a leader that may hold a lease, or may have one itself.
+    fn hears_leader(&self) -> bool {
+        let heard = match self.leadership() {
             Some(_) => self.quorum_contact(),
             None => Some(self.heard),
         };
@@ -144,20 +144,20 @@
         self.commit >= self.log.group_index() && !self.group().names(replica)
     }
 
-    /// Notes a sign of a living owner.
-    pub(super) fn note_owner(&mut self, term: Term, owner: ReplicaId) {
+    /// Notes a sign of a living leader.
+    pub(super) fn note_leader(&mut self, term: Term, leader: ReplicaId) {
         self.heard = self.now;
-        self.follow(term, Some(owner));
+        self.follow(term, Some(leader));
     }
 
     /// When a quorum was last asked something that it has answered since.
     pub(super) fn quorum_contact(&self) -> Option<Instant> {
-        let ownership = self.ownership()?;
+        let leadership = self.leadership()?;
         self.group().agreed(|voter| {
             if voter == self.identity {
                 return Some(self.now);
             }
-            ownership.followers.get(&voter).and_then(|follower| follower.answered)
+            leadership.followers.get(&voter).and_then(|follower| follower.answered)
         })
     }
 }
--- a/crates/quorum/src/replica/following.rs
+++ b/crates/quorum/src/replica/following.rs
@@ -1,4 +1,4 @@
-//! The follower's side: entries and snapshots of an owner.
+//! The follower's side: entries and snapshots of a leader.
 
 use super::Replica;
 use crate::blob::Blob;
@@ -10,14 +10,14 @@
 /// A snapshot that is still arriving.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Assembly {
-    owner: ReplicaId,
+    leader: ReplicaId,
     last: Position,
     bytes: Vec<u8>,
 }
 
 impl Replica {
     pub(super) fn receive_append(&mut self, from: ReplicaId, term: Term, append: Append) {
-        if !self.accept_owner(from, term, append.sent) {
+        if !self.accept_leader(from, term, append.sent) {
             return;
         }
         let sent = append.sent;
@@ -29,22 +29,22 @@
         self.send(to, self.hard.term, Body::AppendReply(AppendReply { outcome, sent }));
     }
 
-    /// Follows the sender, unless its term is over, which it is told. A term has one owner: who claims to be a second
+    /// Follows the sender, unless its term is over, which it is told. A term has one leader: who claims to be a second
     /// one is not believed.
-    fn accept_owner(&mut self, from: ReplicaId, term: Term, sent: Stamp) -> bool {
+    fn accept_leader(&mut self, from: ReplicaId, term: Term, sent: Stamp) -> bool {
         if term < self.hard.term {
             self.reply_append(from, Outcome::Outdated, sent);
             return false;
         }
-        let known = self.owner_hint().filter(|_| term == self.hard.term);
+        let known = self.leader_hint().filter(|_| term == self.hard.term);
         if known.is_some_and(|known| known != from) {
             return false;
         }
-        self.note_owner(term, from);
+        self.note_leader(term, from);
         true
     }
 
-    /// Takes the entries that follow on the own log. What is committed here is in every later owner's log, so it is
+    /// Takes the entries that follow on the own log. What is committed here is in every later leader's log, so it is
     /// never compared, let alone taken back.
     fn take_entries(&mut self, append: Append) -> Outcome {
         let Append { previous, commit, entries, .. } = append;
@@ -79,7 +79,7 @@
     }
 
     pub(super) fn receive_chunk(&mut self, from: ReplicaId, term: Term, chunk: Chunk) {
-        if !self.accept_owner(from, term, chunk.sent) {
+        if !self.accept_leader(from, term, chunk.sent) {
             return;
         }
         if chunk.last.index <= self.commit {
@@ -97,11 +97,11 @@
     }
 
     /// Adds a piece to the snapshot that it belongs to. The bytes, once they are whole.
-    fn assemble(&mut self, owner: ReplicaId, chunk: &Chunk) -> Option<Blob> {
+    fn assemble(&mut self, leader: ReplicaId, chunk: &Chunk) -> Option<Blob> {
         let last = chunk.last;
-        let goes_on = |assembly: &Assembly| assembly.owner == owner && assembly.last == last;
+        let goes_on = |assembly: &Assembly| assembly.leader == leader && assembly.last == last;
         if !self.assembly.as_ref().is_some_and(goes_on) {
-            self.assembly = Some(Assembly { owner, last, bytes: Vec::new() });
+            self.assembly = Some(Assembly { leader, last, bytes: Vec::new() });
         }
         let assembly = self.assembly.as_mut()?;
         if chunk.offset == assembly.bytes.len() as u64 {
@@ -124,7 +124,7 @@
         self.applied = index;
     }
 
-    /// The first sign of an owner tells an empty replica which founding it belongs to.
+    /// The first sign of a leader tells an empty replica which founding it belongs to.
     pub(super) fn join(&mut self, founding: Founding) {
         if self.hard.founding.is_none() {
             self.hard.founding = Some(founding);
--- a/crates/quorum/src/replica/ownership.rs
+++ b/crates/quorum/src/replica/leadership.rs
@@ -1,4 +1,4 @@
-//! The owner's side: its followers' answers, what is decided by them, its lease, and its end.
+//! The leader's side: its followers' answers, what is decided by them, its lease, and its end.
 
 use std::collections::BTreeMap;
 
@@ -9,12 +9,12 @@
 use crate::ids::{Index, ReplicaId, Term};
 use crate::message::{AppendReply, ChunkReply, Outcome, Stamp};
 use crate::progress::Progress;
-use crate::role::{Ownership, Role};
+use crate::role::{Leadership, Role};
 
 impl Replica {
-    pub(super) fn become_owner(&mut self) {
+    pub(super) fn become_leader(&mut self) {
         let uncommitted = self.log.bytes_between(self.commit, self.log.last().index);
-        self.role = Role::Owner(Box::new(Ownership {
+        self.role = Role::Leader(Box::new(Leadership {
             since: self.now,
             opening: self.log.last().index.next(),
             followers: BTreeMap::new(),
@@ -38,27 +38,27 @@
     pub(super) fn enlist(&mut self, replicas: &[ReplicaId]) {
         let last = self.log.last().index;
         let identity = self.identity;
-        let Some(ownership) = self.ownership_mut() else { return };
+        let Some(leadership) = self.leadership_mut() else { return };
         for replica in replicas.iter().filter(|replica| **replica != identity) {
-            ownership.followers.entry(*replica).or_insert_with(|| Progress::unknown(last));
+            leadership.followers.entry(*replica).or_insert_with(|| Progress::unknown(last));
         }
     }
 
-    /// Whether reads may be answered from the application's state: this replica owns the part, has committed an entry
+    /// Whether reads may be answered from the application's state: this replica leads the part, has committed an entry
     /// of its own term, and a quorum has answered what was sent within the lease.
     pub fn lease_holds(&self, now: Instant) -> bool {
-        let Some(ownership) = self.ownership() else { return false };
-        let settled = self.commit >= ownership.opening && !ownership.lease_given_up;
+        let Some(leadership) = self.leadership() else { return false };
+        let settled = self.commit >= leadership.opening && !leadership.lease_given_up;
         let now = now.max(self.now);
         let alone = self.group().members().all(|member| member == self.identity);
         let contact = self.quorum_contact();
         settled && (alone || contact.is_some_and(|contact| now < contact + self.timing.lease))
     }
 
-    /// Up to where each voter has the log on its disk, as far as this owner knows; nothing where it is none.
+    /// Up to where each voter has the log on its disk, as far as this leader knows; nothing where it is none.
     pub fn copies(&self) -> Vec<(ReplicaId, Index)> {
-        let Some(ownership) = self.ownership() else { return Vec::new() };
-        let synced = |voter: ReplicaId| match ownership.followers.get(&voter) {
+        let Some(leadership) = self.leadership() else { return Vec::new() };
+        let synced = |voter: ReplicaId| match leadership.followers.get(&voter) {
             _ if voter == self.identity => self.output.synced,
             Some(follower) => follower.matched,
             None => Index(0),
@@ -66,7 +66,7 @@
         self.group().members().map(|voter| (voter, synced(voter))).collect()
     }
 
-    pub(super) fn tick_owner(&mut self) {
+    pub(super) fn tick_leader(&mut self) {
         if self.lost_quorum() {
             self.follow(self.hard.term, None);
             return;
@@ -74,18 +74,18 @@
         self.tick_change();
         self.tick_hand_over();
         let (now, heartbeat) = (self.now, self.timing.heartbeat);
-        let Some(ownership) = self.ownership_mut() else { return };
-        if now < ownership.next_beat {
+        let Some(leadership) = self.leadership_mut() else { return };
+        if now < leadership.next_beat {
             return;
         }
-        ownership.next_beat = now + heartbeat;
-        ownership.followers.values_mut().for_each(Progress::beat);
+        leadership.next_beat = now + heartbeat;
+        leadership.followers.values_mut().for_each(Progress::beat);
     }
 
-    /// Whether no quorum has answered for so long that the others may have a new owner.
+    /// Whether no quorum has answered for so long that the others may have a new leader.
     fn lost_quorum(&self) -> bool {
-        let Some(ownership) = self.ownership() else { return false };
-        let contact = self.quorum_contact().map_or(ownership.since, |contact| contact.max(ownership.since));
+        let Some(leadership) = self.leadership() else { return false };
+        let contact = self.quorum_contact().map_or(leadership.since, |contact| contact.max(leadership.since));
         self.now > contact + self.timing.election_max
     }
 
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Notes that a message of this term was answered; a reply of a newer term ends the ownership.
+    /// Notes that a message of this term was answered; a reply of a newer term ends the leadership.
     fn note_reply(&mut self, from: ReplicaId, term: Term, sent: Stamp) -> bool {
         self.follow_if_newer(term);
         if term != self.hard.term {
@@ -132,24 +132,24 @@
     }
 
     fn follower_mut(&mut self, replica: ReplicaId) -> Option<&mut Progress> {
-        self.ownership_mut()?.followers.get_mut(&replica)
+        self.leadership_mut()?.followers.get_mut(&replica)
     }
 
-    /// Decides what a quorum has synced, if the owner's term wrote it: an entry of an older term may still be replaced
+    /// Decides what a quorum has synced, if the leader's term wrote it: an entry of an older term may still be replaced
     /// even when a quorum has it.
     pub(super) fn advance_commit(&mut self) {
-        let Some(ownership) = self.ownership() else { return };
+        let Some(leadership) = self.leadership() else { return };
         let agreed = self.group().agreed(|voter| {
             if voter == self.identity {
                 return self.output.synced;
             }
-            ownership.followers.get(&voter).map_or(Index(0), |follower| follower.matched)
+            leadership.followers.get(&voter).map_or(Index(0), |follower| follower.matched)
         });
-        if agreed > self.commit && agreed >= ownership.opening {
+        if agreed > self.commit && agreed >= leadership.opening {
             let decided = self.log.bytes_between(self.commit, agreed);
             self.commit = agreed;
-            if let Some(ownership) = self.ownership_mut() {
-                ownership.uncommitted = ownership.uncommitted.saturating_sub(decided);
+            if let Some(leadership) = self.leadership_mut() {
+                leadership.uncommitted = leadership.uncommitted.saturating_sub(decided);
             }
             self.finish_change();
         }
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -4,7 +4,7 @@
 mod digest;
 mod election;
 mod following;
-mod ownership;
+mod leadership;
 mod sending;
 
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -19,7 +19,7 @@
 use crate::log::Log;
 use crate::message::{Body, Message};
 use crate::ready::{Committed, Ready, Restore};
-use crate::role::{Ownership, Role};
+use crate::role::{Leadership, Role};
 use crate::timing::Timing;
 
 use following::Assembly;
@@ -43,10 +43,10 @@
     /// Handed to the application up to here.
     applied: Index,
     role: Role,
-    /// The last sign of an owner that lives; the start counts as one, because a lease may rest on an answer that was
+    /// The last sign of a leader that lives; the start counts as one, because a lease may rest on an answer that was
     /// given before it.
     heard: Instant,
-    /// When the next election starts, for all but owners.
+    /// When the next election starts, for all but leaders.
     election_at: Instant,
     assembly: Option<Assembly>,
     output: Output,
@@ -79,7 +79,7 @@
 
 impl Replica {
     /// A replica with what its disk holds. It votes for nobody for `timing.election_min`, because it may have answered
-    /// an owner just before it ended.
+    /// a leader just before it ended.
     pub fn new(identity: ReplicaId, restored: Restored, timing: Timing, seed: u64, now: Instant) -> Replica {
         let hard = restored.hard;
         let log = Log::restored(restored);
@@ -97,7 +97,7 @@
             commit: hard.commit.min(last).max(snapshot),
             applied: snapshot,
             log,
-            role: Role::Follower { owner: None },
+            role: Role::Follower { leader: None },
             heard: now,
             election_at: now,
             assembly: None,
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     ///
-    /// When the replica was founded otherwise, or has learned from another founding's owner.
+    /// When the replica was founded otherwise, or has learned from another founding's leader.
     pub fn found(&mut self, group: Group) -> Result<(), FoundError> {
         if group.is_joint() || !group.is_well_formed() || !group.names(self.identity) {
             return Err(FoundError::Invalid);
@@ -137,18 +137,18 @@
     ///
     /// # Errors
     ///
-    /// When this replica is not the owner, or can't take more at the moment.
+    /// When this replica is not the leader, or can't take more at the moment.
     pub fn propose(&mut self, now: Instant, command: Vec<u8>) -> Result<Index, ProposeError> {
         self.advance(now);
         if command.len() > crate::MAX_COMMAND {
             return Err(ProposeError::TooLarge { size: command.len() });
         }
-        let hint = self.owner_hint();
-        let Role::Owner(ownership) = &self.role else { return Err(ProposeError::NotOwner { hint }) };
-        if let Some(hand_over) = ownership.hand_over {
-            return Err(ProposeError::NotOwner { hint: Some(hand_over.target) });
+        let hint = self.leader_hint();
+        let Role::Leader(leadership) = &self.role else { return Err(ProposeError::NotLeader { hint }) };
+        if let Some(hand_over) = leadership.hand_over {
+            return Err(ProposeError::NotLeader { hint: Some(hand_over.target) });
         }
-        if ownership.uncommitted + command.len() > MAX_UNCOMMITTED {
+        if leadership.uncommitted + command.len() > MAX_UNCOMMITTED {
             return Err(ProposeError::Busy);
         }
         Ok(self.append(self.hard.term, Payload::Command(Blob::from(command))))
@@ -176,11 +176,11 @@
         }
     }
 
-    /// Does what is due: heartbeats, elections, the end of an ownership without a quorum.
+    /// Does what is due: heartbeats, elections, the end of a leadership without a quorum.
     pub fn tick(&mut self, now: Instant) {
         self.advance(now);
         match &self.role {
-            Role::Owner(_) => self.tick_owner(),
+            Role::Leader(_) => self.tick_leader(),
             _ if self.may_stand() && self.now >= self.election_at => self.start_pre_vote(),
             _ => {}
         }
@@ -189,7 +189,7 @@
     /// When [`Replica::tick`] is due next.
     pub fn next_wake(&self) -> Instant {
         match &self.role {
-            Role::Owner(ownership) => ownership.next_beat,
+            Role::Leader(leadership) => leadership.next_beat,
             _ if self.may_stand() => self.election_at,
             _ => NEVER,
         }
@@ -268,16 +268,16 @@
         self.hard.term
     }
 
-    /// Whether it won its term. That does not mean that it still owns the part: see [`Replica::lease_holds`].
-    pub fn is_owner(&self) -> bool {
-        matches!(self.role, Role::Owner(_))
+    /// Whether it won its term. That does not mean that it still leads the part: see [`Replica::lease_holds`].
+    pub fn is_leader(&self) -> bool {
+        matches!(self.role, Role::Leader(_))
     }
 
-    /// Who owns the part, as far as it knows.
-    pub fn owner_hint(&self) -> Option<ReplicaId> {
+    /// Who leads the part, as far as it knows.
+    pub fn leader_hint(&self) -> Option<ReplicaId> {
         match &self.role {
-            Role::Owner(_) => Some(self.identity),
-            Role::Follower { owner } => *owner,
+            Role::Leader(_) => Some(self.identity),
+            Role::Follower { leader } => *leader,
             _ => None,
         }
     }
@@ -327,7 +327,7 @@
         self.now = self.now.max(now);
     }
 
-    /// A replica that knows no founding learns only, so it listens to owners only.
+    /// A replica that knows no founding learns only, so it listens to leaders only.
     fn shares_founding(&self, message: &Message) -> bool {
         match self.hard.founding {
             Some(founding) => message.founding == founding,
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Whether it may become owner: when the newest group names it, or when it only may have been removed. In the latter
+    /// Whether it may become leader: when the newest group names it, or when it only may have been removed. In the latter
     /// case it may be the only one left with the entry that says so, and has to get that decided before it goes.
     fn may_stand(&self) -> bool {
         let is_undecided = self.log.group_index() > self.commit;
@@ -352,8 +352,8 @@
     fn append(&mut self, term: Term, payload: Payload) -> Index {
         let index = self.log.last().index.next();
         self.output.note_change(index);
-        if let Some(ownership) = self.ownership_mut() {
-            ownership.uncommitted += payload.size();
+        if let Some(leadership) = self.leadership_mut() {
+            leadership.uncommitted += payload.size();
         }
         self.log.push(Entry { index, term, payload });
         index
@@ -381,9 +381,9 @@
     }
 
     /// Follows somebody, or nobody yet.
-    fn follow(&mut self, term: Term, owner: Option<ReplicaId>) {
+    fn follow(&mut self, term: Term, leader: Option<ReplicaId>) {
         self.adopt(term);
-        self.role = Role::Follower { owner };
+        self.role = Role::Follower { leader };
         self.put_off_election();
     }
 
@@ -429,16 +429,16 @@
         writes
     }
 
-    fn ownership(&self) -> Option<&Ownership> {
+    fn leadership(&self) -> Option<&Leadership> {
         match &self.role {
-            Role::Owner(ownership) => Some(ownership),
+            Role::Leader(leadership) => Some(leadership),
             _ => None,
         }
     }
 
-    fn ownership_mut(&mut self) -> Option<&mut Ownership> {
+    fn leadership_mut(&mut self) -> Option<&mut Leadership> {
         match &mut self.role {
-            Role::Owner(ownership) => Some(ownership),
+            Role::Leader(leadership) => Some(leadership),
             _ => None,
         }
     }
--- a/crates/quorum/src/replica/sending.rs
+++ b/crates/quorum/src/replica/sending.rs
@@ -1,4 +1,4 @@
-//! What an owner sends to each follower: entries, heartbeats, pieces of the snapshot.
+//! What a leader sends to each follower: entries, heartbeats, pieces of the snapshot.
 
 use super::Replica;
 use crate::blob::Blob;
@@ -6,7 +6,7 @@
 use crate::message::{Append, Body, Chunk, Message, Stamp};
 use crate::progress::{Flow, Progress};
 
-/// Entries arrive one after the other and stay, while a snapshot that was not whole when its owner changed begins anew. So
+/// Entries arrive one after the other and stay, while a snapshot that was not whole when its leader changed begins anew. So
 /// only one that takes a moment on any link goes in the place of entries, in bytes.
 const MAX_RESTART_BYTES: usize = 512 * 1024;
 
@@ -18,14 +18,14 @@
             let in_transfer = matches!(follower.flow, Flow::Snapshot(_));
             follower.beat_due || (follower.has_room() && (in_transfer || follower.next <= last))
         };
-        self.ownership().is_some_and(|ownership| ownership.followers.values().any(waits))
+        self.leadership().is_some_and(|leadership| leadership.followers.values().any(waits))
     }
 
-    /// Everything that may be sent to the followers now. It promises nothing of the own disk: what the owner itself has
+    /// Everything that may be sent to the followers now. It promises nothing of the own disk: what the leader itself has
     /// counts for a quorum only once it is synced.
     pub(super) fn entries_to_send(&mut self) -> Vec<(ReplicaId, Message)> {
-        let Some(ownership) = self.ownership_mut() else { return Vec::new() };
-        let mut followers = std::mem::take(&mut ownership.followers);
+        let Some(leadership) = self.leadership_mut() else { return Vec::new() };
+        let mut followers = std::mem::take(&mut leadership.followers);
         let mut messages = Vec::new();
         for (replica, follower) in &mut followers {
             while let Some(body) = self.next_body(follower) {
@@ -33,8 +33,8 @@
                 follower.beat_due = false;
             }
         }
-        if let Some(ownership) = self.ownership_mut() {
-            ownership.followers = followers;
+        if let Some(leadership) = self.leadership_mut() {
+            leadership.followers = followers;
         }
         messages
     }
@@ -120,7 +120,7 @@
 
     /// The last message to a replica that leaves the group: the entries that it still needs, if they fit one.
     pub(super) fn last_word(&self, replica: ReplicaId) -> Option<Body> {
-        let follower = self.ownership()?.followers.get(&replica)?;
+        let follower = self.leadership()?.followers.get(&replica)?;
         let first = follower.matched.next();
         let previous = self.position_before(first)?;
         let (entries, _) = self.log.batch(first, crate::MAX_APPEND);
@@ -129,6 +129,6 @@
 
     /// The oldest snapshot that is still being sent.
     pub(super) fn oldest_transfer(&self) -> Option<Index> {
-        self.ownership()?.followers.values().filter_map(Progress::snapshot_under_way).min()
+        self.leadership()?.followers.values().filter_map(Progress::snapshot_under_way).min()
     }
 }
--- a/crates/quorum/src/role.rs
+++ b/crates/quorum/src/role.rs
@@ -10,19 +10,19 @@
 /// What a replica is.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
-    /// It takes the entries of an owner, or waits for one.
-    Follower { owner: Option<ReplicaId> },
+    /// It takes the entries of a leader, or waits for one.
+    Follower { leader: Option<ReplicaId> },
     /// It asks whether an election has a chance.
     PreCandidate { granted: BTreeSet<ReplicaId> },
     /// It asks for votes in its term.
     Candidate { granted: BTreeSet<ReplicaId> },
     /// It won its term.
-    Owner(Box<Ownership>),
+    Leader(Box<Leadership>),
 }
 
-/// What an owner keeps.
+/// What a leader keeps.
 #[derive(Clone, Debug)]
-pub(crate) struct Ownership {
+pub(crate) struct Leadership {
     pub(crate) since: Instant,
     /// The first entry of its own term.
     pub(crate) opening: Index,
@@ -44,7 +44,7 @@
     pub(crate) since: Instant,
 }
 
-/// The ownership on its way to another voter.
+/// The leadership on its way to another voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct HandOver {
     pub(crate) target: ReplicaId,
--- a/crates/quorum/src/timing.rs
+++ b/crates/quorum/src/timing.rs
@@ -1,15 +1,15 @@
-//! The spans that an ownership rests on.
+//! The spans that a leadership rests on.
 
 use grebeusher_time::{Duration, DurationExt};
 
 /// The spans of heartbeats, elections and the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats of an owner.
+    /// Between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// How long a voter that has heard from an owner votes for nobody else, and the least wait for an election.
+    /// How long a voter that has heard from a leader votes for nobody else, and the least wait for an election.
     pub election_min: Duration,
-    /// The longest wait for an election. An owner that has no quorum's answers for so long steps down.
+    /// The longest wait for an election. A leader that has no quorum's answers for so long steps down.
     pub election_max: Duration,
     /// How long a quorum's answers allow reads, from the sending of what was answered.
     pub lease: Duration,
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -494,11 +494,11 @@
         replica.found(Group::of([identity.id])).expect("it is the same each time");
         let mut state = 0u64;
         for round in 0..60 {
-            // When it owns the part, and takes commands
+            // When it leads the part, and takes commands
             now = now + Duration::from_millis(20);
             replica.tick(now);
             if round > 40 {
-                replica.propose(now, vec![1]).expect("it is the owner");
+                replica.propose(now, vec![1]).expect("it is the leader");
                 sum += 1;
             }
             while replica.has_ready() {
--- a/crates/quorum/tests/elections.rs
+++ b/crates/quorum/tests/elections.rs
@@ -1,4 +1,4 @@
-//! Foundings, elections, the lease and the log, under cuts, freezes, restarts and the handing over of the ownership.
+//! Foundings, elections, the lease and the log, under cuts, freezes, restarts and the handing over of the leadership.
 
 mod world;
 
@@ -11,14 +11,14 @@
 /// Long enough for an election and some more.
 const A_WHILE: Duration = Duration::from_millis(1_500);
 
-/// A world of three with an owner that has decided something; the owner and the others.
+/// A world of three with a leader that has decided something; the leader and the others.
 fn three(seed: u64) -> (World, Site, Vec<Site>) {
     let mut world = World::new(seed, 3, 0);
-    let owner = world.elect();
-    world.propose(owner);
+    let leader = world.elect();
+    world.propose(leader);
     world.run(Duration::from_millis(100));
-    let others = world.others(&[owner]);
-    (world, owner, others)
+    let others = world.others(&[leader]);
+    (world, leader, others)
 }
 
 #[rstest]
@@ -26,20 +26,20 @@
 #[case(2)]
 #[case(3)]
 #[case(5)]
-fn a_founded_part_gets_an_owner_and_decides(#[case] voters: usize) {
+fn a_founded_part_gets_a_leader_and_decides(#[case] voters: usize) {
     // Given a part that was just founded
     let mut world = World::new(7, voters, 0);
-    // When it has an owner, and that one is given commands
-    let owner = world.elect();
+    // When it has a leader, and that one is given commands
+    let leader = world.elect();
     for _ in 0..100 {
-        world.propose(owner);
+        world.propose(leader);
     }
     // Then all replicas apply all of them
     world.run(Duration::from_millis(200));
     for site in world.sites() {
         assert_eq!(world.machines[site.0].application.state.commands, 100);
     }
-    assert!(world.read(owner) >= Some(world.oracle.last_committed()));
+    assert!(world.read(leader) >= Some(world.oracle.last_committed()));
 }
 
 #[test]
@@ -94,43 +94,43 @@
 #[test]
 fn heartbeats_without_news_cost_no_sync_and_two_messages_a_follower() {
     // Given a part that is quiet
-    let (mut world, owner, others) = three(11);
+    let (mut world, leader, others) = three(11);
     world.run(Duration::from_millis(200));
     let syncs: Vec<u64> = world.machines.iter().map(|machine| machine.syncs).collect();
-    let sent = world.sent_to(others[0]).messages + world.sent_to(owner).messages;
+    let sent = world.sent_to(others[0]).messages + world.sent_to(leader).messages;
     // When a second passes
     world.run(Duration::from_millis(1_000));
     // Then nothing was synced, and each heartbeat was one message and one answer
     let after: Vec<u64> = world.machines.iter().map(|machine| machine.syncs).collect();
     assert_eq!(syncs, after);
-    let messages = world.sent_to(others[0]).messages + world.sent_to(owner).messages - sent;
+    let messages = world.sent_to(others[0]).messages + world.sent_to(leader).messages - sent;
     assert!(messages <= 3 * 51, "{messages} messages");
 }
 
 #[test]
 fn commands_that_wait_for_a_sync_share_the_next_one() {
-    // Given an owner whose disk is slow
-    let (mut world, owner, _) = three(12);
+    // Given a leader whose disk is slow
+    let (mut world, leader, _) = three(12);
     world.sync = Duration::from_millis(30);
-    let syncs = world.machines[owner.0].syncs;
+    let syncs = world.machines[leader.0].syncs;
     // When it is given many commands at once
     for _ in 0..200 {
-        world.propose(owner);
+        world.propose(leader);
     }
     world.run(Duration::from_millis(300));
     // Then few syncs served them all
-    assert_eq!(world.machines[owner.0].application.state.commands, 201);
-    assert!(world.machines[owner.0].syncs - syncs <= 4);
+    assert_eq!(world.machines[leader.0].application.state.commands, 201);
+    assert!(world.machines[leader.0].syncs - syncs <= 4);
 }
 
 #[test]
-fn the_owner_is_lost_and_another_goes_on() {
-    let (mut world, owner, others) = three(13);
-    // When the owner loses power for good
-    world.lose_power(owner);
-    world.run_until(A_WHILE, "a new owner", |world| world.owner().is_some());
+fn the_leader_is_lost_and_another_goes_on() {
+    let (mut world, leader, others) = three(13);
+    // When the leader loses power for good
+    world.lose_power(leader);
+    world.run_until(A_WHILE, "a new leader", |world| world.leader().is_some());
     // Then another one has all that was decided, and decides more
-    let heir = world.owner().expect("just seen");
+    let heir = world.leader().expect("just seen");
     assert!(others.contains(&heir));
     world.propose(heir);
     world.run(Duration::from_millis(100));
@@ -139,9 +139,9 @@
 
 #[test]
 fn all_lose_power_and_nothing_decided_is_lost() {
-    let (mut world, owner, _) = three(14);
+    let (mut world, leader, _) = three(14);
     for _ in 0..50 {
-        world.propose(owner);
+        world.propose(leader);
     }
     world.run(Duration::from_millis(200));
     // When all lose power and come back
@@ -151,44 +151,44 @@
     for site in world.sites() {
         world.start(site);
     }
-    // Then the next owner shows it all
-    let owner = world.elect();
-    assert_eq!(world.machines[owner.0].application.state.commands, 51);
+    // Then the next leader shows it all
+    let leader = world.elect();
+    assert_eq!(world.machines[leader.0].application.state.commands, 51);
 }
 
 #[test]
-fn a_frozen_owner_wakes_without_a_lease() {
-    let (mut world, owner, _) = three(15);
-    // When the owner freezes until the others have another one, which decides something
-    world.freeze(owner);
+fn a_frozen_leader_wakes_without_a_lease() {
+    let (mut world, leader, _) = three(15);
+    // When the leader freezes until the others have another one, which decides something
+    world.freeze(leader);
     world.run(A_WHILE);
     let heir = world.elect();
     world.propose(heir);
     world.run(Duration::from_millis(100));
     // Then it answers no read when it wakes, not even before it has heard of anybody
-    assert!(!world.machines[owner.0].lease_holds(world.now));
-    world.wake(owner);
-    assert_eq!(world.read(owner), None);
-    assert!(!world.replica(owner).is_owner());
+    assert!(!world.machines[leader.0].lease_holds(world.now));
+    world.wake(leader);
+    assert_eq!(world.read(leader), None);
+    assert!(!world.replica(leader).is_leader());
     // And it follows
     world.run(A_WHILE);
-    assert_eq!(world.replica(owner).owner_hint(), Some(world.identity(heir)));
-    assert_eq!(world.machines[owner.0].application.state.commands, 2);
+    assert_eq!(world.replica(leader).leader_hint(), Some(world.identity(heir)));
+    assert_eq!(world.machines[leader.0].application.state.commands, 2);
 }
 
 #[test]
-fn a_stale_owner_after_a_cut_loses_what_it_alone_took() {
-    let (mut world, owner, _) = three(16);
-    // Given an owner that is cut off and still takes commands
-    world.isolate(owner);
+fn a_stale_leader_after_a_cut_loses_what_it_alone_took() {
+    let (mut world, leader, _) = three(16);
+    // Given a leader that is cut off and still takes commands
+    world.isolate(leader);
     for _ in 0..5 {
-        world.propose(owner);
+        world.propose(leader);
     }
     world.run(A_WHILE);
     let heir = world.elect();
-    assert_ne!(heir, owner);
-    assert_eq!(world.read(owner), None);
-    assert!(!world.replica(owner).is_owner(), "it stepped down by itself");
+    assert_ne!(heir, leader);
+    assert_eq!(world.read(leader), None);
+    assert!(!world.replica(leader).is_leader(), "it stepped down by itself");
     world.propose(heir);
     // When the cut is over
     world.heal();
@@ -200,25 +200,25 @@
 }
 
 #[test]
-fn an_owner_that_hears_nobody_gives_way() {
-    let (mut world, owner, others) = three(17);
-    // When the owner is heard, and hears nobody
-    others.iter().for_each(|other| world.network.cut(*other, owner));
+fn a_leader_that_hears_nobody_gives_way() {
+    let (mut world, leader, others) = three(17);
+    // When the leader is heard, and hears nobody
+    others.iter().for_each(|other| world.network.cut(*other, leader));
     // Then another one takes over
-    world.run_until(Duration::from_millis(2_000), "another owner", |world| {
-        world.owner().is_some_and(|new| new != owner)
+    world.run_until(Duration::from_millis(2_000), "another leader", |world| {
+        world.leader().is_some_and(|new| new != leader)
     });
-    assert_eq!(world.read(owner), None);
+    assert_eq!(world.read(leader), None);
 }
 
 #[rstest]
 #[case::both_ways(true)]
 #[case::one_way(false)]
 fn a_follower_that_was_cut_off_does_not_disturb(#[case] both_ways: bool) {
-    let (mut world, owner, others) = three(18);
+    let (mut world, leader, others) = three(18);
     let term = world.newest_term();
     // When a follower hears nobody for long, and comes back
-    for site in [owner, others[1]] {
+    for site in [leader, others[1]] {
         world.network.cut(site, others[0]);
         if both_ways {
             world.network.cut(others[0], site);
@@ -227,28 +227,28 @@
     world.run(Duration::from_millis(5_000));
     world.heal();
     world.run(A_WHILE);
-    // Then the owner is still the owner of the same term
-    assert_eq!(world.owner(), Some(owner));
+    // Then the leader is still the leader of the same term
+    assert_eq!(world.leader(), Some(leader));
     assert_eq!(world.newest_term(), term);
 }
 
 #[test]
-fn a_follower_that_only_the_owner_cannot_reach_does_not_disturb() {
-    let (mut world, owner, others) = three(26);
+fn a_follower_that_only_the_leader_cannot_reach_does_not_disturb() {
+    let (mut world, leader, others) = three(26);
     let term = world.newest_term();
-    // When a follower and the owner hear nothing of each other, while the third one hears both
-    world.part(owner, others[0]);
+    // When a follower and the leader hear nothing of each other, while the third one hears both
+    world.part(leader, others[0]);
     world.run(Duration::from_millis(5_000));
-    // Then the third one holds to the owner, whose lease holds by it
-    assert_eq!(world.owner(), Some(owner));
+    // Then the third one holds to the leader, whose lease holds by it
+    assert_eq!(world.leader(), Some(leader));
     assert_eq!(world.newest_term(), term);
 }
 
 #[test]
 fn messages_of_others_are_dropped() {
-    // Given an owner of a term far ahead, in a part that was founded otherwise
-    let (mut world, owner, others) = three(19);
-    let before = world.replica(owner).term();
+    // Given a leader of a term far ahead, in a part that was founded otherwise
+    let (mut world, leader, others) = three(19);
+    let before = world.replica(leader).term();
     let heartbeat = |from, to, founding| Message {
         from,
         to,
@@ -261,8 +261,8 @@
             entries: Vec::new(),
         }),
     };
-    let (from, to) = (world.identity(others[0]), world.identity(owner));
-    let own = world.replica(owner).founding().expect("it was founded");
+    let (from, to) = (world.identity(others[0]), world.identity(leader));
+    let own = world.replica(leader).founding().expect("it was founded");
     let foreign = Group::of([ReplicaId(1)]).founding();
     // When its message arrives, one for another identity, and one that was not sent by whom it names
     for (message, claimed) in [
@@ -271,105 +271,105 @@
         (heartbeat(from, to, own), ReplicaId(78)),
         (heartbeat(to, to, own), to),
     ] {
-        world.call(owner, |replica, now| replica.receive(now, claimed, message));
+        world.call(leader, |replica, now| replica.receive(now, claimed, message));
     }
     // Then nothing has changed
-    assert_eq!(world.replica(owner).term(), before);
-    assert!(world.replica(owner).is_owner());
+    assert_eq!(world.replica(leader).term(), before);
+    assert!(world.replica(leader).is_leader());
 }
 
 #[test]
-fn an_ownership_is_handed_over_without_a_pause() {
-    let (mut world, owner, others) = three(20);
-    // When the owner hands over, say because it is to end
+fn a_leadership_is_handed_over_without_a_pause() {
+    let (mut world, leader, others) = three(20);
+    // When the leader hands over, say because it is to end
     let target =
-        world.call(owner, |replica, now| replica.hand_over(now, None)).expect("somebody can take over");
+        world.call(leader, |replica, now| replica.hand_over(now, None)).expect("somebody can take over");
     // Then it takes no more commands, and says who will
-    let refused = world.call(owner, |replica, now| replica.propose(now, vec![1; 9]));
+    let refused = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
     assert!(
-        matches!(refused, Err(ProposeError::NotOwner { hint }) if hint == Some(target) || hint.is_none())
+        matches!(refused, Err(ProposeError::NotLeader { hint }) if hint == Some(target) || hint.is_none())
     );
-    // And the other one owns the part far earlier than by an election
-    world.run_until(Duration::from_millis(60), "a new owner", |world| {
-        world.owner().is_some_and(|new| new != owner)
+    // And the other one leads the part far earlier than by an election
+    world.run_until(Duration::from_millis(60), "a new leader", |world| {
+        world.leader().is_some_and(|new| new != leader)
     });
-    assert!(others.contains(&world.owner().expect("just seen")));
+    assert!(others.contains(&world.leader().expect("just seen")));
 }
 
 #[test]
-fn a_hand_over_to_a_voter_that_is_gone_ends_with_an_owner_again() {
-    let (mut world, owner, others) = three(21);
+fn a_hand_over_to_a_voter_that_is_gone_ends_with_a_leader_again() {
+    let (mut world, leader, others) = three(21);
     // Given a target that dies just when it is told to take over
     let target = world.identity(others[0]);
-    world.call(owner, |replica, now| replica.hand_over(now, Some(target))).expect("it is a voter");
+    world.call(leader, |replica, now| replica.hand_over(now, Some(target))).expect("it is a voter");
     world.lose_power(others[0]);
     // Then reads are over for the rest of the term
-    assert_eq!(world.read(owner), None);
-    // And there is an owner again soon
-    world.run_until(Duration::from_millis(1_000), "an owner", |world| world.owner().is_some());
-    let owner = world.owner().expect("just seen");
-    world.propose(owner);
+    assert_eq!(world.read(leader), None);
+    // And there is a leader again soon
+    world.run_until(Duration::from_millis(1_000), "a leader", |world| world.leader().is_some());
+    let leader = world.leader().expect("just seen");
+    world.propose(leader);
     world.run(Duration::from_millis(100));
-    assert_eq!(world.machines[owner.0].application.state.commands, 2);
+    assert_eq!(world.machines[leader.0].application.state.commands, 2);
 }
 
 #[test]
 fn a_hand_over_to_a_voter_that_does_not_catch_up_is_called_off() {
-    let (mut world, owner, others) = three(27);
+    let (mut world, leader, others) = three(27);
     // Given a target that is off, and has not got all
     world.lose_power(others[0]);
-    world.propose(owner);
+    world.propose(leader);
     let target = world.identity(others[0]);
-    world.call(owner, |replica, now| replica.hand_over(now, Some(target))).expect("it is a voter");
-    let refused = world.call(owner, |replica, now| replica.propose(now, vec![1; 9]));
-    assert_eq!(refused, Err(ProposeError::NotOwner { hint: Some(target) }));
+    world.call(leader, |replica, now| replica.hand_over(now, Some(target))).expect("it is a voter");
+    let refused = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
+    assert_eq!(refused, Err(ProposeError::NotLeader { hint: Some(target) }));
     let other = world.identity(others[1]);
-    let again = world.call(owner, |replica, now| replica.hand_over(now, Some(other)));
+    let again = world.call(leader, |replica, now| replica.hand_over(now, Some(other)));
     assert_eq!(again, Err(HandOverError::UnderWay));
     // When the time for it is over
     world.run(Duration::from_millis(500));
-    // Then the owner goes on as before: the lease was never given up
-    assert_eq!(world.owner(), Some(owner));
-    assert!(world.call(owner, |replica, now| replica.propose(now, vec![1; 9])).is_ok());
+    // Then the leader goes on as before: the lease was never given up
+    assert_eq!(world.leader(), Some(leader));
+    assert!(world.call(leader, |replica, now| replica.propose(now, vec![1; 9])).is_ok());
 }
 
 #[test]
-fn an_ownership_is_handed_to_voters_only() {
-    let (mut world, owner, others) = three(22);
+fn a_leadership_is_handed_to_voters_only() {
+    let (mut world, leader, others) = three(22);
     let refuse = |world: &mut World, site, to| world.call(site, |replica, now| replica.hand_over(now, to));
-    assert_eq!(refuse(&mut world, owner, Some(ReplicaId(1))), Err(HandOverError::NoTarget));
-    let myself = world.identity(owner);
-    assert_eq!(refuse(&mut world, owner, Some(myself)), Err(HandOverError::NoTarget));
+    assert_eq!(refuse(&mut world, leader, Some(ReplicaId(1))), Err(HandOverError::NoTarget));
+    let myself = world.identity(leader);
+    assert_eq!(refuse(&mut world, leader, Some(myself)), Err(HandOverError::NoTarget));
     let hint = Some(myself);
-    assert_eq!(refuse(&mut world, others[0], None), Err(HandOverError::NotOwner { hint }));
+    assert_eq!(refuse(&mut world, others[0], None), Err(HandOverError::NotLeader { hint }));
 }
 
 #[test]
 fn a_slow_disk_of_one_voter_is_not_waited_for() {
     // Given a follower that is frozen, as one whose disk takes very long
-    let (mut world, owner, others) = three(23);
+    let (mut world, leader, others) = three(23);
     world.freeze(others[0]);
-    // When the owner is given commands
+    // When the leader is given commands
     for _ in 0..20 {
-        world.propose(owner);
+        world.propose(leader);
         world.run(Duration::from_millis(10));
     }
     // Then they are decided by the rest
-    assert_eq!(world.machines[owner.0].application.state.commands, 21);
+    assert_eq!(world.machines[leader.0].application.state.commands, 21);
 }
 
 #[test]
-fn an_owner_bounds_what_waits_for_a_quorum() {
-    // Given an owner without a quorum
-    let (mut world, owner, _) = three(24);
-    world.isolate(owner);
+fn a_leader_bounds_what_waits_for_a_quorum() {
+    // Given a leader without a quorum
+    let (mut world, leader, _) = three(24);
+    world.isolate(leader);
     // When it is given more and more
-    let refused = world.call(owner, |replica, now| {
+    let refused = world.call(leader, |replica, now| {
         (0..100).map(|_| replica.propose(now, vec![7; 1024 * 1024])).find_map(Result::err)
     });
     // Then it refuses before its memory is full
     assert_eq!(refused, Some(ProposeError::Busy));
-    let refused = world.call(owner, |replica, now| replica.propose(now, vec![7; 5 * 1024 * 1024]));
+    let refused = world.call(leader, |replica, now| replica.propose(now, vec![7; 5 * 1024 * 1024]));
     assert_eq!(refused, Err(ProposeError::TooLarge { size: 5 * 1024 * 1024 }));
 }
 
@@ -383,8 +383,8 @@
     // When clients go on for a while, and the links become good
     world.propose_for(Duration::from_millis(4_000), Duration::from_millis(5));
     world.network.loss = 0.0;
-    let owner = world.elect();
-    world.propose(owner);
+    let leader = world.elect();
+    world.propose(leader);
     world.run(Duration::from_millis(500));
     // Then all have the same
     let sites = world.sites();
--- a/crates/quorum/tests/groups.rs
+++ b/crates/quorum/tests/groups.rs
@@ -11,29 +11,29 @@
 
 fn start(seed: u64, voters: usize, spares: usize) -> (World, Site) {
     let mut world = World::new(seed, voters, spares);
-    let owner = world.elect();
+    let leader = world.elect();
     for _ in 0..20 {
-        world.propose(owner);
+        world.propose(leader);
     }
     world.run(Duration::from_millis(200));
-    (world, owner)
+    (world, leader)
 }
 
-fn change(world: &mut World, owner: Site, sites: &[Site]) -> Result<(), ChangeError> {
+fn change(world: &mut World, leader: Site, sites: &[Site]) -> Result<(), ChangeError> {
     let voters = world.group_of(sites.iter().copied()).voters;
-    world.call(owner, |replica, now| replica.change_group(now, voters))
+    world.call(leader, |replica, now| replica.change_group(now, voters))
 }
 
 #[test]
 fn a_lost_disk_is_replaced_by_a_spare_within_a_blink() {
-    let (mut world, owner) = start(1, 3, 1);
-    let lost = world.others(&[owner, Site(3)])[0];
+    let (mut world, leader) = start(1, 3, 1);
+    let lost = world.others(&[leader, Site(3)])[0];
     // When a disk is lost for good and the spare takes its place
     world.wipe(lost);
     let keep: Vec<Site> = world.others(&[lost]);
     world.change_to(&keep, Duration::from_millis(500));
     // Then the spare has everything and its vote counts: another loss is borne
-    world.lose_power(owner);
+    world.lose_power(leader);
     let heir = world.elect();
     assert_eq!(world.machines[heir.0].application.state.commands, 20);
 }
@@ -49,36 +49,36 @@
         world.start(site);
         let sites = world.sites();
         world.change_to(&sites, BOUND);
-        let owner = world.elect();
-        world.propose(owner);
+        let leader = world.elect();
+        world.propose(leader);
         world.run(Duration::from_millis(50));
     }
     // Then nothing was lost, though none of the first disks is left
-    let owner = world.elect();
-    assert_eq!(world.machines[owner.0].application.state.commands, 32);
+    let leader = world.elect();
+    assert_eq!(world.machines[leader.0].application.state.commands, 32);
     assert!(founders.iter().all(|founder| world.site_of(*founder).is_none()));
 }
 
 #[rstest]
-fn the_owner_dies_in_the_middle_of_a_change(#[values(0, 1, 2, 3, 5, 8, 13)] after_ms: u64) {
+fn the_leader_dies_in_the_middle_of_a_change(#[values(0, 1, 2, 3, 5, 8, 13)] after_ms: u64) {
     for seed in 1..=10 {
-        // Given an owner that begins to replace two voters at once
-        let (mut world, owner) = start(seed, 3, 2);
-        let rest = world.others(&[owner]);
-        let wanted = [owner, rest[2], rest[3]];
-        change(&mut world, owner, &wanted).expect("nothing is under way");
+        // Given a leader that begins to replace two voters at once
+        let (mut world, leader) = start(seed, 3, 2);
+        let rest = world.others(&[leader]);
+        let wanted = [leader, rest[2], rest[3]];
+        change(&mut world, leader, &wanted).expect("nothing is under way");
         // When it loses power some milliseconds later
         world.run(Duration::from_millis(after_ms));
-        world.lose_power(owner);
-        // Then the others have an owner, and finish what was begun or stay as they were
-        world.run_until(BOUND, "an owner of a settled group", |world| {
-            world.owner().is_some_and(|owner| {
-                let replica = world.replica(owner);
+        world.lose_power(leader);
+        // Then the others have a leader, and finish what was begun or stay as they were
+        world.run_until(BOUND, "a leader of a settled group", |world| {
+            world.leader().is_some_and(|leader| {
+                let replica = world.replica(leader);
                 !replica.group().is_joint() && replica.commit_index() >= replica.group_index()
             })
         });
         // And the one that died follows when it is back
-        world.start(owner);
+        world.start(leader);
         let heir = world.elect();
         world.propose(heir);
         world.run(BOUND);
@@ -92,55 +92,55 @@
     for sites in [&[0, 1, 2][..], &[0, 1, 2, 3, 4], &[2, 3, 4], &[3], &[0, 3]] {
         let sites: Vec<Site> = sites.iter().map(|site| Site(*site)).collect();
         world.change_to(&sites, BOUND);
-        let owner = world.elect();
-        assert!(sites.contains(&owner));
-        world.propose(owner);
+        let leader = world.elect();
+        assert!(sites.contains(&leader));
+        world.propose(leader);
         world.run(Duration::from_millis(100));
         world.settle(&sites, BOUND);
     }
 }
 
 #[test]
-fn an_owner_that_retires_hands_on() {
-    let (mut world, owner) = start(5, 3, 1);
-    let others = world.others(&[owner]);
-    // When the owner takes itself out of the group
-    change(&mut world, owner, &others).expect("nothing is under way");
-    // Then another one owns the part, sooner than by an election
-    world.run_until(Duration::from_millis(150), "a new owner", |world| {
-        world.owner().is_some_and(|new| new != owner)
+fn a_leader_that_retires_hands_on() {
+    let (mut world, leader) = start(5, 3, 1);
+    let others = world.others(&[leader]);
+    // When the leader takes itself out of the group
+    change(&mut world, leader, &others).expect("nothing is under way");
+    // Then another one leads the part, sooner than by an election
+    world.run_until(Duration::from_millis(150), "a new leader", |world| {
+        world.leader().is_some_and(|new| new != leader)
     });
     // And the retired one is quiet
     world.run(BOUND);
-    assert_eq!(world.replica(owner).next_wake(), Instant(u64::MAX));
+    assert_eq!(world.replica(leader).next_wake(), Instant(u64::MAX));
 }
 
 #[test]
 fn a_removed_replica_that_missed_it_never_wins_nor_disturbs() {
-    let (mut world, owner) = start(6, 3, 1);
-    let removed = world.others(&[owner, Site(3)])[0];
+    let (mut world, leader) = start(6, 3, 1);
+    let removed = world.others(&[leader, Site(3)])[0];
     // Given a voter that was removed while it was cut off
     world.isolate(removed);
     let keep = world.others(&[removed]);
     world.change_to(&keep, BOUND);
-    let owner = world.elect();
+    let leader = world.elect();
     let term = world.newest_term();
     // When it is back
     world.heal();
     world.run(Duration::from_millis(5_000));
     // Then it asks in vain
     assert_eq!(world.newest_term(), term);
-    assert_eq!(world.owner(), Some(owner));
-    // And also when the owner is lost, a member of the group wins
-    world.lose_power(owner);
+    assert_eq!(world.leader(), Some(leader));
+    // And also when the leader is lost, a member of the group wins
+    world.lose_power(leader);
     let heir = world.elect();
-    assert!(heir != removed && heir != owner);
+    assert!(heir != removed && heir != leader);
 }
 
 #[test]
 fn one_that_left_is_told_so_and_then_left_alone() {
-    let (mut world, owner) = start(11, 3, 1);
-    let left = world.others(&[owner, Site(3)])[0];
+    let (mut world, leader) = start(11, 3, 1);
+    let left = world.others(&[leader, Site(3)])[0];
     // When a voter is taken out of the group
     let keep = world.others(&[left]);
     world.change_to(&keep, BOUND);
@@ -148,31 +148,31 @@
     // Then it knows, has no timer, and is sent nothing more
     assert_eq!(world.replica(left).next_wake(), Instant(u64::MAX));
     let before = world.sent_to(left);
-    world.propose(owner);
+    world.propose(leader);
     world.run(Duration::from_millis(1_000));
     assert_eq!(world.sent_to(left), before);
 }
 
 #[test]
 fn a_learner_that_is_silent_is_given_up() {
-    let (mut world, owner) = start(7, 3, 2);
+    let (mut world, leader) = start(7, 3, 2);
     world.lose_power(Site(3));
     let mut wanted = world.others(&[Site(3), Site(4)]);
-    wanted[0] = if wanted[0] == owner { wanted[0] } else { Site(3) };
+    wanted[0] = if wanted[0] == leader { wanted[0] } else { Site(3) };
     if !wanted.contains(&Site(3)) {
         wanted[1] = Site(3);
     }
     // Given a change to a machine that is not there
-    change(&mut world, owner, &wanted).expect("nothing is under way");
-    assert!(world.replica(owner).pending_change().is_some());
-    let group = world.replica(owner).group().clone();
+    change(&mut world, leader, &wanted).expect("nothing is under way");
+    assert!(world.replica(leader).pending_change().is_some());
+    let group = world.replica(leader).group().clone();
     // Then nothing else can begin
-    assert_eq!(change(&mut world, owner, &[owner]), Err(ChangeError::UnderWay));
+    assert_eq!(change(&mut world, leader, &[leader]), Err(ChangeError::UnderWay));
     // When some time has passed
     world.run(Duration::from_millis(1_500));
     // Then the group is as it was, still decides, and the next change is taken
-    assert_eq!(world.replica(owner).pending_change(), None);
-    assert_eq!(world.replica(owner).group(), &group);
+    assert_eq!(world.replica(leader).pending_change(), None);
+    assert_eq!(world.replica(leader).group(), &group);
     let spare = wanted.iter().map(|site| if *site == Site(3) { Site(4) } else { *site });
     let spare: Vec<Site> = spare.collect();
     world.change_to(&spare, BOUND);
@@ -181,51 +181,51 @@
 #[test]
 fn those_who_leave_bring_the_change_to_its_end_when_nobody_else_can() {
     // Given a change to a single new voter, cut off just before it gets the last entry, which all others have
-    let (mut world, owner) = start(10, 3, 1);
+    let (mut world, leader) = start(10, 3, 1);
     let heir = Site(3);
-    change(&mut world, owner, &[heir]).expect("nothing is under way");
+    change(&mut world, leader, &[heir]).expect("nothing is under way");
     world.run_until(BOUND, "the last entry of the change", |world| {
-        let replica = world.replica(owner);
+        let replica = world.replica(leader);
         replica.group().voters.len() == 1 && !replica.group().is_joint()
     });
     world.isolate(heir);
-    let last = world.replica(owner).last();
-    let others = world.others(&[owner, heir]);
+    let last = world.replica(leader).last();
+    let others = world.others(&[leader, heir]);
     world.run_until(BOUND, "all others have it", |world| {
         others.iter().all(|other| world.replica(*other).last() == last)
     });
     assert!(world.replica(heir).group().is_joint());
-    // When the owner dies, and the new voter, whose log is too short to win, is back
-    world.lose_power(owner);
+    // When the leader dies, and the new voter, whose log is too short to win, is back
+    world.lose_power(leader);
     world.run(Duration::from_millis(20));
     world.heal();
-    // Then it owns the part soon
-    world.run_until(BOUND, "an owner", |world| world.owner() == Some(heir));
+    // Then it leads the part soon
+    world.run_until(BOUND, "a leader", |world| world.leader() == Some(heir));
 }
 
 #[test]
 fn changes_that_make_no_sense_are_refused() {
-    let (mut world, owner) = start(8, 3, 0);
-    let others = world.others(&[owner]);
-    let hint = Some(world.identity(owner));
-    assert_eq!(change(&mut world, owner, &[]), Err(ChangeError::Invalid));
-    assert_eq!(change(&mut world, others[0], &[owner]), Err(ChangeError::NotOwner { hint }));
+    let (mut world, leader) = start(8, 3, 0);
+    let others = world.others(&[leader]);
+    let hint = Some(world.identity(leader));
+    assert_eq!(change(&mut world, leader, &[]), Err(ChangeError::Invalid));
+    assert_eq!(change(&mut world, others[0], &[leader]), Err(ChangeError::NotLeader { hint }));
     let all = world.sites();
-    assert_eq!(change(&mut world, owner, &all), Ok(()));
-    assert_eq!(world.replica(owner).group_index(), Index(1), "the same group again changes nothing");
+    assert_eq!(change(&mut world, leader, &all), Ok(()));
+    assert_eq!(world.replica(leader).group_index(), Index(1), "the same group again changes nothing");
 }
 
 #[test]
 fn a_learner_does_not_slow_the_group_down_nor_count() {
-    let (mut world, owner) = start(9, 3, 1);
+    let (mut world, leader) = start(9, 3, 1);
     // Given a change to a learner that answers nothing, and one voter of three that is lost
-    let others = world.others(&[owner, Site(3)]);
+    let others = world.others(&[leader, Site(3)]);
     world.isolate(Site(3));
-    change(&mut world, owner, &[owner, others[0], Site(3)]).expect("nothing is under way");
+    change(&mut world, leader, &[leader, others[0], Site(3)]).expect("nothing is under way");
     world.lose_power(others[1]);
-    // When the owner is given a command
+    // When the leader is given a command
     let before = world.oracle.commands();
-    world.propose(owner);
+    world.propose(leader);
     world.run(Duration::from_millis(30));
     // Then the old group decides it
     assert_eq!(world.oracle.commands(), before + 1);
@@ -233,7 +233,7 @@
     world.lose_power(others[0]);
     world.heal();
     let before = world.oracle.commands();
-    world.propose(owner);
+    world.propose(leader);
     world.run(Duration::from_millis(100));
     assert_eq!(world.oracle.commands(), before);
 }
@@ -262,8 +262,8 @@
     let mut commands = 20;
     for round in 1..=8 {
         // Given a group that is whole, and a command that was just acknowledged
-        let owner = world.elect();
-        world.propose(owner);
+        let leader = world.elect();
+        world.propose(leader);
         world.run(Duration::from_millis(60));
         commands += 1;
         // When as many disks are lost as may be, the oldest, and all other machines lose power at that moment
@@ -291,15 +291,15 @@
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
 ) {
     // Given five voters, of which two may be lost, and a disk that is lost and being replaced by a spare
-    let (mut world, owner) = start(seed, 5, 1);
-    let others = world.others(&[owner]);
+    let (mut world, leader) = start(seed, 5, 1);
+    let others = world.others(&[leader]);
     let (first, second, spare) = (others[0], others[1], Site(5));
     world.wipe(first);
     let keep: Vec<Site> = world.others(&[first]);
-    change(&mut world, owner, &keep).expect("nothing is under way");
-    // When a second one is lost in the middle of it: the owner's, or another's
+    change(&mut world, leader, &keep).expect("nothing is under way");
+    // When a second one is lost in the middle of it: the leader's, or another's
     world.run(Duration::from_millis(after_ms));
-    let lost = if seed.is_multiple_of(2) { owner } else { second };
+    let lost = if seed.is_multiple_of(2) { leader } else { second };
     world.lose_power(lost);
     world.wipe(lost);
     // Then the others decide on, and the group gets whole without both
--- a/crates/quorum/tests/guards.rs
+++ b/crates/quorum/tests/guards.rs
@@ -10,26 +10,26 @@
 /// What a trouble needs by chance, it gets within so many seeds.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=30;
 
-/// The owner, and the two others.
+/// The leader, and the two others.
 fn start(seed: u64, fault: Fault) -> (World, [Site; 3]) {
     let mut world = World::with_fault(seed, 3, 0, fault);
-    let owner = world.elect();
+    let leader = world.elect();
     world.oracle.lenient = true;
-    world.propose(owner);
+    world.propose(leader);
     world.run(Duration::from_millis(100));
-    let others = world.others(&[owner]);
-    (world, [owner, others[0], others[1]])
+    let others = world.others(&[leader]);
+    (world, [leader, others[0], others[1]])
 }
 
 /// An answer tells of something that is not on disk yet, and then power goes.
 fn power_goes_after_the_answer(seed: u64, fault: Fault) -> World {
-    // Given an owner whose command only the first of the others gets
-    let (mut world, [owner, first, second]) = start(seed, fault);
-    world.part(owner, second);
+    // Given a leader whose command only the first of the others gets
+    let (mut world, [leader, first, second]) = start(seed, fault);
+    world.part(leader, second);
     world.run(Duration::from_millis(10));
     let before = world.oracle.last_committed();
     world.sync = Duration::from_millis(40);
-    world.propose(owner);
+    world.propose(leader);
     // When power goes as soon as the command is decided, or soon
     for _ in 0..100 {
         world.run(Duration::from_millis(1));
@@ -40,7 +40,7 @@
     for site in world.sites() {
         world.cut_power(site, false);
     }
-    // Then the two others go on without the owner
+    // Then the two others go on without the leader
     world.sync = Duration::from_millis(2);
     world.start(first);
     world.start(second);
@@ -49,20 +49,20 @@
     world
 }
 
-/// A message of an old owner arrives when its receiver has promised more to a new one.
+/// A message of an old leader arrives when its receiver has promised more to a new one.
 fn an_old_append_arrives_late(seed: u64, fault: Fault) -> World {
-    // Given an owner whose messages to the second one take long, and that is otherwise cut off
-    let (mut world, [owner, first, second]) = start(seed, fault);
-    world.network.slow.insert((owner, second), Duration::from_millis(1_500));
-    world.part(owner, first);
-    world.network.cut(second, owner);
-    world.propose(owner);
+    // Given a leader whose messages to the second one take long, and that is otherwise cut off
+    let (mut world, [leader, first, second]) = start(seed, fault);
+    world.network.slow.insert((leader, second), Duration::from_millis(1_500));
+    world.part(leader, first);
+    world.network.cut(second, leader);
+    world.propose(leader);
     world.run(Duration::from_millis(5));
     // And that loses power, so that nothing else of it is under way
-    world.cut_power(owner, true);
-    // When the others decide something else in its place, the first entry of a new owner
+    world.cut_power(leader, true);
+    // When the others decide something else in its place, the first entry of a new leader
     world.run(Duration::from_millis(1_350));
-    // And the second one knows no owner when the old message arrives
+    // And the second one knows no leader when the old message arrives
     world.restart(second);
     world.part(first, second);
     world.run(Duration::from_millis(400));
@@ -70,57 +70,57 @@
     world.lose_power(first);
     world.network.slow.clear();
     world.heal();
-    world.start(owner);
+    world.start(leader);
     world.propose_for(Duration::from_millis(2_000), Duration::from_millis(20));
     world
 }
 
 /// A disk that held a copy is lost, and the one that had missed it comes back.
 fn a_copy_is_wiped(seed: u64, fault: Fault) -> World {
-    // Given a command that the owner and the first one have decided, and the second one has missed
-    let (mut world, [owner, first, second]) = start(seed, fault);
-    world.part(owner, second);
+    // Given a command that the leader and the first one have decided, and the second one has missed
+    let (mut world, [leader, first, second]) = start(seed, fault);
+    world.part(leader, second);
     world.part(first, second);
-    world.propose(owner);
+    world.propose(leader);
     world.run(Duration::from_millis(100));
-    // When the first one's disk is lost and the others lose power, the owner for longer
-    world.lose_power(owner);
+    // When the first one's disk is lost and the others lose power, the leader for longer
+    world.lose_power(leader);
     world.wipe(first);
     world.restart(second);
     world.start(first);
     world.heal();
-    // Then nothing is decided without the owner that still has it
+    // Then nothing is decided without the leader that still has it
     world.propose_for(Duration::from_millis(2_000), Duration::from_millis(20));
-    world.start(owner);
+    world.start(leader);
     world.propose_for(Duration::from_millis(1_000), Duration::from_millis(20));
     world
 }
 
-/// A voter has just answered an owner, is restarted, and is asked for its vote.
+/// A voter has just answered a leader, is restarted, and is asked for its vote.
 fn a_voter_is_restarted_within_a_lease(seed: u64, fault: Fault) -> World {
-    // Given an owner that holds its lease by the first one, while the second one would like to take over
-    let (mut world, [owner, first, second]) = start(seed, fault);
-    world.part(owner, second);
+    // Given a leader that holds its lease by the first one, while the second one would like to take over
+    let (mut world, [leader, first, second]) = start(seed, fault);
+    world.part(leader, second);
     world.run(Duration::from_millis(800));
-    // When the first one is cut off from the owner and restarted
-    world.part(owner, first);
+    // When the first one is cut off from the leader and restarted
+    world.part(leader, first);
     world.restart(first);
-    // Then reads at the owner are not stale
+    // Then reads at the leader are not stale
     world.propose_for(Duration::from_millis(400), Duration::from_millis(2));
     world
 }
 
-/// Answers to an owner take long, and it is cut off meanwhile.
+/// Answers to a leader take long, and it is cut off meanwhile.
 fn answers_arrive_late(seed: u64, fault: Fault) -> World {
-    // Given an owner that the first one answers slowly, and the second one not at all
-    let (mut world, [owner, first, second]) = start(seed, fault);
-    world.network.slow.insert((first, owner), Duration::from_millis(350));
-    world.network.cut(second, owner);
+    // Given a leader that the first one answers slowly, and the second one not at all
+    let (mut world, [leader, first, second]) = start(seed, fault);
+    world.network.slow.insert((first, leader), Duration::from_millis(350));
+    world.network.cut(second, leader);
     world.run(Duration::from_millis(380));
     // When nothing of it arrives any more, so that the others elect one of them
-    world.network.cut(owner, first);
-    world.network.cut(owner, second);
-    // Then reads at the owner are not stale when the last answers arrive
+    world.network.cut(leader, first);
+    world.network.cut(leader, second);
+    // Then reads at the leader are not stale when the last answers arrive
     world.propose_for(Duration::from_millis(700), Duration::from_millis(2));
     world
 }
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -1,5 +1,5 @@
 //! A model check of three voters, and of three and a spare that takes the place of one: every order of messages, losses,
-//! elections, commands, changes of the group and losses of power, up to a depth, from a state in which one of them owns the
+//! elections, commands, changes of the group and losses of power, up to a depth, from a state in which one of them leads the
 //! part.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,7 +44,7 @@
     elections: u8,
     commands: u8,
     losses: u8,
-    /// How often the owner changes the group to [`CHANGED`]; none: there is no spare.
+    /// How often the leader changes the group to [`CHANGED`]; none: there is no spare.
     changes: u8,
 }
 
@@ -61,7 +61,7 @@
     /// Under way; what is never delivered is lost.
     network: BTreeSet<Message>,
     decided: BTreeMap<Index, Term>,
-    owners: BTreeMap<Term, ReplicaId>,
+    leaders: BTreeMap<Term, ReplicaId>,
     elections: u8,
     commands: u8,
     losses: u8,
@@ -76,7 +76,7 @@
             voter.replica.digest().hash(state);
             (voter.disk.hard, &voter.disk.entries).hash(state);
         }
-        (&self.network, &self.decided, &self.owners).hash(state);
+        (&self.network, &self.decided, &self.leaders).hash(state);
         (self.elections, self.commands, self.losses, self.changes, self.wiped, self.wrong).hash(state);
     }
 }
@@ -121,7 +121,7 @@
 }
 
 impl World {
-    /// All three are founded, and the first one owns the part in term 2 and has decided its opening.
+    /// All three are founded, and the first one leads the part in term 2 and has decided its opening.
     fn start(with_spare: bool) -> World {
         let group = Group::of(VOTERS);
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(group.clone()) };
@@ -137,7 +137,7 @@
             voters: MACHINES[..count].iter().copied().map(machine).collect(),
             network: BTreeSet::new(),
             decided: BTreeMap::new(),
-            owners: BTreeMap::new(),
+            leaders: BTreeMap::new(),
             elections: 0,
             commands: 0,
             losses: 0,
@@ -149,7 +149,7 @@
         while let Some(message) = world.network.pop_first() {
             world.deliver(message, Fault::None);
         }
-        assert!(world.voters[0].replica.is_owner());
+        assert!(world.voters[0].replica.is_leader());
         assert_eq!(world.decided.len(), 2);
         world.elections = 0;
         world
@@ -232,8 +232,8 @@
     fn watch(&mut self, voter: usize) {
         let replica = &self.voters[voter].replica;
         let own = MACHINES[voter];
-        if replica.is_owner() && *self.owners.entry(replica.term()).or_insert(own) != own {
-            self.wrong = Some("two owners of a term");
+        if replica.is_leader() && *self.leaders.entry(replica.term()).or_insert(own) != own {
+            self.wrong = Some("two leaders of a term");
         }
         let mut index = Index(1);
         while let Some(entry) = replica.entry(index).filter(|_| index <= replica.commit_index()) {
@@ -280,18 +280,18 @@
             }
         }
         for voter in (0..world.voters.len()).filter(|voter| !world.is_gone(*voter)) {
-            let is_owner = world.voters[voter].replica.is_owner();
+            let is_leader = world.voters[voter].replica.is_leader();
             let knows_a_group = !world.voters[voter].replica.group().voters.is_empty();
-            if is_owner && world.changes < self.changes {
+            if is_leader && world.changes < self.changes {
                 actions.push(Action::ChangeGroup(voter));
             }
             if !knows_a_group {
                 continue;
             }
-            if !is_owner && world.elections < self.elections {
+            if !is_leader && world.elections < self.elections {
                 actions.push(Action::Elect(voter));
             }
-            if is_owner && world.commands < self.commands {
+            if is_leader && world.commands < self.commands {
                 actions.push(Action::Propose(voter));
             }
             if world.losses < self.losses {
@@ -338,8 +338,10 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("decisions stay and owners are alone", |_, world: &World| world.wrong.is_none()),
-            Property::sometimes("a new owner decides", |_, world: &World| {
+            Property::always("decisions stay and leaders are alone", |_, world: &World| {
+                world.wrong.is_none()
+            }),
+            Property::sometimes("a new leader decides", |_, world: &World| {
                 world.decided.values().any(|term| *term > Term(2))
             }),
         ]
@@ -369,7 +371,7 @@
     let model = ThreeVoters { fault: Fault::None, elections: 1, commands: 1, losses: 0, changes: 1 };
     let checker = model.checker().threads(2).target_max_depth(CHANGE_DEPTH).spawn_bfs().join();
     println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
-    checker.assert_no_discovery("decisions stay and owners are alone");
+    checker.assert_no_discovery("decisions stay and leaders are alone");
 }
 
 #[rstest]
@@ -380,5 +382,5 @@
     let model = ThreeVoters { fault, elections: 1, commands: 1, losses: 1, changes: 0 };
     let checker = model.checker().threads(2).target_max_depth(DEPTH + 5).spawn_bfs().join();
     println!("{fault:?}: {} states, depth {}", checker.unique_state_count(), checker.max_depth());
-    checker.assert_any_discovery("decisions stay and owners are alone");
+    checker.assert_any_discovery("decisions stay and leaders are alone");
 }
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -84,20 +84,20 @@
         self.now = self.now + Duration::from_millis(1_000);
     }
 
-    fn hear_owner(&mut self, owner: ReplicaId, term: u64) -> Vec<Message> {
-        self.append(owner, term, position(1, 1), 0, Vec::new())
+    fn hear_leader(&mut self, leader: ReplicaId, term: u64) -> Vec<Message> {
+        self.append(leader, term, position(1, 1), 0, Vec::new())
     }
 
     fn append(
         &mut self,
-        owner: ReplicaId,
+        leader: ReplicaId,
         term: u64,
         previous: Position,
         commit: u64,
         entries: Vec<Entry>,
     ) -> Vec<Message> {
         let append = Append { previous, commit: Index(commit), sent: Stamp(7), entries };
-        self.receive(owner, term, Body::Append(append))
+        self.receive(leader, term, Body::Append(append))
     }
 
     fn vote(&mut self, candidate: ReplicaId, term: u64, last: Position, handed_over: bool) -> Option<bool> {
@@ -110,15 +110,15 @@
         granted(&sent)
     }
 
-    /// Becomes owner of the next term by the vote of the second one.
-    fn become_owner(&mut self) -> u64 {
+    /// Becomes leader of the next term by the vote of the second one.
+    fn become_leader(&mut self) -> u64 {
         self.now = self.now.max(self.replica.next_wake());
         self.replica.tick(self.now);
         self.work();
         let term = self.replica.term().0 + 1;
         self.receive(SECOND, term, Body::PreVoteReply(VoteReply { granted: true }));
         self.receive(SECOND, term, Body::VoteReply(VoteReply { granted: true }));
-        assert!(self.replica.is_owner());
+        assert!(self.replica.is_leader());
         term
     }
 
@@ -189,17 +189,17 @@
     let mut bench = Bench::new(3, &[1, 3]);
     assert_eq!(bench.vote(SECOND, 9, position(1, 1), false), Some(false));
     bench.restart();
-    // Then an owner of an older term is refused after the restart too
-    let sent = bench.hear_owner(THIRD, 8);
+    // Then a leader of an older term is refused after the restart too
+    let sent = bench.hear_leader(THIRD, 8);
     assert_eq!(outcome(&sent), Some(Outcome::Outdated));
     assert_eq!(bench.replica.term(), Term(9));
 }
 
 #[test]
-fn a_voter_that_hears_an_owner_helps_nobody_else() {
-    // Given a voter that has just heard of an owner
+fn a_voter_that_hears_a_leader_helps_nobody_else() {
+    // Given a voter that has just heard of a leader
     let mut bench = Bench::new(3, &[1]);
-    bench.hear_owner(SECOND, 3);
+    bench.hear_leader(SECOND, 3);
     // Then it votes for nobody, not even for a later term, and adopts no term, for the whole span
     for _ in 0..2 {
         assert_eq!(bench.pre_vote(THIRD, 4, position(9, 3)), Some(false));
@@ -207,7 +207,7 @@
         assert_eq!(bench.replica.term(), Term(3));
         bench.now = bench.now + Duration::from_millis(199);
     }
-    // But for one to whom the owner has handed over, which gave up its lease for that
+    // But for one to whom the leader has handed over, which gave up its lease for that
     assert_eq!(bench.vote(THIRD, 4, position(9, 3), true), Some(true));
 }
 
@@ -225,9 +225,9 @@
 
 #[test]
 fn an_empty_replica_that_knows_its_founding_votes_for_nobody() {
-    // Given a replica whose disk was lost, and that has heard an owner since
+    // Given a replica whose disk was lost, and that has heard a leader since
     let mut bench = Bench::new(2, &[]);
-    bench.hear_owner(SECOND, 2);
+    bench.hear_leader(SECOND, 2);
     bench.now = bench.now + Duration::from_millis(1_000);
     // When a candidate asks for its vote, with however little in its log, then it gets none
     assert_eq!(bench.pre_vote(THIRD, 3, position(0, 0)), Some(false));
@@ -246,27 +246,27 @@
 }
 
 #[test]
-fn an_entry_of_an_older_term_is_decided_by_one_of_the_owners_own() {
-    // Given an owner of a later term with an old entry that no quorum had
+fn an_entry_of_an_older_term_is_decided_by_one_of_the_leaders_own() {
+    // Given a leader of a later term with an old entry that no quorum had
     let mut bench = Bench::new(3, &[1, 2]);
-    let term = bench.become_owner();
-    // When a quorum has the old entry, it is not decided: another owner may still replace it
+    let term = bench.become_leader();
+    // When a quorum has the old entry, it is not decided: another leader may still replace it
     bench.matched(SECOND, term, 2);
     assert_eq!(bench.replica.commit_index(), Index(0));
     assert!(!bench.replica.lease_holds(bench.now), "what it does not know to be decided can't be read");
-    // Then it is decided with the owner's first entry
+    // Then it is decided with the leader's first entry
     bench.matched(SECOND, term, 3);
     assert_eq!(bench.replica.commit_index(), Index(3));
     assert!(bench.replica.lease_holds(bench.now));
 }
 
 #[test]
-fn what_the_owner_has_not_synced_does_not_count() {
-    // Given an owner that writes a command, and a follower that already has it
+fn what_the_leader_has_not_synced_does_not_count() {
+    // Given a leader that writes a command, and a follower that already has it
     let mut bench = Bench::new(3, &[1]);
-    let term = bench.become_owner();
+    let term = bench.become_leader();
     bench.matched(SECOND, term, 2);
-    bench.replica.propose(bench.now, vec![1]).expect("it is the owner");
+    bench.replica.propose(bench.now, vec![1]).expect("it is the leader");
     let ready = bench.replica.take_ready();
     assert!(ready.must_sync && ready.ahead.iter().any(|(to, _)| *to == SECOND));
     let founding = group().founding();
@@ -274,7 +274,7 @@
     let message =
         Message { from: SECOND, to: ME, founding, term: Term(term), body: Body::AppendReply(reply) };
     bench.replica.receive(bench.now, SECOND, message);
-    // Then it is not decided before the owner's own sync
+    // Then it is not decided before the leader's own sync
     assert_eq!(bench.replica.commit_index(), Index(2));
     bench.replica.synced();
     assert_eq!(bench.replica.commit_index(), Index(3));
@@ -304,7 +304,7 @@
     let mut bench = Bench::new(3, &[1, 2, 2]);
     bench.append(SECOND, 3, position(3, 2), 3, Vec::new());
     assert_eq!(bench.replica.commit_index(), Index(3));
-    // When somebody claims otherwise, which no owner does
+    // When somebody claims otherwise, which no leader does
     bench.append(THIRD, 4, position(1, 1), 0, vec![entry(2, 3)]);
     // Then it keeps them
     assert_eq!(bench.disk.entries, [entry(1, 1), entry(2, 2), entry(3, 2)]);
@@ -321,7 +321,7 @@
     let joint = Group { voters: vec![ReplicaId(7)], outgoing: group().voters };
     bench.append(SECOND, 3, position(1, 1), 1, vec![group_entry(2, 3, joint.clone())]);
     assert_eq!((bench.replica.group(), bench.replica.group_index()), (&joint, Index(2)));
-    // When another owner has something else there
+    // When another leader has something else there
     bench.append(THIRD, 4, position(1, 1), 1, vec![entry(2, 4)]);
     // Then the first group is in force again
     assert_eq!((bench.replica.group(), bench.replica.group_index()), (&group(), Index(1)));
@@ -329,11 +329,11 @@
 
 #[test]
 fn a_change_goes_on_when_its_joint_group_is_decided() {
-    // Given an owner that begins to remove the third one behind a command that is not decided
+    // Given a leader that begins to remove the third one behind a command that is not decided
     let mut bench = Bench::new(3, &[1]);
-    let term = bench.become_owner();
+    let term = bench.become_leader();
     bench.matched(SECOND, term, 2);
-    bench.replica.propose(bench.now, vec![1]).expect("it is the owner");
+    bench.replica.propose(bench.now, vec![1]).expect("it is the leader");
     bench.replica.change_group(bench.now, vec![ME, SECOND]).expect("nothing is under way");
     bench.work();
     assert!(bench.replica.group().is_joint());
@@ -362,9 +362,9 @@
 
 #[test]
 fn a_refusal_of_what_was_sent_long_ago_changes_nothing() {
-    // Given an owner whose follower has all of its log
+    // Given a leader whose follower has all of its log
     let mut bench = Bench::new(3, &[1, 2, 2]);
-    let term = bench.become_owner();
+    let term = bench.become_leader();
     bench.matched(SECOND, term, 4);
     // When a refusal arrives late, or a second time
     let outcome = Outcome::Conflict { refused: Index(3), hint: Index(1) };
@@ -373,7 +373,7 @@
     assert!(sent.is_empty(), "{sent:?}");
     // And commands go on without waiting for an answer to each
     for command in 1..=3 {
-        bench.replica.propose(bench.now, vec![command]).expect("it is the owner");
+        bench.replica.propose(bench.now, vec![command]).expect("it is the leader");
         let sent = bench.work();
         assert!(sent.iter().any(|message| message.to == SECOND), "command {command}: {sent:?}");
     }
@@ -433,7 +433,7 @@
     };
     // Given the first half of a snapshot
     assert_eq!(received(&bench.receive(SECOND, 3, piece(5, 0, 6))), Some(3));
-    // When the second half of a newer one arrives, or of one by another owner
+    // When the second half of a newer one arrives, or of one by another leader
     assert_eq!(received(&bench.receive(SECOND, 3, piece(6, 3, 6))), Some(0));
     assert_eq!(received(&bench.receive(SECOND, 3, piece(6, 0, 6))), Some(3));
     assert_eq!(received(&bench.receive(THIRD, 4, piece(6, 3, 6))), Some(0));
@@ -451,35 +451,35 @@
 
 #[test]
 fn only_what_is_known_to_be_the_same_is_decided() {
-    // Given a follower with entries beyond those that the owner has compared
+    // Given a follower with entries beyond those that the leader has compared
     let mut bench = Bench::new(3, &[1, 2, 2]);
-    // When the owner, which has decided more, sends a heartbeat after the first
+    // When the leader, which has decided more, sends a heartbeat after the first
     bench.append(SECOND, 4, position(1, 1), 9, Vec::new());
     // Then only that one is
     assert_eq!(bench.replica.commit_index(), Index(1));
 }
 
 #[test]
-fn a_term_has_one_owner() {
-    // Given a follower that knows the owner of its term
+fn a_term_has_one_leader() {
+    // Given a follower that knows the leader of its term
     let mut bench = Bench::new(3, &[1]);
-    bench.hear_owner(SECOND, 4);
+    bench.hear_leader(SECOND, 4);
     // Then another one that claims to be it is not answered, nor believed
     let sent = bench.append(THIRD, 4, position(1, 1), 0, vec![entry(2, 4)]);
     assert!(sent.is_empty());
-    assert_eq!(bench.replica.owner_hint(), Some(SECOND));
-    // Nor is one believed by the owner itself
+    assert_eq!(bench.replica.leader_hint(), Some(SECOND));
+    // Nor is one believed by the leader itself
     let mut bench = Bench::new(3, &[1]);
-    let term = bench.become_owner();
+    let term = bench.become_leader();
     assert!(bench.append(THIRD, term, position(1, 1), 0, vec![entry(2, term)]).is_empty());
-    assert!(bench.replica.is_owner());
+    assert!(bench.replica.is_leader());
 }
 
 #[test]
 fn promises_on_disk_count_on_nothing_that_follows_them() {
     // Given a follower that has entries that are not decided
     let mut bench = Bench::new(3, &[1, 2, 2]);
-    // When a new owner replaces them and tells in the same message that it has decided them
+    // When a new leader replaces them and tells in the same message that it has decided them
     let append = Append {
         previous: position(1, 1),
         commit: Index(3),
@@ -496,14 +496,14 @@
 }
 
 #[test]
-fn only_the_owner_tells_a_voter_to_take_over() {
+fn only_the_leader_tells_a_voter_to_take_over() {
     let mut bench = Bench::new(3, &[1]);
-    bench.hear_owner(SECOND, 3);
+    bench.hear_leader(SECOND, 3);
     // Given a call to take over from somebody else, or of an older term
     assert!(bench.receive(THIRD, 3, Body::TakeOver).is_empty());
     assert!(bench.receive(SECOND, 2, Body::TakeOver).is_empty());
     assert_eq!(bench.replica.term(), Term(3));
-    // When the owner calls, it stands at once, and says why
+    // When the leader calls, it stands at once, and says why
     let sent = bench.receive(SECOND, 3, Body::TakeOver);
     let handed_over =
         |message: &Message| matches!(message.body, Body::Vote(Candidacy { handed_over: true, .. }));
@@ -513,7 +513,7 @@
 
 #[test]
 fn an_election_by_time_is_not_one_by_handing_over() {
-    // Given a voter whose owner is silent
+    // Given a voter whose leader is silent
     let mut bench = Bench::new(3, &[1]);
     bench.replica.tick(bench.now);
     let asked = bench.work();
@@ -526,7 +526,7 @@
 }
 
 #[test]
-fn an_empty_replica_listens_to_owners_only() {
+fn an_empty_replica_listens_to_leaders_only() {
     // Given a replica with nothing on disk
     let mut replica = Replica::new(ME, Restored::default(), TIMING, 1, Instant(0));
     let now = Instant(1_000_000_000);
@@ -539,7 +539,7 @@
     }
     // Then it says nothing and writes nothing
     assert!(!replica.has_ready());
-    // And an owner's message tells it where it belongs
+    // And a leader's message tells it where it belongs
     let append =
         Append { previous: position(0, 0), commit: Index(1), sent: Stamp(0), entries: vec![entry(1, 1)] };
     replica.receive(
--- a/crates/quorum/tests/snapshots.rs
+++ b/crates/quorum/tests/snapshots.rs
@@ -12,13 +12,13 @@
 /// What a member that was away is sent at most where the state is small, in bytes.
 const MAX_SENT: u64 = 256 * 1024;
 
-/// More than the entries that an owner keeps for those a little behind.
+/// More than the entries that a leader keeps for those a little behind.
 fn move_far_ahead(world: &mut World) {
     for _ in 0..40 {
-        let owner = world.elect();
+        let leader = world.elect();
         let mut bytes = world.fresh_command();
         bytes.resize(120_000, 3);
-        world.propose_bytes(owner, bytes);
+        world.propose_bytes(leader, bytes);
         world.run(Duration::from_millis(10));
     }
 }
@@ -28,8 +28,8 @@
     let mut world = World::new(seed, 3, 0);
     world.compact_every = 10;
     world.machines.iter_mut().for_each(|machine| machine.filler = 3_000_000);
-    let owner = world.elect();
-    let behind = world.others(&[owner])[0];
+    let leader = world.elect();
+    let behind = world.others(&[leader])[0];
     world.lose_power(behind);
     move_far_ahead(&mut world);
     (world, behind)
@@ -63,26 +63,26 @@
 }
 
 #[test]
-fn a_snapshot_goes_on_under_another_owner() {
+fn a_snapshot_goes_on_under_another_leader() {
     let (mut world, behind) = one_far_behind(3);
     // Given a snapshot that is on its way
-    let owner = world.elect();
-    world.network.slow.insert((owner, behind), Duration::from_millis(40));
+    let leader = world.elect();
+    world.network.slow.insert((leader, behind), Duration::from_millis(40));
     world.start(behind);
     world.run(Duration::from_millis(150));
     assert_eq!(world.replica(behind).snapshot_index(), Index(0));
-    // When its owner is lost: its heir needs the one that is behind for a quorum
-    world.lose_power(owner);
+    // When its leader is lost: its heir needs the one that is behind for a quorum
+    world.lose_power(leader);
     // Then it gets all of it from the heir
-    world.run_until(Duration::from_millis(6_000), "an owner", |world| world.owner().is_some());
+    world.run_until(Duration::from_millis(6_000), "a leader", |world| world.leader().is_some());
     world.settle(&[behind], BOUND);
 }
 
 #[test]
 fn the_receiver_restarts_in_the_middle_of_a_snapshot() {
     let (mut world, behind) = one_far_behind(4);
-    let owner = world.elect();
-    world.network.slow.insert((owner, behind), Duration::from_millis(40));
+    let leader = world.elect();
+    world.network.slow.insert((leader, behind), Duration::from_millis(40));
     world.start(behind);
     // When it restarts with some pieces, which are only in memory
     world.run(Duration::from_millis(150));
@@ -95,15 +95,15 @@
 fn a_follower_a_little_behind_gets_entries() {
     let mut world = World::new(5, 3, 0);
     world.compact_every = 5;
-    let owner = world.elect();
-    let behind = world.others(&[owner])[0];
+    let leader = world.elect();
+    let behind = world.others(&[leader])[0];
     world.isolate(behind);
     // Given a follower that missed some small commands, which are in a snapshot already
     for _ in 0..20 {
-        world.propose(owner);
+        world.propose(leader);
         world.run(Duration::from_millis(5));
     }
-    assert!(world.replica(owner).snapshot_index() > Index(10));
+    assert!(world.replica(leader).snapshot_index() > Index(10));
     let own_snapshot = world.replica(behind).snapshot_index();
     // When it is back
     world.heal();
@@ -120,8 +120,8 @@
     let before = world.sent_to(behind);
     // When seconds pass without it, and commands go on
     for _ in 0..100 {
-        let owner = world.elect();
-        world.propose(owner);
+        let leader = world.elect();
+        world.propose(leader);
         world.run(Duration::from_millis(30));
     }
     // Then it was sent heartbeats, hardly more
@@ -132,9 +132,9 @@
 #[test]
 fn a_follower_that_answers_nothing_is_sent_a_window_and_no_more() {
     let mut world = World::new(9, 3, 0);
-    let owner = world.elect();
+    let leader = world.elect();
     world.run(Duration::from_millis(200));
-    let frozen = world.others(&[owner])[0];
+    let frozen = world.others(&[leader])[0];
     // Given a follower that freezes
     world.freeze(frozen);
     let before = world.sent_to(frozen);
@@ -142,7 +142,7 @@
     for size in [[100_000; 80], [100; 80]].concat() {
         let mut bytes = world.fresh_command();
         bytes.resize(size, 3);
-        world.propose_bytes(owner, bytes);
+        world.propose_bytes(leader, bytes);
         world.run(Duration::from_millis(5));
     }
     // Then it has been sent a window
@@ -158,12 +158,12 @@
     let mut world = World::new(10, 3, 0);
     let dead = Site(2);
     world.lose_power(dead);
-    // Given an owner that has never heard of one of its followers
-    let owner = world.elect();
+    // Given a leader that has never heard of one of its followers
+    let leader = world.elect();
     for _ in 0..3 {
         let mut bytes = world.fresh_command();
         bytes.resize(100_000, 3);
-        world.propose_bytes(owner, bytes);
+        world.propose_bytes(leader, bytes);
     }
     // When seconds pass
     world.run(Duration::from_millis(3_000));
@@ -175,12 +175,12 @@
 #[test]
 fn commands_in_great_number_go_out_in_bounded_messages() {
     let mut world = World::new(7, 3, 0);
-    let owner = world.elect();
-    // When an owner is given megabytes at once
+    let leader = world.elect();
+    // When a leader is given megabytes at once
     for _ in 0..60 {
         let mut bytes = world.fresh_command();
         bytes.resize(100_000, 3);
-        world.propose_bytes(owner, bytes);
+        world.propose_bytes(leader, bytes);
     }
     let sites = world.sites();
     world.run(Duration::from_millis(300));
@@ -194,12 +194,12 @@
 #[test]
 fn a_snapshot_of_what_is_not_applied_is_refused() {
     let mut world = World::new(8, 3, 0);
-    let owner = world.elect();
-    world.propose(owner);
+    let leader = world.elect();
+    world.propose(leader);
     world.run(Duration::from_millis(100));
-    let applied = world.machines[owner.0].application.applied;
+    let applied = world.machines[leader.0].application.applied;
     let compact =
-        |world: &mut World, index| world.call(owner, |replica, _| replica.compact(index, vec![0; 16]));
+        |world: &mut World, index| world.call(leader, |replica, _| replica.compact(index, vec![0; 16]));
     assert_eq!(compact(&mut world, applied.next()), Err(CompactError::NotApplied { applied }));
     assert_eq!(compact(&mut world, applied), Ok(()));
     assert_eq!(compact(&mut world, applied), Err(CompactError::Outdated { snapshot: applied }));
@@ -214,12 +214,12 @@
     // Given a member that was away while so many small changes were made, which snapshots have taken the place of
     let mut world = World::new(9, 3, 0);
     world.compact_every = 50;
-    let owner = world.elect();
-    let behind = world.others(&[owner])[0];
+    let leader = world.elect();
+    let behind = world.others(&[leader])[0];
     world.lose_power(behind);
     for _ in 0..changes {
-        let owner = world.elect();
-        world.propose(owner);
+        let leader = world.elect();
+        world.propose(leader);
         world.run(Duration::from_millis(5));
     }
     // When it is back, then it has all of them within a blink, however many they were
@@ -236,14 +236,14 @@
 #[test]
 fn a_receiver_that_restarts_again_and_again_gets_there_while_changes_go_on() {
     let (mut world, behind) = one_far_behind(10);
-    let owner = world.elect();
-    world.network.slow.insert((owner, behind), Duration::from_millis(20));
+    let leader = world.elect();
+    world.network.slow.insert((leader, behind), Duration::from_millis(20));
     // When it restarts with a part of the snapshot each time, and the others go on
     for _ in 0..8 {
         world.start(behind);
         for _ in 0..6 {
-            let owner = world.elect();
-            world.propose(owner);
+            let leader = world.elect();
+            world.propose(leader);
             world.run(Duration::from_millis(20));
         }
         world.lose_power(behind);
@@ -257,16 +257,16 @@
 fn a_member_that_was_restored_by_a_snapshot_leads_with_all_that_is_committed(
     #[values(1, 2, 3, 4, 5)] seed: u64,
 ) {
-    // Given a member that has just been restored by a snapshot of the owner's
+    // Given a member that has just been restored by a snapshot of the leader's
     let (mut world, behind) = one_far_behind(seed);
     world.start(behind);
     // Pieces that overtake each other, as they never do on a link, go again only after some heartbeats.
     world.settle(&[behind], Duration::from_millis(6_000));
     let commands = world.machines[behind.0].application.state.commands;
     // When the other two lose power, one of them for good, so that it is needed for each decision
-    let owner = world.elect();
-    let third = world.others(&[owner, behind])[0];
-    world.lose_power(owner);
+    let leader = world.elect();
+    let third = world.others(&[leader, behind])[0];
+    world.lose_power(leader);
     world.lose_power(third);
     world.start(third);
     // Then whoever leads has all of it, and the oracle finds nothing that was taken back
@@ -283,6 +283,6 @@
     // When it is back
     world.start(behind);
     world.settle(&[behind], Duration::from_millis(6_000));
-    // Then it went by the entries, each of which stays though the owner changes in the middle: a snapshot begins anew
+    // Then it went by the entries, each of which stays though the leader changes in the middle: a snapshot begins anew
     assert_eq!(world.machines[behind.0].loads, 0);
 }
--- a/crates/quorum/tests/world/machine.rs
+++ b/crates/quorum/tests/world/machine.rs
@@ -63,7 +63,7 @@
     pub application: Application,
     pub disk: Disk,
     pub inbox: VecDeque<Message>,
-    /// Commands of clients that wait; they are lost if the machine is not the owner.
+    /// Commands of clients that wait; they are lost if the machine is not the leader.
     pub commands: VecDeque<Vec<u8>>,
     pub refused: u64,
     pub frozen: bool,
@@ -73,7 +73,7 @@
     pub wake_scheduled: Instant,
     /// The size of snapshots beyond their content.
     pub filler: usize,
-    /// States loaded from an owner or the own disk in this life.
+    /// States loaded from a leader or the own disk in this life.
     pub loads: u64,
     /// Syncs so far.
     pub syncs: u64,
@@ -199,7 +199,7 @@
             oracle.check_state(committed.index, self.application.state, site);
         }
         self.application.applied = self.application.applied.max(ready.applied);
-        if replica.is_owner() && !ready.committed.is_empty() {
+        if replica.is_leader() && !ready.committed.is_empty() {
             oracle.acknowledge(self.application.applied, now);
         }
         unaddressed(ready.messages)
@@ -228,12 +228,12 @@
     pub fn picture(&self, now: Instant) -> String {
         let Some(replica) = &self.replica else { return format!("{:?}: off", self.identity) };
         format!(
-            "{:?}: term {:?} owner {} lease {} hint {:?} last {:?} commit {:?} group {:?} frozen {}",
+            "{:?}: term {:?} leader {} lease {} hint {:?} last {:?} commit {:?} group {:?} frozen {}",
             self.identity,
             replica.term(),
-            replica.is_owner(),
+            replica.is_leader(),
             self.lease_holds(now),
-            replica.owner_hint(),
+            replica.leader_hint(),
             replica.last(),
             replica.commit_index(),
             replica.group(),
--- a/crates/quorum/tests/world/mod.rs
+++ b/crates/quorum/tests/world/mod.rs
@@ -375,12 +375,12 @@
         self.take_in(site);
     }
 
-    /// A client hands commands to whoever owns the part, a few at a time, while time passes.
+    /// A client hands commands to whoever leads the part, a few at a time, while time passes.
     pub fn propose_for(&mut self, span: Duration, every: Duration) {
         let end = self.now + span;
         while self.now < end {
-            if let Some(owner) = self.owner() {
-                self.propose(owner);
+            if let Some(leader) = self.leader() {
+                self.propose(leader);
             }
             self.read_everywhere();
             self.run(every);
@@ -417,30 +417,30 @@
     }
 
     /// The machine whose lease holds.
-    pub fn owner(&self) -> Option<Site> {
+    pub fn leader(&self) -> Option<Site> {
         self.sites().into_iter().find(|site| {
             let machine = &self.machines[site.0];
             machine.is_free() && machine.lease_holds(self.now)
         })
     }
 
-    /// Waits for an owner whose lease holds.
+    /// Waits for a leader whose lease holds.
     pub fn elect(&mut self) -> Site {
-        self.run_until(Duration::from_millis(5_000), "an owner", |world| world.owner().is_some());
-        self.owner().expect("just seen")
+        self.run_until(Duration::from_millis(5_000), "a leader", |world| world.leader().is_some());
+        self.leader().expect("just seen")
     }
 
-    /// Changes the group by whoever owns the part, again and again until it stands.
+    /// Changes the group by whoever leads the part, again and again until it stands.
     pub fn change_to(&mut self, sites: &[Site], bound: Duration) {
         let wanted = self.group_of(sites.iter().copied());
         let end = self.now + bound;
         loop {
-            if let Some(owner) = self.owner() {
-                let replica = self.machines[owner.0].replica.as_ref().expect("it runs");
+            if let Some(leader) = self.leader() {
+                let replica = self.machines[leader.0].replica.as_ref().expect("it runs");
                 if *replica.group() == wanted && replica.commit_index() >= replica.last().index {
                     return;
                 }
-                let _ = self.call(owner, |replica, now| replica.change_group(now, wanted.voters.clone()));
+                let _ = self.call(leader, |replica, now| replica.change_group(now, wanted.voters.clone()));
             }
             assert!(self.now < end, "the group did not change\n{}", self.picture());
             self.run(Duration::from_millis(10));
--- a/crates/quorum/tests/world/oracle.rs
+++ b/crates/quorum/tests/world/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens: one owner a term, a decided entry stays, states agree, reads are never stale.
+//! What must hold whatever happens: one leader a term, a decided entry stays, states agree, reads are never stale.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Oracle {
-    owners: BTreeMap<Term, ReplicaId>,
+    leaders: BTreeMap<Term, ReplicaId>,
     committed: BTreeMap<Index, (Term, Blob)>,
     /// The terms of all decided entries.
     terms: BTreeMap<Index, Term>,
@@ -18,7 +18,7 @@
     states: BTreeMap<Index, State>,
     founding: Option<Group>,
     decided: Option<(Index, Group)>,
-    /// What an owner has told clients, or a read has shown.
+    /// What a leader has told clients, or a read has shown.
     shown: Index,
     pub acknowledged: u64,
     pub reads: u64,
@@ -46,13 +46,13 @@
         if is_decided && is_newer && replica.group_index() > Index(0) {
             self.decided = Some((replica.group_index(), replica.group().clone()));
         }
-        if !replica.is_owner() {
+        if !replica.is_leader() {
             return;
         }
-        let owner = *self.owners.entry(replica.term()).or_insert(replica.identity());
-        if owner != replica.identity() {
+        let leader = *self.leaders.entry(replica.term()).or_insert(replica.identity());
+        if leader != replica.identity() {
             self.complain(format!(
-                "two owners of {:?}: {owner:?} and {:?}",
+                "two leaders of {:?}: {leader:?} and {:?}",
                 replica.term(),
                 replica.identity()
             ));
--- a/crates/quorum/tests/world/storm.rs
+++ b/crates/quorum/tests/world/storm.rs
@@ -51,12 +51,12 @@
     }
 }
 
-/// Clients propose and read wherever they think that the owner is.
+/// Clients propose and read wherever they think that the leader is.
 fn clients(world: &mut World) {
     world.read_everywhere();
     for site in world.sites() {
-        let owns = world.machines[site.0].replica.as_ref().is_some_and(|replica| replica.is_owner());
-        if owns && world.rng.random_bool(0.5) {
+        let leads = world.machines[site.0].replica.as_ref().is_some_and(|replica| replica.is_leader());
+        if leads && world.rng.random_bool(0.5) {
             world.propose(site);
         }
     }
@@ -146,10 +146,10 @@
     !group.is_joint() && group.voters.iter().all(|voter| world.site_of(*voter).is_some())
 }
 
-/// The owner puts machines that exist in the stead of disks that are lost.
+/// The leader puts machines that exist in the stead of disks that are lost.
 fn replace_lost(world: &mut World) {
-    let Some(owner) = world.owner() else { return };
-    let Some(group) = world.machines[owner.0].replica.as_ref().map(|replica| replica.group().clone()) else {
+    let Some(leader) = world.leader() else { return };
+    let Some(group) = world.machines[leader.0].replica.as_ref().map(|replica| replica.group().clone()) else {
         return;
     };
     let is_lost = |voter: &ReplicaId| world.site_of(*voter).is_none();
@@ -160,10 +160,10 @@
     let spares = world.machines.iter().map(|machine| machine.identity);
     let spare = spares.filter(|spare| !group.names(*spare)).nth(world.now.0 as usize % 2);
     voters.extend(spare);
-    let _ = world.call(owner, |replica, now| replica.change_group(now, voters));
+    let _ = world.call(leader, |replica, now| replica.change_group(now, voters));
 }
 
-/// All troubles end; then the part must have an owner, a whole group, and decide.
+/// All troubles end; then the part must have a leader, a whole group, and decide.
 fn calm(world: &mut World, weather: Weather) {
     world.heal();
     world.network.loss = 0.0;
@@ -182,20 +182,20 @@
     let before = world.oracle.last_committed();
     while world.oracle.last_committed() == before {
         assert!(world.now < end, "nothing is decided\n{}", world.picture());
-        // The owner refuses while it hands over; a client tries again.
-        let owner = world.elect();
-        world.propose(owner);
+        // The leader refuses while it hands over; a client tries again.
+        let leader = world.elect();
+        world.propose(leader);
         world.run(Duration::from_millis(50));
     }
-    let owner = world.elect();
-    let members = world.machines[owner.0].replica.as_ref().expect("it runs").group().voters.clone();
+    let leader = world.elect();
+    let members = world.machines[leader.0].replica.as_ref().expect("it runs").group().voters.clone();
     let sites: Vec<Site> = members.into_iter().filter_map(|member| world.site_of(member)).collect();
     world.settle(&sites, Duration::from_millis(3_000));
 }
 
 fn is_well(world: &World) -> bool {
-    let Some(owner) = world.owner() else { return false };
-    let Some(replica) = world.machines[owner.0].replica.as_ref() else { return false };
+    let Some(leader) = world.leader() else { return false };
+    let Some(replica) = world.machines[leader.0].replica.as_ref() else { return false };
     let group = replica.group();
     !group.is_joint()
         && replica.pending_change().is_none()
--- a/crates/simulation/src/clients/pressed.rs
+++ b/crates/simulation/src/clients/pressed.rs
@@ -22,7 +22,7 @@
 ];
 /// Requests to each node that are to show whether it knows of a drain.
 const AFTER_DRAIN: u64 = 2;
-/// Probes to each node that serves the configuration's owners, after a change.
+/// Probes to each node that serves the configuration's leaders, after a change.
 const AFTER_CHANGE: u64 = 30;
 /// Probes to a node that is back.
 const AFTER_RETURN: u64 = 30;
--- a/crates/simulation/src/fleet/losses.rs
+++ b/crates/simulation/src/fleet/losses.rs
@@ -39,8 +39,8 @@
         };
         if leader {
             let part = if on == On::Storage { 1 } else { 0 };
-            let owner = self.nodes.values().find_map(|node| node.known_owner(part));
-            let found = owner.and_then(|owner| self.machines.iter().position(|m| m.ip == *owner.ip()));
+            let leader = self.nodes.values().find_map(|node| node.known_leader(part));
+            let found = leader.and_then(|leader| self.machines.iter().position(|m| m.ip == *leader.ip()));
             if let Some(found) = found.filter(|found| self.machines[*found].life.is_some()) {
                 return Some(found);
             }
--- a/crates/simulation/src/fleet/watch.rs
+++ b/crates/simulation/src/fleet/watch.rs
@@ -1,4 +1,4 @@
-//! The fleet's stop-watch: owners that are replaced, configurations that reach all nodes. It looks on and changes nothing.
+//! The fleet's stop-watch: leaders that are replaced, configurations that reach all nodes. It looks on and changes nothing.
 
 use super::Fleet;
 use crate::stage::Class;
@@ -15,15 +15,15 @@
 #[derive(Default)]
 pub(super) struct Watch {
     pub(super) times: Times,
-    /// The life that owns each part.
-    owners: BTreeMap<u8, usize>,
-    /// Parts whose owner is gone: since when, and which life it was.
+    /// The life that leads each part.
+    leaders: BTreeMap<u8, usize>,
+    /// Parts whose leader is gone: since when, and which life it was.
     orphans: BTreeMap<u8, (Instant, usize)>,
     /// Configurations on their way: the version, when it was acknowledged, and the lives that don't have it.
     spreading: Vec<(u64, Instant, BTreeSet<usize>)>,
     /// Classes of machines of which one came with an empty disk, and when, until their groups are whole.
     repairing: Vec<(Class, Instant)>,
-    /// When the machines were back from a final fault, until each part has an owner.
+    /// When the machines were back from a final fault, until each part has a leader.
     back: Option<Instant>,
 }
 
@@ -32,8 +32,8 @@
     pub(super) fn watch_turn(&mut self, life: usize) {
         let now = self.now();
         let Some(node) = self.nodes.get(&life) else { return };
-        for part in node.owned_parts() {
-            self.watch.owned(part, life, now);
+        for part in node.led_parts() {
+            self.watch.led(part, life, now);
         }
         let version = node.configuration_version();
         let watch = &mut self.watch;
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Whether each part of a class has an owner whose group is decided and names only disks of running machines.
+    /// Whether each part of a class has a leader whose group is decided and names only disks of running machines.
     fn groups_are_whole(&self, class: Class) -> bool {
         let parts = if class == Class::Edge { 0..1 } else { 1..PARTS as u8 };
         let running: BTreeSet<ReplicaId> = self.nodes.values().filter_map(Node::replica_id).collect();
         parts.into_iter().all(|part| {
-            let owner = self.watch.owners.get(&part).and_then(|life| self.nodes.get(life));
-            let voters = owner.and_then(|node| node.settled_voters(part));
+            let leader = self.watch.leaders.get(&part).and_then(|life| self.nodes.get(life));
+            let voters = leader.and_then(|node| node.settled_voters(part));
             voters.is_some_and(|voters| voters.iter().all(|voter| running.contains(voter)))
         })
     }
@@ -92,9 +92,9 @@
     pub(super) fn watch_gone(&mut self, life: usize) {
         let now = self.now();
         let watch = &mut self.watch;
-        let owned = watch.owners.extract_if(.., |_, owner| *owner == life);
-        let owned: Vec<u8> = owned.map(|(part, _)| part).collect();
-        for part in owned {
+        let led = watch.leaders.extract_if(.., |_, leader| *leader == life);
+        let led: Vec<u8> = led.map(|(part, _)| part).collect();
+        for part in led {
             watch.orphans.entry(part).or_insert((now, life));
         }
         for (_, _, lives) in &mut watch.spreading {
@@ -104,32 +104,32 @@
 
     /// A life goes on.
     pub(super) fn watch_thawed(&mut self, life: usize) {
-        self.watch.orphans.retain(|_, (_, owner)| *owner != life);
+        self.watch.orphans.retain(|_, (_, leader)| *leader != life);
     }
 
     /// A final fault strikes; the machines will be back then.
     pub(super) fn watch_closing(&mut self, back: Instant) {
         self.watch.back = Some(back);
-        self.watch.owners.clear();
+        self.watch.leaders.clear();
         self.watch.orphans.clear();
         self.watch.spreading.clear();
     }
 }
 
 impl Watch {
-    fn owned(&mut self, part: u8, life: usize, now: Instant) {
-        if self.owners.get(&part) == Some(&life) {
+    fn led(&mut self, part: u8, life: usize, now: Instant) {
+        if self.leaders.get(&part) == Some(&life) {
             return;
         }
         match self.orphans.get(&part) {
             // It was frozen, and does not know yet that others went on.
-            Some((_, owner)) if *owner == life => return,
-            Some((since, _)) => self.times.taken.push((What::OwnerReplaced, now.since(*since))),
+            Some((_, leader)) if *leader == life => return,
+            Some((since, _)) => self.times.taken.push((What::LeaderReplaced, now.since(*since))),
             None => {}
         }
         self.orphans.remove(&part);
-        self.owners.insert(part, life);
-        if let Some(back) = self.back.filter(|back| now > *back && self.owners.len() == PARTS) {
+        self.leaders.insert(part, life);
+        if let Some(back) = self.back.filter(|back| now > *back && self.leaders.len() == PARTS) {
             self.times.taken.push((What::QuorumBack, now.since(back)));
             self.back = None;
         }
--- a/crates/simulation/src/judge/rules.rs
+++ b/crates/simulation/src/judge/rules.rs
@@ -32,7 +32,7 @@
     Acks,
     /// A process ended by itself.
     Fault,
-    /// Stricter than the operators' rules, by the design note: reads come from an owner under its lease, so none shows less
+    /// Stricter than the operators' rules, by the design note: reads come from a leader under its lease, so none shows less
     /// than an earlier one did.
     Stale,
     /// Stricter than the operators' rules, by the design note: in calm times an acknowledged drain is known to all nodes.
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -37,7 +37,7 @@
     Show {
         last: bool,
     },
-    /// A read in between, that a stale owner must not answer.
+    /// A read in between, that a stale leader must not answer.
     Peek,
     /// The same by way of one node.
     PeekAt {
--- a/crates/simulation/src/times.rs
+++ b/crates/simulation/src/times.rs
@@ -12,9 +12,9 @@
     Applied,
     /// From an executor's word that it leaves to the acknowledgement.
     DrainTold,
-    /// From the end or the freeze of a part's owner until another node acts as owner.
-    OwnerReplaced,
-    /// From the return of the machines after a final fault until each part has an owner.
+    /// From the end or the freeze of a part's leader until another node acts as leader.
+    LeaderReplaced,
+    /// From the return of the machines after a final fault until each part has a leader.
     QuorumBack,
     /// From the return of a machine whose disk was lost, or the start of its successor, until the groups of all parts that it
     /// may hold are decided and name only disks of running machines: the next loss may be borne from then on.
@@ -27,7 +27,7 @@
         What::Acknowledged,
         What::Applied,
         What::DrainTold,
-        What::OwnerReplaced,
+        What::LeaderReplaced,
         What::QuorumBack,
         What::GroupWhole,
     ];
@@ -39,7 +39,7 @@
             What::Acknowledged => "configuration acknowledged",
             What::Applied => "configuration applied everywhere",
             What::DrainTold => "drain told",
-            What::OwnerReplaced => "owner replaced",
+            What::LeaderReplaced => "owner replaced",
             What::QuorumBack => "quorum back",
             What::GroupWhole => "group whole",
         })
--- a/crates/simulation/tests/bulk.rs
+++ b/crates/simulation/tests/bulk.rs
@@ -8,8 +8,8 @@
 use grebeusher_simulation::times::What;
 
 #[test]
-fn a_report_tells_how_long_changes_drains_and_owners_took() {
-    // Given days on which the configuration changes, executors leave, an owner is killed, all lose power and a disk is lost,
+fn a_report_tells_how_long_changes_drains_and_leaders_took() {
+    // Given days on which the configuration changes, executors leave, a leader is killed, all lose power and a disk is lost,
     let mut bulk = Bulk::new();
     bulk.add(&day_with("three-zones", Fault::Release { share: 0.3, gap_s: 0.5 }, 3));
     bulk.add(&day_with(
@@ -28,7 +28,7 @@
         (What::Acknowledged, 4000.0),
         (What::Applied, 2000.0),
         (What::DrainTold, 4000.0),
-        (What::OwnerReplaced, 3000.0),
+        (What::LeaderReplaced, 3000.0),
         (What::QuorumBack, 12_000.0),
         (What::GroupWhole, 5000.0),
     ] {
--- a/crates/simulation/tests/control.rs
+++ b/crates/simulation/tests/control.rs
@@ -17,18 +17,18 @@
     scenario
 }
 
-/// The owner of a class's first part is cut off for a time.
-fn owner_cut_off(on: On, from: CutFrom, for_s: f64) -> Fault {
+/// The leader of a class's first part is cut off for a time.
+fn leader_cut_off(on: On, from: CutFrom, for_s: f64) -> Fault {
     Fault::Isolation { on, count: 1, from, lure: false, for_s }
 }
 
 #[rstest]
-fn a_job_that_was_accepted_outlives_an_owner_that_is_cut_off(
+fn a_job_that_was_accepted_outlives_a_leader_that_is_cut_off(
     #[values("four-zones", "two-zones")] name: &str,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    // Given many jobs, when their owner is cut off from the other replicas again and again,
-    let cut = |at_s| (at_s, owner_cut_off(On::Storage, CutFrom::Counted, 2.0));
+    // Given many jobs, when their leader is cut off from the other replicas again and again,
+    let cut = |at_s| (at_s, leader_cut_off(On::Storage, CutFrom::Counted, 2.0));
     let mut scenario = day(name, 20.0, &[cut(1.0), cut(9.0), cut(17.0)]);
     scenario.load = Load { jobs_per_s: 15.0, quota: 0, ..scenario.load };
     // then each one that was accepted is there.
@@ -36,12 +36,12 @@
 }
 
 #[rstest]
-fn a_change_that_was_acknowledged_outlives_an_owner_that_is_cut_off(
+fn a_change_that_was_acknowledged_outlives_a_leader_that_is_cut_off(
     #[values("four-zones", "five-cores")] name: &str,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    // Given changes that follow each other as fast as they are acknowledged, when their owner is cut off,
-    let cut = |at_s| (at_s, owner_cut_off(On::Core, CutFrom::Counted, 3.0));
+    // Given changes that follow each other as fast as they are acknowledged, when their leader is cut off,
+    let cut = |at_s| (at_s, leader_cut_off(On::Core, CutFrom::Counted, 3.0));
     let changes = |at_s| (at_s, Fault::ConfigSeries { count: 6 });
     let mut faults = vec![cut(1.0), cut(10.0)];
     faults.extend((0..24).map(|step| changes(0.9 + 0.02 * f64::from(step))));
@@ -51,10 +51,10 @@
 }
 
 #[rstest]
-fn jobs_under_way_at_an_owner_that_stands_still_are_accepted_only_if_they_are_kept(
+fn jobs_under_way_at_a_leader_that_stands_still_are_accepted_only_if_they_are_kept(
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
 ) {
-    // Given many jobs under way between regions, when their owner stands still just long enough for another one to take the
+    // Given many jobs under way between regions, when their leader stands still just long enough for another one to take the
     // same places of the log, and hears of that all at once,
     let frozen = Fault::NodeFreeze { on: On::Storage, leader: true, for_s: 1.6 };
     let faults: Vec<(f64, Fault)> =
@@ -71,9 +71,9 @@
     #[values("four-zones", "five-cores", "two-regions")] name: &str,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    // Given an owner that is cut off for twenty seconds while clients, executors and operators reach it, when changes,
+    // Given a leader that is cut off for twenty seconds while clients, executors and operators reach it, when changes,
     // races and wrong orders go on,
-    let mut faults = vec![(1.0, owner_cut_off(On::Core, from, 20.0))];
+    let mut faults = vec![(1.0, leader_cut_off(On::Core, from, 20.0))];
     faults.extend((0..9).map(|step| (1.5 + 2.0 * f64::from(step), Fault::ConfigChange)));
     faults.extend((0..9).map(|step| (2.5 + 2.0 * f64::from(step), Fault::ConfigRace)));
     faults.push((20.5, Fault::ConfigSeries { count: 6 }));
@@ -123,13 +123,13 @@
 }
 
 #[rstest]
-fn an_owner_that_is_killed_while_it_is_cut_off_starts_with_nothing_old(
+fn a_leader_that_is_killed_while_it_is_cut_off_starts_with_nothing_old(
     #[values("four-zones", "five-cores")] name: &str,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    // Given an owner that is cut off, when it is restarted on its side, from its own disk and with nobody to ask,
+    // Given a leader that is cut off, when it is restarted on its side, from its own disk and with nobody to ask,
     let restarted = Fault::NodeKill { on: On::Core, leader: true, power: false, wipe: false, for_s: 0.5 };
-    let mut faults = vec![(1.0, owner_cut_off(On::Core, CutFrom::All, 9.0)), (1.2, restarted.clone())];
+    let mut faults = vec![(1.0, leader_cut_off(On::Core, CutFrom::All, 9.0)), (1.2, restarted.clone())];
     faults.extend((0..7).map(|step| (2.0 + f64::from(step), Fault::ConfigChange)));
     faults.push((10.4, restarted));
     let mut scenario = day(name, 16.0, &faults);
@@ -163,12 +163,12 @@
     #[values("four-zones", "five-cores", "two-regions")] name: &str,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    // Given operators whose answers are nearly all lost, and who send the same again by way of other nodes, when the owner is
+    // Given operators whose answers are nearly all lost, and who send the same again by way of other nodes, when the leader is
     // killed, frozen and cut off, and orders race for one number,
     let killed = Fault::NodeKill { on: On::Core, leader: true, power: true, wipe: false, for_s: 2.0 };
     let frozen = Fault::NodeFreeze { on: On::Core, leader: true, for_s: 3.0 };
     let mut faults = vec![(0.8, Fault::AckLost { x: 0.9, for_s: 22.0 }), (1.5, killed), (9.0, frozen)];
-    faults.push((16.5, owner_cut_off(On::Core, CutFrom::Counted, 4.0)));
+    faults.push((16.5, leader_cut_off(On::Core, CutFrom::Counted, 4.0)));
     for step in 0..20 {
         let at_s = 1.0 + f64::from(step);
         faults.push((at_s, if step % 3 == 0 { Fault::ConfigSameNumber } else { Fault::ConfigRace }));
--- a/crates/simulation/tests/lives.rs
+++ b/crates/simulation/tests/lives.rs
@@ -89,13 +89,13 @@
 }
 
 #[rstest]
-#[case::process_of_the_owner(Fault::NodeKill { on: On::Core, leader: true, power: false, wipe: false, for_s: 0.6 })]
-#[case::power_of_the_owner(Fault::NodeKill { on: On::Core, leader: true, power: true, wipe: false, for_s: 3.0 })]
-#[case::disk_of_the_owner(Fault::NodeKill { on: On::Core, leader: true, power: true, wipe: true, for_s: 1.0 })]
+#[case::process_of_the_leader(Fault::NodeKill { on: On::Core, leader: true, power: false, wipe: false, for_s: 0.6 })]
+#[case::power_of_the_leader(Fault::NodeKill { on: On::Core, leader: true, power: true, wipe: false, for_s: 3.0 })]
+#[case::disk_of_the_leader(Fault::NodeKill { on: On::Core, leader: true, power: true, wipe: true, for_s: 1.0 })]
 #[case::edge(Fault::NodeKill { on: On::Edge, leader: false, power: true, wipe: false, for_s: 2.0 })]
 #[case::store(Fault::NodeKill { on: On::Storage, leader: true, power: true, wipe: false, for_s: 2.0 })]
 #[case::disk_of_a_store(Fault::NodeKill { on: On::Storage, leader: true, power: true, wipe: true, for_s: 1.0 })]
-#[case::frozen_owner(Fault::NodeFreeze { on: On::Core, leader: true, for_s: 3.0 })]
+#[case::frozen_leader(Fault::NodeFreeze { on: On::Core, leader: true, for_s: 3.0 })]
 #[case::frozen_store(Fault::NodeFreeze { on: On::Storage, leader: true, for_s: 3.0 })]
 #[case::frozen_edge(Fault::NodeFreeze { on: On::Edge, leader: false, for_s: 3.0 })]
 #[case::terminated_in_turn(Fault::RollTerm { on: On::Edge, count: 4, gap_s: 1.0, remove: false })]
@@ -108,9 +108,9 @@
 #[case::replaced_store(Fault::Replace { on: On::Storage, after_s: 1.0, planned: false })]
 #[case::slow_disk(Fault::DiskSlow { on: On::Core, times: 30.0, for_s: 4.0 })]
 #[case::slow_disk_of_a_store(Fault::DiskSlow { on: On::Storage, times: 30.0, for_s: 4.0 })]
-#[case::owner_cut_off(Fault::Cut { on: On::Core, leader: true, one_way: false, resets: false, for_s: 4.0 })]
-#[case::owner_cut_off_one_way(Fault::Cut { on: On::Core, leader: true, one_way: true, resets: false, for_s: 4.0 })]
-#[case::owner_cut_off_with_resets(Fault::Cut { on: On::Core, leader: true, one_way: false, resets: true, for_s: 4.0 })]
+#[case::leader_cut_off(Fault::Cut { on: On::Core, leader: true, one_way: false, resets: false, for_s: 4.0 })]
+#[case::leader_cut_off_one_way(Fault::Cut { on: On::Core, leader: true, one_way: true, resets: false, for_s: 4.0 })]
+#[case::leader_cut_off_with_resets(Fault::Cut { on: On::Core, leader: true, one_way: false, resets: true, for_s: 4.0 })]
 #[case::store_cut_off(Fault::Cut { on: On::Storage, leader: true, one_way: false, resets: false, for_s: 4.0 })]
 #[case::connections_reset(Fault::Reset { on: On::Edge })]
 #[case::killed_after_an_acknowledgement(Fault::AfterAckKill { after_ms: 0.5, wipe: false, for_s: 2.0 })]
@@ -183,7 +183,7 @@
     #[values("four-zones", "five-cores")] name: &str,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    // Given an owner that is cut off for twelve seconds and that executors call first, when some leave long after the
+    // Given a leader that is cut off for twelve seconds and that executors call first, when some leave long after the
     // others are in touch again,
     let mut scenario = shape(name);
     scenario.load = Load { length_s: 18.0, live_per_s: 60.0, ..scenario.load };
@@ -222,9 +222,9 @@
 }
 
 #[rstest]
-fn owners_that_stand_still_lose_nothing_of_a_crowd_of_jobs(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
+fn leaders_that_stand_still_lose_nothing_of_a_crowd_of_jobs(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
     // Given more items than executors have room for, so that results still come while all is read for the last time, and
-    // clients that end jobs, when owners stand still for so long that others act in their stead,
+    // clients that end jobs, when leaders stand still for so long that others act in their stead,
     let mut scenario = shape("three-zones");
     scenario.load =
         Load { jobs_per_s: 5.0, slots: 2, executors: 2, quota: 0, length_s: 14.0, ..scenario.load };
@@ -236,11 +236,11 @@
 }
 
 #[rstest]
-fn an_owner_that_stood_still_after_a_look_at_its_clock_shows_nothing_old(
+fn a_leader_that_stood_still_after_a_look_at_its_clock_shows_nothing_old(
     #[values("four-zones", "five-cores")] name: &str,
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
-    // Given an owner that stands still between its look at the clock and its sockets, when the configuration changes
+    // Given a leader that stands still between its look at the clock and its sockets, when the configuration changes
     // meanwhile and is read by way of it just as it goes on,
     let mut scenario = shape(name);
     scenario.load = Load { length_s: 10.0, reads_per_s: 20.0, ..scenario.load };
--- a/crates/tier/src/batch_front.rs
+++ b/crates/tier/src/batch_front.rs
@@ -1,4 +1,4 @@
-//! Batch calls as clients make them: checked here, passed on to the owner of the job's part.
+//! Batch calls as clients make them: checked here, passed on to the leader of the job's part.
 
 use crate::calls::{BatchQuestion, Continuation};
 use crate::control::{path_of, query_value};
@@ -29,8 +29,8 @@
 /// A job that can't be taken now is best sent again after this long (seconds).
 const TRY_AGAIN_S: &str = "0.3";
 
-/// From so many losses on that are borne at once, jobs are spread over the parts: an owner sends each byte to two replicas
-/// for each loss, and the link of one owner does not bear that for all jobs of a deployment. It must be the same at all nodes
+/// From so many losses on that are borne at once, jobs are spread over the parts: a leader sends each byte to two replicas
+/// for each loss, and the link of one leader does not bear that for all jobs of a deployment. It must be the same at all nodes
 /// for ever, so it goes by a setting that all have.
 const SPREAD_FROM_LOSSES: u32 = 2;
 
@@ -53,9 +53,9 @@
         self.settings.fault_tolerance.machine_losses >= SPREAD_FROM_LOSSES
     }
 
-    /// What may wait on a route at one owner: where jobs are spread each has its share, so that no two of them can together
-    /// admit more than the limit. A job may be refused at a full owner while others have room.
-    fn owners_limit(&self, queue_token_limit: u64) -> u64 {
+    /// What may wait on a route at one leader: where jobs are spread each has its share, so that no two of them can together
+    /// admit more than the limit. A job may be refused at a full leader while others have room.
+    fn leaders_limit(&self, queue_token_limit: u64) -> u64 {
         match queue_token_limit {
             0 => 0,
             limit if self.spreads_jobs() => (limit / u64::from(BATCH_PARTS)).max(1),
@@ -134,10 +134,10 @@
             completion_target_ms: route.completion_target_ms.unwrap_or(route.timeout_ms),
             retention_ms: route.retention_s.map_or(DEFAULT_RETENTION_MS, |seconds| (seconds * 1000.0) as u64),
             max_attempts: route.max_attempts,
-            queue_token_limit: self.owners_limit(route.queue_token_limit),
+            queue_token_limit: self.leaders_limit(route.queue_token_limit),
         });
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Submit };
-        self.call_owner(part, call, self.now + SUBMIT_TIMEOUT, continuation);
+        self.call_leader(part, call, self.now + SUBMIT_TIMEOUT, continuation);
     }
 
     fn read_job(&mut self, connection: usize, serial: u64, host: &str, job: &str, request: &ClientRequest) {
@@ -152,7 +152,7 @@
         let part = part_of_job(host, job, self.spreads_jobs());
         let call = Call::ReadJob { part, job: job.to_owned(), resume_after, hold_ms: hold_ms as u32 };
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Read };
-        self.call_owner(part, call, self.now + within, continuation);
+        self.call_leader(part, call, self.now + within, continuation);
     }
 
     fn read_item(&mut self, connection: usize, serial: u64, host: &str, job: &str, request: &ClientRequest) {
@@ -165,7 +165,7 @@
         let part = part_of_job(host, job, self.spreads_jobs());
         let call = Call::ReadItem { part, job: job.to_owned(), item: item.to_owned() };
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Read };
-        self.call_owner(part, call, self.now + CALL_TIMEOUT, continuation);
+        self.call_leader(part, call, self.now + CALL_TIMEOUT, continuation);
     }
 
     fn end_job(&mut self, connection: usize, serial: u64, host: &str, job: &str) {
@@ -175,10 +175,10 @@
         let part = part_of_job(host, job, self.spreads_jobs());
         let call = Call::EndJob { part, job: job.to_owned() };
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::End };
-        self.call_owner(part, call, self.now + CALL_TIMEOUT, continuation);
+        self.call_leader(part, call, self.now + CALL_TIMEOUT, continuation);
     }
 
-    /// The owner's reply to a batch call.
+    /// The leader's reply to a batch call.
     pub fn batch_reply(&mut self, connection: usize, serial: u64, question: BatchQuestion, reply: Reply) {
         if !matches!(reply, Reply::Answer { status: 200 | 202, .. }) {
             debug!("a batch call ({question:?}) ends with {}", reply.name());
