--- a/crates/tier/src/batch_load.rs
+++ b/crates/tier/src/batch_load.rs
@@ -1,4 +1,4 @@
-//! Owners of batch parts tell each other how many items run and wait, so that each takes its share of the executors' room.
+//! Leaders of batch parts tell each other how many items run and wait, so that each takes its share of the executors' room.
 
 use crate::batch_front::BATCH_PARTS;
 use crate::messages::{BatchLoad, Channel};
@@ -8,11 +8,11 @@
 use nanoserde::{DeBin, SerBin};
 use std::net::SocketAddrV4;
 
-/// How often an owner with items tells: a share of how long an item runs.
+/// How often a leader with items tells: a share of how long an item runs.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(60);
 
 impl Node {
-    /// The owner of another part tells its load.
+    /// The leader of another part tells its load.
     pub(crate) fn receive_batch_load(&mut self, payload: &[u8]) {
         let Ok(told) = <BatchLoad as DeBin>::deserialize_bin(payload) else { return };
         if (1..=BATCH_PARTS).contains(&told.part) {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Tells the owners of the other parts what the items of an owned one are at.
+    /// Tells the leaders of the other parts what the items of an led one are at.
     pub(crate) fn tell_batch_load(&mut self, place: usize) {
         let now = self.now;
         let part = self.parts[place].part;
@@ -34,15 +34,15 @@
         self.items.load_told.insert(part, now);
         let told = BatchLoad { part, running: load.running, waiting: load.waiting };
         let others = (1..=BATCH_PARTS).filter(|other| *other != part);
-        let mut owners: Vec<SocketAddrV4> = others.filter_map(|other| self.known_owner(other)).collect();
-        owners.sort_unstable();
-        owners.dedup();
-        for owner in owners {
-            self.send_frame(owner, Channel::BatchLoad, &told.serialize_bin());
+        let mut leaders: Vec<SocketAddrV4> = others.filter_map(|other| self.known_leader(other)).collect();
+        leaders.sort_unstable();
+        leaders.dedup();
+        for leader in leaders {
+            self.send_frame(leader, Channel::BatchLoad, &told.serialize_bin());
         }
     }
 
-    /// Whether an owned part may begin a further item beside those of the other parts.
+    /// Whether an led part may begin a further item beside those of the other parts.
     pub(crate) fn has_fair_share(&mut self, place: usize) -> bool {
         let part = self.parts[place].part;
         let load = self.batch_load(place);
--- a/crates/tier/src/batch_part.rs
+++ b/crates/tier/src/batch_part.rs
@@ -1,4 +1,4 @@
-//! Parts 1 and on: batch jobs. Every replica applies the log; the owner admits jobs, runs items and answers readers.
+//! Parts 1 and on: batch jobs. Every replica applies the log; the leader admits jobs, runs items and answers readers.
 
 use crate::messages::{OfferJob, Reply, SubmitJob};
 use crate::node::{Node, RunError};
@@ -6,7 +6,7 @@
 use crate::parts::{Application, Waiter};
 use crate::timers::Timer;
 use grebeusher_batch::{
-    Admission, Applied, Entry, JobId, JobTerms, Jobs, Owner, Runner, SharedBytes, SnapshotError, Submission,
+    Admission, Applied, Entry, JobId, JobTerms, Jobs, Leader, Runner, SharedBytes, SnapshotError, Submission,
     Wanted,
 };
 use grebeusher_quorum::Blob;
@@ -34,7 +34,7 @@
     jobs: Jobs,
     /// Nodes that are to be emptied, by name.
     pub(crate) retiring: BTreeSet<String>,
-    owner: Owner,
+    leader: Leader,
     most_cost: usize,
     pub(crate) runner: Runner,
     held: Vec<HeldRead>,
@@ -68,7 +68,7 @@
         BatchPart {
             jobs: Jobs::new(),
             retiring: BTreeSet::new(),
-            owner: Owner::new(most_cost),
+            leader: Leader::new(most_cost),
             most_cost,
             runner: Runner::new(seed),
             held: Vec::new(),
@@ -166,7 +166,7 @@
                 let entry = Entry::from_shared(&payload.skip(1)).map_err(|e| unreadable(e.to_string()))?;
                 let Some(part) = self.batch_mut(place) else { return Ok(()) };
                 let applied = part.jobs.apply(entry);
-                part.owner.applied(&applied);
+                part.leader.applied(&applied);
                 part.runner.applied(&part.jobs, &applied, now);
                 self.after_applied(place, &applied)
             }
@@ -217,13 +217,13 @@
         }
     }
 
-    pub(crate) fn batch_owner_changed(&mut self, place: usize, owns: bool) {
+    pub(crate) fn batch_leader_changed(&mut self, place: usize, leads: bool) {
         let (now, wall_ms) = (self.now, self.wall_ms());
         let Some(part) = self.batch_mut(place) else { return };
-        part.owner = Owner::new(part.most_cost);
+        part.leader = Leader::new(part.most_cost);
         let held = std::mem::take(&mut part.held);
         let under_way = std::mem::take(&mut part.under_way);
-        if owns {
+        if leads {
             part.runner.begin(&part.jobs, now, wall_ms);
         } else {
             part.runner.cease();
@@ -235,12 +235,12 @@
             self.reply(waiter.peer, waiter.number, Reply::Unclear);
         }
         self.cut_off_runs(place);
-        if owns {
+        if leads {
             self.wake_items();
         }
     }
 
-    /// Proposes unfinished texts, so that the next owner goes on from there.
+    /// Proposes unfinished texts, so that the next leader goes on from there.
     pub(crate) fn checkpoint_batch(&mut self, place: usize) {
         let now = self.now;
         while let Some(entry) = self.batch_mut(place).and_then(|part| part.runner.checkpoint()) {
@@ -276,16 +276,16 @@
         }
     }
 
-    pub(crate) fn submit_at_owner(&mut self, waiter: Waiter, call: SubmitJob) {
+    pub(crate) fn submit_at_leader(&mut self, waiter: Waiter, call: SubmitJob) {
         let (now, wall_ms) = (self.now, self.wall_ms());
-        let Some(place) = self.owned_place(call.part, waiter) else { return };
+        let Some(place) = self.led_place(call.part, waiter) else { return };
         let answer = |status: u16| Reply::Answer { status, body: b"{}".to_vec() };
         let Ok(submission) = <Submission as DeBin>::deserialize_bin(&call.submission) else {
             return self.reply(waiter.peer, waiter.number, answer(400));
         };
         let job = submission.job.clone();
         let Some(part) = self.batch_mut(place) else { return };
-        match part.owner.admit(&part.jobs, &submission, call.queue_token_limit) {
+        match part.leader.admit(&part.jobs, &submission, call.queue_token_limit) {
             Admission::Kept => self.reply(waiter.peer, waiter.number, answer(202)),
             Admission::UnderWay => part.under_way.push((job, waiter)),
             Admission::QueueFull { .. } => self.reply(waiter.peer, waiter.number, answer(429)),
@@ -302,7 +302,7 @@
                 let entry = jobs_entry(&Entry::Submit { submission, terms });
                 if self.parts[place].propose(now, entry, Some(waiter)).is_none() {
                     if let Some(part) = self.batch_mut(place) {
-                        part.owner.dropped(&job);
+                        part.leader.dropped(&job);
                     }
                     self.reply(waiter.peer, waiter.number, Reply::Unavailable);
                 }
@@ -312,14 +312,14 @@
 
     /// A node has a job for this part. What would be refused is refused without its bodies, and what is known is not wanted
     /// again.
-    pub(crate) fn offered_to_owner(&mut self, waiter: Waiter, offer: &OfferJob) {
-        let Some(place) = self.owned_place(offer.part, waiter) else { return };
+    pub(crate) fn offered_to_leader(&mut self, waiter: Waiter, offer: &OfferJob) {
+        let Some(place) = self.led_place(offer.part, waiter) else { return };
         let Some(part) = self.batch_mut(place) else { return };
         let answer = |status: u16| Reply::Answer { status, body: b"{}".to_vec() };
         let Some(job) = JobId::new(&offer.job) else {
             return self.reply(waiter.peer, waiter.number, answer(400));
         };
-        let reply = match part.owner.judge(&part.jobs, &wanted(offer, &job)) {
+        let reply = match part.leader.judge(&part.jobs, &wanted(offer, &job)) {
             Admission::Kept => answer(202),
             Admission::UnderWay => return part.under_way.push((job, waiter)),
             Admission::QueueFull { .. } => answer(429),
@@ -329,7 +329,7 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    pub(crate) fn read_at_owner(
+    pub(crate) fn read_at_leader(
         &mut self,
         waiter: Waiter,
         number: u8,
@@ -337,7 +337,7 @@
         resume_after: u64,
         hold_ms: u32,
     ) {
-        let Some(place) = self.owned_place(number, waiter) else { return };
+        let Some(place) = self.led_place(number, waiter) else { return };
         let read = self.next_serial();
         let now = self.now;
         let Some(part) = self.batch_mut(place) else { return };
@@ -390,8 +390,8 @@
         }
     }
 
-    pub(crate) fn read_item_at_owner(&mut self, waiter: Waiter, number: u8, job: &str, item: &str) {
-        let Some(place) = self.owned_place(number, waiter) else { return };
+    pub(crate) fn read_item_at_leader(&mut self, waiter: Waiter, number: u8, job: &str, item: &str) {
+        let Some(place) = self.led_place(number, waiter) else { return };
         let Some(part) = self.batch_mut(place) else { return };
         let body = JobId::new(job).and_then(|job| part.jobs.item_body(&job, item).map(<[u8]>::to_vec));
         let reply = match body {
@@ -401,11 +401,11 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    pub(crate) fn end_at_owner(&mut self, waiter: Waiter, number: u8, job: &str) {
+    pub(crate) fn end_at_leader(&mut self, waiter: Waiter, number: u8, job: &str) {
         let now = self.now;
-        let Some(place) = self.owned_place(number, waiter) else { return };
+        let Some(place) = self.led_place(number, waiter) else { return };
         let Some(part) = self.batch_mut(place) else { return };
-        let known = JobId::new(job).filter(|job| part.jobs.contains(job) || part.owner.is_under_way(job));
+        let known = JobId::new(job).filter(|job| part.jobs.contains(job) || part.leader.is_under_way(job));
         let Some(job) = known else {
             return self.reply(waiter.peer, waiter.number, Reply::Answer { status: 404, body: Vec::new() });
         };
@@ -414,10 +414,10 @@
         }
     }
 
-    /// When an owner's runner next has something to do by itself.
+    /// When a leader's runner next has something to do by itself.
     pub(crate) fn runner_wake(&self, place: usize) -> Option<Instant> {
         match &self.parts.get(place)?.application {
-            Application::Batch(part) if self.parts[place].owns() => part.runner.next_wake(),
+            Application::Batch(part) if self.parts[place].leads() => part.runner.next_wake(),
             _ => None,
         }
     }
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddrV4;
 use tracing::debug;
 
-/// A node that has not answered by then is left for another one. Owners answer once a quorum has synced.
+/// A node that has not answered by then is left for another one. Leaders answer once a quorum has synced.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
 /// A node that has left a call unanswered, and has said nothing since, is gone round for this long.
 const UNRESPONSIVE_TTL: Duration = Duration::from_millis(2500);
@@ -21,8 +21,8 @@
 const SLOWEST_BYTES_PER_S: u64 = 200_000;
 /// What a page of results may take beside the time that a read is held: it waits behind those of other readers.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause before a node is asked again when none owned the part.
-const NO_OWNER_PAUSE: Duration = Duration::from_millis(60);
+/// The pause before a node is asked again when none led the part.
+const NO_LEADER_PAUSE: Duration = Duration::from_millis(60);
 /// The pause before a job is offered again that was refused while a copy of it may be under way.
 const REFUSED_PAUSE: Duration = Duration::from_millis(200);
 /// Batch jobs of this many bytes and more are offered before they are sent.
@@ -37,7 +37,7 @@
     Batch { connection: usize, serial: u64, question: BatchQuestion },
     /// A configuration that a peer has and this node has not.
     Configuration,
-    /// The configuration that this node starts with, from its owner.
+    /// The configuration that this node starts with, from its leader.
     FirstConfiguration,
     /// A founding that a replica confirms.
     Founding { part: u8, voter: u64 },
@@ -72,7 +72,7 @@
 /// A call that waits for its reply.
 pub struct PendingCall {
     call: Call,
-    /// The part whose owner is meant; `None`: one node is meant.
+    /// The part whose leader is meant; `None`: one node is meant.
     part: Option<u8>,
     to: Option<SocketAddrV4>,
     tried: Vec<SocketAddrV4>,
@@ -104,9 +104,9 @@
 enum CallRoute {
     /// To the node that may answer it.
     Direct(SocketAddrV4),
-    /// By way of a node that may reach the owner.
+    /// By way of a node that may reach the leader.
     By(SocketAddrV4),
-    /// The part has no owner that is known: again after a pause.
+    /// The part has no leader that is known: again after a pause.
     Later,
     /// No other node answers.
     Nobody,
@@ -114,7 +114,7 @@
 
 /// How much longer than usual a call may take without anything being wrong: reads are held, and large calls need their
 /// time on links that many of them share. Guards against large calls being sent again and again while they wait in the
-/// queue of a link: what was meant to help then keeps the owner's link full for good.
+/// queue of a link: what was meant to help then keeps the leader's link full for good.
 fn held_for(call: &Call) -> Duration {
     let on_the_way = |bytes: usize| Duration::from_nanos(bytes as u64 * 1_000_000_000 / SLOWEST_BYTES_PER_S);
     match call {
@@ -184,8 +184,8 @@
 }
 
 impl Node {
-    /// Calls the owner of a part, wherever it is, until `until`.
-    pub fn call_owner(&mut self, part: u8, call: Call, until: Instant, continuation: Continuation) {
+    /// Calls the leader of a part, wherever it is, until `until`.
+    pub fn call_leader(&mut self, part: u8, call: Call, until: Instant, continuation: Continuation) {
         self.begin_call(Some(part), None, call, until, continuation);
     }
 
@@ -242,7 +242,7 @@
             CallRoute::Nobody | CallRoute::Later => {
                 // All were asked, or none is known yet: from the start, after a pause.
                 pending.unheard |= nobody && pending.part.is_some() && now >= pending.began + ATTEMPT_TIMEOUT;
-                return self.call_later(number, NO_OWNER_PAUSE);
+                return self.call_later(number, NO_LEADER_PAUSE);
             }
         };
         pending.tried.push(target);
@@ -265,16 +265,16 @@
         self.send_frame(target, Channel::Call, &SerBin::serialize_bin(&CallEnvelope { number, call }));
     }
 
-    /// An owner wants the job that it was offered: now it gets the bodies, the way that the offer went. The call goes on
+    /// A leader wants the job that it was offered: now it gets the bodies, the way that the offer went. The call goes on
     /// under another number. Guards against the late refusal of an offer being taken for one of the job, which may be taken.
-    fn send_wanted(&mut self, offered: CallNumber, owner: SocketAddrV4) {
+    fn send_wanted(&mut self, offered: CallNumber, leader: SocketAddrV4) {
         let Some(mut pending) = self.calls.remove(&offered) else { return };
         let whole = self.call_numbers.next_number();
         let relayed = pending.sent == Sent::Offer { relayed: true };
         pending.sent = Sent::Whole;
         let call = pending.call.clone();
         self.calls.insert(whole, pending);
-        self.send_call(whole, owner, relayed, call);
+        self.send_call(whole, leader, relayed, call);
     }
 
     /// Which way a call goes now.
@@ -287,11 +287,11 @@
             return CallRoute::Direct(to);
         }
         let untried = |address: &SocketAddrV4| !pending.tried.contains(address);
-        let owner = self.known_owner(part);
-        if let Some(owner) = owner.filter(|owner| reachable(owner) && untried(owner)) {
-            return CallRoute::Direct(owner);
+        let leader = self.known_leader(part);
+        if let Some(leader) = leader.filter(|leader| reachable(leader) && untried(leader)) {
+            return CallRoute::Direct(leader);
         }
-        let cut_off = owner.is_some_and(|owner| !reachable(&owner));
+        let cut_off = leader.is_some_and(|leader| !reachable(&leader));
         let may_pass_on = !matches!(pending.continuation, Continuation::Forwarded { .. });
         if cut_off
             && may_pass_on
@@ -299,14 +299,14 @@
         {
             return CallRoute::By(relay);
         }
-        match self.owner_candidate(part, &pending.tried) {
+        match self.leader_candidate(part, &pending.tried) {
             Some(candidate) => CallRoute::Direct(candidate),
             None if self.reaches_anybody() => CallRoute::Later,
             None => CallRoute::Nobody,
         }
     }
 
-    /// A node that may reach an owner which this one can't: any edge node that answers.
+    /// A node that may reach a leader which this one can't: any edge node that answers.
     fn relay_candidate(&self, tried: &[SocketAddrV4]) -> Option<SocketAddrV4> {
         let edges = self.registry.live_members().filter(|member| member.class == Class::Edge);
         let others = edges.map(|member| member.address).filter(|address| *address != self.internal_address);
@@ -321,7 +321,7 @@
         others.any(|address| address != self.internal_address && !self.unheard.contains_key(&address))
     }
 
-    /// Passes a call of another node on to the owner of a part.
+    /// Passes a call of another node on to the leader of a part.
     pub fn forward_call(
         &mut self,
         peer: SocketAddrV4,
@@ -332,7 +332,7 @@
     ) {
         let Ok(call) = <Call as DeBin>::deserialize_bin(call) else { return };
         let until = self.now + Duration::from_millis(u64::from(within_ms));
-        self.call_owner(part, call, until, Continuation::Forwarded { peer, number });
+        self.call_leader(part, call, until, Continuation::Forwarded { peer, number });
     }
 
     /// A node has said something: it can be reached.
@@ -374,8 +374,8 @@
         let number = envelope.number;
         let Some(pending) = self.calls.get_mut(&number) else { return };
         match envelope.reply {
-            Reply::NotOwner { owner } if pending.part.is_some() => {
-                let hinted = owner.and_then(|name| self.address_of(&name)).filter(|&to| to != from);
+            Reply::NotLeader { leader } if pending.part.is_some() => {
+                let hinted = leader.and_then(|name| self.address_of(&name)).filter(|&to| to != from);
                 let Some(pending) = self.calls.get_mut(&number) else { return };
                 if let Some(to) = hinted
                     && pending.tried.iter().filter(|&&tried| tried == to).count() < 2
@@ -384,10 +384,10 @@
                 }
                 self.try_call(number);
             }
-            // The owner lost the part before the job was decided: the next owner has it, or is sent it.
+            // The leader lost the part before the job was decided: the next leader has it, or is sent it.
             Reply::Unclear if is_submission(&pending.call) => {
                 pending.unheard = true;
-                self.call_later(number, NO_OWNER_PAUSE);
+                self.call_later(number, NO_LEADER_PAUSE);
             }
             // No promise can be made of a job of which a copy may be under way, but it may still be taken.
             Reply::Answer { status, .. }
@@ -397,7 +397,7 @@
             {
                 self.call_later(number, REFUSED_PAUSE);
             }
-            Reply::Unavailable if pending.part.is_some() => self.call_later(number, NO_OWNER_PAUSE),
+            Reply::Unavailable if pending.part.is_some() => self.call_later(number, NO_LEADER_PAUSE),
             Reply::Wanted if matches!(pending.sent, Sent::Offer { .. }) => self.send_wanted(number, from),
             reply => self.end_call(number, Some(reply)),
         }
@@ -424,7 +424,7 @@
         let took = self.now.since(pending.began);
         if took > SLOW_CALL {
             let (part, tries) = (pending.part, pending.tried.len());
-            debug!("a call to the owner of part {part:?} took {:.3} s, {tries} tries", took.seconds());
+            debug!("a call to the leader of part {part:?} took {:.3} s, {tries} tries", took.seconds());
         }
         let reply = settled(&pending.call, pending.unheard, reply);
         match pending.continuation {
--- a/crates/tier/src/configuration.rs
+++ b/crates/tier/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration as this node serves by it, and how it gets here from its owner.
+//! The operator's configuration as this node serves by it, and how it gets here from its leader.
 
 use crate::calls::Continuation;
 use crate::control::CONFIGURATION_PART;
@@ -14,7 +14,7 @@
 
 /// A peer that tells of a newer configuration hands it over within this.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(300);
-/// A node that starts asks the owner for this long; then what peers say has to do.
+/// A node that starts asks the leader for this long; then what peers say has to do.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// A configuration in force.
@@ -83,16 +83,21 @@
         self.call_node(peer, call, now + FETCH_TIMEOUT, Continuation::Configuration);
     }
 
-    /// Asks the owner for the newest configuration: what a node serves by when it starts.
+    /// Asks the leader for the newest configuration: what a node serves by when it starts.
     pub fn prove_configuration(&mut self) {
         let until = self.now + PROOF_TIMEOUT;
-        self.call_owner(CONFIGURATION_PART, Call::ShowConfiguration, until, Continuation::FirstConfiguration);
+        self.call_leader(
+            CONFIGURATION_PART,
+            Call::ShowConfiguration,
+            until,
+            Continuation::FirstConfiguration,
+        );
     }
 
-    /// A configuration has come from a peer or, `proven`, from the owner.
+    /// A configuration has come from a peer or, `proven`, from the leader.
     pub fn fetched_configuration(&mut self, reply: Reply, proven: bool) {
         if proven {
-            // Without an owner for so long, what the peers have must do.
+            // Without a leader for so long, what the peers have must do.
             self.configuration_proven = true;
         } else {
             self.fetching = None;
--- a/crates/tier/src/configuration_part.rs
+++ b/crates/tier/src/configuration_part.rs
@@ -21,8 +21,8 @@
         self.register.encode()
     }
 
-    /// What was under way belongs to another ownership.
-    pub fn owner_changed(&mut self) {
+    /// What was under way belongs to another leadership.
+    pub fn leader_changed(&mut self) {
         self.pending.clear();
     }
 }
@@ -72,10 +72,10 @@
         self.activate_configuration(version, body);
     }
 
-    /// An operator's change, at the owner or at a node that is taken for it.
-    pub(crate) fn replace_at_owner(&mut self, waiter: Waiter, base: u64, body: Vec<u8>) {
+    /// An operator's change, at the leader or at a node that is taken for it.
+    pub(crate) fn replace_at_leader(&mut self, waiter: Waiter, base: u64, body: Vec<u8>) {
         let now = self.now;
-        let Some(place) = self.owned_place(CONFIGURATION_PART, waiter) else { return };
+        let Some(place) = self.led_place(CONFIGURATION_PART, waiter) else { return };
         let Ok(configuration) = Configuration::read(&body) else {
             return self.reply(waiter.peer, waiter.number, Reply::Answer { status: 400, body: Vec::new() });
         };
@@ -104,32 +104,32 @@
         }
     }
 
-    /// The newest configuration, at the owner.
-    pub(crate) fn show_at_owner(&mut self, waiter: Waiter) {
-        let Some(place) = self.owned_place(CONFIGURATION_PART, waiter) else { return };
+    /// The newest configuration, at the leader.
+    pub(crate) fn show_at_leader(&mut self, waiter: Waiter) {
+        let Some(place) = self.led_place(CONFIGURATION_PART, waiter) else { return };
         let Application::Configuration(part) = &self.parts[place].application else { return };
         let reply =
             Reply::Configuration { version: part.register.version(), body: part.register.body().to_vec() };
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// The place of a part that this node owns under a lease; otherwise the caller is told who may.
-    pub(crate) fn owned_place(&mut self, part: u8, waiter: Waiter) -> Option<usize> {
+    /// The place of a part that this node leads under a lease; otherwise the caller is told who may.
+    pub(crate) fn led_place(&mut self, part: u8, waiter: Waiter) -> Option<usize> {
         let now = self.clock();
         let Some(place) = self.parts.iter().position(|host| host.part == part) else {
-            self.reply(waiter.peer, waiter.number, Reply::NotOwner { owner: None });
+            self.reply(waiter.peer, waiter.number, Reply::NotLeader { leader: None });
             return None;
         };
         let host = &self.parts[place];
-        if host.replica.is_owner() {
-            if host.owns() && host.replica.lease_holds(now) {
+        if host.replica.is_leader() {
+            if host.leads() && host.replica.lease_holds(now) {
                 return Some(place);
             }
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
             return None;
         }
-        let owner = self.owner_name(place);
-        self.reply(waiter.peer, waiter.number, Reply::NotOwner { owner });
+        let leader = self.leader_name(place);
+        self.reply(waiter.peer, waiter.number, Reply::NotLeader { leader });
         None
     }
 }
--- a/crates/tier/src/control.rs
+++ b/crates/tier/src/control.rs
@@ -139,7 +139,7 @@
         let call = Call::ReplaceConfiguration { base, body: request.body };
         let question = OperatorQuestion::Replace;
         let continuation = Continuation::Operator { connection, serial, question };
-        self.call_owner(CONFIGURATION_PART, call, self.now + waits, continuation);
+        self.call_leader(CONFIGURATION_PART, call, self.now + waits, continuation);
     }
 
     fn show(&mut self, connection: usize, serial: u64) {
@@ -148,7 +148,7 @@
         }
         let question = OperatorQuestion::Show;
         let continuation = Continuation::Operator { connection, serial, question };
-        self.call_owner(
+        self.call_leader(
             CONFIGURATION_PART,
             Call::ShowConfiguration,
             self.now + OPERATOR_TIMEOUT,
@@ -156,7 +156,7 @@
         );
     }
 
-    /// The owner's reply to the operator's call.
+    /// The leader's reply to the operator's call.
     pub fn operator_reply(
         &mut self,
         connection: usize,
--- a/crates/tier/src/copies.rs
+++ b/crates/tier/src/copies.rs
@@ -15,7 +15,7 @@
 pub struct PartCopy {
     /// The voter.
     pub voter: ReplicaId,
-    /// The last entry that it has, as far as the owner knows.
+    /// The last entry that it has, as far as the leader knows.
     pub synced: Index,
     /// Whether its node runs, as far as is known.
     pub lives: bool,
@@ -54,7 +54,7 @@
 }
 
 impl Node {
-    /// The copies of a part that this node owns.
+    /// The copies of a part that this node leads.
     pub(crate) fn copies(&self, place: usize) -> Vec<PartCopy> {
         let lives =
             |voter: ReplicaId| self.registry.member_by_replica(voter.0).is_some_and(|member| member.serves());
@@ -62,7 +62,7 @@
         copies.map(|(voter, synced)| PartCopy { voter, synced, lives: lives(voter) }).collect()
     }
 
-    /// The name of the machine that holds the only copy of a part that this node owns, if one does.
+    /// The name of the machine that holds the only copy of a part that this node leads, if one does.
     pub(crate) fn sole_holder(&self, place: usize) -> Option<String> {
         let holder = sole_holder(&self.copies(place), self.parts[place].replica.commit_index())?;
         let member = self.registry.member_by_replica(holder.0);
--- a/crates/tier/src/dispatch.rs
+++ b/crates/tier/src/dispatch.rs
@@ -38,22 +38,22 @@
         let waiter = Waiter { peer: from, number: envelope.number };
         match envelope.call {
             Call::Found { part, voters } => self.found_part(waiter, part, &voters),
-            Call::ReplaceConfiguration { base, body } => self.replace_at_owner(waiter, base, body),
-            Call::ShowConfiguration => self.show_at_owner(waiter),
-            Call::ShowPart { part } => self.show_part_at_owner(waiter, part),
+            Call::ReplaceConfiguration { base, body } => self.replace_at_leader(waiter, base, body),
+            Call::ShowConfiguration => self.show_at_leader(waiter),
+            Call::ShowPart { part } => self.show_part_at_leader(waiter, part),
             Call::FetchConfiguration { newer_than } => self.fetch_here(waiter, newer_than),
-            Call::SubmitJob(call) => self.submit_at_owner(waiter, call),
-            Call::OfferJob(offer) => self.offered_to_owner(waiter, &offer),
+            Call::SubmitJob(call) => self.submit_at_leader(waiter, call),
+            Call::OfferJob(offer) => self.offered_to_leader(waiter, &offer),
             Call::ReadJob { part, job, resume_after, hold_ms } => {
-                self.read_at_owner(waiter, part, &job, resume_after, hold_ms);
+                self.read_at_leader(waiter, part, &job, resume_after, hold_ms);
             }
-            Call::ReadItem { part, job, item } => self.read_item_at_owner(waiter, part, &job, &item),
-            Call::EndJob { part, job } => self.end_at_owner(waiter, part, &job),
+            Call::ReadItem { part, job, item } => self.read_item_at_leader(waiter, part, &job, &item),
+            Call::EndJob { part, job } => self.end_at_leader(waiter, part, &job),
             Call::Forward { part, within_ms, call } => {
                 self.forward_call(waiter.peer, waiter.number, part, within_ms, &call);
             }
-            Call::BeginRetire { part, node } => self.begin_retire_at_owner(waiter, part, &node),
-            Call::ShowRetire { part, node } => self.show_retire_at_owner(waiter, part, &node),
+            Call::BeginRetire { part, node } => self.begin_retire_at_leader(waiter, part, &node),
+            Call::ShowRetire { part, node } => self.show_retire_at_leader(waiter, part, &node),
         }
     }
 
--- a/crates/tier/src/exchange.rs
+++ b/crates/tier/src/exchange.rs
@@ -6,7 +6,7 @@
 use crate::promises::is_promise;
 use crate::routing::{Candidate, Hints, Question, RouteChoice};
 use crate::timers::Timer;
-use crate::upstream::{CallOwner, Failure, MAX_UNWRITTEN, Target, UpstreamEvent};
+use crate::upstream::{CallLeader, Failure, MAX_UNWRITTEN, Target, UpstreamEvent};
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_gateway::{AttemptToken, Attempts, ExecutorId, FinalAnswer, Kind, Next, Outcome, ServerLoad};
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -194,8 +194,8 @@
         exchange.begun += 1;
         let bytes = executor_request(exchange, &candidate.target, now);
         let attempt_id = exchange.request.head.headers.get(names::ATTEMPT_ID).unwrap_or_default().to_owned();
-        let owner = CallOwner::Exchange(ExchangeKey { place: index, serial: exchange.serial });
-        match self.start_call(owner, &candidate.target, &attempt_id, &bytes) {
+        let leader = CallLeader::Exchange(ExchangeKey { place: index, serial: exchange.serial });
+        match self.start_call(leader, &candidate.target, &attempt_id, &bytes) {
             Ok(connection) => {
                 let attempt = Attempt {
                     connection,
--- a/crates/tier/src/founding.rs
+++ b/crates/tier/src/founding.rs
@@ -1,7 +1,7 @@
 //! The first start of the whole system: one node names the voters of every part, once.
 //!
 //! All processes of the first start get the same seeds, and only they are started with `bootstrap`. The first seed's node
-//! founds; the others step in, one after the other, only if no part has shown an owner for long. A replica takes one founding
+//! founds; the others step in, one after the other, only if no part has shown a leader for long. A replica takes one founding
 //! in its life, so a second one changes nothing where the first was heard.
 
 use crate::batch_front::BATCH_PARTS;
@@ -84,9 +84,9 @@
         };
         let (edges, stores) = (of_class(Class::Edge), of_class(Class::Storage));
         let seen = edges.len() + stores.len();
-        let owned = (0..=BATCH_PARTS).any(|part| self.known_owner(part).is_some());
+        let led = (0..=BATCH_PARTS).any(|part| self.known_leader(part).is_some());
         let Some(founder) = &mut self.founder else { return };
-        if owned {
+        if led {
             // Another seed was first.
             self.founder = None;
             return;
--- a/crates/tier/src/group_care.rs
+++ b/crates/tier/src/group_care.rs
@@ -1,4 +1,4 @@
-//! How owners look after the groups of their parts: voters that are gone make room for others.
+//! How leaders look after the groups of their parts: voters that are gone make room for others.
 
 use crate::copies::LoneCopy;
 use crate::node::Node;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use tracing::{debug, info, warn};
 
-/// How often owners look after their groups.
+/// How often leaders look after their groups.
 pub const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 /// A voter whose node is not there for this long makes room for another. Its node has then been silent for over two
 /// seconds; a group that waits for longer may meet the next loss without having been mended from the first.
@@ -24,7 +24,7 @@
 /// What is remembered for the care of one replica's group.
 #[derive(Debug, Default)]
 pub struct GroupCare {
-    /// Since when voters are absent, as this owner sees it.
+    /// Since when voters are absent, as this leader sees it.
     absent_since: BTreeMap<ReplicaId, Instant>,
     /// The nodes that the change which was begun last takes in.
     joining: Vec<ReplicaId>,
@@ -37,7 +37,7 @@
 }
 
 impl GroupCare {
-    /// Begins anew, as the ownership has ended.
+    /// Begins anew, as the leadership has ended.
     pub fn forget_absences(&mut self) {
         self.absent_since.clear();
         self.joining.clear();
@@ -87,18 +87,18 @@
 }
 
 impl Node {
-    /// Looks after the groups of the parts that this node owns.
+    /// Looks after the groups of the parts that this node leads.
     pub fn group_upkeep(&mut self) {
         self.alarms.set(self.now + MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
         for place in 0..self.parts.len() {
             self.tell_replica(place);
-            if self.parts[place].owns() {
+            if self.parts[place].leads() {
                 self.upkeep_part(place);
                 self.warn_of_lone_copy(place);
                 self.forget_old_jobs(place);
             }
         }
-        self.spread_ownership();
+        self.spread_leadership();
         if self.stopping() {
             // An heir that did not take over, or one that handed the part back, must not keep it here until the end.
             self.hand_over_parts(false);
@@ -119,18 +119,18 @@
             (host.part, host.replica.term().0, host.replica.commit_index().0, host.replica.last());
         let group = host.replica.group();
         let (voters, outgoing) = (group.voters.len(), group.outgoing.len());
-        let owner = host.replica.owner_hint().map_or(0, short);
+        let leader = host.replica.leader_hint().map_or(0, short);
         let own = short(host.replica.identity());
         let names: Vec<u64> = group.members().map(short).collect();
         debug!(
-            "part {part} replica {own} term {term} commit {commit} last {} of term {} owner {owner} group {voters}+{outgoing} {names:?} log {}",
+            "part {part} replica {own} term {term} commit {commit} last {} of term {} leader {leader} group {voters}+{outgoing} {names:?} log {}",
             last.index.0,
             last.term.0,
             host.replica.log_bytes()
         );
     }
 
-    /// Changes the group of a part that this node owns, if its voters call for it.
+    /// Changes the group of a part that this node leads, if its voters call for it.
     fn upkeep_part(&mut self, place: usize) {
         let now = self.now;
         let replica = &self.parts[place].replica;
--- a/crates/tier/src/items.rs
+++ b/crates/tier/src/items.rs
@@ -1,10 +1,10 @@
-//! The owner of a part runs its items at executors, in the room that live requests leave.
+//! The leader of a part runs its items at executors, in the room that live requests leave.
 
 use crate::header_names as names;
 use crate::node::Node;
 use crate::routing::Hints;
 use crate::timers::Timer;
-use crate::upstream::{CallOwner, Failure, UpstreamEvent};
+use crate::upstream::{CallLeader, Failure, UpstreamEvent};
 use grebeusher_batch::{EventReader, EventTaken, FairShare, Outcome as RunOutcome, RunId, RunOrder};
 use grebeusher_configuration::configuration::RouteType;
 use grebeusher_gateway::{AttemptToken, Outcome, ServerLoad};
@@ -44,9 +44,9 @@
     active: FxHashMap<u64, ActiveRun>,
     waking: bool,
     told: Instant,
-    /// What the owners of other parts tell.
+    /// What the leaders of other parts tell.
     pub(crate) shares: FairShare,
-    /// When the load of each owned part was told last.
+    /// When the load of each led part was told last.
     pub(crate) load_told: BTreeMap<u8, Instant>,
 }
 
@@ -72,13 +72,13 @@
         let now = self.now;
         let mut waits = false;
         for place in 0..self.parts.len() {
-            if !self.parts[place].owns() || self.stopping() {
+            if !self.parts[place].leads() || self.stopping() {
                 continue;
             }
             if let Some(part) = self.batch_mut(place) {
                 part.runner.tick(now);
             }
-            // An owner that wakes from a freeze still believes that it is one.
+            // A leader that wakes from a freeze still believes that it is one.
             if self.parts[place].replica.lease_holds(self.clock()) {
                 self.begin_items(place);
             }
@@ -164,7 +164,7 @@
         };
         let key = self.next_serial();
         let bytes = item_request(&order, &candidate.target.instance);
-        match self.start_call(CallOwner::Item(key), &candidate.target, &order.attempt_id, &bytes) {
+        match self.start_call(CallLeader::Item(key), &candidate.target, &order.attempt_id, &bytes) {
             Ok(connection) => {
                 let run = ActiveRun {
                     place,
--- a/crates/tier/src/owner_balance.rs
+++ b/crates/tier/src/leader_balance.rs
@@ -1,5 +1,5 @@
-//! The batch parts are owned by different machines where they can be. An owner sends each byte of jobs and results to all
-//! other replicas and runs the items of its part; one that owns several parts has its link, its processor and its share of
+//! The batch parts are led by different machines where they can be. A leader sends each byte of jobs and results to all
+//! other replicas and runs the items of its part; one that leads several parts has its link, its processor and its share of
 //! executors' connections full while others idle. After a loss of all power elections may come out so.
 
 use crate::batch_front::BATCH_PARTS;
@@ -10,8 +10,8 @@
 use grebeusher_time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// An ownership is not handed on for balance sooner than this after it began: its end must have become known, and so must
-/// the owners of the other parts.
+/// A leadership is not handed on for balance sooner than this after it began: its end must have become known, and so must
+/// the leaders of the other parts.
 const STABILITY_DURATION: Duration = Duration::from_millis(300);
 /// Nor sooner than this after the last time: a hand-over interrupts the items that run.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(5000);
@@ -21,37 +21,37 @@
 pub struct Heir {
     /// Its disk identity.
     pub replica: ReplicaId,
-    /// The parts that its node owns.
-    pub owned: usize,
+    /// The parts that its node leads.
+    pub led: usize,
 }
 
-/// The heir that is to have a part of an owner of `owned` parts: the first of those that own fewest, if the two come closer
+/// The heir that is to have a part of a leader of `led` parts: the first of those that own fewest, if the two come closer
 /// by it.
-pub fn relieving_heir(owned: usize, heirs: &[Heir]) -> Option<ReplicaId> {
-    let least = heirs.iter().map(|heir| heir.owned).min()?;
-    let relieves = least + 1 < owned;
-    heirs.iter().find(|heir| relieves && heir.owned == least).map(|heir| heir.replica)
+pub fn relieving_heir(led: usize, heirs: &[Heir]) -> Option<ReplicaId> {
+    let least = heirs.iter().map(|heir| heir.led).min()?;
+    let relieves = least + 1 < led;
+    heirs.iter().find(|heir| relieves && heir.led == least).map(|heir| heir.replica)
 }
 
 impl Node {
-    /// Hands one batch part to a voter whose node owns none or fewer, where this node owns several that have items.
-    pub(crate) fn spread_ownership(&mut self) {
+    /// Hands one batch part to a voter whose node leads none or fewer, where this node leads several that have items.
+    pub(crate) fn spread_leadership(&mut self) {
         let now = self.now;
         if self.stopping() || now < self.spread_after {
             return;
         }
-        let places = (0..self.parts.len()).filter(|place| self.owns_batch_part(*place));
-        let mut owned: Vec<usize> = places.collect();
-        // Parts without items cost their owner nothing.
-        owned.retain(|place| self.batch_load(*place) != PartLoad::default());
-        if owned.len() < 2 {
+        let places = (0..self.parts.len()).filter(|place| self.leads_batch_part(*place));
+        let mut led: Vec<usize> = places.collect();
+        // Parts without items cost their leader nothing.
+        led.retain(|place| self.batch_load(*place) != PartLoad::default());
+        if led.len() < 2 {
             return;
         }
         // A hand-over interrupts what runs: the one with the fewest runs goes.
-        owned.sort_by_key(|place| self.batch_load(*place).running);
-        for place in owned.iter().copied() {
+        led.sort_by_key(|place| self.batch_load(*place).running);
+        for place in led.iter().copied() {
             if self.may_hand_over(place, now)
-                && let Some(heir) = relieving_heir(owned.len(), &self.heirs_of(place))
+                && let Some(heir) = relieving_heir(led.len(), &self.heirs_of(place))
             {
                 self.spread_after = now + REBALANCE_INTERVAL;
                 return self.relieve(place, heir);
@@ -59,14 +59,14 @@
         }
     }
 
-    fn owns_batch_part(&self, place: usize) -> bool {
+    fn leads_batch_part(&self, place: usize) -> bool {
         let host = &self.parts[place];
-        host.owns() && (1..=BATCH_PARTS).contains(&host.part)
+        host.leads() && (1..=BATCH_PARTS).contains(&host.part)
     }
 
     fn may_hand_over(&self, place: usize, now: Instant) -> bool {
         let host = &self.parts[place];
-        let since = host.owned_since().is_some_and(|since| now.since(since) >= STABILITY_DURATION);
+        let since = host.leader_since().is_some_and(|since| now.since(since) >= STABILITY_DURATION);
         since && host.replica.is_settled() && !host.replica.is_handing_over()
     }
 
@@ -75,9 +75,9 @@
         let retiring = self.retiring_nodes(place);
         let heir = |replica: ReplicaId| {
             let member = self.registry.member_by_replica(replica.0)?;
-            let owned = self.owners.count_of(&self.registry, member.address, 1..=BATCH_PARTS);
+            let led = self.leaders.count_of(&self.registry, member.address, 1..=BATCH_PARTS);
             let stays = member.state == MemberState::Alive && !retiring.contains(&member.name);
-            stays.then_some(Heir { replica, owned })
+            stays.then_some(Heir { replica, led })
         };
         self.parts[place].replica.heirs().into_iter().filter_map(heir).collect()
     }
--- /dev/null
+++ b/crates/tier/src/leaders.rs
@@ -0,0 +1,84 @@
+//! Which node leads which part, by what the nodes tell of themselves.
+
+use grebeusher_registry::{Facts, Generation, Registry};
+use nanoserde::{DeBin, SerBin};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+/// The facts that a node tells of itself: the parts that it leads.
+#[derive(Clone, Debug, Default, SerBin, DeBin)]
+pub struct LedParts {
+    /// Each part once.
+    pub parts: Vec<LedPart>,
+}
+
+/// A part that a node leads.
+#[derive(Clone, Debug, SerBin, DeBin)]
+pub struct LedPart {
+    /// Which part.
+    pub part: u8,
+    /// The term at which it is led.
+    pub term: u64,
+}
+
+/// The leaders as the registry last told them. Facts are read once for each change of the registry, not at each call.
+#[derive(Default)]
+pub struct LeaderIndex {
+    known: RefCell<Known>,
+}
+
+#[derive(Default)]
+struct Known {
+    /// Of the nodes and of the facts when these leaders were read; none before the first time.
+    read_at: Option<(u64, u64)>,
+    /// The term and the internal address of the leader of each part.
+    leaders: BTreeMap<u8, (u64, SocketAddrV4)>,
+}
+
+impl LeaderIndex {
+    /// The node that leads a part, by the highest term that any living node has told.
+    pub fn leader(&self, registry: &Registry, part: u8) -> Option<SocketAddrV4> {
+        let mut known = self.known.borrow_mut();
+        let Generation { members, facts, .. } = registry.generation();
+        if known.read_at != Some((members, facts)) {
+            *known = Known { read_at: Some((members, facts)), leaders: read_leaders(registry) };
+        }
+        known.leaders.get(&part).map(|(_, address)| *address)
+    }
+
+    /// How many of these parts the node at an address leads.
+    pub fn count_of(
+        &self,
+        registry: &Registry,
+        node: SocketAddrV4,
+        parts: std::ops::RangeInclusive<u8>,
+    ) -> usize {
+        parts.filter(|part| self.leader(registry, *part) == Some(node)).count()
+    }
+}
+
+fn read_leaders(registry: &Registry) -> BTreeMap<u8, (u64, SocketAddrV4)> {
+    let mut leaders = BTreeMap::new();
+    for facts in registry.facts() {
+        if let Some(address) = address_of_teller(registry, facts)
+            && let Ok(led) = <LedParts as DeBin>::deserialize_bin(&facts.payload)
+        {
+            led.parts.iter().for_each(|led| note_leader(&mut leaders, led, address));
+        }
+    }
+    leaders
+}
+
+/// Where the node of these facts is, if it lives and they are of its present life.
+fn address_of_teller(registry: &Registry, facts: &Facts) -> Option<SocketAddrV4> {
+    let member = registry.member(&facts.node).filter(|member| member.serves())?;
+    (member.incarnation == facts.incarnation).then_some(member.address)
+}
+
+/// The higher term leads; of two alike the one that was read first.
+fn note_leader(leaders: &mut BTreeMap<u8, (u64, SocketAddrV4)>, led: &LedPart, address: SocketAddrV4) {
+    if leaders.get(&led.part).is_none_or(|(term, _)| led.term > *term) {
+        leaders.insert(led.part, (led.term, address));
+    }
+}
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -49,11 +49,11 @@
     let show = construct!(Command::Show { address })
         .to_options()
         .descr(
-            "Show members, executors, parts with their owners, terms, groups and jobs, and the configuration in force, \
+            "Show members, executors, parts with their leaders, terms, groups and jobs, and the configuration in force, \
              as the node at ADDRESS knows them",
         )
         .command("show")
-        .help("Show members, executors, parts, owners, terms, jobs and the configuration, as a running node knows them");
+        .help("Show members, executors, parts, leaders, terms, jobs and the configuration, as a running node knows them");
     construct!([edge, storage, check, show])
         .to_options()
         .version(env!("CARGO_PKG_VERSION"))
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -16,7 +16,7 @@
     Reply = 4,
     /// What nodes tell of popular prefixes of prompts.
     Popularity = 5,
-    /// What owners of batch parts tell each other of their items.
+    /// What leaders of batch parts tell each other of their items.
     BatchLoad = 6,
 }
 
@@ -48,7 +48,7 @@
     pub message: Vec<u8>,
 }
 
-/// The items of a part, as its owner tells the owners of the others.
+/// The items of a part, as its leader tells the leaders of the others.
 #[derive(Clone, Copy, Debug, SerBin, DeBin)]
 pub struct BatchLoad {
     /// The part.
@@ -107,33 +107,33 @@
 pub enum Call {
     /// Founds a part with these disk identities as its voters; only in the first life of the whole system.
     Found { part: u8, voters: Vec<u64> },
-    /// Takes a configuration on top of `base`; for the owner of the configuration.
+    /// Takes a configuration on top of `base`; for the leader of the configuration.
     ReplaceConfiguration { base: u64, body: Vec<u8> },
-    /// The newest configuration, proven by the owner's lease.
+    /// The newest configuration, proven by the leader's lease.
     ShowConfiguration,
-    /// What the owner of a part says of it, for operators.
+    /// What the leader of a part says of it, for operators.
     ShowPart { part: u8 },
     /// The newest configuration that the node knows, if it is newer than this version.
     FetchConfiguration { newer_than: u64 },
-    /// Takes a batch job; for the owner of the part.
+    /// Takes a batch job; for the leader of the part.
     SubmitJob(SubmitJob),
-    /// Reads the results of a job; for the owner of the part.
+    /// Reads the results of a job; for the leader of the part.
     ReadJob { part: u8, job: String, resume_after: u64, hold_ms: u32 },
-    /// The body of an item that is not listed yet; for the owner of the part.
+    /// The body of an item that is not listed yet; for the leader of the part.
     ReadItem { part: u8, job: String, item: String },
-    /// Ends a job; for the owner of the part.
+    /// Ends a job; for the leader of the part.
     EndJob { part: u8, job: String },
-    /// Passes a call, encoded, on to the owner of a part, for a node that can't reach it; within this many milliseconds.
+    /// Passes a call, encoded, on to the leader of a part, for a node that can't reach it; within this many milliseconds.
     Forward { part: u8, within_ms: u32, call: Vec<u8> },
-    /// Asks the owner of a part to move its data off a storage node.
+    /// Asks the leader of a part to move its data off a storage node.
     BeginRetire { part: u8, node: String },
-    /// Asks the owner of a part whether its data has left a storage node.
+    /// Asks the leader of a part whether its data has left a storage node.
     ShowRetire { part: u8, node: String },
-    /// Asks the owner of a part whether it wants a batch job, before its bodies are sent, and what became of it if they were.
+    /// Asks the leader of a part whether it wants a batch job, before its bodies are sent, and what became of it if they were.
     OfferJob(OfferJob),
 }
 
-/// A batch job by its name and size. The bodies go only to an owner that wants them: on a link that is full, copies of them
+/// A batch job by its name and size. The bodies go only to a leader that wants them: on a link that is full, copies of them
 /// that are refused, or were there already, would keep it full.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct OfferJob {
@@ -149,7 +149,7 @@
     pub queue_token_limit: u64,
 }
 
-/// A batch job on its way to the owner of its part.
+/// A batch job on its way to the leader of its part.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct SubmitJob {
     /// The part that the job belongs to.
@@ -170,8 +170,8 @@
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Reply {
     /// The node doesn't own the part; perhaps this one (by name) does.
-    NotOwner { owner: Option<String> },
-    /// The node owns the part and can't say now.
+    NotLeader { leader: Option<String> },
+    /// The node leads the part and can't say now.
     Unavailable,
     /// What was asked may or may not come to be.
     Unclear,
@@ -189,7 +189,7 @@
     /// What it is, for the log.
     pub fn name(&self) -> String {
         match self {
-            Reply::NotOwner { .. } => "no owner".to_owned(),
+            Reply::NotLeader { .. } => "no leader".to_owned(),
             Reply::Unavailable => "unavailable".to_owned(),
             Reply::Unclear => "unclear".to_owned(),
             Reply::Done => "done".to_owned(),
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -7,8 +7,8 @@
 use crate::founding::Founder;
 use crate::io::{Listener, SharedWorld};
 use crate::items::ItemRuns;
+use crate::leaders::LeaderIndex;
 use crate::messages::{CallNumber, CallNumbers};
-use crate::owners::OwnerIndex;
 use crate::parts::PartHost;
 use crate::remembered::Remembered;
 use crate::retire::RetireGathering;
@@ -100,7 +100,7 @@
     pub(crate) popularity_written: Instant,
     pub(crate) told_waiters: FxHashMap<CallToken, (usize, u64)>,
     pub(crate) routing: Routing,
-    pub(crate) owners: OwnerIndex,
+    pub(crate) leaders: LeaderIndex,
     /// When a part may next be handed on so that the parts are spread.
     pub(crate) spread_after: Instant,
     pub(crate) routing_changed: bool,
@@ -137,7 +137,7 @@
         let most_connections = listeners.most_connections;
         let mut node = Node {
             routing: Routing::new(settings.zone.as_str(), seed),
-            owners: OwnerIndex::default(),
+            leaders: LeaderIndex::default(),
             spread_after: Instant(0),
             items: ItemRuns::default(),
             replica_names: FxHashMap::default(),
@@ -372,7 +372,7 @@
     }
 
     /// The clock as it is now. `now` is what it was at the start of the turn, and the process may have stood still since:
-    /// whatever proves something to somebody (a lease to a reader, a sign of life of an owner to the other candidates) goes
+    /// whatever proves something to somebody (a lease to a reader, a sign of life of a leader to the other candidates) goes
     /// by a look at the clock that is later than the question or the message.
     pub(crate) fn clock(&self) -> Instant {
         self.world.now()
--- a/crates/tier/src/part_status.rs
+++ b/crates/tier/src/part_status.rs
@@ -1,4 +1,4 @@
-//! What the owner of a part says of it, for operators: its term, its group, its jobs.
+//! What the leader of a part says of it, for operators: its term, its group, its jobs.
 
 use crate::calls::{Continuation, OperatorQuestion};
 use crate::control::OPERATOR_TIMEOUT;
@@ -12,16 +12,16 @@
 const MAX_JOBS: usize = 500;
 
 impl Node {
-    /// The operator's question for a part, passed on to its owner.
+    /// The operator's question for a part, passed on to its leader.
     pub fn part_request(&mut self, connection: usize, serial: u64, part: u8) {
         let question = OperatorQuestion::Part;
         let continuation = Continuation::Operator { connection, serial, question };
-        self.call_owner(part, Call::ShowPart { part }, self.now + OPERATOR_TIMEOUT, continuation);
+        self.call_leader(part, Call::ShowPart { part }, self.now + OPERATOR_TIMEOUT, continuation);
     }
 
-    /// The owner's status of a part.
-    pub(crate) fn show_part_at_owner(&mut self, waiter: Waiter, part: u8) {
-        let Some(place) = self.owned_place(part, waiter) else { return };
+    /// The leader's status of a part.
+    pub(crate) fn show_part_at_leader(&mut self, waiter: Waiter, part: u8) {
+        let Some(place) = self.led_place(part, waiter) else { return };
         let retiring = self.retiring_nodes(place);
         let mut text = String::new();
         // Writing to a string can't fail.
--- a/crates/tier/src/parts.rs
+++ b/crates/tier/src/parts.rs
@@ -5,9 +5,9 @@
 use crate::disk_room::DiskRoom;
 use crate::group_care::GroupCare;
 use crate::io::{PartStore, World};
+use crate::leaders::{LedPart, LedParts};
 use crate::messages::{CallNumber, Channel, QuorumEnvelope, Reply};
 use crate::node::{Node, RunError};
-use crate::owners::{OwnedPart, OwnedParts};
 use grebeusher_quorum::{Blob, Index, Replica, ReplicaId, Term, Timing, Write};
 use grebeusher_registry::{Class, MemberState};
 use grebeusher_time::{Duration, Instant};
@@ -65,8 +65,8 @@
     room: DiskRoom,
     /// The log is written anew beyond this (bytes).
     compact_at: usize,
-    /// Since when the application acts as the owner's.
-    owned_since: Option<Instant>,
+    /// Since when the application acts as the leader's.
+    leader_since: Option<Instant>,
     pub(crate) care: GroupCare,
 }
 
@@ -98,7 +98,7 @@
             applied: Index(0),
             room: tuning.room,
             compact_at: tuning.room.log_beside(0),
-            owned_since: None,
+            leader_since: None,
             care: GroupCare::default(),
         })
     }
@@ -108,19 +108,19 @@
         self.replica.next_wake()
     }
 
-    /// Whether this node acts as the part's owner.
-    pub fn owns(&self) -> bool {
-        self.owned_since.is_some()
+    /// Whether this node acts as the part's leader.
+    pub fn leads(&self) -> bool {
+        self.leader_since.is_some()
     }
 
-    /// Since when this node acts as the part's owner.
-    pub fn owned_since(&self) -> Option<Instant> {
-        self.owned_since
+    /// Since when this node acts as the part's leader.
+    pub fn leader_since(&self) -> Option<Instant> {
+        self.leader_since
     }
 
     /// Lets the application refer to the snapshot of it that was just written, in the stead of the entries that it replaces:
     /// otherwise these stayed in memory for the texts in them, beside a snapshot with the same texts. A snapshot of
-    /// another state than the application's, which came from the owner, is loaded later and not here.
+    /// another state than the application's, which came from the leader, is loaded later and not here.
     fn refer_to_snapshot(&mut self, writes: &[Write]) {
         let Application::Batch(batch) = &mut self.application else { return };
         let of_this_state = writes.iter().find_map(|write| match write {
@@ -142,7 +142,7 @@
     }
 }
 
-/// The spans of a part's ownership. Reads need the lease, and the loss of an owner is noticed within `election_max`.
+/// The spans of a part's leadership. Reads need the lease, and the loss of a leader is noticed within `election_max`.
 fn timing(part: u8, link_mbps: f64) -> Timing {
     let configuration = part == crate::control::CONFIGURATION_PART;
     let (heartbeat, min, max) = if configuration {
@@ -220,7 +220,7 @@
             self.parts[place].applied = self.parts[place].applied.max(ready.applied);
             self.compact_part(place);
         }
-        self.follow_ownership(place);
+        self.follow_leadership(place);
         Ok(())
     }
 
@@ -281,19 +281,19 @@
         host.compact_at = host.room.log_beside(size);
     }
 
-    /// Begins or ends to act as the owner of a part.
-    fn follow_ownership(&mut self, place: usize) {
+    /// Begins or ends to act as the leader of a part.
+    fn follow_leadership(&mut self, place: usize) {
         let now = self.now;
         let host = &mut self.parts[place];
-        let owns = host.replica.is_owner() && (host.owns() || host.replica.lease_holds(now));
-        if owns == host.owns() {
+        let leads = host.replica.is_leader() && (host.leads() || host.replica.lease_holds(now));
+        if leads == host.leads() {
             return;
         }
-        host.owned_since = owns.then_some(now);
+        host.leader_since = leads.then_some(now);
         let part = host.part;
         let term = host.replica.term();
-        info!("part {part}: {} at term {}", if owns { "owner" } else { "no longer owner" }, term.0);
-        if !owns {
+        info!("part {part}: {} at term {}", if leads { "leader" } else { "no longer leader" }, term.0);
+        if !leads {
             let waiters: Vec<Waiter> =
                 std::mem::take(&mut host.waiters).into_values().flat_map(|(_, waiters)| waiters).collect();
             let deferred = std::mem::take(&mut host.deferred);
@@ -303,36 +303,36 @@
                 self.reply(waiter.peer, waiter.number, Reply::Unavailable);
             }
         }
-        self.owner_changed(place, owns);
-        self.tell_ownership();
+        self.leader_changed(place, leads);
+        self.tell_leadership();
     }
 
-    fn owner_changed(&mut self, place: usize, owns: bool) {
+    fn leader_changed(&mut self, place: usize, leads: bool) {
         match &mut self.parts[place].application {
-            Application::Configuration(part) => part.owner_changed(),
-            Application::Batch(_) => self.batch_owner_changed(place, owns),
+            Application::Configuration(part) => part.leader_changed(),
+            Application::Batch(_) => self.batch_leader_changed(place, leads),
         }
     }
 
-    /// Tells all nodes which parts this node owns, at which terms.
-    fn tell_ownership(&mut self) {
-        let owned = self.parts.iter().filter(|host| host.owns());
-        let facts = OwnedParts {
-            parts: owned.map(|host| OwnedPart { part: host.part, term: host.replica.term().0 }).collect(),
+    /// Tells all nodes which parts this node leads, at which terms.
+    fn tell_leadership(&mut self) {
+        let led = self.parts.iter().filter(|host| host.leads());
+        let facts = LedParts {
+            parts: led.map(|host| LedPart { part: host.part, term: host.replica.term().0 }).collect(),
         };
         if self.registry.set_facts(self.now, SerBin::serialize_bin(&facts)).is_err() {
             warn!("more parts are owned than can be told");
         }
     }
 
-    /// The parts that this node acts as the owner of.
-    pub fn owned_parts(&self) -> impl Iterator<Item = u8> + '_ {
-        self.parts.iter().filter(|host| host.owns()).map(|host| host.part)
+    /// The parts that this node acts as the leader of.
+    pub fn led_parts(&self) -> impl Iterator<Item = u8> + '_ {
+        self.parts.iter().filter(|host| host.leads()).map(|host| host.part)
     }
 
-    /// The voters of a part that this node owns, if their group is decided and no other one is on its way.
+    /// The voters of a part that this node leads, if their group is decided and no other one is on its way.
     pub fn settled_voters(&self, part: u8) -> Option<&[ReplicaId]> {
-        let host = self.parts.iter().find(|host| host.part == part && host.owns())?;
+        let host = self.parts.iter().find(|host| host.part == part && host.leads())?;
         host.replica.is_settled().then(|| host.replica.group().voters.as_slice())
     }
 
@@ -341,16 +341,16 @@
         self.identity
     }
 
-    /// The node that owns a part, by the highest term that any has told.
-    pub fn known_owner(&self, part: u8) -> Option<SocketAddrV4> {
-        self.owners.owner(&self.registry, part)
+    /// The node that leads a part, by the highest term that any has told.
+    pub fn known_leader(&self, part: u8) -> Option<SocketAddrV4> {
+        self.leaders.leader(&self.registry, part)
     }
 
-    /// The next node to be asked for the owner of a part: the one that says it is, then any that holds a replica.
-    pub fn owner_candidate(&self, part: u8, tried: &[SocketAddrV4]) -> Option<SocketAddrV4> {
+    /// The next node to be asked for the leader of a part: the one that says it is, then any that holds a replica.
+    pub fn leader_candidate(&self, part: u8, tried: &[SocketAddrV4]) -> Option<SocketAddrV4> {
         let untried = |address: &SocketAddrV4| !tried.contains(address);
-        if let Some(owner) = self.known_owner(part).filter(untried) {
-            return Some(owner);
+        if let Some(leader) = self.known_leader(part).filter(untried) {
+            return Some(leader);
         }
         let class = class_of_part(part);
         let holders = self.registry.live_members().filter(|member| member.class == class);
@@ -359,11 +359,11 @@
         addresses.get(self.now.0 as usize % addresses.len().max(1)).copied()
     }
 
-    /// Gives the ownership of parts to others, as this process is about to end; `at_the_start` of that, or again later.
+    /// Gives the leadership of parts to others, as this process is about to end; `at_the_start` of that, or again later.
     pub fn hand_over_parts(&mut self, at_the_start: bool) {
         let now = self.now;
         for place in 0..self.parts.len() {
-            if !self.parts[place].owns() || self.parts[place].replica.is_handing_over() {
+            if !self.parts[place].leads() || self.parts[place].replica.is_handing_over() {
                 continue;
             }
             let heir = self.staying_heir(place);
@@ -397,10 +397,10 @@
         self.registry.member(name).map(|member| member.address)
     }
 
-    /// The name of the owner of a part, as its replica here knows it.
-    pub fn owner_name(&self, place: usize) -> Option<String> {
-        let owner = self.parts[place].replica.owner_hint()?;
-        self.registry.member_by_replica(owner.0).map(|member| member.name.clone())
+    /// The name of the leader of a part, as its replica here knows it.
+    pub fn leader_name(&self, place: usize) -> Option<String> {
+        let leader = self.parts[place].replica.leader_hint()?;
+        self.registry.member_by_replica(leader.0).map(|member| member.name.clone())
     }
 }
 
--- a/crates/tier/src/retire.rs
+++ b/crates/tier/src/retire.rs
@@ -1,6 +1,6 @@
-//! Emptying a storage machine: the operator's calls at an edge node, and what the owner of each batch part says to them.
+//! Emptying a storage machine: the operator's calls at an edge node, and what the leader of each batch part says to them.
 //!
-//! A refusal rests on what the proven owners of all parts say, not on what one node has heard of the others: a node that was
+//! A refusal rests on what the proven leaders of all parts say, not on what one node has heard of the others: a node that was
 //! cut off or has just started knows few machines. Whoever can't be sure says 503.
 
 use crate::batch_part::RETIRE_ENTRY;
@@ -27,14 +27,14 @@
     Show,
 }
 
-/// What the owner of one part says.
+/// What the leader of one part says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartVerdict {
     /// The order is taken, or the part's data has left the machine.
     Done,
     /// The part's data is still there.
     NotYet,
-    /// The owner knows no such machine.
+    /// The leader knows no such machine.
     Unknown,
     /// Too few machines would be left.
     TooFew,
@@ -138,7 +138,7 @@
                 RetireQuestion::Show => Call::ShowRetire { part, node },
             };
             let until = self.now + OPERATOR_TIMEOUT;
-            self.call_owner(part, call, until, Continuation::Retire { gathering: number });
+            self.call_leader(part, call, until, Continuation::Retire { gathering: number });
         }
     }
 
@@ -167,9 +167,9 @@
         self.registry.member(name).is_some_and(|member| member.class == Class::Storage)
     }
 
-    pub(crate) fn begin_retire_at_owner(&mut self, waiter: Waiter, number: u8, node: &str) {
+    pub(crate) fn begin_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
         let now = self.now;
-        let Some(place) = self.owned_place(number, waiter) else { return };
+        let Some(place) = self.led_place(number, waiter) else { return };
         let refused = |status| Reply::Answer { status, body: Vec::new() };
         let Some(part) = self.batch_mut(place) else { return };
         if part.retiring.contains(node) {
@@ -215,8 +215,8 @@
     }
 
     /// 200: the part's data has left the node; 202: not yet.
-    pub(crate) fn show_retire_at_owner(&mut self, waiter: Waiter, number: u8, node: &str) {
-        let Some(place) = self.owned_place(number, waiter) else { return };
+    pub(crate) fn show_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
+        let Some(place) = self.led_place(number, waiter) else { return };
         let asked = self.retiring_nodes(place).iter().any(|retiring| retiring == node);
         let known = asked || self.knows_storage_node(node);
         let reply = if asked && self.is_whole_without(place, node) {
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/routing.rs
@@ -24,9 +24,9 @@
 /// What a client is told to wait by a node that has just started.
 pub const STARTING_RETRY: Duration = Duration::from_millis(700);
 
-/// An owner of a batch part may have one of so many parts of an executor's connections.
-const OWNERS_SHARES: u32 = 3;
-/// By how much more than their number the edge nodes divide the connections, as owners have a third of them.
+/// A leader of a batch part may have one of so many parts of an executor's connections.
+const LEADERS_SHARES: u32 = 3;
+/// By how much more than their number the edge nodes divide the connections, as leaders have a third of them.
 const EDGE_SHARES: f64 = 1.5;
 
 /// Where an attempt goes.
@@ -229,11 +229,11 @@
         }
     }
 
-    /// Into how many parts an executor's connections are divided. The owners of batch parts, few and with most of the
+    /// Into how many parts an executor's connections are divided. The leaders of batch parts, few and with most of the
     /// requests in flight, have a third; the rest is for the edge nodes, whose requests are spread evenly.
     fn connection_shares(&self) -> u32 {
         if self.registry.own_member().class == Class::Storage {
-            return OWNERS_SHARES;
+            return LEADERS_SHARES;
         }
         let edges = self.registry.live_members().filter(|member| member.class == Class::Edge).count();
         let shares = edges.max(1) as f64 * EDGE_SHARES;
--- a/crates/tier/src/show.rs
+++ b/crates/tier/src/show.rs
@@ -32,7 +32,7 @@
     },
 }
 
-/// What a node says of itself and of the tier, and what the owners of all parts say of them, a line for each thing. The
+/// What a node says of itself and of the tier, and what the leaders of all parts say of them, a line for each thing. The
 /// address is the node's control address.
 ///
 /// # Errors
@@ -43,7 +43,7 @@
     let mut text = answer.filter(|answer| answer.status == 200).context(NoStatusSnafu { address })?.text;
     for part in 0..=BATCH_PARTS {
         match read_answer(&ask(&format!("/api/status/{part}"))?) {
-            Some(Answer { status: 200, text: owner }) => text += &owner,
+            Some(Answer { status: 200, text: leader }) => text += &leader,
             Some(Answer { status, .. }) => {
                 text += &format!("part {part}: no owner answers (status {status})\n")
             }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -5,11 +5,11 @@
 use grebeusher_time::{Duration, DurationExt};
 use std::fmt::Write;
 
-/// A node without the owner's word serves by what its peers have after this.
+/// A node without the leader's word serves by what its peers have after this.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Node {
-    /// Whether the platform should send clients: a configuration proven by its owner, executors known, not stopping, and
+    /// Whether the platform should send clients: a configuration proven by its leader, executors known, not stopping, and
     /// not cut off from all other nodes, as clients are better off elsewhere then.
     pub fn is_ready(&self) -> bool {
         let proven = self.configuration_proven || self.now.0 >= PROOF_TIMEOUT.nanos();
@@ -18,7 +18,7 @@
         !self.stopping() && serves && !self.registry.is_isolated(self.now)
     }
 
-    /// Members, executors, parts, owners and counters, a line each.
+    /// Members, executors, parts, leaders and counters, a line each.
     pub fn status_text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
@@ -35,8 +35,8 @@
             writeln!(text, "member {name} {} {state:?} {:?} {zone}", member.address, member.class)?;
         }
         for part in 0..=crate::batch_front::BATCH_PARTS {
-            match self.known_owner(part) {
-                Some(owner) => writeln!(text, "part {part} owner {owner}")?,
+            match self.known_leader(part) {
+                Some(leader) => writeln!(text, "part {part} owner {leader}")?,
                 None => writeln!(text, "part {part} without an owner")?,
             }
         }
--- a/crates/tier/src/stop.rs
+++ b/crates/tier/src/stop.rs
@@ -77,7 +77,7 @@
 }
 
 impl Node {
-    /// Begins to stop: nobody is to be sent here any more, and others take over what this process owns.
+    /// Begins to stop: nobody is to be sent here any more, and others take over what this process leads.
     pub(crate) fn begin_to_stop(&mut self) {
         let departure = Departure::new(self.now, Duration::from_seconds(self.settings.bounds.grace_period_s));
         self.departure = Some(departure);
--- a/crates/tier/src/timers.rs
+++ b/crates/tier/src/timers.rs
@@ -23,7 +23,7 @@
     HeldReadExpires { read: u64 },
     /// The founder of the parts looks whether it can found.
     Found,
-    /// Owners look after their groups.
+    /// Leaders look after their groups.
     GroupUpkeep,
     /// Slow housekeeping.
     Sweep,
--- a/crates/tier/src/upstream.rs
+++ b/crates/tier/src/upstream.rs
@@ -23,7 +23,7 @@
 
 /// Whose call a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallOwner {
+pub enum CallLeader {
     /// A client's request.
     Exchange(ExchangeKey),
     /// An item of a batch job, by the number of its run.
@@ -50,7 +50,7 @@
     MidBody,
 }
 
-/// What the owner of a call is told.
+/// What the leader of a call is told.
 pub enum UpstreamEvent<'a> {
     /// The answer's head.
     Head {
@@ -78,7 +78,7 @@
 pub struct Upstream {
     target: Target,
     state: State,
-    owner: Option<CallOwner>,
+    leader: Option<CallLeader>,
     attempt_id: String,
     usable_until: Instant,
     closes: bool,
@@ -87,7 +87,7 @@
 impl Upstream {
     /// Whether it carries a call.
     pub fn is_busy(&self) -> bool {
-        self.owner.is_some()
+        self.leader.is_some()
     }
 }
 
@@ -98,14 +98,14 @@
     /// `Failure::NeverSent` where no connection could even be begun.
     pub fn start_call(
         &mut self,
-        owner: CallOwner,
+        leader: CallLeader,
         target: &Target,
         attempt_id: &str,
         request: &[u8],
     ) -> Result<usize, Failure> {
         while let Some(index) = self.take_idle(&target.instance) {
             let Some((socket, upstream)) = self.upstream_mut(index) else { continue };
-            upstream.owner = Some(owner);
+            upstream.leader = Some(leader);
             attempt_id.clone_into(&mut upstream.attempt_id);
             upstream.state = State::AwaitingHead;
             socket.put(request);
@@ -115,19 +115,19 @@
             // The write failed at once, before a byte went out: the executor had closed the connection.
             let nothing_sent = socket.waiting() == request.len();
             if let Some((_, upstream)) = self.upstream_mut(index) {
-                upstream.owner = None;
+                upstream.leader = None;
             }
             self.close(index);
             if !nothing_sent {
                 return Err(Failure::BeforeHead);
             }
         }
-        self.dial_call(owner, target, attempt_id, request)
+        self.dial_call(leader, target, attempt_id, request)
     }
 
     fn dial_call(
         &mut self,
-        owner: CallOwner,
+        leader: CallLeader,
         target: &Target,
         attempt_id: &str,
         request: &[u8],
@@ -135,7 +135,7 @@
         let upstream = Upstream {
             target: target.clone(),
             state: State::Connecting,
-            owner: Some(owner),
+            leader: Some(leader),
             attempt_id: attempt_id.to_owned(),
             usable_until: self.now + KEEP_IDLE,
             closes: false,
@@ -169,10 +169,10 @@
         }
     }
 
-    /// Gives up a call: its connection is closed, and the owner hears no more of it.
+    /// Gives up a call: its connection is closed, and the leader hears no more of it.
     pub fn abort_call(&mut self, index: usize) {
         if let Some((_, upstream)) = self.upstream_mut(index) {
-            upstream.owner = None;
+            upstream.leader = None;
             self.close(index);
         }
     }
@@ -270,9 +270,9 @@
         // An answer with another id belongs to an earlier request: it is read and dropped.
         let surplus = head.headers.get(names::ATTEMPT_ID).is_some_and(|id| id != upstream.attempt_id);
         upstream.state = State::Body { reader: BodyReader::new(framing), surplus };
-        let owner = upstream.owner;
-        if !surplus && let Some(owner) = owner {
-            self.deliver(owner, UpstreamEvent::Head { status: head.status, headers: &head.headers });
+        let leader = upstream.leader;
+        if !surplus && let Some(leader) = leader {
+            self.deliver(leader, UpstreamEvent::Head { status: head.status, headers: &head.headers });
         }
         self.upstream_if_bodiless(index);
         Some(length)
@@ -291,13 +291,13 @@
 
     fn upstream_body(&mut self, index: usize, serial: u64, bytes: &[u8]) -> Option<usize> {
         let (_, upstream) = self.upstream_mut(index)?;
-        let owner = upstream.owner;
+        let leader = upstream.leader;
         let State::Body { reader, surplus } = &mut upstream.state else { return None };
         let surplus = *surplus;
         let progress = reader.read(bytes).ok()?;
-        if let Some(owner) = owner.filter(|_| !surplus) {
+        if let Some(leader) = leader.filter(|_| !surplus) {
             for range in &progress.data {
-                self.deliver(owner, UpstreamEvent::Data(&bytes[range.clone()]));
+                self.deliver(leader, UpstreamEvent::Data(&bytes[range.clone()]));
                 if self.serial(index) != serial {
                     return Some(progress.consumed);
                 }
@@ -319,7 +319,7 @@
             return;
         }
         upstream.state = State::Idle;
-        let owner = upstream.owner.take();
+        let leader = upstream.leader.take();
         let instance = upstream.target.instance.clone();
         // An executor may answer before it has read the whole request, and then wait for the rest of it.
         if upstream.closes || socket.waiting() > 0 {
@@ -327,8 +327,8 @@
         } else {
             self.idle_upstreams.entry(instance).or_default().push(index);
         }
-        if let Some(owner) = owner {
-            self.deliver(owner, UpstreamEvent::End);
+        if let Some(leader) = leader {
+            self.deliver(leader, UpstreamEvent::End);
         }
     }
 
@@ -346,7 +346,7 @@
         }
     }
 
-    /// The connection is of no more use; its owner, if it has one, is told.
+    /// The connection is of no more use; its leader, if it has one, is told.
     fn fail_upstream(&mut self, index: usize) {
         let Some((socket, upstream)) = self.upstream_mut(index) else { return };
         let failure = match upstream.state {
@@ -355,17 +355,17 @@
             _ => Failure::BeforeHead,
         };
         debug_assert!(failure != Failure::NeverSent || socket.is_connecting());
-        let owner = upstream.owner.take();
+        let leader = upstream.leader.take();
         self.close(index);
-        if let Some(owner) = owner {
-            self.deliver(owner, UpstreamEvent::Failed(failure));
+        if let Some(leader) = leader {
+            self.deliver(leader, UpstreamEvent::Failed(failure));
         }
     }
 
-    fn deliver(&mut self, owner: CallOwner, event: UpstreamEvent<'_>) {
-        match owner {
-            CallOwner::Exchange(key) => self.exchange_event(key, event),
-            CallOwner::Item(run) => self.item_event(run, event),
+    fn deliver(&mut self, leader: CallLeader, event: UpstreamEvent<'_>) {
+        match leader {
+            CallLeader::Exchange(key) => self.exchange_event(key, event),
+            CallLeader::Item(run) => self.item_event(run, event),
         }
     }
 
--- a/crates/tier/tests/calls.rs
+++ b/crates/tier/tests/calls.rs
@@ -69,7 +69,7 @@
     #[case] unheard: bool,
     #[case] expected: Option<u16>,
 ) {
-    // Given a change of which one copy may still be on its way, when the owner refuses another copy because of its base,
+    // Given a change of which one copy may still be on its way, when the leader refuses another copy because of its base,
     let change = Call::ReplaceConfiguration { base: 5, body: Vec::new() };
     let reply = settled(&change, unheard, Some(answer(answered)));
     // then nothing is known: the base may be there by the time that the first copy comes.
--- a/crates/tier/tests/copies.rs
+++ b/crates/tier/tests/copies.rs
@@ -30,7 +30,7 @@
 fn a_lone_copy_is_told_once_it_lasts_and_then_now_and_then() {
     let at = |ms| Instant(0) + Duration::from_millis(ms);
     let mut lone = LoneCopy::default();
-    // A moment is nothing: followers answer a little later than the owner has synced.
+    // A moment is nothing: followers answer a little later than the leader has synced.
     assert!(!lone.look(at(0), true) && !lone.look(at(1_400), true));
     assert!(lone.look(at(1_600), true));
     assert!(!lone.look(at(3_000), true));
--- a/crates/tier/tests/demo.rs
+++ b/crates/tier/tests/demo.rs
@@ -25,16 +25,16 @@
 }
 
 #[test]
-fn a_tier_serves_requests_and_a_batch_job_whose_owner_is_killed() {
+fn a_tier_serves_requests_and_a_batch_job_whose_leader_is_killed() {
     // Given ten processes of the tier and four stand-in executors
     let options = options(env!("CARGO_BIN_EXE_grebeusher-tier"));
     // When the demonstration is run
     let (result, table) = told(&options);
-    // Then all that was asked is served, the job is complete though its owner was killed, and the others end when told to
+    // Then all that was asked is served, the job is complete though its leader was killed, and the others end when told to
     let summary = result.unwrap_or_else(|error| panic!("{error}\n{table}"));
     assert_eq!(summary.requests_served, 30, "{table}");
     assert_eq!(summary.items_complete, 48, "{table}");
-    assert_ne!(summary.killed, summary.next_owner, "{table}");
+    assert_ne!(summary.killed, summary.next_leader, "{table}");
     assert_eq!(summary.late_after_drain, 0, "{table}");
     assert_eq!(summary.clean_exits, 9, "{table}");
 }
@@ -88,6 +88,6 @@
 fn the_part_of_the_jobs_is_the_one_that_the_demonstration_looks_at() {
     // Given the host of the demonstration's job
     // When its part is worked out
-    // Then it is the part whose owner is killed
+    // Then it is the part whose leader is killed
     assert_eq!(part_of_job(JOB_HOST, "", false), JOB_PART);
 }
--- a/crates/tier/tests/group_care.rs
+++ b/crates/tier/tests/group_care.rs
@@ -1,4 +1,4 @@
-//! Which nodes an owner takes into a group when a change waited for one in vain.
+//! Which nodes a leader takes into a group when a change waited for one in vain.
 
 use grebeusher_quorum::ReplicaId;
 use grebeusher_tier::group_care::GroupCare;
@@ -15,7 +15,7 @@
 
 const NOW: Instant = Instant(1_000_000_000);
 
-/// What an owner of the voters 1, 2 and 3, of which 3 is lost, changes the group to when these are alive.
+/// What a leader of the voters 1, 2 and 3, of which 3 is lost, changes the group to when these are alive.
 fn next(care: &GroupCare, alive: Vec<Candidate>) -> Option<Vec<ReplicaId>> {
     let voters = ids(&[1, 2, 3]);
     let alive = care.usable(&voters, alive);
--- a/crates/tier/tests/owner_balance.rs
+++ b/crates/tier/tests/leader_balance.rs
@@ -1,11 +1,11 @@
-//! Which voter a part is handed to where a node owns several parts.
+//! Which voter a part is handed to where a node leads several parts.
 
 use grebeusher_quorum::ReplicaId;
-use grebeusher_tier::owner_balance::{Heir, relieving_heir};
+use grebeusher_tier::leader_balance::{Heir, relieving_heir};
 use rstest::rstest;
 
-fn heir(replica: u64, owned: usize) -> Heir {
-    Heir { replica: ReplicaId(replica), owned }
+fn heir(replica: u64, led: usize) -> Heir {
+    Heir { replica: ReplicaId(replica), led }
 }
 
 #[rstest]
@@ -15,11 +15,11 @@
 #[case::one_part_stays(1, vec![heir(1, 0)], None)]
 #[case::a_part_that_would_only_change_places_stays(2, vec![heir(1, 1), heir(2, 1)], None)]
 #[case::nobody_there(3, vec![], None)]
-fn a_part_goes_to_who_owns_fewest_if_both_come_closer(
-    #[case] owned: usize,
+fn a_part_goes_to_who_leads_fewest_if_both_come_closer(
+    #[case] led: usize,
     #[case] heirs: Vec<Heir>,
     #[case] expected: Option<u64>,
 ) {
-    // Given a node that owns so many parts, when the heirs of one of them own so many, then it goes there or stays.
-    assert_eq!(relieving_heir(owned, &heirs), expected.map(ReplicaId));
+    // Given a node that leads so many parts, when the heirs of one of them own so many, then it goes there or stays.
+    assert_eq!(relieving_heir(led, &heirs), expected.map(ReplicaId));
 }
--- a/crates/tier/tests/offers.rs
+++ b/crates/tier/tests/offers.rs
@@ -50,7 +50,7 @@
     let calls = single.take_calls();
     let [(number, Call::OfferJob(offer))] = calls.as_slice() else { panic!("{calls:?}") };
     assert_eq!((offer.job.as_str(), offer.route.as_str(), offer.tokens), ("job-1", "bulk", 940));
-    // When the owner wants it, then it goes whole, once; and the client hears that it was taken.
+    // When the leader wants it, then it goes whole, once; and the client hears that it was taken.
     single.reply(*number, Reply::Wanted);
     let sent = bodies(&single.take_calls());
     assert_eq!(sent.len(), 1);
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn the_body_is_not_sent_again_while_the_owner_does_not_ask_for_it() {
-    // Given a job that was sent whole, when its owner says nothing for over a second,
+fn the_body_is_not_sent_again_while_the_leader_does_not_ask_for_it() {
+    // Given a job that was sent whole, when its leader says nothing for over a second,
     let (mut single, client) = handed_in(20_000);
     let calls = single.take_calls();
     single.reply(offers(&calls)[0], Reply::Wanted);
@@ -89,7 +89,7 @@
     // then it is asked after by its name, and the body stays here.
     assert!(!offers(&later).is_empty(), "{later:?}");
     assert!(bodies(&later).is_empty(), "{later:?}");
-    // When the owner says that it has the job, then the client hears so.
+    // When the leader says that it has the job, then the client hears so.
     let last = *offers(&later).last().expect("there is one");
     single.reply(last, answer(202));
     assert_eq!(status_of(&single.take(client)), Some(202));
@@ -114,7 +114,7 @@
 }
 
 #[rstest]
-#[case::lost_by_its_owner(Reply::Unclear)]
+#[case::lost_by_its_leader(Reply::Unclear)]
 #[case::refused(Reply::Answer { status: 429, body: Vec::new() })]
 fn a_job_that_may_be_under_way_is_asked_after_until_the_time_is_over(#[case] reply: Reply) {
     // Given a job that was sent whole and was left unanswered,
@@ -123,7 +123,7 @@
     single.reply(offers(&calls)[0], Reply::Wanted);
     single.pass(Duration::from_millis(700));
     let asked = offers(&single.take_calls());
-    // when the owner can't say what became of it, or refuses it, then no refusal is passed on, as a copy may be taken yet,
+    // when the leader can't say what became of it, or refuses it, then no refusal is passed on, as a copy may be taken yet,
     single.reply(*asked.last().expect("it was asked after"), reply);
     assert_eq!(status_of(&single.take(client)), None);
     single.pass(Duration::from_millis(400));
--- a/crates/tier/tests/page_size.rs
+++ b/crates/tier/tests/page_size.rs
@@ -8,7 +8,7 @@
 fn many_pages_pass_a_link_before_their_readers_ask_again(
     #[values(60.0, 100.0, 480.0, 1000.0)] link_mbps: f64,
 ) {
-    // Given an owner whose readers ask again after about 700 ms, when twenty of them want a page at once,
+    // Given a leader whose readers ask again after about 700 ms, when twenty of them want a page at once,
     let seconds = 20.0 * most_page_bytes(link_mbps) as f64 * 8.0 / (link_mbps * 1e6);
     // then the last has its page before.
     assert!(seconds < 0.6, "{seconds} s");
--- a/crates/tier/tests/placement.rs
+++ b/crates/tier/tests/placement.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_group_grows_to_its_size_and_shrinks_to_it_without_its_owner_leaving() {
+fn a_group_grows_to_its_size_and_shrinks_to_it_without_its_leader_leaving() {
     let alive = [node(1, "a"), node(2, "b"), node(3, "c"), node(4, "a")];
     let own = Some(ReplicaId(4));
     assert_eq!(next_voters(&ids(&[1, 2]), &[], &alive, 3, own), Some(ids(&[1, 2, 3])));
--- a/crates/tier/tests/retire.rs
+++ b/crates/tier/tests/retire.rs
@@ -1,4 +1,4 @@
-//! What an operator hears about a machine that is to be emptied, from what the owners of the parts say.
+//! What an operator hears about a machine that is to be emptied, from what the leaders of the parts say.
 
 use grebeusher_tier::messages::Reply;
 use grebeusher_tier::retire::{PartVerdict, RetireOutcome, RetireQuestion, gathered};
@@ -15,7 +15,7 @@
 #[case::too_few_are_left([TooFew, TooFew, TooFew], RetireOutcome::TooFew)]
 #[case::one_counts_too_few([Done, TooFew, Done], RetireOutcome::TooFew)]
 #[case::too_few_and_silence([TooFew, Unsure, TooFew], RetireOutcome::Unsure)]
-fn a_begin_is_taken_or_refused_only_if_all_owners_have_spoken(
+fn a_begin_is_taken_or_refused_only_if_all_leaders_have_spoken(
     #[case] verdicts: [PartVerdict; 3],
     #[case] outcome: RetireOutcome,
 ) {
@@ -27,7 +27,7 @@
 #[case::one_is_not([Done, Done, NotYet], RetireOutcome::Active)]
 #[case::one_says_nothing([Done, Done, Unsure], RetireOutcome::Unsure)]
 #[case::one_knows_nothing([Done, Done, Unknown], RetireOutcome::Unsure)]
-fn a_machine_is_empty_only_if_all_owners_say_so(
+fn a_machine_is_empty_only_if_all_leaders_say_so(
     #[case] verdicts: [PartVerdict; 3],
     #[case] outcome: RetireOutcome,
 ) {
--- a/crates/tier/tests/show.rs
+++ b/crates/tier/tests/show.rs
@@ -34,15 +34,15 @@
 }
 
 #[test]
-fn a_node_and_the_owners_of_all_parts_are_shown() {
-    // Given a node that knows the owners of all parts but the last
+fn a_node_and_the_leaders_of_all_parts_are_shown() {
+    // Given a node that knows the leaders of all parts but the last
     let mut answers = vec![answer(200, "node edge-1\n")];
     answers.extend((0..BATCH_PARTS).map(|part| answer(200, &format!("part {part} is well\n"))));
     answers.push(answer(503, ""));
     let (address, asked) = node(answers);
     // When its status is asked for
     let status = status_of(address).expect("a status");
-    // Then each line is there, and the part without an owner is named
+    // Then each line is there, and the part without a leader is named
     let expected = "node edge-1\npart 0 is well\npart 1 is well\npart 2 is well\n\
                     part 3: no owner answers (status 503)\n";
     assert_eq!(status, expected);
--- a/crates/tier/tests/stable_bytes.rs
+++ b/crates/tier/tests/stable_bytes.rs
@@ -1,11 +1,11 @@
 //! Bytes written by earlier versions that this one must read and write unchanged: what nodes say to each other beside the
 //! registry's and the replicas' own messages.
 
+use grebeusher_tier::leaders::{LedPart, LedParts};
 use grebeusher_tier::messages::{
     BatchLoad, Call, CallEnvelope, CallNumber, Channel, OfferJob, QuorumEnvelope, Reply, ReplyEnvelope,
     SubmitJob,
 };
-use grebeusher_tier::owners::{OwnedPart, OwnedParts};
 use nanoserde::{DeBin, SerBin};
 use rstest::rstest;
 use std::fmt::{Debug, Write};
@@ -52,7 +52,7 @@
 /// The same for replies.
 fn number_of_reply(reply: &Reply) -> u16 {
     match reply {
-        Reply::NotOwner { .. } => 0,
+        Reply::NotLeader { .. } => 0,
         Reply::Unavailable => 1,
         Reply::Unclear => 2,
         Reply::Done => 3,
@@ -119,8 +119,8 @@
 }
 
 #[rstest]
-#[case::not_owner(Reply::NotOwner { owner: Some("storage-2".to_owned()) }, "000001090000000000000073746f726167652d32")]
-#[case::not_owner_nor_who_is(Reply::NotOwner { owner: None }, "000000")]
+#[case::not_leader(Reply::NotLeader { leader: Some("storage-2".to_owned()) }, "000001090000000000000073746f726167652d32")]
+#[case::not_leader_nor_who_is(Reply::NotLeader { leader: None }, "000000")]
 #[case::unavailable(Reply::Unavailable, "0100")]
 #[case::unclear(Reply::Unclear, "0200")]
 #[case::done(Reply::Done, "0300")]
@@ -165,12 +165,12 @@
 }
 
 #[test]
-fn the_parts_that_a_node_owns_keep_their_bytes() {
-    let owned = OwnedParts {
-        parts: vec![OwnedPart { part: 0, term: 1 }, OwnedPart { part: 12, term: 0x0102_0304_0506_0708 }],
+fn the_parts_that_a_node_leads_keep_their_bytes() {
+    let led = LedParts {
+        parts: vec![LedPart { part: 0, term: 1 }, LedPart { part: 12, term: 0x0102_0304_0506_0708 }],
     };
-    assert_pinned(&owned, "02000000000000000001000000000000000c0807060504030201");
-    assert_pinned(&OwnedParts::default(), "0000000000000000");
+    assert_pinned(&led, "02000000000000000001000000000000000c0807060504030201");
+    assert_pinned(&LedParts::default(), "0000000000000000");
 }
 
 /// The byte of each channel. A channel that is added needs its byte here and below.
--- a/crates/tier/tests/stable_log.rs
+++ b/crates/tier/tests/stable_log.rs
@@ -134,7 +134,7 @@
     }
 }
 
-/// A storage node that owns part 1, and the test as its peer.
+/// A storage node that leads part 1, and the test as its peer.
 struct Storage {
     network: SharedNetwork,
     node: Node,
--- a/crates/tier/tests/stable_words.rs
+++ b/crates/tier/tests/stable_words.rs
@@ -59,13 +59,13 @@
     text(single.take(line))
 }
 
-/// What the node answers once the owner, whom it calls, has replied.
+/// What the node answers once the leader, whom it calls, has replied.
 fn answered_after(single: &mut SingleNode, port: u16, request: &str, reply: Reply) -> (Call, String) {
     single.take_calls();
     let line = single.connect(port);
     single.send(line, request.as_bytes());
     single.pass(Duration::from_millis(20));
-    let (number, call) = single.take_calls().pop().expect("the owner is called");
+    let (number, call) = single.take_calls().pop().expect("the leader is called");
     single.reply(number, reply);
     (call, text(single.take(line)))
 }
@@ -149,7 +149,7 @@
     assert_eq!(text(single.take(line)), EMPTY_503);
 }
 
-/// What the node answers once the owner of each batch part has said the same.
+/// What the node answers once the leader of each batch part has said the same.
 fn retired(line: &str, verdict: Reply) -> String {
     let mut single = in_touch();
     single.take_calls();
@@ -214,7 +214,7 @@
     "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nContent-Type: application/json\r\n\r\n"
 )]
 #[case::unclear(Reply::Unclear, EMPTY_504)]
-#[case::no_owner(
+#[case::no_leader(
     Reply::Done,
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.1\r\n\r\n"
 )]
@@ -257,7 +257,7 @@
     replied(200, "part 0 is well\n"),
     "HTTP/1.1 200 OK\r\nContent-Length: 15\r\nContent-Type: text/plain\r\n\r\npart 0 is well\n"
 )]
-#[case::no_owner(
+#[case::no_leader(
     "GET /api/status/0",
     Reply::Done,
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.1\r\n\r\n"
@@ -314,7 +314,7 @@
     let client = single.connect(CLIENTS);
     single.send(client, submit.as_bytes());
     single.pass(Duration::from_millis(20));
-    let (number, call) = single.take_calls().pop().expect("the owner is called");
+    let (number, call) = single.take_calls().pop().expect("the leader is called");
     assert!(matches!(call, Call::SubmitJob(_)), "{call:?}");
     single.reply(number, reply);
     single.pass(Duration::from_millis(3_000));
