--- /dev/null
+++ b/crates/charter/tests/stable_words.rs
@@ -0,0 +1,381 @@
+//! Words of files written for earlier versions that this one must read unchanged, and the lines in which it refuses what is
+//! wrong in them.
+
+use grebeusher_charter::fleet::Fleet;
+use grebeusher_charter::fronts::Fronts;
+use grebeusher_charter::posting::Posting;
+use grebeusher_charter::{Charter, ListComes, plan};
+use grebeusher_dispatch::time::Span;
+use grebeusher_maintenance::{Plan, WhenLost};
+use serde_json::Value;
+use std::path::Path;
+
+fn config() -> Value {
+    serde_json::from_str(include_str!("data/config.json")).expect("it is JSON")
+}
+
+/// Each key of the file, with a value that is refused, and the line that says so.
+#[rustfmt::skip]
+const WRONG: &[(&str, &str, &str)] = &[
+    ("listen", r#"5"#, "listen: expected a text, found 5"),
+    ("listen", r#""here""#, "listen: expected an address and a port, found \"here\""),
+    ("console", r#""8100""#, "console: expected an address and a port, found \"8100\""),
+    ("discovery", r#""here""#, "discovery: expected an address and a port, found \"here\""),
+    ("name", r#"5"#, "name: expected a text, found 5"),
+    ("seed", r#""today""#, "seed: expected up to 16 hex digits, found \"today\""),
+    ("limits", r#"5"#, "limits: expected an object, found 5"),
+    ("limits/sockets", r#"31"#, "limits.sockets: expected a whole number from 32 on, found 31"),
+    ("limits/memory_mb", r#"0"#, "limits.memory_mb: expected a number from 1 to 1000000000, found 0"),
+    ("known", r#"5"#, "known: expected an object, found 5"),
+    ("known/generation", r#"-1"#, "known.generation: expected a whole number from 0 on, found -1"),
+    ("known/reset", r#""x""#, "known.reset: expected true or false, found \"x\""),
+    ("known/instances", r#"5"#, "known.instances: expected a list, found 5"),
+    ("settings", r#"5"#, "settings.expected an object, found 5"),
+    ("settings/registry_mode", r#""push""#, "settings.registry_mode: expected one of automatic, subscribe, found \"push\""),
+    ("settings/fleet_size", r#"0"#, "settings.fleet_size: expected a whole number from 1 on, found 0"),
+    ("settings/me", r#"40"#, "settings.me: expected a whole number from 0 to 39, found 40"),
+    ("settings/az", r#"2"#, "settings.az: expected a whole number from 0 to 1, found 2"),
+    ("settings/zones", r#""one""#, "settings.zones: expected a list of texts, found \"one\""),
+    ("settings/kinds", r#""one""#, "settings.kinds: expected a list of texts, found \"one\""),
+    ("settings/caps", r#"5"#, "settings.caps: expected an object, found 5"),
+    ("settings/caps/most_allocations", r#"1001"#, "settings.caps.most_allocations: expected a whole number from 1 to 1000, found 1001"),
+    ("settings/caps/second_copies", r#"1"#, "settings.caps.second_copies: expected true or false, found 1"),
+    ("settings/caps/cancelling", r#"1"#, "settings.caps.cancelling: expected true or false, found 1"),
+    ("settings/caps/peers", r#"1"#, "settings.caps.peers: expected true or false, found 1"),
+    ("settings/caps/may_probe", r#"1"#, "settings.caps.may_probe: expected true or false, found 1"),
+    ("settings/caps/retry_after", r#"1"#, "settings.caps.retry_after: expected true or false, found 1"),
+    ("settings/caps/max_retry_after_ns", r#"0"#, "settings.caps.max_retry_after_ns: expected nanoseconds, a number above 0, found 0"),
+    ("settings/caps/conn_idle_ns", r#"-1"#, "settings.caps.conn_idle_ns: expected nanoseconds, a number from 0 on, found -1"),
+    ("settings/caps/dial_timeout_ns", r#"-1"#, "settings.caps.dial_timeout_ns: expected nanoseconds, a number from 0 on, found -1"),
+    ("settings/contract", r#"5"#, "settings.contract: expected an object, found 5"),
+    ("settings/contract/cold_share", r#"1.5"#, "settings.contract.cold_share: expected a number from 0 to 1, found 1.5"),
+    ("settings/contract/warm_within_ns", r#"-1"#, "settings.contract.warm_within_ns: expected a number from 0 to 1000000000000000000, found -1"),
+    ("settings/contract/overload_factor", r#"-1"#, "settings.contract.overload_factor: expected a number from 0 to 1000000, found -1"),
+    ("settings/contract/fall_ns", r#"0"#, "settings.contract.fall_ns: expected nanoseconds, a number above 0, found 0"),
+    ("settings/contract/ready_margin_ns", r#"-1"#, "settings.contract.ready_margin_ns: expected nanoseconds, a number from 0 on, found -1"),
+    ("settings/contract/deadline_error_ns", r#"-1"#, "settings.contract.deadline_error_ns: expected nanoseconds, a number from 0 on, found -1"),
+    ("settings/contract/stop_sending_within_ns", r#"-1"#, "settings.contract.stop_sending_within_ns: expected nanoseconds, a number from 0 on, found -1"),
+    ("settings/contract/budget_span_ns", r#"-1"#, "settings.contract.budget_span_ns: expected nanoseconds, a number from 0 on, found -1"),
+    ("settings/contract/extra_free", r#"-1"#, "settings.contract.extra_free: expected a number from 0 to 1000000000, found -1"),
+    ("settings/contract/further_ratio", r#"1001"#, "settings.contract.further_ratio: expected a number from 0 to 1000, found 1001"),
+    ("settings/family_info", r#"5"#, "settings.family_info: expected an object, found 5"),
+    ("settings/family_info/tells_start", r#"1"#, "settings.family_info.tells_start: expected true or false, found 1"),
+    ("settings/family_info/progress_ns", r#"-1"#, "settings.family_info.progress_ns: expected nanoseconds, a number from 0 on, found -1"),
+    ("settings/family_info/report_x0", r#"5"#, "settings.family_info.report_x0: expected a text, found 5"),
+    ("settings/family_info/class_stretch", r#"[1]"#, "settings.family_info.class_stretch: expected a list of 3 numbers, one for each tariff, from 0 to 1000000, found [1]"),
+    ("settings/family_info/class_kind", r#"[0, 0, 2]"#, "settings.family_info.class_kind: expected a list of 3 numbers, one for each tariff, from -1 to 1, found [0,0,2]"),
+    ("settings/report", r#"5"#, "settings.report: expected an object, found 5"),
+    ("settings/report/via", r#""answers""#, "settings.report.via: expected one of piggyback, pull, silent, found \"answers\""),
+    ("settings/report/fields", r#"[5]"#, "settings.report.fields: expected a list of texts, found [5]"),
+    ("settings/tariffs", r#"[]"#, "settings.tariffs: expected a list of at least one tariff, found []"),
+    ("settings/tariffs", r#"[5]"#, "settings.tariffs[0]: expected an object, found 5"),
+    ("settings/tariffs/1/name", r#"5"#, "settings.tariffs[1].name: expected a text, found 5"),
+    ("settings/tariffs/1/effect", r#""safe""#, "settings.tariffs[1].effect: expected one of read_like, idempotency_key, non_idempotent, found \"safe\""),
+    ("settings/tariffs/1/group", r#""pod""#, "settings.tariffs[1].group: expected one of all, zone, cell, found \"pod\""),
+    ("settings/tariffs/1/memory_span_ns", r#"0"#, "settings.tariffs[1].memory_span_ns: expected nanoseconds, a number above 0, found 0"),
+    ("settings/tariffs/1/quoted_time_ns", r#"0"#, "settings.tariffs[1].quoted_time_ns: expected nanoseconds, a number above 0, found 0"),
+    ("settings/tariffs/1/patience_ns", r#""10s""#, "settings.tariffs[1].patience_ns: expected nanoseconds, a number from 0 on, found \"10s\""),
+    ("settings/tariffs/1/aim_stretch", r#"-1"#, "settings.tariffs[1].aim_stretch: expected a number from 0 to 1000000, found -1"),
+    ("settings/tariffs/1/earnings", r#"-1"#, "settings.tariffs[1].earnings: expected a number from 0 on, found -1"),
+    ("settings/tenants", r#"[5]"#, "settings.tenants[0]: expected an object, found 5"),
+    ("settings/tenants/0/name", r#"5"#, "settings.tenants[0].name: expected a text, found 5"),
+    ("settings/tenants/0/quota_per_s", r#"-1"#, "settings.tenants[0].quota_per_s: expected a number from 0 on, found -1"),
+];
+
+/// Each key that the file must hold, and the line that says that it does not.
+#[rustfmt::skip]
+const MISSING: &[(&str, &str)] = &[
+    ("listen", "listen: expected an address and a port, found nothing"),
+    ("discovery", "discovery: expected an address and a port, found nothing"),
+    ("settings", "settings: expected an object, found nothing"),
+    ("settings/caps/max_retry_after_ns", "settings.caps.max_retry_after_ns: expected nanoseconds, a number above 0, found nothing"),
+    ("settings/contract/cold_share", "settings.contract.cold_share: expected a number from 0 to 1, found nothing"),
+    ("settings/contract/warm_within_ns", "settings.contract.warm_within_ns: expected a number from 0 to 1000000000000000000, found nothing"),
+    ("settings/contract/overload_factor", "settings.contract.overload_factor: expected a number from 0 to 1000000, found nothing"),
+    ("settings/contract/fall_ns", "settings.contract.fall_ns: expected nanoseconds, a number above 0, found nothing"),
+    ("settings/contract/extra_free", "settings.contract.extra_free: expected a number from 0 to 1000000000, found nothing"),
+    ("settings/contract/further_ratio", "settings.contract.further_ratio: expected a number from 0 to 1000, found nothing"),
+    ("settings/tariffs", "settings.tariffs: expected a list of at least one tariff, found nothing"),
+    ("settings/tariffs/1/name", "settings.tariffs: expected a name for each, found one without"),
+    ("settings/tariffs/1/effect", "settings.tariffs[1].effect: expected one of read_like, idempotency_key, non_idempotent, found nothing"),
+    ("settings/tariffs/1/group", "settings.tariffs[1].group: expected one of all, zone, cell, found nothing"),
+    ("settings/tariffs/1/memory_span_ns", "settings.tariffs[1].memory_span_ns: expected nanoseconds, a number above 0, found nothing"),
+    ("settings/tariffs/1/quoted_time_ns", "settings.tariffs[1].quoted_time_ns: expected nanoseconds, a number above 0, found nothing"),
+    ("settings/tariffs/1/patience_ns", "settings.tariffs[1].patience_ns: expected nanoseconds, a number above 0, found nothing"),
+];
+
+/// Each key of the file, with another value that is taken.
+#[rustfmt::skip]
+const OTHER: &[(&str, &str)] = &[
+    ("listen", r#""127.0.0.1:1""#),
+    ("console", r#""127.0.0.1:1""#),
+    ("discovery", r#""127.0.0.1:1""#),
+    ("name", r#""n4""#),
+    ("seed", r#""1""#),
+    ("limits/sockets", r#"99"#),
+    ("limits/memory_mb", r#"9"#),
+    ("known", r#"{}"#),
+    ("settings/registry_mode", r#""subscribe""#),
+    ("settings/fleet_size", r#"41"#),
+    ("settings/me", r#"4"#),
+    ("settings/az", r#"0"#),
+    ("settings/zones", r#"["east", "west"]"#),
+    ("settings/kinds", r#"["one", "two"]"#),
+    ("settings/caps/most_allocations", r#"2"#),
+    ("settings/caps/second_copies", r#"false"#),
+    ("settings/caps/cancelling", r#"false"#),
+    ("settings/caps/peers", r#"false"#),
+    ("settings/caps/may_probe", r#"false"#),
+    ("settings/caps/retry_after", r#"false"#),
+    ("settings/caps/max_retry_after_ns", r#"1"#),
+    ("settings/caps/conn_idle_ns", r#"1"#),
+    ("settings/caps/dial_timeout_ns", r#"1"#),
+    ("settings/contract/cold_share", r#"1"#),
+    ("settings/contract/warm_within_ns", r#"1"#),
+    ("settings/contract/overload_factor", r#"1"#),
+    ("settings/contract/fall_ns", r#"1"#),
+    ("settings/contract/ready_margin_ns", r#"1"#),
+    ("settings/contract/deadline_error_ns", r#"1"#),
+    ("settings/contract/stop_sending_within_ns", r#"1"#),
+    ("settings/contract/budget_span_ns", r#"1"#),
+    ("settings/contract/extra_free", r#"1"#),
+    ("settings/contract/further_ratio", r#"1"#),
+    ("settings/family_info/tells_start", r#"false"#),
+    ("settings/family_info/progress_ns", r#"1"#),
+    ("settings/family_info/report_x0", r#""other""#),
+    ("settings/family_info/class_stretch", r#"[1, 1, 1]"#),
+    ("settings/family_info/class_kind", r#"[-1, -1, -1]"#),
+    ("settings/report/via", r#""piggyback""#),
+    ("settings/report/fields", r#"["x0"]"#),
+    ("settings/tariffs/1/name", r#""other""#),
+    ("settings/tariffs/1/effect", r#""read_like""#),
+    ("settings/tariffs/1/group", r#""zone""#),
+    ("settings/tariffs/1/memory_span_ns", r#"1"#),
+    ("settings/tariffs/1/quoted_time_ns", r#"1"#),
+    ("settings/tariffs/1/patience_ns", r#"1"#),
+    ("settings/tariffs/1/aim_stretch", r#"1"#),
+    ("settings/tariffs/1/earnings", r#"2"#),
+    ("settings/tenants/0/name", r#""other""#),
+    ("settings/tenants/0/quota_per_s", r#"1"#),
+];
+
+fn with(key: &str, value: &str) -> Value {
+    let mut config = config();
+    let at = config.pointer_mut(&format!("/{key}")).unwrap_or_else(|| panic!("no {key}"));
+    *at = serde_json::from_str(value).expect("it is JSON");
+    config
+}
+
+fn without(key: &str) -> Value {
+    let mut config = config();
+    let (holder, name) = key.rsplit_once('/').unwrap_or(("", key));
+    let pointer = if holder.is_empty() { String::new() } else { format!("/{holder}") };
+    let holder = config.pointer_mut(&pointer).and_then(Value::as_object_mut);
+    assert!(holder.and_then(|holder| holder.remove(name)).is_some(), "no {key}");
+    config
+}
+
+#[test]
+fn a_wrong_value_of_each_key_is_refused_in_one_line() {
+    for (key, value, line) in WRONG {
+        let said = Posting::read(&with(key, value)).map(drop);
+        assert_eq!(said, Err((*line).to_owned()), "{key}");
+    }
+}
+
+#[test]
+fn each_key_that_must_be_there_is_missed_in_one_line() {
+    for (key, line) in MISSING {
+        let said = Posting::read(&without(key)).map(drop);
+        assert_eq!(said, Err((*line).to_owned()), "{key}");
+    }
+}
+
+#[test]
+fn each_key_that_need_not_be_there_is_left_out_without_harm() {
+    for (key, _) in OTHER.iter().filter(|(key, _)| !MISSING.iter().any(|(due, _)| due == key)) {
+        // Where the zones or kinds are not named, nothing may refer to them.
+        let refers = |said: &String| said.starts_with("settings.az:") || said.starts_with("settings.me:");
+        let said = Posting::read(&without(key)).map(drop);
+        assert!(said.is_ok() || said.is_err_and(|said| refers(&said)), "{key}");
+    }
+}
+
+#[test]
+fn the_value_of_each_key_is_taken_up() {
+    let read = |config: &Value| format!("{:?}", Posting::read(config).expect("it is whole"));
+    let as_it_stands = read(&config());
+    for (key, value) in OTHER {
+        assert_ne!(read(&with(key, value)), as_it_stands, "{key}");
+    }
+}
+
+#[test]
+fn each_word_that_stands_for_a_choice_is_known() {
+    for (key, words) in [
+        ("settings/registry_mode", &["automatic", "subscribe"][..]),
+        ("settings/report/via", &["piggyback", "pull", "silent"]),
+        ("settings/tariffs/1/effect", &["read_like", "idempotency_key", "non_idempotent"]),
+        ("settings/tariffs/1/group", &["all", "zone", "cell"]),
+    ] {
+        for word in words {
+            assert!(Posting::read(&with(key, &format!("{word:?}"))).is_ok(), "{key} {word}");
+        }
+    }
+}
+
+#[test]
+fn a_complete_file_is_read_to_the_same_values() {
+    let posting = Posting::read(&config()).expect("it is whole");
+    assert_eq!(posting.name, "n3");
+    assert_eq!(posting.listen.to_string(), "127.0.0.1:8100");
+    assert_eq!(posting.console.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:8101"));
+    assert_eq!(posting.discovery.to_string(), "127.0.0.1:8500");
+    assert_eq!(posting.seed, 0x8c1f_30d2_7a5b_e964);
+    assert_eq!((posting.sockets, posting.memory_mb), (Some(4096), Some(512.5)));
+    assert_eq!(posting.known, config()["known"]);
+    let charter = &posting.charter;
+    assert_eq!(charter.tariff_names, ["search", "order", "mail"]);
+    assert_eq!(charter.customer_names, ["lime", "plum"]);
+    assert_eq!(charter.zones, ["north", "south"]);
+    assert_eq!(charter.kinds, ["plain", "large"]);
+    assert_eq!(charter.report_fields, ["tps", "load_share", "x0"]);
+    assert_eq!(charter.list_comes, ListComes::Unasked);
+    assert!(charter.peers && charter.probes && charter.recalls() && charter.second_copies());
+    assert_eq!((charter.idle, charter.dial_within), (Span::millis(9000), Span::millis(300)));
+    assert_eq!((charter.zone(), charter.zone_name(), charter.place()), (1, "south", (3, 40)));
+    assert_eq!(charter.progress(), Some(Span::millis(1000)));
+    assert_eq!([0, 1, 2].map(|tariff| charter.patience(tariff)), [9000, 8000, 7000].map(Span::millis));
+    assert_eq!([0, 1, 2].map(|tariff| charter.is_binding(tariff)), [false, false, true]);
+    let report = charter.places.report(|place| Some(place as f64));
+    assert_eq!((report.utilisation, report.free_slots), (Some(1.0), Some(2.0)));
+}
+
+#[test]
+fn what_is_no_object_or_no_file_is_refused_in_one_line() {
+    let said = [
+        Charter::read(&Value::Bool(true)).map(drop),
+        Posting::read(&Value::Bool(true)).map(drop),
+        Posting::of_file(Path::new("no-such-file")).map(drop),
+    ];
+    let lines = [
+        "expected an object, found true",
+        "expected an object, found true",
+        "no-such-file: No such file or directory (os error 2)",
+    ];
+    for (said, line) in said.into_iter().zip(lines) {
+        assert_eq!(said, Err(line.to_owned()));
+    }
+}
+
+#[test]
+fn a_complete_file_of_the_fleet_is_read_to_the_same_values() {
+    let fleet = Fleet::read(include_str!("data/fleet.toml")).expect("it is whole");
+    assert!(fleet.executors.recalls_stop_waiting);
+    let fellows = fleet.fellows.expect("it is there");
+    assert_eq!((&*fellows.fleet, &*fellows.secret, fellows.port), ("lipa", "what only the nodes know", 7947));
+    assert_eq!(fellows.known_as.map(|at| at.to_string()).as_deref(), Some("10.1.0.7:7946"));
+    let contacts: Vec<String> = fellows.contacts.iter().map(ToString::to_string).collect();
+    assert_eq!(contacts, ["10.1.0.1:7946", "10.1.0.2:7946"]);
+    assert_eq!(fleet.keepers.expect("it is there").nodes, [0, 1, 2]);
+    let budgets = fleet.budgets.expect("it is there");
+    assert_eq!((budgets.lease(), budgets.edition, budgets.of.len()), (Span::millis(2500), 9, 2));
+    let (one, other) = (&budgets.of[0], &budgets.of[1]);
+    assert_eq!((one.tariff.as_deref(), one.customer.as_deref()), (Some("search"), Some("lime")));
+    // Names the budget among the nodes, so that it must stay the same where the file gives it none.
+    assert_eq!((one.name(), one.further), ("search lime".to_owned(), false));
+    assert_eq!((one.units, one.window_ms, one.floor, one.nodes), (500, 1500, 2, 40));
+    assert_eq!((other.name(), other.further), ("sent again".to_owned(), true));
+    assert_eq!((other.units, other.window_ms, other.floor, other.nodes), (30, 1000, 0, 0));
+    assert_eq!(fleet.maintenance.expect("it is there").permission(), Span::millis(12_000));
+}
+
+#[test]
+fn a_complete_file_of_fronts_is_read_to_the_same_values() {
+    let fronts = Fronts::read(include_str!("data/fronts.toml")).expect("it is whole");
+    let faktory = fronts.faktory.expect("it is there");
+    assert_eq!(faktory.listen.to_string(), "127.0.0.1:7419");
+    assert_eq!(faktory.password.as_deref(), Some("what clients know"));
+    assert_eq!((faktory.most_connections(), faktory.fetched_within()), (65, Span::millis(501)));
+    assert_eq!(
+        (faktory.silent_after(), faktory.reserve_for()),
+        (Span::millis(61_000), Span::millis(1_801_000))
+    );
+    let ledger = fronts.ledger.expect("it is there");
+    assert_eq!(ledger.folder, Path::new("/var/lib/grebeusher/n3"));
+    assert_eq!((ledger.keep_answers(), ledger.most_jobs()), (Span::millis(601_000), 10_001));
+    let checks = fronts.checks.expect("it is there");
+    assert_eq!(checks.agent.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:9001"));
+    assert_eq!(checks.health.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:9002"));
+    assert_eq!(checks.apart(), Span::millis(4));
+}
+
+#[test]
+fn a_complete_plan_is_read_to_the_same_values() {
+    let texts = |texts: &[&str]| texts.iter().map(|text| (*text).to_owned()).collect::<Vec<String>>();
+    let expected = Plan {
+        name: "new kernel, north".to_owned(),
+        machines: texts(&["s-0", "s-3"]),
+        of_zones: texts(&["north"]),
+        of_kinds: texts(&["plain"]),
+        zones: texts(&["north", "south"]),
+        nodes: vec![3, 4],
+        most_nodes_out: 2,
+        least_nodes: 30,
+        most_nodes_out_a_zone: 5,
+        most_out: 7,
+        most_out_a_zone: 6,
+        most_cold: Some(4),
+        least_ready: 8,
+        drain_within_s: 60,
+        work_within_s: 3600,
+        warm_s: 31,
+        longest_unit_s: 32,
+        when_lost: WhenLost::GoOn,
+        goes_on: true,
+        most_turned_back: 0.05,
+        first: texts(&["s-3"]),
+        without: vec![9],
+    };
+    assert_eq!(plan::read(include_str!("data/plan.toml")), Ok(expected));
+    let stops = include_str!("data/plan.toml").replace("\"go-on\"", "\"stop\"");
+    assert_eq!(plan::read(&stops).map(|plan| plan.when_lost), Ok(WhenLost::Stop));
+}
+
+#[test]
+fn the_files_as_shipped_are_read() {
+    let shipped = |name: &str| Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name);
+    assert!(Fleet::of_file(&shipped("fleet.toml")).is_ok());
+    assert!(Fronts::of_file(&shipped("fronts.toml")).is_ok());
+    let text = std::fs::read_to_string(shipped("plan.toml")).expect("it is there");
+    assert!(plan::read(&text).is_ok());
+}
+
+#[test]
+fn unknown_keys_and_wrong_values_of_the_operators_files_are_refused_in_one_line() {
+    let said = [
+        Fleet::read("[budget]").map(drop),
+        Fleet::read("[executors]\nrecalls_stop_waiting = 1").map(drop),
+        Fleet::read("[fellows]\nfleet = \"a\"\nsecret = \"long enough\"").map(drop),
+        Fleet::read("[maintenance]").map(drop),
+        Fronts::read("[checks]").map(drop),
+        Fronts::read("[ledger]").map(drop),
+        Fronts::read("[faktory]\nlisten = \"127.0.0.1:1\"\nreserve_for_s = 0").map(drop),
+        plan::read("name = \"a\"").map(drop),
+        plan::read(&include_str!("data/plan.toml").replace("\"go-on\"", "\"go\"")).map(drop),
+    ];
+    let lines = [
+        "budget: unknown field `budget`, expected one of `executors`, `fellows`, `keepers`, `budgets`, `maintenance`",
+        "executors.recalls_stop_waiting: invalid type: integer `1`, expected a boolean",
+        "fellows: missing field `contacts`",
+        "maintenance: expected [keepers] as well, found none",
+        "checks: expected an agent or a health address, found neither",
+        "ledger: missing field `folder`",
+        "faktory.reserve_for_s: expected a whole number from 1 to 86400, found 0",
+        ".: missing field `most_out`",
+        "when_lost: unknown variant `go`, expected `stop` or `go-on`",
+    ];
+    for (said, line) in said.into_iter().zip(lines) {
+        assert_eq!(said, Err(line.to_owned()));
+    }
+}
