--- /dev/null
+++ b/crates/node/tests/stable_bytes.rs
@@ -0,0 +1,567 @@
+//! Bytes written by earlier versions that this one must read and write unchanged: the datagrams between nodes, and what their
+//! keepers agree on.
+
+use grebeusher_budgets::{self as budgets, Division, Entry, Grant, Holder, Whole, Wholes};
+use grebeusher_dispatch::time::Span;
+use grebeusher_maintenance::{
+    Ask, Command, Moved, Outcome, Permit, Phase, Plan, Seen, Shown, ShownMachine, Stage, Step, View,
+    WhenLost, Works, ZoneSeen,
+};
+use grebeusher_membership::Word;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use serde_json::json;
+use siphasher::sip128::{Hasher128, SipHasher24};
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+use std::hash::Hasher;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream, UdpSocket};
+use std::path::PathBuf;
+use std::process::{self, Child, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::{Duration, Instant};
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let pairs = (0..hex.len()).step_by(2);
+    pairs.map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("it is hex")).collect()
+}
+
+/// Written as it was, and read as it was.
+fn both<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, pinned: &str) {
+    let written = hex(&postcard::to_allocvec(value).expect("it is written"));
+    assert_eq!(written, pinned, "{value:?}");
+    assert_eq!(postcard::from_bytes::<T>(&bytes(pinned)).as_ref(), Ok(value));
+}
+
+const HOLDER: Holder = Holder { number: 7, generation: 1_700_000_000_007 };
+
+fn budget_ask() -> budgets::Ask {
+    budgets::Ask {
+        holder: HOLDER,
+        budget: 0x8c1f_30d2_7a5b_e964,
+        wants: 300,
+        adopted: 41,
+        keeps: 5,
+        spent: 6,
+        leaves_ms: 900,
+        waits_ms: 800,
+        ask: 12,
+    }
+}
+
+fn grant() -> Grant {
+    Grant { holder: HOLDER, budget: 0x8c1f_30d2_7a5b_e964, ask: 12, number: 42, units: 299, edition: 3 }
+}
+
+fn wholes() -> Wholes {
+    let whole = Whole { units: 500, window_ms: 1500, floor: 2, nodes: 40 };
+    Wholes { edition: 3, of: vec![(0x8c1f_30d2_7a5b_e964, whole)] }
+}
+
+fn ask() -> Ask {
+    Ask {
+        holder: HOLDER,
+        zone: "north".to_owned(),
+        ask: 13,
+        socket: 14,
+        knows: 15,
+        in_hand: vec![(16, 300)],
+        closed: vec![17],
+        through: true,
+        units: 1000,
+        turned_back: 18,
+        shows: true,
+    }
+}
+
+fn view() -> View {
+    View {
+        zones: vec![ZoneSeen { zone: "north".to_owned(), listed: 300, ready: 299 }],
+        machines: vec![Seen { machine: 16, ready: true, started_ms: 1_700_000_000_000 }],
+    }
+}
+
+fn plan() -> Plan {
+    let texts = |texts: &[&str]| texts.iter().map(|text| (*text).to_owned()).collect::<Vec<String>>();
+    Plan {
+        name: "new kernel".to_owned(),
+        machines: texts(&["s-0", "s-3"]),
+        of_zones: texts(&["north"]),
+        of_kinds: texts(&["plain"]),
+        zones: texts(&["north", "south"]),
+        nodes: vec![3, 4],
+        most_nodes_out: 2,
+        least_nodes: 30,
+        most_nodes_out_a_zone: 5,
+        most_out: 7,
+        most_out_a_zone: 6,
+        most_cold: Some(4),
+        least_ready: 8,
+        drain_within_s: 60,
+        work_within_s: 3600,
+        warm_s: 31,
+        longest_unit_s: 32,
+        when_lost: WhenLost::GoOn,
+        goes_on: true,
+        most_turned_back: 0.05,
+        first: texts(&["s-3"]),
+        without: vec![9],
+    }
+}
+
+fn permit() -> Permit {
+    let shown_machine = ShownMachine {
+        name: "s-0".to_owned(),
+        phase: Phase::Draining,
+        for_s: 300,
+        number: 43,
+        why: "work".to_owned(),
+    };
+    let shown = Shown {
+        number: 44,
+        plan: "new kernel".to_owned(),
+        standing: "runs".to_owned(),
+        why: "nothing".to_owned(),
+        for_s: 301,
+        machines: vec![shown_machine],
+        answers: vec![(45, "yes".to_owned())],
+    };
+    Permit {
+        holder: HOLDER,
+        ask: 13,
+        number: 44,
+        machines: Some(vec![(16, Stage::Waiting), (17, Stage::Next), (18, Stage::Closed)]),
+        longest_unit_s: 32,
+        shown: Some(shown),
+    }
+}
+
+#[test]
+fn what_is_said_of_budgets_is_as_it_was() {
+    both(&HOLDER, "0787d095ffbc31");
+    both(&budget_ask(), "0787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c");
+    both(&grant(), "0787d095ffbc31e4d2efd2a79acc8f8c010c2aab0203");
+    both(&wholes(), "0301e4d2efd2a79acc8f8c01f403dc0b0228");
+    both(
+        &Entry { passed_ms: 300, wholes: Some(wholes()), asks: vec![budget_ask()] },
+        "ac02010301e4d2efd2a79acc8f8c01f403dc0b0228010787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c",
+    );
+    both(&Entry::default(), "000000");
+}
+
+#[test]
+fn the_division_of_budgets_is_as_it_was() {
+    let mut division = Division::new(Span::millis(2000), true);
+    division.numbers_beyond(40);
+    both(&division, "00d00f28d00f0000");
+    division.apply(&Entry { wholes: Some(wholes()), ..Entry::default() });
+    division.apply(&Entry { passed_ms: 5000, asks: vec![budget_ask()], ..Entry::default() });
+    let ask = budgets::Ask { ask: 13, adopted: 42, ..budget_ask() };
+    division.apply(&Entry { passed_ms: 5000, asks: vec![ask], ..Entry::default() });
+    both(
+        &division,
+        "904ed00f2abb1b0301e4d2efd2a79acc8f8c01a403eb0b010787d095ffbc31012aac02e05d010787d095ffbc31ac02e05d00000000",
+    );
+}
+
+#[test]
+fn each_step_of_plans_is_as_it_was() {
+    let commands = [
+        (
+            Command::Submit(Box::new(plan())),
+            "000a6e6577206b65726e656c0203732d3003732d3301056e6f7274680105706c61696e02056e6f72746805736f757468020304021e0507060104083c901c1f2001019a9999999999a93f0103732d330109",
+        ),
+        (Command::Pause, "01"),
+        (Command::Resume, "02"),
+        (Command::Idle("s-0".to_owned(), 300), "0303732d30ac02"),
+        (Command::Withdraw, "04"),
+    ];
+    for (command, pinned) in commands {
+        // One that is added is to be added here as well.
+        match command {
+            Command::Submit(_) | Command::Pause | Command::Resume | Command::Idle(..) | Command::Withdraw => {
+            }
+        }
+        both(&command, pinned);
+    }
+    let steps = [
+        (Step::Asks(ask()), "000787d095ffbc31056e6f7274680d0e0f0110ac02011101e8071201"),
+        (Step::Sees(view()), "0101056e6f727468ac02ab0201100180d095ffbc31"),
+        (Step::Says(300, Command::Pause), "02ac0201"),
+    ];
+    for (step, pinned) in steps {
+        match step {
+            Step::Asks(_) | Step::Sees(_) | Step::Says(..) => {}
+        }
+        both(&step, pinned);
+    }
+    both(&[WhenLost::Stop, WhenLost::GoOn], "0001");
+}
+
+#[test]
+fn each_outcome_of_plans_is_as_it_was() {
+    let moved = Moved { number: 44, what: "s-0 is out".to_owned() };
+    let outcomes = [
+        (
+            Outcome::Permit(permit()),
+            "000787d095ffbc310d2c010310001101120220012c0a6e6577206b65726e656c0472756e73076e6f7468696e67ad020103732d3002ac022b04776f726b012d03796573",
+        ),
+        (Outcome::Moved(moved), "012c0a732d30206973206f7574"),
+    ];
+    for (outcome, pinned) in outcomes {
+        match outcome {
+            Outcome::Permit(_) | Outcome::Moved(_) => {}
+        }
+        both(&outcome, pinned);
+    }
+    let phases = [
+        Phase::Waiting,
+        Phase::Next,
+        Phase::Draining,
+        Phase::Quiet,
+        Phase::Out,
+        Phase::Back,
+        Phase::Done,
+        Phase::Left,
+        Phase::Lost,
+    ];
+    for phase in phases {
+        match phase {
+            Phase::Waiting | Phase::Next | Phase::Draining | Phase::Quiet | Phase::Out => {}
+            Phase::Back | Phase::Done | Phase::Left | Phase::Lost => {}
+        }
+    }
+    both(&phases, "000102030405060708");
+    let words = phases.map(|phase| serde_json::to_value(phase).expect("it is JSON"));
+    let known = ["waiting", "next", "draining", "quiet", "out", "back", "done", "left", "lost"];
+    assert_eq!(words, known);
+}
+
+fn length(text: &str) -> u64 {
+    text.len() as u64
+}
+
+#[test]
+fn the_state_of_plans_is_as_it_was() {
+    let mut works = Works::empty(Span::millis(10_000), 40, &[0, 1, 2]);
+    both(&works, "00904e28030001020088270000000000000000000000");
+    let named = Plan { of_zones: Vec::new(), of_kinds: Vec::new(), ..plan() };
+    let steps =
+        vec![Step::Sees(view()), Step::Asks(ask()), Step::Says(300, Command::Submit(Box::new(named)))];
+    works.apply(7000, steps, length);
+    works.apply(70_000, vec![Step::Asks(Ask { ask: 14, ..ask() }), Step::Says(301, Command::Pause)], length);
+    both(
+        &works,
+        "c8d904904e28030001021588270107010787d095ffbc310ed8a7050e000f0110ac0201e807120107056e6f72746801110001056e6f727468ac02ab0201100180d095ffbc3102d836e80712c8d904e80712e80712010a6e6577206b65726e656c0203732d3003732d33000002056e6f72746805736f757468020304021e0507060104083c901c1f2001019a9999999999a93f0103732d33010901d83601056e6f727468010403732d300003056e6f72746801d8361300010000000003732d33000305736f75746801d83612000100000000066e6f646520330103060001d83614000000000000066e6f646520340104060001d83615000000000000000002ac021d74616b656e3a206e6577206b65726e656c2c2034206d616368696e6573ad0206706175736564",
+    );
+}
+
+const VERSION: u8 = 3;
+const FLEET: &str = "lipa";
+const SECRET: &str = "what only the nodes know";
+
+/// The datagram around a body: version, kind, the mark that only those can make who know the fleet's secret, and the body.
+fn datagram(kind: u8, body: &[u8]) -> Vec<u8> {
+    let mut key = SipHasher24::new();
+    key.write(SECRET.as_bytes());
+    let mut mark = SipHasher24::new_with_key(&key.finish128().as_bytes());
+    mark.write(&[VERSION, kind, FLEET.len() as u8]);
+    mark.write(FLEET.as_bytes());
+    mark.write(body);
+    [&[VERSION, kind][..], &mark.finish128().as_bytes(), body].concat()
+}
+
+fn written(what: &impl Serialize) -> Vec<u8> {
+    postcard::to_allocvec(what).expect("it is written")
+}
+
+/// Nobody is there.
+const NOWHERE: &str = "127.0.0.1:9";
+
+/// One datagram of each kind, as node 2 sends it to node 1, with what it says.
+fn datagrams() -> Vec<(&'static str, Vec<u8>, &'static str)> {
+    let nowhere: SocketAddr = NOWHERE.parse().expect("an address");
+    let from = (7u32, nowhere);
+    let life = (0x5a5a_5a5a_5a5a_5a00_u64 | 1, 0x77_u64);
+    let words = [(0x8c1f_30d2_7a5b_e964_u64, 1_700_000_003_000_u64, true), (7, 1_700_000_004_000, false)]
+        .map(|(executor, at_ms, gone)| Word { executor, at_ms, gone });
+    let moved = Moved { number: 44, what: "s-0 is out".to_owned() };
+    // The knock of a node that has just started, in the form of membership.
+    let knock = bytes("0120010db80000000000000000000000078a3e0282d095ffbc3100000a0100018a3e000006");
+    let lesson = (vec![(0.25_f32, 0.5_f32)], vec![("plain".to_owned(), (1.5_f32, 2.5_f32, 3.0_f32))]);
+    vec![
+        (
+            "membership",
+            datagram(1, &knock),
+            "03016b4f98be98a773d8865501893fd86a9e0120010db80000000000000000000000078a3e0282d095ffbc3100000a0100018a3e000006",
+        ),
+        (
+            "a word of the decisions",
+            datagram(2, &[0, 0, 0, 2, 1, 0xab, 0xcd, 3]),
+            "030233468253393d57f7e9d5e55cb0aa38fb0000000201abcd03",
+        ),
+        (
+            "a keeper's hello",
+            datagram(3, &written(&(0u8, life.0, None::<u64>))),
+            "0303cb66107dd24cb9d591920e4c7ade45eb0081b4e9d2a5cb96ad5a00",
+        ),
+        (
+            "a keeper's hello of a group",
+            datagram(3, &written(&(0u8, life.0, Some(life.1)))),
+            "0303884ff20552768efbe62e52861b085cd80081b4e9d2a5cb96ad5a0177",
+        ),
+        (
+            "a piece of a keeper's message",
+            datagram(3, &written(&(1u8, life.0, life.1, 300u32, 1u16, 3u16, vec![1u8, 2, 3]))),
+            "0303f1fd36d54c677b0916688f2ac9ba8be10181b4e9d2a5cb96ad5a77ac02010303010203",
+        ),
+        (
+            "a step: a part of a budget",
+            datagram(4, &written(&(true, from, 0u8, budget_ask()))),
+            "030477419987687d6f3ec200e95c5bce76d20107007f00000109000787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c",
+        ),
+        (
+            "a step: budgets",
+            datagram(4, &written(&(false, from, 1u8, wholes()))),
+            "0304e0c23a3a3e63be397de5e04f01c8cfda0007007f00000109010301e4d2efd2a79acc8f8c01f403dc0b0228",
+        ),
+        (
+            "a step: plans",
+            datagram(4, &written(&(true, from, 2u8, Step::Asks(ask())))),
+            "0304b22b4cbfe6f0d2c921fe69290025f3610107007f0000010902000787d095ffbc31056e6f7274680d0e0f0110ac02011101e8071201",
+        ),
+        (
+            "an outcome: a part of a budget",
+            datagram(5, &written(&(2u8, 0u8, grant()))),
+            "0305cdd991b49954f7b599c17f0c91b55d1d02000787d095ffbc31e4d2efd2a79acc8f8c010c2aab0203",
+        ),
+        (
+            "an outcome: a permit",
+            datagram(5, &written(&(2u8, 1u8, permit()))),
+            "0305ff26e1f7dce10093ad965d7507f46b4702010787d095ffbc310d2c010310001101120220012c0a6e6577206b65726e656c0472756e73076e6f7468696e67ad020103732d3002ac022b04776f726b012d03796573",
+        ),
+        (
+            "an outcome: a move",
+            datagram(5, &written(&(2u8, 2u8, moved))),
+            "030524892e72e7611fe022640c499525ea5502022c0a732d30206973206f7574",
+        ),
+        ("a nudge", datagram(6, &[]), "03062035ee3b5458488b4db3561a88b71001"),
+        (
+            "what was missed",
+            datagram(7, &written(&words.to_vec())),
+            "030745eb9953600834cadea769e58fe6509102e4d2efd2a79acc8f8c01b8e795ffbc310107a0ef95ffbc3100",
+        ),
+        (
+            "a question for what was missed",
+            datagram(8, &written(&nowhere)),
+            "0308f41f9ca78344cf2f7598e81a001e94be007f00000109",
+        ),
+        (
+            "what was learnt",
+            datagram(9, &written(&lesson)),
+            "0309aabcc39e575e053af52d66f0f915b042010000803e0000003f0105706c61696e0000c03f0000204000004040",
+        ),
+    ]
+}
+
+#[test]
+fn each_kind_of_datagram_is_written_as_it_was() {
+    for (what, datagram, pinned) in datagrams() {
+        assert_eq!(hex(&datagram), pinned, "{what}");
+    }
+}
+
+/// A node on its own: number 1 of 3, in this fleet, with these keepers.
+struct Node {
+    child: Child,
+    listens: String,
+    datagrams: SocketAddr,
+    folder: Folder,
+}
+
+struct Folder(PathBuf);
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.0);
+    }
+}
+
+impl Drop for Node {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+/// Where the others reach it, by its file.
+const KNOWN_AS: &str = "10.1.0.1:7946";
+
+impl Node {
+    fn start(keepers: &str) -> Node {
+        static MADE: AtomicUsize = AtomicUsize::new(0);
+        let number = MADE.fetch_add(1, Ordering::Relaxed);
+        let folder = std::env::temp_dir().join(format!("grebeusher-bytes-{}-{number}", process::id()));
+        std::fs::create_dir(&folder).expect("a folder of its own");
+        let folder = Folder(folder);
+        let free =
+            UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port");
+        let fleet = format!(
+            "[fellows]\nfleet = {FLEET:?}\nsecret = {SECRET:?}\nport = {}\nknown_as = {KNOWN_AS:?}\n\
+             contacts = [{NOWHERE:?}]\n[keepers]\nnodes = {keepers}\n[maintenance]\n\
+             [budgets]\nedition = 3\n[[budgets.of]]\ntariff = \"search\"\nunits = 500\nwindow_ms = 1500\nfloor = 2\n\
+             nodes = 40\n",
+            free.port()
+        );
+        let settings = json!({"fleet_size": 3, "me": 1, "zones": ["a"], "kinds": ["m"], "caps": {"peers": true},
+            "contract": {"cold_share": 0.15, "warm_within_ns": 24e9, "overload_factor": 2.5, "fall_ns": 1e9},
+            "tariffs": [{"name": "search", "effect": "read_like", "quoted_time_ns": 4e9, "patience_ns": 10e9}]});
+        let posting = json!({"listen": "127.0.0.1:0", "discovery": NOWHERE, "settings": settings});
+        let (posting_at, fleet_at) = (folder.0.join("posting.json"), folder.0.join("fleet.toml"));
+        std::fs::write(&posting_at, posting.to_string()).expect("it is written");
+        std::fs::write(&fleet_at, fleet).expect("it is written");
+        let mut child = process::Command::new(env!("CARGO_BIN_EXE_grebeusher"))
+            .env("GW_CONFIG", &posting_at)
+            .env("GREBEUSHER_FLEET", &fleet_at)
+            .env("TMPDIR", &folder.0)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("it starts");
+        let mut log = BufReader::new(child.stderr.take().expect("its log is a pipe"));
+        let mut line = String::new();
+        let listens = loop {
+            line.clear();
+            assert_ne!(log.read_line(&mut line).expect("the log is text"), 0, "the node ended at once");
+            if let Some((_, at)) = line.split_once("listens at ") {
+                break at.split([' ', ';', ',', '\n']).next().unwrap_or_default().to_owned();
+            }
+        };
+        // What it says later is read and dropped, or it would wait for a reader.
+        std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
+        Node { child, listens, datagrams: free, folder }
+    }
+
+    fn counter(&self, name: &str) -> u64 {
+        let mut stream = TcpStream::connect(&self.listens).expect("it listens");
+        stream.write_all(b"GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n").expect("it reads");
+        let mut text = String::new();
+        stream.read_to_string(&mut text).expect("it answers");
+        let value =
+            text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.split(' ').next());
+        value.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
+    }
+
+    /// The operators' file has newer budgets, and the node is told to read it.
+    fn posts_budgets(&self) {
+        let file = self.folder.0.join("fleet.toml");
+        let fleet = std::fs::read_to_string(&file).expect("it is there");
+        std::fs::write(&file, fleet.replace("edition = 3", "edition = 4")).expect("it is written");
+        let told =
+            process::Command::new("sh").args(["-c", &format!("kill -HUP {}", self.child.id())]).status();
+        assert!(told.expect("a shell").success());
+    }
+
+    /// Waits until so many datagrams came, and tells how many of them it made nothing of.
+    fn bad_of(&self, came: u64) -> u64 {
+        let started = Instant::now();
+        while self.counter("datagrams_came") < came {
+            assert!(started.elapsed() < FAR_TOO_LONG, "datagrams got lost");
+            std::thread::sleep(Duration::from_millis(5));
+        }
+        self.counter("datagrams_bad")
+    }
+}
+
+const FAR_TOO_LONG: Duration = Duration::from_secs(20);
+
+#[test]
+fn a_node_reads_each_kind_of_datagram_as_it_was() {
+    let node = Node::start("[0, 1, 2]");
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    let say = |datagram: &[u8]| socket.send_to(datagram, node.datagrams).expect("it is sent");
+    let mut came = 0;
+    for (what, _, pinned) in datagrams() {
+        say(&bytes(pinned));
+        came += 1;
+        assert_eq!(node.bad_of(came), 0, "{what}");
+    }
+    // What is of another version or kind, cut short, or marked by others is noticed.
+    let mut wrong: Vec<Vec<u8>> = Vec::new();
+    for (_, datagram, _) in datagrams() {
+        wrong.push([&[VERSION + 1], &datagram[1..]].concat());
+        wrong.push(datagram[..datagram.len().min(17)].to_vec());
+    }
+    wrong.push(datagram(10, &[]));
+    wrong.push(datagram(4, &written(&(true, (7u32, node.datagrams), 3u8))));
+    for (bad, datagram) in wrong.iter().enumerate() {
+        say(datagram);
+        came += 1;
+        assert_eq!(node.bad_of(came), bad as u64 + 1, "{}", hex(datagram));
+    }
+}
+
+/// What a node sends to node 0, by kind, until there is one of each of these; of steps one of each sort.
+fn heard_from(node: &Node, wanted: &[(u8, Option<u8>)]) -> BTreeMap<(u8, Option<u8>), Vec<u8>> {
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    socket.set_read_timeout(Some(FAR_TOO_LONG)).expect("a time-out");
+    let own = socket.local_addr().expect("an address");
+    let there: SocketAddr = KNOWN_AS.parse().expect("an address");
+    // A knock in the form of membership, by which node 0 is known to be here.
+    let knock = (own, 0u32, 1_700_000_000_000_u64, 0u16, (there, 0u32, 0u64), 6u8);
+    socket.send_to(&datagram(1, &written(&knock)), node.datagrams).expect("it is sent");
+    socket.send_to(&datagram(8, &written(&own)), node.datagrams).expect("it is sent");
+    let mut heard = BTreeMap::new();
+    let mut buffer = [0; 2048];
+    let started = Instant::now();
+    while wanted.iter().any(|wanted| !heard.contains_key(wanted)) {
+        assert!(started.elapsed() < FAR_TOO_LONG, "only these came: {:?}", heard.keys());
+        let (length, _) = socket.recv_from(&mut buffer).expect("it says something");
+        let (kind, body) = (buffer[1], &buffer[18..length]);
+        assert_eq!(hex(&buffer[..length]), hex(&datagram(kind, body)), "the mark is as it was");
+        let sort = (kind == 4).then(|| {
+            let step: (bool, (u32, SocketAddr), u8) = postcard::take_from_bytes(body).expect("a step").0;
+            step.2
+        });
+        heard.entry((kind, sort)).or_insert_with(|| body.to_vec());
+    }
+    heard
+}
+
+#[test]
+fn a_node_writes_datagrams_as_it_did() {
+    let node = Node::start("[0]");
+    let there: SocketAddr = KNOWN_AS.parse().expect("an address");
+    node.posts_budgets();
+    let wanted = [(1, None), (2, None), (4, Some(1)), (4, Some(2)), (8, None), (9, None)];
+    let heard = heard_from(&node, &wanted);
+    // What it asks for, what it has learnt, and the budgets by its file, with the hash by which they are named.
+    for (kind, pinned) in [
+        ((8, None), "000a0100018a3e"),
+        ((9, None), "0000"),
+        ((4, Some(1)), "0101000a0100018a3e010401ddebf7c8ad89a59cfe01f403dc0b0228"),
+    ] {
+        assert_eq!(hex(&heard[&kind]), pinned, "{kind:?}");
+    }
+    // What it says by its clock is read back.
+    type Told = (bool, (u32, SocketAddr), u8, Step);
+    let body = &heard[&(4, Some(2))];
+    let step: Told = postcard::from_bytes(body).expect("it is a step");
+    assert_eq!((hex(&written(&step)), step.0, step.1), (hex(body), true, (1, there)));
+    assert!(matches!(step.3, Step::Asks(ask) if ask.holder.number == 1 && ask.zone == "a"));
+    assert_eq!(heard[&(2, None)][..4], [0, 0, 0, 1], "a word begins with who says it");
+}
+
+#[test]
+fn a_keeper_says_hello_as_it_did() {
+    let node = Node::start("[0, 1, 2]");
+    let heard = heard_from(&node, &[(3, None)]);
+    type Hello = (u8, u64, Option<u64>);
+    let hello: Hello = postcard::from_bytes(&heard[&(3, None)]).expect("it is a hello");
+    assert_eq!((hello.0, hello.1 & 0xff, hello.2), (0, 2, None), "of the second place, in no group");
+    assert_eq!(written(&hello), heard[&(3, None)]);
+}
