--- a/crates/charter/tests/stable_words.rs
+++ b/crates/charter/tests/stable_words.rs
@@ -379,3 +379,19 @@
         assert_eq!(said, Err(line.to_owned()));
     }
 }
+
+#[test]
+fn the_file_by_which_it_is_built_and_started_has_the_same_keys() {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
+    let text = std::fs::read_to_string(path).expect("it is there");
+    let file: toml::Table = toml::from_str(&text).expect("it is TOML");
+    let texts = ["build", "run", "sim"];
+    let lists = ["node", "packages", "policy"];
+    for key in texts {
+        assert!(file[key].is_str(), "{key}");
+    }
+    for key in lists {
+        assert!(file[key].as_array().is_some_and(|list| list.iter().all(toml::Value::is_str)), "{key}");
+    }
+    assert_eq!(file.len(), texts.len() + lists.len());
+}
