--- a/crates/batch/src/jobs.rs
+++ b/crates/batch/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The batch jobs of one part: a state machine that every replica moves by the same committed entries, and so
+//! The batch jobs of one partition: a state machine that every replica moves by the same committed entries, and so
 //! comes to the same state. It reads no clock.
 
 mod entry;
@@ -55,7 +55,7 @@
     pub has_ended: bool,
 }
 
-/// The batch jobs of one part.
+/// The batch jobs of one partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Jobs {
     jobs: BTreeMap<JobId, Job>,
--- a/crates/batch/src/jobs/entry.rs
+++ b/crates/batch/src/jobs/entry.rs
@@ -1,4 +1,4 @@
-//! The entries of a part's log.
+//! The entries of a partition's log.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
@@ -89,7 +89,7 @@
     pub events: Option<EventsPiece>,
 }
 
-/// A step of the part's state, applied once it is committed.
+/// A step of the partition's state, applied once it is committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// A job is kept from here on.
--- a/crates/batch/src/jobs/job.rs
+++ b/crates/batch/src/jobs/job.rs
@@ -59,8 +59,8 @@
         Job::from_parts(JobParts { route, service, host, terms, open, listed: Vec::new(), ended: false })
     }
 
-    pub(super) fn from_parts(parts: JobParts) -> Job {
-        let JobParts { route, service, host, terms, open, listed, ended } = parts;
+    pub(super) fn from_parts(partitions: JobParts) -> Job {
+        let JobParts { route, service, host, terms, open, listed, ended } = partitions;
         let mut job = Job { route, service, host, terms, open, listed, ended, waiting_tokens: 0, cost: 0 };
         job.waiting_tokens =
             job.open_items().fold(0, |sum, (_, item)| sum.saturating_add(item.spec.token_count));
--- a/crates/batch/src/leader.rs
+++ b/crates/batch/src/leader.rs
@@ -1,4 +1,4 @@
-//! Admission by the leader of a part: the quota of each route, what is under way counted in.
+//! Admission by the leader of a partition: the quota of each route, what is under way counted in.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     UnderWay,
     /// The job doesn't fit what may wait on the route: 429.
     QueueFull { waiting: u64, limit: u64 },
-    /// The part has no memory for it: 503.
+    /// The partition has no memory for it: 503.
     NoMemory,
 }
 
@@ -33,7 +33,7 @@
     pub queue_token_limit: u64,
 }
 
-/// The jobs that the leader of a part has proposed. Made anew with each term of the leader, after all that
+/// The jobs that the leader of a partition has proposed. Made anew with each term of the leader, after all that
 /// earlier terms committed is applied.
 #[derive(Clone, Debug)]
 pub struct Leader {
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,7 +1,7 @@
 //! Batch jobs: what is kept, how items are run, what readers see.
 //!
 //! All of it is a set of state machines without I/O. [`read_submission`] checks what a client sent;
-//! [`Leader::admit`] holds the quota; [`Jobs`] is moved by the committed entries of the part's log, alike on each
+//! [`Leader::admit`] holds the quota; [`Jobs`] is moved by the committed entries of the partition's log, alike on each
 //! replica, and answers readers; [`Runner`] says, on the leader, which item runs next, takes the events that
 //! [`EventReader`] cuts from the executor's stream, and proposes results to the log.
 //!
@@ -65,7 +65,7 @@
 mod submission;
 
 pub use events::{Event, EventError, EventReader, MAX_EVENT_BYTES};
-pub use fair_share::{FairShare, PartLoad};
+pub use fair_share::{FairShare, PartitionLoad};
 pub use jobs::{
     Applied, EndState, Entry, EventsPiece, ItemProgress, ItemResult, JobResults, JobStatus, JobTerms, Jobs,
     Listing, MAX_PAGE_BYTES, OpenItem, Page, Progress, ResultState, SnapshotError,
--- a/crates/batch/src/runner.rs
+++ b/crates/batch/src/runner.rs
@@ -1,4 +1,4 @@
-//! Running the items of a part, which its leader does: what runs next, what has come of each run, what is to be
+//! Running the items of a partition, which its leader does: what runs next, what has come of each run, what is to be
 //! proposed to the log. No I/O and no clock; which executor an item goes to is decided elsewhere.
 
 mod item;
@@ -9,7 +9,7 @@
 
 use grebeusher_time::{Duration, Instant};
 
-use crate::fair_share::PartLoad;
+use crate::fair_share::PartitionLoad;
 use crate::jobs::{
     Applied, EndState, Entry, ItemProgress, ItemResult, JobResults, Jobs, MAX_JOBS_IN_ENTRY, ResultState,
 };
@@ -93,7 +93,7 @@
 /// The bytes of text after which results go into a further entry.
 const MAX_ENTRY_TEXT_BYTES: usize = 512 << 10;
 
-/// What the leader of a part knows of its items. Exists on each replica, as the ages of jobs are watched there
+/// What the leader of a partition knows of its items. Exists on each replica, as the ages of jobs are watched there
 /// too; runs only between [`Runner::begin`] and [`Runner::cease`].
 #[derive(Debug)]
 pub struct Runner {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The part is led from now on, all that earlier terms committed being applied. Items that are not listed
+    /// The partition is led from now on, all that earlier terms committed being applied. Items that are not listed
     /// begin anew, from what is committed of them. `wall_ms`, the wall clock in ms since 1970, is only a hint to
     /// which of the jobs are urgent.
     pub fn begin(&mut self, jobs: &Jobs, now: Instant, wall_ms: u64) {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The part is no longer led: all runs are to be cut off, see [`Runner::take_cut_off`]. What was decided
+    /// The partition is no longer led: all runs are to be cut off, see [`Runner::take_cut_off`]. What was decided
     /// but not committed is left to the next leader.
     pub fn cease(&mut self) {
         self.stop();
@@ -385,7 +385,8 @@
         let failures = std::mem::take(&mut self.failures);
         let progress: Vec<ItemProgress> =
             failures.into_iter().filter_map(|(job, item)| self.failures_of(job, item)).collect();
-        entries.extend(progress.chunks(MAX_JOBS_IN_ENTRY).map(|part| Entry::Progress(part.to_vec())));
+        entries
+            .extend(progress.chunks(MAX_JOBS_IN_ENTRY).map(|partition| Entry::Progress(partition.to_vec())));
         entries
     }
 
@@ -394,7 +395,7 @@
         Some(ItemProgress { job, item, failed_attempts, events: None })
     }
 
-    /// An entry of [`Runner::take_proposals`] can never be committed, though the part is still led: its results
+    /// An entry of [`Runner::take_proposals`] can never be committed, though the partition is still led: its results
     /// are proposed again.
     pub fn not_proposed(&mut self, entry: Entry) {
         if !self.is_leader {
@@ -459,10 +460,10 @@
     }
 
     /// How many items run, and how many could if there were room.
-    pub fn load(&self) -> PartLoad {
+    pub fn load(&self) -> PartitionLoad {
         let count = |items: usize| u32::try_from(items).unwrap_or(u32::MAX);
         let waiting = self.jobs.values().map(JobRun::ready_count).sum();
-        PartLoad { running: count(self.runs.len()), waiting: count(waiting) }
+        PartitionLoad { running: count(self.runs.len()), waiting: count(waiting) }
     }
 
     /// The tokens of a route's items that are neither running nor decided.
--- a/crates/batch/src/runner/item.rs
+++ b/crates/batch/src/runner/item.rs
@@ -9,7 +9,7 @@
 pub const MAX_TEXT_BYTES: usize = 480_000;
 /// Runs in a row that don't follow on the last event, after which the item begins anew from the first.
 const MAX_MISFITS: u32 = 2;
-/// A text that is full grows by one part in so many, or by the event if that is more. Doubling would leave a half of many
+/// A text that is full grows by one Part in so many, or by the event if that is more. Doubling would leave a half of many
 /// texts empty, and there are as many as items that run.
 const GROWTH_SHARE: usize = 8;
 
--- a/crates/batch/tests/batches/leader_change.rs
+++ b/crates/batch/tests/batches/leader_change.rs
@@ -3,24 +3,24 @@
 use grebeusher_batch::*;
 use grebeusher_time::Duration;
 
-use crate::part::Part;
+use crate::partition::Partition;
 use crate::sample::*;
 
 /// The same log on another replica, which takes over.
-fn successor(of: &Part, log: &[Entry], wall_ms: u64) -> Part {
-    let mut part = Part { jobs: Jobs::new(), runner: Runner::new(8), now: of.now };
+fn successor(of: &Partition, log: &[Entry], wall_ms: u64) -> Partition {
+    let mut partition = Partition { jobs: Jobs::new(), runner: Runner::new(8), now: of.now };
     for entry in log {
-        part.commit(entry.clone());
+        partition.commit(entry.clone());
     }
-    assert_eq!(part.try_next(), None, "a replica that isn't the leader runs nothing");
-    assert_eq!(part.jobs, of.jobs);
-    part.runner.begin(&part.jobs, part.now, wall_ms);
-    part
+    assert_eq!(partition.try_next(), None, "a replica that isn't the leader runs nothing");
+    assert_eq!(partition.jobs, of.jobs);
+    partition.runner.begin(&partition.jobs, partition.now, wall_ms);
+    partition
 }
 
 #[test]
 fn items_that_are_not_listed_begin_anew() {
-    let mut old = Part::with_job("j", 2);
+    let mut old = Partition::with_job("j", 2);
     let order = old.next();
     old.event(&order, 0, "a");
     let mut new = successor(&old, &[submit("j", 2)], 1_000_000);
@@ -36,11 +36,11 @@
 
 #[test]
 fn results_that_were_decided_but_not_committed_are_left_to_the_successor() {
-    let mut old = Part::with_job("j", 1);
+    let mut old = Partition::with_job("j", 1);
     let order = old.next();
     old.event(&order, 0, "a");
     old.end_run(&order, Outcome::Complete);
-    let running = Part::with_job("k", 1).next();
+    let running = Partition::with_job("k", 1).next();
     old.runner.cease();
     assert_eq!(old.runner.take_proposals(), []);
     assert_eq!((old.try_next(), old.runner.take_cut_off(), old.runner.is_leader()), (None, vec![], false));
@@ -51,23 +51,23 @@
 
 #[test]
 fn a_leader_that_ceases_cuts_its_runs_off() {
-    let mut part = Part::with_job("j", 2);
-    let (first, second) = (part.next(), part.next());
-    part.runner.cease();
-    let mut cut_off = part.runner.take_cut_off();
+    let mut partition = Partition::with_job("j", 2);
+    let (first, second) = (partition.next(), partition.next());
+    partition.runner.cease();
+    let mut cut_off = partition.runner.take_cut_off();
     cut_off.sort_unstable();
     assert_eq!(cut_off, [first.run, second.run]);
-    assert_eq!(part.event(&first, 0, "a"), EventTaken::NoSuchRun);
-    part.runner.begin(&part.jobs, part.now, 1_000_000);
-    let again = [part.next(), part.next()];
+    assert_eq!(partition.event(&first, 0, "a"), EventTaken::NoSuchRun);
+    partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+    let again = [partition.next(), partition.next()];
     assert!(again.iter().all(|order| ![first.run, second.run].contains(&order.run)), "runs are told apart");
-    assert_eq!(part.event(&first, 0, "a"), EventTaken::NoSuchRun);
+    assert_eq!(partition.event(&first, 0, "a"), EventTaken::NoSuchRun);
 }
 
 /// TWICE: both leaders' results reach the log.
 #[test]
 fn a_result_that_the_predecessor_got_committed_stands() {
-    let old = Part::with_job("j", 1);
+    let old = Partition::with_job("j", 1);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000);
     let order = new.next();
     new.event(&order, 0, "a");
@@ -81,7 +81,7 @@
 /// MIXED: answers of 500 that were committed count on, those that weren't are asked for again.
 #[test]
 fn committed_failures_count_on() {
-    let mut old = Part::with_job("j", 1);
+    let mut old = Partition::with_job("j", 1);
     let mut log = vec![submit("j", 1)];
     let order = old.next();
     old.end_run(&order, Outcome::Failed500);
@@ -105,7 +105,7 @@
 /// ORDER: the successor goes on from what is committed, with `Last-Event-Id`.
 #[test]
 fn a_checkpoint_spares_the_successor_the_beginning() {
-    let mut old = Part::with_job("j", 2);
+    let mut old = Partition::with_job("j", 2);
     let order = old.next();
     old.event(&order, 0, "a");
     old.event(&order, 1, "b");
@@ -134,24 +134,25 @@
 /// Checkpoints of many long texts come in several entries, all of which can be read.
 #[test]
 fn checkpoints_are_bounded() {
-    let mut part = Part::with_job("j", 10);
-    while let Some(order) = part.try_next() {
-        part.event(&order, 0, &"x".repeat(200_000));
+    let mut partition = Partition::with_job("j", 10);
+    while let Some(order) = partition.try_next() {
+        partition.event(&order, 0, &"x".repeat(200_000));
     }
-    let entries: Vec<Entry> = std::iter::from_fn(|| part.runner.checkpoint()).collect();
+    let entries: Vec<Entry> = std::iter::from_fn(|| partition.runner.checkpoint()).collect();
     assert_eq!(entries.len(), 4);
     for entry in entries {
-        part.commit(entry);
+        partition.commit(entry);
     }
-    part.runner.begin(&part.jobs, part.now, 1_000_000);
-    let resumed: Vec<_> = std::iter::from_fn(|| part.try_next()).map(|order| order.last_event_id).collect();
+    partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+    let resumed: Vec<_> =
+        std::iter::from_fn(|| partition.try_next()).map(|order| order.last_event_id).collect();
     assert_eq!(resumed, vec![Some(0); 10]);
 }
 
 /// MIXED: a clock that jumps by a day gives nothing up and forgets nothing.
 #[test]
 fn a_wall_clock_that_jumps_gives_nothing_up() {
-    let mut old = Part::with_job("j", 1);
+    let mut old = Partition::with_job("j", 1);
     old.pass(1_000);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 86_400_000);
     new.runner.tick(new.now);
@@ -167,7 +168,7 @@
 /// MIXED: nor does one that is ahead by less than the retention.
 #[test]
 fn a_wall_clock_that_is_ahead_gives_nothing_up_early() {
-    let old = Part::with_job("j", 1);
+    let old = Partition::with_job("j", 1);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 30_000);
     new.pass(59_999);
     new.runner.tick(new.now);
@@ -177,14 +178,14 @@
 /// The wall clock only tells the successor which job is due first.
 #[test]
 fn a_successor_knows_the_older_job_by_the_wall_clock() {
-    let old = Part::led();
+    let old = Partition::led();
     let mut newer = terms();
     newer.accepted_at_wall_ms += 3_000;
     let mut jobs = Jobs::new();
     jobs.apply(Entry::Submit { submission: submission("a-newer", 1), terms: newer });
     jobs.apply(submit("b-older", 1));
     let jobs = Jobs::from_snapshot(&jobs.to_snapshot()).expect("whole");
-    let mut new = Part { jobs, runner: Runner::new(1), now: old.now };
+    let mut new = Partition { jobs, runner: Runner::new(1), now: old.now };
     new.runner.begin(&new.jobs, new.now, 1_004_000);
     assert_eq!([new.next().job, new.next().job], ["b-older", "a-newer"].map(job));
 }
@@ -192,49 +193,49 @@
 /// A job that is taken now is new, whatever the wall clock says of it.
 #[test]
 fn a_new_job_is_not_old_by_a_wrong_clock() {
-    let mut part = Part::led();
-    part.pass(30_000);
+    let mut partition = Partition::led();
+    partition.pass(30_000);
     let jumped = JobTerms { accepted_at_wall_ms: 0, ..terms() };
-    part.commit(Entry::Submit { submission: submission("b-jumped", 1), terms: jumped });
+    partition.commit(Entry::Submit { submission: submission("b-jumped", 1), terms: jumped });
     let loose = JobTerms { completion_target_ms: 20_000, ..terms() };
-    part.commit(Entry::Submit { submission: submission("a-loose", 1), terms: loose });
-    assert_eq!(part.next().job, job("b-jumped"), "it isn't late");
+    partition.commit(Entry::Submit { submission: submission("a-loose", 1), terms: loose });
+    assert_eq!(partition.next().job, job("b-jumped"), "it isn't late");
 }
 
 /// LOST: forgotten only so long after this replica first saw the job, and not while it is open.
 #[test]
 fn jobs_are_forgotten_by_the_steady_clock() {
     let status = Duration::from_millis(120_000);
-    let mut part = Part::with_job("open", 1);
-    part.commit(submit("done", 1));
-    part.commit(complete("done", 0, "text"));
-    part.pass(119_999);
-    assert_eq!(part.runner.forgettable(&part.jobs, part.now, status), []);
-    let mut late = Part { jobs: part.jobs.clone(), runner: Runner::new(1), now: part.now };
+    let mut partition = Partition::with_job("open", 1);
+    partition.commit(submit("done", 1));
+    partition.commit(complete("done", 0, "text"));
+    partition.pass(119_999);
+    assert_eq!(partition.runner.forgettable(&partition.jobs, partition.now, status), []);
+    let mut late = Partition { jobs: partition.jobs.clone(), runner: Runner::new(1), now: partition.now };
     late.runner.adopt(&late.jobs, late.now);
-    part.pass(1);
+    partition.pass(1);
     late.pass(1);
-    let forgettable = part.runner.forgettable(&part.jobs, part.now, status);
+    let forgettable = partition.runner.forgettable(&partition.jobs, partition.now, status);
     assert_eq!(forgettable, [job("done")]);
     assert_eq!(late.runner.forgettable(&late.jobs, late.now, status), [], "it saw the job a moment ago");
-    part.commit(Entry::Forget { jobs: forgettable });
-    assert_eq!(part.runner.forgettable(&part.jobs, part.now, status), []);
-    assert!(!part.jobs.contains(&job("done")) && part.jobs.contains(&job("open")));
+    partition.commit(Entry::Forget { jobs: forgettable });
+    assert_eq!(partition.runner.forgettable(&partition.jobs, partition.now, status), []);
+    assert!(!partition.jobs.contains(&job("done")) && partition.jobs.contains(&job("open")));
 }
 
 /// MIXED: a count that comes late takes nothing back.
 #[test]
 fn an_older_count_of_failures_changes_nothing() {
-    let mut part = Part::with_job("j", 1);
+    let mut partition = Partition::with_job("j", 1);
     let count = |failed_attempts| {
         let progress = ItemProgress { job: job("j"), item: ItemIndex(0), failed_attempts, events: None };
         Entry::Progress(vec![progress])
     };
-    assert_eq!(part.commit(count(2)), Applied::Progressed(1));
-    assert_eq!(part.commit(count(1)), Applied::Progressed(0));
-    part.runner.begin(&part.jobs, part.now, 1_000_000);
-    let order = part.next();
-    part.end_run(&order, Outcome::Failed500);
-    part.settle();
-    assert_eq!(texts(&part.jobs, "j").len(), 1, "it was the third");
+    assert_eq!(partition.commit(count(2)), Applied::Progressed(1));
+    assert_eq!(partition.commit(count(1)), Applied::Progressed(0));
+    partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+    let order = partition.next();
+    partition.end_run(&order, Outcome::Failed500);
+    partition.settle();
+    assert_eq!(texts(&partition.jobs, "j").len(), 1, "it was the third");
 }
--- a/crates/batch/tests/batches/main.rs
+++ b/crates/batch/tests/batches/main.rs
@@ -1,9 +1,9 @@
-//! What must hold of batch jobs, told as stories over in-memory parts.
+//! What must hold of batch jobs, told as stories over in-memory partitions.
 
 mod events;
 mod leader_change;
 mod pages;
-mod part;
+mod partition;
 mod quota;
 mod replay;
 mod running;
--- a/crates/batch/tests/batches/part.rs
+++ b/crates/batch/tests/batches/partition.rs
@@ -1,27 +1,27 @@
-//! One part with one leader, whose proposals are committed at once.
+//! One partition with one leader, whose proposals are committed at once.
 
 use grebeusher_batch::*;
 use grebeusher_time::Instant;
 
 use crate::sample::*;
 
-pub struct Part {
+pub struct Partition {
     pub jobs: Jobs,
     pub runner: Runner,
     pub now: Instant,
 }
 
-impl Part {
-    pub fn led() -> Part {
-        let mut part = Part { jobs: Jobs::new(), runner: Runner::new(7), now: at(1_000) };
-        part.runner.begin(&part.jobs, part.now, 1_000_000);
-        part
+impl Partition {
+    pub fn led() -> Partition {
+        let mut partition = Partition { jobs: Jobs::new(), runner: Runner::new(7), now: at(1_000) };
+        partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+        partition
     }
 
-    pub fn with_job(name: &str, items: usize) -> Part {
-        let mut part = Part::led();
-        part.commit(submit(name, items));
-        part
+    pub fn with_job(name: &str, items: usize) -> Partition {
+        let mut partition = Partition::led();
+        partition.commit(submit(name, items));
+        partition
     }
 
     pub fn commit(&mut self, entry: Entry) -> Applied {
--- a/crates/batch/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -4,63 +4,66 @@
 use grebeusher_time::DurationExt;
 use rstest::rstest;
 
-use crate::part::Part;
+use crate::partition::Partition;
 use crate::sample::*;
 
 #[test]
 fn an_item_is_sent_as_it_was_submitted() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
     let spec = item("j", 0, 100);
     assert_eq!((order.attempt_id.as_str(), order.path.as_str()), ("j-0", "/lots/3/j-0"));
     assert_eq!((order.host.as_str(), order.route.as_str()), ("lots.example", ROUTE));
     assert_eq!((order.headers, order.body, order.last_event_id), (spec.headers, spec.body, None));
     assert_eq!((order.token_count, order.tokens), (100, Tokens { prompt: 60, output: 40 }));
-    assert_eq!(part.try_next(), None, "it runs once at a time");
+    assert_eq!(partition.try_next(), None, "it runs once at a time");
 }
 
 #[test]
 fn the_text_is_the_data_of_all_events() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
     for (id, data) in [(1, "a"), (2, ""), (3, "b\nc")] {
-        assert_eq!(part.event(&order, id, data), EventTaken::Taken);
+        assert_eq!(partition.event(&order, id, data), EventTaken::Taken);
     }
-    part.end_run(&order, Outcome::Complete);
-    assert_eq!(part.settle(), 1);
-    assert_eq!(texts(&part.jobs, "j"), [("j-0".into(), ResultState::Complete, "a\n\nb\nc".into())]);
-    assert_eq!((part.try_next(), part.runner.running_count(), part.runner.next_wake()), (None, 0, None));
+    partition.end_run(&order, Outcome::Complete);
+    assert_eq!(partition.settle(), 1);
+    assert_eq!(texts(&partition.jobs, "j"), [("j-0".into(), ResultState::Complete, "a\n\nb\nc".into())]);
+    assert_eq!(
+        (partition.try_next(), partition.runner.running_count(), partition.runner.next_wake()),
+        (None, 0, None)
+    );
 }
 
 #[test]
 fn an_empty_first_event_is_an_event() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
-    part.event(&order, 0, "");
-    part.event(&order, 1, "a");
-    part.end_run(&order, Outcome::Complete);
-    part.settle();
-    assert_eq!(texts(&part.jobs, "j")[0].2, "\na");
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
+    partition.event(&order, 0, "");
+    partition.event(&order, 1, "a");
+    partition.end_run(&order, Outcome::Complete);
+    partition.settle();
+    assert_eq!(texts(&partition.jobs, "j")[0].2, "\na");
 }
 
 /// ORDER: a run that broke goes on after the last whole event.
 #[test]
 fn a_broken_run_goes_on_after_its_last_event() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
-    part.event(&order, 0, "a");
-    part.event(&order, 1, "b");
-    part.end_run(&order, Outcome::Broken);
-    assert_eq!(part.event(&order, 2, "late"), EventTaken::NoSuchRun, "the old run is over");
-    part.end_run(&order, Outcome::Complete);
-    assert_eq!(part.settle(), 0, "nor can it end a second time");
-    part.pass(2_000);
-    let order = part.next();
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
+    partition.event(&order, 0, "a");
+    partition.event(&order, 1, "b");
+    partition.end_run(&order, Outcome::Broken);
+    assert_eq!(partition.event(&order, 2, "late"), EventTaken::NoSuchRun, "the old run is over");
+    partition.end_run(&order, Outcome::Complete);
+    assert_eq!(partition.settle(), 0, "nor can it end a second time");
+    partition.pass(2_000);
+    let order = partition.next();
     assert_eq!(order.last_event_id, Some(1));
-    assert_eq!(part.event(&order, 2, "c"), EventTaken::Taken);
-    part.end_run(&order, Outcome::Complete);
-    part.settle();
-    assert_eq!(texts(&part.jobs, "j")[0].2, "a\nb\nc");
+    assert_eq!(partition.event(&order, 2, "c"), EventTaken::Taken);
+    partition.end_run(&order, Outcome::Complete);
+    partition.settle();
+    assert_eq!(texts(&partition.jobs, "j")[0].2, "a\nb\nc");
 }
 
 /// MIXED: nothing but a proper end makes a result complete.
@@ -70,39 +73,39 @@
 #[case(Outcome::Misdirected)]
 #[case(Outcome::Failed500)]
 fn what_did_not_end_properly_is_not_complete(#[case] outcome: Outcome) {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
-    part.event(&order, 0, "a");
-    part.end_run(&order, outcome);
-    part.settle();
-    assert_eq!(texts(&part.jobs, "j"), []);
-    assert_eq!(part.try_next(), None, "it pauses");
-    part.pass(5_000);
-    assert_eq!(part.next().last_event_id, Some(0));
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
+    partition.event(&order, 0, "a");
+    partition.end_run(&order, outcome);
+    partition.settle();
+    assert_eq!(texts(&partition.jobs, "j"), []);
+    assert_eq!(partition.try_next(), None, "it pauses");
+    partition.pass(5_000);
+    assert_eq!(partition.next().last_event_id, Some(0));
 }
 
 #[test]
 fn a_run_without_an_event_is_not_complete() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
-    part.end_run(&order, Outcome::Complete);
-    assert_eq!(part.settle(), 0);
-    part.pass(5_000);
-    assert_eq!(part.next().last_event_id, None);
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
+    partition.end_run(&order, Outcome::Complete);
+    assert_eq!(partition.settle(), 0);
+    partition.pass(5_000);
+    assert_eq!(partition.next().last_event_id, None);
 }
 
 /// All events had come when the stream broke: the next run only has to say that there are no more.
 #[test]
 fn a_run_that_has_nothing_more_to_say_completes_the_text() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
-    part.event(&order, 0, "a");
-    part.end_run(&order, Outcome::Broken);
-    part.pass(5_000);
-    let order = part.next();
-    part.end_run(&order, Outcome::Complete);
-    part.settle();
-    assert_eq!(texts(&part.jobs, "j")[0].2, "a");
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
+    partition.event(&order, 0, "a");
+    partition.end_run(&order, Outcome::Broken);
+    partition.pass(5_000);
+    let order = partition.next();
+    partition.end_run(&order, Outcome::Complete);
+    partition.settle();
+    assert_eq!(texts(&partition.jobs, "j")[0].2, "a");
 }
 
 /// ORDER: an event that doesn't follow is never taken, and cuts its run off.
@@ -112,63 +115,63 @@
 #[case::gap(3)]
 #[case::far(u64::MAX)]
 fn an_event_that_does_not_follow_cuts_the_run_off(#[case] id: u64) {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
-    part.event(&order, 0, "a");
-    part.event(&order, 1, "b");
-    assert_eq!(part.event(&order, id, "x"), EventTaken::CutOff);
-    assert_eq!(part.event(&order, 2, "x"), EventTaken::NoSuchRun);
-    part.end_run(&order, Outcome::Complete);
-    assert_eq!(part.settle(), 0);
-    part.pass(5_000);
-    assert_eq!(part.next().last_event_id, Some(1));
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
+    partition.event(&order, 0, "a");
+    partition.event(&order, 1, "b");
+    assert_eq!(partition.event(&order, id, "x"), EventTaken::CutOff);
+    assert_eq!(partition.event(&order, 2, "x"), EventTaken::NoSuchRun);
+    partition.end_run(&order, Outcome::Complete);
+    assert_eq!(partition.settle(), 0);
+    partition.pass(5_000);
+    assert_eq!(partition.next().last_event_id, Some(1));
 }
 
 /// Executors that never go on where they should: the item begins anew from nothing.
 #[test]
 fn an_item_that_nobody_goes_on_with_begins_anew() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
-    part.event(&order, 0, "a");
-    part.end_run(&order, Outcome::Broken);
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
+    partition.event(&order, 0, "a");
+    partition.end_run(&order, Outcome::Broken);
     for _ in 0..2 {
-        part.pass(5_000);
-        let order = part.next();
+        partition.pass(5_000);
+        let order = partition.next();
         assert_eq!(order.last_event_id, Some(0));
-        assert_eq!(part.event(&order, 0, "other"), EventTaken::CutOff);
+        assert_eq!(partition.event(&order, 0, "other"), EventTaken::CutOff);
     }
-    part.pass(5_000);
-    let order = part.next();
+    partition.pass(5_000);
+    let order = partition.next();
     assert_eq!(order.last_event_id, None);
-    part.event(&order, 0, "x");
-    part.event(&order, 1, "y");
-    assert_eq!(part.runner.checkpoint(), None, "two runs are not joined in what is committed");
-    part.end_run(&order, Outcome::Complete);
-    part.settle();
-    assert_eq!(texts(&part.jobs, "j")[0].2, "x\ny", "nothing of the first run is left");
+    partition.event(&order, 0, "x");
+    partition.event(&order, 1, "y");
+    assert_eq!(partition.runner.checkpoint(), None, "two runs are not joined in what is committed");
+    partition.end_run(&order, Outcome::Complete);
+    partition.settle();
+    assert_eq!(texts(&partition.jobs, "j")[0].2, "x\ny", "nothing of the first run is left");
 }
 
 #[test]
 fn a_text_without_end_is_not_held() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
     let data = "x".repeat(1_000);
-    let taken = (0..).take_while(|id| part.event(&order, *id, &data) == EventTaken::Taken).count();
+    let taken = (0..).take_while(|id| partition.event(&order, *id, &data) == EventTaken::Taken).count();
     assert!((400..=MAX_TEXT_BYTES / 1_000).contains(&taken));
 }
 
 /// MIXED: given up only after all of its answers of 500.
 #[test]
 fn an_item_is_given_up_after_its_last_attempt() {
-    let mut part = Part::with_job("j", 1);
+    let mut partition = Partition::with_job("j", 1);
     for attempt in 1..=3 {
-        part.pass(5_000);
-        let order = part.next();
-        part.end_run(&order, Outcome::Failed500);
-        part.settle();
-        assert_eq!(texts(&part.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
+        partition.pass(5_000);
+        let order = partition.next();
+        partition.end_run(&order, Outcome::Failed500);
+        partition.settle();
+        assert_eq!(texts(&partition.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
     }
-    assert_eq!(texts(&part.jobs, "j")[0].1, ResultState::DeadLetter);
+    assert_eq!(texts(&partition.jobs, "j")[0].1, ResultState::DeadLetter);
 }
 
 /// MIXED: breaks, full executors and wrong ones are no answers of 500, however many.
@@ -178,186 +181,186 @@
 #[case(Outcome::Misdirected)]
 #[case(Outcome::Complete)]
 fn what_is_no_500_does_not_count(#[case] outcome: Outcome) {
-    let mut part = Part::with_job("j", 1);
+    let mut partition = Partition::with_job("j", 1);
     for _ in 0..10 {
-        part.pass(2_500);
-        let order = part.next();
-        part.end_run(&order, outcome);
-        part.settle();
+        partition.pass(2_500);
+        let order = partition.next();
+        partition.end_run(&order, outcome);
+        partition.settle();
     }
-    assert_eq!(texts(&part.jobs, "j"), []);
+    assert_eq!(texts(&partition.jobs, "j"), []);
 }
 
 #[test]
 fn no_attempts_allowed_still_is_one() {
-    let mut part = Part::led();
+    let mut partition = Partition::led();
     let terms = JobTerms { max_attempts: 0, ..terms() };
-    part.commit(Entry::Submit { submission: submission("j", 1), terms });
-    assert_eq!(texts(&part.jobs, "j"), []);
-    let order = part.next();
-    part.end_run(&order, Outcome::Failed500);
-    part.settle();
-    assert_eq!(texts(&part.jobs, "j").len(), 1);
+    partition.commit(Entry::Submit { submission: submission("j", 1), terms });
+    assert_eq!(texts(&partition.jobs, "j"), []);
+    let order = partition.next();
+    partition.end_run(&order, Outcome::Failed500);
+    partition.settle();
+    assert_eq!(texts(&partition.jobs, "j").len(), 1);
 }
 
 #[test]
 fn a_poisoned_item_is_given_up_at_once_and_alone() {
-    let mut part = Part::with_job("j", 2);
-    let order = part.next();
-    part.end_run(&order, Outcome::Rejected422);
-    part.settle();
-    let listed = texts(&part.jobs, "j");
+    let mut partition = Partition::with_job("j", 2);
+    let order = partition.next();
+    partition.end_run(&order, Outcome::Rejected422);
+    partition.settle();
+    let listed = texts(&partition.jobs, "j");
     assert_eq!(listed, [(order.attempt_id.clone(), ResultState::DeadLetter, String::new())]);
-    assert_ne!(part.next().attempt_id, order.attempt_id);
+    assert_ne!(partition.next().attempt_id, order.attempt_id);
 }
 
 /// MIXED: not before the retention, by the steady clock.
 #[test]
 fn what_is_past_its_retention_is_given_up() {
-    let mut part = Part::with_job("j", 2);
-    let order = part.next();
-    part.pass(59_999);
-    part.runner.tick(part.now);
-    assert_eq!((part.settle(), part.runner.take_cut_off()), (0, vec![]));
-    assert!(part.runner.next_wake() <= Some(at(61_000)));
-    part.pass(1);
-    assert_eq!(part.try_next(), None, "before the tick too");
-    part.runner.tick(part.now);
-    assert_eq!(part.try_next(), None);
-    assert_eq!(part.settle(), 1);
-    assert_eq!(part.runner.take_cut_off(), [order.run]);
-    assert!(texts(&part.jobs, "j").iter().all(|one| one.1 == ResultState::DeadLetter));
-    assert_eq!(texts(&part.jobs, "j").len(), 2);
-    part.runner.tick(part.now);
-    assert_eq!(part.settle(), 0);
+    let mut partition = Partition::with_job("j", 2);
+    let order = partition.next();
+    partition.pass(59_999);
+    partition.runner.tick(partition.now);
+    assert_eq!((partition.settle(), partition.runner.take_cut_off()), (0, vec![]));
+    assert!(partition.runner.next_wake() <= Some(at(61_000)));
+    partition.pass(1);
+    assert_eq!(partition.try_next(), None, "before the tick too");
+    partition.runner.tick(partition.now);
+    assert_eq!(partition.try_next(), None);
+    assert_eq!(partition.settle(), 1);
+    assert_eq!(partition.runner.take_cut_off(), [order.run]);
+    assert!(texts(&partition.jobs, "j").iter().all(|one| one.1 == ResultState::DeadLetter));
+    assert_eq!(texts(&partition.jobs, "j").len(), 2);
+    partition.runner.tick(partition.now);
+    assert_eq!(partition.settle(), 0);
 }
 
 #[test]
 fn without_a_retention_nothing_is_given_up() {
-    let mut part = Part::led();
+    let mut partition = Partition::led();
     let terms = JobTerms { retention_ms: 0, ..terms() };
-    part.commit(Entry::Submit { submission: submission("j", 1), terms });
-    part.pass(10_000_000);
-    part.runner.tick(part.now);
-    assert_eq!(part.settle(), 0);
-    part.next();
+    partition.commit(Entry::Submit { submission: submission("j", 1), terms });
+    partition.pass(10_000_000);
+    partition.runner.tick(partition.now);
+    assert_eq!(partition.settle(), 0);
+    partition.next();
 }
 
 #[test]
 fn the_items_of_a_route_that_is_gone_are_given_up() {
-    let mut part = Part::with_job("j", 2);
-    part.commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), terms: terms() });
-    let order = part.next();
+    let mut partition = Partition::with_job("j", 2);
+    partition.commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), terms: terms() });
+    let order = partition.next();
     assert_eq!(order.job, job("j"));
-    part.runner.route_ended(ROUTE);
-    part.settle();
-    assert_eq!(part.runner.take_cut_off(), [order.run]);
-    assert_eq!(texts(&part.jobs, "j").len(), 2);
-    assert_eq!(part.next().job, job("k"), "others run on");
-    part.runner.retain_routes(|_| true);
-    assert_eq!(part.settle(), 0);
+    partition.runner.route_ended(ROUTE);
+    partition.settle();
+    assert_eq!(partition.runner.take_cut_off(), [order.run]);
+    assert_eq!(texts(&partition.jobs, "j").len(), 2);
+    assert_eq!(partition.next().job, job("k"), "others run on");
+    partition.runner.retain_routes(|_| true);
+    assert_eq!(partition.settle(), 0);
 }
 
 /// UNASKED: nothing of a job runs once its end is applied.
 #[test]
 fn an_end_cuts_off_what_runs() {
-    let mut part = Part::with_job("j", 3);
-    let (first, second) = (part.next(), part.next());
-    part.event(&first, 0, "a");
-    part.end_run(&first, Outcome::Complete);
-    part.commit(Entry::Ended { job: job("j") });
-    assert_eq!(part.runner.take_cut_off(), [second.run]);
-    assert_eq!(part.try_next(), None);
-    assert_eq!(part.event(&second, 0, "a"), EventTaken::NoSuchRun);
-    part.end_run(&second, Outcome::Broken);
-    part.pass(10_000);
-    assert_eq!((part.try_next(), part.settle(), part.runner.running_count()), (None, 0, 0));
+    let mut partition = Partition::with_job("j", 3);
+    let (first, second) = (partition.next(), partition.next());
+    partition.event(&first, 0, "a");
+    partition.end_run(&first, Outcome::Complete);
+    partition.commit(Entry::Ended { job: job("j") });
+    assert_eq!(partition.runner.take_cut_off(), [second.run]);
+    assert_eq!(partition.try_next(), None);
+    assert_eq!(partition.event(&second, 0, "a"), EventTaken::NoSuchRun);
+    partition.end_run(&second, Outcome::Broken);
+    partition.pass(10_000);
+    assert_eq!((partition.try_next(), partition.settle(), partition.runner.running_count()), (None, 0, 0));
 }
 
 /// Results that come out together are one entry.
 #[test]
 fn results_of_one_turn_are_one_entry() {
-    let mut part = Part::with_job("j", 20);
-    part.commit(submit("k", 20));
-    while let Some(order) = part.try_next() {
-        part.event(&order, 0, "text");
-        part.end_run(&order, Outcome::Complete);
+    let mut partition = Partition::with_job("j", 20);
+    partition.commit(submit("k", 20));
+    while let Some(order) = partition.try_next() {
+        partition.event(&order, 0, "text");
+        partition.end_run(&order, Outcome::Complete);
     }
-    assert_eq!(part.settle(), 1);
-    assert_eq!((texts(&part.jobs, "j").len(), texts(&part.jobs, "k").len()), (20, 20));
+    assert_eq!(partition.settle(), 1);
+    assert_eq!((texts(&partition.jobs, "j").len(), texts(&partition.jobs, "k").len()), (20, 20));
 }
 
 #[test]
 fn large_results_are_several_entries() {
-    let mut part = Part::with_job("j", 4);
-    while let Some(order) = part.try_next() {
-        part.event(&order, 0, &"x".repeat(300_000));
-        part.end_run(&order, Outcome::Complete);
+    let mut partition = Partition::with_job("j", 4);
+    while let Some(order) = partition.try_next() {
+        partition.event(&order, 0, &"x".repeat(300_000));
+        partition.end_run(&order, Outcome::Complete);
     }
-    assert_eq!(part.settle(), 4);
-    assert_eq!(part.jobs.status(&job("j")).map(|status| status.listed), Some(4));
+    assert_eq!(partition.settle(), 4);
+    assert_eq!(partition.jobs.status(&job("j")).map(|status| status.listed), Some(4));
 }
 
 #[test]
 fn what_was_not_proposed_is_proposed_again() {
-    let mut part = Part::with_job("j", 2);
-    let (done, failed) = (part.next(), part.next());
-    part.event(&done, 0, "text");
-    part.end_run(&done, Outcome::Complete);
-    part.end_run(&failed, Outcome::Failed500);
-    let entries = part.runner.take_proposals();
+    let mut partition = Partition::with_job("j", 2);
+    let (done, failed) = (partition.next(), partition.next());
+    partition.event(&done, 0, "text");
+    partition.end_run(&done, Outcome::Complete);
+    partition.end_run(&failed, Outcome::Failed500);
+    let entries = partition.runner.take_proposals();
     for entry in entries.clone() {
-        part.runner.not_proposed(entry);
+        partition.runner.not_proposed(entry);
     }
-    assert_eq!(part.runner.take_proposals(), entries);
+    assert_eq!(partition.runner.take_proposals(), entries);
     for entry in entries.clone() {
-        part.commit(entry);
+        partition.commit(entry);
     }
     for entry in entries {
-        part.runner.not_proposed(entry);
+        partition.runner.not_proposed(entry);
     }
-    let again = part.runner.take_proposals();
+    let again = partition.runner.take_proposals();
     assert!(!again.iter().any(|entry| matches!(entry, Entry::Results(_))), "it is listed: {again:?}");
 }
 
 /// Entries of an earlier term that come back are none of this one's.
 #[test]
 fn what_an_earlier_term_proposed_is_not_proposed_again() {
-    let mut part = Part::with_job("j", 1);
-    let order = part.next();
-    part.event(&order, 0, "text");
-    part.end_run(&order, Outcome::Complete);
-    let entries = part.runner.take_proposals();
-    part.runner.begin(&part.jobs, part.now, 1_000_000);
-    let again = part.next();
+    let mut partition = Partition::with_job("j", 1);
+    let order = partition.next();
+    partition.event(&order, 0, "text");
+    partition.end_run(&order, Outcome::Complete);
+    let entries = partition.runner.take_proposals();
+    partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+    let again = partition.next();
     for entry in entries {
-        part.runner.not_proposed(entry);
+        partition.runner.not_proposed(entry);
     }
-    assert_eq!(part.runner.take_proposals(), []);
-    part.event(&again, 0, "text");
-    part.end_run(&again, Outcome::Complete);
-    assert_eq!(part.settle(), 1);
+    assert_eq!(partition.runner.take_proposals(), []);
+    partition.event(&again, 0, "text");
+    partition.end_run(&again, Outcome::Complete);
+    assert_eq!(partition.settle(), 1);
 }
 
 /// Of jobs that can be in time, the one due first; of jobs that are late, those after them.
 #[test]
 fn the_most_urgent_job_that_can_be_in_time_goes_first() {
-    let mut part = Part::led();
+    let mut partition = Partition::led();
     for (name, completion_target_ms) in [("late", 500), ("loose", 30_000), ("tight", 9_000)] {
         let terms = JobTerms { completion_target_ms, ..terms() };
-        part.commit(Entry::Submit { submission: submission(name, 1), terms });
+        partition.commit(Entry::Submit { submission: submission(name, 1), terms });
     }
-    let order: Vec<JobId> = std::iter::from_fn(|| part.try_next()).map(|order| order.job).collect();
+    let order: Vec<JobId> = std::iter::from_fn(|| partition.try_next()).map(|order| order.job).collect();
     assert_eq!(order, ["tight", "loose", "late"].map(job));
 }
 
 #[test]
 fn the_time_before_a_job_was_taken_counts() {
-    let mut part = Part::led();
+    let mut partition = Partition::led();
     let older = JobTerms { age_at_acceptance_ms: 3_000, completion_target_ms: 10_000, ..terms() };
-    part.commit(Entry::Submit { submission: submission("a", 1), terms: terms() });
-    part.commit(Entry::Submit { submission: submission("older", 1), terms: older });
-    assert_eq!(part.next().job, job("older"));
+    partition.commit(Entry::Submit { submission: submission("a", 1), terms: terms() });
+    partition.commit(Entry::Submit { submission: submission("older", 1), terms: older });
+    assert_eq!(partition.next().job, job("older"));
 }
 
 /// A late job, and a loose one, behind an endless supply of urgent ones.
@@ -365,26 +368,26 @@
 #[case::late(1)]
 #[case::loose(50_000)]
 fn no_job_starves(#[case] completion_target_ms: u64) {
-    let mut part = Part::led();
+    let mut partition = Partition::led();
     let terms = JobTerms { completion_target_ms, ..terms() };
-    part.commit(Entry::Submit { submission: submission("patient", 2), terms });
+    partition.commit(Entry::Submit { submission: submission("patient", 2), terms });
     let mut patient = 0;
     for number in 0..40 {
-        part.commit(submit(&format!("urgent{number}"), 1));
-        part.commit(submit(&format!("pressing{number}"), 1));
-        patient += usize::from(part.next().job == job("patient"));
+        partition.commit(submit(&format!("urgent{number}"), 1));
+        partition.commit(submit(&format!("pressing{number}"), 1));
+        patient += usize::from(partition.next().job == job("patient"));
     }
     assert_eq!(patient, 2, "both items ran within 40 turns");
 }
 
 #[test]
 fn the_largest_item_that_fits_goes_first() {
-    let mut part = Part::led();
+    let mut partition = Partition::led();
     let submission = submission_on(ROUTE, "j", &[100, 900, 500, 500]);
-    part.commit(Entry::Submit { submission, terms: terms() });
+    partition.commit(Entry::Submit { submission, terms: terms() });
     let room = |tokens| move |_: &str| Some(tokens);
     let mut next = |tokens| {
-        let order = part.runner.next_item(&part.jobs, part.now, &room(tokens));
+        let order = partition.runner.next_item(&partition.jobs, partition.now, &room(tokens));
         order.map(|order| order.item.0)
     };
     assert_eq!([next(99), next(600), next(100), next(10_000)], [None, Some(2), Some(0), Some(1)]);
@@ -393,30 +396,30 @@
 
 #[test]
 fn items_that_were_listed_while_they_waited_are_out_of_line() {
-    let mut part = Part::with_job("j", 3);
-    part.commit(complete("j", 0, "the predecessor's"));
-    let order = part.next();
+    let mut partition = Partition::with_job("j", 3);
+    partition.commit(complete("j", 0, "the predecessor's"));
+    let order = partition.next();
     assert_eq!(order.item, ItemIndex(1));
-    part.end_run(&order, Outcome::NotExecuted);
-    assert!(part.runner.next_wake() < Some(at(2_000)), "it pauses");
-    part.commit(complete("j", 1, "the predecessor's"));
-    assert_eq!(part.runner.next_wake(), Some(at(61_000)));
-    assert_eq!(part.next().item, ItemIndex(2));
+    partition.end_run(&order, Outcome::NotExecuted);
+    assert!(partition.runner.next_wake() < Some(at(2_000)), "it pauses");
+    partition.commit(complete("j", 1, "the predecessor's"));
+    assert_eq!(partition.runner.next_wake(), Some(at(61_000)));
+    assert_eq!(partition.next().item, ItemIndex(2));
 }
 
 #[test]
 fn who_is_first_in_line_is_told() {
-    let mut part = Part::led();
+    let mut partition = Partition::led();
     let loose = JobTerms { completion_target_ms: 50_000, ..terms() };
-    part.commit(Entry::Submit { submission: submission_on(ROUTE, "a", &[9_000]), terms: loose });
-    part.commit(Entry::Submit { submission: submission_on(ROUTE, "b", &[100, 700]), terms: terms() });
+    partition.commit(Entry::Submit { submission: submission_on(ROUTE, "a", &[9_000]), terms: loose });
+    partition.commit(Entry::Submit { submission: submission_on(ROUTE, "b", &[100, 700]), terms: terms() });
     let mut lines = Vec::new();
     loop {
         lines.push((
-            part.runner.first_in_line(ROUTE, part.now),
-            part.runner.first_in_line("r-other", part.now),
+            partition.runner.first_in_line(ROUTE, partition.now),
+            partition.runner.first_in_line("r-other", partition.now),
         ));
-        if part.try_next().is_none() {
+        if partition.try_next().is_none() {
             break;
         }
     }
@@ -425,28 +428,28 @@
 
 #[test]
 fn a_route_without_room_holds_no_other_up() {
-    let mut part = Part::with_job("j", 1);
+    let mut partition = Partition::with_job("j", 1);
     let terms = JobTerms { completion_target_ms: 50_000, ..terms() };
-    part.commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), terms });
+    partition.commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), terms });
     let room = |route: &str| (route == "r-other").then_some(1_000);
-    let order = part.runner.next_item(&part.jobs, part.now, &room);
+    let order = partition.runner.next_item(&partition.jobs, partition.now, &room);
     assert_eq!(order.map(|order| order.job), Some(job("k")));
-    assert_eq!(part.runner.next_item(&part.jobs, part.now, &room), None);
+    assert_eq!(partition.runner.next_item(&partition.jobs, partition.now, &room), None);
 }
 
 /// Pauses grow, differ and stay bounded.
 #[test]
 fn retries_pause_longer_each_time() {
-    let mut part = Part::led();
+    let mut partition = Partition::led();
     let terms = JobTerms { max_attempts: u32::MAX, retention_ms: 0, ..terms() };
-    part.commit(Entry::Submit { submission: submission("j", 1), terms });
+    partition.commit(Entry::Submit { submission: submission("j", 1), terms });
     let mut pauses = Vec::new();
     for _ in 0..12 {
-        let order = part.next();
-        part.end_run(&order, Outcome::Failed500);
-        let until = part.runner.next_wake().expect("it pauses");
-        pauses.push(until.since(part.now).seconds());
-        part.now = until;
+        let order = partition.next();
+        partition.end_run(&order, Outcome::Failed500);
+        let until = partition.runner.next_wake().expect("it pauses");
+        pauses.push(until.since(partition.now).seconds());
+        partition.now = until;
     }
     assert!((0.05..=0.1).contains(&pauses[0]), "{pauses:?}");
     assert!(pauses[6..].iter().all(|pause| (1.0..=2.0).contains(pause)), "{pauses:?}");
@@ -455,16 +458,16 @@
 
 #[test]
 fn an_event_ends_the_growing_of_pauses() {
-    let mut part = Part::with_job("j", 1);
+    let mut partition = Partition::with_job("j", 1);
     let mut pause_after = |data: Option<u64>| {
-        let order = part.next();
+        let order = partition.next();
         if let Some(id) = data {
-            part.event(&order, id, "x");
+            partition.event(&order, id, "x");
         }
-        part.end_run(&order, Outcome::Broken);
-        let until = part.runner.next_wake().expect("it pauses");
-        let pause = until.since(part.now).seconds();
-        part.now = until;
+        partition.end_run(&order, Outcome::Broken);
+        let until = partition.runner.next_wake().expect("it pauses");
+        let pause = until.since(partition.now).seconds();
+        partition.now = until;
         pause
     };
     for _ in 0..6 {
@@ -476,34 +479,34 @@
 
 #[test]
 fn the_tokens_that_wait_to_run_are_told() {
-    let mut part = Part::with_job("j", 3);
-    assert_eq!((part.runner.idle_tokens(ROUTE), part.runner.idle_tokens("r-other")), (300, 0));
-    let order = part.next();
-    assert_eq!(part.runner.idle_tokens(ROUTE), 200);
-    part.end_run(&order, Outcome::NotExecuted);
-    assert_eq!(part.runner.idle_tokens(ROUTE), 300);
-    part.commit(complete("j", order.item.0, "the predecessor's"));
-    assert_eq!(part.runner.idle_tokens(ROUTE), 200, "listed while it paused");
-    let order = part.next();
-    part.event(&order, 0, "text");
-    part.end_run(&order, Outcome::Complete);
-    assert_eq!(part.runner.idle_tokens(ROUTE), 100);
-    part.runner.route_ended(ROUTE);
-    assert_eq!((part.runner.idle_tokens(ROUTE), part.runner.next_wake()), (0, None));
+    let mut partition = Partition::with_job("j", 3);
+    assert_eq!((partition.runner.idle_tokens(ROUTE), partition.runner.idle_tokens("r-other")), (300, 0));
+    let order = partition.next();
+    assert_eq!(partition.runner.idle_tokens(ROUTE), 200);
+    partition.end_run(&order, Outcome::NotExecuted);
+    assert_eq!(partition.runner.idle_tokens(ROUTE), 300);
+    partition.commit(complete("j", order.item.0, "the predecessor's"));
+    assert_eq!(partition.runner.idle_tokens(ROUTE), 200, "listed while it paused");
+    let order = partition.next();
+    partition.event(&order, 0, "text");
+    partition.end_run(&order, Outcome::Complete);
+    assert_eq!(partition.runner.idle_tokens(ROUTE), 100);
+    partition.runner.route_ended(ROUTE);
+    assert_eq!((partition.runner.idle_tokens(ROUTE), partition.runner.next_wake()), (0, None));
 }
 
 /// While anything is undecided there is a moment to look again, and none once all is decided.
 #[test]
 fn there_is_a_moment_to_look_again_while_anything_is_undecided() {
-    let mut part = Part::with_job("j", 2);
-    let (first, second) = (part.next(), part.next());
+    let mut partition = Partition::with_job("j", 2);
+    let (first, second) = (partition.next(), partition.next());
     let given_up = Some(at(61_000));
-    assert_eq!(part.runner.next_wake(), given_up);
-    part.event(&first, 0, "text");
-    part.end_run(&first, Outcome::Complete);
-    assert_eq!(part.runner.next_wake(), given_up);
-    part.settle();
-    assert_eq!(part.runner.next_wake(), given_up);
-    part.end_run(&second, Outcome::Rejected422);
-    assert_eq!(part.runner.next_wake(), None);
+    assert_eq!(partition.runner.next_wake(), given_up);
+    partition.event(&first, 0, "text");
+    partition.end_run(&first, Outcome::Complete);
+    assert_eq!(partition.runner.next_wake(), given_up);
+    partition.settle();
+    assert_eq!(partition.runner.next_wake(), given_up);
+    partition.end_run(&second, Outcome::Rejected422);
+    assert_eq!(partition.runner.next_wake(), None);
 }
--- a/crates/batch/tests/fair_share.rs
+++ b/crates/batch/tests/fair_share.rs
@@ -1,32 +1,32 @@
-//! How leaders of parts share the room for items.
+//! How leaders of partitions share the room for items.
 
-use grebeusher_batch::{FairShare, PartLoad};
+use grebeusher_batch::{FairShare, PartitionLoad};
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
 const NOW: Instant = Instant(5_000_000_000);
 
-fn load(running: u32, waiting: u32) -> PartLoad {
-    PartLoad { running, waiting }
+fn load(running: u32, waiting: u32) -> PartitionLoad {
+    PartitionLoad { running, waiting }
 }
 
-fn beside(others: &[(u8, PartLoad)]) -> FairShare {
+fn beside(others: &[(u8, PartitionLoad)]) -> FairShare {
     let mut shares = FairShare::default();
-    others.iter().for_each(|(part, load)| shares.told(NOW, *part, *load));
+    others.iter().for_each(|(partition, load)| shares.told(NOW, *partition, *load));
     shares
 }
 
 #[test]
-fn a_part_takes_all_room_while_nothing_else_waits() {
-    // Given other parts whose items all run, when a part has many runs, then it may begin more.
+fn a_partition_takes_all_room_while_nothing_else_waits() {
+    // Given other partitions whose items all run, when a partition has many runs, then it may begin more.
     let shares = beside(&[(2, load(100, 0)), (3, load(100, 0))]);
     assert!(shares.may_begin(NOW, 1, load(800, 400)));
     assert!(FairShare::default().may_begin(NOW, 1, load(800, 400)));
 }
 
 #[test]
-fn a_part_with_few_items_left_leaves_room_to_one_with_a_long_queue() {
-    // Given a part with 61 runs and 700 items that wait, when another one has 415 runs and few items left,
+fn a_partition_with_few_items_left_leaves_room_to_one_with_a_long_queue() {
+    // Given a partition with 61 runs and 700 items that wait, when another one has 415 runs and few items left,
     let shares = beside(&[(2, load(61, 700))]);
     // then that one begins none until its share is its own, and the first begins at once.
     assert!(!shares.may_begin(NOW, 3, load(415, 60)));
@@ -36,8 +36,8 @@
 #[rstest]
 #[case::from_nothing(0)]
 #[case::when_busy(200)]
-fn parts_alike_grow_together_into_new_room(#[case] running: u32) {
-    // Given three parts alike, when there is room, then each may begin more beside the others.
+fn partitions_alike_grow_together_into_new_room(#[case] running: u32) {
+    // Given three partitions alike, when there is room, then each may begin more beside the others.
     let alike = load(running, 500);
     assert!(beside(&[(2, alike), (3, alike)]).may_begin(NOW, 1, alike));
 }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_part_is_not_held_back_by_what_it_told_itself() {
+fn a_partition_is_not_held_back_by_what_it_told_itself() {
     let shares = beside(&[(1, load(10, 900))]);
     assert!(shares.may_begin(NOW, 1, load(400, 900)));
 }
--- a/crates/batch/tests/stable_bytes.rs
+++ b/crates/batch/tests/stable_bytes.rs
@@ -1,6 +1,6 @@
 //! Bytes written by earlier versions that this one must read and write unchanged.
 //!
-//! A part's log, its snapshots and the calls between the processes hold these bytes. None of them may be edited to make
+//! A partition's log, its snapshots and the calls between the processes hold these bytes. None of them may be edited to make
 //! a test pass: a changed form needs a new kind or a new version beside the old one.
 
 use grebeusher_batch::{
--- a/crates/demo/src/client.rs
+++ b/crates/demo/src/client.rs
@@ -96,7 +96,7 @@
     let mut first_byte = None;
     while !reader.is_done() {
         let consumed = reader
-            .read_with(&answer.bytes, |part| body.extend_from_slice(part))
+            .read_with(&answer.bytes, |partition| body.extend_from_slice(partition))
             .map_err(|http::Malformed(_)| CallError::Malformed)?;
         answer.bytes.drain(..consumed);
         if first_byte.is_none() && !body.is_empty() {
--- a/crates/demo/src/operator.rs
+++ b/crates/demo/src/operator.rs
@@ -13,8 +13,8 @@
 pub const LIVE_HOST: &str = "demo.example";
 /// The host of batch jobs.
 pub const JOB_HOST: &str = "jobs.example";
-/// The part of the tier's state that holds the jobs of [`JOB_HOST`].
-pub const JOB_PART: u8 = 3;
+/// The partition of the tier's state that holds the jobs of [`JOB_HOST`].
+pub const JOB_PARTITION: u8 = 3;
 /// Requests below it are greeted.
 pub const GREETING_PREFIX: &str = "/hello/";
 /// Requests below it are answered by streams.
@@ -93,9 +93,9 @@
     })
 }
 
-/// The leader of a part as the first node says that knows one.
-pub fn leader_of(controls: &[SocketAddrV4], part: u8) -> Option<SocketAddrV4> {
-    let line_start = format!("part {part} owner ");
+/// The leader of a partition as the first node says that knows one.
+pub fn leader_of(controls: &[SocketAddrV4], partition: u8) -> Option<SocketAddrV4> {
+    let line_start = format!("part {partition} owner ");
     controls.iter().find_map(|control| {
         let status = ask(*control, "GET", "/api/status", None, "").ok()?.text();
         let line = status.lines().find_map(|line| line.strip_prefix(&line_start))?;
--- a/crates/demo/src/story.rs
+++ b/crates/demo/src/story.rs
@@ -5,7 +5,7 @@
 use crate::executors::Executor;
 use crate::job::Job;
 use crate::layout::{DRAIN_TIMEOUT_MS, GRACE_PERIOD_S, Layout, Machines};
-use crate::operator::{self, JOB_PART, LIVE_HOST, STREAM_PREFIX, VERSION, configuration};
+use crate::operator::{self, JOB_PARTITION, LIVE_HOST, STREAM_PREFIX, VERSION, configuration};
 use crate::processes::Process;
 use crate::requests::{Served, greet, stream};
 use crate::table::{Table, milliseconds};
@@ -54,7 +54,7 @@
     pub items_complete: usize,
     /// The storage process that was killed while it ran the job.
     pub killed: String,
-    /// Who led the job's part afterwards.
+    /// Who led the job's partition afterwards.
     pub next_leader: String,
     /// Requests that a draining executor got later than it must.
     pub late_after_drain: u64,
@@ -278,7 +278,7 @@
         self.row("the next results after the kill came after", &milliseconds(gap))?;
         let next_leader = self.next_leader(address)?;
         self.check_results(&mut job, &results)?;
-        self.show_part(&job)?;
+        self.show_partition(&job)?;
         job.end()?;
         self.row("the job is ended", "200")?;
         Ok((results.len(), killed, next_leader))
@@ -315,14 +315,15 @@
     }
 
     /// The leader's own account of the job, as `grebeusher-tier show` prints it.
-    fn show_part(&mut self, job: &Job<'_>) -> Result<(), DemoError> {
+    fn show_partition(&mut self, job: &Job<'_>) -> Result<(), DemoError> {
         let (controls, watch) = (self.controls(), self.watch.clone());
-        let target = format!("/api/status/{JOB_PART}");
+        let target = format!("/api/status/{JOB_PARTITION}");
         let status = watch.until("the leader shows its part", || {
             let answer = operator::ask(controls[0], "GET", &target, None, "");
             Ok(answer.ok().filter(Answer::is_success).map(|answer| answer.text()))
         })?;
-        let expected = format!("part {JOB_PART} job {}: {ITEMS} of {ITEMS} items listed, complete", job.id());
+        let expected =
+            format!("part {JOB_PARTITION} job {}: {ITEMS} of {ITEMS} items listed, complete", job.id());
         match status.lines().find(|line| **line == expected) {
             Some(line) => self.row("its new leader shows", line),
             None => Err(DemoError::Wrong { step: target, what: status }),
@@ -332,8 +333,8 @@
     fn kill_leader(&mut self) -> Result<(String, SocketAddrV4), DemoError> {
         let controls = self.controls();
         let watch = self.watch.clone();
-        let leader =
-            watch.until("the job's part has a leader", || Ok(operator::leader_of(&controls, JOB_PART)))?;
+        let leader = watch
+            .until("the job's part has a leader", || Ok(operator::leader_of(&controls, JOB_PARTITION)))?;
         let place = self.processes.iter().position(|process| process.machine.address == *leader.ip());
         let Some(place) = place else {
             let what = format!("{leader} is no process of this tier");
@@ -350,7 +351,7 @@
         let controls = self.controls();
         let watch = self.watch.clone();
         let leader = watch.until("the job's part has another leader", || {
-            Ok(operator::leader_of(&controls, JOB_PART).filter(|leader| *leader != before))
+            Ok(operator::leader_of(&controls, JOB_PARTITION).filter(|leader| *leader != before))
         })?;
         let named = self.processes.iter().find(|process| process.machine.address == *leader.ip());
         let name = named.map_or_else(|| leader.to_string(), |process| process.machine.name.clone());
--- a/crates/quorum/src/disk/store.rs
+++ b/crates/quorum/src/disk/store.rs
@@ -1,4 +1,4 @@
-//! The store of one part: opening, appending, and going on to a new generation.
+//! The store of one partition: opening, appending, and going on to a new generation.
 
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -15,7 +15,7 @@
 /// The first generation; its slot has no snapshot.
 const FIRST_GENERATION: u64 = 1;
 
-/// The files of one part.
+/// The files of one partition.
 #[derive(Debug)]
 pub struct Store {
     folder: PathBuf,
--- a/crates/quorum/src/error.rs
+++ b/crates/quorum/src/error.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ProposeError {
-    /// Another replica leads the part, or none does, or the leadership is being handed over.
+    /// Another replica leads the partition, or none does, or the leadership is being handed over.
     #[snafu(display("not the leader"))]
     NotLeader { hint: Option<ReplicaId> },
     /// Too much waits for a quorum already; try again when some of it has been committed.
--- a/crates/quorum/src/ids.rs
+++ b/crates/quorum/src/ids.rs
@@ -46,7 +46,7 @@
     pub index: Index,
 }
 
-/// A fingerprint of the group that a part was founded with. Replicas of two foundings never talk to each other.
+/// A fingerprint of the group that a partition was founded with. Replicas of two foundings never talk to each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Founding(pub u64);
 
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,10 +1,10 @@
-//! A replicated log for one part of the control state: terms and elections, a leader's lease, change of the group,
+//! A replicated log for one partition of the control state: terms and elections, a leader's lease, change of the group,
 //! snapshots, and the files of all that.
 //!
 //! [`Replica`] is a state machine: messages, time and proposals go in, and a [`Ready`] comes out that says what to
 //! write, to send and to apply. It does no I/O and reads no clock. [`disk::Store`] keeps what it writes.
 //!
-//! The loop of the program, for one part:
+//! The loop of the program, for one partition:
 //!
 //! ```no_run
 //! use grebeusher_quorum::disk::{Identity, Store};
--- a/crates/quorum/src/replica/leadership.rs
+++ b/crates/quorum/src/replica/leadership.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether reads may be answered from the application's state: this replica leads the part, has committed an entry
+    /// Whether reads may be answered from the application's state: this replica leads the partition, has committed an entry
     /// of its own term, and a quorum has answered what was sent within the lease.
     pub fn lease_holds(&self, now: Instant) -> bool {
         let Some(leadership) = self.leadership() else { return false };
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -30,7 +30,7 @@
 /// "Never", for a replica that waits for nothing but messages.
 const NEVER: Instant = Instant(u64::MAX);
 
-/// A replica of one part.
+/// A replica of one partition.
 #[derive(Clone, Debug)]
 pub struct Replica {
     identity: ReplicaId,
@@ -107,7 +107,7 @@
         replica
     }
 
-    /// Founds the part with this group, which names this replica: the first entry of the log, the same on each of its
+    /// Founds the partition with this group, which names this replica: the first entry of the log, the same on each of its
     /// replicas. A replica takes one founding in its life; the same again is fine.
     ///
     /// # Errors
@@ -268,12 +268,12 @@
         self.hard.term
     }
 
-    /// Whether it won its term. That does not mean that it still leads the part: see [`Replica::lease_holds`].
+    /// Whether it won its term. That does not mean that it still leads the partition: see [`Replica::lease_holds`].
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Who leads the part, as far as it knows.
+    /// Who leads the partition, as far as it knows.
     pub fn leader_hint(&self) -> Option<ReplicaId> {
         match &self.role {
             Role::Leader(_) => Some(self.identity),
--- a/crates/quorum/src/timing.rs
+++ b/crates/quorum/src/timing.rs
@@ -15,7 +15,7 @@
     pub lease: Duration,
 }
 
-/// The part of `election_min` that a lease may take: clocks whose rates are 1% apart, twice, and a margin.
+/// The share of `election_min` that a lease may take: clocks whose rates are 1% apart, twice, and a margin.
 const LEASE_SHARE: f64 = 0.9;
 
 impl Timing {
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -477,7 +477,7 @@
 #[test]
 fn a_replica_lives_on_its_files() {
     let folder = new_folder();
-    let part: PathBuf = folder.path().join("part-0");
+    let partition: PathBuf = folder.path().join("part-0");
     let timing = Timing {
         heartbeat: Duration::from_millis(20),
         election_min: Duration::from_millis(200),
@@ -489,12 +489,12 @@
     for life in 0..6u64 {
         // Given a replica that is alone, with what it left on disk in its life before
         let identity = Identity::load_or_create(folder.path(), 7 + life).expect("the disk works");
-        let (mut store, restored) = Store::open(&part).expect("the disk works");
+        let (mut store, restored) = Store::open(&partition).expect("the disk works");
         let mut replica = Replica::new(identity.id, restored, timing, life, now);
         replica.found(Group::of([identity.id])).expect("it is the same each time");
         let mut state = 0u64;
         for round in 0..60 {
-            // When it leads the part, and takes commands
+            // When it leads the partition, and takes commands
             now = now + Duration::from_millis(20);
             replica.tick(now);
             if round > 40 {
--- a/crates/quorum/tests/elections.rs
+++ b/crates/quorum/tests/elections.rs
@@ -26,8 +26,8 @@
 #[case(2)]
 #[case(3)]
 #[case(5)]
-fn a_founded_part_gets_a_leader_and_decides(#[case] voters: usize) {
-    // Given a part that was just founded
+fn a_founded_partition_gets_a_leader_and_decides(#[case] voters: usize) {
+    // Given a partition that was just founded
     let mut world = World::new(7, voters, 0);
     // When it has a leader, and that one is given commands
     let leader = world.elect();
@@ -93,7 +93,7 @@
 
 #[test]
 fn heartbeats_without_news_cost_no_sync_and_two_messages_a_follower() {
-    // Given a part that is quiet
+    // Given a partition that is quiet
     let (mut world, leader, others) = three(11);
     world.run(Duration::from_millis(200));
     let syncs: Vec<u64> = world.machines.iter().map(|machine| machine.syncs).collect();
@@ -237,7 +237,7 @@
     let (mut world, leader, others) = three(26);
     let term = world.newest_term();
     // When a follower and the leader hear nothing of each other, while the third one hears both
-    world.part(leader, others[0]);
+    world.partition(leader, others[0]);
     world.run(Duration::from_millis(5_000));
     // Then the third one holds to the leader, whose lease holds by it
     assert_eq!(world.leader(), Some(leader));
@@ -246,7 +246,7 @@
 
 #[test]
 fn messages_of_others_are_dropped() {
-    // Given a leader of a term far ahead, in a part that was founded otherwise
+    // Given a leader of a term far ahead, in a partition that was founded otherwise
     let (mut world, leader, others) = three(19);
     let before = world.replica(leader).term();
     let heartbeat = |from, to, founding| Message {
@@ -289,7 +289,7 @@
     assert!(
         matches!(refused, Err(ProposeError::NotLeader { hint }) if hint == Some(target) || hint.is_none())
     );
-    // And the other one leads the part far earlier than by an election
+    // And the other one leads the partition far earlier than by an election
     world.run_until(Duration::from_millis(60), "a new leader", |world| {
         world.leader().is_some_and(|new| new != leader)
     });
--- a/crates/quorum/tests/groups.rs
+++ b/crates/quorum/tests/groups.rs
@@ -106,7 +106,7 @@
     let others = world.others(&[leader]);
     // When the leader takes itself out of the group
     change(&mut world, leader, &others).expect("nothing is under way");
-    // Then another one leads the part, sooner than by an election
+    // Then another one leads the partition, sooner than by an election
     world.run_until(Duration::from_millis(150), "a new leader", |world| {
         world.leader().is_some_and(|new| new != leader)
     });
@@ -199,7 +199,7 @@
     world.lose_power(leader);
     world.run(Duration::from_millis(20));
     world.heal();
-    // Then it leads the part soon
+    // Then it leads the partition soon
     world.run_until(BOUND, "a leader", |world| world.leader() == Some(heir));
 }
 
--- a/crates/quorum/tests/guards.rs
+++ b/crates/quorum/tests/guards.rs
@@ -25,7 +25,7 @@
 fn power_goes_after_the_answer(seed: u64, fault: Fault) -> World {
     // Given a leader whose command only the first of the others gets
     let (mut world, [leader, first, second]) = start(seed, fault);
-    world.part(leader, second);
+    world.partition(leader, second);
     world.run(Duration::from_millis(10));
     let before = world.oracle.last_committed();
     world.sync = Duration::from_millis(40);
@@ -54,7 +54,7 @@
     // Given a leader whose messages to the second one take long, and that is otherwise cut off
     let (mut world, [leader, first, second]) = start(seed, fault);
     world.network.slow.insert((leader, second), Duration::from_millis(1_500));
-    world.part(leader, first);
+    world.partition(leader, first);
     world.network.cut(second, leader);
     world.propose(leader);
     world.run(Duration::from_millis(5));
@@ -64,7 +64,7 @@
     world.run(Duration::from_millis(1_350));
     // And the second one knows no leader when the old message arrives
     world.restart(second);
-    world.part(first, second);
+    world.partition(first, second);
     world.run(Duration::from_millis(400));
     // Then what the first one decided is still there when the first one is lost
     world.lose_power(first);
@@ -79,8 +79,8 @@
 fn a_copy_is_wiped(seed: u64, fault: Fault) -> World {
     // Given a command that the leader and the first one have decided, and the second one has missed
     let (mut world, [leader, first, second]) = start(seed, fault);
-    world.part(leader, second);
-    world.part(first, second);
+    world.partition(leader, second);
+    world.partition(first, second);
     world.propose(leader);
     world.run(Duration::from_millis(100));
     // When the first one's disk is lost and the others lose power, the leader for longer
@@ -100,10 +100,10 @@
 fn a_voter_is_restarted_within_a_lease(seed: u64, fault: Fault) -> World {
     // Given a leader that holds its lease by the first one, while the second one would like to take over
     let (mut world, [leader, first, second]) = start(seed, fault);
-    world.part(leader, second);
+    world.partition(leader, second);
     world.run(Duration::from_millis(800));
     // When the first one is cut off from the leader and restarted
-    world.part(leader, first);
+    world.partition(leader, first);
     world.restart(first);
     // Then reads at the leader are not stale
     world.propose_for(Duration::from_millis(400), Duration::from_millis(2));
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -1,6 +1,6 @@
 //! A model check of three voters, and of three and a spare that takes the place of one: every order of messages, losses,
 //! elections, commands, changes of the group and losses of power, up to a depth, from a state in which one of them leads the
-//! part.
+//! partition.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -121,7 +121,7 @@
 }
 
 impl World {
-    /// All three are founded, and the first one leads the part in term 2 and has decided its opening.
+    /// All three are founded, and the first one leads the partition in term 2 and has decided its opening.
     fn start(with_spare: bool) -> World {
         let group = Group::of(VOTERS);
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(group.clone()) };
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -353,7 +353,7 @@
     let smaller = Group::of([ME, SECOND]);
     bench.append(SECOND, 3, position(1, 1), 2, vec![group_entry(2, 3, smaller)]);
     bench.now = bench.now + Duration::from_millis(1_000);
-    // When the third one, which has the entry and does not know that it is decided, would like to own the part
+    // When the third one, which has the entry and does not know that it is decided, would like to own the partition
     assert_eq!(bench.pre_vote(THIRD, 4, position(2, 3)), Some(false));
     assert_eq!(bench.vote(THIRD, 4, position(2, 3), false), Some(false));
     // Then only one that may know of a later group could
--- a/crates/quorum/tests/world/mod.rs
+++ b/crates/quorum/tests/world/mod.rs
@@ -76,7 +76,7 @@
 }
 
 impl World {
-    /// A world of `founders` machines that found the part, and some more that are empty.
+    /// A world of `founders` machines that found the partition, and some more that are empty.
     pub fn new(seed: u64, founders: usize, spares: usize) -> World {
         World::with_fault(seed, founders, spares, Fault::None)
     }
@@ -155,7 +155,7 @@
         self.work(site);
     }
 
-    /// The machine loses power: what was not synced is there in part.
+    /// The machine loses power: what was not synced is there in partition.
     pub fn lose_power(&mut self, site: Site) {
         let keeps_some = self.rng.random_bool(0.5);
         self.cut_power(site, keeps_some);
@@ -205,7 +205,7 @@
     }
 
     /// Cuts a link both ways.
-    pub fn part(&mut self, one: Site, other: Site) {
+    pub fn partition(&mut self, one: Site, other: Site) {
         self.network.cut(one, other);
         self.network.cut(other, one);
     }
@@ -375,7 +375,7 @@
         self.take_in(site);
     }
 
-    /// A client hands commands to whoever leads the part, a few at a time, while time passes.
+    /// A client hands commands to whoever leads the partition, a few at a time, while time passes.
     pub fn propose_for(&mut self, span: Duration, every: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -430,7 +430,7 @@
         self.leader().expect("just seen")
     }
 
-    /// Changes the group by whoever leads the part, again and again until it stands.
+    /// Changes the group by whoever leads the partition, again and again until it stands.
     pub fn change_to(&mut self, sites: &[Site], bound: Duration) {
         let wanted = self.group_of(sites.iter().copied());
         let end = self.now + bound;
--- a/crates/quorum/tests/world/storm.rs
+++ b/crates/quorum/tests/world/storm.rs
@@ -163,7 +163,7 @@
     let _ = world.call(leader, |replica, now| replica.change_group(now, voters));
 }
 
-/// All troubles end; then the part must have a leader, a whole group, and decide.
+/// All troubles end; then the partition must have a leader, a whole group, and decide.
 fn calm(world: &mut World, weather: Weather) {
     world.heal();
     world.network.loss = 0.0;
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,4 +1,4 @@
-//! Disks: what was synced lasts; of what was written later, a part may be there after a loss of power.
+//! Disks: what was synced lasts; of what was written later, a partition may be there after a loss of power.
 //!
 //! The files of a replica are a chain of records, each with a checksum over all before it. So whatever a loss of power
 //! leaves of the later writes, present, missing or torn, what is read back of them is a beginning of the chain. The tests
--- a/crates/simulation/src/executors/mod.rs
+++ b/crates/simulation/src/executors/mod.rs
@@ -25,7 +25,7 @@
 const LEAVES_ANYWAY: Duration = Duration::from_millis(6500);
 /// Connections from all callers.
 const MAX_CONNECTIONS: usize = 220;
-/// Kept parts of prompts, in tokens.
+/// Kept part of prompts, in tokens.
 const KEPT_TOKENS: u64 = 60_000;
 /// Tokens of a prompt that are read in a millisecond.
 const TOKENS_A_MS: f64 = 90.0;
--- a/crates/simulation/src/executors/runs.rs
+++ b/crates/simulation/src/executors/runs.rs
@@ -72,8 +72,8 @@
         let all = count.and_then(|text| text.split(',').next()?.trim().parse().ok()).unwrap_or(200);
         let mut kept = 0;
         let mut whole = true;
-        for part in prefix.into_iter().flat_map(|text| text.split(',')) {
-            let Some((id, tokens)) = part.split_once(':') else { break };
+        for partition in prefix.into_iter().flat_map(|text| text.split(',')) {
+            let Some((id, tokens)) = partition.split_once(':') else { break };
             let tokens: u64 = tokens.trim().parse().unwrap_or(0);
             let known = live.kept.iter().position(|(other, _)| other == id);
             whole &= known.is_some();
--- a/crates/simulation/src/fleet/hollow.rs
+++ b/crates/simulation/src/fleet/hollow.rs
@@ -77,13 +77,13 @@
     pub fn scenario(&self) -> Scenario {
         let storage = (self.machines / STORAGE_ONE_IN).max(ZONES + 1);
         let edges = self.machines - storage;
-        let part = |all: usize, zone: usize| all / ZONES + usize::from(zone < all % ZONES);
+        let partition = |all: usize, zone: usize| all / ZONES + usize::from(zone < all % ZONES);
         let zones = (0..ZONES).map(|zone| ZoneShape {
             name: format!("zone-{zone}"),
             region: "region".to_owned(),
-            edge: part(edges, zone),
+            edge: partition(edges, zone),
             disks: DISKS_A_ZONE,
-            storage: part(storage, zone),
+            storage: partition(storage, zone),
         });
         Scenario {
             name: "hollow".to_owned(),
@@ -157,7 +157,7 @@
     traffic.turns -= before.turns;
     traffic.turns_by_events -= before.turns_by_events;
     traffic.registry_ticks -= before.registry_ticks;
-    traffic.part_ticks -= before.part_ticks;
+    traffic.partition_ticks -= before.partition_ticks;
     for (now, then) in traffic.timers.iter_mut().zip(before.timers) {
         *now -= then;
     }
@@ -209,7 +209,7 @@
             row("wake-ups", &|cost| cost.traffic.turns as f64);
             row("wake-ups by sockets", &|cost| cost.traffic.turns_by_events as f64);
             row("registry ticks", &|cost| cost.traffic.registry_ticks as f64);
-            row("part ticks", &|cost| cost.traffic.part_ticks as f64);
+            row("part ticks", &|cost| cost.traffic.partition_ticks as f64);
             row("messages in and out", &|cost| cost.frames().frames as f64);
             row("bytes in and out", &|cost| cost.frames().bytes as f64);
             row("processor, microseconds", &|cost| cost.processor.nanos() as f64 / 1e3);
--- a/crates/simulation/src/fleet/losses.rs
+++ b/crates/simulation/src/fleet/losses.rs
@@ -38,8 +38,8 @@
             On::Storage => machine.class == Class::Storage,
         };
         if leader {
-            let part = if on == On::Storage { 1 } else { 0 };
-            let leader = self.nodes.values().find_map(|node| node.known_leader(part));
+            let partition = if on == On::Storage { 1 } else { 0 };
+            let leader = self.nodes.values().find_map(|node| node.known_leader(partition));
             let found = leader.and_then(|leader| self.machines.iter().position(|m| m.ip == *leader.ip()));
             if let Some(found) = found.filter(|found| self.machines[*found].life.is_some()) {
                 return Some(found);
--- a/crates/simulation/src/fleet/watch.rs
+++ b/crates/simulation/src/fleet/watch.rs
@@ -8,22 +8,22 @@
 use grebeusher_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Parts of the tier: the configuration and three of batch jobs.
-const PARTS: usize = 4;
+/// Partitions of the tier: the configuration and three of batch jobs.
+const PARTITIONS: usize = 4;
 
 /// What is under way.
 #[derive(Default)]
 pub(super) struct Watch {
     pub(super) times: Times,
-    /// The life that leads each part.
+    /// The life that leads each partition.
     leaders: BTreeMap<u8, usize>,
-    /// Parts whose leader is gone: since when, and which life it was.
+    /// Partitions whose leader is gone: since when, and which life it was.
     orphans: BTreeMap<u8, (Instant, usize)>,
     /// Configurations on their way: the version, when it was acknowledged, and the lives that don't have it.
     spreading: Vec<(u64, Instant, BTreeSet<usize>)>,
     /// Classes of machines of which one came with an empty disk, and when, until their groups are whole.
     repairing: Vec<(Class, Instant)>,
-    /// When the machines were back from a final fault, until each part has a leader.
+    /// When the machines were back from a final fault, until each partition has a leader.
     back: Option<Instant>,
 }
 
@@ -32,8 +32,8 @@
     pub(super) fn watch_turn(&mut self, life: usize) {
         let now = self.now();
         let Some(node) = self.nodes.get(&life) else { return };
-        for part in node.led_parts() {
-            self.watch.led(part, life, now);
+        for partition in node.led_partitions() {
+            self.watch.led(partition, life, now);
         }
         let version = node.configuration_version();
         let watch = &mut self.watch;
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Whether each part of a class has a leader whose group is decided and names only disks of running machines.
+    /// Whether each partition of a class has a leader whose group is decided and names only disks of running machines.
     fn groups_are_whole(&self, class: Class) -> bool {
-        let parts = if class == Class::Edge { 0..1 } else { 1..PARTS as u8 };
+        let partitions = if class == Class::Edge { 0..1 } else { 1..PARTITIONS as u8 };
         let running: BTreeSet<ReplicaId> = self.nodes.values().filter_map(Node::replica_id).collect();
-        parts.into_iter().all(|part| {
-            let leader = self.watch.leaders.get(&part).and_then(|life| self.nodes.get(life));
-            let voters = leader.and_then(|node| node.settled_voters(part));
+        partitions.into_iter().all(|partition| {
+            let leader = self.watch.leaders.get(&partition).and_then(|life| self.nodes.get(life));
+            let voters = leader.and_then(|node| node.settled_voters(partition));
             voters.is_some_and(|voters| voters.iter().all(|voter| running.contains(voter)))
         })
     }
@@ -93,9 +93,9 @@
         let now = self.now();
         let watch = &mut self.watch;
         let led = watch.leaders.extract_if(.., |_, leader| *leader == life);
-        let led: Vec<u8> = led.map(|(part, _)| part).collect();
-        for part in led {
-            watch.orphans.entry(part).or_insert((now, life));
+        let led: Vec<u8> = led.map(|(partition, _)| partition).collect();
+        for partition in led {
+            watch.orphans.entry(partition).or_insert((now, life));
         }
         for (_, _, lives) in &mut watch.spreading {
             lives.remove(&life);
@@ -117,19 +117,19 @@
 }
 
 impl Watch {
-    fn led(&mut self, part: u8, life: usize, now: Instant) {
-        if self.leaders.get(&part) == Some(&life) {
+    fn led(&mut self, partition: u8, life: usize, now: Instant) {
+        if self.leaders.get(&partition) == Some(&life) {
             return;
         }
-        match self.orphans.get(&part) {
+        match self.orphans.get(&partition) {
             // It was frozen, and does not know yet that others went on.
             Some((_, leader)) if *leader == life => return,
             Some((since, _)) => self.times.taken.push((What::LeaderReplaced, now.since(*since))),
             None => {}
         }
-        self.orphans.remove(&part);
-        self.leaders.insert(part, life);
-        if let Some(back) = self.back.filter(|back| now > *back && self.leaders.len() == PARTS) {
+        self.orphans.remove(&partition);
+        self.leaders.insert(partition, life);
+        if let Some(back) = self.back.filter(|back| now > *back && self.leaders.len() == PARTITIONS) {
             self.times.taken.push((What::QuorumBack, now.since(back)));
             self.back = None;
         }
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -414,7 +414,7 @@
             }
             (Order::Retire { begins: true, .. }, Some(404 | 409)) => drop(self.tasks.remove(&number)),
             (Order::Retire { node, begins: false }, Some(200))
-                if body.windows(8).any(|part| part == b"complete") =>
+                if body.windows(8).any(|partition| partition == b"complete") =>
             {
                 self.tasks.remove(&number);
                 self.emptied.push(node);
--- a/crates/simulation/src/times.rs
+++ b/crates/simulation/src/times.rs
@@ -12,11 +12,11 @@
     Applied,
     /// From an executor's word that it leaves to the acknowledgement.
     DrainTold,
-    /// From the end or the freeze of a part's leader until another node acts as leader.
+    /// From the end or the freeze of a partition's leader until another node acts as leader.
     LeaderReplaced,
-    /// From the return of the machines after a final fault until each part has a leader.
+    /// From the return of the machines after a final fault until each partition has a leader.
     QuorumBack,
-    /// From the return of a machine whose disk was lost, or the start of its successor, until the groups of all parts that it
+    /// From the return of a machine whose disk was lost, or the start of its successor, until the groups of all partitions that it
     /// may hold are decided and name only disks of running machines: the next loss may be borne from then on.
     GroupWhole,
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -4,7 +4,7 @@
 use crate::hub::{End, Owner, SharedHub};
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_quorum::{ReplicaId, Restored, Write};
-use grebeusher_tier::io::{Accepted, Listener, PartStore, Signalled, Stream, World};
+use grebeusher_tier::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use grebeusher_transport::socket::USER_TIMEOUT;
@@ -95,7 +95,7 @@
         Ok(Identity { id: ReplicaId(id), existed })
     }
 
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartStore>, Restored), StoreError> {
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
         let mut hub = self.hub.borrow_mut();
         let restored = self.disk.borrow_mut().open(hub.local_now(), folder);
         hub.turn_spent += self.disk.borrow().sync_takes.scaled(2.0);
@@ -110,7 +110,7 @@
     folder: PathBuf,
 }
 
-impl PartStore for Files {
+impl PartitionStore for Files {
     fn write(&mut self, writes: &[Write]) -> Result<(), StoreError> {
         if self.disk.borrow().full {
             let source = ErrorKind::StorageFull.into();
--- a/crates/simulation/tests/control.rs
+++ b/crates/simulation/tests/control.rs
@@ -17,7 +17,7 @@
     scenario
 }
 
-/// The leader of a class's first part is cut off for a time.
+/// The leader of a class's first partition is cut off for a time.
 fn leader_cut_off(on: On, from: CutFrom, for_s: f64) -> Fault {
     Fault::Isolation { on, count: 1, from, lure: false, for_s }
 }
--- a/crates/simulation/tests/hollow.rs
+++ b/crates/simulation/tests/hollow.rs
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_node_without_requests_and_replicas_wakes_for_neither() {
-    // Given a fleet whose plain edge nodes have nothing to run and no part to look after, when time passes,
+    // Given a fleet whose plain edge nodes have nothing to run and no partition to look after, when time passes,
     let idle = at_rest(24, 12);
     // then the timers for both stay unset.
     for (kind, name) in TIMER_KINDS.iter().enumerate() {
--- a/crates/simulation/tests/lives.rs
+++ b/crates/simulation/tests/lives.rs
@@ -272,7 +272,7 @@
     scenario.faults = faults.map(|(at_s, fault)| Timed { at_s, fault }).to_vec();
     let report = run(&scenario, seed);
     expect_clean(&report);
-    // then the groups of all parts are whole again within the time for which the machine counts as lost.
+    // then the groups of all partitions are whole again within the time for which the machine counts as lost.
     let whole = report.times.taken.iter().filter(|(what, _)| *what == What::GroupWhole);
     let times: Vec<Duration> = whole.map(|(_, time)| *time).collect();
     assert!(times.len() >= 4, "{} repairs of {name}", times.len());
--- a/crates/simulation/tests/narrow_links.rs
+++ b/crates/simulation/tests/narrow_links.rs
@@ -6,7 +6,7 @@
 use grebeusher_simulation::fleet::{Report, run};
 use grebeusher_simulation::scenario::{Fault, Load, On, Timed};
 
-/// Jobs of some 130 KB come, more than fit what may wait, over stores with links of 20 Mbit/s; the leader of a part is killed
+/// Jobs of some 130 KB come, more than fit what may wait, over stores with links of 20 Mbit/s; the leader of a partition is killed
 /// meanwhile.
 fn crowded_day(seed: u64) -> Report {
     let mut scenario = shape("five-cores");
@@ -23,7 +23,7 @@
     for seed in 1..=2 {
         // Given clients that hand in three times what fits, when they send again what is refused, and a leader is killed,
         let report = crowded_day(seed);
-        // then no part stays without a leader, and what fits is taken. With bodies in each copy 37 jobs were, and results
+        // then no partition stays without a leader, and what fits is taken. With bodies in each copy 37 jobs were, and results
         // could not be read at the end.
         expect_clean(&report);
         assert!(report.counts.jobs > 150, "{:?}", report.counts);
--- a/crates/tier/src/batch_front.rs
+++ b/crates/tier/src/batch_front.rs
@@ -1,4 +1,4 @@
-//! Batch calls as clients make them: checked here, passed on to the leader of the job's part.
+//! Batch calls as clients make them: checked here, passed on to the leader of the job's partition.
 
 use crate::calls::{BatchQuestion, Continuation};
 use crate::control::{path_of, query_value};
@@ -16,8 +16,8 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// How many parts the batch jobs are cut into; the configuration is one more.
-pub const BATCH_PARTS: u8 = 3;
+/// How many partitions the batch jobs are cut into; the configuration is one more.
+pub const BATCH_PARTITIONS: u8 = 3;
 /// The longest that a read is held, whatever it asks (milliseconds).
 const MAX_HOLD_MS: u64 = 1000;
 /// What a read or an end may take beside the time it is held.
@@ -29,7 +29,7 @@
 /// A job that can't be taken now is best sent again after this long (seconds).
 const TRY_AGAIN_S: &str = "0.3";
 
-/// From so many losses on that are borne at once, jobs are spread over the parts: a leader sends each byte to two replicas
+/// From so many losses on that are borne at once, jobs are spread over the partitions: a leader sends each byte to two replicas
 /// for each loss, and the link of one leader does not bear that for all jobs of a deployment. It must be the same at all nodes
 /// for ever, so it goes by a setting that all have.
 const SPREAD_FROM_LOSSES: u32 = 2;
@@ -39,13 +39,13 @@
     fixed_hash(text) >> 17
 }
 
-/// The part of a batch job: by a hash of its host, the only name that all calls about a job share; and of the job as well
+/// The partition of a batch job: by a hash of its host, the only name that all calls about a job share; and of the job as well
 /// where jobs are spread.
-pub fn part_of_job(host: &str, job: &str, spread: bool) -> u8 {
+pub fn partition_of_job(host: &str, job: &str, spread: bool) -> u8 {
     let name = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
     let of_job = if spread { hash_of(job) } else { 0 };
-    let part = hash_of(&name).wrapping_add(of_job) % u64::from(BATCH_PARTS);
-    1 + part as u8
+    let partition = hash_of(&name).wrapping_add(of_job) % u64::from(BATCH_PARTITIONS);
+    1 + partition as u8
 }
 
 impl Node {
@@ -58,7 +58,7 @@
     fn leaders_limit(&self, queue_token_limit: u64) -> u64 {
         match queue_token_limit {
             0 => 0,
-            limit if self.spreads_jobs() => (limit / u64::from(BATCH_PARTS)).max(1),
+            limit if self.spreads_jobs() => (limit / u64::from(BATCH_PARTITIONS)).max(1),
             limit => limit,
         }
     }
@@ -127,9 +127,9 @@
         if self.refuse_call_if_too_late(connection, SUBMIT_TIMEOUT) {
             return;
         }
-        let part = part_of_job(host, submission.job.as_str(), self.spreads_jobs());
+        let partition = partition_of_job(host, submission.job.as_str(), self.spreads_jobs());
         let call = Call::SubmitJob(SubmitJob {
-            part,
+            partition,
             submission: SerBin::serialize_bin(&submission),
             completion_target_ms: route.completion_target_ms.unwrap_or(route.timeout_ms),
             retention_ms: route.retention_s.map_or(DEFAULT_RETENTION_MS, |seconds| (seconds * 1000.0) as u64),
@@ -137,7 +137,7 @@
             queue_token_limit: self.leaders_limit(route.queue_token_limit),
         });
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Submit };
-        self.call_leader(part, call, self.now + SUBMIT_TIMEOUT, continuation);
+        self.call_leader(partition, call, self.now + SUBMIT_TIMEOUT, continuation);
     }
 
     fn read_job(&mut self, connection: usize, serial: u64, host: &str, job: &str, request: &ClientRequest) {
@@ -149,10 +149,10 @@
         if self.refuse_call_if_too_late(connection, within) {
             return;
         }
-        let part = part_of_job(host, job, self.spreads_jobs());
-        let call = Call::ReadJob { part, job: job.to_owned(), resume_after, hold_ms: hold_ms as u32 };
+        let partition = partition_of_job(host, job, self.spreads_jobs());
+        let call = Call::ReadJob { partition, job: job.to_owned(), resume_after, hold_ms: hold_ms as u32 };
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Read };
-        self.call_leader(part, call, self.now + within, continuation);
+        self.call_leader(partition, call, self.now + within, continuation);
     }
 
     fn read_item(&mut self, connection: usize, serial: u64, host: &str, job: &str, request: &ClientRequest) {
@@ -162,20 +162,20 @@
         if self.refuse_call_if_too_late(connection, CALL_TIMEOUT) {
             return;
         }
-        let part = part_of_job(host, job, self.spreads_jobs());
-        let call = Call::ReadItem { part, job: job.to_owned(), item: item.to_owned() };
+        let partition = partition_of_job(host, job, self.spreads_jobs());
+        let call = Call::ReadItem { partition, job: job.to_owned(), item: item.to_owned() };
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Read };
-        self.call_leader(part, call, self.now + CALL_TIMEOUT, continuation);
+        self.call_leader(partition, call, self.now + CALL_TIMEOUT, continuation);
     }
 
     fn end_job(&mut self, connection: usize, serial: u64, host: &str, job: &str) {
         if self.refuse_call_if_too_late(connection, CALL_TIMEOUT) {
             return;
         }
-        let part = part_of_job(host, job, self.spreads_jobs());
-        let call = Call::EndJob { part, job: job.to_owned() };
+        let partition = partition_of_job(host, job, self.spreads_jobs());
+        let call = Call::EndJob { partition, job: job.to_owned() };
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::End };
-        self.call_leader(part, call, self.now + CALL_TIMEOUT, continuation);
+        self.call_leader(partition, call, self.now + CALL_TIMEOUT, continuation);
     }
 
     /// The leader's reply to a batch call.
--- a/crates/tier/src/batch_part.rs
+++ b/crates/tier/src/batch_partition.rs
@@ -1,9 +1,9 @@
-//! Parts 1 and on: batch jobs. Every replica applies the log; the leader admits jobs, runs items and answers readers.
+//! Partitions 1 and on: batch jobs. Every replica applies the log; the leader admits jobs, runs items and answers readers.
 
 use crate::messages::{OfferJob, Reply, SubmitJob};
 use crate::node::{Node, RunError};
 use crate::page_size::most_page_bytes;
-use crate::parts::{Application, Waiter};
+use crate::partitions::{Application, Waiter};
 use crate::timers::Timer;
 use grebeusher_batch::{
     Admission, Applied, Entry, JobId, JobTerms, Jobs, Leader, Runner, SharedBytes, SnapshotError, Submission,
@@ -29,8 +29,8 @@
     resume_after: usize,
 }
 
-/// What a replica of a batch part keeps.
-pub struct BatchPart {
+/// What a replica of a batch partition keeps.
+pub struct BatchPartition {
     jobs: Jobs,
     /// Nodes that are to be emptied, by name.
     pub(crate) retiring: BTreeSet<String>,
@@ -42,7 +42,7 @@
     under_way: Vec<(JobId, Waiter)>,
 }
 
-/// Why a part's snapshot can't be taken over.
+/// Why a partition's snapshot can't be taken over.
 #[derive(Debug, Snafu)]
 pub enum RestoreError {
     /// The frame is malformed.
@@ -62,10 +62,10 @@
     },
 }
 
-impl BatchPart {
-    /// An empty part whose jobs may take about `most_cost` bytes of memory.
-    pub fn new(most_cost: usize, seed: u64) -> BatchPart {
-        BatchPart {
+impl BatchPartition {
+    /// An empty partition whose jobs may take about `most_cost` bytes of memory.
+    pub fn new(most_cost: usize, seed: u64) -> BatchPartition {
+        BatchPartition {
             jobs: Jobs::new(),
             retiring: BTreeSet::new(),
             leader: Leader::new(most_cost),
@@ -90,11 +90,11 @@
         bytes
     }
 
-    /// Takes over a state that [`BatchPart::snapshot`] wrote. Bodies and texts are not copied: the jobs go on referring
+    /// Takes over a state that [`BatchPartition::snapshot`] wrote. Bodies and texts are not copied: the jobs go on referring
     /// to the bytes, and to nothing that they referred to before.
     ///
     /// # Errors
-    /// The bytes are no whole state; the part is as it was.
+    /// The bytes are no whole state; the partition is as it was.
     pub fn restore(&mut self, bytes: &SharedBytes) -> Result<(), RestoreError> {
         let mut offset = 0;
         let length = usize::de_bin(&mut offset, bytes).context(FrameSnafu)?;
@@ -134,20 +134,20 @@
 }
 
 impl Node {
-    /// The batch part at a place.
-    pub(crate) fn batch_mut(&mut self, place: usize) -> Option<&mut BatchPart> {
-        match &mut self.parts.get_mut(place)?.application {
-            Application::Batch(part) => Some(part),
+    /// The batch partition at a place.
+    pub(crate) fn batch_mut(&mut self, place: usize) -> Option<&mut BatchPartition> {
+        match &mut self.partitions.get_mut(place)?.application {
+            Application::Batch(partition) => Some(partition),
             Application::Configuration(_) => None,
         }
     }
 
     pub(crate) fn restore_batch(&mut self, place: usize, bytes: Blob) -> Result<(), RunError> {
-        let (now, number) = (self.now, self.parts[place].part);
-        let unreadable = |reason: String| RunError::State { part: number, reason };
-        if let Some(part) = self.batch_mut(place) {
-            part.restore(&shared(bytes)).map_err(|e| unreadable(e.to_string()))?;
-            part.runner.adopt(&part.jobs, now);
+        let (now, number) = (self.now, self.partitions[place].partition);
+        let unreadable = |reason: String| RunError::State { partition: number, reason };
+        if let Some(partition) = self.batch_mut(place) {
+            partition.restore(&shared(bytes)).map_err(|e| unreadable(e.to_string()))?;
+            partition.runner.adopt(&partition.jobs, now);
         }
         Ok(())
     }
@@ -158,21 +158,21 @@
         payload: Blob,
         waiters: Vec<Waiter>,
     ) -> Result<(), RunError> {
-        let (now, number) = (self.now, self.parts[place].part);
-        let unreadable = |reason: String| RunError::State { part: number, reason };
+        let (now, number) = (self.now, self.partitions[place].partition);
+        let unreadable = |reason: String| RunError::State { partition: number, reason };
         let payload = shared(payload);
         let status = match payload.split_first() {
             Some((&JOBS_ENTRY, _)) => {
                 let entry = Entry::from_shared(&payload.skip(1)).map_err(|e| unreadable(e.to_string()))?;
-                let Some(part) = self.batch_mut(place) else { return Ok(()) };
-                let applied = part.jobs.apply(entry);
-                part.leader.applied(&applied);
-                part.runner.applied(&part.jobs, &applied, now);
+                let Some(partition) = self.batch_mut(place) else { return Ok(()) };
+                let applied = partition.jobs.apply(entry);
+                partition.leader.applied(&applied);
+                partition.runner.applied(&partition.jobs, &applied, now);
                 self.after_applied(place, &applied)
             }
             Some((&RETIRE_ENTRY, name)) => {
-                let Some(part) = self.batch_mut(place) else { return Ok(()) };
-                part.retiring.insert(String::from_utf8_lossy(name).into_owned());
+                let Some(partition) = self.batch_mut(place) else { return Ok(()) };
+                partition.retiring.insert(String::from_utf8_lossy(name).into_owned());
                 200
             }
             _ => return Err(unreadable("an entry of an unknown kind".to_owned())),
@@ -187,10 +187,10 @@
     fn after_applied(&mut self, place: usize, applied: &Applied) -> u16 {
         match applied {
             Applied::Submitted { job, .. } => {
-                let Some(part) = self.batch_mut(place) else { return 202 };
-                let waiting = std::mem::take(&mut part.under_way);
+                let Some(partition) = self.batch_mut(place) else { return 202 };
+                let waiting = std::mem::take(&mut partition.under_way);
                 let (same, others) = waiting.into_iter().partition(|(other, _)| other == job);
-                part.under_way = others;
+                partition.under_way = others;
                 let same: Vec<(JobId, Waiter)> = same;
                 for (_, waiter) in same {
                     self.reply(
@@ -219,14 +219,14 @@
 
     pub(crate) fn batch_leader_changed(&mut self, place: usize, leads: bool) {
         let (now, wall_ms) = (self.now, self.wall_ms());
-        let Some(part) = self.batch_mut(place) else { return };
-        part.leader = Leader::new(part.most_cost);
-        let held = std::mem::take(&mut part.held);
-        let under_way = std::mem::take(&mut part.under_way);
+        let Some(partition) = self.batch_mut(place) else { return };
+        partition.leader = Leader::new(partition.most_cost);
+        let held = std::mem::take(&mut partition.held);
+        let under_way = std::mem::take(&mut partition.under_way);
         if leads {
-            part.runner.begin(&part.jobs, now, wall_ms);
+            partition.runner.begin(&partition.jobs, now, wall_ms);
         } else {
-            part.runner.cease();
+            partition.runner.cease();
         }
         for read in held {
             self.reply(read.waiter.peer, read.waiter.number, Reply::Unavailable);
@@ -243,8 +243,8 @@
     /// Proposes unfinished texts, so that the next leader goes on from there.
     pub(crate) fn checkpoint_batch(&mut self, place: usize) {
         let now = self.now;
-        while let Some(entry) = self.batch_mut(place).and_then(|part| part.runner.checkpoint()) {
-            if self.parts[place].propose(now, jobs_entry(&entry), None).is_none() {
+        while let Some(entry) = self.batch_mut(place).and_then(|partition| partition.runner.checkpoint()) {
+            if self.partitions[place].propose(now, jobs_entry(&entry), None).is_none() {
                 return;
             }
         }
@@ -253,11 +253,11 @@
     /// Proposes what the items have come to.
     pub(crate) fn propose_results(&mut self, place: usize) {
         let now = self.now;
-        let Some(part) = self.batch_mut(place) else { return };
-        for entry in part.runner.take_proposals() {
-            if self.parts[place].propose(now, jobs_entry(&entry), None).is_none() {
-                if let Some(part) = self.batch_mut(place) {
-                    part.runner.not_proposed(entry);
+        let Some(partition) = self.batch_mut(place) else { return };
+        for entry in partition.runner.take_proposals() {
+            if self.partitions[place].propose(now, jobs_entry(&entry), None).is_none() {
+                if let Some(partition) = self.batch_mut(place) {
+                    partition.runner.not_proposed(entry);
                 }
                 return;
             }
@@ -269,25 +269,25 @@
         let now = self.now;
         // Readers come for a while longer than the bound, and a client's first send was before the job was taken.
         let status = Duration::from_seconds(self.settings.bounds.status_s + 10.0);
-        let Some(part) = self.batch_mut(place) else { return };
-        let jobs = part.runner.forgettable(&part.jobs, now, status);
+        let Some(partition) = self.batch_mut(place) else { return };
+        let jobs = partition.runner.forgettable(&partition.jobs, now, status);
         if !jobs.is_empty() {
-            self.parts[place].propose(now, jobs_entry(&Entry::Forget { jobs }), None);
+            self.partitions[place].propose(now, jobs_entry(&Entry::Forget { jobs }), None);
         }
     }
 
     pub(crate) fn submit_at_leader(&mut self, waiter: Waiter, call: SubmitJob) {
         let (now, wall_ms) = (self.now, self.wall_ms());
-        let Some(place) = self.led_place(call.part, waiter) else { return };
+        let Some(place) = self.led_place(call.partition, waiter) else { return };
         let answer = |status: u16| Reply::Answer { status, body: b"{}".to_vec() };
         let Ok(submission) = <Submission as DeBin>::deserialize_bin(&call.submission) else {
             return self.reply(waiter.peer, waiter.number, answer(400));
         };
         let job = submission.job.clone();
-        let Some(part) = self.batch_mut(place) else { return };
-        match part.leader.admit(&part.jobs, &submission, call.queue_token_limit) {
+        let Some(partition) = self.batch_mut(place) else { return };
+        match partition.leader.admit(&partition.jobs, &submission, call.queue_token_limit) {
             Admission::Kept => self.reply(waiter.peer, waiter.number, answer(202)),
-            Admission::UnderWay => part.under_way.push((job, waiter)),
+            Admission::UnderWay => partition.under_way.push((job, waiter)),
             Admission::QueueFull { .. } => self.reply(waiter.peer, waiter.number, answer(429)),
             Admission::NoMemory => self.reply(waiter.peer, waiter.number, answer(503)),
             Admission::Propose => {
@@ -300,9 +300,9 @@
                     ..JobTerms::default()
                 };
                 let entry = jobs_entry(&Entry::Submit { submission, terms });
-                if self.parts[place].propose(now, entry, Some(waiter)).is_none() {
-                    if let Some(part) = self.batch_mut(place) {
-                        part.leader.dropped(&job);
+                if self.partitions[place].propose(now, entry, Some(waiter)).is_none() {
+                    if let Some(partition) = self.batch_mut(place) {
+                        partition.leader.dropped(&job);
                     }
                     self.reply(waiter.peer, waiter.number, Reply::Unavailable);
                 }
@@ -310,18 +310,18 @@
         }
     }
 
-    /// A node has a job for this part. What would be refused is refused without its bodies, and what is known is not wanted
+    /// A node has a job for this partition. What would be refused is refused without its bodies, and what is known is not wanted
     /// again.
     pub(crate) fn offered_to_leader(&mut self, waiter: Waiter, offer: &OfferJob) {
-        let Some(place) = self.led_place(offer.part, waiter) else { return };
-        let Some(part) = self.batch_mut(place) else { return };
+        let Some(place) = self.led_place(offer.partition, waiter) else { return };
+        let Some(partition) = self.batch_mut(place) else { return };
         let answer = |status: u16| Reply::Answer { status, body: b"{}".to_vec() };
         let Some(job) = JobId::new(&offer.job) else {
             return self.reply(waiter.peer, waiter.number, answer(400));
         };
-        let reply = match part.leader.judge(&part.jobs, &wanted(offer, &job)) {
+        let reply = match partition.leader.judge(&partition.jobs, &wanted(offer, &job)) {
             Admission::Kept => answer(202),
-            Admission::UnderWay => return part.under_way.push((job, waiter)),
+            Admission::UnderWay => return partition.under_way.push((job, waiter)),
             Admission::QueueFull { .. } => answer(429),
             Admission::NoMemory => answer(503),
             Admission::Propose => Reply::Wanted,
@@ -340,14 +340,14 @@
         let Some(place) = self.led_place(number, waiter) else { return };
         let read = self.next_serial();
         let now = self.now;
-        let Some(part) = self.batch_mut(place) else { return };
-        let Some(job) = JobId::new(job).filter(|job| part.jobs.contains(job)) else {
+        let Some(partition) = self.batch_mut(place) else { return };
+        let Some(job) = JobId::new(job).filter(|job| partition.jobs.contains(job)) else {
             return self.reply(waiter.peer, waiter.number, Reply::Answer { status: 404, body: Vec::new() });
         };
         let resume_after = usize::try_from(resume_after).unwrap_or(usize::MAX);
-        let listed = part.jobs.status(&job).map_or(0, |status| status.listed);
-        if listed <= resume_after && hold_ms > 0 && part.jobs.is_open(&job) {
-            part.held.push(HeldRead { read, waiter, job, resume_after });
+        let listed = partition.jobs.status(&job).map_or(0, |status| status.listed);
+        if listed <= resume_after && hold_ms > 0 && partition.jobs.is_open(&job) {
+            partition.held.push(HeldRead { read, waiter, job, resume_after });
             let until = now + Duration::from_millis(u64::from(hold_ms));
             self.alarms.set(until, Timer::HeldReadExpires { read });
             return;
@@ -357,12 +357,12 @@
 
     fn answer_read(&mut self, place: usize, waiter: Waiter, job: &JobId, resume_after: usize) {
         // The lease may have ended while the read was held.
-        if !self.parts[place].replica.lease_holds(self.clock()) {
+        if !self.partitions[place].replica.lease_holds(self.clock()) {
             return self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
         let most_bytes = most_page_bytes(self.settings.limits.link_mbps);
-        let Some(part) = self.batch_mut(place) else { return };
-        let reply = match part.jobs.read(job, resume_after, most_bytes) {
+        let Some(partition) = self.batch_mut(place) else { return };
+        let reply = match partition.jobs.read(job, resume_after, most_bytes) {
             Some(page) => Reply::Answer { status: 200, body: page.to_json().into_bytes() },
             None => Reply::Answer { status: 404, body: Vec::new() },
         };
@@ -370,11 +370,11 @@
     }
 
     fn answer_held_reads(&mut self, place: usize, concerned: impl Fn(&JobId) -> bool) {
-        let Some(part) = self.batch_mut(place) else { return };
-        let held = std::mem::take(&mut part.held);
+        let Some(partition) = self.batch_mut(place) else { return };
+        let held = std::mem::take(&mut partition.held);
         let (answered, others): (Vec<HeldRead>, Vec<HeldRead>) =
             held.into_iter().partition(|read| concerned(&read.job));
-        part.held = others;
+        partition.held = others;
         for read in answered {
             self.answer_read(place, read.waiter, &read.job, read.resume_after);
         }
@@ -382,18 +382,18 @@
 
     /// A read was held for as long as it asked.
     pub fn held_read_expired(&mut self, number: u64) {
-        for place in 0..self.parts.len() {
-            let Some(part) = self.batch_mut(place) else { continue };
-            let Some(at) = part.held.iter().position(|held| held.read == number) else { continue };
-            let held = part.held.swap_remove(at);
+        for place in 0..self.partitions.len() {
+            let Some(partition) = self.batch_mut(place) else { continue };
+            let Some(at) = partition.held.iter().position(|held| held.read == number) else { continue };
+            let held = partition.held.swap_remove(at);
             return self.answer_read(place, held.waiter, &held.job, held.resume_after);
         }
     }
 
     pub(crate) fn read_item_at_leader(&mut self, waiter: Waiter, number: u8, job: &str, item: &str) {
         let Some(place) = self.led_place(number, waiter) else { return };
-        let Some(part) = self.batch_mut(place) else { return };
-        let body = JobId::new(job).and_then(|job| part.jobs.item_body(&job, item).map(<[u8]>::to_vec));
+        let Some(partition) = self.batch_mut(place) else { return };
+        let body = JobId::new(job).and_then(|job| partition.jobs.item_body(&job, item).map(<[u8]>::to_vec));
         let reply = match body {
             Some(body) => Reply::Answer { status: 200, body },
             None => Reply::Answer { status: 404, body: Vec::new() },
@@ -404,20 +404,21 @@
     pub(crate) fn end_at_leader(&mut self, waiter: Waiter, number: u8, job: &str) {
         let now = self.now;
         let Some(place) = self.led_place(number, waiter) else { return };
-        let Some(part) = self.batch_mut(place) else { return };
-        let known = JobId::new(job).filter(|job| part.jobs.contains(job) || part.leader.is_under_way(job));
+        let Some(partition) = self.batch_mut(place) else { return };
+        let known =
+            JobId::new(job).filter(|job| partition.jobs.contains(job) || partition.leader.is_under_way(job));
         let Some(job) = known else {
             return self.reply(waiter.peer, waiter.number, Reply::Answer { status: 404, body: Vec::new() });
         };
-        if self.parts[place].propose(now, jobs_entry(&Entry::Ended { job }), Some(waiter)).is_none() {
+        if self.partitions[place].propose(now, jobs_entry(&Entry::Ended { job }), Some(waiter)).is_none() {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
     }
 
     /// When a leader's runner next has something to do by itself.
     pub(crate) fn runner_wake(&self, place: usize) -> Option<Instant> {
-        match &self.parts.get(place)?.application {
-            Application::Batch(part) if self.parts[place].leads() => part.runner.next_wake(),
+        match &self.partitions.get(place)?.application {
+            Application::Batch(partition) if self.partitions[place].leads() => partition.runner.next_wake(),
             _ => None,
         }
     }
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between nodes: a number, a time limit, and another node when one does not answer or does not own the part.
+//! Calls between nodes: a number, a time limit, and another node when one does not answer or does not own the partition.
 
 use crate::messages::{Call, CallEnvelope, CallNumber, Channel, OfferJob, Reply, ReplyEnvelope};
 use crate::node::Node;
@@ -21,7 +21,7 @@
 const SLOWEST_BYTES_PER_S: u64 = 200_000;
 /// What a page of results may take beside the time that a read is held: it waits behind those of other readers.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause before a node is asked again when none led the part.
+/// The pause before a node is asked again when none led the partition.
 const NO_LEADER_PAUSE: Duration = Duration::from_millis(60);
 /// The pause before a job is offered again that was refused while a copy of it may be under way.
 const REFUSED_PAUSE: Duration = Duration::from_millis(200);
@@ -40,10 +40,10 @@
     /// The configuration that this node starts with, from its leader.
     FirstConfiguration,
     /// A founding that a replica confirms.
-    Founding { part: u8, voter: u64 },
+    Founding { partition: u8, voter: u64 },
     /// Another node's call that this node passes on.
     Forwarded { peer: SocketAddrV4, number: CallNumber },
-    /// One part's word on whether a storage node is empty, for a question to all parts.
+    /// One partition's word on whether a storage node is empty, for a question to all partitions.
     Retire { gathering: u64 },
 }
 
@@ -54,8 +54,8 @@
     Replace,
     /// `Configuration.Show`.
     Show,
-    /// The status of a part.
-    Part,
+    /// The status of a partition.
+    Partition,
 }
 
 /// What a client asked about a batch job.
@@ -72,8 +72,8 @@
 /// A call that waits for its reply.
 pub struct PendingCall {
     call: Call,
-    /// The part whose leader is meant; `None`: one node is meant.
-    part: Option<u8>,
+    /// The partition whose leader is meant; `None`: one node is meant.
+    partition: Option<u8>,
     to: Option<SocketAddrV4>,
     tried: Vec<SocketAddrV4>,
     began: Instant,
@@ -106,7 +106,7 @@
     Direct(SocketAddrV4),
     /// By way of a node that may reach the leader.
     By(SocketAddrV4),
-    /// The part has no leader that is known: again after a pause.
+    /// The partition has no leader that is known: again after a pause.
     Later,
     /// No other node answers.
     Nobody,
@@ -156,7 +156,7 @@
 fn forwarded(pending: &PendingCall, call: &Call, now: Instant) -> Call {
     let within = pending.until.since(now).nanos() / 1_000_000;
     Call::Forward {
-        part: pending.part.unwrap_or_default(),
+        partition: pending.partition.unwrap_or_default(),
         within_ms: u32::try_from(within).unwrap_or(u32::MAX),
         call: SerBin::serialize_bin(call),
     }
@@ -170,7 +170,7 @@
     }
     let submission = <Submission as DeBin>::deserialize_bin(&call.submission).ok()?;
     Some(Call::OfferJob(OfferJob {
-        part: call.part,
+        partition: call.partition,
         job: submission.job.as_str().to_owned(),
         tokens: submission.tokens(),
         route: submission.route,
@@ -184,9 +184,9 @@
 }
 
 impl Node {
-    /// Calls the leader of a part, wherever it is, until `until`.
-    pub fn call_leader(&mut self, part: u8, call: Call, until: Instant, continuation: Continuation) {
-        self.begin_call(Some(part), None, call, until, continuation);
+    /// Calls the leader of a partition, wherever it is, until `until`.
+    pub fn call_leader(&mut self, partition: u8, call: Call, until: Instant, continuation: Continuation) {
+        self.begin_call(Some(partition), None, call, until, continuation);
     }
 
     /// Calls one node.
@@ -196,7 +196,7 @@
 
     fn begin_call(
         &mut self,
-        part: Option<u8>,
+        partition: Option<u8>,
         to: Option<SocketAddrV4>,
         call: Call,
         until: Instant,
@@ -204,7 +204,7 @@
     ) {
         let pending = PendingCall {
             call,
-            part,
+            partition,
             to,
             tried: Vec::new(),
             began: self.now,
@@ -241,12 +241,13 @@
             CallRoute::Nobody if pending.unheard => return self.end_call(number, None),
             CallRoute::Nobody | CallRoute::Later => {
                 // All were asked, or none is known yet: from the start, after a pause.
-                pending.unheard |= nobody && pending.part.is_some() && now >= pending.began + ATTEMPT_TIMEOUT;
+                pending.unheard |=
+                    nobody && pending.partition.is_some() && now >= pending.began + ATTEMPT_TIMEOUT;
                 return self.call_later(number, NO_LEADER_PAUSE);
             }
         };
         pending.tried.push(target);
-        if pending.part.is_some() {
+        if pending.partition.is_some() {
             pending.to = None;
         }
         pending.sent = if offer.is_some() { Sent::Offer { relayed } } else { Sent::Whole };
@@ -280,14 +281,14 @@
     /// Which way a call goes now.
     fn route_of(&self, pending: &PendingCall) -> CallRoute {
         let reachable = |address: &SocketAddrV4| !self.unheard.contains_key(address);
-        let Some(part) = pending.part else {
+        let Some(partition) = pending.partition else {
             return pending.to.map_or(CallRoute::Nobody, CallRoute::Direct);
         };
         if let Some(to) = pending.to.filter(reachable) {
             return CallRoute::Direct(to);
         }
         let untried = |address: &SocketAddrV4| !pending.tried.contains(address);
-        let leader = self.known_leader(part);
+        let leader = self.known_leader(partition);
         if let Some(leader) = leader.filter(|leader| reachable(leader) && untried(leader)) {
             return CallRoute::Direct(leader);
         }
@@ -299,7 +300,7 @@
         {
             return CallRoute::By(relay);
         }
-        match self.leader_candidate(part, &pending.tried) {
+        match self.leader_candidate(partition, &pending.tried) {
             Some(candidate) => CallRoute::Direct(candidate),
             None if self.reaches_anybody() => CallRoute::Later,
             None => CallRoute::Nobody,
@@ -321,18 +322,18 @@
         others.any(|address| address != self.internal_address && !self.unheard.contains_key(&address))
     }
 
-    /// Passes a call of another node on to the leader of a part.
+    /// Passes a call of another node on to the leader of a partition.
     pub fn forward_call(
         &mut self,
         peer: SocketAddrV4,
         number: CallNumber,
-        part: u8,
+        partition: u8,
         within_ms: u32,
         call: &[u8],
     ) {
         let Ok(call) = <Call as DeBin>::deserialize_bin(call) else { return };
         let until = self.now + Duration::from_millis(u64::from(within_ms));
-        self.call_leader(part, call, until, Continuation::Forwarded { peer, number });
+        self.call_leader(partition, call, until, Continuation::Forwarded { peer, number });
     }
 
     /// A node has said something: it can be reached.
@@ -360,7 +361,7 @@
         if let Some(silent) = pending.tried.last() {
             self.unheard.insert(*silent, now + UNRESPONSIVE_TTL);
         }
-        if pending.part.is_none() {
+        if pending.partition.is_none() {
             let silent = pending.tried.last().copied();
             // A link that was idle may have been forgotten on the way, and the system takes a while to notice.
             silent.into_iter().for_each(|silent| self.close_link_to(silent));
@@ -374,7 +375,7 @@
         let number = envelope.number;
         let Some(pending) = self.calls.get_mut(&number) else { return };
         match envelope.reply {
-            Reply::NotLeader { leader } if pending.part.is_some() => {
+            Reply::NotLeader { leader } if pending.partition.is_some() => {
                 let hinted = leader.and_then(|name| self.address_of(&name)).filter(|&to| to != from);
                 let Some(pending) = self.calls.get_mut(&number) else { return };
                 if let Some(to) = hinted
@@ -384,7 +385,7 @@
                 }
                 self.try_call(number);
             }
-            // The leader lost the part before the job was decided: the next leader has it, or is sent it.
+            // The leader lost the partition before the job was decided: the next leader has it, or is sent it.
             Reply::Unclear if is_submission(&pending.call) => {
                 pending.unheard = true;
                 self.call_later(number, NO_LEADER_PAUSE);
@@ -397,7 +398,7 @@
             {
                 self.call_later(number, REFUSED_PAUSE);
             }
-            Reply::Unavailable if pending.part.is_some() => self.call_later(number, NO_LEADER_PAUSE),
+            Reply::Unavailable if pending.partition.is_some() => self.call_later(number, NO_LEADER_PAUSE),
             Reply::Wanted if matches!(pending.sent, Sent::Offer { .. }) => self.send_wanted(number, from),
             reply => self.end_call(number, Some(reply)),
         }
@@ -423,8 +424,8 @@
         let Some(pending) = self.calls.remove(&number) else { return };
         let took = self.now.since(pending.began);
         if took > SLOW_CALL {
-            let (part, tries) = (pending.part, pending.tried.len());
-            debug!("a call to the leader of part {part:?} took {:.3} s, {tries} tries", took.seconds());
+            let (partition, tries) = (pending.partition, pending.tried.len());
+            debug!("a call to the leader of part {partition:?} took {:.3} s, {tries} tries", took.seconds());
         }
         let reply = settled(&pending.call, pending.unheard, reply);
         match pending.continuation {
@@ -436,7 +437,7 @@
             }
             Continuation::Configuration => self.fetched_configuration(reply, false),
             Continuation::FirstConfiguration => self.fetched_configuration(reply, true),
-            Continuation::Founding { part, voter } => self.founding_reply(part, voter, &reply),
+            Continuation::Founding { partition, voter } => self.founding_reply(partition, voter, &reply),
             Continuation::Forwarded { peer, number } => self.reply(peer, number, reply),
             Continuation::Retire { gathering } => self.retire_reply(gathering, &reply),
         }
--- a/crates/tier/src/configuration.rs
+++ b/crates/tier/src/configuration.rs
@@ -1,7 +1,7 @@
 //! The operator's configuration as this node serves by it, and how it gets here from its leader.
 
 use crate::calls::Continuation;
-use crate::control::CONFIGURATION_PART;
+use crate::control::CONFIGURATION_PARTITION;
 use crate::messages::{Call, Reply};
 use crate::node::Node;
 use grebeusher_configuration::configuration::{Configuration, Route};
@@ -87,7 +87,7 @@
     pub fn prove_configuration(&mut self) {
         let until = self.now + PROOF_TIMEOUT;
         self.call_leader(
-            CONFIGURATION_PART,
+            CONFIGURATION_PARTITION,
             Call::ShowConfiguration,
             until,
             Continuation::FirstConfiguration,
--- a/crates/tier/src/configuration_part.rs
+++ b/crates/tier/src/configuration_partition.rs
@@ -1,21 +1,21 @@
-//! Part 0: the operator's configuration, changed by compare-and-set.
+//! Partition 0: the operator's configuration, changed by compare-and-set.
 
-use crate::control::CONFIGURATION_PART;
+use crate::control::CONFIGURATION_PARTITION;
 use crate::messages::Reply;
 use crate::node::{Node, RunError};
-use crate::parts::{Application, Waiter};
+use crate::partitions::{Application, Waiter};
 use grebeusher_configuration::configuration::Configuration;
 use grebeusher_configuration::register::{BodyHash, Change, ConfigurationRegister, Entry, Pending, Verdict};
 use std::sync::Arc;
 
-/// What a replica of part 0 keeps.
+/// What a replica of partition 0 keeps.
 #[derive(Default)]
-pub struct ConfigurationPart {
+pub struct ConfigurationPartition {
     register: ConfigurationRegister,
     pending: Pending,
 }
 
-impl ConfigurationPart {
+impl ConfigurationPartition {
     /// The whole state.
     pub fn snapshot(&self) -> Vec<u8> {
         self.register.encode()
@@ -29,11 +29,13 @@
 
 impl Node {
     pub(crate) fn restore_configuration(&mut self, place: usize, bytes: &[u8]) -> Result<(), RunError> {
-        let register = ConfigurationRegister::decode(bytes)
-            .map_err(|error| RunError::State { part: CONFIGURATION_PART, reason: error.to_string() })?;
-        if let Application::Configuration(part) = &mut self.parts[place].application {
-            part.register = register;
-            part.pending.clear();
+        let register = ConfigurationRegister::decode(bytes).map_err(|error| RunError::State {
+            partition: CONFIGURATION_PARTITION,
+            reason: error.to_string(),
+        })?;
+        if let Application::Configuration(partition) = &mut self.partitions[place].application {
+            partition.register = register;
+            partition.pending.clear();
         }
         self.serve_committed(place);
         Ok(())
@@ -45,16 +47,20 @@
         entry: &[u8],
         waiters: Vec<Waiter>,
     ) -> Result<(), RunError> {
-        let entry = Entry::decode(entry)
-            .map_err(|error| RunError::State { part: CONFIGURATION_PART, reason: error.to_string() })?;
-        let Application::Configuration(part) = &mut self.parts[place].application else { return Ok(()) };
-        part.pending.applied(entry.change());
-        let status = part.register.apply(&entry).answer().status();
+        let entry = Entry::decode(entry).map_err(|error| RunError::State {
+            partition: CONFIGURATION_PARTITION,
+            reason: error.to_string(),
+        })?;
+        let Application::Configuration(partition) = &mut self.partitions[place].application else {
+            return Ok(());
+        };
+        partition.pending.applied(entry.change());
+        let status = partition.register.apply(&entry).answer().status();
         for waiter in waiters {
             self.reply(waiter.peer, waiter.number, Reply::Answer { status, body: b"{}".to_vec() });
         }
         // Calls that this change decided are judged by their nodes anew.
-        for waiter in std::mem::take(&mut self.parts[place].deferred) {
+        for waiter in std::mem::take(&mut self.partitions[place].deferred) {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
         Ok(())
@@ -63,33 +69,33 @@
     /// Puts the newest committed configuration in force here; the relays take it to the others. Once for all that was
     /// committed in a turn: a member that catches up on hundreds of changes reads one configuration, not each of them.
     pub(crate) fn serve_committed(&mut self, place: usize) {
-        let Application::Configuration(part) = &self.parts[place].application else { return };
-        let version = part.register.version();
+        let Application::Configuration(partition) = &self.partitions[place].application else { return };
+        let version = partition.register.version();
         if version == 0 {
             return;
         }
-        let body = Arc::clone(part.register.body());
+        let body = Arc::clone(partition.register.body());
         self.activate_configuration(version, body);
     }
 
     /// An operator's change, at the leader or at a node that is taken for it.
     pub(crate) fn replace_at_leader(&mut self, waiter: Waiter, base: u64, body: Vec<u8>) {
         let now = self.now;
-        let Some(place) = self.led_place(CONFIGURATION_PART, waiter) else { return };
+        let Some(place) = self.led_place(CONFIGURATION_PARTITION, waiter) else { return };
         let Ok(configuration) = Configuration::read(&body) else {
             return self.reply(waiter.peer, waiter.number, Reply::Answer { status: 400, body: Vec::new() });
         };
         let change = Change { base, version: configuration.version, hash: BodyHash::of(&body) };
-        let host = &mut self.parts[place];
-        let Application::Configuration(part) = &mut host.application else { return };
-        let verdict = part.register.judge(&change, &part.pending);
+        let host = &mut self.partitions[place];
+        let Application::Configuration(partition) = &mut host.application else { return };
+        let verdict = partition.register.judge(&change, &partition.pending);
         match verdict {
             Verdict::Take => {
-                part.pending.propose(change);
+                partition.pending.propose(change);
                 let entry = Entry::new(base, configuration.version, Arc::from(body));
                 if host.propose(now, entry.encode(), Some(waiter)).is_none() {
-                    if let Application::Configuration(part) = &mut host.application {
-                        part.pending.applied(&change);
+                    if let Application::Configuration(partition) = &mut host.application {
+                        partition.pending.applied(&change);
                     }
                     self.reply(waiter.peer, waiter.number, Reply::Unavailable);
                 }
@@ -106,21 +112,23 @@
 
     /// The newest configuration, at the leader.
     pub(crate) fn show_at_leader(&mut self, waiter: Waiter) {
-        let Some(place) = self.led_place(CONFIGURATION_PART, waiter) else { return };
-        let Application::Configuration(part) = &self.parts[place].application else { return };
-        let reply =
-            Reply::Configuration { version: part.register.version(), body: part.register.body().to_vec() };
+        let Some(place) = self.led_place(CONFIGURATION_PARTITION, waiter) else { return };
+        let Application::Configuration(partition) = &self.partitions[place].application else { return };
+        let reply = Reply::Configuration {
+            version: partition.register.version(),
+            body: partition.register.body().to_vec(),
+        };
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// The place of a part that this node leads under a lease; otherwise the caller is told who may.
-    pub(crate) fn led_place(&mut self, part: u8, waiter: Waiter) -> Option<usize> {
+    /// The place of a partition that this node leads under a lease; otherwise the caller is told who may.
+    pub(crate) fn led_place(&mut self, partition: u8, waiter: Waiter) -> Option<usize> {
         let now = self.clock();
-        let Some(place) = self.parts.iter().position(|host| host.part == part) else {
+        let Some(place) = self.partitions.iter().position(|host| host.partition == partition) else {
             self.reply(waiter.peer, waiter.number, Reply::NotLeader { leader: None });
             return None;
         };
-        let host = &self.parts[place];
+        let host = &self.partitions[place];
         if host.replica.is_leader() {
             if host.leads() && host.replica.lease_holds(now) {
                 return Some(place);
--- a/crates/tier/src/control.rs
+++ b/crates/tier/src/control.rs
@@ -11,8 +11,8 @@
 use grebeusher_time::Duration;
 use grebeusher_transport::http;
 
-/// The part that holds the configuration.
-pub const CONFIGURATION_PART: u8 = 0;
+/// The partition that holds the configuration.
+pub const CONFIGURATION_PARTITION: u8 = 0;
 /// The operator goes on to another node after a second of silence; a configuration is settled by then, or the answer says
 /// that it is not known.
 pub(crate) const OPERATOR_TIMEOUT: Duration = Duration::from_millis(950);
@@ -58,9 +58,9 @@
                 let body = self.status_text();
                 self.answer(connection, serial, http::answer(200, &[], body.as_bytes()));
             }
-            ("GET", ["api", "status", part]) => match part.parse() {
-                Ok(part) if part <= crate::batch_front::BATCH_PARTS => {
-                    self.part_request(connection, serial, part)
+            ("GET", ["api", "status", partition]) => match partition.parse() {
+                Ok(partition) if partition <= crate::batch_front::BATCH_PARTITIONS => {
+                    self.partition_request(connection, serial, partition)
                 }
                 _ => self.answer(connection, serial, http::answer(404, &[], b"")),
             },
@@ -139,7 +139,7 @@
         let call = Call::ReplaceConfiguration { base, body: request.body };
         let question = OperatorQuestion::Replace;
         let continuation = Continuation::Operator { connection, serial, question };
-        self.call_leader(CONFIGURATION_PART, call, self.now + waits, continuation);
+        self.call_leader(CONFIGURATION_PARTITION, call, self.now + waits, continuation);
     }
 
     fn show(&mut self, connection: usize, serial: u64) {
@@ -149,7 +149,7 @@
         let question = OperatorQuestion::Show;
         let continuation = Continuation::Operator { connection, serial, question };
         self.call_leader(
-            CONFIGURATION_PART,
+            CONFIGURATION_PARTITION,
             Call::ShowConfiguration,
             self.now + OPERATOR_TIMEOUT,
             continuation,
@@ -165,7 +165,9 @@
         reply: Reply,
     ) {
         let answer = match (question, reply) {
-            (OperatorQuestion::Part, Reply::Answer { status, body }) => http::answer(status, &[TEXT], &body),
+            (OperatorQuestion::Partition, Reply::Answer { status, body }) => {
+                http::answer(status, &[TEXT], &body)
+            }
             (_, Reply::Answer { status, body }) => http::answer(status, &[JSON], &body),
             (OperatorQuestion::Show, Reply::Configuration { version: 0, .. }) => http::answer(404, &[], b""),
             (OperatorQuestion::Show, Reply::Configuration { body, .. }) => http::answer(200, &[JSON], &body),
--- a/crates/tier/src/disk_room.rs
+++ b/crates/tier/src/disk_room.rs
@@ -1,26 +1,26 @@
-//! How much of a disk each part may take, and so when its log is written anew as a snapshot.
+//! How much of a disk each partition may take, and so when its log is written anew as a snapshot.
 
-use crate::batch_front::BATCH_PARTS;
+use crate::batch_front::BATCH_PARTITIONS;
 
-/// The part of a disk that the parts use: identities, hints and the file system's own need some.
+/// The share of a disk that the partitions use: identities, hints and the file system's own need some.
 const USED_SHARE: f64 = 0.95;
-/// A log may always take this part of its part's room, so that a large state is not written anew for every little entry.
+/// A log may always take this share of its partition's room, so that a large state is not written anew for every little entry.
 const MIN_LOG_SHARE: usize = 8;
-/// The part of a part's room that its state may take.
+/// The share of a partition's room that its state may take.
 const MAX_STATE_SHARE: f64 = 0.8;
-/// The share of the memory that the log of one part may take before it is written anew, where the disk would bear more.
+/// The share of the memory that the log of one partition may take before it is written anew, where the disk would bear more.
 /// Three logs leave half of the memory, in which one of them after another can be written anew.
 const LOG_MEMORY_SHARE: usize = 6;
-/// The share of the memory that the jobs of one part may take.
+/// The share of the memory that the jobs of one partition may take.
 const JOBS_MEMORY_SHARE: usize = 4;
 
-/// What one part may take.
+/// What one partition may take.
 ///
 /// The jobs refer to the entries in memory, so beside the log they cost next to nothing, and what a long log costs in excess
 /// are the bodies of items that are done: about a third of it, as texts are the longer ones and are kept for readers. A
 /// snapshot is a copy of all that is kept. While it is made it stands beside the log, and once more on its way to the disk:
-/// at that moment the part takes the log and two or three times the texts, and is smaller only after it. So at its peak
-/// a part takes least if the log is written anew as late as the disk and the memory bear.
+/// at that moment the partition takes the log and two or three times the texts, and is smaller only after it. So at its peak
+/// a partition takes least if the log is written anew as late as the disk and the memory bear.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiskRoom {
     /// For its state and its log, on the disk (bytes).
@@ -30,10 +30,10 @@
 }
 
 impl DiskRoom {
-    /// Of a batch part. A node may hold replicas of all of them, and each is written anew beside its former state, one at a
+    /// Of a batch partition. A node may hold replicas of all of them, and each is written anew beside its former state, one at a
     /// time: that takes one share more.
-    pub fn of_batch_part(disk: usize, memory: usize) -> DiskRoom {
-        let shares = usize::from(BATCH_PARTS) + 1;
+    pub fn of_batch_partition(disk: usize, memory: usize) -> DiskRoom {
+        let shares = usize::from(BATCH_PARTITIONS) + 1;
         let used = disk as f64 * USED_SHARE;
         DiskRoom { share: used as usize / shares, most_log: memory / LOG_MEMORY_SHARE }
     }
@@ -50,7 +50,7 @@
         self.share.saturating_sub(state).clamp(least, self.most_log)
     }
 
-    /// What the jobs of a part may cost: of the memory, and of the disk that is to hold them.
+    /// What the jobs of a partition may cost: of the memory, and of the disk that is to hold them.
     pub fn most_jobs(self, memory: usize) -> usize {
         let state = self.share as f64 * MAX_STATE_SHARE;
         (memory / JOBS_MEMORY_SHARE).min(state as usize)
--- a/crates/tier/src/dispatch.rs
+++ b/crates/tier/src/dispatch.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::{Call, CallEnvelope, Channel, Reply, ReplyEnvelope};
 use crate::node::Node;
-use crate::parts::Waiter;
+use crate::partitions::Waiter;
 use grebeusher_quorum::{Group, ReplicaId};
 use grebeusher_registry::{Event, Message};
 use nanoserde::DeBin;
@@ -37,31 +37,33 @@
     fn receive_call(&mut self, from: SocketAddrV4, envelope: CallEnvelope) {
         let waiter = Waiter { peer: from, number: envelope.number };
         match envelope.call {
-            Call::Found { part, voters } => self.found_part(waiter, part, &voters),
+            Call::Found { partition, voters } => self.found_partition(waiter, partition, &voters),
             Call::ReplaceConfiguration { base, body } => self.replace_at_leader(waiter, base, body),
             Call::ShowConfiguration => self.show_at_leader(waiter),
-            Call::ShowPart { part } => self.show_part_at_leader(waiter, part),
+            Call::ShowPartition { partition } => self.show_partition_at_leader(waiter, partition),
             Call::FetchConfiguration { newer_than } => self.fetch_here(waiter, newer_than),
             Call::SubmitJob(call) => self.submit_at_leader(waiter, call),
             Call::OfferJob(offer) => self.offered_to_leader(waiter, &offer),
-            Call::ReadJob { part, job, resume_after, hold_ms } => {
-                self.read_at_leader(waiter, part, &job, resume_after, hold_ms);
+            Call::ReadJob { partition, job, resume_after, hold_ms } => {
+                self.read_at_leader(waiter, partition, &job, resume_after, hold_ms);
             }
-            Call::ReadItem { part, job, item } => self.read_item_at_leader(waiter, part, &job, &item),
-            Call::EndJob { part, job } => self.end_at_leader(waiter, part, &job),
-            Call::Forward { part, within_ms, call } => {
-                self.forward_call(waiter.peer, waiter.number, part, within_ms, &call);
+            Call::ReadItem { partition, job, item } => {
+                self.read_item_at_leader(waiter, partition, &job, &item)
             }
-            Call::BeginRetire { part, node } => self.begin_retire_at_leader(waiter, part, &node),
-            Call::ShowRetire { part, node } => self.show_retire_at_leader(waiter, part, &node),
+            Call::EndJob { partition, job } => self.end_at_leader(waiter, partition, &job),
+            Call::Forward { partition, within_ms, call } => {
+                self.forward_call(waiter.peer, waiter.number, partition, within_ms, &call);
+            }
+            Call::BeginRetire { partition, node } => self.begin_retire_at_leader(waiter, partition, &node),
+            Call::ShowRetire { partition, node } => self.show_retire_at_leader(waiter, partition, &node),
         }
     }
 
     /// Only a process of the first start is founded; the answer leaves when it is on disk.
-    fn found_part(&mut self, waiter: Waiter, part: u8, voters: &[u64]) {
+    fn found_partition(&mut self, waiter: Waiter, partition: u8, voters: &[u64]) {
         let group = Group::of(voters.iter().copied().map(ReplicaId));
         let bootstrap = self.settings.bootstrap;
-        let founded = match self.parts.iter_mut().find(|host| host.part == part) {
+        let founded = match self.partitions.iter_mut().find(|host| host.partition == partition) {
             Some(host) if bootstrap => host.replica.found(group).is_ok(),
             _ => false,
         };
@@ -112,8 +114,8 @@
         }
     }
 
-    /// The parts that hold batch jobs.
-    pub fn batch_parts(&self) -> Vec<u8> {
-        (1..=crate::batch_front::BATCH_PARTS).collect()
+    /// The partitions that hold batch jobs.
+    pub fn batch_partitions(&self) -> Vec<u8> {
+        (1..=crate::batch_front::BATCH_PARTITIONS).collect()
     }
 }
--- a/crates/tier/src/founding.rs
+++ b/crates/tier/src/founding.rs
@@ -1,12 +1,12 @@
-//! The first start of the whole system: one node names the voters of every part, once.
+//! The first start of the whole system: one node names the voters of every partition, once.
 //!
 //! All processes of the first start get the same seeds, and only they are started with `bootstrap`. The first seed's node
-//! founds; the others step in, one after the other, only if no part has shown a leader for long. A replica takes one founding
+//! founds; the others step in, one after the other, only if no partition has shown a leader for long. A replica takes one founding
 //! in its life, so a second one changes nothing where the first was heard.
 
-use crate::batch_front::BATCH_PARTS;
+use crate::batch_front::BATCH_PARTITIONS;
 use crate::calls::Continuation;
-use crate::control::CONFIGURATION_PART;
+use crate::control::CONFIGURATION_PARTITION;
 use crate::messages::{Call, Reply};
 use crate::node::Node;
 use crate::placement::{Candidate, spread_over_zones};
@@ -33,7 +33,7 @@
     rank: u64,
     seen: usize,
     changed: Instant,
-    /// The groups that it has named, by part, and which voters still have to confirm.
+    /// The groups that it has named, by partition, and which voters still have to confirm.
     named: BTreeMap<u8, Vec<Voter>>,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Node {
-    /// Founds the parts when the replicas of the first start are there.
+    /// Founds the partitions when the replicas of the first start are there.
     pub fn look_to_found(&mut self) {
         let now = self.now;
         let Some(founder) = &self.founder else { return };
@@ -84,7 +84,7 @@
         };
         let (edges, stores) = (of_class(Class::Edge), of_class(Class::Storage));
         let seen = edges.len() + stores.len();
-        let led = (0..=BATCH_PARTS).any(|part| self.known_leader(part).is_some());
+        let led = (0..=BATCH_PARTITIONS).any(|partition| self.known_leader(partition).is_some());
         let Some(founder) = &mut self.founder else { return };
         if led {
             // Another seed was first.
@@ -101,14 +101,14 @@
         if !settled || edges.is_empty() || stores.is_empty() || !(enough || waited) {
             return;
         }
-        let voters = |candidates: &[Candidate], part: u8| -> Vec<Voter> {
-            let chosen = spread_over_zones(candidates, size, usize::from(part));
+        let voters = |candidates: &[Candidate], partition: u8| -> Vec<Voter> {
+            let chosen = spread_over_zones(candidates, size, usize::from(partition));
             let voter = |replica| Voter { replica, confirmed: false, asked: None };
             chosen.into_iter().map(voter).collect()
         };
-        founder.named.insert(CONFIGURATION_PART, voters(&edges, 0));
-        for part in 1..=BATCH_PARTS {
-            founder.named.insert(part, voters(&stores, part));
+        founder.named.insert(CONFIGURATION_PARTITION, voters(&edges, 0));
+        for partition in 1..=BATCH_PARTITIONS {
+            founder.named.insert(partition, voters(&stores, partition));
         }
     }
 
@@ -120,35 +120,35 @@
             return false;
         }
         let mut calls = Vec::new();
-        for (&part, voters) in &mut founder.named {
+        for (&partition, voters) in &mut founder.named {
             let group: Vec<u64> = voters.iter().map(|voter| voter.replica).collect();
             let unconfirmed = voters.iter_mut().filter(|voter| !voter.confirmed);
             for voter in unconfirmed.filter(|voter| voter.asked.is_none_or(|at| now >= at + CONFIRM_TIMEOUT))
             {
                 voter.asked = Some(now);
-                calls.push((part, voter.replica, group.clone()));
+                calls.push((partition, voter.replica, group.clone()));
             }
         }
         let done = founder.named.values().flatten().all(|voter| voter.confirmed);
-        for (part, voter, voters) in calls {
+        for (partition, voter, voters) in calls {
             let Some(to) = self.address_of_replica(voter) else { continue };
-            let continuation = Continuation::Founding { part, voter };
-            self.call_node(to, Call::Found { part, voters }, now + CONFIRM_TIMEOUT, continuation);
+            let continuation = Continuation::Founding { partition, voter };
+            self.call_node(to, Call::Found { partition, voters }, now + CONFIRM_TIMEOUT, continuation);
         }
         done
     }
 
     /// A voter's reply to its founding.
-    pub fn founding_reply(&mut self, part: u8, voter: u64, reply: &Reply) {
+    pub fn founding_reply(&mut self, partition: u8, voter: u64, reply: &Reply) {
         let Some(founder) = &mut self.founder else { return };
         let confirmed = matches!(reply, Reply::Done);
-        let voters = founder.named.get_mut(&part).into_iter().flatten();
+        let voters = founder.named.get_mut(&partition).into_iter().flatten();
         for voter in voters.filter(|other| other.replica == voter) {
             voter.confirmed |= confirmed;
         }
     }
 
-    /// How many voters a part has: `f` may be lost, and a majority must be left.
+    /// How many voters a partition has: `f` may be lost, and a majority must be left.
     pub fn group_size(&self) -> usize {
         2 * self.settings.fault_tolerance.machine_losses.max(1) as usize + 1
     }
--- a/crates/tier/src/group_care.rs
+++ b/crates/tier/src/group_care.rs
@@ -1,8 +1,8 @@
-//! How leaders look after the groups of their parts: voters that are gone make room for others.
+//! How leaders look after the groups of their partitions: voters that are gone make room for others.
 
 use crate::copies::LoneCopy;
 use crate::node::Node;
-use crate::parts::class_of_part;
+use crate::partitions::class_of_partition;
 use crate::placement::{Candidate, next_voters};
 use crate::timers::Timer;
 use grebeusher_quorum::{Index, ReplicaId, Term};
@@ -87,74 +87,74 @@
 }
 
 impl Node {
-    /// Looks after the groups of the parts that this node leads.
+    /// Looks after the groups of the partitions that this node leads.
     pub fn group_upkeep(&mut self) {
         self.alarms.set(self.now + MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
-        for place in 0..self.parts.len() {
+        for place in 0..self.partitions.len() {
             self.tell_replica(place);
-            if self.parts[place].leads() {
-                self.upkeep_part(place);
+            if self.partitions[place].leads() {
+                self.upkeep_partition(place);
                 self.warn_of_lone_copy(place);
                 self.forget_old_jobs(place);
             }
         }
         self.spread_leadership();
         if self.stopping() {
-            // An heir that did not take over, or one that handed the part back, must not keep it here until the end.
-            self.hand_over_parts(false);
+            // An heir that did not take over, or one that handed the partition back, must not keep it here until the end.
+            self.hand_over_partitions(false);
         }
     }
 
     /// A line of the log for each change of a replica's term or group, and one a second.
     fn tell_replica(&mut self, place: usize) {
         let now = self.now;
-        let host = &mut self.parts[place];
+        let host = &mut self.partitions[place];
         let seen = (host.replica.term(), host.replica.group_index());
         if host.care.told == seen && now < host.care.told_at + LOG_INTERVAL {
             return;
         }
         host.care.told = seen;
         host.care.told_at = now;
-        let (part, term, commit, last) =
-            (host.part, host.replica.term().0, host.replica.commit_index().0, host.replica.last());
+        let (partition, term, commit, last) =
+            (host.partition, host.replica.term().0, host.replica.commit_index().0, host.replica.last());
         let group = host.replica.group();
         let (voters, outgoing) = (group.voters.len(), group.outgoing.len());
         let leader = host.replica.leader_hint().map_or(0, short);
         let own = short(host.replica.identity());
         let names: Vec<u64> = group.members().map(short).collect();
         debug!(
-            "part {part} replica {own} term {term} commit {commit} last {} of term {} leader {leader} group {voters}+{outgoing} {names:?} log {}",
+            "part {partition} replica {own} term {term} commit {commit} last {} of term {} leader {leader} group {voters}+{outgoing} {names:?} log {}",
             last.index.0,
             last.term.0,
             host.replica.log_bytes()
         );
     }
 
-    /// Changes the group of a part that this node leads, if its voters call for it.
-    fn upkeep_part(&mut self, place: usize) {
+    /// Changes the group of a partition that this node leads, if its voters call for it.
+    fn upkeep_partition(&mut self, place: usize) {
         let now = self.now;
-        let replica = &self.parts[place].replica;
+        let replica = &self.partitions[place].replica;
         if replica.group().is_joint() || replica.pending_change().is_some() {
             return;
         }
         let voters = replica.group().voters.clone();
-        self.parts[place].care.settle(now, &voters);
+        self.partitions[place].care.settle(now, &voters);
         let alive = self.candidates(place);
-        let alive = self.parts[place].care.usable(&voters, alive);
+        let alive = self.partitions[place].care.usable(&voters, alive);
         let lost = self.lost_voters(place, &voters, &alive);
         let wanted = self.group_size();
         let Some(next) = next_voters(&voters, &lost, &alive, wanted, self.identity) else { return };
-        let part = self.parts[place].part;
-        info!("part {part}: the group changes from {voters:?} to {next:?}");
-        self.parts[place].care.begun(&voters, &next);
-        if let Err(error) = self.parts[place].replica.change_group(now, next) {
-            warn!("part {part}: the group can't change now: {error}");
+        let partition = self.partitions[place].partition;
+        info!("part {partition}: the group changes from {voters:?} to {next:?}");
+        self.partitions[place].care.begun(&voters, &next);
+        if let Err(error) = self.partitions[place].replica.change_group(now, next) {
+            warn!("part {partition}: the group can't change now: {error}");
         }
     }
 
-    /// The nodes that may hold a replica of a part.
+    /// The nodes that may hold a replica of a partition.
     fn candidates(&mut self, place: usize) -> Vec<Candidate> {
-        let class = class_of_part(self.parts[place].part);
+        let class = class_of_partition(self.partitions[place].partition);
         let retiring = self.retiring_nodes(place);
         let alive = self.registry.members().filter(|member| member.state == MemberState::Alive);
         let alive = alive.filter(|member| member.class == class && !retiring.contains(&member.name));
@@ -165,7 +165,7 @@
     fn lost_voters(&mut self, place: usize, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
         let retiring = self.retiring_nodes(place);
         let retired = self.retiring_replicas(&retiring);
-        let absent = self.parts[place].care.absent(self.now, voters, alive);
+        let absent = self.partitions[place].care.absent(self.now, voters, alive);
         let lost = |voter: &&ReplicaId| {
             retired.contains(voter) || absent.contains(voter) || self.superseded(**voter)
         };
--- a/crates/tier/src/header_names.rs
+++ b/crates/tier/src/header_names.rs
@@ -16,7 +16,7 @@
 pub const LAST_EVENT_ID: &str = "Last-Event-Id";
 /// Tokens of the prompt, and the most that come out.
 pub const TOKEN_COUNT: &str = "X-Grebeusher-Token-Count";
-/// The parts of a prompt.
+/// The part of a prompt.
 pub const PROMPT_PREFIX: &str = "X-Grebeusher-Prompt-Prefix";
 /// The longest that a read of results is held, in milliseconds.
 pub const HOLD_MS: &str = "X-Grebeusher-Hold-Ms";
--- a/crates/tier/src/io.rs
+++ b/crates/tier/src/io.rs
@@ -77,11 +77,11 @@
         Ok(())
     }
 
-    /// Opens the files of a part in `folder`, with what they hold.
+    /// Opens the files of a partition in `folder`, with what they hold.
     ///
     /// # Errors
     /// The disk refuses or is damaged.
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartStore>, Restored), StoreError>;
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError>;
 }
 
 /// The signals that came.
@@ -142,8 +142,8 @@
 }
 
 /// The files of a replica.
-pub trait PartStore {
-    /// Writes a batch; it lasts once [`PartStore::sync`] has returned.
+pub trait PartitionStore {
+    /// Writes a batch; it lasts once [`PartitionStore::sync`] has returned.
     ///
     /// # Errors
     /// The disk is full or fails.
--- a/crates/tier/src/items.rs
+++ b/crates/tier/src/items.rs
@@ -1,4 +1,4 @@
-//! The leader of a part runs its items at executors, in the room that live requests leave.
+//! The leader of a partition runs its items at executors, in the room that live requests leave.
 
 use crate::header_names as names;
 use crate::node::Node;
@@ -44,9 +44,9 @@
     active: FxHashMap<u64, ActiveRun>,
     waking: bool,
     told: Instant,
-    /// What the leaders of other parts tell.
+    /// What the leaders of other partitions tell.
     pub(crate) shares: FairShare,
-    /// When the load of each led part was told last.
+    /// When the load of each led partition was told last.
     pub(crate) load_told: BTreeMap<u8, Instant>,
 }
 
@@ -71,15 +71,15 @@
         self.items.waking = false;
         let now = self.now;
         let mut waits = false;
-        for place in 0..self.parts.len() {
-            if !self.parts[place].leads() || self.stopping() {
+        for place in 0..self.partitions.len() {
+            if !self.partitions[place].leads() || self.stopping() {
                 continue;
             }
-            if let Some(part) = self.batch_mut(place) {
-                part.runner.tick(now);
+            if let Some(partition) = self.batch_mut(place) {
+                partition.runner.tick(now);
             }
             // A leader that wakes from a freeze still believes that it is one.
-            if self.parts[place].replica.lease_holds(self.clock()) {
+            if self.partitions[place].replica.lease_holds(self.clock()) {
                 self.begin_items(place);
             }
             self.tell_batch_load(place);
@@ -95,25 +95,25 @@
         }
     }
 
-    /// The tokens of a part's items that have still to be begun, on the routes that there are.
+    /// The tokens of a partition's items that have still to be begun, on the routes that there are.
     fn idle_tokens(&mut self, place: usize) -> u64 {
         let Some(active) = self.configuration.clone() else { return 0 };
-        let Some(part) = self.batch_mut(place) else { return 0 };
+        let Some(partition) = self.batch_mut(place) else { return 0 };
         let routes = &active.routes.configuration().routes;
         let bulk = routes.iter().filter(|route| route.route_type == RouteType::Bulk);
-        bulk.map(|route| part.runner.idle_tokens(route.name.as_str())).sum()
+        bulk.map(|route| partition.runner.idle_tokens(route.name.as_str())).sum()
     }
 
-    /// A line of the log now and then on how the items of a part get on.
+    /// A line of the log now and then on how the items of a partition get on.
     fn tell_progress(&mut self, place: usize) {
         let now = self.now;
         if now < self.items.told + LOG_INTERVAL {
             return;
         }
         self.items.told = now;
-        let number = self.parts[place].part;
-        let Some(part) = self.batch_mut(place) else { return };
-        let (running, kept) = (part.runner.running_count(), part.jobs().len());
+        let number = self.partitions[place].partition;
+        let Some(partition) = self.batch_mut(place) else { return };
+        let (running, kept) = (partition.runner.running_count(), partition.jobs().len());
         let idle = self.idle_tokens(place);
         debug!("part {number}: {running} items run, {idle} tokens wait, {kept} jobs are kept");
     }
@@ -189,8 +189,8 @@
 
     fn end_run(&mut self, place: usize, run: RunId, outcome: RunOutcome) {
         let now = self.now;
-        if let Some(part) = self.batch_mut(place) {
-            part.runner.run_ended(run, outcome, now);
+        if let Some(partition) = self.batch_mut(place) {
+            partition.runner.run_ended(run, outcome, now);
         }
         self.wake_items();
     }
@@ -235,10 +235,10 @@
         let (place, run) = (active.place, active.run);
         let mut events = Vec::new();
         let understood = active.reader.push(bytes, |event| events.push(event)).is_ok();
-        let Some(part) = self.batch_mut(place) else { return };
+        let Some(partition) = self.batch_mut(place) else { return };
         let taken = events
             .iter()
-            .all(|event| part.runner.run_event(run, event.id, &event.data, now) == EventTaken::Taken);
+            .all(|event| partition.runner.run_event(run, event.id, &event.data, now) == EventTaken::Taken);
         if !understood || !taken {
             self.item_cut(key);
         }
@@ -289,8 +289,8 @@
     /// Closes the connections of runs that nobody wants any more.
     pub fn cut_off_runs(&mut self, place: usize) {
         let now = self.now;
-        let Some(part) = self.batch_mut(place) else { return };
-        let cut: Vec<RunId> = part.runner.take_cut_off();
+        let Some(partition) = self.batch_mut(place) else { return };
+        let cut: Vec<RunId> = partition.runner.take_cut_off();
         if cut.is_empty() {
             return;
         }
--- a/crates/tier/src/leader_balance.rs
+++ b/crates/tier/src/leader_balance.rs
@@ -1,31 +1,31 @@
-//! The batch parts are led by different machines where they can be. A leader sends each byte of jobs and results to all
-//! other replicas and runs the items of its part; one that leads several parts has its link, its processor and its share of
+//! The batch partitions are led by different machines where they can be. A leader sends each byte of jobs and results to all
+//! other replicas and runs the items of its partition; one that leads several partitions has its link, its processor and its share of
 //! executors' connections full while others idle. After a loss of all power elections may come out so.
 
-use crate::batch_front::BATCH_PARTS;
+use crate::batch_front::BATCH_PARTITIONS;
 use crate::node::Node;
-use grebeusher_batch::PartLoad;
+use grebeusher_batch::PartitionLoad;
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::MemberState;
 use grebeusher_time::{Duration, Instant};
 use tracing::{info, warn};
 
 /// A leadership is not handed on for balance sooner than this after it began: its end must have become known, and so must
-/// the leaders of the other parts.
+/// the leaders of the other partitions.
 const STABILITY_DURATION: Duration = Duration::from_millis(300);
 /// Nor sooner than this after the last time: a hand-over interrupts the items that run.
 const REBALANCE_INTERVAL: Duration = Duration::from_millis(5000);
 
-/// A voter that could take a part over.
+/// A voter that could take a partition over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Heir {
     /// Its disk identity.
     pub replica: ReplicaId,
-    /// The parts that its node leads.
+    /// The partitions that its node leads.
     pub led: usize,
 }
 
-/// The heir that is to have a part of a leader of `led` parts: the first of those that own fewest, if the two come closer
+/// The heir that is to have a partition of a leader of `led` partitions: the first of those that own fewest, if the two come closer
 /// by it.
 pub fn relieving_heir(led: usize, heirs: &[Heir]) -> Option<ReplicaId> {
     let least = heirs.iter().map(|heir| heir.led).min()?;
@@ -34,16 +34,16 @@
 }
 
 impl Node {
-    /// Hands one batch part to a voter whose node leads none or fewer, where this node leads several that have items.
+    /// Hands one batch partition to a voter whose node leads none or fewer, where this node leads several that have items.
     pub(crate) fn spread_leadership(&mut self) {
         let now = self.now;
         if self.stopping() || now < self.spread_after {
             return;
         }
-        let places = (0..self.parts.len()).filter(|place| self.leads_batch_part(*place));
+        let places = (0..self.partitions.len()).filter(|place| self.leads_batch_partition(*place));
         let mut led: Vec<usize> = places.collect();
-        // Parts without items cost their leader nothing.
-        led.retain(|place| self.batch_load(*place) != PartLoad::default());
+        // Partitions without items cost their leader nothing.
+        led.retain(|place| self.batch_load(*place) != PartitionLoad::default());
         if led.len() < 2 {
             return;
         }
@@ -59,35 +59,35 @@
         }
     }
 
-    fn leads_batch_part(&self, place: usize) -> bool {
-        let host = &self.parts[place];
-        host.leads() && (1..=BATCH_PARTS).contains(&host.part)
+    fn leads_batch_partition(&self, place: usize) -> bool {
+        let host = &self.partitions[place];
+        host.leads() && (1..=BATCH_PARTITIONS).contains(&host.partition)
     }
 
     fn may_hand_over(&self, place: usize, now: Instant) -> bool {
-        let host = &self.parts[place];
+        let host = &self.partitions[place];
         let since = host.leader_since().is_some_and(|since| now.since(since) >= STABILITY_DURATION);
         since && host.replica.is_settled() && !host.replica.is_handing_over()
     }
 
-    /// The living voters of a part whose nodes are not to be emptied, the one that is furthest first.
+    /// The living voters of a partition whose nodes are not to be emptied, the one that is furthest first.
     fn heirs_of(&mut self, place: usize) -> Vec<Heir> {
         let retiring = self.retiring_nodes(place);
         let heir = |replica: ReplicaId| {
             let member = self.registry.member_by_replica(replica.0)?;
-            let led = self.leaders.count_of(&self.registry, member.address, 1..=BATCH_PARTS);
+            let led = self.leaders.count_of(&self.registry, member.address, 1..=BATCH_PARTITIONS);
             let stays = member.state == MemberState::Alive && !retiring.contains(&member.name);
             stays.then_some(Heir { replica, led })
         };
-        self.parts[place].replica.heirs().into_iter().filter_map(heir).collect()
+        self.partitions[place].replica.heirs().into_iter().filter_map(heir).collect()
     }
 
     fn relieve(&mut self, place: usize, heir: ReplicaId) {
-        let part = self.parts[place].part;
-        info!("part {part}: handed to another voter, as this node owns others too");
+        let partition = self.partitions[place].partition;
+        info!("part {partition}: handed to another voter, as this node owns others too");
         self.checkpoint_batch(place);
-        if let Err(error) = self.parts[place].replica.hand_over(self.now, Some(heir)) {
-            warn!("part {part}: not handed over: {error}");
+        if let Err(error) = self.partitions[place].replica.hand_over(self.now, Some(heir)) {
+            warn!("part {partition}: not handed over: {error}");
         }
     }
 }
--- a/crates/tier/src/leaders.rs
+++ b/crates/tier/src/leaders.rs
@@ -1,4 +1,4 @@
-//! Which node leads which part, by what the nodes tell of themselves.
+//! Which node leads which partition, by what the nodes tell of themselves.
 
 use grebeusher_registry::{Facts, Generation, Registry};
 use nanoserde::{DeBin, SerBin};
@@ -6,18 +6,18 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The facts that a node tells of itself: the parts that it leads.
+/// The facts that a node tells of itself: the partitions that it leads.
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
-pub struct LedParts {
-    /// Each part once.
-    pub parts: Vec<LedPart>,
+pub struct LedPartitions {
+    /// Each partition once.
+    pub partitions: Vec<LedPartition>,
 }
 
-/// A part that a node leads.
+/// A partition that a node leads.
 #[derive(Clone, Debug, SerBin, DeBin)]
-pub struct LedPart {
-    /// Which part.
-    pub part: u8,
+pub struct LedPartition {
+    /// Which partition.
+    pub partition: u8,
     /// The term at which it is led.
     pub term: u64,
 }
@@ -32,29 +32,29 @@
 struct Known {
     /// Of the nodes and of the facts when these leaders were read; none before the first time.
     read_at: Option<(u64, u64)>,
-    /// The term and the internal address of the leader of each part.
+    /// The term and the internal address of the leader of each partition.
     leaders: BTreeMap<u8, (u64, SocketAddrV4)>,
 }
 
 impl LeaderIndex {
-    /// The node that leads a part, by the highest term that any living node has told.
-    pub fn leader(&self, registry: &Registry, part: u8) -> Option<SocketAddrV4> {
+    /// The node that leads a partition, by the highest term that any living node has told.
+    pub fn leader(&self, registry: &Registry, partition: u8) -> Option<SocketAddrV4> {
         let mut known = self.known.borrow_mut();
         let Generation { members, facts, .. } = registry.generation();
         if known.read_at != Some((members, facts)) {
             *known = Known { read_at: Some((members, facts)), leaders: read_leaders(registry) };
         }
-        known.leaders.get(&part).map(|(_, address)| *address)
+        known.leaders.get(&partition).map(|(_, address)| *address)
     }
 
-    /// How many of these parts the node at an address leads.
+    /// How many of these partitions the node at an address leads.
     pub fn count_of(
         &self,
         registry: &Registry,
         node: SocketAddrV4,
-        parts: std::ops::RangeInclusive<u8>,
+        partitions: std::ops::RangeInclusive<u8>,
     ) -> usize {
-        parts.filter(|part| self.leader(registry, *part) == Some(node)).count()
+        partitions.filter(|partition| self.leader(registry, *partition) == Some(node)).count()
     }
 }
 
@@ -62,9 +62,9 @@
     let mut leaders = BTreeMap::new();
     for facts in registry.facts() {
         if let Some(address) = address_of_teller(registry, facts)
-            && let Ok(led) = <LedParts as DeBin>::deserialize_bin(&facts.payload)
+            && let Ok(led) = <LedPartitions as DeBin>::deserialize_bin(&facts.payload)
         {
-            led.parts.iter().for_each(|led| note_leader(&mut leaders, led, address));
+            led.partitions.iter().for_each(|led| note_leader(&mut leaders, led, address));
         }
     }
     leaders
@@ -77,8 +77,8 @@
 }
 
 /// The higher term leads; of two alike the one that was read first.
-fn note_leader(leaders: &mut BTreeMap<u8, (u64, SocketAddrV4)>, led: &LedPart, address: SocketAddrV4) {
-    if leaders.get(&led.part).is_none_or(|(term, _)| led.term > *term) {
-        leaders.insert(led.part, (led.term, address));
+fn note_leader(leaders: &mut BTreeMap<u8, (u64, SocketAddrV4)>, led: &LedPartition, address: SocketAddrV4) {
+    if leaders.get(&led.partition).is_none_or(|(term, _)| led.term > *term) {
+        leaders.insert(led.partition, (led.term, address));
     }
 }
--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -1,15 +1,15 @@
 //! The programs of the serving tier, put together from the libraries of its planes.
 //!
 //! One process is a [`node::Node`]: an edge node takes clients, executors and operators and may hold a replica of the
-//! configuration; a storage node holds replicas of the batch parts and runs their items. Both are the same loop, and the
+//! configuration; a storage node holds replicas of the batch partitions and runs their items. Both are the same loop, and the
 //! settings say what is there.
 
 pub mod batch_front;
 pub mod batch_load;
-pub mod batch_part;
+pub mod batch_partition;
 pub mod calls;
 pub mod configuration;
-pub mod configuration_part;
+pub mod configuration_partition;
 pub mod connections;
 pub mod control;
 pub mod copies;
@@ -28,8 +28,8 @@
 pub mod messages;
 pub mod node;
 pub mod page_size;
-pub mod part_status;
-pub mod parts;
+pub mod partition_status;
+pub mod partitions;
 pub mod peers;
 pub mod placement;
 pub mod popularity;
--- a/crates/tier/src/messages.rs
+++ b/crates/tier/src/messages.rs
@@ -8,7 +8,7 @@
 pub enum Channel {
     /// Members, executors and other soft state.
     Registry = 1,
-    /// Messages between replicas of a part.
+    /// Messages between replicas of a partition.
     Quorum = 2,
     /// A call that wants a reply.
     Call = 3,
@@ -16,7 +16,7 @@
     Reply = 4,
     /// What nodes tell of popular prefixes of prompts.
     Popularity = 5,
-    /// What leaders of batch parts tell each other of their items.
+    /// What leaders of batch partitions tell each other of their items.
     BatchLoad = 6,
 }
 
@@ -35,11 +35,11 @@
     }
 }
 
-/// A message between two replicas of a part.
+/// A message between two replicas of a partition.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct QuorumEnvelope {
-    /// The part of the control state.
-    pub part: u8,
+    /// The partition of the control state.
+    pub partition: u8,
     /// The sender's disk identity.
     pub from: u64,
     /// The disk identity that it is meant for.
@@ -48,11 +48,11 @@
     pub message: Vec<u8>,
 }
 
-/// The items of a part, as its leader tells the leaders of the others.
+/// The items of a partition, as its leader tells the leaders of the others.
 #[derive(Clone, Copy, Debug, SerBin, DeBin)]
 pub struct BatchLoad {
-    /// The part.
-    pub part: u8,
+    /// The partition.
+    pub partition: u8,
     /// Items that run.
     pub running: u32,
     /// Items that wait for room.
@@ -105,31 +105,31 @@
 /// What one node asks of another.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Call {
-    /// Founds a part with these disk identities as its voters; only in the first life of the whole system.
-    Found { part: u8, voters: Vec<u64> },
+    /// Founds a partition with these disk identities as its voters; only in the first life of the whole system.
+    Found { partition: u8, voters: Vec<u64> },
     /// Takes a configuration on top of `base`; for the leader of the configuration.
     ReplaceConfiguration { base: u64, body: Vec<u8> },
     /// The newest configuration, proven by the leader's lease.
     ShowConfiguration,
-    /// What the leader of a part says of it, for operators.
-    ShowPart { part: u8 },
+    /// What the leader of a partition says of it, for operators.
+    ShowPartition { partition: u8 },
     /// The newest configuration that the node knows, if it is newer than this version.
     FetchConfiguration { newer_than: u64 },
-    /// Takes a batch job; for the leader of the part.
+    /// Takes a batch job; for the leader of the partition.
     SubmitJob(SubmitJob),
-    /// Reads the results of a job; for the leader of the part.
-    ReadJob { part: u8, job: String, resume_after: u64, hold_ms: u32 },
-    /// The body of an item that is not listed yet; for the leader of the part.
-    ReadItem { part: u8, job: String, item: String },
-    /// Ends a job; for the leader of the part.
-    EndJob { part: u8, job: String },
-    /// Passes a call, encoded, on to the leader of a part, for a node that can't reach it; within this many milliseconds.
-    Forward { part: u8, within_ms: u32, call: Vec<u8> },
-    /// Asks the leader of a part to move its data off a storage node.
-    BeginRetire { part: u8, node: String },
-    /// Asks the leader of a part whether its data has left a storage node.
-    ShowRetire { part: u8, node: String },
-    /// Asks the leader of a part whether it wants a batch job, before its bodies are sent, and what became of it if they were.
+    /// Reads the results of a job; for the leader of the partition.
+    ReadJob { partition: u8, job: String, resume_after: u64, hold_ms: u32 },
+    /// The body of an item that is not listed yet; for the leader of the partition.
+    ReadItem { partition: u8, job: String, item: String },
+    /// Ends a job; for the leader of the partition.
+    EndJob { partition: u8, job: String },
+    /// Passes a call, encoded, on to the leader of a partition, for a node that can't reach it; within this many milliseconds.
+    Forward { partition: u8, within_ms: u32, call: Vec<u8> },
+    /// Asks the leader of a partition to move its data off a storage node.
+    BeginRetire { partition: u8, node: String },
+    /// Asks the leader of a partition whether its data has left a storage node.
+    ShowRetire { partition: u8, node: String },
+    /// Asks the leader of a partition whether it wants a batch job, before its bodies are sent, and what became of it if they were.
     OfferJob(OfferJob),
 }
 
@@ -137,8 +137,8 @@
 /// that are refused, or were there already, would keep it full.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct OfferJob {
-    /// The part that the job belongs to.
-    pub part: u8,
+    /// The partition that the job belongs to.
+    pub partition: u8,
     /// Its id.
     pub job: String,
     /// Its route.
@@ -149,11 +149,11 @@
     pub queue_token_limit: u64,
 }
 
-/// A batch job on its way to the leader of its part.
+/// A batch job on its way to the leader of its partition.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct SubmitJob {
-    /// The part that the job belongs to.
-    pub part: u8,
+    /// The partition that the job belongs to.
+    pub partition: u8,
     /// The submission as `archive` encodes it.
     pub submission: Vec<u8>,
     /// Due this long after the first send, in milliseconds.
@@ -169,9 +169,9 @@
 /// What a node answers.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Reply {
-    /// The node doesn't own the part; perhaps this one (by name) does.
+    /// The node doesn't own the partition; perhaps this one (by name) does.
     NotLeader { leader: Option<String> },
-    /// The node leads the part and can't say now.
+    /// The node leads the partition and can't say now.
     Unavailable,
     /// What was asked may or may not come to be.
     Unclear,
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -9,7 +9,7 @@
 use crate::items::ItemRuns;
 use crate::leaders::LeaderIndex;
 use crate::messages::{CallNumber, CallNumbers};
-use crate::parts::PartHost;
+use crate::partitions::PartitionHost;
 use crate::remembered::Remembered;
 use crate::retire::RetireGathering;
 use crate::routing::Routing;
@@ -101,7 +101,7 @@
     pub(crate) told_waiters: FxHashMap<CallToken, (usize, u64)>,
     pub(crate) routing: Routing,
     pub(crate) leaders: LeaderIndex,
-    /// When a part may next be handed on so that the parts are spread.
+    /// When a partition may next be handed on so that the partitions are spread.
     pub(crate) spread_after: Instant,
     pub(crate) routing_changed: bool,
     pub(crate) configuration: Option<Rc<ActiveConfiguration>>,
@@ -114,7 +114,7 @@
     pub(crate) unheard: FxHashMap<SocketAddrV4, Instant>,
     pub(crate) gatherings: FxHashMap<u64, RetireGathering>,
     pub(crate) identity: Option<ReplicaId>,
-    pub(crate) parts: Vec<PartHost>,
+    pub(crate) partitions: Vec<PartitionHost>,
     pub(crate) founder: Option<Founder>,
     pub(crate) items: ItemRuns,
     /// Names of nodes by their disk identities, also former ones.
@@ -131,7 +131,7 @@
 impl Node {
     /// Puts a process together from what its start has read and opened.
     pub fn new(start: Start) -> Result<Node, StartError> {
-        let Start { settings, world, listeners, registry, identity, parts, seed } = start;
+        let Start { settings, world, listeners, registry, identity, partitions, seed } = start;
         let founder = Founder::for_settings(&settings);
         let call_numbers = CallNumbers::starting_at(world.random());
         let most_connections = listeners.most_connections;
@@ -175,7 +175,7 @@
             unheard: FxHashMap::default(),
             gatherings: FxHashMap::default(),
             identity,
-            parts,
+            partitions,
             founder,
             counters: Counters::default(),
             traffic: Traffic::default(),
@@ -190,7 +190,7 @@
     fn set_first_timers(&mut self) {
         let now = self.now;
         self.alarms.set(now + SWEEP_INTERVAL, Timer::Sweep);
-        if !self.parts.is_empty() {
+        if !self.partitions.is_empty() {
             self.alarms.set(now + crate::group_care::MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
         }
         self.recall_executors();
@@ -235,7 +235,7 @@
             self.serve_waiting_input();
         }
         self.pump_registry();
-        self.pump_parts()?;
+        self.pump_partitions()?;
         self.pump_registry();
         if std::mem::take(&mut self.routing_changed) {
             self.update_routing();
@@ -252,8 +252,8 @@
             wake = wake.min(alarm);
         }
         wake = wake.min(self.registry.next_wake());
-        for part in &self.parts {
-            wake = wake.min(part.next_wake());
+        for partition in &self.partitions {
+            wake = wake.min(partition.next_wake());
         }
         wake
     }
@@ -398,19 +398,19 @@
         /// What the system says.
         source: io::Error,
     },
-    /// A part's disk fails.
-    #[snafu(display("the disk of part {part}: {source}"))]
+    /// A partition's disk fails.
+    #[snafu(display("the disk of part {partition}: {source}"))]
     Disk {
-        /// The part.
-        part: u8,
+        /// The partition.
+        partition: u8,
         /// What the store says.
         source: grebeusher_quorum::disk::StoreError,
     },
     /// What is on disk or was agreed can't be read.
-    #[snafu(display("the state of part {part} can't be read: {reason}"))]
+    #[snafu(display("the state of part {partition} can't be read: {reason}"))]
     State {
-        /// The part.
-        part: u8,
+        /// The partition.
+        partition: u8,
         /// What is wrong.
         reason: String,
     },
