--- a/crates/tier/src/parts.rs
+++ b/crates/tier/src/partitions.rs
@@ -1,11 +1,11 @@
-//! The replicas of parts that this node holds: their disk, their messages, their applications, and the care of their groups.
+//! The replicas of partitions that this node holds: their disk, their messages, their applications, and the care of their groups.
 
-use crate::batch_part::{BatchPart, shared};
-use crate::configuration_part::ConfigurationPart;
+use crate::batch_partition::{BatchPartition, shared};
+use crate::configuration_partition::ConfigurationPartition;
 use crate::disk_room::DiskRoom;
 use crate::group_care::GroupCare;
-use crate::io::{PartStore, World};
-use crate::leaders::{LedPart, LedParts};
+use crate::io::{PartitionStore, World};
+use crate::leaders::{LedPartition, LedPartitions};
 use crate::messages::{CallNumber, Channel, QuorumEnvelope, Reply};
 use crate::node::{Node, RunError};
 use grebeusher_quorum::{Blob, Index, Replica, ReplicaId, Term, Timing, Write};
@@ -20,12 +20,12 @@
 /// On a link below this, jobs and results on their way to the replicas hold heartbeats up for some hundred milliseconds.
 const SLOW_LINK_MBPS: f64 = 200.0;
 
-/// What a part keeps.
+/// What a partition keeps.
 pub enum Application {
-    /// Part 0.
-    Configuration(ConfigurationPart),
+    /// Partition 0.
+    Configuration(ConfigurationPartition),
     /// The others.
-    Batch(Box<BatchPart>),
+    Batch(Box<BatchPartition>),
 }
 
 /// Who waits for a proposal to be committed.
@@ -40,7 +40,7 @@
 /// What a replica's care for its machine rests on.
 #[derive(Clone, Copy, Debug)]
 pub struct Tuning {
-    /// What the part may take of the disk.
+    /// What the partition may take of the disk.
     pub room: DiskRoom,
     /// The machine's own link.
     pub link_mbps: f64,
@@ -48,13 +48,13 @@
     pub seed: u64,
 }
 
-/// A replica of a part on this node.
-pub struct PartHost {
-    /// Which part.
-    pub part: u8,
+/// A replica of a partition on this node.
+pub struct PartitionHost {
+    /// Which partition.
+    pub partition: u8,
     /// Its agreement.
     pub replica: Replica,
-    store: Box<dyn PartStore>,
+    store: Box<dyn PartitionStore>,
     /// Its state.
     pub application: Application,
     /// Calls by the proposal that settles them.
@@ -70,26 +70,26 @@
     pub(crate) care: GroupCare,
 }
 
-impl PartHost {
-    /// Opens the replica of a part in its folder below `data`.
+impl PartitionHost {
+    /// Opens the replica of a partition in its folder below `data`.
     ///
     /// # Errors
     /// The disk refuses, or the state on it can't be read.
     pub fn open(
         world: &dyn World,
         data: &Path,
-        part: u8,
+        partition: u8,
         identity: ReplicaId,
         application: Application,
         tuning: Tuning,
-    ) -> Result<PartHost, RunError> {
-        let folder = data.join(format!("part-{part}"));
+    ) -> Result<PartitionHost, RunError> {
+        let folder = data.join(format!("part-{partition}"));
         let (store, restored) =
-            world.open_store(&folder).map_err(|source| RunError::Disk { part, source })?;
+            world.open_store(&folder).map_err(|source| RunError::Disk { partition, source })?;
         let replica =
-            Replica::new(identity, restored, timing(part, tuning.link_mbps), tuning.seed, Instant(0));
-        Ok(PartHost {
-            part,
+            Replica::new(identity, restored, timing(partition, tuning.link_mbps), tuning.seed, Instant(0));
+        Ok(PartitionHost {
+            partition,
             replica,
             store,
             application,
@@ -108,12 +108,12 @@
         self.replica.next_wake()
     }
 
-    /// Whether this node acts as the part's leader.
+    /// Whether this node acts as the partition's leader.
     pub fn leads(&self) -> bool {
         self.leader_since.is_some()
     }
 
-    /// Since when this node acts as the part's leader.
+    /// Since when this node acts as the partition's leader.
     pub fn leader_since(&self) -> Option<Instant> {
         self.leader_since
     }
@@ -129,7 +129,7 @@
         });
         let Some(snapshot) = of_this_state else { return };
         if let Err(error) = batch.restore(&shared(snapshot.clone())) {
-            warn!("part {}: its own snapshot can't be read: {error}", self.part);
+            warn!("part {}: its own snapshot can't be read: {error}", self.partition);
         }
     }
 
@@ -142,9 +142,9 @@
     }
 }
 
-/// The spans of a part's leadership. Reads need the lease, and the loss of a leader is noticed within `election_max`.
-fn timing(part: u8, link_mbps: f64) -> Timing {
-    let configuration = part == crate::control::CONFIGURATION_PART;
+/// The spans of a partition's leadership. Reads need the lease, and the loss of a leader is noticed within `election_max`.
+fn timing(partition: u8, link_mbps: f64) -> Timing {
+    let configuration = partition == crate::control::CONFIGURATION_PARTITION;
     let (heartbeat, min, max) = if configuration {
         // The configuration's replicas share their processor with the traffic, so they are given more time.
         (100, 450, 800)
@@ -163,46 +163,46 @@
 
 impl Node {
     /// Does what the replicas want done: writes, one sync for all that came in this turn, messages, commits.
-    pub fn pump_parts(&mut self) -> Result<(), RunError> {
-        for place in 0..self.parts.len() {
-            self.pump_part(place)?;
+    pub fn pump_partitions(&mut self) -> Result<(), RunError> {
+        for place in 0..self.partitions.len() {
+            self.pump_partition(place)?;
         }
         Ok(())
     }
 
-    fn pump_part(&mut self, place: usize) -> Result<(), RunError> {
+    fn pump_partition(&mut self, place: usize) -> Result<(), RunError> {
         let now = self.now;
-        if now >= self.parts[place].next_wake() {
-            self.traffic.part_ticks += 1;
-            self.parts[place].replica.tick(now);
+        if now >= self.partitions[place].next_wake() {
+            self.traffic.partition_ticks += 1;
+            self.partitions[place].replica.tick(now);
         }
-        while self.parts[place].replica.has_ready() {
-            let part = self.parts[place].part;
-            let ready = self.parts[place].replica.take_ready();
+        while self.partitions[place].replica.has_ready() {
+            let partition = self.partitions[place].partition;
+            let ready = self.partitions[place].replica.take_ready();
             for (to, message) in ready.ahead {
-                self.send_quorum(part, to, &message);
+                self.send_quorum(partition, to, &message);
             }
-            let host = &mut self.parts[place];
-            let disk = |source| RunError::Disk { part, source };
+            let host = &mut self.partitions[place];
+            let disk = |source| RunError::Disk { partition, source };
             host.store.write(&ready.writes).map_err(disk)?;
             host.refer_to_snapshot(&ready.writes);
             if ready.must_sync {
-                // What was already put on links for other parts need not wait for this disk.
+                // What was already put on links for other partitions need not wait for this disk.
                 host.store.sync().map_err(disk)?;
             }
             host.replica.synced();
             for (to, message) in ready.messages {
-                self.send_quorum(part, to, &message);
+                self.send_quorum(partition, to, &message);
             }
             if let Some(restore) = ready.restore {
-                let host = &mut self.parts[place];
+                let host = &mut self.partitions[place];
                 host.compact_at = host.room.log_beside(restore.bytes.as_slice().len());
-                self.restore_part(place, restore.bytes)?;
-                self.parts[place].applied = restore.index;
+                self.restore_partition(place, restore.bytes)?;
+                self.partitions[place].applied = restore.index;
             }
             let changed = !ready.committed.is_empty();
             for committed in ready.committed {
-                let host = &mut self.parts[place];
+                let host = &mut self.partitions[place];
                 host.applied = committed.index;
                 let waiters = match host.waiters.remove(&committed.index) {
                     Some((term, waiters)) if term == committed.term => waiters,
@@ -212,23 +212,27 @@
                     }
                     None => Vec::new(),
                 };
-                self.apply_to_part(place, committed.payload, waiters)?;
+                self.apply_to_partition(place, committed.payload, waiters)?;
             }
             if changed {
                 self.serve_committed(place);
             }
-            self.parts[place].applied = self.parts[place].applied.max(ready.applied);
-            self.compact_part(place);
+            self.partitions[place].applied = self.partitions[place].applied.max(ready.applied);
+            self.compact_partition(place);
         }
         self.follow_leadership(place);
         Ok(())
     }
 
-    fn send_quorum(&mut self, part: u8, to: ReplicaId, message: &grebeusher_quorum::Message) {
+    fn send_quorum(&mut self, partition: u8, to: ReplicaId, message: &grebeusher_quorum::Message) {
         let Some(address) = self.address_of_replica(to.0) else { return };
         let Some(identity) = self.identity else { return };
-        let envelope =
-            QuorumEnvelope { part, from: identity.0, to: to.0, message: grebeusher_quorum::encode(message) };
+        let envelope = QuorumEnvelope {
+            partition,
+            from: identity.0,
+            to: to.0,
+            message: grebeusher_quorum::encode(message),
+        };
         self.send_frame(address, Channel::Quorum, &SerBin::serialize_bin(&envelope));
     }
 
@@ -240,7 +244,7 @@
         }
         let Ok(message) = grebeusher_quorum::decode(&envelope.message) else { return };
         let now = self.clock();
-        if let Some(host) = self.parts.iter_mut().find(|host| host.part == envelope.part) {
+        if let Some(host) = self.partitions.iter_mut().find(|host| host.partition == envelope.partition) {
             host.replica.receive(now, ReplicaId(envelope.from), message);
         }
     }
@@ -251,48 +255,53 @@
         }
     }
 
-    fn restore_part(&mut self, place: usize, bytes: Blob) -> Result<(), RunError> {
-        match self.parts[place].application {
+    fn restore_partition(&mut self, place: usize, bytes: Blob) -> Result<(), RunError> {
+        match self.partitions[place].application {
             Application::Configuration(_) => self.restore_configuration(place, bytes.as_slice()),
             Application::Batch(_) => self.restore_batch(place, bytes),
         }
     }
 
-    fn apply_to_part(&mut self, place: usize, entry: Blob, waiters: Vec<Waiter>) -> Result<(), RunError> {
-        match self.parts[place].application {
+    fn apply_to_partition(
+        &mut self,
+        place: usize,
+        entry: Blob,
+        waiters: Vec<Waiter>,
+    ) -> Result<(), RunError> {
+        match self.partitions[place].application {
             Application::Configuration(_) => self.apply_configuration(place, entry.as_slice(), waiters),
             Application::Batch(_) => self.apply_batch(place, entry, waiters),
         }
     }
 
-    fn compact_part(&mut self, place: usize) {
-        let host = &mut self.parts[place];
+    fn compact_partition(&mut self, place: usize) {
+        let host = &mut self.partitions[place];
         if host.replica.log_bytes() < host.compact_at {
             return;
         }
         let snapshot = match &host.application {
-            Application::Configuration(part) => part.snapshot(),
-            Application::Batch(part) => part.snapshot(),
+            Application::Configuration(partition) => partition.snapshot(),
+            Application::Batch(partition) => partition.snapshot(),
         };
         let size = snapshot.len();
         if let Err(error) = host.replica.compact(host.applied, snapshot) {
-            warn!("part {}: no snapshot of {size} bytes: {error}", host.part);
+            warn!("part {}: no snapshot of {size} bytes: {error}", host.partition);
         }
         host.compact_at = host.room.log_beside(size);
     }
 
-    /// Begins or ends to act as the leader of a part.
+    /// Begins or ends to act as the leader of a partition.
     fn follow_leadership(&mut self, place: usize) {
         let now = self.now;
-        let host = &mut self.parts[place];
+        let host = &mut self.partitions[place];
         let leads = host.replica.is_leader() && (host.leads() || host.replica.lease_holds(now));
         if leads == host.leads() {
             return;
         }
         host.leader_since = leads.then_some(now);
-        let part = host.part;
+        let partition = host.partition;
         let term = host.replica.term();
-        info!("part {part}: {} at term {}", if leads { "leader" } else { "no longer leader" }, term.0);
+        info!("part {partition}: {} at term {}", if leads { "leader" } else { "no longer leader" }, term.0);
         if !leads {
             let waiters: Vec<Waiter> =
                 std::mem::take(&mut host.waiters).into_values().flat_map(|(_, waiters)| waiters).collect();
@@ -308,31 +317,33 @@
     }
 
     fn leader_changed(&mut self, place: usize, leads: bool) {
-        match &mut self.parts[place].application {
-            Application::Configuration(part) => part.leader_changed(),
+        match &mut self.partitions[place].application {
+            Application::Configuration(partition) => partition.leader_changed(),
             Application::Batch(_) => self.batch_leader_changed(place, leads),
         }
     }
 
-    /// Tells all nodes which parts this node leads, at which terms.
+    /// Tells all nodes which partitions this node leads, at which terms.
     fn tell_leadership(&mut self) {
-        let led = self.parts.iter().filter(|host| host.leads());
-        let facts = LedParts {
-            parts: led.map(|host| LedPart { part: host.part, term: host.replica.term().0 }).collect(),
+        let led = self.partitions.iter().filter(|host| host.leads());
+        let facts = LedPartitions {
+            partitions: led
+                .map(|host| LedPartition { partition: host.partition, term: host.replica.term().0 })
+                .collect(),
         };
         if self.registry.set_facts(self.now, SerBin::serialize_bin(&facts)).is_err() {
             warn!("more parts are owned than can be told");
         }
     }
 
-    /// The parts that this node acts as the leader of.
-    pub fn led_parts(&self) -> impl Iterator<Item = u8> + '_ {
-        self.parts.iter().filter(|host| host.leads()).map(|host| host.part)
+    /// The partitions that this node acts as the leader of.
+    pub fn led_partitions(&self) -> impl Iterator<Item = u8> + '_ {
+        self.partitions.iter().filter(|host| host.leads()).map(|host| host.partition)
     }
 
-    /// The voters of a part that this node leads, if their group is decided and no other one is on its way.
-    pub fn settled_voters(&self, part: u8) -> Option<&[ReplicaId]> {
-        let host = self.parts.iter().find(|host| host.part == part && host.leads())?;
+    /// The voters of a partition that this node leads, if their group is decided and no other one is on its way.
+    pub fn settled_voters(&self, partition: u8) -> Option<&[ReplicaId]> {
+        let host = self.partitions.iter().find(|host| host.partition == partition && host.leads())?;
         host.replica.is_settled().then(|| host.replica.group().voters.as_slice())
     }
 
@@ -341,39 +352,39 @@
         self.identity
     }
 
-    /// The node that leads a part, by the highest term that any has told.
-    pub fn known_leader(&self, part: u8) -> Option<SocketAddrV4> {
-        self.leaders.leader(&self.registry, part)
+    /// The node that leads a partition, by the highest term that any has told.
+    pub fn known_leader(&self, partition: u8) -> Option<SocketAddrV4> {
+        self.leaders.leader(&self.registry, partition)
     }
 
-    /// The next node to be asked for the leader of a part: the one that says it is, then any that holds a replica.
-    pub fn leader_candidate(&self, part: u8, tried: &[SocketAddrV4]) -> Option<SocketAddrV4> {
+    /// The next node to be asked for the leader of a partition: the one that says it is, then any that holds a replica.
+    pub fn leader_candidate(&self, partition: u8, tried: &[SocketAddrV4]) -> Option<SocketAddrV4> {
         let untried = |address: &SocketAddrV4| !tried.contains(address);
-        if let Some(leader) = self.known_leader(part).filter(untried) {
+        if let Some(leader) = self.known_leader(partition).filter(untried) {
             return Some(leader);
         }
-        let class = class_of_part(part);
+        let class = class_of_partition(partition);
         let holders = self.registry.live_members().filter(|member| member.class == class);
         let holders = holders.filter(|member| member.replica.is_some());
         let addresses: Vec<SocketAddrV4> = holders.map(|member| member.address).filter(untried).collect();
         addresses.get(self.now.0 as usize % addresses.len().max(1)).copied()
     }
 
-    /// Gives the leadership of parts to others, as this process is about to end; `at_the_start` of that, or again later.
-    pub fn hand_over_parts(&mut self, at_the_start: bool) {
+    /// Gives the leadership of partitions to others, as this process is about to end; `at_the_start` of that, or again later.
+    pub fn hand_over_partitions(&mut self, at_the_start: bool) {
         let now = self.now;
-        for place in 0..self.parts.len() {
-            if !self.parts[place].leads() || self.parts[place].replica.is_handing_over() {
+        for place in 0..self.partitions.len() {
+            if !self.partitions[place].leads() || self.partitions[place].replica.is_handing_over() {
                 continue;
             }
             let heir = self.staying_heir(place);
-            // Where all voters are about to end the part goes to one of them, once: not round and round among them.
+            // Where all voters are about to end the partition goes to one of them, once: not round and round among them.
             if heir.is_none() && !at_the_start {
                 continue;
             }
             self.checkpoint_batch(place);
-            if let Err(error) = self.parts[place].replica.hand_over(now, heir) {
-                warn!("part {}: not handed over: {error}", self.parts[place].part);
+            if let Err(error) = self.partitions[place].replica.hand_over(now, heir) {
+                warn!("part {}: not handed over: {error}", self.partitions[place].partition);
             }
         }
     }
@@ -384,7 +395,7 @@
             let member = self.registry.member_by_replica(heir.0);
             member.is_some_and(|member| member.state == MemberState::Alive)
         };
-        self.parts[place].replica.heirs().into_iter().find(stays)
+        self.partitions[place].replica.heirs().into_iter().find(stays)
     }
 
     /// The internal address of the node with a disk identity.
@@ -397,14 +408,14 @@
         self.registry.member(name).map(|member| member.address)
     }
 
-    /// The name of the leader of a part, as its replica here knows it.
+    /// The name of the leader of a partition, as its replica here knows it.
     pub fn leader_name(&self, place: usize) -> Option<String> {
-        let leader = self.parts[place].replica.leader_hint()?;
+        let leader = self.partitions[place].replica.leader_hint()?;
         self.registry.member_by_replica(leader.0).map(|member| member.name.clone())
     }
 }
 
-/// The machines that hold a part.
-pub fn class_of_part(part: u8) -> Class {
-    if part == crate::control::CONFIGURATION_PART { Class::Edge } else { Class::Storage }
+/// The machines that hold a partition.
+pub fn class_of_partition(partition: u8) -> Class {
+    if partition == crate::control::CONFIGURATION_PARTITION { Class::Edge } else { Class::Storage }
 }
--- a/crates/tier/src/placement.rs
+++ b/crates/tier/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which nodes hold the replicas of a part: spread over zones, the same wherever it is worked out from the same members.
+//! Which nodes hold the replicas of a partition: spread over zones, the same wherever it is worked out from the same members.
 
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::Member;
@@ -23,7 +23,7 @@
 }
 
 /// Chooses `count` candidates with as few in one zone as can be. `turn` names where the choice begins, so that the
-/// parts don't all fall to the same nodes.
+/// partitions don't all fall to the same nodes.
 pub fn spread_over_zones(candidates: &[Candidate], count: usize, turn: usize) -> Vec<u64> {
     let mut zones: BTreeMap<&str, Vec<&Candidate>> = BTreeMap::new();
     for candidate in candidates {
--- a/crates/tier/src/popularity.rs
+++ b/crates/tier/src/popularity.rs
@@ -1,6 +1,6 @@
 //! The common sense of popular prefixes between the nodes: told down the trees of relays, and kept as a hint on the disk.
 //!
-//! Whether anybody hears it, or it is on the disk, no rule rests on: it only says where shared parts of prompts are kept.
+//! Whether anybody hears it, or it is on the disk, no rule rests on: it only says where shared part of prompts are kept.
 
 use crate::messages::Channel;
 use crate::node::Node;
--- a/crates/tier/src/retire.rs
+++ b/crates/tier/src/retire.rs
@@ -1,14 +1,14 @@
-//! Emptying a storage machine: the operator's calls at an edge node, and what the leader of each batch part says to them.
+//! Emptying a storage machine: the operator's calls at an edge node, and what the leader of each batch partition says to them.
 //!
-//! A refusal rests on what the proven leaders of all parts say, not on what one node has heard of the others: a node that was
+//! A refusal rests on what the proven leaders of all partitions say, not on what one node has heard of the others: a node that was
 //! cut off or has just started knows few machines. Whoever can't be sure says 503.
 
-use crate::batch_part::RETIRE_ENTRY;
+use crate::batch_partition::RETIRE_ENTRY;
 use crate::calls::Continuation;
 use crate::control::{JSON, OPERATOR_TIMEOUT};
 use crate::messages::{Call, Reply};
 use crate::node::Node;
-use crate::parts::{Waiter, class_of_part};
+use crate::partitions::{Waiter, class_of_partition};
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::{Class, MemberState};
 use grebeusher_time::Duration;
@@ -27,12 +27,12 @@
     Show,
 }
 
-/// What the leader of one part says.
+/// What the leader of one partition says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PartVerdict {
-    /// The order is taken, or the part's data has left the machine.
+pub enum PartitionVerdict {
+    /// The order is taken, or the partition's data has left the machine.
     Done,
-    /// The part's data is still there.
+    /// The partition's data is still there.
     NotYet,
     /// The leader knows no such machine.
     Unknown,
@@ -42,20 +42,20 @@
     Unsure,
 }
 
-impl PartVerdict {
+impl PartitionVerdict {
     /// The verdict that a reply carries.
-    pub fn of(reply: &Reply) -> PartVerdict {
+    pub fn of(reply: &Reply) -> PartitionVerdict {
         match reply {
-            Reply::Done | Reply::Answer { status: 200, .. } => PartVerdict::Done,
-            Reply::Answer { status: 202, .. } => PartVerdict::NotYet,
-            Reply::Answer { status: 404, .. } => PartVerdict::Unknown,
-            Reply::Answer { status: 409, .. } => PartVerdict::TooFew,
-            _ => PartVerdict::Unsure,
+            Reply::Done | Reply::Answer { status: 200, .. } => PartitionVerdict::Done,
+            Reply::Answer { status: 202, .. } => PartitionVerdict::NotYet,
+            Reply::Answer { status: 404, .. } => PartitionVerdict::Unknown,
+            Reply::Answer { status: 409, .. } => PartitionVerdict::TooFew,
+            _ => PartitionVerdict::Unsure,
         }
     }
 }
 
-/// What the verdicts of all parts come to.
+/// What the verdicts of all partitions come to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireOutcome {
     /// The order is taken.
@@ -72,40 +72,40 @@
     Unsure,
 }
 
-/// What the verdicts of all parts come to. `known_here`: whether this node has heard of the machine itself.
-pub fn gathered(question: RetireQuestion, verdicts: &[PartVerdict], known_here: bool) -> RetireOutcome {
-    let any = |wanted: PartVerdict| verdicts.contains(&wanted);
-    let all = |wanted: PartVerdict| verdicts.iter().all(|verdict| *verdict == wanted);
-    if any(PartVerdict::Unsure) || verdicts.is_empty() {
+/// What the verdicts of all partitions come to. `known_here`: whether this node has heard of the machine itself.
+pub fn gathered(question: RetireQuestion, verdicts: &[PartitionVerdict], known_here: bool) -> RetireOutcome {
+    let any = |wanted: PartitionVerdict| verdicts.contains(&wanted);
+    let all = |wanted: PartitionVerdict| verdicts.iter().all(|verdict| *verdict == wanted);
+    if any(PartitionVerdict::Unsure) || verdicts.is_empty() {
         return RetireOutcome::Unsure;
     }
-    if all(PartVerdict::Unknown) && !known_here {
+    if all(PartitionVerdict::Unknown) && !known_here {
         return RetireOutcome::NoSuchMachine;
     }
-    if any(PartVerdict::Unknown) {
+    if any(PartitionVerdict::Unknown) {
         return RetireOutcome::Unsure;
     }
-    if any(PartVerdict::TooFew) {
+    if any(PartitionVerdict::TooFew) {
         return RetireOutcome::TooFew;
     }
     match question {
         RetireQuestion::Begin => RetireOutcome::Taken,
-        RetireQuestion::Show if all(PartVerdict::Done) => RetireOutcome::Complete,
+        RetireQuestion::Show if all(PartitionVerdict::Done) => RetireOutcome::Complete,
         RetireQuestion::Show => RetireOutcome::Active,
     }
 }
 
-/// A question that every batch part has to answer.
+/// A question that every batch partition has to answer.
 pub struct RetireGathering {
     connection: usize,
     serial: u64,
     question: RetireQuestion,
     known_here: bool,
-    parts: usize,
-    verdicts: Vec<PartVerdict>,
+    partitions: usize,
+    verdicts: Vec<PartitionVerdict>,
 }
 
-/// How many machines would be left for a part.
+/// How many machines would be left for a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Remaining {
     there: usize,
@@ -119,34 +119,34 @@
         if self.refuse_call_if_too_late(connection, OPERATOR_TIMEOUT) {
             return;
         }
-        let parts = self.batch_parts();
+        let partitions = self.batch_partitions();
         let known_here = self.knows_storage_node(node);
         let gathering = RetireGathering {
             connection,
             serial,
             question,
             known_here,
-            parts: parts.len(),
+            partitions: partitions.len(),
             verdicts: Vec::new(),
         };
         let number = self.next_serial();
         self.gatherings.insert(number, gathering);
-        for part in parts {
+        for partition in partitions {
             let node = node.to_owned();
             let call = match question {
-                RetireQuestion::Begin => Call::BeginRetire { part, node },
-                RetireQuestion::Show => Call::ShowRetire { part, node },
+                RetireQuestion::Begin => Call::BeginRetire { partition, node },
+                RetireQuestion::Show => Call::ShowRetire { partition, node },
             };
             let until = self.now + OPERATOR_TIMEOUT;
-            self.call_leader(part, call, until, Continuation::Retire { gathering: number });
+            self.call_leader(partition, call, until, Continuation::Retire { gathering: number });
         }
     }
 
-    /// One part has said something about a storage machine that is to be emptied.
+    /// One partition has said something about a storage machine that is to be emptied.
     pub fn retire_reply(&mut self, number: u64, reply: &Reply) {
         let Some(gathering) = self.gatherings.get_mut(&number) else { return };
-        gathering.verdicts.push(PartVerdict::of(reply));
-        if gathering.verdicts.len() < gathering.parts {
+        gathering.verdicts.push(PartitionVerdict::of(reply));
+        if gathering.verdicts.len() < gathering.partitions {
             return;
         }
         let Some(gathering) = self.gatherings.remove(&number) else { return };
@@ -171,8 +171,8 @@
         let now = self.now;
         let Some(place) = self.led_place(number, waiter) else { return };
         let refused = |status| Reply::Answer { status, body: Vec::new() };
-        let Some(part) = self.batch_mut(place) else { return };
-        if part.retiring.contains(node) {
+        let Some(partition) = self.batch_mut(place) else { return };
+        if partition.retiring.contains(node) {
             return self.reply(waiter.peer, waiter.number, Reply::Done);
         }
         if !self.knows_storage_node(node) {
@@ -187,14 +187,14 @@
         }
         let mut entry = vec![RETIRE_ENTRY];
         entry.extend_from_slice(node.as_bytes());
-        if self.parts[place].propose(now, entry, Some(waiter)).is_none() {
+        if self.partitions[place].propose(now, entry, Some(waiter)).is_none() {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
     }
 
-    /// The machines that could hold a part when one more is emptied.
+    /// The machines that could hold a partition when one more is emptied.
     fn remaining_without(&mut self, place: usize, node: &str) -> Remaining {
-        let class = class_of_part(self.parts[place].part);
+        let class = class_of_partition(self.partitions[place].partition);
         let retiring = self.retiring_nodes(place);
         let others = self.registry.members().filter(|member| {
             member.class == class
@@ -214,7 +214,7 @@
         remaining
     }
 
-    /// 200: the part's data has left the node; 202: not yet.
+    /// 200: the partition's data has left the node; 202: not yet.
     pub(crate) fn show_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
         let Some(place) = self.led_place(number, waiter) else { return };
         let asked = self.retiring_nodes(place).iter().any(|retiring| retiring == node);
@@ -230,12 +230,12 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// Whether a part's group stands without a node as if that had never been there: the group that does not name it is
+    /// Whether a partition's group stands without a node as if that had never been there: the group that does not name it is
     /// decided, so that each committed entry is on a quorum of it, and all its voters are living nodes. A voter that nobody
     /// can name, or whose node is away, may be a former identity of that node or a loss that has still to be mended: with
     /// the machine gone the next loss might leave no quorum.
     fn is_whole_without(&self, place: usize, node: &str) -> bool {
-        let replica = &self.parts[place].replica;
+        let replica = &self.partitions[place].replica;
         let lives_elsewhere = |voter: &ReplicaId| {
             let member = self.registry.member_by_replica(voter.0);
             member.is_some_and(|member| member.serves() && member.name != node)
@@ -245,8 +245,10 @@
             && replica.group().voters.iter().all(lives_elsewhere)
     }
 
-    /// The nodes that a part's data is to leave.
+    /// The nodes that a partition's data is to leave.
     pub(crate) fn retiring_nodes(&mut self, place: usize) -> Vec<String> {
-        self.batch_mut(place).map(|part| part.retiring.iter().cloned().collect()).unwrap_or_default()
+        self.batch_mut(place)
+            .map(|partition| partition.retiring.iter().cloned().collect())
+            .unwrap_or_default()
     }
 }
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/routing.rs
@@ -24,7 +24,7 @@
 /// What a client is told to wait by a node that has just started.
 pub const STARTING_RETRY: Duration = Duration::from_millis(700);
 
-/// A leader of a batch part may have one of so many parts of an executor's connections.
+/// A leader of a batch partition may have one of so many partitions of an executor's connections.
 const LEADERS_SHARES: u32 = 3;
 /// By how much more than their number the edge nodes divide the connections, as leaders have a third of them.
 const EDGE_SHARES: f64 = 1.5;
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Into how many parts an executor's connections are divided. The leaders of batch parts, few and with most of the
+    /// Into how many partitions an executor's connections are divided. The leaders of batch partitions, few and with most of the
     /// requests in flight, have a third; the rest is for the edge nodes, whose requests are spread evenly.
     fn connection_shares(&self) -> u32 {
         if self.registry.own_member().class == Class::Storage {
--- a/crates/tier/src/show.rs
+++ b/crates/tier/src/show.rs
@@ -1,6 +1,6 @@
 //! Asks a node over HTTP what it says of itself and of the tier.
 
-use crate::batch_front::BATCH_PARTS;
+use crate::batch_front::BATCH_PARTITIONS;
 use grebeusher_transport::body::BodyReader;
 use grebeusher_transport::http::{self, Limits};
 use snafu::{OptionExt, Snafu};
@@ -32,7 +32,7 @@
     },
 }
 
-/// What a node says of itself and of the tier, and what the leaders of all parts say of them, a line for each thing. The
+/// What a node says of itself and of the tier, and what the leaders of all partitions say of them, a line for each thing. The
 /// address is the node's control address.
 ///
 /// # Errors
@@ -41,11 +41,11 @@
     let ask = |path: &str| ask(address, path).map_err(|source| ShowError::Connection { address, source });
     let answer = read_answer(&ask("/api/status")?);
     let mut text = answer.filter(|answer| answer.status == 200).context(NoStatusSnafu { address })?.text;
-    for part in 0..=BATCH_PARTS {
-        match read_answer(&ask(&format!("/api/status/{part}"))?) {
+    for partition in 0..=BATCH_PARTITIONS {
+        match read_answer(&ask(&format!("/api/status/{partition}"))?) {
             Some(Answer { status: 200, text: leader }) => text += &leader,
             Some(Answer { status, .. }) => {
-                text += &format!("part {part}: no owner answers (status {status})\n")
+                text += &format!("part {partition}: no owner answers (status {status})\n")
             }
             None => return NoStatusSnafu { address }.fail(),
         }
@@ -77,7 +77,7 @@
     let framing = http::response_framing(head.status, &head.headers, "GET").ok()?;
     let mut reader = BodyReader::with_most(framing, LIMITS.most_body as u64);
     let mut body = Vec::new();
-    reader.read_with(&bytes[length..], |part| body.extend_from_slice(part)).ok()?;
+    reader.read_with(&bytes[length..], |partition| body.extend_from_slice(partition)).ok()?;
     let text = reader.is_whole_at_close().then(|| String::from_utf8(body).ok())??;
     Some(Answer { status: head.status, text })
 }
--- a/crates/tier/src/start.rs
+++ b/crates/tier/src/start.rs
@@ -1,13 +1,13 @@
 //! The start of a process: its settings, its disk, its addresses.
 
-use crate::batch_front::BATCH_PARTS;
-use crate::batch_part::BatchPart;
-use crate::configuration_part::ConfigurationPart;
-use crate::control::CONFIGURATION_PART;
+use crate::batch_front::BATCH_PARTITIONS;
+use crate::batch_partition::BatchPartition;
+use crate::configuration_partition::ConfigurationPartition;
+use crate::control::CONFIGURATION_PARTITION;
 use crate::disk_room::DiskRoom;
 use crate::io::{Listener, SharedWorld, World};
 use crate::node::{RunError, keys};
-use crate::parts::{Application, PartHost, Tuning};
+use crate::partitions::{Application, PartitionHost, Tuning};
 use grebeusher_configuration::settings::{MachineClass, Settings, SettingsError};
 use grebeusher_quorum::ReplicaId;
 use grebeusher_quorum::disk::StoreError;
@@ -34,7 +34,7 @@
     /// The identity of its disk.
     pub identity: Option<ReplicaId>,
     /// Its replicas.
-    pub parts: Vec<PartHost>,
+    pub partitions: Vec<PartitionHost>,
     /// For all that is left to chance.
     pub seed: u64,
 }
@@ -97,9 +97,9 @@
         /// What the store says.
         source: StoreError,
     },
-    /// A part can't be opened.
+    /// A partition can't be opened.
     #[snafu(display("{source}"), context(false))]
-    Part {
+    Partition {
         /// Why.
         source: RunError,
     },
@@ -122,9 +122,9 @@
     pub fn open(settings: Settings, world: SharedWorld) -> Result<Start, StartError> {
         let seed = world.random();
         let listeners = Listeners::open(&settings, &*world)?;
-        let (identity, parts) = open_parts(&settings, &*world, seed)?;
+        let (identity, partitions) = open_partitions(&settings, &*world, seed)?;
         let registry = open_registry(&settings, &*world, &listeners, identity, seed);
-        Ok(Start { settings, world, listeners, registry, identity, parts, seed })
+        Ok(Start { settings, world, listeners, registry, identity, partitions, seed })
     }
 }
 
@@ -147,20 +147,20 @@
     }
 }
 
-/// The parts whose replicas a process of this class holds.
-fn parts_of(class: &MachineClass) -> Vec<u8> {
+/// The partitions whose replicas a process of this class holds.
+fn partitions_of(class: &MachineClass) -> Vec<u8> {
     match class {
-        MachineClass::Edge => vec![CONFIGURATION_PART],
-        MachineClass::Storage => (1..=BATCH_PARTS).collect(),
+        MachineClass::Edge => vec![CONFIGURATION_PARTITION],
+        MachineClass::Storage => (1..=BATCH_PARTITIONS).collect(),
         MachineClass::Other(_) => Vec::new(),
     }
 }
 
-fn open_parts(
+fn open_partitions(
     settings: &Settings,
     world: &dyn World,
     seed: u64,
-) -> Result<(Option<ReplicaId>, Vec<PartHost>), StartError> {
+) -> Result<(Option<ReplicaId>, Vec<PartitionHost>), StartError> {
     let data = match &settings.data_path {
         Some(data) if settings.quorum_member => data,
         _ => return Ok((None, Vec::new())),
@@ -168,20 +168,20 @@
     let identity = world.identity(data).context(DiskIdentitySnafu)?;
     let disk = settings.limits.disk_mb.unwrap_or(64) as usize * 1024 * 1024;
     let memory = settings.limits.memory_mb as usize * 1024 * 1024;
-    let mut parts = Vec::new();
-    for part in parts_of(&settings.machine_class) {
-        let seed = seed.wrapping_add(u64::from(part) + 1);
-        let (application, room) = if part == CONFIGURATION_PART {
+    let mut partitions = Vec::new();
+    for partition in partitions_of(&settings.machine_class) {
+        let seed = seed.wrapping_add(u64::from(partition) + 1);
+        let (application, room) = if partition == CONFIGURATION_PARTITION {
             let room = DiskRoom::of_configuration(disk);
-            (Application::Configuration(ConfigurationPart::default()), room)
+            (Application::Configuration(ConfigurationPartition::default()), room)
         } else {
-            let room = DiskRoom::of_batch_part(disk, memory);
-            (Application::Batch(Box::new(BatchPart::new(room.most_jobs(memory), seed))), room)
+            let room = DiskRoom::of_batch_partition(disk, memory);
+            (Application::Batch(Box::new(BatchPartition::new(room.most_jobs(memory), seed))), room)
         };
         let tuning = Tuning { room, link_mbps: settings.limits.link_mbps, seed };
-        parts.push(PartHost::open(world, data, part, identity.id, application, tuning)?);
+        partitions.push(PartitionHost::open(world, data, partition, identity.id, application, tuning)?);
     }
-    Ok((Some(identity.id), parts))
+    Ok((Some(identity.id), partitions))
 }
 
 fn open_registry(
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -1,7 +1,7 @@
 //! What a node says of itself and of the tier, for operators.
 
 use crate::node::Node;
-use crate::parts::Application;
+use crate::partitions::Application;
 use grebeusher_time::{Duration, DurationExt};
 use std::fmt::Write;
 
@@ -18,7 +18,7 @@
         !self.stopping() && serves && !self.registry.is_isolated(self.now)
     }
 
-    /// Members, executors, parts, leaders and counters, a line each.
+    /// Members, executors, partitions, leaders and counters, a line each.
     pub fn status_text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
@@ -34,18 +34,19 @@
             let (name, state, zone) = (&member.name, member.state, &member.zone);
             writeln!(text, "member {name} {} {state:?} {:?} {zone}", member.address, member.class)?;
         }
-        for part in 0..=crate::batch_front::BATCH_PARTS {
-            match self.known_leader(part) {
-                Some(leader) => writeln!(text, "part {part} owner {leader}")?,
-                None => writeln!(text, "part {part} without an owner")?,
+        for partition in 0..=crate::batch_front::BATCH_PARTITIONS {
+            match self.known_leader(partition) {
+                Some(leader) => writeln!(text, "part {partition} owner {leader}")?,
+                None => writeln!(text, "part {partition} without an owner")?,
             }
         }
-        for host in &self.parts {
-            let (part, term, commit) = (host.part, host.replica.term().0, host.replica.commit_index().0);
+        for host in &self.partitions {
+            let (partition, term, commit) =
+                (host.partition, host.replica.term().0, host.replica.commit_index().0);
             let voters = &host.replica.group().voters;
-            writeln!(text, "replica of part {part} term {term} commit {commit} voters {voters:?}")?;
+            writeln!(text, "replica of part {partition} term {term} commit {commit} voters {voters:?}")?;
             if let Application::Batch(batch) = &host.application {
-                writeln!(text, "jobs of part {part}: {}", batch.jobs().len())?;
+                writeln!(text, "jobs of part {partition}: {}", batch.jobs().len())?;
             }
         }
         for executor in self.registry.executors() {
--- a/crates/tier/src/stop.rs
+++ b/crates/tier/src/stop.rs
@@ -83,7 +83,7 @@
         self.departure = Some(departure);
         self.alarms.set(departure.exits_at(), crate::timers::Timer::Exit);
         self.registry.leave(self.now);
-        self.hand_over_parts(true);
+        self.hand_over_partitions(true);
     }
 
     /// Refuses a client's request that would not be over before this process ends; whether it did. Nothing of it has left
--- a/crates/tier/src/system.rs
+++ b/crates/tier/src/system.rs
@@ -1,6 +1,6 @@
 //! The real world of a process: the poller's sockets, the system's clocks and files.
 
-use crate::io::{Accepted, Listener, PartStore, Signalled, Stream, World};
+use crate::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use crate::node::keys;
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
 use grebeusher_quorum::{Restored, Write};
@@ -105,13 +105,13 @@
         File::open(folder)?.sync_all()
     }
 
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartStore>, Restored), StoreError> {
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
         let (store, restored) = Store::open(folder)?;
         Ok((Box::new(store), restored))
     }
 }
 
-impl PartStore for Store {
+impl PartitionStore for Store {
     fn write(&mut self, writes: &[Write]) -> Result<(), StoreError> {
         Store::write(self, writes)
     }
--- a/crates/tier/src/timers.rs
+++ b/crates/tier/src/timers.rs
@@ -21,7 +21,7 @@
     CallRetry { number: CallNumber },
     /// A read that was held for a result is answered.
     HeldReadExpires { read: u64 },
-    /// The founder of the parts looks whether it can found.
+    /// The founder of the partitions looks whether it can found.
     Found,
     /// Leaders look after their groups.
     GroupUpkeep,
--- a/crates/tier/src/traffic.rs
+++ b/crates/tier/src/traffic.rs
@@ -50,8 +50,8 @@
     pub turns_by_events: u64,
     /// Turns in which the registry had something due.
     pub registry_ticks: u64,
-    /// Times that a replica of a part had something due.
-    pub part_ticks: u64,
+    /// Times that a replica of a partition had something due.
+    pub partition_ticks: u64,
     /// Timers that fell due, by [`TIMER_KINDS`].
     pub timers: [u64; TIMER_KINDS.len()],
     /// Frames to other nodes, by [`FRAME_KINDS`].
--- a/crates/tier/src/upstream.rs
+++ b/crates/tier/src/upstream.rs
@@ -406,5 +406,5 @@
 /// The `timeout` that an answer's `Keep-Alive` tells, in seconds.
 fn keep_alive_seconds(headers: &Headers) -> Option<u64> {
     let value = headers.get("Keep-Alive")?;
-    value.split(',').find_map(|part| part.trim().strip_prefix("timeout=")?.trim().parse().ok())
+    value.split(',').find_map(|partition| partition.trim().strip_prefix("timeout=")?.trim().parse().ok())
 }
--- a/crates/tier/tests/batch_part.rs
+++ b/crates/tier/tests/batch_partition.rs
@@ -1,9 +1,9 @@
-//! The state of a batch part in bytes: the form on disks stays, and what is restored refers to the bytes.
+//! The state of a batch partition in bytes: the form on disks stays, and what is restored refers to the bytes.
 
 use grebeusher_batch::{
     Entry, Header, ItemSpec, JobId, JobTerms, Jobs, MAX_PAGE_BYTES, SharedBytes, Submission,
 };
-use grebeusher_tier::batch_part::{BatchPart, RestoreError};
+use grebeusher_tier::batch_partition::{BatchPartition, RestoreError};
 use nanoserde::SerBin;
 use std::sync::Arc;
 
@@ -42,38 +42,38 @@
 #[test]
 fn a_state_from_the_disk_is_taken_over_and_written_alike() {
     let bytes = frame(&jobs());
-    let mut part = BatchPart::new(1 << 20, 1);
-    part.restore(&SharedBytes::from(bytes.clone())).expect("whole");
-    assert_eq!(part.jobs(), &jobs());
-    assert_eq!(part.snapshot(), bytes.to_vec());
+    let mut partition = BatchPartition::new(1 << 20, 1);
+    partition.restore(&SharedBytes::from(bytes.clone())).expect("whole");
+    assert_eq!(partition.jobs(), &jobs());
+    assert_eq!(partition.snapshot(), bytes.to_vec());
     let empty = Frame { jobs: Jobs::new().to_snapshot(), retiring: Vec::new() };
-    assert_eq!(BatchPart::new(1 << 20, 1).snapshot(), empty.serialize_bin());
+    assert_eq!(BatchPartition::new(1 << 20, 1).snapshot(), empty.serialize_bin());
 }
 
 #[test]
 fn a_restored_state_refers_to_the_bytes_and_to_no_earlier_ones() {
     let (first, second) = (frame(&jobs()), frame(&jobs()));
-    let mut part = BatchPart::new(1 << 20, 1);
-    part.restore(&SharedBytes::from(first.clone())).expect("whole");
+    let mut partition = BatchPartition::new(1 << 20, 1);
+    partition.restore(&SharedBytes::from(first.clone())).expect("whole");
     assert!(Arc::strong_count(&first) > 1);
-    part.restore(&SharedBytes::from(second.clone())).expect("whole");
+    partition.restore(&SharedBytes::from(second.clone())).expect("whole");
     assert_eq!(Arc::strong_count(&first), 1);
     assert!(Arc::strong_count(&second) > 1);
     let job = JobId::new("j").expect("a name");
-    assert_eq!(part.jobs().item_body(&job, "a"), Some(&b"what is asked"[..]));
-    assert_eq!(part.jobs().read(&job, 0, MAX_PAGE_BYTES).map(|page| page.total), Some(1));
+    assert_eq!(partition.jobs().item_body(&job, "a"), Some(&b"what is asked"[..]));
+    assert_eq!(partition.jobs().read(&job, 0, MAX_PAGE_BYTES).map(|page| page.total), Some(1));
 }
 
 #[test]
 fn a_state_that_is_cut_off_or_lies_about_its_length_is_refused_and_changes_nothing() {
     let bytes = frame(&jobs());
-    let mut part = BatchPart::new(1 << 20, 1);
-    part.restore(&SharedBytes::from(bytes.clone())).expect("whole");
+    let mut partition = BatchPartition::new(1 << 20, 1);
+    partition.restore(&SharedBytes::from(bytes.clone())).expect("whole");
     for end in 0..bytes.len() {
-        assert!(part.restore(&SharedBytes::from(&bytes[..end])).is_err(), "cut at {end}");
+        assert!(partition.restore(&SharedBytes::from(&bytes[..end])).is_err(), "cut at {end}");
     }
     let mut long = bytes.to_vec();
     long[..8].copy_from_slice(&u64::MAX.to_le_bytes());
-    assert!(matches!(part.restore(&SharedBytes::from(long)), Err(RestoreError::CutOff)));
-    assert_eq!(part.jobs(), &jobs());
+    assert!(matches!(partition.restore(&SharedBytes::from(long)), Err(RestoreError::CutOff)));
+    assert_eq!(partition.jobs(), &jobs());
 }
--- a/crates/tier/tests/calls.rs
+++ b/crates/tier/tests/calls.rs
@@ -6,7 +6,7 @@
 
 fn submission() -> Call {
     Call::SubmitJob(SubmitJob {
-        part: 1,
+        partition: 1,
         submission: Vec::new(),
         completion_target_ms: 8_000,
         retention_ms: 40_000,
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_read_that_is_put_off_by_a_status_is_answered_so() {
-    let read = Call::ReadJob { part: 1, job: "a".to_owned(), resume_after: 0, hold_ms: 0 };
+    let read = Call::ReadJob { partition: 1, job: "a".to_owned(), resume_after: 0, hold_ms: 0 };
     assert_eq!(status(&settled(&read, true, Some(answer(503)))), Some(503));
 }
 
--- a/crates/tier/tests/copies.rs
+++ b/crates/tier/tests/copies.rs
@@ -1,13 +1,13 @@
-//! Which machine holds the only copy of a part, and when that is told.
+//! Which machine holds the only copy of a partition, and when that is told.
 
 use grebeusher_quorum::{Index, ReplicaId};
-use grebeusher_tier::copies::{LoneCopy, PartCopy, sole_holder};
+use grebeusher_tier::copies::{LoneCopy, PartitionCopy, sole_holder};
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
 /// Voters 1, 2 and so on, each with the last entry that it has; none for one whose node is away.
-fn copies(synced: &[Option<u64>]) -> Vec<PartCopy> {
-    let copy = |(voter, synced): (u64, &Option<u64>)| PartCopy {
+fn copies(synced: &[Option<u64>]) -> Vec<PartitionCopy> {
+    let copy = |(voter, synced): (u64, &Option<u64>)| PartitionCopy {
         voter: ReplicaId(voter),
         synced: Index(synced.unwrap_or(9)),
         lives: synced.is_some(),
--- a/crates/tier/tests/demo.rs
+++ b/crates/tier/tests/demo.rs
@@ -2,9 +2,9 @@
 
 use grebeusher_configuration::settings::Settings;
 use grebeusher_demo::layout::{Layout, Machines};
-use grebeusher_demo::operator::{JOB_HOST, JOB_PART};
+use grebeusher_demo::operator::{JOB_HOST, JOB_PARTITION};
 use grebeusher_demo::{DemoError, Options, Summary, run};
-use grebeusher_tier::batch_front::part_of_job;
+use grebeusher_tier::batch_front::partition_of_job;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn the_part_of_the_jobs_is_the_one_that_the_demonstration_looks_at() {
+fn the_partition_of_the_jobs_is_the_one_that_the_demonstration_looks_at() {
     // Given the host of the demonstration's job
-    // When its part is worked out
-    // Then it is the part whose leader is killed
-    assert_eq!(part_of_job(JOB_HOST, "", false), JOB_PART);
+    // When its partition is worked out
+    // Then it is the partition whose leader is killed
+    assert_eq!(partition_of_job(JOB_HOST, "", false), JOB_PARTITION);
 }
--- a/crates/tier/tests/disk_room.rs
+++ b/crates/tier/tests/disk_room.rs
@@ -1,16 +1,16 @@
-//! What a part may take of its node's disk.
+//! What a partition may take of its node's disk.
 
-use grebeusher_tier::batch_front::BATCH_PARTS;
+use grebeusher_tier::batch_front::BATCH_PARTITIONS;
 use grebeusher_tier::disk_room::DiskRoom;
 use rstest::rstest;
 
 const MB: usize = 1024 * 1024;
 
-/// The most that a node has on its disk: all parts with a state and a log as large as they may get, one of them twice as it
+/// The most that a node has on its disk: all partitions with a state and a log as large as they may get, one of them twice as it
 /// is written anew.
 fn peak(disk: usize, memory: usize, state: usize) -> usize {
-    let room = DiskRoom::of_batch_part(disk, memory);
-    usize::from(BATCH_PARTS) * (state + room.log_beside(state)) + state
+    let room = DiskRoom::of_batch_partition(disk, memory);
+    usize::from(BATCH_PARTITIONS) * (state + room.log_beside(state)) + state
 }
 
 #[rstest]
@@ -18,13 +18,13 @@
 #[case::grown(140, 300)]
 #[case::usual(500, 300)]
 #[case::large(20_000, 4_000)]
-fn a_node_with_replicas_of_all_parts_never_runs_out_of_disk(
+fn a_node_with_replicas_of_all_partitions_never_runs_out_of_disk(
     #[case] disk_mb: usize,
     #[case] memory_mb: usize,
 ) {
     // Given jobs that cost all that they may, or less
     let (disk, memory) = (disk_mb * MB, memory_mb * MB);
-    let most = DiskRoom::of_batch_part(disk, memory).most_jobs(memory);
+    let most = DiskRoom::of_batch_partition(disk, memory).most_jobs(memory);
     for tenths in 0..=10 {
         let state = most / 10 * tenths;
         // Then states and logs fit the disk, also while one is written anew
@@ -34,13 +34,13 @@
 
 #[test]
 fn a_large_state_is_not_written_anew_for_every_little_entry() {
-    let room = DiskRoom::of_batch_part(140 * MB, 300 * MB);
+    let room = DiskRoom::of_batch_partition(140 * MB, 300 * MB);
     assert!(room.log_beside(10_000 * MB) >= 4 * MB);
 }
 
 #[test]
 fn the_log_is_bounded_by_the_memory_where_the_disk_is_large() {
-    let room = DiskRoom::of_batch_part(20_000 * MB, 300 * MB);
+    let room = DiskRoom::of_batch_partition(20_000 * MB, 300 * MB);
     assert_eq!(room.log_beside(0), 50 * MB);
     assert_eq!(room.most_jobs(300 * MB), 75 * MB);
 }
--- a/crates/tier/tests/leader_balance.rs
+++ b/crates/tier/tests/leader_balance.rs
@@ -1,4 +1,4 @@
-//! Which voter a part is handed to where a node leads several parts.
+//! Which voter a partition is handed to where a node leads several partitions.
 
 use grebeusher_quorum::ReplicaId;
 use grebeusher_tier::leader_balance::{Heir, relieving_heir};
@@ -9,17 +9,17 @@
 }
 
 #[rstest]
-#[case::of_two_parts_one_goes_to_a_node_without(2, vec![heir(1, 1), heir(2, 0), heir(3, 0)], Some(2))]
-#[case::of_three_parts_one_goes_to_a_node_with_one(3, vec![heir(1, 1)], Some(1))]
+#[case::of_two_partitions_one_goes_to_a_node_without(2, vec![heir(1, 1), heir(2, 0), heir(3, 0)], Some(2))]
+#[case::of_three_partitions_one_goes_to_a_node_with_one(3, vec![heir(1, 1)], Some(1))]
 #[case::of_alike_nodes_the_one_that_is_furthest(2, vec![heir(7, 0), heir(8, 0)], Some(7))]
-#[case::one_part_stays(1, vec![heir(1, 0)], None)]
-#[case::a_part_that_would_only_change_places_stays(2, vec![heir(1, 1), heir(2, 1)], None)]
+#[case::one_partition_stays(1, vec![heir(1, 0)], None)]
+#[case::a_partition_that_would_only_change_places_stays(2, vec![heir(1, 1), heir(2, 1)], None)]
 #[case::nobody_there(3, vec![], None)]
-fn a_part_goes_to_who_leads_fewest_if_both_come_closer(
+fn a_partition_goes_to_who_leads_fewest_if_both_come_closer(
     #[case] led: usize,
     #[case] heirs: Vec<Heir>,
     #[case] expected: Option<u64>,
 ) {
-    // Given a node that leads so many parts, when the heirs of one of them own so many, then it goes there or stays.
+    // Given a node that leads so many partitions, when the heirs of one of them own so many, then it goes there or stays.
     assert_eq!(relieving_heir(led, &heirs), expected.map(ReplicaId));
 }
--- a/crates/tier/tests/leaders.rs
+++ b/crates/tier/tests/leaders.rs
@@ -1,9 +1,9 @@
-//! Which node leads a part, as the others hear of it.
+//! Which node leads a partition, as the others hear of it.
 
 use grebeusher_registry::{
     Class, Facts, Losses, Member, MemberState, Message, Register, Registry, Settings, Timings,
 };
-use grebeusher_tier::leaders::{LeaderIndex, LedPart, LedParts};
+use grebeusher_tier::leaders::{LeaderIndex, LedPartition, LedPartitions};
 use grebeusher_time::Instant;
 use nanoserde::SerBin;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -25,22 +25,22 @@
     }
 }
 
-fn payload(parts: &[(u8, u64)]) -> Vec<u8> {
-    let parts = parts.iter().map(|&(part, term)| LedPart { part, term }).collect();
-    SerBin::serialize_bin(&LedParts { parts })
+fn payload(partitions: &[(u8, u64)]) -> Vec<u8> {
+    let partitions = partitions.iter().map(|&(partition, term)| LedPartition { partition, term }).collect();
+    SerBin::serialize_bin(&LedPartitions { partitions })
 }
 
 fn hear(registry: &mut Registry, register: Register) {
     registry.receive(NOW, member("b", 2).address, Message::Registers(vec![register]));
 }
 
-fn facts_of_b(incarnation: u64, counter: u64, parts: &[(u8, u64)]) -> Register {
-    Register::Facts(Facts { node: "b".to_owned(), incarnation, counter, payload: payload(parts) })
+fn facts_of_b(incarnation: u64, counter: u64, partitions: &[(u8, u64)]) -> Register {
+    Register::Facts(Facts { node: "b".to_owned(), incarnation, counter, payload: payload(partitions) })
 }
 
 #[test]
 fn the_leader_is_the_living_node_with_the_highest_term_at_each_moment() {
-    // given a node that leads part 1, and nothing else known
+    // given a node that leads partition 1, and nothing else known
     let settings = Settings {
         member: member("a", 1),
         seeds: Vec::new(),
@@ -52,14 +52,14 @@
     assert_eq!(index.leader(&registry, 1), None);
     assert!(registry.set_facts(NOW, payload(&[(1, 3)])).is_ok());
     assert_eq!(index.leader(&registry, 1), Some(a));
-    // when another node comes and tells a higher term, then it is the leader, of just that part
+    // when another node comes and tells a higher term, then it is the leader, of just that partition
     hear(&mut registry, Register::Member(member("b", 2)));
     assert_eq!(index.leader(&registry, 1), Some(a));
     hear(&mut registry, facts_of_b(5, 1, &[(1, 4), (2, 9)]));
-    assert_eq!([1, 2, 3].map(|part| index.leader(&registry, part)), [Some(b), Some(b), None]);
+    assert_eq!([1, 2, 3].map(|partition| index.leader(&registry, partition)), [Some(b), Some(b), None]);
     // when it hands one over, then the one before is known again
     hear(&mut registry, facts_of_b(5, 2, &[(2, 9)]));
-    assert_eq!([1, 2].map(|part| index.leader(&registry, part)), [Some(a), Some(b)]);
+    assert_eq!([1, 2].map(|partition| index.leader(&registry, partition)), [Some(a), Some(b)]);
     // when it leaves, or begins anew, then what it told in its life before counts no more
     hear(&mut registry, Register::Member(Member { state: MemberState::Left, ..member("b", 2) }));
     assert_eq!(index.leader(&registry, 2), None);
--- a/crates/tier/tests/retire.rs
+++ b/crates/tier/tests/retire.rs
@@ -1,10 +1,10 @@
-//! What an operator hears about a machine that is to be emptied, from what the leaders of the parts say.
+//! What an operator hears about a machine that is to be emptied, from what the leaders of the partitions say.
 
 use grebeusher_tier::messages::Reply;
-use grebeusher_tier::retire::{PartVerdict, RetireOutcome, RetireQuestion, gathered};
+use grebeusher_tier::retire::{PartitionVerdict, RetireOutcome, RetireQuestion, gathered};
 use rstest::rstest;
 
-use PartVerdict::{Done, NotYet, TooFew, Unknown, Unsure};
+use PartitionVerdict::{Done, NotYet, TooFew, Unknown, Unsure};
 
 #[rstest]
 #[case::all_take_it([Done, Done, Done], RetireOutcome::Taken)]
@@ -16,7 +16,7 @@
 #[case::one_counts_too_few([Done, TooFew, Done], RetireOutcome::TooFew)]
 #[case::too_few_and_silence([TooFew, Unsure, TooFew], RetireOutcome::Unsure)]
 fn a_begin_is_taken_or_refused_only_if_all_leaders_have_spoken(
-    #[case] verdicts: [PartVerdict; 3],
+    #[case] verdicts: [PartitionVerdict; 3],
     #[case] outcome: RetireOutcome,
 ) {
     assert_eq!(gathered(RetireQuestion::Begin, &verdicts, false), outcome);
@@ -28,7 +28,7 @@
 #[case::one_says_nothing([Done, Done, Unsure], RetireOutcome::Unsure)]
 #[case::one_knows_nothing([Done, Done, Unknown], RetireOutcome::Unsure)]
 fn a_machine_is_empty_only_if_all_leaders_say_so(
-    #[case] verdicts: [PartVerdict; 3],
+    #[case] verdicts: [PartitionVerdict; 3],
     #[case] outcome: RetireOutcome,
 ) {
     assert_eq!(gathered(RetireQuestion::Show, &verdicts, true), outcome);
@@ -49,6 +49,6 @@
 #[case::unknown(Reply::Answer { status: 404, body: Vec::new() }, Unknown)]
 #[case::too_few(Reply::Answer { status: 409, body: Vec::new() }, TooFew)]
 #[case::anything_else(Reply::Answer { status: 500, body: Vec::new() }, Unsure)]
-fn a_reply_is_read_as_what_it_says(#[case] reply: Reply, #[case] verdict: PartVerdict) {
-    assert_eq!(PartVerdict::of(&reply), verdict);
+fn a_reply_is_read_as_what_it_says(#[case] reply: Reply, #[case] verdict: PartitionVerdict) {
+    assert_eq!(PartitionVerdict::of(&reply), verdict);
 }
--- a/crates/tier/tests/show.rs
+++ b/crates/tier/tests/show.rs
@@ -1,6 +1,6 @@
 //! What `grebeusher-tier show` makes of the answers of a node, and of those that are none.
 
-use grebeusher_tier::batch_front::BATCH_PARTS;
+use grebeusher_tier::batch_front::BATCH_PARTITIONS;
 use grebeusher_tier::show::{ShowError, status_of};
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -34,21 +34,22 @@
 }
 
 #[test]
-fn a_node_and_the_leaders_of_all_parts_are_shown() {
-    // Given a node that knows the leaders of all parts but the last
+fn a_node_and_the_leaders_of_all_partitions_are_shown() {
+    // Given a node that knows the leaders of all partitions but the last
     let mut answers = vec![answer(200, "node edge-1\n")];
-    answers.extend((0..BATCH_PARTS).map(|part| answer(200, &format!("part {part} is well\n"))));
+    answers
+        .extend((0..BATCH_PARTITIONS).map(|partition| answer(200, &format!("part {partition} is well\n"))));
     answers.push(answer(503, ""));
     let (address, asked) = node(answers);
     // When its status is asked for
     let status = status_of(address).expect("a status");
-    // Then each line is there, and the part without a leader is named
+    // Then each line is there, and the partition without a leader is named
     let expected = "node edge-1\npart 0 is well\npart 1 is well\npart 2 is well\n\
                     part 3: no owner answers (status 503)\n";
     assert_eq!(status, expected);
     let paths = asked.join().expect("a node");
-    let parts = ["/api/status", "/api/status/0", "/api/status/1", "/api/status/2", "/api/status/3"];
-    assert_eq!(paths, parts);
+    let partitions = ["/api/status", "/api/status/0", "/api/status/1", "/api/status/2", "/api/status/3"];
+    assert_eq!(paths, partitions);
 }
 
 #[rstest]
--- a/crates/tier/tests/single_node/mod.rs
+++ b/crates/tier/tests/single_node/mod.rs
@@ -166,7 +166,7 @@
         self.take(line)
     }
 
-    /// The peer runs a storage node too, which holds a replica of the batch parts.
+    /// The peer runs a storage node too, which holds a replica of the batch partitions.
     pub fn storage_joins(&mut self) {
         let storage = Member {
             name: "storage-1".to_owned(),
--- a/crates/tier/tests/single_node/network.rs
+++ b/crates/tier/tests/single_node/network.rs
@@ -2,7 +2,7 @@
 
 use grebeusher_quorum::Restored;
 use grebeusher_quorum::disk::{Identity, StoreError};
-use grebeusher_tier::io::{Accepted, Listener, PartStore, Signalled, Stream, World};
+use grebeusher_tier::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_tier::node::keys;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::poller::{Event, Interest};
@@ -209,7 +209,7 @@
         unreachable!("the node has no disk")
     }
 
-    fn open_store(&self, _: &Path) -> Result<(Box<dyn PartStore>, Restored), StoreError> {
+    fn open_store(&self, _: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
         unreachable!("the node has no disk")
     }
 }
--- a/crates/tier/tests/stable_bytes.rs
+++ b/crates/tier/tests/stable_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes written by earlier versions that this one must read and write unchanged: what nodes say to each other beside the
 //! registry's and the replicas' own messages.
 
-use grebeusher_tier::leaders::{LedPart, LedParts};
+use grebeusher_tier::leaders::{LedPartition, LedPartitions};
 use grebeusher_tier::messages::{
     BatchLoad, Call, CallEnvelope, CallNumber, Channel, OfferJob, QuorumEnvelope, Reply, ReplyEnvelope,
     SubmitJob,
@@ -36,7 +36,7 @@
         Call::Found { .. } => 0,
         Call::ReplaceConfiguration { .. } => 1,
         Call::ShowConfiguration => 2,
-        Call::ShowPart { .. } => 3,
+        Call::ShowPartition { .. } => 3,
         Call::FetchConfiguration { .. } => 4,
         Call::SubmitJob(_) => 5,
         Call::ReadJob { .. } => 6,
@@ -63,17 +63,17 @@
 }
 
 #[rstest]
-#[case::found(Call::Found { part: 3, voters: vec![0x0102_0304_0506_0708, 9] }, "000003020000000000000008070605040302010900000000000000")]
+#[case::found(Call::Found { partition: 3, voters: vec![0x0102_0304_0506_0708, 9] }, "000003020000000000000008070605040302010900000000000000")]
 #[case::replace_configuration(
     Call::ReplaceConfiguration { base: 0x0102_0304_0506_0708, body: b"{\"a\":1}".to_vec() },
     "0100080706050403020107000000000000007b2261223a317d"
 )]
 #[case::show_configuration(Call::ShowConfiguration, "0200")]
-#[case::show_part(Call::ShowPart { part: 200 }, "0300c8")]
+#[case::show_partition(Call::ShowPartition { partition: 200 }, "0300c8")]
 #[case::fetch_configuration(Call::FetchConfiguration { newer_than: 0x0102_0304_0506_0708 }, "04000807060504030201")]
 #[case::submit_job(
     Call::SubmitJob(SubmitJob {
-        part: 1,
+        partition: 1,
         submission: vec![0xab, 0x00, 0xcd],
         completion_target_ms: 0x0102_0304_0506_0708,
         retention_ms: 40_000,
@@ -84,28 +84,28 @@
 )]
 #[case::read_job(
     Call::ReadJob {
-        part: 2,
+        partition: 2,
         job: "job-größer".to_owned(),
         resume_after: 0x0102_0304_0506_0708,
         hold_ms: 0x0a0b_0c0d,
     },
     "0600020c000000000000006a6f622d6772c3b6c39f657208070605040302010d0c0b0a"
 )]
-#[case::read_item(Call::ReadItem { part: 2, job: "job".to_owned(), item: "item-1".to_owned() }, "07000203000000000000006a6f6206000000000000006974656d2d31")]
-#[case::end_job(Call::EndJob { part: 2, job: "job".to_owned() }, "08000203000000000000006a6f62")]
+#[case::read_item(Call::ReadItem { partition: 2, job: "job".to_owned(), item: "item-1".to_owned() }, "07000203000000000000006a6f6206000000000000006974656d2d31")]
+#[case::end_job(Call::EndJob { partition: 2, job: "job".to_owned() }, "08000203000000000000006a6f62")]
 #[case::forward(
     Call::Forward {
-        part: 4,
+        partition: 4,
         within_ms: 0x0a0b_0c0d,
-        call: Call::EndJob { part: 4, job: "job".to_owned() }.serialize_bin(),
+        call: Call::EndJob { partition: 4, job: "job".to_owned() }.serialize_bin(),
     },
     "0900040d0c0b0a0e0000000000000008000403000000000000006a6f62"
 )]
-#[case::begin_retire(Call::BeginRetire { part: 5, node: "storage-2".to_owned() }, "0a0005090000000000000073746f726167652d32")]
-#[case::show_retire(Call::ShowRetire { part: 5, node: "storage-2".to_owned() }, "0b0005090000000000000073746f726167652d32")]
+#[case::begin_retire(Call::BeginRetire { partition: 5, node: "storage-2".to_owned() }, "0a0005090000000000000073746f726167652d32")]
+#[case::show_retire(Call::ShowRetire { partition: 5, node: "storage-2".to_owned() }, "0b0005090000000000000073746f726167652d32")]
 #[case::offer_job(
     Call::OfferJob(OfferJob {
-        part: 6,
+        partition: 6,
         job: "job".to_owned(),
         route: "bulk".to_owned(),
         tokens: 0x0102_0304_0506_0708,
@@ -140,14 +140,17 @@
 fn calls_and_replies_keep_their_numbers_before_them() {
     let number = CallNumber(0x0102_0304_0506_0708);
     assert_pinned(&number, "0807060504030201");
-    assert_pinned(&CallEnvelope { number, call: Call::ShowPart { part: 7 } }, "0807060504030201030007");
+    assert_pinned(
+        &CallEnvelope { number, call: Call::ShowPartition { partition: 7 } },
+        "0807060504030201030007",
+    );
     assert_pinned(&ReplyEnvelope { number, reply: Reply::Done }, "08070605040302010300");
 }
 
 #[test]
 fn a_message_of_a_replica_keeps_its_bytes() {
     let envelope = QuorumEnvelope {
-        part: 3,
+        partition: 3,
         from: 0x0102_0304_0506_0708,
         to: 0x1112_1314_1516_1718,
         message: vec![0xab, 0x00, 0xcd],
@@ -160,17 +163,23 @@
 }
 
 #[test]
-fn the_items_of_a_part_keep_their_bytes() {
-    assert_pinned(&BatchLoad { part: 3, running: 0x0102_0304, waiting: 0x0a0b_0c0d }, "03040302010d0c0b0a");
+fn the_items_of_a_partition_keep_their_bytes() {
+    assert_pinned(
+        &BatchLoad { partition: 3, running: 0x0102_0304, waiting: 0x0a0b_0c0d },
+        "03040302010d0c0b0a",
+    );
 }
 
 #[test]
-fn the_parts_that_a_node_leads_keep_their_bytes() {
-    let led = LedParts {
-        parts: vec![LedPart { part: 0, term: 1 }, LedPart { part: 12, term: 0x0102_0304_0506_0708 }],
+fn the_partitions_that_a_node_leads_keep_their_bytes() {
+    let led = LedPartitions {
+        partitions: vec![
+            LedPartition { partition: 0, term: 1 },
+            LedPartition { partition: 12, term: 0x0102_0304_0506_0708 },
+        ],
     };
     assert_pinned(&led, "02000000000000000001000000000000000c0807060504030201");
-    assert_pinned(&LedParts::default(), "0000000000000000");
+    assert_pinned(&LedPartitions::default(), "0000000000000000");
 }
 
 /// The byte of each channel. A channel that is added needs its byte here and below.
--- a/crates/tier/tests/stable_log.rs
+++ b/crates/tier/tests/stable_log.rs
@@ -1,4 +1,4 @@
-//! Commands that earlier versions put into the log of a batch part, which this one must read and write unchanged.
+//! Commands that earlier versions put into the log of a batch partition, which this one must read and write unchanged.
 
 mod single_node;
 
@@ -7,7 +7,7 @@
 use grebeusher_quorum::{
     Blob, Entry, Group, HardState, Index, Payload, Position, ReplicaId, Restored, Snapshot, Term, Write,
 };
-use grebeusher_tier::io::{Listener, PartStore, Signalled, Stream, World};
+use grebeusher_tier::io::{Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_tier::messages::{Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope, SubmitJob};
 use grebeusher_tier::node::Node;
 use grebeusher_tier::start::Start;
@@ -30,7 +30,7 @@
     "seed_nodes":["10.0.0.2:8146"],"quorum_member":true,"data_path":"/data",
     "limits":{"cpu_share":0.5,"memory_mb":260,"file_descriptors":4100,"link_mbps":1000.0,"disk_mb":64}}"#;
 
-/// The state of a part without jobs, in which `node-0` is to be emptied.
+/// The state of a partition without jobs, in which `node-0` is to be emptied.
 const SNAPSHOT: &[u8] = b"\x02\x00\x00\x00\x00\x00\x00\x00\x01\x00\x01\x00\x00\x00\x00\x00\x00\x00\x06\x00\x00\x00\x00\x00\x00\x00node-0";
 /// That `node-1` is to be emptied.
 const RETIRE: &[u8] = b"\x02node-1";
@@ -51,7 +51,7 @@
 
 struct Disk(Option<Commands>);
 
-impl PartStore for Disk {
+impl PartitionStore for Disk {
     fn write(&mut self, writes: &[Write]) -> Result<(), StoreError> {
         for write in writes {
             let (Some(commands), Write::Entries(entries)) = (&self.0, write) else { continue };
@@ -110,7 +110,7 @@
         Ok(Identity { id: DISK, existed: true })
     }
 
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartStore>, Restored), StoreError> {
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
         if folder.ends_with("part-1") {
             Ok((Box::new(Disk(Some(self.commands.clone()))), kept()))
         } else {
@@ -119,7 +119,7 @@
     }
 }
 
-/// What the disk holds of part 1, of which this node has the only replica.
+/// What the disk holds of partition 1, of which this node has the only replica.
 fn kept() -> Restored {
     let command = |index, bytes: &[u8]| Entry {
         index: Index(index),
@@ -134,7 +134,7 @@
     }
 }
 
-/// A storage node that leads part 1, and the test as its peer.
+/// A storage node that leads partition 1, and the test as its peer.
 struct Storage {
     network: SharedNetwork,
     node: Node,
@@ -210,7 +210,7 @@
     }
 
     fn status(&mut self) -> String {
-        let Reply::Answer { status: 200, body } = self.call(Call::ShowPart { part: 1 }) else {
+        let Reply::Answer { status: 200, body } = self.call(Call::ShowPartition { partition: 1 }) else {
             panic!("the node owns the part")
         };
         String::from_utf8(body).expect("text")
@@ -237,7 +237,7 @@
          part 1 job job-1: 0 of 1 items listed, open\n"
     );
     assert_eq!(status, expected);
-    let body = storage.call(Call::ReadItem { part: 1, job: "job-1".to_owned(), item: "a".to_owned() });
+    let body = storage.call(Call::ReadItem { partition: 1, job: "job-1".to_owned(), item: "a".to_owned() });
     assert!(matches!(body, Reply::Answer { status: 200, body } if body == [0x00, 0xff]));
 }
 
@@ -245,7 +245,7 @@
 fn what_is_put_into_the_log_keeps_its_bytes() {
     let mut storage = Storage::started();
     let submit = SubmitJob {
-        part: 1,
+        partition: 1,
         submission: SUBMISSION.to_vec(),
         completion_target_ms: 300,
         retention_ms: 60_000,
@@ -254,7 +254,7 @@
     };
     let reply = storage.call(Call::SubmitJob(submit));
     assert!(matches!(&reply, Reply::Answer { status: 202, body } if body == b"{}"), "{reply:?}");
-    let reply = storage.call(Call::EndJob { part: 1, job: "job-1".to_owned() });
+    let reply = storage.call(Call::EndJob { partition: 1, job: "job-1".to_owned() });
     assert!(matches!(&reply, Reply::Answer { status: 200, body } if body == b"{}"), "{reply:?}");
     let commands = storage.commands.borrow();
     let [submitted, ended] = &commands[..] else { panic!("two commands, not {commands:?}") };
--- a/crates/tier/tests/stable_state.rs
+++ b/crates/tier/tests/stable_state.rs
@@ -1,10 +1,10 @@
-//! Bytes of a batch part's state that earlier versions put on disks, which this one must read and write unchanged.
+//! Bytes of a batch partition's state that earlier versions put on disks, which this one must read and write unchanged.
 
 use grebeusher_batch::{
     Entry, Header, ItemIndex, ItemResult, ItemSpec, JobId, JobResults, JobTerms, Jobs, ResultState,
     SharedBytes, Submission,
 };
-use grebeusher_tier::batch_part::BatchPart;
+use grebeusher_tier::batch_partition::BatchPartition;
 use rstest::rstest;
 
 const EMPTY: &[u8] = b"\x02\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x00";
@@ -37,15 +37,15 @@
 #[rstest]
 #[case::nothing(EMPTY, Jobs::new())]
 #[case::a_job_and_two_nodes_to_be_emptied(WITH_JOBS, jobs())]
-fn the_state_of_a_part_keeps_its_bytes(#[case] bytes: &[u8], #[case] jobs: Jobs) {
-    let mut part = BatchPart::new(1 << 20, 1);
-    part.restore(&SharedBytes::from(bytes)).expect("whole");
-    assert_eq!(part.jobs(), &jobs);
-    assert_eq!(part.snapshot().escape_ascii().to_string(), bytes.escape_ascii().to_string());
+fn the_state_of_a_partition_keeps_its_bytes(#[case] bytes: &[u8], #[case] jobs: Jobs) {
+    let mut partition = BatchPartition::new(1 << 20, 1);
+    partition.restore(&SharedBytes::from(bytes)).expect("whole");
+    assert_eq!(partition.jobs(), &jobs);
+    assert_eq!(partition.snapshot().escape_ascii().to_string(), bytes.escape_ascii().to_string());
 }
 
 #[test]
-fn an_empty_part_writes_its_bytes() {
-    let written = BatchPart::new(1 << 20, 1).snapshot();
+fn an_empty_partition_writes_its_bytes() {
+    let written = BatchPartition::new(1 << 20, 1).snapshot();
     assert_eq!(written.escape_ascii().to_string(), EMPTY.escape_ascii().to_string());
 }
--- a/crates/tier/tests/stable_words.rs
+++ b/crates/tier/tests/stable_words.rs
@@ -37,9 +37,9 @@
 fn the_forms_of_hints_stay() {
     assert_eq!(TokenCount::parse("1460,80"), Ok(TokenCount { prompt: 1460, out: 80 }));
     assert_eq!(ServerLoad::parse("3,2,8"), Ok(ServerLoad { running: 3, waiting: 2, slots: 8 }));
-    let parts = PromptParts::parse("5c1e07a2:800,91bd3f06:410").expect("two parts");
-    let tokens: Vec<u32> = parts.all().iter().map(|part| part.tokens).collect();
-    assert_eq!((tokens, parts.shared_tokens()), (vec![800, 410], 800));
+    let partitions = PromptParts::parse("5c1e07a2:800,91bd3f06:410").expect("two parts");
+    let tokens: Vec<u32> = partitions.all().iter().map(|partition| partition.tokens).collect();
+    assert_eq!((tokens, partitions.shared_tokens()), (vec![800, 410], 800));
 }
 
 /// A whole request with a host and these header lines.
@@ -149,7 +149,7 @@
     assert_eq!(text(single.take(line)), EMPTY_503);
 }
 
-/// What the node answers once the leader of each batch part has said the same.
+/// What the node answers once the leader of each batch partition has said the same.
 fn retired(line: &str, verdict: Reply) -> String {
     let mut single = in_touch();
     single.take_calls();
@@ -262,11 +262,11 @@
     Reply::Done,
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.1\r\n\r\n"
 )]
-fn the_status_of_a_part_is_shown(#[case] line: &str, #[case] reply: Reply, #[case] expected: &str) {
+fn the_status_of_a_partition_is_shown(#[case] line: &str, #[case] reply: Reply, #[case] expected: &str) {
     let mut single = SingleNode::with_executor();
     let (call, answer) = answered_after(&mut single, CONTROL, &request(line, "", ""), reply);
     assert_eq!(answer, expected);
-    assert!(matches!(call, Call::ShowPart { part: 0 }));
+    assert!(matches!(call, Call::ShowPartition { partition: 0 }));
 }
 
 #[rstest]
