--- a/crates/simulation/src/fleet/hollow.rs
+++ b/crates/simulation/src/fleet/hollow.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use crate::scenario::{Load, Scenario, Shape, ZoneShape};
 use crate::stage::Class;
-use grebeusher_tier::traffic::{FRAME_KINDS, TIMER_KINDS, Tally, Traffic};
+use grebeusher_tier::runtime::traffic::{FRAME_KINDS, TIMER_KINDS, Tally, Traffic};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeMap;
--- a/crates/simulation/src/fleet/lives.rs
+++ b/crates/simulation/src/fleet/lives.rs
@@ -7,7 +7,7 @@
 use crate::world::ProcessWorld;
 use grebeusher_configuration::settings::Settings;
 use grebeusher_tier::node::Node;
-use grebeusher_tier::start::Start;
+use grebeusher_tier::runtime::start::Start;
 use grebeusher_time::Duration;
 use rand::Rng;
 use std::panic::{AssertUnwindSafe, catch_unwind};
--- a/crates/simulation/src/fleet/wave.rs
+++ b/crates/simulation/src/fleet/wave.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use super::hollow::{Hollow, sum};
 use crate::stage::Class;
-use grebeusher_tier::traffic::Tally;
+use grebeusher_tier::runtime::traffic::Tally;
 use grebeusher_time::{Duration, Instant};
 use std::collections::BTreeMap;
 
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -4,7 +4,7 @@
 use crate::hub::{End, Owner, SharedHub};
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_quorum::{ReplicaId, Restored, Write};
-use grebeusher_tier::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
+use grebeusher_tier::runtime::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use grebeusher_transport::socket::USER_TIMEOUT;
--- a/crates/simulation/tests/hollow.rs
+++ b/crates/simulation/tests/hollow.rs
@@ -2,7 +2,7 @@
 //! size.
 
 use grebeusher_simulation::fleet::hollow::{Hollow, Idle};
-use grebeusher_tier::traffic::TIMER_KINDS;
+use grebeusher_tier::runtime::traffic::TIMER_KINDS;
 use grebeusher_time::Duration;
 use rstest::rstest;
 
--- a/crates/simulation/tests/links.rs
+++ b/crates/simulation/tests/links.rs
@@ -5,7 +5,7 @@
 use grebeusher_simulation::hub::{Happening, Hub, Owner, SharedHub};
 use grebeusher_simulation::world::ProcessWorld;
 use grebeusher_tier::node::Node;
-use grebeusher_tier::start::Start;
+use grebeusher_tier::runtime::start::Start;
 use grebeusher_time::{Duration, Instant};
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/tier/src/batch_front.rs
+++ b/crates/tier/src/batch/api.rs
@@ -1,12 +1,12 @@
 //! Batch calls as clients make them: checked here, passed on to the leader of the job's partition.
 
-use crate::calls::{BatchQuestion, Continuation};
-use crate::control::{path_of, query_value};
-use crate::exchange::ClientRequest;
-use crate::header_names as names;
-use crate::messages::{Call, Reply, SubmitJob};
+use crate::control::api::{path_of, query_value};
+use crate::links::calls::{BatchQuestion, Continuation};
+use crate::links::messages::{Call, Reply, SubmitJob};
 use crate::node::Node;
-use crate::routing::STARTING_RETRY;
+use crate::requests::exchange::ClientRequest;
+use crate::requests::header_names as names;
+use crate::requests::routing::STARTING_RETRY;
 use grebeusher_batch::{JobId, SubmissionHead, read_submission};
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_hash::fixed_hash;
--- a/crates/tier/src/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -1,10 +1,10 @@
 //! The leader of a partition runs its items at executors, in the room that live requests leave.
 
-use crate::header_names as names;
 use crate::node::Node;
-use crate::routing::Hints;
-use crate::timers::Timer;
-use crate::upstream::{CallLeader, Failure, UpstreamEvent};
+use crate::requests::header_names as names;
+use crate::requests::routing::Hints;
+use crate::requests::upstream::{CallLeader, Failure, UpstreamEvent};
+use crate::runtime::timers::Timer;
 use grebeusher_batch::{EventReader, EventTaken, FairShare, Outcome as RunOutcome, RunId, RunOrder};
 use grebeusher_configuration::configuration::RouteType;
 use grebeusher_gateway::{AttemptToken, Outcome, ServerLoad};
--- a/crates/tier/src/batch_load.rs
+++ b/crates/tier/src/batch/load_report.rs
@@ -1,7 +1,7 @@
 //! Leaders of batch partitions tell each other how many items run and wait, so that each takes its share of the executors' room.
 
-use crate::batch_front::BATCH_PARTITIONS;
-use crate::messages::{BatchLoad, Channel};
+use crate::batch::api::BATCH_PARTITIONS;
+use crate::links::messages::{BatchLoad, Channel};
 use crate::node::Node;
 use grebeusher_batch::PartitionLoad;
 use grebeusher_time::Duration;
--- a/crates/tier/src/batch_partition.rs
+++ b/crates/tier/src/batch/partition.rs
@@ -1,10 +1,10 @@
 //! Partitions 1 and on: batch jobs. Every replica applies the log; the leader admits jobs, runs items and answers readers.
 
-use crate::messages::{OfferJob, Reply, SubmitJob};
+use crate::batch::page_size::most_page_bytes;
+use crate::control::partitions::{Application, Waiter};
+use crate::links::messages::{OfferJob, Reply, SubmitJob};
 use crate::node::{Node, RunError};
-use crate::page_size::most_page_bytes;
-use crate::partitions::{Application, Waiter};
-use crate::timers::Timer;
+use crate::runtime::timers::Timer;
 use grebeusher_batch::{
     Admission, Applied, Entry, JobId, JobTerms, Jobs, Leader, Runner, SharedBytes, SnapshotError, Submission,
     Wanted,
--- a/crates/tier/src/configuration.rs
+++ b/crates/tier/src/control/active_configuration.rs
@@ -1,8 +1,8 @@
 //! The operator's configuration as this node serves by it, and how it gets here from its leader.
 
-use crate::calls::Continuation;
-use crate::control::CONFIGURATION_PARTITION;
-use crate::messages::{Call, Reply};
+use crate::control::api::CONFIGURATION_PARTITION;
+use crate::links::calls::Continuation;
+use crate::links::messages::{Call, Reply};
 use crate::node::Node;
 use grebeusher_configuration::configuration::{Configuration, Route};
 use grebeusher_configuration::routes::RouteTable;
--- a/crates/tier/src/control.rs
+++ b/crates/tier/src/control/api.rs
@@ -1,11 +1,11 @@
 //! The control plane's HTTP interface: heartbeats of executors, orders of the operator, the platform's checks.
 
-use crate::calls::{Continuation, OperatorQuestion};
-use crate::exchange::ClientRequest;
-use crate::header_names as names;
-use crate::messages::{Call, Reply};
+use crate::control::retire::RetireQuestion;
+use crate::links::calls::{Continuation, OperatorQuestion};
+use crate::links::messages::{Call, Reply};
 use crate::node::Node;
-use crate::retire::RetireQuestion;
+use crate::requests::exchange::ClientRequest;
+use crate::requests::header_names as names;
 use grebeusher_configuration::configuration::Configuration;
 use grebeusher_registry::{Answer, HeartbeatReport};
 use grebeusher_time::Duration;
@@ -59,7 +59,7 @@
                 self.answer(connection, serial, http::answer(200, &[], body.as_bytes()));
             }
             ("GET", ["api", "status", partition]) => match partition.parse() {
-                Ok(partition) if partition <= crate::batch_front::BATCH_PARTITIONS => {
+                Ok(partition) if partition <= crate::batch::api::BATCH_PARTITIONS => {
                     self.partition_request(connection, serial, partition)
                 }
                 _ => self.answer(connection, serial, http::answer(404, &[], b"")),
--- a/crates/tier/src/founding.rs
+++ b/crates/tier/src/control/bootstrap.rs
@@ -4,13 +4,13 @@
 //! founds; the others step in, one after the other, only if no partition has shown a leader for long. A replica takes one founding
 //! in its life, so a second one changes nothing where the first was heard.
 
-use crate::batch_front::BATCH_PARTITIONS;
-use crate::calls::Continuation;
-use crate::control::CONFIGURATION_PARTITION;
-use crate::messages::{Call, Reply};
+use crate::batch::api::BATCH_PARTITIONS;
+use crate::control::api::CONFIGURATION_PARTITION;
+use crate::control::replica_placement::{Candidate, spread_over_zones};
+use crate::links::calls::Continuation;
+use crate::links::messages::{Call, Reply};
 use crate::node::Node;
-use crate::placement::{Candidate, spread_over_zones};
-use crate::timers::Timer;
+use crate::runtime::timers::Timer;
 use grebeusher_configuration::settings::Settings;
 use grebeusher_registry::Class;
 use grebeusher_time::{Duration, DurationExt, Instant};
--- a/crates/tier/src/configuration_partition.rs
+++ b/crates/tier/src/control/configuration_partition.rs
@@ -1,9 +1,9 @@
 //! Partition 0: the operator's configuration, changed by compare-and-set.
 
-use crate::control::CONFIGURATION_PARTITION;
-use crate::messages::Reply;
+use crate::control::api::CONFIGURATION_PARTITION;
+use crate::control::partitions::{Application, Waiter};
+use crate::links::messages::Reply;
 use crate::node::{Node, RunError};
-use crate::partitions::{Application, Waiter};
 use grebeusher_configuration::configuration::Configuration;
 use grebeusher_configuration::register::{BodyHash, Change, ConfigurationRegister, Entry, Pending, Verdict};
 use std::sync::Arc;
--- a/crates/tier/src/disk_room.rs
+++ b/crates/tier/src/control/disk_budget.rs
@@ -1,6 +1,6 @@
 //! How much of a disk each partition may take, and so when its log is written anew as a snapshot.
 
-use crate::batch_front::BATCH_PARTITIONS;
+use crate::batch::api::BATCH_PARTITIONS;
 
 /// The share of a disk that the partitions use: identities, hints and the file system's own need some.
 const USED_SHARE: f64 = 0.95;
--- a/crates/tier/src/leader_balance.rs
+++ b/crates/tier/src/control/leader_balance.rs
@@ -2,7 +2,7 @@
 //! other replicas and runs the items of its partition; one that leads several partitions has its link, its processor and its share of
 //! executors' connections full while others idle. After a loss of all power elections may come out so.
 
-use crate::batch_front::BATCH_PARTITIONS;
+use crate::batch::api::BATCH_PARTITIONS;
 use crate::node::Node;
 use grebeusher_batch::PartitionLoad;
 use grebeusher_quorum::ReplicaId;
--- a/crates/tier/src/group_care.rs
+++ b/crates/tier/src/control/membership_maintenance.rs
@@ -1,10 +1,10 @@
 //! How leaders look after the groups of their partitions: voters that are gone make room for others.
 
-use crate::copies::LoneCopy;
+use crate::control::partitions::class_of_partition;
+use crate::control::replica_placement::{Candidate, next_voters};
+use crate::control::replica_status::LoneCopy;
 use crate::node::Node;
-use crate::partitions::class_of_partition;
-use crate::placement::{Candidate, next_voters};
-use crate::timers::Timer;
+use crate::runtime::timers::Timer;
 use grebeusher_quorum::{Index, ReplicaId, Term};
 use grebeusher_registry::MemberState;
 use grebeusher_time::{Duration, Instant};
--- /dev/null
+++ b/crates/tier/src/control/mod.rs
@@ -0,0 +1,22 @@
+//! The control plane: the partitions that this node has a replica of, who leads them, the operator's configuration, and the
+//! HTTP interface of executors and operators.
+//!
+//! [`partitions`] drives the replicas; what a partition's log means is up to [`configuration_partition`] and
+//! [`batch::partition`](crate::batch::partition). [`membership_maintenance`], [`leader_balance`], [`retire`] and [`bootstrap`]
+//! change the groups of replicas and their leaders; nothing else does.
+
+pub mod active_configuration;
+pub mod api;
+pub mod bootstrap;
+pub mod configuration_partition;
+pub mod disk_budget;
+pub mod executor_hints;
+pub mod leader_balance;
+pub mod leader_index;
+pub mod membership_maintenance;
+pub mod partition_status;
+pub mod partitions;
+pub mod replica_placement;
+pub mod replica_status;
+pub mod retire;
+pub mod status;
--- a/crates/tier/src/partition_status.rs
+++ b/crates/tier/src/control/partition_status.rs
@@ -1,10 +1,10 @@
 //! What the leader of a partition says of it, for operators: its term, its group, its jobs.
 
-use crate::calls::{Continuation, OperatorQuestion};
-use crate::control::OPERATOR_TIMEOUT;
-use crate::messages::{Call, Reply};
+use crate::control::api::OPERATOR_TIMEOUT;
+use crate::control::partitions::{Application, Waiter};
+use crate::links::calls::{Continuation, OperatorQuestion};
+use crate::links::messages::{Call, Reply};
 use crate::node::Node;
-use crate::partitions::{Application, Waiter};
 use grebeusher_batch::Jobs;
 use std::fmt::Write;
 
--- a/crates/tier/src/partitions.rs
+++ b/crates/tier/src/control/partitions.rs
@@ -1,13 +1,13 @@
 //! The replicas of partitions that this node holds: their disk, their messages, their applications, and the care of their groups.
 
-use crate::batch_partition::{BatchPartition, shared};
-use crate::configuration_partition::ConfigurationPartition;
-use crate::disk_room::DiskRoom;
-use crate::group_care::GroupCare;
-use crate::io::{PartitionStore, World};
-use crate::leaders::{LedPartition, LedPartitions};
-use crate::messages::{CallNumber, Channel, QuorumEnvelope, Reply};
+use crate::batch::partition::{BatchPartition, shared};
+use crate::control::configuration_partition::ConfigurationPartition;
+use crate::control::disk_budget::DiskRoom;
+use crate::control::leader_index::{LedPartition, LedPartitions};
+use crate::control::membership_maintenance::GroupCare;
+use crate::links::messages::{CallNumber, Channel, QuorumEnvelope, Reply};
 use crate::node::{Node, RunError};
+use crate::runtime::io::{PartitionStore, World};
 use grebeusher_quorum::{Blob, Index, Replica, ReplicaId, Term, Timing, Write};
 use grebeusher_registry::{Class, MemberState};
 use grebeusher_time::{Duration, Instant};
@@ -144,7 +144,7 @@
 
 /// The spans of a partition's leadership. Reads need the lease, and the loss of a leader is noticed within `election_max`.
 fn timing(partition: u8, link_mbps: f64) -> Timing {
-    let configuration = partition == crate::control::CONFIGURATION_PARTITION;
+    let configuration = partition == crate::control::api::CONFIGURATION_PARTITION;
     let (heartbeat, min, max) = if configuration {
         // The configuration's replicas share their processor with the traffic, so they are given more time.
         (100, 450, 800)
@@ -417,5 +417,5 @@
 
 /// The machines that hold a partition.
 pub fn class_of_partition(partition: u8) -> Class {
-    if partition == crate::control::CONFIGURATION_PARTITION { Class::Edge } else { Class::Storage }
+    if partition == crate::control::api::CONFIGURATION_PARTITION { Class::Edge } else { Class::Storage }
 }
--- a/crates/tier/src/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -3,12 +3,12 @@
 //! A refusal rests on what the proven leaders of all partitions say, not on what one node has heard of the others: a node that was
 //! cut off or has just started knows few machines. Whoever can't be sure says 503.
 
-use crate::batch_partition::RETIRE_ENTRY;
-use crate::calls::Continuation;
-use crate::control::{JSON, OPERATOR_TIMEOUT};
-use crate::messages::{Call, Reply};
+use crate::batch::partition::RETIRE_ENTRY;
+use crate::control::api::{JSON, OPERATOR_TIMEOUT};
+use crate::control::partitions::{Waiter, class_of_partition};
+use crate::links::calls::Continuation;
+use crate::links::messages::{Call, Reply};
 use crate::node::Node;
-use crate::partitions::{Waiter, class_of_partition};
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::{Class, MemberState};
 use grebeusher_time::Duration;
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/control/status.rs
@@ -1,7 +1,7 @@
 //! What a node says of itself and of the tier, for operators.
 
+use crate::control::partitions::Application;
 use crate::node::Node;
-use crate::partitions::Application;
 use grebeusher_time::{Duration, DurationExt};
 use std::fmt::Write;
 
@@ -34,7 +34,7 @@
             let (name, state, zone) = (&member.name, member.state, &member.zone);
             writeln!(text, "member {name} {} {state:?} {:?} {zone}", member.address, member.class)?;
         }
-        for partition in 0..=crate::batch_front::BATCH_PARTITIONS {
+        for partition in 0..=crate::batch::api::BATCH_PARTITIONS {
             match self.known_leader(partition) {
                 Some(leader) => writeln!(text, "part {partition} owner {leader}")?,
                 None => writeln!(text, "part {partition} without an owner")?,
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/links/calls.rs
@@ -1,9 +1,9 @@
 //! Calls between nodes: a number, a time limit, and another node when one does not answer or does not own the partition.
 
-use crate::messages::{Call, CallEnvelope, CallNumber, Channel, OfferJob, Reply, ReplyEnvelope};
+use crate::links::messages::{Call, CallEnvelope, CallNumber, Channel, OfferJob, Reply, ReplyEnvelope};
 use crate::node::Node;
-use crate::promises::is_promise;
-use crate::timers::Timer;
+use crate::requests::promises::is_promise;
+use crate::runtime::timers::Timer;
 use grebeusher_batch::Submission;
 use grebeusher_registry::Class;
 use grebeusher_time::{Duration, DurationExt, Instant};
--- a/crates/tier/src/connections.rs
+++ b/crates/tier/src/links/connections.rs
@@ -1,11 +1,11 @@
 //! The connections of a node: what each is for, and how they are found, opened and closed.
 
-use crate::io::World;
+use crate::links::peer_links::{IncomingLink, OutgoingLink};
+use crate::links::socket::Socket;
 use crate::node::{Node, keys};
-use crate::peers::{IncomingLink, OutgoingLink};
-use crate::server::ServerConnection;
-use crate::socket::Socket;
-use crate::upstream::Upstream;
+use crate::requests::server::ServerConnection;
+use crate::requests::upstream::Upstream;
+use crate::runtime::io::World;
 use std::io;
 
 /// What a connection is for.
--- a/crates/tier/src/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -1,8 +1,8 @@
 //! What comes from other nodes, and what the registry wants done.
 
-use crate::messages::{Call, CallEnvelope, Channel, Reply, ReplyEnvelope};
+use crate::control::partitions::Waiter;
+use crate::links::messages::{Call, CallEnvelope, Channel, Reply, ReplyEnvelope};
 use crate::node::Node;
-use crate::partitions::Waiter;
 use grebeusher_quorum::{Group, ReplicaId};
 use grebeusher_registry::{Event, Message};
 use nanoserde::DeBin;
@@ -116,6 +116,6 @@
 
     /// The partitions that hold batch jobs.
     pub fn batch_partitions(&self) -> Vec<u8> {
-        (1..=crate::batch_front::BATCH_PARTITIONS).collect()
+        (1..=crate::batch::api::BATCH_PARTITIONS).collect()
     }
 }
--- a/crates/tier/src/peers.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -1,11 +1,11 @@
 //! Links to the other nodes: one outgoing connection to each node that is spoken to, incoming ones from any.
 
-use crate::connections::Role;
-use crate::io::Accepted;
-use crate::messages::Channel;
+use crate::links::connections::Role;
+use crate::links::messages::Channel;
+use crate::links::socket::{Reading, Socket};
 use crate::node::Node;
-use crate::socket::{Reading, Socket};
-use crate::timers::Timer;
+use crate::runtime::io::Accepted;
+use crate::runtime::timers::Timer;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::link::{self, Frame, FrameDecoder, Hello};
 use std::net::SocketAddrV4;
--- a/crates/tier/src/socket.rs
+++ b/crates/tier/src/links/socket.rs
@@ -1,6 +1,6 @@
 //! One TCP connection: its socket, what was read and is not yet understood, and what waits to be written.
 
-use crate::io::{Accepted, Stream, World};
+use crate::runtime::io::{Accepted, Stream, World};
 use grebeusher_transport::poller::Interest;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddrV4;
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -1,11 +1,11 @@
 //! `grebeusher-tier`: a process of the serving tier.
 
 use bpaf::{Parser, construct, positional, short};
-use grebeusher_tier::log_ring::LogRing;
 use grebeusher_tier::node::Node;
-use grebeusher_tier::show::status_of;
-use grebeusher_tier::start::{Start, read_settings};
-use grebeusher_tier::system::System;
+use grebeusher_tier::runtime::log_ring::LogRing;
+use grebeusher_tier::runtime::show::status_of;
+use grebeusher_tier::runtime::start::{Start, read_settings};
+use grebeusher_tier::runtime::system::System;
 use std::io::Write;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -1,23 +1,23 @@
 //! One process of the tier: everything that it keeps, and its loop. What happens at each thing stands in the modules beside.
 
-use crate::calls::PendingCall;
-use crate::configuration::ActiveConfiguration;
-use crate::connections::{Connection, Role};
-use crate::exchange::Exchange;
-use crate::founding::Founder;
-use crate::io::{Listener, SharedWorld};
-use crate::items::ItemRuns;
-use crate::leaders::LeaderIndex;
-use crate::messages::{CallNumber, CallNumbers};
-use crate::partitions::PartitionHost;
-use crate::remembered::Remembered;
-use crate::retire::RetireGathering;
-use crate::routing::Routing;
-use crate::server::{Entrance, first_limits};
-use crate::start::{Start, StartError};
-use crate::stop::Departure;
-use crate::timers::Timer;
-use crate::traffic::Traffic;
+use crate::batch::items::ItemRuns;
+use crate::control::active_configuration::ActiveConfiguration;
+use crate::control::bootstrap::Founder;
+use crate::control::executor_hints::Remembered;
+use crate::control::leader_index::LeaderIndex;
+use crate::control::partitions::PartitionHost;
+use crate::control::retire::RetireGathering;
+use crate::links::calls::PendingCall;
+use crate::links::connections::{Connection, Role};
+use crate::links::messages::{CallNumber, CallNumbers};
+use crate::requests::exchange::Exchange;
+use crate::requests::routing::Routing;
+use crate::requests::server::{Entrance, first_limits};
+use crate::runtime::io::{Listener, SharedWorld};
+use crate::runtime::start::{Start, StartError};
+use crate::runtime::stop::Departure;
+use crate::runtime::timers::Timer;
+use crate::runtime::traffic::Traffic;
 use grebeusher_configuration::configuration::ClientLimits;
 use grebeusher_configuration::settings::Settings;
 use grebeusher_quorum::ReplicaId;
@@ -191,13 +191,14 @@
         let now = self.now;
         self.alarms.set(now + SWEEP_INTERVAL, Timer::Sweep);
         if !self.partitions.is_empty() {
-            self.alarms.set(now + crate::group_care::MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
+            self.alarms
+                .set(now + crate::control::membership_maintenance::MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
         }
         self.recall_executors();
         self.begin_popularity();
         self.prove_configuration();
         if self.founder.is_some() {
-            self.alarms.set(now + crate::founding::POLL_INTERVAL, Timer::Found);
+            self.alarms.set(now + crate::control::bootstrap::POLL_INTERVAL, Timer::Found);
         }
     }
 
--- a/crates/tier/src/exchange.rs
+++ b/crates/tier/src/requests/exchange.rs
@@ -1,12 +1,12 @@
 //! One client request on its way: the attempts at executors, and the one answer that the client gets.
 
-use crate::event_cutter::EventCutter;
-use crate::header_names as names;
 use crate::node::Node;
-use crate::promises::is_promise;
-use crate::routing::{Candidate, Hints, Question, RouteChoice};
-use crate::timers::Timer;
-use crate::upstream::{CallLeader, Failure, MAX_UNWRITTEN, Target, UpstreamEvent};
+use crate::requests::event_cutter::EventCutter;
+use crate::requests::header_names as names;
+use crate::requests::promises::is_promise;
+use crate::requests::routing::{Candidate, Hints, Question, RouteChoice};
+use crate::requests::upstream::{CallLeader, Failure, MAX_UNWRITTEN, Target, UpstreamEvent};
+use crate::runtime::timers::Timer;
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_gateway::{AttemptToken, Attempts, ExecutorId, FinalAnswer, Kind, Next, Outcome, ServerLoad};
 use grebeusher_time::{Duration, DurationExt, Instant};
--- /dev/null
+++ b/crates/tier/src/requests/mod.rs
@@ -0,0 +1,14 @@
+//! Live requests: from a client's connection to an executor's and back.
+//!
+//! [`server`] reads requests and writes answers, [`exchange`] is one request with its attempts, [`upstream`] is a connection to
+//! an executor, and [`routing`] asks the `gateway` crate which executor is next. [`prefix_popularity`] shares which beginnings
+//! of prompts are popular.
+
+pub mod event_cutter;
+pub mod exchange;
+pub mod header_names;
+pub mod prefix_popularity;
+pub mod promises;
+pub mod routing;
+pub mod server;
+pub mod upstream;
--- a/crates/tier/src/popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -2,7 +2,7 @@
 //!
 //! Whether anybody hears it, or it is on the disk, no rule rests on: it only says where shared part of prompts are kept.
 
-use crate::messages::Channel;
+use crate::links::messages::Channel;
 use crate::node::Node;
 use grebeusher_prefix_popularity::{Contribution, Identity, Merge, Settings};
 use grebeusher_registry::NodeId;
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -1,8 +1,8 @@
 //! What the data plane's decisions are fed with: services of the configuration, executors of the registry, requests.
 
-use crate::header_names as names;
 use crate::node::Node;
-use crate::upstream::Target;
+use crate::requests::header_names as names;
+use crate::requests::upstream::Target;
 use grebeusher_batch::RunOrder;
 use grebeusher_configuration::configuration::Route;
 use grebeusher_gateway::{
--- a/crates/tier/src/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -1,12 +1,12 @@
 //! Connections of clients, executors, operators and the platform's checks: requests are read whole, one at a time, and
 //! passed to the dispatch of the address that they came to.
 
-use crate::connections::{Connection, Role};
-use crate::exchange::ClientRequest;
-use crate::io::Accepted;
+use crate::links::connections::{Connection, Role};
+use crate::links::socket::{Reading, Socket};
 use crate::node::Node;
-use crate::socket::{Reading, Socket};
-use crate::upstream::MAX_UNWRITTEN;
+use crate::requests::exchange::ClientRequest;
+use crate::requests::upstream::MAX_UNWRITTEN;
+use crate::runtime::io::Accepted;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::body::{self, BodyReader, Framing};
 use grebeusher_transport::http::{self, Limits, Malformed, RequestHead};
--- a/crates/tier/src/upstream.rs
+++ b/crates/tier/src/requests/upstream.rs
@@ -1,10 +1,10 @@
 //! Connections to executors: a pool of idle ones, and what comes back on the busy ones.
 
-use crate::exchange::ExchangeKey;
-use crate::header_names as names;
+use crate::links::socket::{Reading, Socket};
 use crate::node::Node;
-use crate::socket::{Reading, Socket};
-use crate::timers::Timer;
+use crate::requests::exchange::ExchangeKey;
+use crate::requests::header_names as names;
+use crate::runtime::timers::Timer;
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::body::{self, BodyReader};
 use grebeusher_transport::headers::Headers;
@@ -372,7 +372,7 @@
     fn dial_upstream(&mut self, address: SocketAddrV4, upstream: Upstream) -> std::io::Result<usize> {
         self.add_connection(
             |world, key| Socket::dial(world, address, key),
-            crate::connections::Role::Upstream(upstream),
+            crate::links::connections::Role::Upstream(upstream),
         )
     }
 
@@ -383,7 +383,7 @@
         for indices in self.idle_upstreams.values() {
             for &index in indices {
                 let over = match self.connections.get(index).map(|connection| &connection.role) {
-                    Some(crate::connections::Role::Upstream(upstream)) => now >= upstream.usable_until,
+                    Some(crate::links::connections::Role::Upstream(upstream)) => now >= upstream.usable_until,
                     _ => false,
                 };
                 if over {
--- a/crates/tier/src/show.rs
+++ b/crates/tier/src/runtime/show.rs
@@ -1,6 +1,6 @@
 //! Asks a node over HTTP what it says of itself and of the tier.
 
-use crate::batch_front::BATCH_PARTITIONS;
+use crate::batch::api::BATCH_PARTITIONS;
 use grebeusher_transport::body::BodyReader;
 use grebeusher_transport::http::{self, Limits};
 use snafu::{OptionExt, Snafu};
--- a/crates/tier/src/start.rs
+++ b/crates/tier/src/runtime/start.rs
@@ -1,13 +1,13 @@
 //! The start of a process: its settings, its disk, its addresses.
 
-use crate::batch_front::BATCH_PARTITIONS;
-use crate::batch_partition::BatchPartition;
-use crate::configuration_partition::ConfigurationPartition;
-use crate::control::CONFIGURATION_PARTITION;
-use crate::disk_room::DiskRoom;
-use crate::io::{Listener, SharedWorld, World};
+use crate::batch::api::BATCH_PARTITIONS;
+use crate::batch::partition::BatchPartition;
+use crate::control::api::CONFIGURATION_PARTITION;
+use crate::control::configuration_partition::ConfigurationPartition;
+use crate::control::disk_budget::DiskRoom;
+use crate::control::partitions::{Application, PartitionHost, Tuning};
 use crate::node::{RunError, keys};
-use crate::partitions::{Application, PartitionHost, Tuning};
+use crate::runtime::io::{Listener, SharedWorld, World};
 use grebeusher_configuration::settings::{MachineClass, Settings, SettingsError};
 use grebeusher_quorum::ReplicaId;
 use grebeusher_quorum::disk::StoreError;
--- a/crates/tier/src/stop.rs
+++ b/crates/tier/src/runtime/stop.rs
@@ -3,10 +3,10 @@
 //! Where the platform has no other node in reach it goes on sending requests to one that stops, until its end. A stopping
 //! process therefore takes only what it can still finish: see [`Departure::takes`].
 
-use crate::exchange::{ClientRequest, time_allowed};
 use crate::node::Node;
-use crate::server::Waiting;
-use crate::start::losses_of;
+use crate::requests::exchange::{ClientRequest, time_allowed};
+use crate::requests::server::Waiting;
+use crate::runtime::start::losses_of;
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_configuration::settings::Settings;
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -81,7 +81,7 @@
     pub(crate) fn begin_to_stop(&mut self) {
         let departure = Departure::new(self.now, Duration::from_seconds(self.settings.bounds.grace_period_s));
         self.departure = Some(departure);
-        self.alarms.set(departure.exits_at(), crate::timers::Timer::Exit);
+        self.alarms.set(departure.exits_at(), crate::runtime::timers::Timer::Exit);
         self.registry.leave(self.now);
         self.hand_over_partitions(true);
     }
--- a/crates/tier/src/system.rs
+++ b/crates/tier/src/runtime/system.rs
@@ -1,7 +1,7 @@
 //! The real world of a process: the poller's sockets, the system's clocks and files.
 
-use crate::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use crate::node::keys;
+use crate::runtime::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
 use grebeusher_quorum::{Restored, Write};
 use grebeusher_time::{Duration, DurationExt, Instant};
--- a/crates/tier/src/timers.rs
+++ b/crates/tier/src/runtime/timers.rs
@@ -1,6 +1,6 @@
 //! What falls due in a node.
 
-use crate::messages::CallNumber;
+use crate::links::messages::CallNumber;
 
 /// One timer of the loop. Serials guard against places that were given to another thing meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/tier/src/traffic.rs
+++ b/crates/tier/src/runtime/traffic.rs
@@ -1,8 +1,8 @@
 //! What a process does by itself, in numbers: turns of its loop, timers, and frames to and from other nodes. For the reports
 //! of what a node costs at rest.
 
-use crate::messages::Channel;
-use crate::timers::Timer;
+use crate::links::messages::Channel;
+use crate::runtime::timers::Timer;
 
 /// The kinds of frames: the registry's messages in the order of their tags, then the other channels.
 pub const FRAME_KINDS: [&str; 17] = [
--- a/crates/tier/tests/batch_partition.rs
+++ b/crates/tier/tests/batch_partition.rs
@@ -3,7 +3,7 @@
 use grebeusher_batch::{
     Entry, Header, ItemSpec, JobId, JobTerms, Jobs, MAX_PAGE_BYTES, SharedBytes, Submission,
 };
-use grebeusher_tier::batch_partition::{BatchPartition, RestoreError};
+use grebeusher_tier::batch::partition::{BatchPartition, RestoreError};
 use nanoserde::SerBin;
 use std::sync::Arc;
 
--- a/crates/tier/tests/batch_partitions.rs
+++ b/crates/tier/tests/batch_partitions.rs
@@ -1,6 +1,6 @@
 //! Which partition a batch job belongs to.
 
-use grebeusher_tier::batch_front::{BATCH_PARTITIONS, partition_of_job};
+use grebeusher_tier::batch::api::{BATCH_PARTITIONS, partition_of_job};
 use std::collections::BTreeMap;
 
 #[test]
--- a/crates/tier/tests/calls.rs
+++ b/crates/tier/tests/calls.rs
@@ -1,7 +1,7 @@
 //! What a call between nodes has come to, where some copies of it were left unanswered.
 
-use grebeusher_tier::calls::settled;
-use grebeusher_tier::messages::{Call, Reply, SubmitJob};
+use grebeusher_tier::links::calls::settled;
+use grebeusher_tier::links::messages::{Call, Reply, SubmitJob};
 use rstest::rstest;
 
 fn submission() -> Call {
--- a/crates/tier/tests/copies.rs
+++ b/crates/tier/tests/copies.rs
@@ -1,7 +1,7 @@
 //! Which machine holds the only copy of a partition, and when that is told.
 
 use grebeusher_quorum::{Index, ReplicaId};
-use grebeusher_tier::copies::{LoneCopy, PartitionCopy, sole_holder};
+use grebeusher_tier::control::replica_status::{LoneCopy, PartitionCopy, sole_holder};
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
--- a/crates/tier/tests/demo.rs
+++ b/crates/tier/tests/demo.rs
@@ -4,7 +4,7 @@
 use grebeusher_demo::layout::{Layout, Machines};
 use grebeusher_demo::operator::{JOB_HOST, JOB_PARTITION};
 use grebeusher_demo::{DemoError, Options, Summary, run};
-use grebeusher_tier::batch_front::partition_of_job;
+use grebeusher_tier::batch::api::partition_of_job;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
--- a/crates/tier/tests/disk_room.rs
+++ b/crates/tier/tests/disk_room.rs
@@ -1,7 +1,7 @@
 //! What a partition may take of its node's disk.
 
-use grebeusher_tier::batch_front::BATCH_PARTITIONS;
-use grebeusher_tier::disk_room::DiskRoom;
+use grebeusher_tier::batch::api::BATCH_PARTITIONS;
+use grebeusher_tier::control::disk_budget::DiskRoom;
 use rstest::rstest;
 
 const MB: usize = 1024 * 1024;
--- a/crates/tier/tests/group_care.rs
+++ b/crates/tier/tests/group_care.rs
@@ -1,8 +1,8 @@
 //! Which nodes a leader takes into a group when a change waited for one in vain.
 
 use grebeusher_quorum::ReplicaId;
-use grebeusher_tier::group_care::GroupCare;
-use grebeusher_tier::placement::{Candidate, next_voters};
+use grebeusher_tier::control::membership_maintenance::GroupCare;
+use grebeusher_tier::control::replica_placement::{Candidate, next_voters};
 use grebeusher_time::{Duration, Instant};
 
 fn node(replica: u64, zone: &str) -> Candidate {
--- a/crates/tier/tests/leader_balance.rs
+++ b/crates/tier/tests/leader_balance.rs
@@ -1,7 +1,7 @@
 //! Which voter a partition is handed to where a node leads several partitions.
 
 use grebeusher_quorum::ReplicaId;
-use grebeusher_tier::leader_balance::{Heir, relieving_heir};
+use grebeusher_tier::control::leader_balance::{Heir, relieving_heir};
 use rstest::rstest;
 
 fn heir(replica: u64, led: usize) -> Heir {
--- a/crates/tier/tests/leaders.rs
+++ b/crates/tier/tests/leaders.rs
@@ -3,7 +3,7 @@
 use grebeusher_registry::{
     Class, Facts, Losses, Member, MemberState, Message, Register, Registry, Settings, Timings,
 };
-use grebeusher_tier::leaders::{LeaderIndex, LedPartition, LedPartitions};
+use grebeusher_tier::control::leader_index::{LeaderIndex, LedPartition, LedPartitions};
 use grebeusher_time::Instant;
 use nanoserde::SerBin;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/crates/tier/tests/page_size.rs
+++ b/crates/tier/tests/page_size.rs
@@ -1,7 +1,7 @@
 //! Pages of results on links of all speeds.
 
 use grebeusher_batch::MAX_PAGE_BYTES;
-use grebeusher_tier::page_size::most_page_bytes;
+use grebeusher_tier::batch::page_size::most_page_bytes;
 use rstest::rstest;
 
 #[rstest]
--- a/crates/tier/tests/placement.rs
+++ b/crates/tier/tests/placement.rs
@@ -1,7 +1,7 @@
 //! Which voters a group gets next.
 
 use grebeusher_quorum::ReplicaId;
-use grebeusher_tier::placement::{Candidate, next_voters, spread_over_zones};
+use grebeusher_tier::control::replica_placement::{Candidate, next_voters, spread_over_zones};
 
 fn node(replica: u64, zone: &str) -> Candidate {
     Candidate { replica, zone: zone.to_owned(), name: format!("node-{replica}") }
--- a/crates/tier/tests/retire.rs
+++ b/crates/tier/tests/retire.rs
@@ -1,7 +1,7 @@
 //! What an operator hears about a machine that is to be emptied, from what the leaders of the partitions say.
 
-use grebeusher_tier::messages::Reply;
-use grebeusher_tier::retire::{PartitionVerdict, RetireOutcome, RetireQuestion, gathered};
+use grebeusher_tier::control::retire::{PartitionVerdict, RetireOutcome, RetireQuestion, gathered};
+use grebeusher_tier::links::messages::Reply;
 use rstest::rstest;
 
 use PartitionVerdict::{Done, NotYet, TooFew, Unknown, Unsure};
--- a/crates/tier/tests/show.rs
+++ b/crates/tier/tests/show.rs
@@ -1,7 +1,7 @@
 //! What `grebeusher-tier show` makes of the answers of a node, and of those that are none.
 
-use grebeusher_tier::batch_front::BATCH_PARTITIONS;
-use grebeusher_tier::show::{ShowError, status_of};
+use grebeusher_tier::batch::api::BATCH_PARTITIONS;
+use grebeusher_tier::runtime::show::{ShowError, status_of};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener};
--- a/crates/tier/tests/single_node/mod.rs
+++ b/crates/tier/tests/single_node/mod.rs
@@ -6,9 +6,9 @@
 
 use grebeusher_configuration::settings::Settings;
 use grebeusher_registry::{Class, Member, MemberState, Message};
-use grebeusher_tier::messages::{Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope};
+use grebeusher_tier::links::messages::{Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope};
 use grebeusher_tier::node::Node;
-use grebeusher_tier::start::Start;
+use grebeusher_tier::runtime::start::Start;
 use grebeusher_time::Duration;
 use grebeusher_transport::link::{FrameDecoder, Hello, encode_frame, encode_hello};
 use nanoserde::{DeBin, SerBin};
--- a/crates/tier/tests/single_node/network.rs
+++ b/crates/tier/tests/single_node/network.rs
@@ -2,8 +2,8 @@
 
 use grebeusher_quorum::Restored;
 use grebeusher_quorum::disk::{Identity, StoreError};
-use grebeusher_tier::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_tier::node::keys;
+use grebeusher_tier::runtime::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use std::cell::RefCell;
--- a/crates/tier/tests/stable_bytes.rs
+++ b/crates/tier/tests/stable_bytes.rs
@@ -1,8 +1,8 @@
 //! Bytes written by earlier versions that this one must read and write unchanged: what nodes say to each other beside the
 //! registry's and the replicas' own messages.
 
-use grebeusher_tier::leaders::{LedPartition, LedPartitions};
-use grebeusher_tier::messages::{
+use grebeusher_tier::control::leader_index::{LedPartition, LedPartitions};
+use grebeusher_tier::links::messages::{
     BatchLoad, Call, CallEnvelope, CallNumber, Channel, OfferJob, QuorumEnvelope, Reply, ReplyEnvelope,
     SubmitJob,
 };
--- a/crates/tier/tests/stable_log.rs
+++ b/crates/tier/tests/stable_log.rs
@@ -7,10 +7,12 @@
 use grebeusher_quorum::{
     Blob, Entry, Group, HardState, Index, Payload, Position, ReplicaId, Restored, Snapshot, Term, Write,
 };
-use grebeusher_tier::io::{Listener, PartitionStore, Signalled, Stream, World};
-use grebeusher_tier::messages::{Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope, SubmitJob};
+use grebeusher_tier::links::messages::{
+    Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope, SubmitJob,
+};
 use grebeusher_tier::node::Node;
-use grebeusher_tier::start::Start;
+use grebeusher_tier::runtime::io::{Listener, PartitionStore, Signalled, Stream, World};
+use grebeusher_tier::runtime::start::Start;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::link::{FrameDecoder, Hello, encode_frame, encode_hello};
 use grebeusher_transport::poller::Event;
--- a/crates/tier/tests/stable_state.rs
+++ b/crates/tier/tests/stable_state.rs
@@ -4,7 +4,7 @@
     Entry, Header, ItemIndex, ItemResult, ItemSpec, JobId, JobResults, JobTerms, Jobs, ResultState,
     SharedBytes, Submission,
 };
-use grebeusher_tier::batch_partition::BatchPartition;
+use grebeusher_tier::batch::partition::BatchPartition;
 use rstest::rstest;
 
 const EMPTY: &[u8] = b"\x02\x00\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x00\x00";
--- a/crates/tier/tests/stable_words.rs
+++ b/crates/tier/tests/stable_words.rs
@@ -7,8 +7,8 @@
 use std::process::{Command, Output};
 
 use grebeusher_gateway::{PromptParts, ServerLoad, TokenCount};
-use grebeusher_tier::header_names as names;
-use grebeusher_tier::messages::{Call, Reply};
+use grebeusher_tier::links::messages::{Call, Reply};
+use grebeusher_tier::requests::header_names as names;
 use grebeusher_time::Duration;
 use rstest::rstest;
 use single_node::{SingleNode, answer, plain_answer};
--- a/crates/tier/tests/stop.rs
+++ b/crates/tier/tests/stop.rs
@@ -1,7 +1,7 @@
 //! What a process that was told to stop still takes on.
 
 use grebeusher_configuration::configuration::{Configuration, Route};
-use grebeusher_tier::stop::Departure;
+use grebeusher_tier::runtime::stop::Departure;
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rstest::rstest;
 
--- a/crates/tier/tests/wrong_caller.rs
+++ b/crates/tier/tests/wrong_caller.rs
@@ -3,7 +3,7 @@
 
 mod single_node;
 
-use grebeusher_tier::messages::{Call, Reply};
+use grebeusher_tier::links::messages::{Call, Reply};
 use grebeusher_time::Duration;
 use rstest::rstest;
 use single_node::{SingleNode, answer, plain_answer, request, status_of};
