--- a/crates/bench-adapter/tests/stable_words.rs
+++ b/crates/bench-adapter/tests/stable_words.rs
@@ -134,39 +134,39 @@
 #[test]
 fn what_is_wrong_in_a_line_is_refused_in_one_line() {
     let cases = [
-        ("{}", "grebeusher-benchlink: line 5: unknown message type \"\""),
-        (r#"{"type":"other"}"#, "grebeusher-benchlink: line 5: unknown message type \"other\""),
-        (r#"{"type":"born","who":4}"#, "grebeusher-benchlink: line 5: no facts"),
-        (r#"{"type":"born","facts":{}}"#, "grebeusher-benchlink: line 5: no instance named"),
+        ("{}", "grebeusher-bench-adapter: line 5: unknown message type \"\""),
+        (r#"{"type":"other"}"#, "grebeusher-bench-adapter: line 5: unknown message type \"other\""),
+        (r#"{"type":"born","who":4}"#, "grebeusher-bench-adapter: line 5: no facts"),
+        (r#"{"type":"born","facts":{}}"#, "grebeusher-bench-adapter: line 5: no instance named"),
         (
             r#"{"type":"born","who":4,"facts":{}}"#,
-            "grebeusher-benchlink: line 5: tariffs: expected a list of at least one tariff, found nothing",
+            "grebeusher-bench-adapter: line 5: tariffs: expected a list of at least one tariff, found nothing",
         ),
-        (r#"{"type":"detach","who":9}"#, "grebeusher-benchlink: line 5: no instance 9"),
-        (r#"{"type":"bell","who":9}"#, "grebeusher-benchlink: line 5: no instance 9"),
-        (r#"{"type":"bell"}"#, "grebeusher-benchlink: line 5: no instance named"),
+        (r#"{"type":"detach","who":9}"#, "grebeusher-bench-adapter: line 5: no instance 9"),
+        (r#"{"type":"bell","who":9}"#, "grebeusher-bench-adapter: line 5: no instance 9"),
+        (r#"{"type":"bell"}"#, "grebeusher-bench-adapter: line 5: no instance named"),
         (
             r#"{"type":"membership","who":3,"mode":"all"}"#,
-            "grebeusher-benchlink: line 5: unknown membership mode \"all\"",
+            "grebeusher-bench-adapter: line 5: unknown membership mode \"all\"",
         ),
         (
             r#"{"type":"membership","who":3,"mode":"whole","elements":[{"executor":"a","stage_state":"UP"}]}"#,
-            "grebeusher-benchlink: line 5: unknown stage_state \"UP\"",
+            "grebeusher-bench-adapter: line 5: unknown stage_state \"UP\"",
         ),
-        (r#"{"type":"work_item","who":3}"#, "grebeusher-benchlink: line 5: no msg_id"),
+        (r#"{"type":"work_item","who":3}"#, "grebeusher-bench-adapter: line 5: no msg_id"),
         (
             r#"{"type":"returned","who":3,"msg_id":"unit-1","executor":"a","disposition":"well"}"#,
-            "grebeusher-benchlink: line 5: unknown disposition \"well\"",
+            "grebeusher-bench-adapter: line 5: unknown disposition \"well\"",
         ),
         (
             r#"{"type":"returned","who":3,"msg_id":"unit-1","disposition":"done"}"#,
-            "grebeusher-benchlink: line 5: no executor",
+            "grebeusher-bench-adapter: line 5: no executor",
         ),
-        (r#"{"type":"from_peer","who":3,"from":4}"#, "grebeusher-benchlink: line 5: no payload"),
-        (r#"{"type":"from_peer","who":3,"payload":"00"}"#, "grebeusher-benchlink: line 5: no sender"),
+        (r#"{"type":"from_peer","who":3,"from":4}"#, "grebeusher-bench-adapter: line 5: no payload"),
+        (r#"{"type":"from_peer","who":3,"payload":"00"}"#, "grebeusher-bench-adapter: line 5: no sender"),
         (
             r#"{"type":"from_peer","who":3,"from":4,"payload":"x"}"#,
-            "grebeusher-benchlink: line 5: payload \"x\": Odd number of digits",
+            "grebeusher-bench-adapter: line 5: payload \"x\": Odd number of digits",
         ),
     ];
     for (line, refused) in cases {
