--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -10,7 +10,7 @@
 use grebeusher_dispatch::ids::{AllocationId, ExecutorId};
 use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report, Standing};
 use grebeusher_dispatch::time::{Duration, Instant};
-use grebeusher_node_config::ReportPlaces;
+use grebeusher_node_config::ReportLayout;
 use serde::Deserialize;
 use serde_json::Value;
 use std::borrow::Cow;
@@ -85,7 +85,7 @@
 struct Instance {
     dispatcher: Dispatcher<Wire>,
     door: Rc<RefCell<Door>>,
-    places: ReportPlaces,
+    places: ReportLayout,
 }
 
 impl Instance {
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -1,8 +1,8 @@
 //! The counterpart of a posting: what was written for the old shape of a deployment, as the new one needs it. What
 //! need not change passes through untouched, also what nobody here has heard of.
 
-use grebeusher_node_config::posting::Posting;
-use grebeusher_node_config::{FIELDS_READ, ListComes};
+use grebeusher_node_config::node_settings::NodeSettings;
+use grebeusher_node_config::{RegistryMode, USED_REPORT_FIELDS};
 use serde_json::{Map, Value, json};
 use std::fmt;
 
@@ -126,19 +126,19 @@
         Ok(())
     }
 
-    fn reports(&mut self, old: &Posting, shape: &Shape) {
+    fn reports(&mut self, old: &NodeSettings, shape: &Shape) {
         if !shape.report_fields.is_empty() {
             let fields = json!(shape.report_fields);
             self.set("report", "fields", fields, json!([]), "what the new executors report");
-            for read in FIELDS_READ {
+            for read in USED_REPORT_FIELDS {
                 let is = |fields: &[String]| fields.iter().any(|field| field == read);
-                if is(&old.charter.report_fields) && !is(&shape.report_fields) {
+                if is(&old.settings.report_fields) && !is(&shape.report_fields) {
                     let why = format!("{read}: the node reads it and the new executors do not report it");
                     self.remark("settings.report.fields", Fate::NotCarried, why);
                 }
             }
-            for unread in shape.report_fields.iter().filter(|f| !FIELDS_READ.contains(&f.as_str())) {
-                if !old.charter.report_fields.contains(unread) {
+            for unread in shape.report_fields.iter().filter(|f| !USED_REPORT_FIELDS.contains(&f.as_str())) {
+                if !old.settings.report_fields.contains(unread) {
                     let why = format!("{unread}: reported, and read by no decision");
                     self.remark("settings.report.fields", Fate::NotCarried, why);
                 }
@@ -150,8 +150,8 @@
 /// The counterpart of an old posting, and what became of its keys. Both the old one and the new one are checked as
 /// the node checks its posting.
 pub fn counterpart(old: &Value, shape: &Shape) -> Result<(Value, Vec<Remark>), String> {
-    let posting = Posting::read(old)?;
-    if posting.charter.list_comes == ListComes::Unasked {
+    let posting = NodeSettings::read(old).map_err(|error| error.to_string())?;
+    if posting.settings.registry_mode == RegistryMode::Automatic {
         return Err("settings.registry_mode: automatic: this posting is of the new shape already".to_owned());
     }
     let mut new = old.clone();
@@ -187,11 +187,11 @@
         let why = "whether executors tell of starts";
         moved.set("family_info", "tells_start", json!(starts), json!(false), why);
     }
-    moved.zones(&posting.charter.zones, shape)?;
+    moved.zones(&posting.settings.zones, shape)?;
     moved.reports(&posting, shape);
     let mut remarks = moved.remarks;
     remarks.extend(leave_behind(&mut new, shape));
-    Posting::read(&new).map_err(|what| format!("the counterpart would not do: {what}"))?;
+    NodeSettings::read(&new).map_err(|what| format!("the counterpart would not do: {what}"))?;
     Ok((new, remarks))
 }
 
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -1,50 +1,82 @@
-//! The charter: the object that says at start what a deployment promises, the same on the users' bench and on
-//! sockets. Everything that reads and checks it is here, and so is the file that a node on sockets is told it in.
+//! Settings of the older program, read and checked: what a deployment promises ([`DeploymentSettings`], the same object on the
+//! users' bench and on sockets), the file of a node ([`node_settings`]), and the operators' files for further listeners
+//! ([`frontends`]), for nodes that know of each other ([`fleet`]) and for planned maintenance ([`plan`]).
+//!
+//! Keys and values are those of the users' and operators' pages; this is the one place where they are translated to the
+//! names of the code. What is wrong is a [`ConfigError`], which names the key and what was expected.
+//!
+//! ```
+//! use grebeusher_node_config::DeploymentSettings;
+//!
+//! let refused = DeploymentSettings::read(&serde_json::json!({"tariffs": []})).unwrap_err();
+//! assert_eq!(refused.to_string(), "tariffs: expected a list of at least one tariff, found []");
+//! ```
 
+#![warn(missing_docs)]
+
+mod error;
 pub mod fleet;
-pub mod fronts;
+pub mod frontends;
+pub mod node_settings;
+mod object;
 pub mod plan;
-pub mod posting;
-mod section;
+mod toml_file;
+
+pub use error::ConfigError;
 
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::host::Host;
 use grebeusher_dispatch::tariffs::{Allowance, ColdStart, Effect, Further, Group, Report, Tariff};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
-use section::Section;
+use object::Object;
 use serde_json::Value;
 
-/// How the list of executors reaches a node.
+/// How the list of executors reaches a node (`registry_mode`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListComes {
-    Unasked,
-    ToWhoAsks,
+pub enum RegistryMode {
+    /// It is sent to every node (`automatic`).
+    Automatic,
+    /// A node has to ask for it (`subscribe`).
+    Subscribe,
 }
 
-/// In what load reports come.
+/// How executors report their load (`report.via`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
-    InAnswers,
-    InProbes,
-    Never,
+pub enum ReportTransport {
+    /// In the answers to work (`piggyback`).
+    Piggyback,
+    /// In answers to probes (`pull`).
+    Pull,
+    /// Not at all (`silent`).
+    Silent,
 }
 
-/// What a deployment promises, checked. What stands for an index elsewhere is a place in one of its lists.
+/// What a deployment promises, checked. Tariffs, customers, zones and kinds are referred to elsewhere by their index in
+/// these lists.
 #[derive(Clone, Debug)]
-pub struct Charter {
+pub struct DeploymentSettings {
+    /// The tariffs' names, by index.
     pub tariff_names: Vec<String>,
+    /// The customers' names, by index.
     pub customer_names: Vec<String>,
+    /// The zones' names, by index.
     pub zones: Vec<String>,
+    /// The kinds of executors, by index.
     pub kinds: Vec<String>,
-    pub list_comes: ListComes,
-    /// Whether nodes may send each other words.
+    /// How the list of executors comes.
+    pub registry_mode: RegistryMode,
+    /// Whether nodes may send each other messages.
     pub peers: bool,
+    /// Whether executors are probed for their load: only where it is reported in no other way.
     pub probes: bool,
-    /// When executors close idle connections at the latest, and when one has come up or never will.
+    /// How long an executor keeps an idle connection at least. Default 15 s.
     pub idle: Duration,
-    pub dial_within: Duration,
+    /// How long connecting to an executor may take. Default 250 ms.
+    pub connect_timeout: Duration,
+    /// The fields of a load report, in the order in which their values come.
     pub report_fields: Vec<String>,
-    pub places: ReportPlaces,
+    /// Which of them the decisions use.
+    pub places: ReportLayout,
     tariffs: Vec<Tariff>,
     allowance: Allowance,
     cold: ColdStart,
@@ -61,60 +93,69 @@
 const IDLE: Duration = Duration::from_millis(15_000);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-impl Charter {
-    /// Reads and checks a charter; the error names the key and what was expected.
-    pub fn read(charter: &Value) -> Result<Charter, String> {
-        let whole = Section::whole(charter)?;
-        let (caps, family, report) = (whole.part("caps")?, whole.part("family_info")?, whole.part("report")?);
-        let (zones, kinds) = (whole.texts("zones")?, whole.texts("kinds")?);
-        let tariffs = whole.parts("tariffs")?;
-        let tenants = whole.parts("tenants")?;
+impl DeploymentSettings {
+    /// Reads and checks the settings.
+    ///
+    /// # Errors
+    /// A key is missing, of the wrong type, out of range or an unknown word.
+    pub fn read(settings: &Value) -> Result<DeploymentSettings, ConfigError> {
+        let root = Object::root(settings)?;
+        let (caps, family, report) =
+            (root.object("caps")?, root.object("family_info")?, root.object("report")?);
+        let (zones, kinds) = (root.texts("zones")?, root.texts("kinds")?);
+        let tariffs = root.objects("tariffs")?;
+        let tenants = root.objects("tenants")?;
         let reports = report
             .word(
                 "via",
-                &[("piggyback", Reports::InAnswers), ("pull", Reports::InProbes), ("silent", Reports::Never)],
+                &[
+                    ("piggyback", ReportTransport::Piggyback),
+                    ("pull", ReportTransport::Pull),
+                    ("silent", ReportTransport::Silent),
+                ],
             )?
-            .unwrap_or(Reports::InAnswers);
+            .unwrap_or(ReportTransport::Piggyback);
         let report_fields = report.texts("fields")?;
         let tells_free_slots = family.text("report_x0")? == Some("free slots");
-        let list_comes = whole.word(
+        let registry_mode = root.word(
             "registry_mode",
-            &[("automatic", ListComes::Unasked), ("subscribe", ListComes::ToWhoAsks)],
+            &[("automatic", RegistryMode::Automatic), ("subscribe", RegistryMode::Subscribe)],
         )?;
         let retry_after = caps.flag("retry_after")?;
-        let longest_come_back = if retry_after { Some(caps.due_span("max_retry_after_ns")?) } else { None };
-        let nodes = whole.count("fleet_size", 1..=u64::MAX)?.unwrap_or(1);
-        let zone = whole.count("az", 0..=(zones.len().max(1) as u64 - 1))?.unwrap_or(0);
-        Ok(Charter {
+        let longest_come_back =
+            if retry_after { Some(caps.required_duration("max_retry_after_ns")?) } else { None };
+        let nodes = root.count("fleet_size", 1..=u64::MAX)?.unwrap_or(1);
+        let zone = root.count("az", 0..=(zones.len().max(1) as u64 - 1))?.unwrap_or(0);
+        Ok(DeploymentSettings {
             tariff_names: names(&tariffs)?,
             customer_names: names(&tenants)?,
-            list_comes: list_comes.unwrap_or(ListComes::ToWhoAsks),
+            registry_mode: registry_mode.unwrap_or(RegistryMode::Subscribe),
             peers: caps.flag("peers")?,
             // The design probes where reports come in no other way.
-            probes: caps.flag("may_probe")? && reports == Reports::InProbes,
-            idle: caps.span("conn_idle_ns")?.unwrap_or(IDLE),
-            dial_within: caps
-                .span("dial_timeout_ns")?
-                .filter(|span| span.nanos() > 0)
+            probes: caps.flag("may_probe")? && reports == ReportTransport::Pull,
+            idle: caps.duration("conn_idle_ns")?.unwrap_or(IDLE),
+            connect_timeout: caps
+                .duration("dial_timeout_ns")?
+                .filter(|timeout| timeout.nanos() > 0)
                 .unwrap_or(CONNECT_TIMEOUT),
-            places: ReportPlaces::of(&report_fields, tells_free_slots),
+            places: ReportLayout::of(&report_fields, tells_free_slots),
             report_fields,
-            tariffs: read_tariffs(&whole, &family, &tariffs, kinds.len())?,
+            tariffs: read_tariffs(&root, &family, &tariffs, kinds.len())?,
             allowance: Allowance {
                 most_allocations: caps.count("most_allocations", 1..=1000)?.unwrap_or(1) as usize,
                 second_copies: caps.flag("second_copies")?,
                 recalls: caps.flag("cancelling")?,
                 recalls_stop: false,
-                patience_off: whole.part("contract")?.span("deadline_error_ns")?.unwrap_or_default(),
-                further: further(&whole.part("contract")?)?,
-                grace: whole.part("contract")?.span("stop_sending_within_ns")?.unwrap_or_default(),
+                patience_off: root.object("contract")?.duration("deadline_error_ns")?.unwrap_or_default(),
+                further: further(&root.object("contract")?)?,
+                grace: root.object("contract")?.duration("stop_sending_within_ns")?.unwrap_or_default(),
                 longest_come_back,
             },
-            cold: cold_start(&whole.part("contract")?)?,
+            cold: cold_start(&root.object("contract")?)?,
             starts: family.flag("tells_start")?,
-            progress: family.span("progress_ns")?.filter(|pace| pace.nanos() > 0),
+            progress: family.duration("progress_ns")?.filter(|pace| pace.nanos() > 0),
             quotas: quotas(&tenants)?,
-            node: whole.count("me", 0..=nodes - 1)?.unwrap_or(0),
+            node: root.count("me", 0..=nodes - 1)?.unwrap_or(0),
             nodes,
             zone: zone as usize,
             zones,
@@ -179,7 +220,7 @@
         self.allowance.recalls_stop = stop && self.allowance.recalls;
     }
 
-    /// A dispatcher that acts through `host` under this charter. `asks_list`: the list comes only to those who ask
+    /// A dispatcher that acts through `host` under this settings. `asks_list`: the list comes only to those who ask
     /// on this wire; `talks`: words between nodes have a form on it.
     pub fn dispatcher<H: Host>(&self, host: H, seed: u64, asks_list: bool, talks: bool) -> Dispatcher<H> {
         Dispatcher::new(host, seed, self.node, self.nodes, self.tariffs.clone())
@@ -193,44 +234,44 @@
 }
 
 /// The share of each customer, and none for who is not among them, where there are some.
-fn quotas(tenants: &[Section]) -> Result<Vec<f64>, String> {
-    let quota = |tenant: &Section| Ok(tenant.number("quota_per_s", 0.0..=f64::MAX)?.unwrap_or(f64::INFINITY));
-    let mut quotas = tenants.iter().map(quota).collect::<Result<Vec<f64>, String>>()?;
+fn quotas(tenants: &[Object]) -> Result<Vec<f64>, ConfigError> {
+    let quota = |tenant: &Object| Ok(tenant.number("quota_per_s", 0.0..=f64::MAX)?.unwrap_or(f64::INFINITY));
+    let mut quotas = tenants.iter().map(quota).collect::<Result<Vec<f64>, ConfigError>>()?;
     if !quotas.is_empty() {
         quotas.push(0.0);
     }
     Ok(quotas)
 }
 
-fn names(parts: &[Section]) -> Result<Vec<String>, String> {
+fn names(parts: &[Object]) -> Result<Vec<String>, ConfigError> {
     parts.iter().map(|part| Ok(part.text("name")?.unwrap_or_default().to_owned())).collect()
 }
 
-/// What the settings say of an effect, before its group and memory span are read.
+/// The effect of a tariff's work, before its group and memory span are read.
 #[derive(Clone, Copy)]
-enum Word {
+enum EffectKind {
     Retriable,
     Fingerprinted,
     Binding,
 }
 
 fn read_tariffs(
-    whole: &Section,
-    family: &Section,
-    tariffs: &[Section],
+    root: &Object,
+    family: &Object,
+    tariffs: &[Object],
     kinds: usize,
-) -> Result<Vec<Tariff>, String> {
+) -> Result<Vec<Tariff>, ConfigError> {
     if tariffs.is_empty() {
-        return Err(whole.wrong("tariffs", "a list of at least one tariff"));
+        return Err(root.invalid("tariffs", "a list of at least one tariff"));
     }
     let stretches = family.one_each("class_stretch", tariffs.len(), 0.0..=1e6)?;
     let most = if kinds == 0 { 1e6 } else { kinds as f64 - 1.0 };
     let only_kinds = family.one_each("class_kind", tariffs.len(), -1.0..=most)?;
     let at = |list: &Option<Vec<f64>>, at: usize| list.as_ref().map(|list| list[at]);
     let words = [
-        ("read_like", Word::Retriable),
-        ("idempotency_key", Word::Fingerprinted),
-        ("non_idempotent", Word::Binding),
+        ("read_like", EffectKind::Retriable),
+        ("idempotency_key", EffectKind::Fingerprinted),
+        ("non_idempotent", EffectKind::Binding),
     ];
     let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
     tariffs
@@ -239,20 +280,20 @@
         .map(|(place, tariff)| {
             // A wrong group is refused also where none is needed.
             tariff.word("group", &groups)?;
-            let effect = match tariff.due_word("effect", &words)? {
-                Word::Retriable => Effect::Retriable,
-                Word::Binding => Effect::Binding,
-                Word::Fingerprinted => Effect::Fingerprinted {
-                    group: tariff.due_word("group", &groups)?,
-                    memory_span: tariff.due_span("memory_span_ns")?,
+            let effect = match tariff.required_word("effect", &words)? {
+                EffectKind::Retriable => Effect::Retriable,
+                EffectKind::Binding => Effect::Binding,
+                EffectKind::Fingerprinted => Effect::Fingerprinted {
+                    group: tariff.required_word("group", &groups)?,
+                    memory_span: tariff.required_duration("memory_span_ns")?,
                 },
             };
             let stretch = tariff.number("aim_stretch", 0.0..=1e6)?.or(at(&stretches, place));
             Ok(Tariff {
                 effect,
-                quoted_time: tariff.due_span("quoted_time_ns")?,
+                quoted_time: tariff.required_duration("quoted_time_ns")?,
                 stretch: stretch.unwrap_or(0.0),
-                patience: tariff.due_span("patience_ns")?,
+                patience: tariff.required_duration("patience_ns")?,
                 earnings: tariff.number("earnings", 0.0..=f64::MAX)?.unwrap_or(1.0),
                 kind: at(&only_kinds, place).filter(|&kind| kind >= 0.0).map(|kind| kind as usize),
             })
@@ -261,20 +302,20 @@
 }
 
 /// The budget of further allocations, where there is one: all of it must be told.
-fn further(contract: &Section) -> Result<Option<Further>, String> {
-    let Some(span) = contract.span("budget_span_ns")? else { return Ok(None) };
-    let free = contract.due_number("extra_free", 0.0..=1e9)?;
-    Ok(Some(Further { span, free, share: contract.due_number("further_ratio", 0.0..=1e3)? }))
+fn further(contract: &Object) -> Result<Option<Further>, ConfigError> {
+    let Some(span) = contract.duration("budget_span_ns")? else { return Ok(None) };
+    let free = contract.required_number("extra_free", 0.0..=1e9)?;
+    Ok(Some(Further { span, free, share: contract.required_number("further_ratio", 0.0..=1e3)? }))
 }
 
 /// What is promised of cold executors must be told: nobody can keep to what is not known.
-fn cold_start(contract: &Section) -> Result<ColdStart, String> {
+fn cold_start(contract: &Object) -> Result<ColdStart, ConfigError> {
     Ok(ColdStart {
-        share: contract.due_number("cold_share", 0.0..=1.0)?,
-        warm_within: Duration::from_nanos(contract.due_number("warm_within_ns", 0.0..=1e18)? as u64),
-        fall_factor: contract.due_number("overload_factor", 0.0..=1e6)?,
-        fall_window: contract.due_span("fall_ns")?,
-        starts_off: contract.span("ready_margin_ns")?.unwrap_or_default(),
+        share: contract.required_number("cold_share", 0.0..=1.0)?,
+        warm_within: Duration::from_nanos(contract.required_number("warm_within_ns", 0.0..=1e18)? as u64),
+        fall_factor: contract.required_number("overload_factor", 0.0..=1e6)?,
+        fall_window: contract.required_duration("fall_ns")?,
+        starts_off: contract.duration("ready_margin_ns")?.unwrap_or_default(),
         from: Instant(0),
     })
 }
@@ -282,19 +323,19 @@
 const UTILISATION: &str = "load_share";
 const FREE_SLOTS: &str = "x0";
 /// The fields of a load report that the decisions use.
-pub const FIELDS_READ: [&str; 2] = [UTILISATION, FREE_SLOTS];
+pub const USED_REPORT_FIELDS: [&str; 2] = [UTILISATION, FREE_SLOTS];
 
 /// Which places of a load report hold the values that the decisions use.
 #[derive(Clone, Copy, Debug)]
-pub struct ReportPlaces {
+pub struct ReportLayout {
     utilisation: Option<usize>,
     free_slots: Option<usize>,
 }
 
-impl ReportPlaces {
-    fn of(fields: &[String], tells_free_slots: bool) -> ReportPlaces {
+impl ReportLayout {
+    fn of(fields: &[String], tells_free_slots: bool) -> ReportLayout {
         let place = |name: &str| fields.iter().position(|field| field == name);
-        ReportPlaces {
+        ReportLayout {
             utilisation: place(UTILISATION),
             free_slots: place(FREE_SLOTS).filter(|_| tells_free_slots),
         }
--- a/crates/node-config/tests/stories.rs
+++ b/crates/node-config/tests/settings.rs
@@ -1,12 +1,12 @@
-//! What the charter takes, and in which words it refuses the rest.
+//! What the settings takes, and in which words it refuses the rest.
 
 use grebeusher_dispatch::time::DurationExt;
-use grebeusher_node_config::fleet::Fleet;
-use grebeusher_node_config::posting::Posting;
-use grebeusher_node_config::{Charter, ListComes};
+use grebeusher_node_config::fleet::FleetSettings;
+use grebeusher_node_config::node_settings::NodeSettings;
+use grebeusher_node_config::{DeploymentSettings, RegistryMode};
 use serde_json::{Value, json};
 
-/// The least that a charter must hold, for two tariffs.
+/// The least that a settings must hold, for two tariffs.
 fn least() -> Value {
     json!({"contract": {"cold_share": 0.15, "warm_within_ns": 24e9, "overload_factor": 2.5, "fall_ns": 1e9},
         "tariffs": [
@@ -16,8 +16,8 @@
 }
 
 fn with(pointer: &str, value: Value) -> Value {
-    let mut charter = least();
-    let mut at = &mut charter;
+    let mut settings = least();
+    let mut at = &mut settings;
     for key in pointer.split('/') {
         at = match key.parse::<usize>() {
             Ok(place) => &mut at[place],
@@ -25,17 +25,17 @@
         };
     }
     *at = value;
-    charter
+    settings
 }
 
 #[test]
 fn what_is_absent_or_null_or_unheard_of_does_no_harm() {
-    for charter in [least(), with("caps", Value::Null), with("a_new_key", json!([1, "x"]))] {
-        let charter = Charter::read(&charter).expect("it is whole");
-        assert_eq!(charter.list_comes, ListComes::ToWhoAsks);
-        assert!(!charter.peers && !charter.probes && !charter.recalls());
+    for settings in [least(), with("caps", Value::Null), with("a_new_key", json!([1, "x"]))] {
+        let settings = DeploymentSettings::read(&settings).expect("it is whole");
+        assert_eq!(settings.registry_mode, RegistryMode::Subscribe);
+        assert!(!settings.peers && !settings.probes && !settings.recalls());
         assert!(
-            charter.idle.nanos() > 0 && charter.dial_within.nanos() > 0,
+            settings.idle.nanos() > 0 && settings.connect_timeout.nanos() > 0,
             "nothing falls silently to zero"
         );
     }
@@ -107,7 +107,7 @@
         ("tenants", json!(["x"]), "tenants[0]: expected an object, found \"x\""),
     ];
     for (key, value, expected) in wrong {
-        let what = Charter::read(&with(key, value)).expect_err(key);
+        let what = DeploymentSettings::read(&with(key, value)).expect_err(key).to_string();
         assert!(what.starts_with(expected), "{key}: {what}");
     }
 }
@@ -117,7 +117,7 @@
     let posting = |key: &str, value: Value| {
         let mut posting = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": least()});
         posting[key] = value;
-        Posting::read(&posting)
+        NodeSettings::read(&posting)
     };
     assert_eq!(posting("seed", json!("8c1f30d27a5be964")).expect("it is whole").seed, 0x8c1f_30d2_7a5b_e964);
     for (key, value, expected) in [
@@ -132,7 +132,7 @@
         ("settings", with("caps/peers", json!("x")), "settings.caps.peers: expected true or false"),
         ("settings", with("tariffs/0/name", Value::Null), "settings.tariffs: expected a name for each"),
     ] {
-        let what = posting(key, value).expect_err(key);
+        let what = posting(key, value).expect_err(key).to_string();
         assert!(what.starts_with(expected), "{key}: {what}");
     }
 }
@@ -140,9 +140,9 @@
 #[test]
 fn the_file_of_how_nodes_behave_together_is_read_whole_and_off_as_shipped() {
     let shipped = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.toml");
-    assert!(!Fleet::of_file(&shipped).expect("it is whole").executors.recalls_stop_waiting);
+    assert!(!FleetSettings::of_file(&shipped).expect("it is whole").executors.recalls_stop_waiting);
     assert!(
-        Fleet::read("[executors]\nrecalls_stop_waiting = true")
+        FleetSettings::read("[executors]\nrecalls_stop_waiting = true")
             .expect("it is whole")
             .executors
             .recalls_stop_waiting
@@ -160,16 +160,16 @@
         ("[fellows]\nfleet = \"a\"\nsecret = \"long enough\"\ncontacts = []", "fellows.contacts, how many"),
         ("[fellows]\nfleet = \"a\"\nsecret = \"long enough\"\ncontacts = [\"here\"]", "fellows.contacts[0]"),
     ] {
-        assert!(Fleet::read(text).is_err_and(|wrong| wrong.contains(says)));
+        assert!(FleetSettings::read(text).is_err_and(|error| error.to_string().contains(says)));
     }
 }
 
 #[test]
 fn who_is_no_customer_takes_the_place_of_none() {
     // Failure: a request that named an unknown customer, or none, was counted against the share of the first.
-    let charter = with("tenants", json!([{"name": "a", "quota_per_s": 5}, {"name": "b"}]));
-    let charter = Charter::read(&charter).expect("it is whole");
-    assert_eq!([Some("a"), Some("b"), Some("c"), None].map(|name| charter.customer(name)), [0, 1, 2, 2]);
-    let without = Charter::read(&least()).expect("it is whole");
+    let settings = with("tenants", json!([{"name": "a", "quota_per_s": 5}, {"name": "b"}]));
+    let settings = DeploymentSettings::read(&settings).expect("it is whole");
+    assert_eq!([Some("a"), Some("b"), Some("c"), None].map(|name| settings.customer(name)), [0, 1, 2, 2]);
+    let without = DeploymentSettings::read(&least()).expect("it is whole");
     assert_eq!(without.customer(Some("a")), 0, "where there are no shares nobody is beyond one");
 }
--- a/crates/node-config/tests/stable_words.rs
+++ b/crates/node-config/tests/stable_words.rs
@@ -3,10 +3,10 @@
 
 use grebeusher_dispatch::time::Duration;
 use grebeusher_maintenance::{Plan, WhenLost};
-use grebeusher_node_config::fleet::Fleet;
-use grebeusher_node_config::fronts::Fronts;
-use grebeusher_node_config::posting::Posting;
-use grebeusher_node_config::{Charter, ListComes, plan};
+use grebeusher_node_config::fleet::FleetSettings;
+use grebeusher_node_config::frontends::FrontendSettings;
+use grebeusher_node_config::node_settings::NodeSettings;
+use grebeusher_node_config::{DeploymentSettings, RegistryMode, plan};
 use serde_json::Value;
 use std::path::Path;
 
@@ -178,7 +178,7 @@
 #[test]
 fn a_wrong_value_of_each_key_is_refused_in_one_line() {
     for (key, value, line) in WRONG {
-        let said = Posting::read(&with(key, value)).map(drop);
+        let said = NodeSettings::read(&with(key, value)).map(drop).map_err(|error| error.to_string());
         assert_eq!(said, Err((*line).to_owned()), "{key}");
     }
 }
@@ -186,7 +186,7 @@
 #[test]
 fn each_key_that_must_be_there_is_missed_in_one_line() {
     for (key, line) in MISSING {
-        let said = Posting::read(&without(key)).map(drop);
+        let said = NodeSettings::read(&without(key)).map(drop).map_err(|error| error.to_string());
         assert_eq!(said, Err((*line).to_owned()), "{key}");
     }
 }
@@ -196,14 +196,14 @@
     for (key, _) in OTHER.iter().filter(|(key, _)| !MISSING.iter().any(|(due, _)| due == key)) {
         // Where the zones or kinds are not named, nothing may refer to them.
         let refers = |said: &String| said.starts_with("settings.az:") || said.starts_with("settings.me:");
-        let said = Posting::read(&without(key)).map(drop);
+        let said = NodeSettings::read(&without(key)).map(drop).map_err(|error| error.to_string());
         assert!(said.is_ok() || said.is_err_and(|said| refers(&said)), "{key}");
     }
 }
 
 #[test]
 fn the_value_of_each_key_is_taken_up() {
-    let read = |config: &Value| format!("{:?}", Posting::read(config).expect("it is whole"));
+    let read = |config: &Value| format!("{:?}", NodeSettings::read(config).expect("it is whole"));
     let as_it_stands = read(&config());
     for (key, value) in OTHER {
         assert_ne!(read(&with(key, value)), as_it_stands, "{key}");
@@ -219,14 +219,14 @@
         ("settings/tariffs/1/group", &["all", "zone", "cell"]),
     ] {
         for word in words {
-            assert!(Posting::read(&with(key, &format!("{word:?}"))).is_ok(), "{key} {word}");
+            assert!(NodeSettings::read(&with(key, &format!("{word:?}"))).is_ok(), "{key} {word}");
         }
     }
 }
 
 #[test]
 fn a_complete_file_is_read_to_the_same_values() {
-    let posting = Posting::read(&config()).expect("it is whole");
+    let posting = NodeSettings::read(&config()).expect("it is whole");
     assert_eq!(posting.name, "n3");
     assert_eq!(posting.listen.to_string(), "127.0.0.1:8100");
     assert_eq!(posting.console.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:8101"));
@@ -234,35 +234,35 @@
     assert_eq!(posting.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!((posting.sockets, posting.memory_mb), (Some(4096), Some(512.5)));
     assert_eq!(posting.known, config()["known"]);
-    let charter = &posting.charter;
-    assert_eq!(charter.tariff_names, ["search", "order", "mail"]);
-    assert_eq!(charter.customer_names, ["lime", "plum"]);
-    assert_eq!(charter.zones, ["north", "south"]);
-    assert_eq!(charter.kinds, ["plain", "large"]);
-    assert_eq!(charter.report_fields, ["tps", "load_share", "x0"]);
-    assert_eq!(charter.list_comes, ListComes::Unasked);
-    assert!(charter.peers && charter.probes && charter.recalls() && charter.second_copies());
+    let settings = &posting.settings;
+    assert_eq!(settings.tariff_names, ["search", "order", "mail"]);
+    assert_eq!(settings.customer_names, ["lime", "plum"]);
+    assert_eq!(settings.zones, ["north", "south"]);
+    assert_eq!(settings.kinds, ["plain", "large"]);
+    assert_eq!(settings.report_fields, ["tps", "load_share", "x0"]);
+    assert_eq!(settings.registry_mode, RegistryMode::Automatic);
+    assert!(settings.peers && settings.probes && settings.recalls() && settings.second_copies());
     assert_eq!(
-        (charter.idle, charter.dial_within),
+        (settings.idle, settings.connect_timeout),
         (Duration::from_millis(9000), Duration::from_millis(300))
     );
-    assert_eq!((charter.zone(), charter.zone_name(), charter.place()), (1, "south", (3, 40)));
-    assert_eq!(charter.progress(), Some(Duration::from_millis(1000)));
+    assert_eq!((settings.zone(), settings.zone_name(), settings.place()), (1, "south", (3, 40)));
+    assert_eq!(settings.progress(), Some(Duration::from_millis(1000)));
     assert_eq!(
-        [0, 1, 2].map(|tariff| charter.patience(tariff)),
+        [0, 1, 2].map(|tariff| settings.patience(tariff)),
         [9000, 8000, 7000].map(Duration::from_millis)
     );
-    assert_eq!([0, 1, 2].map(|tariff| charter.is_binding(tariff)), [false, false, true]);
-    let report = charter.places.report(|place| Some(place as f64));
+    assert_eq!([0, 1, 2].map(|tariff| settings.is_binding(tariff)), [false, false, true]);
+    let report = settings.places.report(|place| Some(place as f64));
     assert_eq!((report.utilisation, report.free_slots), (Some(1.0), Some(2.0)));
 }
 
 #[test]
 fn what_is_no_object_or_no_file_is_refused_in_one_line() {
     let said = [
-        Charter::read(&Value::Bool(true)).map(drop),
-        Posting::read(&Value::Bool(true)).map(drop),
-        Posting::of_file(Path::new("no-such-file")).map(drop),
+        DeploymentSettings::read(&Value::Bool(true)).map(drop),
+        NodeSettings::read(&Value::Bool(true)).map(drop),
+        NodeSettings::of_file(Path::new("no-such-file")).map(drop),
     ];
     let lines = [
         "expected an object, found true",
@@ -270,20 +270,20 @@
         "no-such-file: No such file or directory (os error 2)",
     ];
     for (said, line) in said.into_iter().zip(lines) {
-        assert_eq!(said, Err(line.to_owned()));
+        assert_eq!(said.map_err(|error| error.to_string()), Err(line.to_owned()));
     }
 }
 
 #[test]
 fn a_complete_file_of_the_fleet_is_read_to_the_same_values() {
-    let fleet = Fleet::read(include_str!("data/fleet.toml")).expect("it is whole");
+    let fleet = FleetSettings::read(include_str!("data/fleet.toml")).expect("it is whole");
     assert!(fleet.executors.recalls_stop_waiting);
-    let fellows = fleet.fellows.expect("it is there");
+    let fellows = fleet.peers.expect("it is there");
     assert_eq!((&*fellows.fleet, &*fellows.secret, fellows.port), ("lipa", "what only the nodes know", 7947));
     assert_eq!(fellows.known_as.map(|at| at.to_string()).as_deref(), Some("10.1.0.7:7946"));
     let contacts: Vec<String> = fellows.contacts.iter().map(ToString::to_string).collect();
     assert_eq!(contacts, ["10.1.0.1:7946", "10.1.0.2:7946"]);
-    assert_eq!(fleet.keepers.expect("it is there").nodes, [0, 1, 2]);
+    assert_eq!(fleet.voters.expect("it is there").nodes, [0, 1, 2]);
     let budgets = fleet.budgets.expect("it is there");
     assert_eq!((budgets.lease(), budgets.edition, budgets.of.len()), (Duration::from_millis(2500), 9, 2));
     let (one, other) = (&budgets.of[0], &budgets.of[1]);
@@ -298,22 +298,22 @@
 
 #[test]
 fn a_complete_file_of_fronts_is_read_to_the_same_values() {
-    let fronts = Fronts::read(include_str!("data/fronts.toml")).expect("it is whole");
+    let fronts = FrontendSettings::read(include_str!("data/fronts.toml")).expect("it is whole");
     let faktory = fronts.faktory.expect("it is there");
     assert_eq!(faktory.listen.to_string(), "127.0.0.1:7419");
     assert_eq!(faktory.password.as_deref(), Some("what clients know"));
-    assert_eq!((faktory.most_connections(), faktory.fetched_within()), (65, Duration::from_millis(501)));
+    assert_eq!((faktory.max_connections(), faktory.fetch_timeout()), (65, Duration::from_millis(501)));
     assert_eq!(
-        (faktory.silent_after(), faktory.reserve_for()),
+        (faktory.heartbeat_timeout(), faktory.reservation()),
         (Duration::from_millis(61_000), Duration::from_millis(1_801_000))
     );
-    let ledger = fronts.ledger.expect("it is there");
+    let ledger = fronts.job_log.expect("it is there");
     assert_eq!(ledger.folder, Path::new("/var/lib/grebeusher/n3"));
-    assert_eq!((ledger.keep_answers(), ledger.most_jobs()), (Duration::from_millis(601_000), 10_001));
-    let checks = fronts.checks.expect("it is there");
+    assert_eq!((ledger.answer_ttl(), ledger.max_jobs()), (Duration::from_millis(601_000), 10_001));
+    let checks = fronts.health_checks.expect("it is there");
     assert_eq!(checks.agent.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:9001"));
     assert_eq!(checks.health.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:9002"));
-    assert_eq!(checks.apart(), Duration::from_millis(4));
+    assert_eq!(checks.min_interval(), Duration::from_millis(4));
 }
 
 #[test]
@@ -343,16 +343,16 @@
         first: texts(&["s-3"]),
         without: vec![9],
     };
-    assert_eq!(plan::read(include_str!("data/plan.toml")), Ok(expected));
+    assert_eq!(plan::read(include_str!("data/plan.toml")).expect("it is complete"), expected);
     let stops = include_str!("data/plan.toml").replace("\"go-on\"", "\"stop\"");
-    assert_eq!(plan::read(&stops).map(|plan| plan.when_lost), Ok(WhenLost::Stop));
+    assert_eq!(plan::read(&stops).expect("it is complete").when_lost, WhenLost::Stop);
 }
 
 #[test]
 fn the_files_as_shipped_are_read() {
     let shipped = |name: &str| Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name);
-    assert!(Fleet::of_file(&shipped("fleet.toml")).is_ok());
-    assert!(Fronts::of_file(&shipped("fronts.toml")).is_ok());
+    assert!(FleetSettings::of_file(&shipped("fleet.toml")).is_ok());
+    assert!(FrontendSettings::of_file(&shipped("fronts.toml")).is_ok());
     let text = std::fs::read_to_string(shipped("plan.toml")).expect("it is there");
     assert!(plan::read(&text).is_ok());
 }
@@ -360,13 +360,13 @@
 #[test]
 fn unknown_keys_and_wrong_values_of_the_operators_files_are_refused_in_one_line() {
     let said = [
-        Fleet::read("[budget]").map(drop),
-        Fleet::read("[executors]\nrecalls_stop_waiting = 1").map(drop),
-        Fleet::read("[fellows]\nfleet = \"a\"\nsecret = \"long enough\"").map(drop),
-        Fleet::read("[maintenance]").map(drop),
-        Fronts::read("[checks]").map(drop),
-        Fronts::read("[ledger]").map(drop),
-        Fronts::read("[faktory]\nlisten = \"127.0.0.1:1\"\nreserve_for_s = 0").map(drop),
+        FleetSettings::read("[budget]").map(drop),
+        FleetSettings::read("[executors]\nrecalls_stop_waiting = 1").map(drop),
+        FleetSettings::read("[fellows]\nfleet = \"a\"\nsecret = \"long enough\"").map(drop),
+        FleetSettings::read("[maintenance]").map(drop),
+        FrontendSettings::read("[checks]").map(drop),
+        FrontendSettings::read("[ledger]").map(drop),
+        FrontendSettings::read("[faktory]\nlisten = \"127.0.0.1:1\"\nreserve_for_s = 0").map(drop),
         plan::read("name = \"a\"").map(drop),
         plan::read(&include_str!("data/plan.toml").replace("\"go-on\"", "\"go\"")).map(drop),
     ];
@@ -382,7 +382,7 @@
         "when_lost: unknown variant `go`, expected `stop` or `go-on`",
     ];
     for (said, line) in said.into_iter().zip(lines) {
-        assert_eq!(said, Err(line.to_owned()));
+        assert_eq!(said.map_err(|error| error.to_string()), Err(line.to_owned()));
     }
 }
 
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -21,7 +21,7 @@
 use grebeusher_faktory::reservations;
 use grebeusher_job_log::book::{Due, Job};
 use grebeusher_maintenance::{Plan, Seen, View, ZoneSeen};
-use grebeusher_node_config::Charter;
+use grebeusher_node_config::DeploymentSettings;
 use grebeusher_transport::alarms::Alarms;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -301,7 +301,7 @@
 impl Exchange {
     pub fn open(
         seed: u64,
-        charter: &Charter,
+        settings: &DeploymentSettings,
         unit_ids: &UnitIds,
         (clients, executors, discovery): (Rc<dyn Front>, Rc<dyn Workers>, Rc<dyn List>),
         Beside { siblings, faktory, ledger, fellows }: Beside,
@@ -317,14 +317,14 @@
             faktory,
             ledger,
             fellows: fellows.clone(),
-            tariffs: charter.tariff_names.clone().into(),
-            recalls: charter.recalls(),
-            asks_back: charter.recalls() && !charter.second_copies(),
+            tariffs: settings.tariff_names.clone().into(),
+            recalls: settings.recalls(),
+            asks_back: settings.recalls() && !settings.second_copies(),
         };
         Exchange {
             counters: counters.clone(),
-            // Whatever the charter says: on sockets the list is told to those who ask, and words go to fellows.
-            dispatcher: charter.dispatcher(hands.clone(), seed, true, fellows.is_some()),
+            // Whatever the settings says: on sockets the list is told to those who ask, and words go to fellows.
+            dispatcher: settings.dispatcher(hands.clone(), seed, true, fellows.is_some()),
             known: BTreeMap::new(),
             gone: BTreeSet::new(),
             kept_cold: Instant(0),
@@ -332,12 +332,12 @@
             closed: Closed::These(BTreeSet::new()),
             unsure: None,
             hands,
-            reports: Reports::of(charter),
-            zones: charter.zones.clone(),
-            kinds: charter.kinds.clone(),
+            reports: Reports::of(settings),
+            zones: settings.zones.clone(),
+            kinds: settings.kinds.clone(),
             listed: false,
-            own_zone: charter.zone(),
-            stranger: charter.customer(None),
+            own_zone: settings.zone(),
+            stranger: settings.customer(None),
             unit_ids: unit_ids.clone(),
             siblings,
         }
@@ -1081,7 +1081,7 @@
     Listing { executor, name, standing, started: None, kind, zone, cell: 0, weight: 1.0, speaks: true }
 }
 
-/// The place of a name among those of the charter, a new one if it is not there.
+/// The place of a name among those of the settings, a new one if it is not there.
 fn place(names: &mut Vec<String>, name: &str) -> usize {
     names.iter().position(|n| n == name).unwrap_or_else(|| {
         names.push(name.to_owned());
--- a/crates/node/src/life/node.rs
+++ b/crates/node/src/life/node.rs
@@ -22,10 +22,10 @@
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_health_reporting::{Fitness, Seen, Stands, Verdict};
 use grebeusher_maintenance::Command;
-use grebeusher_node_config::fleet::Fleet;
-use grebeusher_node_config::fronts::Fronts;
-use grebeusher_node_config::posting::Posting;
-use grebeusher_node_config::{Charter, ListComes};
+use grebeusher_node_config::fleet::FleetSettings;
+use grebeusher_node_config::frontends::FrontendSettings;
+use grebeusher_node_config::node_settings::NodeSettings;
+use grebeusher_node_config::{DeploymentSettings, RegistryMode};
 use grebeusher_transport::listen;
 use grebeusher_transport::signals::Signals;
 use polling::{Event, Poller};
@@ -168,10 +168,11 @@
 impl Node {
     /// `inherited`: the clients' listening socket, where the platform holds it.
     pub fn start(posted: PathBuf, signals: Signals, inherited: Option<TcpListener>) -> Result<Node, String> {
-        let mut posting = Posting::of_file(&posted)?;
-        let fleet = env::var_os(FLEET).map(|path| Fleet::of_file(Path::new(&path))).transpose()?;
+        let mut posting = NodeSettings::of_file(&posted).map_err(|error| error.to_string())?;
+        let fleet = env::var_os(FLEET).map(|path| FleetSettings::of_file(Path::new(&path))).transpose();
+        let fleet = fleet.map_err(|error| error.to_string())?;
         if let Some(fleet) = &fleet {
-            posting.charter.recalls_stop(fleet.executors.recalls_stop_waiting);
+            posting.settings.recalls_stop(fleet.executors.recalls_stop_waiting);
         }
         let known =
             Version::deserialize(&posting.known).map_err(|e| format!("{}: known: {e}", posted.display()))?;
@@ -180,9 +181,9 @@
         let poller = Rc::new(Poller::new().map_err(|e| format!("no poller: {e}"))?);
         let common = (&poller, clock, &counters);
         poller.add(&signals, Event::readable(SIGNALS)).map_err(|e| format!("no signals: {e}"))?;
-        let (charter, room) = (&posting.charter, limits::room(posting.memory_mb));
-        let fronts = env::var_os(FRONTS).map(|path| Fronts::of_file(Path::new(&path))).transpose()?;
-        let fronts = fronts.unwrap_or_default();
+        let (settings, room) = (&posting.settings, limits::room(posting.memory_mb));
+        let fronts = env::var_os(FRONTS).map(|path| FrontendSettings::of_file(Path::new(&path))).transpose();
+        let fronts = fronts.map_err(|error| error.to_string())?.unwrap_or_default();
         // Only where the platform holds the socket can a second process be beside this one.
         let siblings = inherited.as_ref().map(|_| {
             Rc::new(Siblings::meet(
@@ -195,16 +196,16 @@
         let console_at = console_at(posting.console)?;
         let further = console_at.map_or(0, |_| calls::DESCRIPTORS)
             + siblings.as_ref().map_or(0, |_| sibling::DESCRIPTORS)
-            + fronts.checks.as_ref().map_or(0, |posted| posted.count() * calls::DESCRIPTORS)
-            + fleet.as_ref().and_then(|fleet| fleet.fellows.as_ref()).map_or(0, |_| fellows::DESCRIPTORS)
-            + fronts.faktory.as_ref().map_or(0, |posted| posted.most_connections() + 1);
+            + fronts.health_checks.as_ref().map_or(0, |posted| posted.count() * calls::DESCRIPTORS)
+            + fleet.as_ref().and_then(|fleet| fleet.peers.as_ref()).map_or(0, |_| fellows::DESCRIPTORS)
+            + fronts.faktory.as_ref().map_or(0, |posted| posted.max_connections() + 1);
         let (from_outside, to_executors) = limits::connections(posting.sockets, further);
         let unit_ids = UnitIds::default();
         let listener = inherited.map_or_else(|| listen::listen(posting.listen), Ok);
         let clients = listener.and_then(|listener| {
             Clients::listen(
                 listener,
-                charter,
+                settings,
                 &unit_ids,
                 (from_outside, room),
                 (LISTENER, key::<OUTSIDE>),
@@ -219,8 +220,8 @@
             console.map(Rc::new).map_err(|e| format!("console: {at}: {e}"))
         });
         let console = console.transpose()?;
-        let retire_after = retire_after(charter.idle);
-        let times = (charter.dial_within, retire_after);
+        let retire_after = retire_after(settings.idle);
+        let times = (settings.connect_timeout, retire_after);
         let spares = Rc::new(Spares::held(clock));
         let others = vec![clients.clone() as Rc<dyn Room>, spares.clone()];
         let executors = Rc::new(Executors::new(others, to_executors, times, key::<EXECUTOR>, common));
@@ -230,26 +231,26 @@
         let sides = (clients.clone() as _, executors.clone() as _, discovery.clone() as _);
         let faktory = fronts.faktory.as_ref().map(|posted| {
             let keys = (FAKTORY, key::<PEER> as fn(usize) -> usize);
-            let faktory = Faktory::listen(posted, charter, (posting.seed, &unit_ids), keys, common);
+            let faktory = Faktory::listen(posted, settings, (posting.seed, &unit_ids), keys, common);
             faktory.map(Rc::new).map_err(|e| format!("faktory.listen: {}: {e}", posted.listen))
         });
         let faktory = faktory.transpose()?;
-        let checks = fronts.checks.as_ref().map(|posted| {
+        let checks = fronts.health_checks.as_ref().map(|posted| {
             let keys = ((AGENT, key::<AGENT_CHECK> as fn(usize) -> usize), (HEALTH, key::<HEALTH_CALL> as _));
             Checks::listen(posted, keys, (&poller, clock)).map(Rc::new)
         });
         let checks = checks.transpose()?;
-        let ledger = fronts.ledger.as_ref().map(|posted| {
-            let ledger = Ledger::open(posted, charter.progress(), clock).map(Rc::new);
+        let ledger = fronts.job_log.as_ref().map(|posted| {
+            let ledger = Ledger::open(posted, settings.progress(), clock).map(Rc::new);
             ledger.map_err(|e| format!("ledger.folder: {}: {e}", posted.folder.display()))
         });
         let ledger = ledger.transpose()?;
-        let fellows = fleet.as_ref().and_then(|fleet| Some((fleet, fleet.fellows.as_ref()?)));
+        let fellows = fleet.as_ref().and_then(|fleet| Some((fleet, fleet.peers.as_ref()?)));
         let fellows = fellows.map(|(fleet, posted)| {
             let by = (FELLOWS, &poller, clock, &counters);
-            let names = (&charter.tariff_names[..], &charter.customer_names[..]);
-            let (own, count) = charter.place();
-            let place = (own, count, charter.zone_name());
+            let names = (&settings.tariff_names[..], &settings.customer_names[..]);
+            let (own, count) = settings.place();
+            let place = (own, count, settings.zone_name());
             let fellows = Fellows::meet(fleet, posted, names, posting.listen, place, posting.seed, by);
             fellows.map(Rc::new)
         });
@@ -261,7 +262,7 @@
             fellows: fellows.clone().map(|fellows| fellows as Rc<dyn Talk>),
         };
         let mut exchange =
-            Exchange::open(posting.seed, charter, &unit_ids, sides, beside, (clock, &counters));
+            Exchange::open(posting.seed, settings, &unit_ids, sides, beside, (clock, &counters));
         exchange.start();
         if fellows.as_ref().is_some_and(|fellows| !fellows.has_word()) {
             exchange.closes(Closed::All);
@@ -271,7 +272,7 @@
         // of discovery ever, and goes by that for good.
         exchange.list_proved(clock.now(), false);
         exchange.recover();
-        say_what_sockets_lack(charter, fellows.is_some());
+        say_what_sockets_lack(settings, fellows.is_some());
         if let Some(console) = &console {
             info!("console at {}", console.address().map_err(|e| e.to_string())?);
         }
@@ -285,7 +286,7 @@
         info!("{} listens at {listens}; {from_outside} + {to_executors} connections at most", posting.name);
         let phase = Phase::Starting;
         let answers_within =
-            (charter.longest_patience().min(MAX_STOP) + MORE_STOP).saturating_sub(STOP_MARGIN);
+            (settings.longest_patience().min(MAX_STOP) + MORE_STOP).saturating_sub(STOP_MARGIN);
         Ok(Node {
             phase,
             name: posting.name.clone(),
@@ -503,7 +504,10 @@
     /// Reads the operators' file of the fleet anew, where there is one: budgets may have changed in it.
     fn reload_fleet(&mut self) {
         let Some((fellows, path)) = self.fellows.as_ref().zip(env::var_os(FLEET)) else { return };
-        if let Err(what) = Fleet::of_file(Path::new(&path)).and_then(|fleet| fellows.reads(&fleet)) {
+        if let Err(what) = FleetSettings::of_file(Path::new(&path))
+            .map_err(|error| error.to_string())
+            .and_then(|fleet| fellows.reads(&fleet))
+        {
             self.counters.postings_bad.up();
             error!("what the nodes are told to do together stays as it is: {what}");
         }
@@ -513,7 +517,7 @@
     /// else has changed in the file waits for the next start; so does all of a file that can't be read.
     fn reload(&mut self) {
         self.reload_fleet();
-        match Posting::of_file(&self.posted) {
+        match NodeSettings::of_file(&self.posted) {
             Ok(posting) => {
                 self.counters.postings_read.up();
                 info!("the posting was read anew: discovery is at {}", posting.discovery);
@@ -669,7 +673,7 @@
         let command = match what {
             "submit" => {
                 let text = std::str::from_utf8(body).map_err(|_| "expected a plan in UTF-8".to_owned())?;
-                let mut plan = grebeusher_node_config::plan::read(text)?;
+                let mut plan = grebeusher_node_config::plan::read(text).map_err(|error| error.to_string())?;
                 self.exchange.completes(&mut plan)?;
                 Command::Submit(Box::new(plan))
             }
@@ -717,12 +721,12 @@
     Ok(posted.or(parsed.transpose()?))
 }
 
-/// Tells the operator which promises of the charter have no form on sockets.
-fn say_what_sockets_lack(charter: &Charter, has_fellows: bool) {
-    if charter.list_comes == ListComes::Unasked {
+/// Tells the operator which promises of the settings have no form on sockets.
+fn say_what_sockets_lack(settings: &DeploymentSettings, has_fellows: bool) {
+    if settings.registry_mode == RegistryMode::Automatic {
         info!("the list comes unasked, says the posting: on sockets a watch is kept for it all the same");
     }
-    if charter.peers && !has_fellows {
+    if settings.peers && !has_fellows {
         warn!(
             "nodes may send each other words, says the posting: sockets have no form for them, none is sent"
         );
--- a/crates/node/src/memory/counters.rs
+++ b/crates/node/src/memory/counters.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// One that is kept for each tariff, by its place in the charter.
+/// One that is kept for each tariff, by its place in the settings.
 #[derive(Default)]
 pub struct Tally(RefCell<Vec<u64>>);
 
--- a/crates/node/src/memory/ledger.rs
+++ b/crates/node/src/memory/ledger.rs
@@ -5,7 +5,7 @@
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_job_log::book::{Answer, Due, Job, Record};
 use grebeusher_job_log::log::Log;
-use grebeusher_node_config::fronts::Ledger as Posted;
+use grebeusher_node_config::frontends::JobLogSettings;
 use grebeusher_transport::alarms::Alarms;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -58,7 +58,7 @@
 
 impl Ledger {
     /// `pace`: how often executors tell of what runs.
-    pub fn open(posted: &Posted, pace: Option<Duration>, clock: Clock) -> io::Result<Ledger> {
+    pub fn open(posted: &JobLogSettings, pace: Option<Duration>, clock: Clock) -> io::Result<Ledger> {
         // As the decisions have it: so many paces without a word are no chance. Where nothing is told, a moment.
         const SILENT_PACES: f64 = 2.5;
         const UNTOLD: Duration = Duration::from_millis(2000);
@@ -68,8 +68,8 @@
         }
         Ok(Ledger {
             clock,
-            keep_ms: posted.keep_answers().nanos() / 1_000_000,
-            most: posted.most_jobs(),
+            keep_ms: posted.answer_ttl().nanos() / 1_000_000,
+            most: posted.max_jobs(),
             silent: pace.map_or(UNTOLD, |pace| pace.scaled(SILENT_PACES)),
             inside: RefCell::new(Inside {
                 log,
--- a/crates/node/src/memory/parts.rs
+++ b/crates/node/src/memory/parts.rs
@@ -2,7 +2,7 @@
 
 use grebeusher_budgets::{Ask, Grant, Holder, Key, Purse, Whole, Wholes};
 use grebeusher_dispatch::time::Instant;
-use grebeusher_node_config::fleet::{Budget, Budgets};
+use grebeusher_node_config::fleet::{Budget, BudgetSettings};
 
 /// What is spent of a budget.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -33,7 +33,7 @@
 
 pub struct Parts {
     holder: Holder,
-    posted: Budgets,
+    posted: BudgetSettings,
     tariffs: Vec<String>,
     customers: Vec<String>,
     parts: Vec<Part>,
@@ -46,7 +46,7 @@
 }
 
 /// The budgets of the operators' file.
-pub fn wholes(posted: &Budgets) -> Wholes {
+pub fn wholes(posted: &BudgetSettings) -> Wholes {
     let of = posted.of.iter().map(|budget| {
         let whole = whole(budget);
         (whole.key(&budget.name(), posted.lease()), whole)
@@ -58,7 +58,7 @@
     /// `holder`: this node and its start.
     pub fn new(
         now: Instant,
-        posted: &Budgets,
+        posted: &BudgetSettings,
         (tariffs, customers): (&[String], &[String]),
         holder: Holder,
     ) -> Result<Parts, String> {
@@ -75,7 +75,12 @@
     }
 
     /// The parts by a file; those that there are already stay as they are.
-    fn read(&self, now: Instant, posted: &Budgets, mut before: Vec<Part>) -> Result<Vec<Part>, String> {
+    fn read(
+        &self,
+        now: Instant,
+        posted: &BudgetSettings,
+        mut before: Vec<Part>,
+    ) -> Result<Vec<Part>, String> {
         let place = |key: &str, at: usize, all: &[String], name: &Option<String>| {
             let Some(name) = name else { return Ok(None) };
             let place = all.iter().position(|known| known == name);
@@ -102,7 +107,7 @@
     }
 
     /// The file was read anew; an error leaves all as it was.
-    pub fn reads(&mut self, now: Instant, posted: &Budgets) -> Result<(), String> {
+    pub fn reads(&mut self, now: Instant, posted: &BudgetSettings) -> Result<(), String> {
         if posted.edition <= self.posted.edition {
             let same = posted.edition == self.posted.edition
                 && (&posted.of, posted.lease()) == (&self.posted.of, self.posted.lease());
@@ -190,8 +195,8 @@
                         [[budgets.of]]\ncustomer = \"c\"\nunits = 8\nfloor = 1\nnodes = 1\n\
                         [[budgets.of]]\nfurther = true\nunits = 2\nfloor = 2\nnodes = 1\n";
 
-    fn posted(from: &str, to: &str) -> Budgets {
-        let fleet = grebeusher_node_config::fleet::Fleet::read(&FILE.replacen(from, to, 1));
+    fn posted(from: &str, to: &str) -> BudgetSettings {
+        let fleet = grebeusher_node_config::fleet::FleetSettings::read(&FILE.replacen(from, to, 1));
         fleet.expect("it is whole").budgets.expect("it has some")
     }
 
--- a/crates/node/src/wire/checks.rs
+++ b/crates/node/src/wire/checks.rs
@@ -4,7 +4,7 @@
 use crate::wire::calls::Calls;
 use grebeusher_dispatch::time::Instant;
 use grebeusher_health_reporting::Verdict;
-use grebeusher_node_config::fronts::Checks as Posted;
+use grebeusher_node_config::frontends::HealthCheckSettings;
 use grebeusher_transport::http::{self, Request};
 use polling::Poller;
 use std::io;
@@ -20,16 +20,17 @@
 
 impl Checks {
     pub fn listen(
-        posted: &Posted,
+        settings: &HealthCheckSettings,
         (agent, health): (Keys, Keys),
         common: (&Rc<Poller>, Clock),
     ) -> Result<Checks, String> {
         let listen = |key: &str, at: Option<std::net::SocketAddr>, keys: Keys| {
-            let calls = at.map(|at| Calls::listen(at, posted.apart(), keys, common).map_err(|e| (at, e)));
+            let calls =
+                at.map(|at| Calls::listen(at, settings.min_interval(), keys, common).map_err(|e| (at, e)));
             calls.transpose().map_err(|(at, e)| format!("checks.{key}: {at}: {e}"))
         };
-        let agent = listen("agent", posted.agent, agent)?;
-        Ok(Checks { agent, health: listen("health", posted.health, health)? })
+        let agent = listen("agent", settings.agent, agent)?;
+        Ok(Checks { agent, health: listen("health", settings.health, health)? })
     }
 
     /// Where it is asked, for the log.
--- a/crates/node/src/wire/clients.rs
+++ b/crates/node/src/wire/clients.rs
@@ -12,7 +12,7 @@
 use grebeusher_dispatch::ids::UnitId;
 use grebeusher_dispatch::tariffs::Arrival;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
-use grebeusher_node_config::Charter;
+use grebeusher_node_config::DeploymentSettings;
 use grebeusher_transport::alarms::Alarms;
 use grebeusher_transport::buffer::Reading;
 use grebeusher_transport::http::{self, Malformed, Request};
@@ -188,7 +188,7 @@
     room: Cell<usize>,
     /// Whether those who wait to connect are taken in.
     takes_in: Cell<bool>,
-    charter: Charter,
+    settings: DeploymentSettings,
     callers: RefCell<Callers>,
     unit_ids: UnitIds,
     ready: Cell<bool>,
@@ -209,7 +209,7 @@
 impl Clients {
     pub fn listen(
         listener: TcpListener,
-        charter: &Charter,
+        settings: &DeploymentSettings,
         unit_ids: &UnitIds,
         (most, room): (usize, usize),
         (listener_key, key): (usize, fn(usize) -> usize),
@@ -226,7 +226,7 @@
             most: Cell::new(most),
             room: Cell::new(room),
             takes_in: Cell::new(true),
-            charter: charter.clone(),
+            settings: settings.clone(),
             callers: RefCell::new(Callers {
                 kept: Slab::new(),
                 by_unit: HashMap::new(),
@@ -271,7 +271,7 @@
 
     /// The names of the tariffs, by their places.
     pub fn tariffs(&self) -> &[String] {
-        &self.charter.tariff_names
+        &self.settings.tariff_names
     }
 
     pub fn say_ready(&self, ready: bool) {
@@ -629,7 +629,8 @@
         let call_id = headers.once("X-Call-Id")?.filter(|id| speakable(id, MAX_ID)).ok_or(bad)?;
         let first = target.split(['/', '?']).nth(1).unwrap_or_default();
         let named = headers.once("X-Call-Class")?.unwrap_or(first);
-        let tariff = self.charter.tariff_names.iter().position(|name| name == named).ok_or(Malformed(404))?;
+        let tariff =
+            self.settings.tariff_names.iter().position(|name| name == named).ok_or(Malformed(404))?;
         if named != first {
             return Err(bad);
         }
@@ -641,7 +642,7 @@
         let cut =
             self.ends.get().filter(|(from, _)| now >= *from && !lasts).map_or(asks_until, |(_, last)| last);
         let patience_ends = asks_until.min(cut);
-        let customer = self.charter.customer(header("X-Caller"));
+        let customer = self.settings.customer(header("X-Caller"));
         let hint_us = header("X-Call-Cost").and_then(|us| us.parse::<f64>().ok());
         let hint = hint_us
             .filter(|us| us.is_finite() && *us > 0.0)
@@ -660,7 +661,7 @@
             slots: slots.unwrap_or(1.0),
             beyond: false,
         };
-        let binding = self.charter.is_binding(tariff);
+        let binding = self.settings.is_binding(tariff);
         let (call_id, of) = (call_id.into(), (tariff, arrival.customer));
         let tariff = named.to_owned();
         let headers = headers.passed_on(&OWN_HEADERS);
--- a/crates/node/src/wire/faktory.rs
+++ b/crates/node/src/wire/faktory.rs
@@ -14,8 +14,8 @@
 use grebeusher_faktory::handshake::Greeting;
 use grebeusher_faktory::reservations::{End, Handed, Reservations, Standing};
 use grebeusher_faktory::words::{Answer, MAX_LINE, line};
-use grebeusher_node_config::Charter;
-use grebeusher_node_config::fronts::Faktory as Posted;
+use grebeusher_node_config::DeploymentSettings;
+use grebeusher_node_config::frontends::FaktorySettings;
 use grebeusher_transport::alarms::Alarms;
 use grebeusher_transport::buffer::Reading;
 use grebeusher_transport::listen;
@@ -91,7 +91,7 @@
     most: usize,
     password: Option<String>,
     reserve_for: Duration,
-    charter: Charter,
+    settings: DeploymentSettings,
     unit_ids: UnitIds,
     /// The node sends its clients away: nothing new is taken or handed out.
     leaves: Cell<bool>,
@@ -101,8 +101,8 @@
 
 impl Faktory {
     pub fn listen(
-        posted: &Posted,
-        charter: &Charter,
+        posted: &FaktorySettings,
+        settings: &DeploymentSettings,
         (seed, unit_ids): (u64, &UnitIds),
         (listener_key, key): (usize, fn(usize) -> usize),
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
@@ -116,17 +116,17 @@
             counters: counters.clone(),
             listener_key,
             key,
-            most: posted.most_connections(),
+            most: posted.max_connections(),
             password: posted.password.clone(),
-            reserve_for: posted.reserve_for(),
-            charter: charter.clone(),
+            reserve_for: posted.reservation(),
+            settings: settings.clone(),
             unit_ids: unit_ids.clone(),
             leaves: Cell::new(false),
             salt: Cell::new(seed),
             inside: RefCell::new(Inside {
                 peers: Slab::new(),
                 by_unit: HashMap::new(),
-                table: Reservations::new(posted.fetched_within(), posted.silent_after()),
+                table: Reservations::new(posted.fetch_timeout(), posted.heartbeat_timeout()),
                 untold: Vec::new(),
                 dues: Alarms::default(),
                 next_serial: 0,
@@ -440,7 +440,7 @@
 
     /// A client pushes a job, and waits for its final answer.
     fn push(&self, place: usize, job: Job, exchange: &mut Exchange) -> Result<Option<Answer>, String> {
-        let names = &self.charter.tariff_names;
+        let names = &self.settings.tariff_names;
         let tariff = names.iter().position(|name| *name == job.queue);
         let tariff = tariff
             .ok_or_else(|| format!("no tariff {:?}: a queue is one of {}", job.queue, names.join(", ")))?;
@@ -465,10 +465,10 @@
         }
         let now = self.clock.now();
         let patience = figure("patience_ms")
-            .map_or(self.charter.patience(tariff), |ms| Duration::from_millis(ms.min(MAX_PATIENCE_MS)));
+            .map_or(self.settings.patience(tariff), |ms| Duration::from_millis(ms.min(MAX_PATIENCE_MS)));
         let arrival = Arrival {
             tariff,
-            customer: self.charter.customer(None),
+            customer: self.settings.customer(None),
             patience_ends: now + patience,
             repeat: job.custom["again"].as_bool().unwrap_or(false),
             hint: figure("cost_us").map(|us| Duration::from_nanos(us.saturating_mul(1000))),
@@ -481,7 +481,7 @@
             target: format!("/{}", job.queue),
             headers: String::new(),
             body: line.clone().into_bytes(),
-            binding: self.charter.is_binding(tariff),
+            binding: self.settings.is_binding(tariff),
             of: (tariff, arrival.customer),
             lasts: false,
             pushed: Some(Pushed {
--- a/crates/node/src/wire/fellows.rs
+++ b/crates/node/src/wire/fellows.rs
@@ -254,8 +254,8 @@
     /// Listens beside the clients' address, and knocks at the fleet's contacts. `own`: this node's number, and how many
     /// there are by what it was told.
     pub fn meet(
-        fleet: &fleet::Fleet,
-        posted: &fleet::Fellows,
+        fleet: &fleet::FleetSettings,
+        posted: &fleet::PeerSettings,
         names: (&[String], &[String]),
         listen: SocketAddr,
         (own, count, zone): (u64, u64, &str),
@@ -268,7 +268,7 @@
         socket.set_nonblocking(true).map_err(wrong)?;
         poller.add(&socket, Event::readable(key)).map_err(wrong)?;
         let frame = Frame::new(&posted.fleet, &posted.secret);
-        let keepers = fleet.keepers.as_ref();
+        let keepers = fleet.voters.as_ref();
         let known = keepers.iter().flat_map(|keepers| &keepers.nodes).map(|number| (*number, None));
         let post = Rc::new(Post {
             socket,
@@ -355,7 +355,7 @@
 
     /// The operators' file was read anew. Only budgets change while a node runs; an error names what is wrong, or waits for the
     /// next start, and changes nothing.
-    pub fn reads(&self, fleet: &fleet::Fleet) -> Result<(), String> {
+    pub fn reads(&self, fleet: &fleet::FleetSettings) -> Result<(), String> {
         let (Some(parts), Some(posted)) = (&self.parts, &fleet.budgets) else {
             return match (&self.parts, &fleet.budgets) {
                 (None, None) => Ok(()),
--- a/crates/node/src/wire/load.rs
+++ b/crates/node/src/wire/load.rs
@@ -1,7 +1,7 @@
 //! Load reports: an object in a call-back or a probe's answer, or `TEXT name=value, ...` in a header.
 
 use grebeusher_dispatch::tariffs::Report;
-use grebeusher_node_config::{Charter, ReportPlaces};
+use grebeusher_node_config::{DeploymentSettings, ReportLayout};
 use serde_json::Value;
 
 pub const HEADER: &str = "X-Load-Report";
@@ -9,12 +9,12 @@
 /// Reads reports by the names that this deployment gives their values.
 pub struct Reports {
     names: Vec<String>,
-    places: ReportPlaces,
+    places: ReportLayout,
 }
 
 impl Reports {
-    pub fn of(charter: &Charter) -> Reports {
-        Reports { names: charter.report_fields.clone(), places: charter.places }
+    pub fn of(settings: &DeploymentSettings) -> Reports {
+        Reports { names: settings.report_fields.clone(), places: settings.places }
     }
 
     pub fn object(&self, load: &Value) -> Option<Report> {
--- a/crates/node/tests/fake/mod.rs
+++ b/crates/node/tests/fake/mod.rs
@@ -17,7 +17,7 @@
 /// Nothing in a story takes as long as this, unless it fails.
 const FAR_TOO_LONG: Duration = Duration::from_secs(20);
 
-pub fn charter() -> Value {
+pub fn settings() -> Value {
     json!({"fleet_size": 1, "registry_mode": "subscribe", "zones": ["a"], "kinds": ["m"],
         "caps": {"most_allocations": 3, "second_copies": false, "cancelling": true, "may_probe": false,
             "conn_idle_ns": 60e9, "dial_timeout_ns": 250e6},
@@ -67,44 +67,44 @@
 }
 
 /// The file of a node before these executors.
-fn posting(executors: &[&TcpListener], discovery: &TcpListener, charter: Value, limits: Value) -> Value {
+fn posting(executors: &[&TcpListener], discovery: &TcpListener, settings: Value, limits: Value) -> Value {
     let known: Vec<Value> = executors.iter().enumerate().map(|(i, l)| entry(i, l, "active")).collect();
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": address(discovery),
-        "seed": "8c1f30d27a5be964", "limits": limits, "settings": charter,
+        "seed": "8c1f30d27a5be964", "limits": limits, "settings": settings,
         "known": {"generation": 41, "reset": true, "instances": known}})
 }
 
 /// The same with a console.
 fn staffed_posting(executors: &[&TcpListener], discovery: &TcpListener) -> Value {
-    let mut posting = posting(executors, discovery, charter(), json!({"sockets": 1024}));
+    let mut posting = posting(executors, discovery, settings(), json!({"sockets": 1024}));
     posting["console"] = json!("127.0.0.1:0");
     posting
 }
 
 impl World {
     pub fn around(executor: &TcpListener) -> World {
-        World::with(&[executor], charter(), 1024, 1024)
+        World::with(&[executor], settings(), 1024, 1024)
     }
 
     /// `sockets` are promised to the node, `descriptors` are what it gets.
-    pub fn with(executors: &[&TcpListener], charter: Value, sockets: usize, descriptors: usize) -> World {
-        World::limited(executors, charter, json!({"sockets": sockets}), descriptors)
+    pub fn with(executors: &[&TcpListener], settings: Value, sockets: usize, descriptors: usize) -> World {
+        World::limited(executors, settings, json!({"sockets": sockets}), descriptors)
     }
 
-    pub fn limited(executors: &[&TcpListener], charter: Value, limits: Value, descriptors: usize) -> World {
-        World::posted(executors, charter, limits, descriptors, |posting| posting)
+    pub fn limited(executors: &[&TcpListener], settings: Value, limits: Value, descriptors: usize) -> World {
+        World::posted(executors, settings, limits, descriptors, |posting| posting)
     }
 
     /// With a posting that was changed before the node starts.
     pub fn posted(
         executors: &[&TcpListener],
-        charter: Value,
+        settings: Value,
         limits: Value,
         descriptors: usize,
         change: impl FnOnce(Value) -> Value,
     ) -> World {
         let discovery = listener();
-        let posting = change(posting(executors, &discovery, charter, limits));
+        let posting = change(posting(executors, &discovery, settings, limits));
         World::started(discovery, posting, Rc::new(Folder::new()), descriptors, None, None)
     }
 
@@ -159,7 +159,7 @@
 
     /// With a console.
     pub fn staffed(executors: &[&TcpListener]) -> World {
-        World::posted(executors, charter(), json!({"sockets": 1024}), 1024, |mut posting| {
+        World::posted(executors, settings(), json!({"sockets": 1024}), 1024, |mut posting| {
             posting["console"] = json!("127.0.0.1:0");
             posting
         })
@@ -226,9 +226,9 @@
     /// With a ledger in this folder, at this address if one is given: a node that may be killed and started anew.
     pub fn lasting(executors: &[&TcpListener], ledger: &Folder, at: Option<SocketAddr>) -> World {
         let discovery = listener();
-        let mut charter = charter();
-        charter["family_info"]["progress_ns"] = json!(200e6);
-        let mut posting = posting(executors, &discovery, charter, json!({"sockets": 1024}));
+        let mut settings = settings();
+        settings["family_info"]["progress_ns"] = json!(200e6);
+        let mut posting = posting(executors, &discovery, settings, json!({"sockets": 1024}));
         if let Some(at) = at {
             posting["listen"] = json!(at.to_string());
         }
--- a/crates/node/tests/stable_words.rs
+++ b/crates/node/tests/stable_words.rs
@@ -154,8 +154,8 @@
 fn each_variable_is_read_by_its_name() {
     let folder = Folder::new();
     let posting = folder.0.join("posting.json");
-    let charter = charter();
-    let text = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": charter}).to_string();
+    let settings = settings();
+    let text = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings}).to_string();
     std::fs::write(&posting, text).expect("it is written");
     let posting = posting.to_str().expect("it is text");
     let cases = [
--- a/crates/node/tests/stories.rs
+++ b/crates/node/tests/stories.rs
@@ -89,7 +89,7 @@
 #[test]
 fn what_was_handed_back_unstarted_is_sent_again() {
     let listens = listener();
-    let world = World::with(&[&listens, &listens], charter(), 1024, 1024);
+    let world = World::with(&[&listens, &listens], settings(), 1024, 1024);
     let mut client = world.bring("u1", "reserve", 4000);
     for status in [503, 202] {
         let mut executor = accept(&listens);
@@ -128,7 +128,7 @@
 #[test]
 fn what_an_executor_can_make_nothing_of_goes_to_no_other() {
     let listens = listener();
-    let world = World::with(&[&listens, &listens], charter(), 1024, 1024);
+    let world = World::with(&[&listens, &listens], settings(), 1024, 1024);
     let mut client = world.bring("another's", "search", 4000);
     let mut executor = accept(&listens);
     executor.hear();
@@ -156,10 +156,10 @@
 #[test]
 fn where_jobs_may_not_be_recalled_none_is_and_the_list_is_watched_wherever() {
     let listens = listener();
-    let mut charter = charter();
-    charter["caps"]["cancelling"] = json!(false);
-    charter["registry_mode"] = json!("automatic");
-    let world = World::with(&[&listens], charter, 1024, 1024);
+    let mut settings = settings();
+    settings["caps"]["cancelling"] = json!(false);
+    settings["registry_mode"] = json!("automatic");
+    let world = World::with(&[&listens], settings, 1024, 1024);
     watched(&world);
     let mut client = world.bring("u1", "reserve", 2000);
     let mut executor = accept(&listens);
@@ -174,7 +174,7 @@
 fn a_connection_that_fell_silent_costs_a_moment_not_the_patience() {
     // Failure: units waited 10 s on silent connections, and their executors were taken for full meanwhile.
     let listens = listener();
-    let world = World::with(&[&listens, &listens], charter(), 1024, 1024);
+    let world = World::with(&[&listens, &listens], settings(), 1024, 1024);
     let mut client = world.bring("u1", "search", 9000);
     let mut silent = accept(&listens);
     silent.hear();
@@ -209,7 +209,7 @@
     // Failure: the word that it was taken got lost, or a reset came before the executor read the job; it ran twice at once.
     for breaks in [true, false] {
         let listeners = [listener(), listener()];
-        let world = World::with(&[&listeners[0], &listeners[1]], charter(), 1024, 1024);
+        let world = World::with(&[&listeners[0], &listeners[1]], settings(), 1024, 1024);
         let mut client = world.bring("u1", "search", 9000);
         let (first, mut executor) = accept_any(&[&listeners[0], &listeners[1]]);
         executor.hear();
@@ -233,7 +233,7 @@
     // Failure: the 202 came while others had their turn, the connection was closed over it, and a second copy ran.
     const CROWD: usize = 1100; // more than the loop is told of at once
     let (first, second) = (listener(), listener());
-    let world = World::with(&[&first, &second], charter(), 4096, 4096);
+    let world = World::with(&[&first, &second], settings(), 4096, 4096);
     let mut crowd: Vec<Talk> = (0..CROWD).map(|_| world.call()).collect();
     // All are taken in when the last is answered.
     crowd.iter_mut().for_each(|one| one.say("GET /ready HTTP/1.1\r\n\r\n"));
@@ -259,7 +259,7 @@
 #[test]
 fn idle_clients_that_hold_all_descriptors_keep_the_node_from_neither_list_nor_executors() {
     let listens = listener();
-    let world = World::with(&[&listens], charter(), 1024, 64);
+    let world = World::with(&[&listens], settings(), 1024, 64);
     let (watch, _) = watched(&world);
     let mut crowd: Vec<Talk> = (0..80).map(|_| world.call()).collect();
     crowd.iter_mut().for_each(|one| one.say("GET /ready HTTP/1.1\r\n\r\n"));
@@ -461,7 +461,7 @@
 fn large_bodies_that_never_end_do_not_take_the_memory() {
     // Failure: hundreds of half-sent requests held more than the node has. A quarter of one megabyte here.
     let listens = listener();
-    let world = World::limited(&[&listens], charter(), json!({"sockets": 1024, "memory_mb": 1}), 1024);
+    let world = World::limited(&[&listens], settings(), json!({"sockets": 1024, "memory_mb": 1}), 1024);
     let half = "POST /search HTTP/1.1\r\nX-Call-Id: u\r\nX-Budget-Ms: 900\r\nContent-Length: 60000\r\n\r\n";
     let mut clients: Vec<Talk> = (0..10).map(|_| world.call()).collect();
     for client in &mut clients {
@@ -476,7 +476,7 @@
 fn for_want_of_room_the_silent_go_before_idle_clients_and_call_backs() {
     // Failure: the longest idle went first, and a flood of silent connections took the place of usual clients.
     let refuses = refusing();
-    let world = World::with(&[&refuses], charter(), 36, 1024);
+    let world = World::with(&[&refuses], settings(), 36, 1024);
     let mut usual = world.bring("u1", "reserve", 500);
     assert_eq!(usual.hear().status(), 503);
     let mut executor = world.call();
@@ -706,9 +706,9 @@
 fn an_attempt_whose_connection_comes_up_after_word_of_a_drain_does_not_begin() {
     // The executor's queue of connections is full: what is dialled comes up when the test lets it.
     let (listens, fill) = full();
-    let mut charter = charter();
-    charter["caps"]["dial_timeout_ns"] = json!(10e9);
-    let world = World::with(&[&listens], charter, 1024, 1024);
+    let mut settings = settings();
+    settings["caps"]["dial_timeout_ns"] = json!(10e9);
+    let world = World::with(&[&listens], settings, 1024, 1024);
     let (mut watch, _) = watched(&world);
     let mut client = world.bring("u1", "search", 9000);
     world.counts("allocations", 1);
@@ -725,9 +725,9 @@
 #[test]
 fn an_attempt_whose_client_has_left_while_it_was_dialled_does_not_begin() {
     let (listens, fill) = full();
-    let mut charter = charter();
-    charter["caps"]["dial_timeout_ns"] = json!(10e9);
-    let world = World::with(&[&listens], charter, 1024, 1024);
+    let mut settings = settings();
+    settings["caps"]["dial_timeout_ns"] = json!(10e9);
+    let world = World::with(&[&listens], settings, 1024, 1024);
     let client = world.bring("u1", "search", 9000);
     world.counts("allocations", 1);
     // The node stands still: the end of the client and the connection come to it in one turn.
@@ -823,9 +823,9 @@
 #[test]
 fn idle_connections_to_executors_are_retired_before_their_time() {
     let listens = listener();
-    let mut charter = charter();
-    charter["caps"]["conn_idle_ns"] = json!(200e6);
-    let world = World::with(&[&listens], charter, 1024, 1024);
+    let mut settings = settings();
+    settings["caps"]["conn_idle_ns"] = json!(200e6);
+    let world = World::with(&[&listens], settings, 1024, 1024);
     let _client = world.bring("u1", "search", 9000);
     let mut executor = accept(&listens);
     executor.hear();
@@ -840,7 +840,7 @@
     // node keeps to what it was promised, and once the system has less.
     for (sockets, descriptors) in [(36, 36), (1024, 24)] {
         let refuses = refusing();
-        let world = World::with(&[&refuses], charter(), sockets, descriptors);
+        let world = World::with(&[&refuses], settings(), sockets, descriptors);
         let mut idle: Vec<Talk> = (0..30).map(|_| world.call()).collect();
         let bring = |i| world.bring(&format!("u{i}"), "reserve", 9000);
         let mut clients: Vec<Talk> = (0..16).map(bring).collect();
@@ -857,7 +857,7 @@
     // for its clients, or for the executors that their units were to go to. Once by its own number, once by the system's.
     for (sockets, descriptors) in [(36, 1024), (1024, 24)] {
         let listens = listener();
-        let world = World::with(&[&listens], charter(), sockets, descriptors);
+        let world = World::with(&[&listens], settings(), sockets, descriptors);
         let mut callers: Vec<Talk> = (0..20).map(|_| world.call()).collect();
         let said = |caller: &mut Talk| caller.call_back("none", json!({"state": "running", "share": 0.5}));
         callers.iter_mut().for_each(|caller| assert_eq!(said(caller), 204));
@@ -896,10 +896,10 @@
     // The new shape: a list that comes unasked, no probes, one zone, words between nodes, no word of starts, other
     // report fields.
     let listens = listener();
-    let mut charter = charter();
-    charter["zones"] = json!(["a", "b", "c"]);
-    charter["caps"]["may_probe"] = json!(true);
-    charter["report"]["via"] = json!("pull");
+    let mut settings = settings();
+    settings["zones"] = json!(["a", "b", "c"]);
+    settings["caps"]["may_probe"] = json!(true);
+    settings["report"]["via"] = json!("pull");
     let shape = Shape {
         list_unasked: true,
         peers: true,
@@ -908,7 +908,7 @@
         starts: Some(false),
         ..Shape::default()
     };
-    let world = World::posted(&[&listens], charter, json!({"sockets": 1024}), 1024, |posting| {
+    let world = World::posted(&[&listens], settings, json!({"sockets": 1024}), 1024, |posting| {
         let (posting, remarks) = counterpart(&posting, &shape).expect("it can be moved");
         assert!(remarks.iter().any(|remark| remark.key == "settings.caps.may_probe"));
         posting
@@ -962,9 +962,9 @@
 fn a_unit_that_waits_gets_a_second_place_and_the_first_start_has_it() {
     // Failure: on a deployment that allows second copies, work waited behind long work while others idled.
     let (a, b) = (listener(), listener());
-    let mut charter = charter();
-    charter["caps"]["second_copies"] = json!(true);
-    let world = World::with(&[&a, &b], charter, 1024, 1024);
+    let mut settings = settings();
+    settings["caps"]["second_copies"] = json!(true);
+    let world = World::with(&[&a, &b], settings, 1024, 1024);
     let mut client = world.bring("u1", "search", 9000);
     let (first, mut waits) = accept_any(&[&a, &b]);
     assert_eq!(waits.hear().header("X-Call-Id"), Some("u1"));
@@ -1292,7 +1292,7 @@
 fn who_goes_on_sending_slowly_outlasts_a_crowd_that_stops_half_way() {
     // Failure: for want of room the oldest beginner was closed, which was the honest one on a slow line.
     let listens = listener();
-    let world = World::with(&[&listens], charter(), 64, 1024);
+    let world = World::with(&[&listens], settings(), 64, 1024);
     let whole = unit("u1", "search", 9000);
     let mut slow = world.call();
     let (first, rest) = whole.split_at(20);
--- a/crates/tier/tests/pages.rs
+++ b/crates/tier/tests/pages.rs
@@ -17,7 +17,8 @@
 }
 
 fn is_path(word: &str) -> bool {
-    ["crates/", "deploy/", "docs/"].iter().any(|root| word.starts_with(root)) && !word.contains(['{', '*', ' '])
+    ["crates/", "deploy/", "docs/"].iter().any(|root| word.starts_with(root))
+        && !word.contains(['{', '*', ' '])
 }
 
 #[rstest]
