--- a/crates/tier/tests/pages.rs
+++ b/crates/tier/tests/pages.rs
@@ -37,7 +37,7 @@
 fn glossary_rows(text: &str) -> Vec<(String, String)> {
     let cells = |line: &str| line.split('|').map(|cell| cell.trim().to_owned()).collect::<Vec<_>>();
     let rows = text.lines().filter(|line| line.starts_with("| ")).map(cells);
-    let named = rows.filter(|row| row.len() == 5 && row[3].starts_with("`crates/"));
+    let named = rows.filter(|row| row.len() == 6 && row[3].starts_with("`crates/"));
     named.map(|row| (row[2].clone(), row[3].clone())).collect()
 }
 
