--- a/crates/demo/src/client.rs
+++ b/crates/demo/src/client.rs
@@ -106,7 +106,7 @@
             break;
         }
         if !answer.read_more()? {
-            if reader.is_whole_at_close() {
+            if reader.is_complete_at_close() {
                 break;
             }
             return Err(CallError::CutOff);
--- a/crates/simulation/src/call.rs
+++ b/crates/simulation/src/call.rs
@@ -97,7 +97,7 @@
             return Progress::Failed;
         }
         if received.ended {
-            let whole = self.reader.as_ref().is_some_and(BodyReader::is_whole_at_close);
+            let whole = self.reader.as_ref().is_some_and(BodyReader::is_complete_at_close);
             return if whole { Progress::Done } else { Progress::Failed };
         }
         Progress::Pending
--- a/crates/simulation/src/scenario/trouble.rs
+++ b/crates/simulation/src/scenario/trouble.rs
@@ -65,9 +65,21 @@
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Fault {
     /// A machine's process is killed, or its power is lost for a time; perhaps with its disk.
-    NodeKill { on: On, leader: bool, power: bool, wipe: bool, for_s: f64 },
+    NodeKill {
+        on: On,
+        #[serde(alias = "owner")]
+        leader: bool,
+        power: bool,
+        wipe: bool,
+        for_s: f64,
+    },
     /// A process stands still.
-    NodeFreeze { on: On, leader: bool, for_s: f64 },
+    NodeFreeze {
+        on: On,
+        #[serde(alias = "owner")]
+        leader: bool,
+        for_s: f64,
+    },
     /// Processes get SIGTERM in turn.
     RollTerm { on: On, count: usize, gap_s: f64, remove: bool },
     /// A machine is added.
@@ -81,7 +93,14 @@
     /// A disk takes longer.
     DiskSlow { on: On, times: f64, for_s: f64 },
     /// A counted machine is cut off from the other counted ones.
-    Cut { on: On, leader: bool, one_way: bool, resets: bool, for_s: f64 },
+    Cut {
+        on: On,
+        #[serde(alias = "owner")]
+        leader: bool,
+        one_way: bool,
+        resets: bool,
+        for_s: f64,
+    },
     /// Machines are cut off for a time, all others reach each other; perhaps executors that leave call one of them first.
     Isolation { on: On, count: usize, from: CutFrom, lure: bool, for_s: f64 },
     /// A zone is cut off from the others.
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -55,7 +55,7 @@
 
     fn listen(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Listener>> {
         self.hub.borrow_mut().listen(Owner::Process(self.process), address, key)?;
-        Ok(Box::new(Entrance { hub: self.hub.clone(), address, process: self.process }))
+        Ok(Box::new(ListeningSocket { hub: self.hub.clone(), address, process: self.process }))
     }
 
     fn dial(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Stream>> {
@@ -133,20 +133,20 @@
     }
 }
 
-struct Entrance {
+struct ListeningSocket {
     hub: SharedHub,
     address: SocketAddrV4,
     process: usize,
 }
 
-impl Listener for Entrance {
+impl Listener for ListeningSocket {
     fn accept(&self) -> io::Result<Box<dyn Accepted>> {
         let end = self.hub.borrow_mut().accept(self.address).ok_or(ErrorKind::WouldBlock)?;
         Ok(Box::new(Line { hub: self.hub.clone(), end }))
     }
 }
 
-impl Drop for Entrance {
+impl Drop for ListeningSocket {
     fn drop(&mut self) {
         let mut hub = self.hub.borrow_mut();
         // After the process's end the address may be another life's.
--- a/crates/tier/src/batch/api.rs
+++ b/crates/tier/src/batch/api.rs
@@ -18,9 +18,9 @@
 
 /// How many partitions the batch jobs are cut into; the configuration is one more.
 pub const BATCH_PARTITIONS: u8 = 3;
-/// The longest that a read is held, whatever it asks (milliseconds).
+/// The longest that a read is pending, whatever it asks (milliseconds).
 const MAX_HOLD_MS: u64 = 1000;
-/// What a read or an end may take beside the time it is held.
+/// What a read or an end may take beside the time it is pending.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// A job that is not taken by then is refused or unclear: clients wait at least this long.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(2500);
@@ -181,7 +181,7 @@
     /// The leader's reply to a batch call.
     pub fn batch_reply(&mut self, connection: usize, serial: u64, question: BatchQuestion, reply: Reply) {
         if !matches!(reply, Reply::Answer { status: 200 | 202, .. }) {
-            debug!("a batch call ({question:?}) ends with {}", reply.name());
+            debug!(?question, reply = reply.name(), "batch call ended");
         }
         let answer = match (question, reply) {
             (_, Reply::Answer { status: 429, body }) => {
--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::requests::header_names as names;
 use crate::requests::routing::Hints;
-use crate::requests::upstream::{CallLeader, Failure, UpstreamEvent};
+use crate::requests::upstream::{Failure, UpstreamEvent, UpstreamUser};
 use crate::runtime::timers::Timer;
 use grebeusher_batch::{EventReader, EventTaken, FairShare, Outcome as RunOutcome, RunId, RunOrder};
 use grebeusher_configuration::configuration::RouteType;
@@ -35,7 +35,7 @@
     status: u16,
     not_executed: bool,
     stamped: bool,
-    heard: Instant,
+    last_activity: Instant,
 }
 
 /// The runs of items on this node.
@@ -43,11 +43,11 @@
 pub struct ItemRuns {
     active: FxHashMap<u64, ActiveRun>,
     waking: bool,
-    told: Instant,
+    reported: Instant,
     /// What the leaders of other partitions tell.
     pub(crate) shares: FairShare,
-    /// When the load of each led partition was told last.
-    pub(crate) load_told: BTreeMap<u8, Instant>,
+    /// When the load of each led partition was reported last.
+    pub(crate) load_reported: BTreeMap<u8, Instant>,
 }
 
 impl ItemRuns {
@@ -107,15 +107,15 @@
     /// A line of the log now and then on how the items of a partition get on.
     fn tell_progress(&mut self, place: usize) {
         let now = self.now;
-        if now < self.items.told + LOG_INTERVAL {
+        if now < self.items.reported + LOG_INTERVAL {
             return;
         }
-        self.items.told = now;
+        self.items.reported = now;
         let number = self.partitions[place].partition;
         let Some(partition) = self.batch_mut(place) else { return };
         let (running, kept) = (partition.runner.running_count(), partition.jobs().len());
         let idle = self.idle_tokens(place);
-        debug!("part {number}: {running} items run, {idle} tokens wait, {kept} jobs are kept");
+        debug!(partition = number, running, waiting_tokens = idle, jobs = kept, "items running");
     }
 
     fn begin_items(&mut self, place: usize) {
@@ -164,7 +164,7 @@
         };
         let key = self.next_serial();
         let bytes = item_request(&order, &candidate.target.instance);
-        match self.start_call(CallLeader::Item(key), &candidate.target, &order.attempt_id, &bytes) {
+        match self.start_call(UpstreamUser::Item(key), &candidate.target, &order.attempt_id, &bytes) {
             Ok(connection) => {
                 let run = ActiveRun {
                     place,
@@ -175,10 +175,10 @@
                     status: 0,
                     not_executed: false,
                     stamped: false,
-                    heard: now,
+                    last_activity: now,
                 };
                 self.items.active.insert(key, run);
-                self.alarms.set(now + SILENCE_TIMEOUT, Timer::ItemSilence { run: key });
+                self.alarms.set(now + SILENCE_TIMEOUT, Timer::ItemResponseTimeout { run: key });
             }
             Err(_) => {
                 self.routing.gateway.finished(now, flight, Outcome::NeverSent);
@@ -199,7 +199,7 @@
     pub fn item_event(&mut self, key: u64, event: UpstreamEvent<'_>) {
         let now = self.now;
         let Some(active) = self.items.active.get_mut(&key) else { return };
-        active.heard = now;
+        active.last_activity = now;
         match event {
             UpstreamEvent::Head { status, headers } => self.item_head(key, status, headers),
             UpstreamEvent::Data(bytes) => self.item_data(key, bytes),
@@ -254,11 +254,11 @@
 
     fn item_end(&mut self, key: u64) {
         let Some(active) = self.items.active.get(&key) else { return };
-        let whole = active.stamped && active.reader.finish().is_ok();
+        let complete = active.stamped && active.reader.finish().is_ok();
         let (outcome, run) = match active.status {
             421 => (Outcome::Misdirected, RunOutcome::Misdirected),
             _ if active.not_executed => (Outcome::NotExecuted, RunOutcome::NotExecuted),
-            200..300 if whole => (Outcome::Served, RunOutcome::Complete),
+            200..300 if complete => (Outcome::Served, RunOutcome::Complete),
             200..300 => (Outcome::BrokenMidStream, RunOutcome::Broken),
             422 => (Outcome::AnsweredOther, RunOutcome::Rejected422),
             500 => (Outcome::AnsweredFailure, RunOutcome::Failed500),
@@ -275,12 +275,12 @@
     }
 
     /// A run may have been silent for too long.
-    pub fn item_silent(&mut self, key: u64) {
+    pub fn item_response_timeout(&mut self, key: u64) {
         let now = self.now;
         let Some(active) = self.items.active.get(&key) else { return };
-        let silent_at = active.heard + SILENCE_TIMEOUT;
+        let silent_at = active.last_activity + SILENCE_TIMEOUT;
         if now < silent_at {
-            self.alarms.set(silent_at, Timer::ItemSilence { run: key });
+            self.alarms.set(silent_at, Timer::ItemResponseTimeout { run: key });
             return;
         }
         self.item_cut(key);
--- a/crates/tier/src/batch/load_report.rs
+++ b/crates/tier/src/batch/load_report.rs
@@ -14,10 +14,10 @@
 impl Node {
     /// The leader of another partition tells its load.
     pub(crate) fn receive_batch_load(&mut self, payload: &[u8]) {
-        let Ok(told) = <BatchLoad as DeBin>::deserialize_bin(payload) else { return };
-        if (1..=BATCH_PARTITIONS).contains(&told.partition) {
-            let load = PartitionLoad { running: told.running, waiting: told.waiting };
-            self.items.shares.told(self.now, told.partition, load);
+        let Ok(report) = <BatchLoad as DeBin>::deserialize_bin(payload) else { return };
+        if (1..=BATCH_PARTITIONS).contains(&report.partition) {
+            let load = PartitionLoad { running: report.running, waiting: report.waiting };
+            self.items.shares.told(self.now, report.partition, load);
         }
     }
 
@@ -27,18 +27,18 @@
         let partition = self.partitions[place].partition;
         let load = self.batch_load(place);
         if load == PartitionLoad::default()
-            || now < self.items.load_told.get(&partition).map_or(now, |at| *at + LOAD_REPORT_INTERVAL)
+            || now < self.items.load_reported.get(&partition).map_or(now, |at| *at + LOAD_REPORT_INTERVAL)
         {
             return;
         }
-        self.items.load_told.insert(partition, now);
-        let told = BatchLoad { partition, running: load.running, waiting: load.waiting };
+        self.items.load_reported.insert(partition, now);
+        let report = BatchLoad { partition, running: load.running, waiting: load.waiting };
         let others = (1..=BATCH_PARTITIONS).filter(|other| *other != partition);
         let mut leaders: Vec<SocketAddrV4> = others.filter_map(|other| self.known_leader(other)).collect();
         leaders.sort_unstable();
         leaders.dedup();
         for leader in leaders {
-            self.send_frame(leader, Channel::BatchLoad, &told.serialize_bin());
+            self.send_frame(leader, Channel::BatchLoad, &report.serialize_bin());
         }
     }
 
--- a/crates/tier/src/batch/page_size.rs
+++ b/crates/tier/src/batch/page_size.rs
@@ -10,7 +10,7 @@
 const MIN_PAGE_BYTES: usize = 32 * 1024;
 
 /// The most bytes of a page that a leader with a link of `link_mbps` (megabits a second) gives.
-pub fn most_page_bytes(link_mbps: f64) -> usize {
+pub fn max_page_bytes(link_mbps: f64) -> usize {
     let bytes_per_s = link_mbps * 1e6 / 8.0;
     let in_time = bytes_per_s * LINK_TIME_S;
     (in_time as usize).clamp(MIN_PAGE_BYTES, MAX_PAGE_BYTES)
--- a/crates/tier/src/batch/partition.rs
+++ b/crates/tier/src/batch/partition.rs
@@ -1,6 +1,6 @@
 //! Partitions 1 and on: batch jobs. Every replica applies the log; the leader admits jobs, runs items and answers readers.
 
-use crate::batch::page_size::most_page_bytes;
+use crate::batch::page_size::max_page_bytes;
 use crate::control::partitions::{Application, Waiter};
 use crate::links::messages::{OfferJob, Reply, SubmitJob};
 use crate::node::{Node, RunError};
@@ -22,7 +22,7 @@
 pub(crate) const RETIRE_ENTRY: u8 = 2;
 
 /// A read that waits for a result.
-struct HeldRead {
+struct PendingRead {
     read: u64,
     waiter: Waiter,
     job: JobId,
@@ -37,7 +37,7 @@
     leader: Leader,
     most_cost: usize,
     pub(crate) runner: Runner,
-    held: Vec<HeldRead>,
+    pending_reads: Vec<PendingRead>,
     /// Submissions by the jobs whose proposals settle them.
     under_way: Vec<(JobId, Waiter)>,
 }
@@ -71,12 +71,12 @@
             leader: Leader::new(most_cost),
             most_cost,
             runner: Runner::new(seed),
-            held: Vec::new(),
+            pending_reads: Vec::new(),
             under_way: Vec::new(),
         }
     }
 
-    /// The whole state: the length of the jobs' snapshot, that snapshot, the names of nodes that are to be emptied. It is
+    /// The complete state: the length of the jobs' snapshot, that snapshot, the names of nodes that are to be emptied. It is
     /// written in one piece, as a second copy of all jobs would count at the peak of memory.
     pub fn snapshot(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(self.jobs.cost());
@@ -94,7 +94,7 @@
     /// to the bytes, and to nothing that they referred to before.
     ///
     /// # Errors
-    /// The bytes are no whole state; the partition is as it was.
+    /// The bytes are no complete state; the partition is as it was.
     pub fn restore(&mut self, bytes: &SharedBytes) -> Result<(), RestoreError> {
         let mut offset = 0;
         let length = usize::de_bin(&mut offset, bytes).context(FrameSnafu)?;
@@ -204,12 +204,12 @@
             }
             Applied::Listed(items) => {
                 let jobs: BTreeSet<JobId> = items.iter().map(|(job, _)| job.clone()).collect();
-                self.answer_held_reads(place, |job| jobs.contains(job));
+                self.answer_pending_reads(place, |job| jobs.contains(job));
                 200
             }
             Applied::Ended { state, job } => {
                 let ended = job.clone();
-                self.answer_held_reads(place, |job| *job == ended);
+                self.answer_pending_reads(place, |job| *job == ended);
                 self.cut_off_runs(place);
                 if *state == grebeusher_batch::EndState::NoSuchJob { 404 } else { 200 }
             }
@@ -221,14 +221,14 @@
         let (now, wall_ms) = (self.now, self.wall_ms());
         let Some(partition) = self.batch_mut(place) else { return };
         partition.leader = Leader::new(partition.most_cost);
-        let held = std::mem::take(&mut partition.held);
+        let pending_reads = std::mem::take(&mut partition.pending_reads);
         let under_way = std::mem::take(&mut partition.under_way);
         if leads {
             partition.runner.begin(&partition.jobs, now, wall_ms);
         } else {
             partition.runner.cease();
         }
-        for read in held {
+        for read in pending_reads {
             self.reply(read.waiter.peer, read.waiter.number, Reply::Unavailable);
         }
         for (_, waiter) in under_way {
@@ -347,20 +347,20 @@
         let resume_after = usize::try_from(resume_after).unwrap_or(usize::MAX);
         let listed = partition.jobs.status(&job).map_or(0, |status| status.listed);
         if listed <= resume_after && hold_ms > 0 && partition.jobs.is_open(&job) {
-            partition.held.push(HeldRead { read, waiter, job, resume_after });
+            partition.pending_reads.push(PendingRead { read, waiter, job, resume_after });
             let until = now + Duration::from_millis(u64::from(hold_ms));
-            self.alarms.set(until, Timer::HeldReadExpires { read });
+            self.alarms.set(until, Timer::PendingReadExpires { read });
             return;
         }
         self.answer_read(place, waiter, &job, resume_after);
     }
 
     fn answer_read(&mut self, place: usize, waiter: Waiter, job: &JobId, resume_after: usize) {
-        // The lease may have ended while the read was held.
+        // The lease may have ended while the read was pending.
         if !self.partitions[place].replica.lease_holds(self.clock()) {
             return self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
-        let most_bytes = most_page_bytes(self.settings.limits.link_mbps);
+        let most_bytes = max_page_bytes(self.settings.limits.link_mbps);
         let Some(partition) = self.batch_mut(place) else { return };
         let reply = match partition.jobs.read(job, resume_after, most_bytes) {
             Some(page) => Reply::Answer { status: 200, body: page.to_json().into_bytes() },
@@ -369,24 +369,33 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    fn answer_held_reads(&mut self, place: usize, concerned: impl Fn(&JobId) -> bool) {
+    fn answer_pending_reads(&mut self, place: usize, concerned: impl Fn(&JobId) -> bool) {
         let Some(partition) = self.batch_mut(place) else { return };
-        let held = std::mem::take(&mut partition.held);
-        let (answered, others): (Vec<HeldRead>, Vec<HeldRead>) =
-            held.into_iter().partition(|read| concerned(&read.job));
-        partition.held = others;
+        let pending_reads = std::mem::take(&mut partition.pending_reads);
+        let (answered, others): (Vec<PendingRead>, Vec<PendingRead>) =
+            pending_reads.into_iter().partition(|read| concerned(&read.job));
+        partition.pending_reads = others;
         for read in answered {
             self.answer_read(place, read.waiter, &read.job, read.resume_after);
         }
     }
 
-    /// A read was held for as long as it asked.
-    pub fn held_read_expired(&mut self, number: u64) {
+    /// A read was pending for as long as it asked.
+    pub fn pending_read_expired(&mut self, number: u64) {
         for place in 0..self.partitions.len() {
             let Some(partition) = self.batch_mut(place) else { continue };
-            let Some(at) = partition.held.iter().position(|held| held.read == number) else { continue };
-            let held = partition.held.swap_remove(at);
-            return self.answer_read(place, held.waiter, &held.job, held.resume_after);
+            let Some(at) =
+                partition.pending_reads.iter().position(|pending_reads| pending_reads.read == number)
+            else {
+                continue;
+            };
+            let pending_reads = partition.pending_reads.swap_remove(at);
+            return self.answer_read(
+                place,
+                pending_reads.waiter,
+                &pending_reads.job,
+                pending_reads.resume_after,
+            );
         }
     }
 
--- a/crates/tier/src/links/calls.rs
+++ b/crates/tier/src/links/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::links::messages::{Call, CallEnvelope, CallNumber, Channel, OfferJob, Reply, ReplyEnvelope};
 use crate::node::Node;
-use crate::requests::promises::is_promise;
+use crate::requests::not_executed::promises_not_executed;
 use crate::runtime::timers::Timer;
 use grebeusher_batch::Submission;
 use grebeusher_registry::Class;
@@ -143,7 +143,7 @@
 /// refused, and might be taken a moment later.
 fn is_open_refusal(call: &Call, status: u16) -> bool {
     match call {
-        Call::SubmitJob(_) => is_promise(status),
+        Call::SubmitJob(_) => promises_not_executed(status),
         Call::ReplaceConfiguration { .. } => status == 412,
         _ => false,
     }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -12,7 +12,7 @@
 use crate::links::messages::{CallNumber, CallNumbers};
 use crate::requests::exchange::Exchange;
 use crate::requests::routing::Routing;
-use crate::requests::server::{Entrance, first_limits};
+use crate::requests::server::{ListenerKind, first_limits};
 use crate::runtime::io::{Listener, SharedWorld};
 use crate::runtime::start::{Start, StartError};
 use crate::runtime::stop::Departure;
@@ -261,9 +261,9 @@
 
     fn handle(&mut self, event: Event) {
         match event.key {
-            keys::FRONTEND => self.accept(Entrance::Frontend),
-            keys::READINESS => self.accept(Entrance::Readiness),
-            keys::CONTROL => self.accept(Entrance::Control),
+            keys::FRONTEND => self.accept(ListenerKind::Frontend),
+            keys::READINESS => self.accept(ListenerKind::Readiness),
+            keys::CONTROL => self.accept(ListenerKind::Control),
             keys::INTERNAL => self.accept_links(),
             keys::SIGNALS => self.signalled(),
             key => self.connection_ready(key - keys::FIRST_CONNECTION, event.readable, event.writable),
@@ -289,14 +289,14 @@
                 }
             }
             Timer::ExchangeDeadline { exchange, serial } => self.exchange_expired(exchange, serial),
-            Timer::ExchangeSilence { exchange, serial, attempt } => {
-                self.exchange_silent(exchange, serial, attempt);
+            Timer::ExchangeResponseTimeout { exchange, serial, attempt } => {
+                self.exchange_response_timeout(exchange, serial, attempt);
             }
             Timer::LinkExpires { connection, serial } => self.link_expired(connection, serial),
-            Timer::ItemSilence { run } => self.item_silent(run),
+            Timer::ItemResponseTimeout { run } => self.item_response_timeout(run),
             Timer::CallExpires { number } => self.call_expired(number),
             Timer::CallRetry { number } => self.call_retry(number),
-            Timer::HeldReadExpires { read } => self.held_read_expired(read),
+            Timer::PendingReadExpires { read } => self.pending_read_expired(read),
             Timer::Found => self.look_to_found(),
             Timer::GroupUpkeep => self.group_upkeep(),
             Timer::Sweep => self.sweep(),
@@ -363,11 +363,11 @@
         self.departure.is_some()
     }
 
-    pub(crate) fn listener(&self, entrance: Entrance) -> Option<&dyn Listener> {
+    pub(crate) fn listener(&self, entrance: ListenerKind) -> Option<&dyn Listener> {
         let listener = match entrance {
-            Entrance::Frontend => &self.frontend,
-            Entrance::Readiness => &self.readiness,
-            Entrance::Control => &self.control,
+            ListenerKind::Frontend => &self.frontend,
+            ListenerKind::Readiness => &self.readiness,
+            ListenerKind::Control => &self.control,
         };
         listener.as_deref()
     }
--- a/crates/tier/src/requests/exchange.rs
+++ b/crates/tier/src/requests/exchange.rs
@@ -1,11 +1,11 @@
 //! One client request on its way: the attempts at executors, and the one answer that the client gets.
 
 use crate::node::Node;
-use crate::requests::event_cutter::EventCutter;
+use crate::requests::event_buffer::EventBuffer;
 use crate::requests::header_names as names;
-use crate::requests::promises::is_promise;
+use crate::requests::not_executed::promises_not_executed;
 use crate::requests::routing::{Candidate, Hints, Question, RouteChoice};
-use crate::requests::upstream::{CallLeader, Failure, MAX_UNWRITTEN, Target, UpstreamEvent};
+use crate::requests::upstream::{Failure, MAX_UNWRITTEN, Target, UpstreamEvent, UpstreamUser};
 use crate::runtime::timers::Timer;
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_gateway::{AttemptToken, Attempts, ExecutorId, FinalAnswer, Kind, Next, Outcome, ServerLoad};
@@ -34,7 +34,7 @@
 pub struct ClientRequest {
     /// Method, target and headers.
     pub head: RequestHead,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
@@ -44,15 +44,15 @@
     flight: AttemptToken,
     status: u16,
     /// When anything last came of it.
-    heard: Instant,
+    last_activity: Instant,
     head_seen: bool,
-    /// An answer that is held until it is whole.
-    held: Option<HeldAnswer>,
+    /// An answer that is buffered until it is complete.
+    buffered: Option<BufferedAnswer>,
     /// The executor says that it did not run the request.
     refusal: Option<Outcome>,
 }
 
-struct HeldAnswer {
+struct BufferedAnswer {
     status: u16,
     head: String,
     body: Vec<u8>,
@@ -84,7 +84,7 @@
     begun: u32,
     /// Whether the head of a stream went to the client.
     streaming: bool,
-    cutter: EventCutter,
+    events: EventBuffer,
     client_last_event: Option<u64>,
 }
 
@@ -104,7 +104,7 @@
     }
 
     /// How long an attempt may be silent before the request goes to another executor.
-    fn silence_borne(&self) -> Duration {
+    fn response_timeout(&self) -> Duration {
         let begun = self.attempt.as_ref().is_some_and(|attempt| attempt.head_seen);
         match self.route.gap_aim_ms {
             Some(gap_ms) if begun => MIN_PAUSE.max(Duration::from_millis(gap_ms).scaled(SILENT_PAUSES)),
@@ -122,7 +122,7 @@
 }
 
 impl Node {
-    /// A whole request has come that its route passes to an executor.
+    /// A complete request has come that its route passes to an executor.
     pub fn begin_exchange(&mut self, client: usize, request: ClientRequest, route: Rc<Route>) {
         let now = self.now;
         let headers = &request.head.headers;
@@ -150,7 +150,7 @@
             attempt: None,
             begun: 0,
             streaming: false,
-            cutter: EventCutter::after(client_last_event),
+            events: EventBuffer::after(client_last_event),
             client_last_event,
             route,
         };
@@ -194,20 +194,20 @@
         exchange.begun += 1;
         let bytes = executor_request(exchange, &candidate.target, now);
         let attempt_id = exchange.request.head.headers.get(names::ATTEMPT_ID).unwrap_or_default().to_owned();
-        let leader = CallLeader::Exchange(ExchangeKey { place: index, serial: exchange.serial });
-        match self.start_call(leader, &candidate.target, &attempt_id, &bytes) {
+        let user = UpstreamUser::Exchange(ExchangeKey { place: index, serial: exchange.serial });
+        match self.start_call(user, &candidate.target, &attempt_id, &bytes) {
             Ok(connection) => {
                 let attempt = Attempt {
                     connection,
                     flight,
                     status: 0,
-                    heard: now,
+                    last_activity: now,
                     head_seen: false,
-                    held: None,
+                    buffered: None,
                     refusal: None,
                 };
                 self.exchanges[index].attempt = Some(attempt);
-                self.watch_for_silence(index);
+                self.set_response_timeout(index);
                 None
             }
             Err(failure) => {
@@ -218,14 +218,17 @@
         }
     }
 
-    fn watch_for_silence(&mut self, index: usize) {
+    fn set_response_timeout(&mut self, index: usize) {
         let exchange = &self.exchanges[index];
         let Some(attempt) = exchange.attempt.as_ref().filter(|_| exchange.kind.may_run_again()) else {
             return;
         };
-        let silent_at = attempt.heard + exchange.silence_borne();
-        let timer =
-            Timer::ExchangeSilence { exchange: index, serial: exchange.serial, attempt: exchange.begun };
+        let silent_at = attempt.last_activity + exchange.response_timeout();
+        let timer = Timer::ExchangeResponseTimeout {
+            exchange: index,
+            serial: exchange.serial,
+            attempt: exchange.begun,
+        };
         self.alarms.set(silent_at, timer);
     }
 
@@ -249,7 +252,7 @@
         let Some(attempt) = &mut exchange.attempt else { return };
         attempt.status = status;
         attempt.head_seen = true;
-        attempt.heard = now;
+        attempt.last_activity = now;
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
         self.routing.gateway.head(now, attempt.flight, load);
         if status == 421 {
@@ -269,7 +272,7 @@
         }
         let mut head = answer_head(status, headers);
         if !success || exchange.route.route_type != RouteType::Streaming {
-            attempt.held = Some(HeldAnswer { status, head, body: Vec::new() });
+            attempt.buffered = Some(BufferedAnswer { status, head, body: Vec::new() });
             return;
         }
         if !exchange.streaming {
@@ -289,17 +292,17 @@
         if attempt.refusal.is_some() {
             return;
         }
-        attempt.heard = now;
+        attempt.last_activity = now;
         self.routing.gateway.progress(now, attempt.flight);
-        if let Some(held) = &mut attempt.held {
-            held.body.extend_from_slice(bytes);
+        if let Some(buffered) = &mut attempt.buffered {
+            buffered.body.extend_from_slice(bytes);
             return;
         }
         let connection = attempt.connection;
-        let mut whole = Vec::new();
-        exchange.cutter.feed(bytes, &mut whole);
+        let mut complete = Vec::new();
+        exchange.events.feed(bytes, &mut complete);
         let (client, serial) = (exchange.client, exchange.client_serial);
-        self.write_client_chunk(client, serial, &whole);
+        self.write_client_chunk(client, serial, &complete);
         // Both ways hold back: what the client doesn't take isn't read from the executor.
         if self.unwritten(client) > MAX_UNWRITTEN {
             self.pause_connection(connection, true);
@@ -317,48 +320,48 @@
             None if (200..300).contains(&attempt.status) => Outcome::Served,
             None => Outcome::AnsweredOther,
         };
-        if outcome == Outcome::Served && attempt.held.is_none() {
+        if outcome == Outcome::Served && attempt.buffered.is_none() {
             let mut rest = Vec::new();
-            exchange.cutter.finish(&mut rest);
+            exchange.events.finish(&mut rest);
             let (client, serial) = (exchange.client, exchange.client_serial);
             self.write_client_chunk(client, serial, &rest);
         }
         self.routing.gateway.finished(now, attempt.flight, outcome);
-        self.after_attempt(index, outcome, attempt.held);
+        self.after_attempt(index, outcome, attempt.buffered);
     }
 
     fn attempt_failed(&mut self, index: usize, failure: Failure) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
-        exchange.cutter.discard_partial();
+        exchange.events.discard_partial();
         let Some(attempt) = exchange.attempt.take() else { return };
         let outcome = match attempt.refusal {
             Some(refusal) => refusal,
-            None => outcome_of(failure, exchange.streaming, exchange.cutter.can_resume()),
+            None => outcome_of(failure, exchange.streaming, exchange.events.can_resume()),
         };
         self.routing.gateway.finished(now, attempt.flight, outcome);
         self.after_attempt(index, outcome, None);
     }
 
     /// An attempt is over: another one follows, or the answer.
-    fn after_attempt(&mut self, index: usize, outcome: Outcome, held: Option<HeldAnswer>) {
+    fn after_attempt(&mut self, index: usize, outcome: Outcome, buffered: Option<BufferedAnswer>) {
         let exchange = &mut self.exchanges[index];
         match exchange.attempts.ended(outcome) {
-            Next::Finish(answer) => self.finish(index, answer, held),
+            Next::Finish(answer) => self.finish(index, answer, buffered),
             Next::Retry | Next::Resume => self.next_attempt(index),
         }
     }
 
     /// Looks whether an attempt has been silent for too long: an idempotent request then goes to another executor.
-    pub fn exchange_silent(&mut self, index: usize, serial: u64, attempt_number: u32) {
+    pub fn exchange_response_timeout(&mut self, index: usize, serial: u64, attempt_number: u32) {
         let now = self.now;
         let Some(exchange) = self.exchanges.get_mut(index).filter(|e| e.serial == serial) else { return };
         if exchange.begun != attempt_number || exchange.begun >= exchange.route.max_attempts {
             return;
         }
         let Some(attempt) = &exchange.attempt else { return };
-        if now < attempt.heard + exchange.silence_borne() {
-            return self.watch_for_silence(index);
+        if now < attempt.last_activity + exchange.response_timeout() {
+            return self.set_response_timeout(index);
         }
         let connection = attempt.connection;
         let failure = if attempt.head_seen { Failure::MidBody } else { Failure::BeforeHead };
@@ -402,11 +405,11 @@
     }
 
     /// Gives the client its answer, and ends the exchange.
-    fn finish(&mut self, index: usize, answer: FinalAnswer, held: Option<HeldAnswer>) {
+    fn finish(&mut self, index: usize, answer: FinalAnswer, buffered: Option<BufferedAnswer>) {
         let exchange = &self.exchanges[index];
         let (client, serial) = (exchange.client, exchange.client_serial);
         if exchange.streaming {
-            let served = answer == FinalAnswer::Nothing && held.is_none();
+            let served = answer == FinalAnswer::Nothing && buffered.is_none();
             if served {
                 self.write_client(client, serial, b"0\r\n\r\n");
             } else {
@@ -415,12 +418,14 @@
             return self.end_exchange(index, served);
         }
         let may_run_again = exchange.kind.may_run_again();
-        let bytes = match (answer, held) {
+        let bytes = match (answer, buffered) {
             // The executor did not say that it has not run the request, and the client would take the status for that.
-            (FinalAnswer::Relay, Some(held)) if is_promise(held.status) && !may_run_again => {
+            (FinalAnswer::Relay, Some(buffered))
+                if promises_not_executed(buffered.status) && !may_run_again =>
+            {
                 http::answer(502, &[], b"")
             }
-            (FinalAnswer::Nothing | FinalAnswer::Relay, Some(held)) => held_answer(held),
+            (FinalAnswer::Nothing | FinalAnswer::Relay, Some(buffered)) => buffered_answer(buffered),
             (FinalAnswer::Refused, _) => http::answer(503, &[("Retry-After", RETRY_AFTER_S)], b""),
             (FinalAnswer::GatewayTimeout, _) => http::answer(504, &[], b""),
             (FinalAnswer::Cut, _) => return self.end_exchange(index, false),
@@ -431,10 +436,10 @@
         self.end_exchange(index, true);
     }
 
-    /// The exchange is over; `whole`: the client has a complete answer, else its connection is cut.
-    fn end_exchange(&mut self, index: usize, whole: bool) {
+    /// The exchange is over; `complete`: the client has a complete answer, else its connection is cut.
+    fn end_exchange(&mut self, index: usize, complete: bool) {
         let exchange = self.exchanges.remove(index);
-        self.client_answered(exchange.client, exchange.client_serial, whole);
+        self.client_answered(exchange.client, exchange.client_serial, complete);
     }
 
     /// The client is gone: nothing more is done for it.
@@ -475,7 +480,7 @@
     text += &head.headers.passed_on(&OWN);
     text += &format!("{}: {left_ms}\r\n", names::DEADLINE_MS);
     text += &format!("{}: {}\r\n", names::TARGET_INSTANCE, target.instance);
-    let last_event = if exchange.streaming { exchange.cutter.last_id() } else { exchange.client_last_event };
+    let last_event = if exchange.streaming { exchange.events.last_id() } else { exchange.client_last_event };
     if let Some(id) = last_event {
         text += &format!("{}: {id}\r\n", names::LAST_EVENT_ID);
     }
@@ -492,10 +497,10 @@
     text
 }
 
-fn held_answer(held: HeldAnswer) -> Vec<u8> {
-    let mut head = held.head;
-    head += &format!("Content-Length: {}\r\n\r\n", held.body.len());
+fn buffered_answer(buffered: BufferedAnswer) -> Vec<u8> {
+    let mut head = buffered.head;
+    head += &format!("Content-Length: {}\r\n\r\n", buffered.body.len());
     let mut bytes = head.into_bytes();
-    bytes.extend_from_slice(&held.body);
+    bytes.extend_from_slice(&buffered.body);
     bytes
 }
--- a/crates/tier/src/requests/mod.rs
+++ b/crates/tier/src/requests/mod.rs
@@ -4,11 +4,11 @@
 //! an executor, and [`routing`] asks the `gateway` crate which executor is next. [`prefix_popularity`] shares which beginnings
 //! of prompts are popular.
 
-pub mod event_cutter;
+pub mod event_buffer;
 pub mod exchange;
 pub mod header_names;
+pub mod not_executed;
 pub mod prefix_popularity;
-pub mod promises;
 pub mod routing;
 pub mod server;
 pub mod upstream;
--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -1,4 +1,4 @@
-//! The common sense of popular prefixes between the nodes: told down the trees of relays, and kept as a hint on the disk.
+//! The common sense of popular prefixes between the nodes: sent down the relay tree, and kept as a hint on the disk.
 //!
 //! Whether anybody hears it, or it is on the disk, no rule rests on: it only says where shared part of prompts are kept.
 
@@ -27,42 +27,46 @@
         let Some(folder) = &self.settings.data_path else { return };
         let Some(bytes) = self.world.read_hint(folder, NAME) else { return };
         match popularity.recall(self.now, &bytes) {
-            Ok(count) => debug!("{count} popular prefixes are remembered"),
-            Err(error) => warn!("remembered prefixes can't be read: {error}"),
+            Ok(count) => debug!(count, "popular prefixes restored"),
+            Err(error) => warn!(%error, "popular prefixes unreadable"),
         }
     }
 
     /// Tells all nodes what this one's requests ask for, when that is due.
     pub fn tell_popularity(&mut self) {
         let now = self.now;
-        let Some(told) = self.routing.gateway.popularity_mut().and_then(|popularity| popularity.tick(now))
+        let Some(contribution) =
+            self.routing.gateway.popularity_mut().and_then(|popularity| popularity.tick(now))
         else {
             return;
         };
-        self.pass_popularity_on(&told);
+        self.pass_popularity_on(&contribution);
     }
 
     /// Another node's register came, from it or on the way down its tree.
     pub fn receive_popularity(&mut self, payload: &[u8]) {
-        let Ok(told) = Contribution::decode(payload) else {
+        let Ok(contribution) = Contribution::decode(payload) else {
             self.counters.malformed += 1;
             return;
         };
         // Registers of strangers would take room and be passed on for nothing.
-        if self.registry.relay_children_of(NodeId(told.origin)).is_none() {
+        if self.registry.relay_children_of(NodeId(contribution.origin)).is_none() {
             return;
         }
         let now = self.now;
-        let merged =
-            self.routing.gateway.popularity_mut().map(|popularity| popularity.merge(now, told.clone()));
+        let merged = self
+            .routing
+            .gateway
+            .popularity_mut()
+            .map(|popularity| popularity.merge(now, contribution.clone()));
         if merged == Some(Merge::News) {
-            self.pass_popularity_on(&told);
+            self.pass_popularity_on(&contribution);
         }
     }
 
-    fn pass_popularity_on(&mut self, told: &Contribution) {
-        let bytes = told.encode();
-        for child in self.registry.relay_children_of(NodeId(told.origin)).unwrap_or_default() {
+    fn pass_popularity_on(&mut self, contribution: &Contribution) {
+        let bytes = contribution.encode();
+        for child in self.registry.relay_children_of(NodeId(contribution.origin)).unwrap_or_default() {
             self.send_frame(child, Channel::Popularity, &bytes);
         }
     }
@@ -78,7 +82,7 @@
         let bytes = popularity.remember();
         self.popularity_written = self.now;
         if let Err(error) = self.world.keep_hint(&folder, NAME, &bytes) {
-            warn!("popular prefixes can't be remembered: {error}");
+            warn!(%error, "popular prefixes not written");
         }
     }
 
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -1,4 +1,4 @@
-//! Connections of clients, executors, operators and the platform's checks: requests are read whole, one at a time, and
+//! Connections of clients, executors, operators and the platform's checks: requests are read complete, one at a time, and
 //! passed to the dispatch of the address that they came to.
 
 use crate::links::connections::{Connection, Role};
@@ -15,7 +15,7 @@
 const ACCEPTED_AT_ONCE: usize = 64;
 /// The address that a connection came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entrance {
+pub enum ListenerKind {
     /// Clients.
     Frontend,
     /// The platform's checks.
@@ -48,7 +48,7 @@
 
 /// The server's part of a connection.
 pub struct ServerConnection {
-    entrance: Entrance,
+    entrance: ListenerKind,
     state: State,
     /// When the state began: idle or slow peers are closed.
     since: Instant,
@@ -59,7 +59,7 @@
 
 impl Node {
     /// Takes in whoever waits to connect.
-    pub fn accept(&mut self, entrance: Entrance) {
+    pub fn accept(&mut self, entrance: ListenerKind) {
         for _ in 0..ACCEPTED_AT_ONCE {
             let Some(listener) = self.listener(entrance) else { return };
             match listener.accept() {
@@ -69,8 +69,8 @@
         }
     }
 
-    fn admit(&mut self, entrance: Entrance, arrival: Box<dyn Accepted>) {
-        if self.connections.len() >= self.most_connections && entrance == Entrance::Frontend {
+    fn admit(&mut self, entrance: ListenerKind, arrival: Box<dyn Accepted>) {
+        if self.connections.len() >= self.most_connections && entrance == ListenerKind::Frontend {
             self.counters.connections_refused += 1;
             return;
         }
@@ -226,9 +226,9 @@
             let entrance = server.entrance;
             let request = ClientRequest { head: *head, body };
             match entrance {
-                Entrance::Frontend => self.client_request(index, request),
-                Entrance::Readiness => self.readiness_request(index, &request),
-                Entrance::Control => self.control_request(index, request),
+                ListenerKind::Frontend => self.client_request(index, request),
+                ListenerKind::Readiness => self.readiness_request(index, &request),
+                ListenerKind::Control => self.control_request(index, request),
             }
         }
         Ok(true)
@@ -237,7 +237,7 @@
     /// The bounds on a request: the operator's for clients, the program's own for executors and the operator.
     fn limits_at(&mut self, index: usize) -> Limits {
         match self.server_mut(index) {
-            Some((_, server)) if server.entrance == Entrance::Frontend => self.http_limits,
+            Some((_, server)) if server.entrance == ListenerKind::Frontend => self.http_limits,
             _ => first_limits(),
         }
     }
@@ -259,13 +259,13 @@
         }
     }
 
-    /// Answers a request whole.
+    /// Answers a request complete.
     pub fn answer(&mut self, index: usize, serial: u64, bytes: Vec<u8>) {
         self.write_own_answer(index, serial, bytes);
         self.client_answered(index, serial, true);
     }
 
-    /// Puts a whole answer of this node's own on its way; it says so where the connection ends behind it.
+    /// Puts a complete answer of this node's own on its way; it says so where the connection ends behind it.
     pub fn write_own_answer(&mut self, index: usize, serial: u64, mut bytes: Vec<u8>) {
         if self.serial(index) != serial {
             return;
@@ -320,8 +320,8 @@
         }
     }
 
-    /// The request is over. `whole`: its answer is complete, and the connection may carry another one.
-    pub fn client_answered(&mut self, index: usize, serial: u64, whole: bool) {
+    /// The request is over. `complete`: its answer is complete, and the connection may carry another one.
+    pub fn client_answered(&mut self, index: usize, serial: u64, complete: bool) {
         if self.serial(index) != serial {
             return;
         }
@@ -330,7 +330,7 @@
         let Some((socket, server)) = self.server_mut(index) else { return };
         server.since = now;
         server.holds_back = None;
-        if !whole {
+        if !complete {
             return self.close(index);
         }
         if server.closes || stopping {
--- a/crates/tier/src/requests/upstream.rs
+++ b/crates/tier/src/requests/upstream.rs
@@ -23,7 +23,7 @@
 
 /// Whose call a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallLeader {
+pub enum UpstreamUser {
     /// A client's request.
     Exchange(ExchangeKey),
     /// An item of a batch job, by the number of its run.
@@ -50,7 +50,7 @@
     MidBody,
 }
 
-/// What the leader of a call is told.
+/// What the user of a connection is told.
 pub enum UpstreamEvent<'a> {
     /// The answer's head.
     Head {
@@ -61,7 +61,7 @@
     },
     /// Bytes of the answer's body.
     Data(&'a [u8]),
-    /// The answer is whole.
+    /// The answer is complete.
     End,
     /// There will be no (further) answer.
     Failed(Failure),
@@ -78,7 +78,7 @@
 pub struct Upstream {
     target: Target,
     state: State,
-    leader: Option<CallLeader>,
+    user: Option<UpstreamUser>,
     attempt_id: String,
     usable_until: Instant,
     closes: bool,
@@ -87,7 +87,7 @@
 impl Upstream {
     /// Whether it carries a call.
     pub fn is_busy(&self) -> bool {
-        self.leader.is_some()
+        self.user.is_some()
     }
 }
 
@@ -98,14 +98,14 @@
     /// `Failure::NeverSent` where no connection could even be begun.
     pub fn start_call(
         &mut self,
-        leader: CallLeader,
+        user: UpstreamUser,
         target: &Target,
         attempt_id: &str,
         request: &[u8],
     ) -> Result<usize, Failure> {
         while let Some(index) = self.take_idle(&target.instance) {
             let Some((socket, upstream)) = self.upstream_mut(index) else { continue };
-            upstream.leader = Some(leader);
+            upstream.user = Some(user);
             attempt_id.clone_into(&mut upstream.attempt_id);
             upstream.state = State::AwaitingHead;
             socket.put(request);
@@ -115,19 +115,19 @@
             // The write failed at once, before a byte went out: the executor had closed the connection.
             let nothing_sent = socket.waiting() == request.len();
             if let Some((_, upstream)) = self.upstream_mut(index) {
-                upstream.leader = None;
+                upstream.user = None;
             }
             self.close(index);
             if !nothing_sent {
                 return Err(Failure::BeforeHead);
             }
         }
-        self.dial_call(leader, target, attempt_id, request)
+        self.dial_call(user, target, attempt_id, request)
     }
 
     fn dial_call(
         &mut self,
-        leader: CallLeader,
+        user: UpstreamUser,
         target: &Target,
         attempt_id: &str,
         request: &[u8],
@@ -135,7 +135,7 @@
         let upstream = Upstream {
             target: target.clone(),
             state: State::Connecting,
-            leader: Some(leader),
+            user: Some(user),
             attempt_id: attempt_id.to_owned(),
             usable_until: self.now + KEEP_IDLE,
             closes: false,
@@ -169,10 +169,10 @@
         }
     }
 
-    /// Gives up a call: its connection is closed, and the leader hears no more of it.
+    /// Gives up a call: its connection is closed, and the user hears no more of it.
     pub fn abort_call(&mut self, index: usize) {
         if let Some((_, upstream)) = self.upstream_mut(index) {
-            upstream.leader = None;
+            upstream.user = None;
             self.close(index);
         }
     }
@@ -243,7 +243,7 @@
         at
     }
 
-    /// Reads a head; 0 while it is not whole, `None` if it is no head.
+    /// Reads a head; 0 while it is not complete, `None` if it is no head.
     fn upstream_head(&mut self, index: usize, bytes: &[u8]) -> Option<usize> {
         let (head, length) = match http::response_head(bytes, &self.http_limits) {
             Ok(Some(read)) => read,
@@ -270,15 +270,15 @@
         // An answer with another id belongs to an earlier request: it is read and dropped.
         let surplus = head.headers.get(names::ATTEMPT_ID).is_some_and(|id| id != upstream.attempt_id);
         upstream.state = State::Body { reader: BodyReader::new(framing), surplus };
-        let leader = upstream.leader;
-        if !surplus && let Some(leader) = leader {
-            self.deliver(leader, UpstreamEvent::Head { status: head.status, headers: &head.headers });
+        let user = upstream.user;
+        if !surplus && let Some(user) = user {
+            self.deliver(user, UpstreamEvent::Head { status: head.status, headers: &head.headers });
         }
         self.upstream_if_bodiless(index);
         Some(length)
     }
 
-    /// An answer without a body is whole with its head.
+    /// An answer without a body is complete with its head.
     fn upstream_if_bodiless(&mut self, index: usize) {
         let done = match self.upstream_mut(index) {
             Some((_, Upstream { state: State::Body { reader, .. }, .. })) => reader.is_done(),
@@ -291,13 +291,13 @@
 
     fn upstream_body(&mut self, index: usize, serial: u64, bytes: &[u8]) -> Option<usize> {
         let (_, upstream) = self.upstream_mut(index)?;
-        let leader = upstream.leader;
+        let user = upstream.user;
         let State::Body { reader, surplus } = &mut upstream.state else { return None };
         let surplus = *surplus;
         let progress = reader.read(bytes).ok()?;
-        if let Some(leader) = leader.filter(|_| !surplus) {
+        if let Some(user) = user.filter(|_| !surplus) {
             for range in &progress.data {
-                self.deliver(leader, UpstreamEvent::Data(&bytes[range.clone()]));
+                self.deliver(user, UpstreamEvent::Data(&bytes[range.clone()]));
                 if self.serial(index) != serial {
                     return Some(progress.consumed);
                 }
@@ -319,26 +319,26 @@
             return;
         }
         upstream.state = State::Idle;
-        let leader = upstream.leader.take();
+        let user = upstream.user.take();
         let instance = upstream.target.instance.clone();
-        // An executor may answer before it has read the whole request, and then wait for the rest of it.
+        // An executor may answer before it has read the complete request, and then wait for the rest of it.
         if upstream.closes || socket.waiting() > 0 {
             self.close(index);
         } else {
             self.idle_upstreams.entry(instance).or_default().push(index);
         }
-        if let Some(leader) = leader {
-            self.deliver(leader, UpstreamEvent::End);
+        if let Some(user) = user {
+            self.deliver(user, UpstreamEvent::End);
         }
     }
 
     fn upstream_ended(&mut self, index: usize) {
         let Some((_, upstream)) = self.upstream_mut(index) else { return };
-        let whole = match &mut upstream.state {
-            State::Body { reader, surplus: false } => reader.is_whole_at_close(),
+        let complete = match &mut upstream.state {
+            State::Body { reader, surplus: false } => reader.is_complete_at_close(),
             _ => false,
         };
-        if whole {
+        if complete {
             upstream.closes = true;
             self.upstream_answer_done(index);
         } else {
@@ -346,7 +346,7 @@
         }
     }
 
-    /// The connection is of no more use; its leader, if it has one, is told.
+    /// The connection is of no more use; its user, if it has one, is told.
     fn fail_upstream(&mut self, index: usize) {
         let Some((socket, upstream)) = self.upstream_mut(index) else { return };
         let failure = match upstream.state {
@@ -355,17 +355,17 @@
             _ => Failure::BeforeHead,
         };
         debug_assert!(failure != Failure::NeverSent || socket.is_connecting());
-        let leader = upstream.leader.take();
+        let user = upstream.user.take();
         self.close(index);
-        if let Some(leader) = leader {
-            self.deliver(leader, UpstreamEvent::Failed(failure));
+        if let Some(user) = user {
+            self.deliver(user, UpstreamEvent::Failed(failure));
         }
     }
 
-    fn deliver(&mut self, leader: CallLeader, event: UpstreamEvent<'_>) {
-        match leader {
-            CallLeader::Exchange(key) => self.exchange_event(key, event),
-            CallLeader::Item(run) => self.item_event(run, event),
+    fn deliver(&mut self, user: UpstreamUser, event: UpstreamEvent<'_>) {
+        match user {
+            UpstreamUser::Exchange(key) => self.exchange_event(key, event),
+            UpstreamUser::Item(run) => self.item_event(run, event),
         }
     }
 
--- a/crates/tier/src/runtime/show.rs
+++ b/crates/tier/src/runtime/show.rs
@@ -78,6 +78,6 @@
     let mut reader = BodyReader::with_most(framing, LIMITS.most_body as u64);
     let mut body = Vec::new();
     reader.read_with(&bytes[length..], |partition| body.extend_from_slice(partition)).ok()?;
-    let text = reader.is_whole_at_close().then(|| String::from_utf8(body).ok())??;
+    let text = reader.is_complete_at_close().then(|| String::from_utf8(body).ok())??;
     Some(Answer { status: head.status, text })
 }
--- a/crates/tier/src/runtime/timers.rs
+++ b/crates/tier/src/runtime/timers.rs
@@ -12,15 +12,15 @@
     /// An exchange's deadline.
     ExchangeDeadline { exchange: usize, serial: u64 },
     /// An exchange waits for a first event or an answer for suspiciously long.
-    ExchangeSilence { exchange: usize, serial: u64, attempt: u32 },
+    ExchangeResponseTimeout { exchange: usize, serial: u64, attempt: u32 },
     /// An item's run is silent for too long.
-    ItemSilence { run: u64 },
+    ItemResponseTimeout { run: u64 },
     /// A call to another node should have been answered.
     CallExpires { number: CallNumber },
     /// A call is to be tried at another node.
     CallRetry { number: CallNumber },
     /// A read that was held for a result is answered.
-    HeldReadExpires { read: u64 },
+    PendingReadExpires { read: u64 },
     /// The founder of the partitions looks whether it can found.
     Found,
     /// Leaders look after their groups.
--- a/crates/tier/tests/single_node/network.rs
+++ b/crates/tier/tests/single_node/network.rs
@@ -149,7 +149,7 @@
     pub settings: String,
 }
 
-struct Entrance(SharedNetwork, SocketAddrV4);
+struct ListenerKind(SharedNetwork, SocketAddrV4);
 struct Arrival(SharedNetwork, usize);
 struct NodeSide(SharedNetwork, usize);
 
@@ -174,7 +174,7 @@
 
     fn listen(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Listener>> {
         self.network.borrow_mut().listeners.insert(address, (key, VecDeque::new()));
-        Ok(Box::new(Entrance(self.network.clone(), address)))
+        Ok(Box::new(ListenerKind(self.network.clone(), address)))
     }
 
     fn dial(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Stream>> {
@@ -214,7 +214,7 @@
     }
 }
 
-impl Listener for Entrance {
+impl Listener for ListenerKind {
     fn accept(&self) -> io::Result<Box<dyn Accepted>> {
         let mut network = self.0.borrow_mut();
         let (_, backlog) = network.listeners.get_mut(&self.1).expect("it listens");
--- a/crates/transport/src/body.rs
+++ b/crates/transport/src/body.rs
@@ -146,7 +146,7 @@
     }
 
     /// Whether the body is whole now that the connection has ended.
-    pub fn is_whole_at_close(&self) -> bool {
+    pub fn is_complete_at_close(&self) -> bool {
         matches!(self.state, State::Done | State::UntilClose)
     }
 
--- a/crates/transport/tests/bodies.rs
+++ b/crates/transport/tests/bodies.rs
@@ -159,7 +159,7 @@
     let mut reader = BodyReader::new(Framing::Chunked);
     assert_eq!(reader.read(bytes), Err(Malformed(400)));
     assert_eq!(reader.read(b"0\r\n\r\n"), Err(Malformed(400)), "once refused, nothing mends it");
-    assert!(!reader.is_done() && !reader.is_whole_at_close());
+    assert!(!reader.is_done() && !reader.is_complete_at_close());
 }
 
 #[rstest]
@@ -216,7 +216,7 @@
 ) {
     let mut reader = BodyReader::new(framing);
     assert!(reader.read(bytes).is_ok());
-    assert_eq!(reader.is_whole_at_close(), whole);
+    assert_eq!(reader.is_complete_at_close(), whole);
 }
 
 #[test]
