--- a/crates/simulation/src/network/ends.rs
+++ b/crates/simulation/src/network/ends.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Something on the way forgets the connections of a life of a process on which nothing went for [`IDLE`].
+    /// Something on the way forgets the connections of a life of a process that were idle for too long.
     pub fn forget_idle(&mut self, process: usize) {
         self.forget_idle_of(Owner::Process(process));
     }
