--- /dev/null
+++ b/crates/gateway/src/attempt_accounting.rs
@@ -0,0 +1,167 @@
+//! What the node's own attempts show of executors and services, from their start to their end.
+
+use crate::failure_accrual::ExecutorFault;
+use crate::gateway::Gateway;
+use crate::headers::ServerLoad;
+use crate::ids::{AttemptToken, ExecutorId, ServiceId};
+use crate::own_load::{AttemptLoad, Workload};
+use crate::prefix_cache::PREFILL_TOKENS_PER_S;
+use crate::request::Request;
+use crate::retries::AttemptOutcome;
+use grebeusher_time::{DurationExt, Instant};
+
+/// An attempt that has not ended.
+pub(crate) struct OpenAttempt {
+    pub executor: ExecutorId,
+    pub sent_at: Instant,
+    /// What it occupies now.
+    load: AttemptLoad,
+    /// When its last event came.
+    last_event: Option<Instant>,
+}
+
+impl Gateway {
+    /// An attempt is sent. `None` when more are open than any node can have; it then goes unaccounted.
+    pub fn attempt_started(
+        &mut self,
+        now: Instant,
+        id: ExecutorId,
+        request: &Request<'_>,
+    ) -> Option<AttemptToken> {
+        let executor = self.executors.get(id)?;
+        let (model, prompt) = (request.model_hash(), request.prompt.all());
+        let cached_tokens = executor.prefix_cache.cached_tokens(model, prompt);
+        let ready_tokens = executor.prefix_cache.ready_tokens(now, model, prompt);
+        let service = executor.service;
+        self.observe_request(now, service, request, cached_tokens);
+        let load = AttemptLoad {
+            workload: if request.is_batch { Workload::Batch } else { Workload::Live },
+            reserved_tokens: request.total_tokens(),
+            pending_prefill: u64::from(request.prompt_tokens_beyond(ready_tokens)),
+        };
+        self.executors.get_mut(id)?.own_load.add(&load);
+        self.record_prefix_use(now, id, service, request);
+        let attempt = OpenAttempt { executor: id, sent_at: now, load, last_event: None };
+        let key = self.attempts.insert_with(|_| attempt);
+        if key.is_none() {
+            self.release(id, &load);
+        }
+        key.map(AttemptToken)
+    }
+
+    /// Adds the request to its service's sample.
+    fn observe_request(&mut self, now: Instant, id: ServiceId, request: &Request<'_>, cached_tokens: u32) {
+        let Some(service) = self.services.get_mut(id) else { return };
+        let is_first_attempt = request.excluded.is_empty();
+        if request.tokens.is_some() && is_first_attempt {
+            let shared_tokens = request.shared_tokens();
+            let has_affinity = shared_tokens >= self.config.min_prefix_tokens;
+            let at_home = if has_affinity { shared_tokens } else { 0 };
+            let size = request.size(service.median_size);
+            let work = request.work(service.median_size, cached_tokens.max(at_home));
+            service.observe_request(now, size, work, request.total_tokens() as f64, &self.config);
+        }
+        service.top_priority = service.top_priority.min(request.priority);
+    }
+
+    /// Takes note that the request's shared prefix is now cached at the executor, and of the demand for it.
+    fn record_prefix_use(&mut self, now: Instant, id: ExecutorId, service: ServiceId, request: &Request<'_>) {
+        if request.shared_tokens() < self.config.min_prefix_tokens {
+            return;
+        }
+        if let Some(executor) = self.executors.get_mut(id) {
+            executor.prefix_cache.record_use(now, request.model_hash(), request.prompt.shared());
+        }
+        let Some(prefix) = request.prefix_hash() else { return };
+        let own_tokens = request.prompt_tokens_beyond(request.shared_tokens());
+        self.prefix_demand.record(now, prefix, own_tokens);
+        let median_size = self.services.get(service).map_or(0.0, |service| service.median_size);
+        self.record_popularity(now, request, request.size(median_size), own_tokens);
+    }
+
+    /// The head of a response came, with the load that it reports.
+    pub fn response_head(&mut self, now: Instant, token: AttemptToken, load: Option<ServerLoad>) {
+        let executor = self.attempts.get(token.0).map(|attempt| attempt.executor);
+        if let Some((id, load)) = executor.zip(load) {
+            self.observe_load(now, id, load);
+        }
+    }
+
+    /// An executor reported its load, in a response or in a report that was asked for.
+    pub fn observe_load(&mut self, now: Instant, id: ExecutorId, load: ServerLoad) {
+        let Some(executor) = self.executors.get_mut(id) else { return };
+        let per_slot = executor.observe_load(now, load);
+        if let Some(service) = self.services.get_mut(executor.service) {
+            service.peer_load.observe(now, per_slot);
+        }
+    }
+
+    /// The other nodes reported how many requests they have at an executor, all together. It counts as a report of
+    /// the executor does: the newest report is valid, and fades.
+    pub fn observe_peer_load(&mut self, now: Instant, id: ExecutorId, requests: f64) {
+        if let Some(executor) = self.executors.get_mut(id) {
+            executor.observe_peer_load(now, requests);
+        }
+    }
+
+    /// An event, or the first byte of a body, came. The prefill has finished, and the gap since the event before shows
+    /// the executor's pace.
+    pub fn event_received(&mut self, now: Instant, token: AttemptToken) {
+        let Some(attempt) = self.attempts.get_mut(token.0) else { return };
+        let pending_prefill = std::mem::take(&mut attempt.load.pending_prefill);
+        let previous_event = attempt.last_event.replace(now);
+        let Some(executor) = self.executors.get_mut(attempt.executor) else { return };
+        executor.last_received = now;
+        executor.own_load.finish_prefill(attempt.load.workload, pending_prefill);
+        let Some(service) = self.services.get_mut(executor.service) else { return };
+        match previous_event {
+            None => {
+                let prefill_s = pending_prefill as f64 / PREFILL_TOKENS_PER_S;
+                let seconds = now.since(attempt.sent_at).seconds() - prefill_s;
+                executor.first_event_delay.observe(now, service.timing.observe_first_event(seconds));
+            }
+            Some(previous) => {
+                executor.pace.observe(now, service.timing.observe_event_gap(now.since(previous)));
+            }
+        }
+    }
+
+    /// An attempt ended. A second call with the same token does nothing.
+    pub fn attempt_finished(&mut self, now: Instant, token: AttemptToken, outcome: AttemptOutcome) {
+        let Some(attempt) = self.attempts.remove(token.0) else { return };
+        let id = attempt.executor;
+        self.release(id, &attempt.load);
+        if self.executors.get(id).is_none() {
+            return;
+        }
+        match outcome {
+            AttemptOutcome::Served | AttemptOutcome::AnsweredOther => self.record_success(now, &attempt),
+            AttemptOutcome::NeverSent => self.record_fault(now, id, ExecutorFault::ConnectFailed),
+            AttemptOutcome::NotExecuted => self.record_fault(now, id, ExecutorFault::Overloaded),
+            AttemptOutcome::Misdirected => self.record_fault(now, id, ExecutorFault::Misdirected),
+            AttemptOutcome::BrokenBeforeHead
+            | AttemptOutcome::BrokenBeforeRelay
+            | AttemptOutcome::BrokenMidBody
+            | AttemptOutcome::BrokenMidStream => self.record_fault(now, id, ExecutorFault::ConnectionBroken),
+            AttemptOutcome::IdleClosed
+            | AttemptOutcome::AnsweredFailure
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ClientGone => {}
+        }
+    }
+
+    fn record_success(&mut self, now: Instant, attempt: &OpenAttempt) {
+        let Some(executor) = self.executors.get_mut(attempt.executor) else { return };
+        executor.last_received = now;
+        executor.failures.record_success();
+        if let Some(service) = self.services.get_mut(executor.service) {
+            service.timing.observe_attempt(now.since(attempt.sent_at));
+        }
+    }
+
+    fn release(&mut self, id: ExecutorId, load: &AttemptLoad) {
+        if let Some(executor) = self.executors.get_mut(id) {
+            executor.own_load.remove(load);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/executor_table.rs
@@ -0,0 +1,58 @@
+//! The table of executors: by key and by `instance_id`.
+
+use crate::executor::Executor;
+use crate::ids::ExecutorId;
+use crate::slot_map::SlotMap;
+use rustc_hash::FxHashMap;
+use std::sync::Arc;
+
+/// Each entry has one `instance_id`, which finds its key.
+pub(crate) struct ExecutorTable {
+    executors: SlotMap<Executor>,
+    by_instance: FxHashMap<Arc<str>, ExecutorId>,
+}
+
+impl Default for ExecutorTable {
+    fn default() -> ExecutorTable {
+        ExecutorTable {
+            // The registry bounds the number of executors.
+            executors: SlotMap::with_limit(u32::MAX as usize),
+            by_instance: FxHashMap::default(),
+        }
+    }
+}
+
+impl ExecutorTable {
+    /// Adds the executor that `make` builds for its key.
+    pub fn insert_with(&mut self, make: impl FnOnce(ExecutorId) -> Executor) -> ExecutorId {
+        let key = self.executors.insert_with(|key| make(ExecutorId(key)));
+        let id = ExecutorId(key.expect("the registry holds fewer executors than u32 counts"));
+        if let Some(executor) = self.get(id) {
+            let instance = executor.instance.clone();
+            self.by_instance.insert(instance, id);
+        }
+        id
+    }
+
+    pub fn remove(&mut self, id: ExecutorId) -> Option<Executor> {
+        let executor = self.executors.remove(id.0)?;
+        self.by_instance.remove(&executor.instance);
+        Some(executor)
+    }
+
+    pub fn find(&self, instance: &str) -> Option<ExecutorId> {
+        self.by_instance.get(instance).copied()
+    }
+
+    pub fn get(&self, id: ExecutorId) -> Option<&Executor> {
+        self.executors.get(id.0)
+    }
+
+    pub fn get_mut(&mut self, id: ExecutorId) -> Option<&mut Executor> {
+        self.executors.get_mut(id.0)
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = &Executor> {
+        self.executors.iter()
+    }
+}
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,18 +1,20 @@
-//! The headers by which clients hint at sizes and executors tell their load.
+//! The headers by which clients hint at request sizes and executors report their load.
 
 use grebeusher_sizing::mixed;
 use snafu::Snafu;
 
-/// The most parts of a prompt that are looked at: those after are long past what is shared.
-pub const MAX_PARTS: usize = 16;
+/// The most segments of a prompt that are kept. Those after are long past what is shared.
+pub const MAX_SEGMENTS: usize = 16;
 
-/// Tokens beyond any prompt; what claims more is nonsense.
+/// More tokens than any prompt has; a larger number is invalid.
 const MAX_TOKENS: u32 = 16_000_000;
+/// The prime of the FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 /// Why a header could not be read. The request is then treated as one without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum HeaderError {
-    /// A number is missing, malformed or beyond any sense.
+    /// A number is missing, malformed or out of bounds.
     #[snafu(display("not a number in its bounds"))]
     Number,
     /// More or fewer fields than the header has.
@@ -20,103 +22,109 @@
     Fields,
 }
 
-fn number(field: &str) -> Result<u32, HeaderError> {
+fn parse_number(field: &str) -> Result<u32, HeaderError> {
     let field = field.trim();
-    let digits = !field.is_empty() && field.bytes().all(|byte| byte.is_ascii_digit());
-    let value = digits.then(|| field.parse::<u32>().ok()).flatten();
+    let is_decimal = !field.is_empty() && field.bytes().all(|byte| byte.is_ascii_digit());
+    let value = is_decimal.then(|| field.parse::<u32>().ok()).flatten();
     value.filter(|value| *value <= MAX_TOKENS).ok_or(HeaderError::Number)
 }
 
-/// `X-Grebeusher-Token-Count`: tokens of the prompt, and the most that come out.
+/// `X-Grebeusher-Token-Count`: tokens of the prompt, and the most tokens of the output.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCount {
-    /// Tokens of the whole prompt.
+    /// Tokens of the complete prompt.
     pub prompt: u32,
-    /// The most tokens of the answer.
-    pub out: u32,
+    /// The most tokens of the output.
+    pub output: u32,
 }
 
 impl TokenCount {
-    /// Reads "in,out".
+    /// Reads "prompt,output".
     pub fn parse(value: &str) -> Result<TokenCount, HeaderError> {
-        let (prompt, out) = value.split_once(',').ok_or(HeaderError::Fields)?;
-        Ok(TokenCount { prompt: number(prompt)?, out: number(out)? })
+        let (prompt, output) = value.split_once(',').ok_or(HeaderError::Fields)?;
+        Ok(TokenCount { prompt: parse_number(prompt)?, output: parse_number(output)? })
     }
 }
 
-/// One part of a prompt.
+/// One segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptPart {
-    /// The hash of all parts up to and with this one: a part is only worth keeping behind the same parts.
-    pub chain: u64,
-    /// Tokens of this part alone.
+pub struct PromptSegment {
+    /// The hash of all segments up to and with this one: a cached segment is of use only behind the same segments.
+    pub chain_hash: u64,
+    /// Tokens of this segment alone.
     pub tokens: u32,
 }
 
-/// `X-Grebeusher-Prompt-Prefix`: the parts of a prompt in order. The last belongs to the request itself or to its
-/// session; those before are shared.
+/// `X-Grebeusher-Prompt-Prefix`: the segments of a prompt in order. The last belongs to the request itself or to its
+/// session; those before are shared with other requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PromptParts {
-    parts: [PromptPart; MAX_PARTS],
+pub struct PromptSegments {
+    segments: [PromptSegment; MAX_SEGMENTS],
     count: usize,
-    whole: bool,
+    /// Whether the header had no more than [`MAX_SEGMENTS`].
+    complete: bool,
 }
 
-impl Default for PromptParts {
-    fn default() -> PromptParts {
-        PromptParts { parts: [PromptPart { chain: 0, tokens: 0 }; MAX_PARTS], count: 0, whole: true }
+impl Default for PromptSegments {
+    fn default() -> PromptSegments {
+        let empty = PromptSegment { chain_hash: 0, tokens: 0 };
+        PromptSegments { segments: [empty; MAX_SEGMENTS], count: 0, complete: true }
     }
 }
 
-impl PromptParts {
-    /// Reads "ID:TOKENS,ID:TOKENS", with ids in hex of any length. Only the first [`MAX_PARTS`] are kept.
-    pub fn parse(value: &str) -> Result<PromptParts, HeaderError> {
-        let mut parts = PromptParts::default();
-        let mut chain = 0_u64;
+impl PromptSegments {
+    /// Reads "ID:TOKENS,ID:TOKENS", with ids in hex of any length. Only the first [`MAX_SEGMENTS`] are kept.
+    pub fn parse(value: &str) -> Result<PromptSegments, HeaderError> {
+        let mut prompt = PromptSegments::default();
+        let mut chain_hash = 0_u64;
         for field in value.split(',') {
             let (id, tokens) = field.split_once(':').ok_or(HeaderError::Fields)?;
-            let (id, tokens) = (id.trim(), number(tokens)?);
-            if id.is_empty() || !id.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-                return Err(HeaderError::Number);
-            }
-            let hash = id.bytes().fold(chain, |hash, byte| {
-                (hash ^ u64::from(byte.to_ascii_lowercase())).wrapping_mul(0x0100_0000_01b3)
-            });
-            chain = mixed(hash.wrapping_add(1));
-            if parts.count == MAX_PARTS {
-                parts.whole = false;
+            let tokens = parse_number(tokens)?;
+            chain_hash = extend_chain(chain_hash, id.trim())?;
+            if prompt.count == MAX_SEGMENTS {
+                prompt.complete = false;
                 break;
             }
-            parts.parts[parts.count] = PromptPart { chain, tokens };
-            parts.count += 1;
+            prompt.segments[prompt.count] = PromptSegment { chain_hash, tokens };
+            prompt.count += 1;
         }
-        Ok(parts)
+        Ok(prompt)
     }
 
-    /// All parts, in order.
-    pub fn all(&self) -> &[PromptPart] {
-        &self.parts[..self.count]
+    /// All segments, in order.
+    pub fn all(&self) -> &[PromptSegment] {
+        &self.segments[..self.count]
     }
 
-    /// The parts that other requests share: all but the last.
-    pub fn shared(&self) -> &[PromptPart] {
-        &self.parts[..self.count.saturating_sub(usize::from(self.whole))]
+    /// The segments that other requests share: all but the last.
+    pub fn shared(&self) -> &[PromptSegment] {
+        &self.segments[..self.count.saturating_sub(usize::from(self.complete))]
     }
 
-    /// Tokens of the shared parts together.
+    /// Tokens of the shared segments together.
     pub fn shared_tokens(&self) -> u32 {
-        self.shared().iter().fold(0, |sum, part| sum.saturating_add(part.tokens))
+        self.shared().iter().fold(0, |sum, segment| sum.saturating_add(segment.tokens))
+    }
+}
+
+/// The chain hash with one more segment id, which is hex of any length and case.
+fn extend_chain(chain_hash: u64, id: &str) -> Result<u64, HeaderError> {
+    if id.is_empty() || !id.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+        return Err(HeaderError::Number);
     }
+    let add = |hash: u64, byte: u8| (hash ^ u64::from(byte.to_ascii_lowercase())).wrapping_mul(FNV_PRIME);
+    let hash = id.bytes().fold(chain_hash, add);
+    Ok(mixed(hash.wrapping_add(1)))
 }
 
-/// `X-Grebeusher-Server-Load`: how an executor stood when its answer's head went out.
+/// `X-Grebeusher-Server-Load`: an executor's load when the head of its response was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests in its batch.
+    /// Requests that it runs.
     pub running: u32,
-    /// Requests that wait for a place in it.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// Places in its batch.
+    /// Requests that it can run concurrently.
     pub slots: u32,
 }
 
@@ -124,7 +132,7 @@
     /// Reads "running,waiting,slots".
     pub fn parse(value: &str) -> Result<ServerLoad, HeaderError> {
         let mut fields = value.split(',');
-        let mut next = || fields.next().ok_or(HeaderError::Fields).and_then(number);
+        let mut next = || fields.next().ok_or(HeaderError::Fields).and_then(parse_number);
         let load = ServerLoad { running: next()?, waiting: next()?, slots: next()? };
         if fields.next().is_some() {
             return Err(HeaderError::Fields);
--- a/crates/gateway/tests/headers.rs
+++ b/crates/gateway/tests/headers.rs
@@ -1,12 +1,12 @@
 //! The headers of clients and executors, as they come from outside.
 
-use grebeusher_gateway::{HeaderError, MAX_PARTS, PromptParts, ServerLoad, TokenCount};
+use grebeusher_gateway::{HeaderError, MAX_SEGMENTS, PromptSegments, ServerLoad, TokenCount};
 use proptest::prelude::*;
 use rstest::rstest;
 
 #[rstest]
-#[case("1460,80", Ok(TokenCount { prompt: 1460, out: 80 }))]
-#[case(" 1 , 2 ", Ok(TokenCount { prompt: 1, out: 2 }))]
+#[case("1460,80", Ok(TokenCount { prompt: 1460, output: 80 }))]
+#[case(" 1 , 2 ", Ok(TokenCount { prompt: 1, output: 2 }))]
 #[case("1460", Err(HeaderError::Fields))]
 #[case("1,2,3", Err(HeaderError::Number))]
 #[case("+1,2", Err(HeaderError::Number))]
@@ -30,16 +30,16 @@
 
 #[test]
 fn the_last_part_belongs_to_the_request_itself() {
-    let parts = PromptParts::parse("5c1e07a2:800,91bd3f06:410,e4402b7d:250").unwrap();
-    assert_eq!(parts.all().iter().map(|part| part.tokens).collect::<Vec<_>>(), [800, 410, 250]);
-    assert_eq!((parts.shared().len(), parts.shared_tokens()), (2, 1210));
-    assert!(PromptParts::default().shared().is_empty());
-    assert!(PromptParts::parse("5c1e07a2:800").unwrap().shared().is_empty());
+    let prompt = PromptSegments::parse("5c1e07a2:800,91bd3f06:410,e4402b7d:250").unwrap();
+    assert_eq!(prompt.all().iter().map(|part| part.tokens).collect::<Vec<_>>(), [800, 410, 250]);
+    assert_eq!((prompt.shared().len(), prompt.shared_tokens()), (2, 1210));
+    assert!(PromptSegments::default().shared().is_empty());
+    assert!(PromptSegments::parse("5c1e07a2:800").unwrap().shared().is_empty());
 }
 
 #[test]
 fn a_part_is_another_behind_other_parts() {
-    let chain = |value| PromptParts::parse(value).unwrap().all().last().unwrap().chain;
+    let chain = |value| PromptSegments::parse(value).unwrap().all().last().unwrap().chain_hash;
     assert_eq!(chain("aa:1,bb:2"), chain("AA:1, bb:2"));
     assert_ne!(chain("aa:1,bb:2"), chain("cc:1,bb:2"));
     assert_ne!(chain("aa:1,bb:2"), chain("aab:1,b:2"));
@@ -55,16 +55,16 @@
 #[case("aa:5,")]
 #[case("aa:-5")]
 fn malformed_parts_are_none(#[case] value: &str) {
-    assert!(PromptParts::parse(value).is_err());
+    assert!(PromptSegments::parse(value).is_err());
 }
 
 #[test]
 fn parts_without_end_are_cut_off() {
     let value = (0..1000).map(|n| format!("{n:x}:16000000")).collect::<Vec<_>>().join(",");
-    let parts = PromptParts::parse(&value).unwrap();
-    assert_eq!(parts.all().len(), MAX_PARTS);
+    let prompt = PromptSegments::parse(&value).unwrap();
+    assert_eq!(prompt.all().len(), MAX_SEGMENTS);
     // What is kept of it is all shared, since the last part is beyond.
-    assert_eq!(parts.shared_tokens(), 16 * 16_000_000);
+    assert_eq!(prompt.shared_tokens(), 16 * 16_000_000);
 }
 
 proptest! {
@@ -72,6 +72,6 @@
     fn nothing_from_outside_panics(value in ".{0,200}") {
         let _ = TokenCount::parse(&value);
         let _ = ServerLoad::parse(&value);
-        let _ = PromptParts::parse(&value);
+        let _ = PromptSegments::parse(&value);
     }
 }
--- a/crates/gateway/tests/model/engine.rs
+++ b/crates/gateway/tests/model/engine.rs
@@ -1,10 +1,10 @@
-//! One executor: a batch of slots, prompts read in pieces between the tokens, a memory of prompt parts, a queue.
+//! One executor: a batch of slots, prompts read in chunks between the tokens, a cache of prompt segments, a queue.
 
 use super::Arrival;
-use grebeusher_gateway::PromptParts;
+use grebeusher_gateway::PromptSegments;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Tokens of an event, and of a piece of a prompt.
+/// Tokens of an event, and of a piece of a prompt_tokens.
 const STRIDE: u32 = 16;
 const PIECE: u32 = 1024;
 
@@ -17,27 +17,35 @@
 
 pub struct Job {
     request: usize,
-    prompt: u32,
+    prompt_tokens: u32,
     unread: u32,
-    out: u32,
+    output_tokens: u32,
     made: u32,
-    parts: PromptParts,
+    prompt: PromptSegments,
     admitted: bool,
 }
 
 impl Job {
     pub fn new(request: usize, arrival: &Arrival) -> Job {
-        let (prompt, out) = (arrival.tokens.prompt, arrival.out.max(1));
-        Job { request, prompt, unread: prompt, out, made: 0, parts: arrival.parts, admitted: false }
+        let (prompt_tokens, output_tokens) = (arrival.tokens.prompt, arrival.output.max(1));
+        Job {
+            request,
+            prompt_tokens,
+            unread: prompt_tokens,
+            output_tokens,
+            made: 0,
+            prompt: arrival.prompt,
+            admitted: false,
+        }
     }
 
     fn context(&self) -> u64 {
-        u64::from(self.prompt - self.unread + self.made)
+        u64::from(self.prompt_tokens - self.unread + self.made)
     }
 
-    /// Tokens in memory that no other has a part in.
+    /// Tokens in memory that no other has a segment in.
     fn own(&self) -> u64 {
-        u64::from(self.prompt.saturating_sub(self.parts.shared_tokens()) + self.made)
+        u64::from(self.prompt_tokens.saturating_sub(self.prompt.shared_tokens()) + self.made)
     }
 }
 
@@ -53,7 +61,7 @@
     clock: u64,
     /// Tokens read, and ten times the tokens made.
     pub work: f64,
-    /// Shared parts that were read: chain and tokens.
+    /// Shared segments that were read: chain hash and tokens.
     pub reads: Vec<(u64, u64)>,
 }
 
@@ -82,12 +90,12 @@
         self.queue.len()
     }
 
-    pub fn kept(&self, parts: &PromptParts) -> u32 {
-        let kept = parts.all().iter().take_while(|part| self.cache.contains_key(&part.chain));
-        kept.map(|part| part.tokens).sum()
+    pub fn cached_tokens(&self, prompt: &PromptSegments) -> u32 {
+        let kept = prompt.all().iter().take_while(|segment| self.cache.contains_key(&segment.chain_hash));
+        kept.map(|segment| segment.tokens).sum()
     }
 
-    /// Milliseconds until a new request's prompt would be read from.
+    /// Milliseconds until a new request's prompt_tokens would be read from.
     pub fn backlog_ms(&self) -> f64 {
         let unread: u32 = self.batch.iter().chain(&self.queue).map(|job| job.unread).sum();
         let over = (self.batch.len() + self.queue.len() + 1).saturating_sub(self.slots);
@@ -97,7 +105,9 @@
     }
 
     pub fn take(&mut self, job: Job) -> bool {
-        if self.queue.len() >= self.queue_most || u64::from(job.prompt + job.out) > self.kv_tokens {
+        if self.queue.len() >= self.queue_most
+            || u64::from(job.prompt_tokens + job.output_tokens) > self.kv_tokens
+        {
             return false;
         }
         self.queue.push_back(job);
@@ -108,8 +118,8 @@
         let shared: BTreeMap<u64, u32> = self
             .batch
             .iter()
-            .flat_map(|job| job.parts.shared())
-            .map(|part| (part.chain, part.tokens))
+            .flat_map(|job| job.prompt.shared())
+            .map(|segment| (segment.chain_hash, segment.tokens))
             .collect();
         let shared: u64 = shared.values().map(|tokens| u64::from(*tokens)).sum();
         shared + self.batch.iter().map(Job::own).sum::<u64>()
@@ -118,13 +128,13 @@
     fn admit(&mut self) {
         while self.batch.len() < self.slots {
             let Some(next) = self.queue.front() else { return };
-            if self.running_tokens() + u64::from(next.prompt) > self.kv_tokens {
+            if self.running_tokens() + u64::from(next.prompt_tokens) > self.kv_tokens {
                 return;
             }
             let mut job = self.queue.pop_front().unwrap();
             if !job.admitted {
-                let kept = self.kept(&job.parts);
-                job.unread = job.prompt.saturating_sub(kept);
+                let kept = self.cached_tokens(&job.prompt);
+                job.unread = job.prompt_tokens.saturating_sub(kept);
                 job.admitted = true;
             }
             self.batch.push(job);
@@ -140,7 +150,7 @@
         let (mut piece, mut read, mut pairs, mut context) = (PIECE, 0, 0.0, 0);
         for job in &self.batch {
             let now = job.unread.min(piece);
-            pairs += f64::from(now) * f64::from(job.prompt - job.unread + now / 2);
+            pairs += f64::from(now) * f64::from(job.prompt_tokens - job.unread + now / 2);
             (piece, read) = (piece - now, read + now);
             context += job.context();
         }
@@ -153,7 +163,7 @@
         Some(ms)
     }
 
-    /// Ends the step: tokens for all whose prompt is read, pieces for the others.
+    /// Ends the step: tokens for all whose prompt_tokens is read, pieces for the others.
     pub fn end_step(&mut self) -> Vec<(usize, Made)> {
         let (mut piece, mut made, mut read) = (PIECE, Vec::new(), Vec::new());
         for job in &mut self.batch {
@@ -163,33 +173,33 @@
                 if job.unread > 0 {
                     continue;
                 }
-                read.push(job.parts);
+                read.push(job.prompt);
             }
             if job.made == 0 {
-                read.push(job.parts);
+                read.push(job.prompt);
             }
             job.made += 1;
             self.work += 10.0;
-            if job.made >= job.out {
+            if job.made >= job.output_tokens {
                 made.push((job.request, Made::Last));
             } else if job.made % STRIDE == 0 {
                 made.push((job.request, Made::Event));
             }
         }
-        self.batch.retain(|job| job.made < job.out);
-        read.iter().for_each(|parts| self.keep(parts));
+        self.batch.retain(|job| job.made < job.output_tokens);
+        read.iter().for_each(|prompt| self.keep(prompt));
         made
     }
 
-    fn keep(&mut self, parts: &PromptParts) {
+    fn keep(&mut self, prompt: &PromptSegments) {
         let mut intact = true;
-        for part in parts.all() {
+        for segment in prompt.all() {
             self.clock += 1;
-            intact &= self.cache.contains_key(&part.chain);
-            if !intact && parts.shared().contains(part) {
-                self.reads.push((part.chain, u64::from(part.tokens)));
+            intact &= self.cache.contains_key(&segment.chain_hash);
+            if !intact && prompt.shared().contains(segment) {
+                self.reads.push((segment.chain_hash, u64::from(segment.tokens)));
             }
-            self.cache.insert(part.chain, (part.tokens, self.clock));
+            self.cache.insert(segment.chain_hash, (segment.tokens, self.clock));
         }
         // What runs is in the cache too, but for what it has made.
         let made: u64 = self.batch.iter().map(|job| u64::from(job.made)).sum();
--- a/crates/gateway/tests/model/mod.rs
+++ b/crates/gateway/tests/model/mod.rs
@@ -9,8 +9,9 @@
 pub use workload::{Arrival, Class, Workload};
 
 use grebeusher_gateway::{
-    AttemptToken, Attempts, BatchItem, Choice, Descriptor, ExecutorId, FinalAnswer, Gateway, Kind, ModelKey,
-    Next, Outcome, Policy, Request, ServerLoad, ServiceId, ServiceSettings, Standing, ZoneKey,
+    AttemptOutcome, AttemptToken, Attempts, BatchItem, ExecutorDescriptor, ExecutorId, ExecutorState,
+    FinalResponse, Gateway, GatewayConfig, ModelKey, Request, RetryClass, RetryDecision, RoutingDecision,
+    ServerLoad, ServiceId, ServiceSettings, ZoneKey,
 };
 use grebeusher_sizing::rendezvous;
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -23,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Router {
     /// The crate's own choice.
-    Gateway(Policy),
+    Gateway(GatewayConfig),
     UniformRandom,
     /// Fewest own requests out.
     LeastOutstanding,
@@ -144,7 +145,7 @@
     pub batch_done: u32,
     /// Refusals while fewer than half of all places were taken and nothing waited.
     pub false_refusals: u32,
-    pub decisions: grebeusher_gateway::Decisions,
+    pub decisions: grebeusher_gateway::DecisionCounters,
     pub sent_to_dark: u32,
     pub most_of_one_home: f64,
 }
@@ -219,20 +220,20 @@
 
 impl Simulation {
     fn new(deployment: &Deployment, router: Router, seed: u64) -> Simulation {
-        let policy = if let Router::Gateway(policy) = router { policy } else { Policy::default() };
+        let config = if let Router::Gateway(config) = router { config } else { GatewayConfig::default() };
         let nodes = deployment.nodes + deployment.batch_nodes;
         let mut ids = Vec::new();
         let mut service = None;
         let gateways = (0..nodes)
             .map(|node| {
                 let zone = ZoneKey(node as u64 % 4);
-                let mut gateway = Gateway::new(policy, zone, seed ^ (node as u64) << 20);
+                let mut gateway = Gateway::new(config, zone, seed ^ (node as u64) << 20);
                 let settings =
                     ServiceSettings { max_connections: 220, kv_capacity_tokens: deployment.kv_tokens };
                 service = Some(gateway.set_service("katalogizator", settings));
                 gateway.set_nodes(nodes as u32);
                 ids = (0..deployment.executors)
-                    .map(|n| gateway.upsert(&descriptor(seed, n, deployment.slots, Standing::Up)))
+                    .map(|n| gateway.upsert(&descriptor(seed, n, deployment.slots, ExecutorState::Ready)))
                     .collect();
                 gateway
             })
@@ -291,7 +292,7 @@
             let node = self.chance.random_range(0..self.deployment.nodes);
             let class = &self.deployment.classes[arrival.class];
             let tries_left = class.retries;
-            let attempts = Attempts::new(class.kind, class.max_attempts);
+            let attempts = Attempts::new(class.retry_class, class.max_attempts);
             self.live.push(Live::new(arrival, node, tries_left, attempts, false));
             self.at(at, Event::Arrive(self.live.len() - 1));
         }
@@ -321,8 +322,8 @@
             Event::AtExecutor { executor, request } => self.at_executor(executor, request),
             Event::StepEnds { executor } => self.step_ends(executor),
             Event::Back { request, made, load } => self.back(request, made, load),
-            Event::Full { request } => self.ended(request, Outcome::NotExecuted),
-            Event::Dead { request } => self.ended(request, Outcome::NeverSent),
+            Event::Full { request } => self.ended(request, AttemptOutcome::NotExecuted),
+            Event::Dead { request } => self.ended(request, AttemptOutcome::NeverSent),
             Event::Refused { request } => {
                 self.live[request].node = self.chance.random_range(0..self.deployment.nodes);
                 self.choose(request);
@@ -343,7 +344,7 @@
             let all: u32 = self.own_out.iter().map(|out| out[executor]).sum();
             for node in 0..self.gateways.len() {
                 let others = f64::from(all - self.own_out[node][executor]);
-                self.gateways[node].told(now, self.ids[executor], others);
+                self.gateways[node].observe_peer_load(now, self.ids[executor], others);
             }
         }
         if self.now < end {
@@ -361,16 +362,16 @@
         let class = if live.batch { &Class::batch() } else { &self.deployment.classes[class] };
         let waited = self.now - live.arrival.at;
         Request {
-            kind: class.kind,
+            retry_class: class.retry_class,
             model: Some(ModelKey(1)),
             tokens: Some(live.arrival.tokens),
-            parts: live.arrival.parts,
+            prompt: live.arrival.prompt,
             excluded: &live.excluded,
-            objective: Duration::from_millis(class.aim_ms as u64),
-            waited: Duration::from_nanos((waited * 1e6) as u64),
-            deadline_left: Duration::from_nanos(((class.deadline_ms - waited).max(0.0) * 1e6) as u64),
-            committed: live.attempts.may_have_run(),
-            batch: live.batch,
+            latency_objective: Duration::from_millis(class.aim_ms as u64),
+            elapsed: Duration::from_nanos((waited * 1e6) as u64),
+            until_deadline: Duration::from_nanos(((class.deadline_ms - waited).max(0.0) * 1e6) as u64),
+            may_have_run: live.attempts.may_have_run(),
+            is_batch: live.batch,
             ..Request::to(self.service)
         }
     }
@@ -383,12 +384,12 @@
                 let request = self.request(live);
                 let choice = self.gateways[node].choose(now, &request);
                 match choice {
-                    Choice::Send { executor, .. } => {
-                        let token = self.gateways[node].started(now, executor, &request);
+                    RoutingDecision::Forward { executor, .. } => {
+                        let token = self.gateways[node].attempt_started(now, executor, &request);
                         self.live[number].token = token;
                         self.by_id[&executor]
                     }
-                    Choice::Refuse { retry_after } | Choice::Nobody { retry_after } => {
+                    RoutingDecision::Reject { retry_after } | RoutingDecision::NoExecutor { retry_after } => {
                         return self.refused(number, retry_after.seconds() * 1000.0);
                     }
                 }
@@ -428,17 +429,17 @@
                 if out[other] < out[any] { other } else { any }
             }
             Router::BoundedPrefixHash => {
-                let Some(part) = live.arrival.parts.shared().last() else { return any };
+                let Some(part) = live.arrival.prompt.shared().last() else { return any };
                 let mean = f64::from(out.iter().sum::<u32>() + 1) / out.len() as f64;
                 let mut order = free;
-                order.sort_by_key(|n| Reverse(rendezvous(part.chain, *n as u64)));
+                order.sort_by_key(|n| Reverse(rendezvous(part.chain_hash, *n as u64)));
                 let fits = |n: &&usize| f64::from(out[**n]) < (1.25 * mean).ceil();
                 *order.iter().find(fits).unwrap_or(&order[0])
             }
             Router::AllSeeing => {
                 let free = free.into_iter().filter(|n| !self.is_dark(*n));
                 let wait = |n: &usize| {
-                    let kept = self.engines[*n].kept(&live.arrival.parts);
+                    let kept = self.engines[*n].cached_tokens(&live.arrival.prompt);
                     let unread = f64::from(live.arrival.tokens.prompt.saturating_sub(kept));
                     ((self.engines[*n].backlog_ms() + unread / 128.0) * 1000.0) as u64
                 };
@@ -464,7 +465,7 @@
         }
         live.tries_left -= 1;
         live.excluded.clear();
-        live.attempts = Attempts::new(class.kind, class.max_attempts);
+        live.attempts = Attempts::new(class.retry_class, class.max_attempts);
         self.at(self.now + after_ms.min(left / 3.0) + 2.0, Event::Refused { request: number });
     }
 
@@ -509,19 +510,19 @@
         if live.first.is_none() {
             live.first = Some(now);
             if let Some(token) = live.token {
-                gateway.head(moment, token, Some(load));
+                gateway.response_head(moment, token, Some(load));
             }
         } else if now - live.last > 250.0 {
             live.paused = true;
         }
         live.last = now;
         if let Some(token) = live.token {
-            gateway.progress(moment, token);
+            gateway.event_received(moment, token);
         }
         if made == Made::Last {
             self.own_out[live.node][live.executor] -= 1;
             if let Some(token) = live.token.take() {
-                gateway.finished(moment, token, Outcome::Served);
+                gateway.attempt_finished(moment, token, AttemptOutcome::Served);
             }
             self.served(number);
         }
@@ -543,12 +544,12 @@
         if in_time { tally.in_time += 1 } else { tally.late += 1 }
     }
 
-    fn ended(&mut self, number: usize, outcome: Outcome) {
+    fn ended(&mut self, number: usize, outcome: AttemptOutcome) {
         let moment = self.moment();
         let live = &mut self.live[number];
         self.own_out[live.node][live.executor] -= 1;
         if let Some(token) = live.token.take() {
-            self.gateways[live.node].finished(moment, token, outcome);
+            self.gateways[live.node].attempt_finished(moment, token, outcome);
         }
         if live.batch {
             let arrival = live.arrival.clone();
@@ -556,9 +557,9 @@
             return;
         }
         match live.attempts.ended(outcome) {
-            Next::Retry | Next::Resume => self.choose(number),
-            Next::Finish(FinalAnswer::Refused) => self.refused(number, 100.0),
-            Next::Finish(_) => {
+            RetryDecision::Retry | RetryDecision::Resume => self.choose(number),
+            RetryDecision::Finish(FinalResponse::ServiceUnavailable) => self.refused(number, 100.0),
+            RetryDecision::Finish(_) => {
                 live.over = true;
                 self.report.classes[live.arrival.class].failed += 1;
             }
@@ -576,14 +577,14 @@
                 service: self.service,
                 model: Some(ModelKey(1)),
                 tokens: Some(arrival.tokens),
-                parts: arrival.parts,
+                prompt: arrival.prompt,
                 excluded: &[],
                 urgency: 0.0,
             };
-            let Some(id) = self.gateways[node].batch_room(now, &item) else { return };
+            let Some(id) = self.gateways[node].choose_for_batch(now, &item) else { return };
             self.batch_waiting.pop_front();
-            let token = self.gateways[node].started(now, id, &item.as_request());
-            let attempts = Attempts::new(Kind::ResumableStream, 3);
+            let token = self.gateways[node].attempt_started(now, id, &item.as_request());
+            let attempts = Attempts::new(RetryClass::ResumableStream, 3);
             let mut live = Live::new(arrival, node, 0, attempts, true);
             live.token = token;
             self.live.push(live);
@@ -599,7 +600,7 @@
             let first = live.first.filter(|_| live.over).map(|first| first - live.arrival.at);
             let in_time = first.is_some_and(|first| first <= class.aim_ms && !live.paused);
             let worth = if in_time { 1.0 } else { first.map_or(0.0, |_| 0.3) };
-            tally.earned.push((live.arrival.tokens.prompt + 10 * live.arrival.tokens.out, worth));
+            tally.earned.push((live.arrival.tokens.prompt + 10 * live.arrival.tokens.output, worth));
             if !live.over {
                 tally.failed += 1;
             }
@@ -622,7 +623,7 @@
         }
         self.report.work = self.engines.iter().map(|engine| engine.work).collect();
         let moment = self.moment();
-        let view = |id: &ExecutorId| self.gateways[0].view(moment, *id).unwrap().lane;
+        let view = |id: &ExecutorId| self.gateways[0].executor_view(moment, *id).unwrap().lane;
         self.report.lanes = self.ids.iter().map(view).collect();
         let most = self.home_sent.values().max().copied().unwrap_or(0);
         let all: u32 = self.home_sent.values().sum();
@@ -630,14 +631,14 @@
         for gateway in &self.gateways[..self.deployment.nodes] {
             let one = gateway.decisions();
             let sum = &mut self.report.decisions;
-            sum.by_pick += one.by_pick;
-            sum.by_kept += one.by_kept;
-            sum.by_home += one.by_home;
+            sum.weighted_pick += one.weighted_pick;
+            sum.cached_prefix += one.cached_prefix;
+            sum.prefix_home += one.prefix_home;
             sum.out_of_lane += one.out_of_lane;
             sum.queued += one.queued;
-            sum.in_doubt += one.in_doubt;
-            sum.refused += one.refused;
-            sum.nobody += one.nobody;
+            sum.unhealthy += one.unhealthy;
+            sum.rejected += one.rejected;
+            sum.no_executor += one.no_executor;
         }
         self.report
     }
@@ -662,15 +663,15 @@
     }
 }
 
-fn descriptor(seed: u64, number: usize, slots: usize, standing: Standing) -> Descriptor<'static> {
+fn descriptor(seed: u64, number: usize, slots: usize, state: ExecutorState) -> ExecutorDescriptor<'static> {
     let instance: &'static str = Box::leak(format!("i-{seed:x}-{number}").into_boxed_str());
-    Descriptor {
+    ExecutorDescriptor {
         instance,
         service: "katalogizator",
         address: ([10, 0, 0, number as u8], 8080).into(),
         zone: ZoneKey(number as u64 % 4),
         slots: slots as u32,
-        standing,
+        state,
         models: &[ModelKey(1)],
     }
 }
--- a/crates/gateway/tests/model/workload.rs
+++ b/crates/gateway/tests/model/workload.rs
@@ -1,6 +1,6 @@
-//! Requests: sizes of long tails, shared prompt parts of subjects, times by chance.
+//! Requests: sizes of long tails, shared prompt prefixes of subjects, times by chance.
 
-use grebeusher_gateway::{Kind, PromptParts, TokenCount};
+use grebeusher_gateway::{PromptSegments, RetryClass, TokenCount};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     pub per_s: f64,
-    pub kind: Kind,
+    pub retry_class: RetryClass,
     pub max_attempts: u32,
     pub retries: u32,
     pub aim_ms: f64,
@@ -27,7 +27,7 @@
     pub fn heading(per_s: f64) -> Class {
         Class {
             per_s,
-            kind: Kind::ResumableStream,
+            retry_class: RetryClass::ResumableStream,
             max_attempts: 2,
             retries: 1,
             aim_ms: 200.0,
@@ -43,7 +43,7 @@
     pub fn authority(per_s: f64, subjects: usize) -> Class {
         Class {
             per_s,
-            kind: Kind::NonIdempotent,
+            retry_class: RetryClass::NonIdempotent,
             max_attempts: 1,
             aim_ms: 300.0,
             deadline_ms: 4000.0,
@@ -78,9 +78,9 @@
     pub class: usize,
     pub subject: u64,
     pub tokens: TokenCount,
-    /// Tokens that really come out.
-    pub out: u32,
-    pub parts: PromptParts,
+    /// Output tokens that the executor really makes.
+    pub output: u32,
+    pub prompt: PromptSegments,
 }
 
 pub struct Workload {
@@ -131,12 +131,12 @@
         let subject = zipf(&mut self.chance, things);
         let shared = things[subject].0;
         let own = lognormal(&mut self.chance, shape.own);
-        let out = 16 * lognormal(&mut self.chance, shape.events);
+        let output = 16 * lognormal(&mut self.chance, shape.events);
         let header =
             format!("{:x}:{shared},{:x}:{own}", (class << 32) + subject, 0xabc_0000_0000 + self.number);
-        let parts = PromptParts::parse(&header).unwrap();
-        let tokens = TokenCount { prompt: shared + own, out };
-        Arrival { at, class, subject: subject as u64, tokens, out, parts }
+        let prompt = PromptSegments::parse(&header).unwrap();
+        let tokens = TokenCount { prompt: shared + own, output };
+        Arrival { at, class, subject: subject as u64, tokens, output, prompt }
     }
 }
 
--- a/crates/gateway/tests/popular.rs
+++ b/crates/gateway/tests/popular.rs
@@ -1,8 +1,9 @@
 //! Nodes that share one sense of popular prefixes send them to the same homes, as many as their rate needs.
 
 use grebeusher_gateway::{
-    BatchItem, Choice, Descriptor, ExecutorId, Gateway, Kind, ModelKey, Outcome, Policy, PromptParts,
-    Request, ServiceId, ServiceSettings, Standing, TokenCount, ZoneKey,
+    AttemptOutcome, BatchItem, ExecutorDescriptor, ExecutorId, ExecutorState, Gateway, GatewayConfig,
+    ModelKey, PromptSegments, Request, RetryClass, RoutingDecision, ServiceId, ServiceSettings, TokenCount,
+    ZoneKey,
 };
 use grebeusher_prefix_popularity::{Contribution, Identity, Settings};
 use grebeusher_time::{Duration, Instant};
@@ -17,14 +18,14 @@
     START + Duration::from_millis(ms)
 }
 
-fn executor(name: &str) -> Descriptor<'_> {
-    Descriptor {
+fn executor(name: &str) -> ExecutorDescriptor<'_> {
+    ExecutorDescriptor {
         instance: name,
         service: "s",
         address: ([10, 0, 0, 1], 80).into(),
         zone: ZoneKey(5),
         slots: SLOTS,
-        standing: Standing::Up,
+        state: ExecutorState::Ready,
         models: &MODEL,
     }
 }
@@ -39,7 +40,7 @@
         let mut service = None;
         let node = |number: usize| {
             let mut gateway = Gateway::new(
-                Policy { shared_prefixes: true, ..Policy::default() },
+                GatewayConfig { share_prefix_popularity: true, ..GatewayConfig::default() },
                 ZoneKey(99),
                 number as u64,
             );
@@ -61,11 +62,13 @@
     /// A request is sent to where the node chooses, and served at once; the name of the executor.
     fn ask(&mut self, node: usize, now: Instant, request: &Request<'_>) -> String {
         let gateway = &mut self.nodes[node];
-        let Choice::Send { executor, .. } = gateway.choose(now, request) else { panic!("there is room") };
-        let name = gateway.view(now, executor).expect("it is there").instance.to_string();
-        let token = gateway.started(now, executor, request).expect("few are open");
-        gateway.progress(now, token);
-        gateway.finished(now, token, Outcome::Served);
+        let RoutingDecision::Forward { executor, .. } = gateway.choose(now, request) else {
+            panic!("there is room")
+        };
+        let name = gateway.executor_view(now, executor).expect("it is there").instance.to_string();
+        let token = gateway.attempt_started(now, executor, request).expect("few are open");
+        gateway.event_received(now, token);
+        gateway.attempt_finished(now, token, AttemptOutcome::Served);
         name
     }
 
@@ -95,12 +98,12 @@
 }
 
 fn asks(service: ServiceId, subject: usize, own: u32) -> Request<'static> {
-    let parts = PromptParts::parse(&format!("aa:300,{subject:x}:13000,ffff:{own}")).unwrap();
+    let prompt = PromptSegments::parse(&format!("aa:300,{subject:x}:13000,ffff:{own}")).unwrap();
     Request {
         model: Some(MODEL[0]),
-        tokens: Some(TokenCount { prompt: 13_300 + own, out: 10 }),
-        kind: Kind::ResumableStream,
-        parts,
+        tokens: Some(TokenCount { prompt: 13_300 + own, output: 10 }),
+        retry_class: RetryClass::ResumableStream,
+        prompt,
         ..Request::to(service)
     }
 }
@@ -200,18 +203,18 @@
         .flat_map(|node| [node, node])
         .map(|node| {
             let id = tier.id(node, &home);
-            (node, tier.nodes[node].started(at(10), id, &request).expect("few are open"))
+            (node, tier.nodes[node].attempt_started(at(10), id, &request).expect("few are open"))
         })
         .collect();
     // Then all nodes go to the same next one, without a word
     let next: BTreeSet<String> = (0..3).map(|node| tier.ask(node, at(20), &request)).collect();
     assert_eq!(next.len(), 1);
     assert!(!next.contains(&home));
-    assert_eq!(tier.nodes[0].decisions().by_next_home, 1);
+    assert_eq!(tier.nodes[0].decisions().next_prefix_home, 1);
     // And when it is read they come back
     for (node, token) in unread {
-        tier.nodes[node].progress(at(300), token);
-        tier.nodes[node].finished(at(400), token, Outcome::Served);
+        tier.nodes[node].event_received(at(300), token);
+        tier.nodes[node].attempt_finished(at(400), token, AttemptOutcome::Served);
     }
     for node in 0..3 {
         assert_eq!(tier.ask(node, at(3_000), &request), home);
@@ -227,16 +230,16 @@
         service: tier.service,
         model: request.model,
         tokens: request.tokens,
-        parts: request.parts,
+        prompt: request.prompt,
         excluded: &[],
         urgency: 0.5,
     };
     for tenth in 0..100 {
         let now = at(tenth * 100);
-        let id = tier.nodes[0].batch_room(now, &item).expect("there is room");
-        let token = tier.nodes[0].started(now, id, &item.as_request()).expect("few are open");
-        tier.nodes[0].progress(now, token);
-        tier.nodes[0].finished(now, token, Outcome::Served);
+        let id = tier.nodes[0].choose_for_batch(now, &item).expect("there is room");
+        let token = tier.nodes[0].attempt_started(now, id, &item.as_request()).expect("few are open");
+        tier.nodes[0].event_received(now, token);
+        tier.nodes[0].attempt_finished(now, token, AttemptOutcome::Served);
     }
     tier.tell(at(10_000));
     // Then no prefix is popular, so none of the day's homes has to give way
@@ -265,7 +268,11 @@
     ten_seconds(&mut tier, 0, 2, &popular);
     assert!(tier.nodes[0].popular(1)[0].popular.homes > 4);
     let mut alone = Tier::new(1, 8);
-    alone.nodes[0] = Gateway::new(Policy { shared_prefixes: false, ..Policy::default() }, ZoneKey(99), 0);
+    alone.nodes[0] = Gateway::new(
+        GatewayConfig { share_prefix_popularity: false, ..GatewayConfig::default() },
+        ZoneKey(99),
+        0,
+    );
     let settings = ServiceSettings { max_connections: 10_000, kv_capacity_tokens: 400_000 };
     alone.service = alone.nodes[0].set_service("s", settings);
     alone.nodes[0].share_prefixes(START, Identity { origin: 1, incarnation: 1 }, Settings::default());
@@ -275,11 +282,11 @@
     }
     // When each decides on many requests
     let counts = |tier: &mut Tier| -> Vec<f64> {
-        let parts = match tokens {
-            [] => PromptParts::default(),
-            tokens => PromptParts::parse(&format!("aa:{},ffff:{}", tokens[0], tokens[1])).unwrap(),
+        let prompt = match tokens {
+            [] => PromptSegments::default(),
+            tokens => PromptSegments::parse(&format!("aa:{},ffff:{}", tokens[0], tokens[1])).unwrap(),
         };
-        let request = Request { parts, ..Request::to(tier.service) };
+        let request = Request { prompt, ..Request::to(tier.service) };
         let mut counts = vec![0.0; 8];
         for _ in 0..8_000 {
             let name = tier.ask(0, at(30_000), &request);
--- /dev/null
+++ b/crates/gateway/tests/retries.rs
@@ -0,0 +1,138 @@
+//! Retries: what may follow which outcome, by retry_class of request, written out in full.
+
+use grebeusher_gateway::{AttemptOutcome, Attempts, FinalResponse, RetryClass, RetryDecision};
+use proptest::prelude::*;
+use rstest::rstest;
+
+const RETRY: RetryDecision = RetryDecision::Retry;
+const RESUME: RetryDecision = RetryDecision::Resume;
+const UNAVAILABLE: RetryDecision = RetryDecision::Finish(FinalResponse::ServiceUnavailable);
+const BAD_GATEWAY: RetryDecision = RetryDecision::Finish(FinalResponse::BadGateway);
+const TIMEOUT: RetryDecision = RetryDecision::Finish(FinalResponse::GatewayTimeout);
+const ABORT: RetryDecision = RetryDecision::Finish(FinalResponse::Abort);
+const RELAY: RetryDecision = RetryDecision::Finish(FinalResponse::Relay);
+const NOTHING: RetryDecision = RetryDecision::Finish(FinalResponse::Nothing);
+
+/// After the first attempt, with one more allowed: idempotent, non-idempotent, resumable.
+#[rstest]
+#[case(AttemptOutcome::Served, [NOTHING, NOTHING, NOTHING])]
+#[case(AttemptOutcome::NeverSent, [RETRY, RETRY, RETRY])]
+#[case(AttemptOutcome::IdleClosed, [RETRY, RETRY, RETRY])]
+#[case(AttemptOutcome::NotExecuted, [RETRY, RETRY, RETRY])]
+#[case(AttemptOutcome::Misdirected, [RETRY, RETRY, RETRY])]
+#[case(AttemptOutcome::BrokenBeforeHead, [RETRY, BAD_GATEWAY, RETRY])]
+#[case(AttemptOutcome::BrokenBeforeRelay, [RETRY, BAD_GATEWAY, RETRY])]
+#[case(AttemptOutcome::BrokenMidBody, [ABORT, ABORT, ABORT])]
+#[case(AttemptOutcome::BrokenMidStream, [ABORT, ABORT, RESUME])]
+#[case(AttemptOutcome::AnsweredFailure, [RETRY, RELAY, RETRY])]
+#[case(AttemptOutcome::AnsweredOther, [RELAY, RELAY, RELAY])]
+#[case(AttemptOutcome::TimedOut, [TIMEOUT, TIMEOUT, TIMEOUT])]
+#[case(AttemptOutcome::ClientGone, [NOTHING, NOTHING, NOTHING])]
+fn after_the_first_of_two(#[case] outcome: AttemptOutcome, #[case] due: [RetryDecision; 3]) {
+    let retry_classes = [RetryClass::Idempotent, RetryClass::NonIdempotent, RetryClass::ResumableStream];
+    assert_eq!(retry_classes.map(|retry_class| Attempts::new(retry_class, 2).ended(outcome)), due);
+}
+
+/// With one attempt only, the same: what proves not run is still tried again.
+#[rstest]
+#[case(AttemptOutcome::NeverSent, [RETRY, RETRY, RETRY])]
+#[case(AttemptOutcome::IdleClosed, [RETRY, RETRY, RETRY])]
+#[case(AttemptOutcome::NotExecuted, [RETRY, RETRY, RETRY])]
+#[case(AttemptOutcome::Misdirected, [RETRY, RETRY, RETRY])]
+#[case(AttemptOutcome::BrokenBeforeHead, [BAD_GATEWAY, BAD_GATEWAY, BAD_GATEWAY])]
+#[case(AttemptOutcome::BrokenBeforeRelay, [BAD_GATEWAY, BAD_GATEWAY, BAD_GATEWAY])]
+#[case(AttemptOutcome::BrokenMidBody, [ABORT, ABORT, ABORT])]
+#[case(AttemptOutcome::BrokenMidStream, [ABORT, ABORT, ABORT])]
+#[case(AttemptOutcome::AnsweredFailure, [RELAY, RELAY, RELAY])]
+#[case(AttemptOutcome::AnsweredOther, [RELAY, RELAY, RELAY])]
+#[case(AttemptOutcome::TimedOut, [TIMEOUT, TIMEOUT, TIMEOUT])]
+fn after_the_only_one(#[case] outcome: AttemptOutcome, #[case] due: [RetryDecision; 3]) {
+    let retry_classes = [RetryClass::Idempotent, RetryClass::NonIdempotent, RetryClass::ResumableStream];
+    assert_eq!(retry_classes.map(|retry_class| Attempts::new(retry_class, 1).ended(outcome)), due);
+}
+
+/// Within a resumed stream the client has a head already: no status can be told any more.
+#[rstest]
+#[case(AttemptOutcome::Served, NOTHING)]
+#[case(AttemptOutcome::NeverSent, RESUME)]
+#[case(AttemptOutcome::NotExecuted, RESUME)]
+#[case(AttemptOutcome::Misdirected, RESUME)]
+#[case(AttemptOutcome::BrokenBeforeHead, RESUME)]
+#[case(AttemptOutcome::BrokenMidStream, RESUME)]
+#[case(AttemptOutcome::AnsweredFailure, RESUME)]
+#[case(AttemptOutcome::AnsweredOther, RESUME)]
+#[case(AttemptOutcome::TimedOut, ABORT)]
+#[case(AttemptOutcome::ClientGone, NOTHING)]
+fn within_a_resumed_stream(#[case] outcome: AttemptOutcome, #[case] due: RetryDecision) {
+    let mut attempts = Attempts::new(RetryClass::ResumableStream, 3);
+    assert_eq!(attempts.ended(AttemptOutcome::BrokenMidStream), RESUME);
+    assert_eq!(attempts.without_executor(), FinalResponse::Abort);
+    assert_eq!(attempts.ended(outcome), due);
+}
+
+#[test]
+fn proven_refusals_end_in_a_refusal_with_a_promise() {
+    // given a request that every executor refuses
+    let mut attempts = Attempts::new(RetryClass::NonIdempotent, 1);
+    let outcomes: Vec<RetryDecision> = (0..4).map(|_| attempts.ended(AttemptOutcome::NotExecuted)).collect();
+    // then it is tried a few times, and the client is told that it has not run
+    assert_eq!(outcomes, [RETRY, RETRY, RETRY, UNAVAILABLE]);
+    assert_eq!(attempts.without_executor(), FinalResponse::ServiceUnavailable);
+}
+
+#[test]
+fn a_refusal_after_a_possible_run_makes_no_promise() {
+    let mut attempts = Attempts::new(RetryClass::Idempotent, 3);
+    assert_eq!(attempts.ended(AttemptOutcome::BrokenBeforeHead), RETRY);
+    assert_eq!(attempts.ended(AttemptOutcome::NotExecuted), RETRY);
+    assert_eq!(attempts.without_executor(), FinalResponse::BadGateway);
+}
+
+fn outcomes() -> impl Strategy<Value = AttemptOutcome> {
+    prop::sample::select(vec![
+        AttemptOutcome::NeverSent,
+        AttemptOutcome::IdleClosed,
+        AttemptOutcome::NotExecuted,
+        AttemptOutcome::Misdirected,
+        AttemptOutcome::BrokenBeforeHead,
+        AttemptOutcome::BrokenBeforeRelay,
+        AttemptOutcome::BrokenMidBody,
+        AttemptOutcome::BrokenMidStream,
+        AttemptOutcome::AnsweredFailure,
+        AttemptOutcome::AnsweredOther,
+        AttemptOutcome::TimedOut,
+    ])
+}
+
+proptest! {
+    /// TWICE and UNAVAILABLE: whatever happens, a non-idempotent request is never tried after it may have run, and no
+    /// request is refused that states it has not run after it may have run.
+    #[test]
+    fn no_order_of_outcomes_breaks_a_promise(
+        retry_class in prop::sample::select(vec![RetryClass::Idempotent, RetryClass::NonIdempotent, RetryClass::ResumableStream]),
+        most in 0_u32..5,
+        outcomes in prop::collection::vec(outcomes(), 1..20),
+    ) {
+        let mut attempts = Attempts::new(retry_class, most);
+        let (mut may_have_run, mut head_sent, mut ended) = (0, false, false);
+        for outcome in outcomes {
+            may_have_run += u32::from(!outcome.proves_not_run());
+            head_sent |= matches!(outcome, AttemptOutcome::BrokenMidBody | AttemptOutcome::BrokenMidStream);
+            match attempts.ended(outcome) {
+                RetryDecision::Retry | RetryDecision::Resume => {
+                    prop_assert!(may_have_run == 0 || retry_class.may_run_again());
+                    prop_assert!(may_have_run < most.max(1));
+                    prop_assert!(!head_sent || retry_class == RetryClass::ResumableStream);
+                }
+                RetryDecision::Finish(answer) => {
+                    prop_assert!(answer != FinalResponse::ServiceUnavailable || may_have_run == 0);
+                    prop_assert!(!head_sent || matches!(answer, FinalResponse::Abort));
+                    ended = true;
+                }
+            }
+            if ended {
+                break;
+            }
+        }
+    }
+}
--- a/crates/gateway/tests/simulation.rs
+++ b/crates/gateway/tests/simulation.rs
@@ -3,8 +3,8 @@
 mod model;
 
 use grebeusher_gateway::{
-    Choice, Descriptor, Gateway, ModelKey, Outcome, Policy, PromptParts, Request, ServerLoad,
-    ServiceSettings, Standing, TokenCount, ZoneKey,
+    AttemptOutcome, ExecutorDescriptor, ExecutorState, Gateway, GatewayConfig, ModelKey, PromptSegments,
+    Request, RoutingDecision, ServerLoad, ServiceSettings, TokenCount, ZoneKey,
 };
 use grebeusher_time::Instant;
 use model::{Class, Deployment, Report, Router, run};
@@ -39,20 +39,20 @@
 #[test]
 #[ignore = "prints a table for tuning: DAY picks one day, in release it takes minutes"]
 fn table() {
-    let policy = Policy::default();
-    let lanes = |lanes| Router::Gateway(Policy { lanes, ..policy });
+    let config = GatewayConfig::default();
+    let lanes = |lanes| Router::Gateway(GatewayConfig { lane_shares: lanes, ..config });
     let variants: Vec<(&str, Router)> = vec![
-        ("default", Router::Gateway(policy)),
-        ("no homes", Router::Gateway(Policy { least_stake: u32::MAX, ..policy })),
+        ("default", Router::Gateway(config)),
+        ("no homes", Router::Gateway(GatewayConfig { min_prefix_tokens: u32::MAX, ..config })),
         ("one lane", lanes([1.0, 0.0, 0.0, 0.0])),
         ("lanes 1:1", lanes([1.0, 1.0, 0.0, 0.0])),
         ("lanes 1:5", lanes([1.0, 5.0, 0.0, 0.0])),
-        ("patience 1", Router::Gateway(Policy { home_patience: 1.0, ..policy })),
-        ("patience 3", Router::Gateway(Policy { home_patience: 3.0, ..policy })),
-        ("part .4", Router::Gateway(Policy { home_part: 0.4, ..policy })),
-        ("slow weight 0", Router::Gateway(Policy { slow_weight: 0.0, ..policy })),
-        ("queue anywhere", Router::Gateway(Policy { queue_at_home: false, ..policy })),
-        ("near 1", Router::Gateway(Policy { near: 1.0, ..policy })),
+        ("patience 1", Router::Gateway(GatewayConfig { max_home_wait_ratio: 1.0, ..config })),
+        ("patience 3", Router::Gateway(GatewayConfig { max_home_wait_ratio: 3.0, ..config })),
+        ("part .4", Router::Gateway(GatewayConfig { home_prefill_share: 0.4, ..config })),
+        ("slow weight 0", Router::Gateway(GatewayConfig { slow_pace_penalty: 0.0, ..config })),
+        ("queue anywhere", Router::Gateway(GatewayConfig { queue_at_home_only: false, ..config })),
+        ("near 1", Router::Gateway(GatewayConfig { same_zone_weight: 1.0, ..config })),
         ("uniform random", Router::UniformRandom),
         ("least outstanding", Router::LeastOutstanding),
         ("two choices", Router::TwoChoices),
@@ -131,7 +131,7 @@
     #[case] deployment: Deployment,
     #[case] due: f64,
 ) {
-    let own = days(&deployment, Router::Gateway(Policy::default()));
+    let own = days(&deployment, Router::Gateway(GatewayConfig::default()));
     let bound = days(&deployment, Router::AllSeeing);
     let whole = |reports: &[Report]| 2.0 * 141.0 * worth(reports, 0) + 3.0 * 19.6 * worth(reports, 1);
     let part = whole(&own) / whole(&bound);
@@ -143,9 +143,9 @@
 #[case::lipa_at_twice_the_load(Deployment::lipa().times(2.0))]
 #[case::narmada(Deployment::narmada())]
 fn all_requests_are_served_below_the_limit(#[case] deployment: Deployment) {
-    for report in days(&deployment, Router::Gateway(Policy::default())) {
+    for report in days(&deployment, Router::Gateway(GatewayConfig::default())) {
         assert!(report.classes.iter().all(|tally| tally.share_served() >= 1.0));
-        assert_eq!(report.decisions.refused + report.decisions.nobody, 0);
+        assert_eq!(report.decisions.rejected + report.decisions.no_executor, 0);
     }
 }
 
@@ -156,7 +156,8 @@
 #[case::bounded_prefix_hash(Router::BoundedPrefixHash)]
 fn no_baseline_earns_more(#[case] baseline: Router) {
     let deployment = Deployment::lipa().times(2.0);
-    let (own, other) = (days(&deployment, Router::Gateway(Policy::default())), days(&deployment, baseline));
+    let (own, other) =
+        (days(&deployment, Router::Gateway(GatewayConfig::default())), days(&deployment, baseline));
     let whole = |reports: &[Report]| 2.0 * 141.0 * worth(reports, 0) + 3.0 * 19.6 * worth(reports, 1);
     assert!(whole(&own) > whole(&other), "{} against {}", whole(&own), whole(&other));
     assert!(worth(&own, 1) > worth(&other, 1));
@@ -165,20 +166,20 @@
 #[test]
 fn homes_spare_most_of_the_reading_and_the_ordinary_path_decides_the_rest() {
     let deployment = Deployment::lipa();
-    let with = days(&deployment, Router::Gateway(Policy::default()));
-    let policy = Policy { least_stake: u32::MAX, ..Policy::default() };
-    let without = days(&deployment, Router::Gateway(policy));
+    let with = days(&deployment, Router::Gateway(GatewayConfig::default()));
+    let config = GatewayConfig { min_prefix_tokens: u32::MAX, ..GatewayConfig::default() };
+    let without = days(&deployment, Router::Gateway(config));
     assert!(reread(&with) < reread(&without) / 3.0, "{} against {}", reread(&with), reread(&without));
     for report in &with {
         let (short, long) = (report.classes[0].asked, report.classes[1].asked);
-        assert!(report.decisions.by_pick >= u64::from(short));
-        assert!(report.decisions.by_home + report.decisions.by_kept <= u64::from(long));
+        assert!(report.decisions.weighted_pick >= u64::from(short));
+        assert!(report.decisions.prefix_home + report.decisions.cached_prefix <= u64::from(long));
     }
 }
 
 #[test]
 fn the_lanes_bear_equal_work() {
-    let reports = days(&Deployment::lipa(), Router::Gateway(Policy::default()));
+    let reports = days(&Deployment::lipa(), Router::Gateway(GatewayConfig::default()));
     let (small, large) = (mean(&reports, |r| r.lane_load()[0]), mean(&reports, |r| r.lane_load()[1]));
     assert!((0.75..1.33).contains(&(small / large)), "{small} against {large} an executor");
 }
@@ -190,7 +191,7 @@
         classes: vec![Class::heading(282.0), Class::authority(39.2, 110).skewed(1.2)],
         ..Deployment::lipa()
     };
-    for report in days(&deployment, Router::Gateway(Policy::default())) {
+    for report in days(&deployment, Router::Gateway(GatewayConfig::default())) {
         // then no executor gets as many as that subject and its own together, and every subject is served
         assert!(report.most_of_one_home <= 0.33, "{}", report.most_of_one_home);
         assert!(report.subjects.0 > 10 && report.subjects.1 == 0, "{:?}", report.subjects);
@@ -203,9 +204,9 @@
     // given requests of one subject only, twice as many as all subjects together have
     let deployment =
         Deployment { classes: vec![Class::heading(141.0), Class::authority(39.2, 1)], ..Deployment::lipa() };
-    let policy = Policy::default();
-    let with = days(&deployment, Router::Gateway(policy));
-    let without = days(&deployment, Router::Gateway(Policy { least_stake: u32::MAX, ..policy }));
+    let config = GatewayConfig::default();
+    let with = days(&deployment, Router::Gateway(config));
+    let without = days(&deployment, Router::Gateway(GatewayConfig { min_prefix_tokens: u32::MAX, ..config }));
     // then it is served hardly worse than by the ordinary path alone, which such a case suits best
     assert!(worth(&with, 1) >= worth(&without, 1) - 0.08, "{} {}", worth(&with, 1), worth(&without, 1));
     assert!(worth(&with, 0) >= worth(&without, 0) - 0.02, "{} {}", worth(&with, 0), worth(&without, 0));
@@ -215,7 +216,7 @@
 #[test]
 fn the_tail_is_served_as_the_rest() {
     for load in [1.0, 2.5] {
-        for report in days(&Deployment::lipa().times(load), Router::Gateway(Policy::default())) {
+        for report in days(&Deployment::lipa().times(load), Router::Gateway(GatewayConfig::default())) {
             for tally in &report.classes {
                 let mut earned = tally.earned.clone();
                 earned.sort_by_key(|(size, _)| std::cmp::Reverse(*size));
@@ -232,7 +233,7 @@
 fn executors_that_go_dark_cost_a_few_tries_and_no_answer() {
     let dark = vec![(0, 3.0, 7.5), (7, 3.0, 7.5), (11, 3.0, 7.5)];
     let deployment = Deployment { dark, ..Deployment::lipa() };
-    for report in days(&deployment, Router::Gateway(Policy::default())) {
+    for report in days(&deployment, Router::Gateway(GatewayConfig::default())) {
         // 18 a second of each would go there for 4.5 s: most tries are spared
         assert!(report.sent_to_dark < 120, "{}", report.sent_to_dark);
         assert!(report.classes.iter().all(|tally| tally.share_served() >= 1.0 && tally.failed == 0));
@@ -248,8 +249,8 @@
     #[case] felt: f64,
 ) {
     let deployment = Deployment { batch_nodes: 4, batch_items_per_s: items_per_s, ..Deployment::lipa() };
-    let policy = Router::Gateway(Policy::default());
-    let (with, without) = (days(&deployment, policy), days(&Deployment::lipa(), policy));
+    let config = Router::Gateway(GatewayConfig::default());
+    let (with, without) = (days(&deployment, config), days(&Deployment::lipa(), config));
     assert!(worth(&with, 0) > worth(&without, 0) - felt, "{} {}", worth(&with, 0), worth(&without, 0));
     assert!(worth(&with, 1) > worth(&without, 1) - 0.04, "{} {}", worth(&with, 1), worth(&without, 1));
     for report in &with {
@@ -261,7 +262,7 @@
 
 #[test]
 fn overload_is_refused_and_what_is_taken_is_mostly_in_time() {
-    let reports = days(&Deployment::lipa().times(4.0), Router::Gateway(Policy::default()));
+    let reports = days(&Deployment::lipa().times(4.0), Router::Gateway(GatewayConfig::default()));
     for report in &reports {
         let (asked, refused): (u32, u32) =
             report.classes.iter().fold((0, 0), |sum, t| (sum.0 + t.asked, sum.1 + t.refused));
@@ -275,18 +276,18 @@
 #[test]
 #[ignore = "prints how long a choice takes"]
 fn a_choice_among_a_hundred_executors() {
-    let mut gateway = Gateway::new(Policy::default(), ZoneKey(1), 1);
+    let mut gateway = Gateway::new(GatewayConfig::default(), ZoneKey(1), 1);
     let settings = ServiceSettings { max_connections: 0, kv_capacity_tokens: 400_000 };
     let service = gateway.set_service("s", settings);
     let ids: Vec<_> = (0..100)
         .map(|n: usize| {
-            gateway.upsert(&Descriptor {
+            gateway.upsert(&ExecutorDescriptor {
                 instance: &format!("i-{n}"),
                 service: "s",
                 address: ([10, 0, 0, n as u8], 80).into(),
                 zone: ZoneKey(n as u64 % 4),
                 slots: 24,
-                standing: Standing::Up,
+                state: ExecutorState::Ready,
                 models: &[ModelKey(1)],
             })
         })
@@ -296,7 +297,7 @@
         let request = Request {
             model: Some(ModelKey(1)),
             tokens: TokenCount::parse("1000,300").ok(),
-            parts: PromptParts::parse(prefix).unwrap(),
+            prompt: PromptSegments::parse(prefix).unwrap(),
             ..Request::to(service)
         };
         let mut spent = std::time::Duration::ZERO;
@@ -304,13 +305,17 @@
             let now = Instant(1_000_000_000 + n * 1_000_000);
             let begin = std::time::Instant::now();
             let choice = gateway.choose(now, &request);
-            if let Choice::Send { executor, .. } = choice {
-                open.extend(gateway.started(now, executor, &request));
+            if let RoutingDecision::Forward { executor, .. } = choice {
+                open.extend(gateway.attempt_started(now, executor, &request));
             }
             spent += begin.elapsed();
-            gateway.load(now, ids[n as usize % 100], ServerLoad { running: 5, waiting: 0, slots: 24 });
+            gateway.observe_load(
+                now,
+                ids[n as usize % 100],
+                ServerLoad { running: 5, waiting: 0, slots: 24 },
+            );
             if open.len() > 600 {
-                gateway.finished(now, open.pop_front().unwrap(), Outcome::Served);
+                gateway.attempt_finished(now, open.pop_front().unwrap(), AttemptOutcome::Served);
             }
         }
         println!("{name}: {:?} a choice and start", spent / 20_000);
--- a/crates/tier/src/exchange.rs
+++ b/crates/tier/src/exchange.rs
@@ -8,7 +8,9 @@
 use crate::timers::Timer;
 use crate::upstream::{CallLeader, Failure, MAX_UNWRITTEN, Target, UpstreamEvent};
 use grebeusher_configuration::configuration::{Route, RouteType};
-use grebeusher_gateway::{AttemptToken, Attempts, ExecutorId, FinalAnswer, Kind, Next, Outcome, ServerLoad};
+use grebeusher_gateway::{
+    AttemptOutcome, AttemptToken, Attempts, ExecutorId, FinalResponse, RetryClass, RetryDecision, ServerLoad,
+};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::headers::Headers;
 use grebeusher_transport::http::{self, RequestHead};
@@ -49,7 +51,7 @@
     /// An answer that is held until it is whole.
     held: Option<HeldAnswer>,
     /// The executor says that it did not run the request.
-    refusal: Option<Outcome>,
+    refusal: Option<AttemptOutcome>,
 }
 
 struct HeldAnswer {
@@ -74,7 +76,7 @@
     hints: Hints,
     route: Rc<Route>,
     service: String,
-    kind: Kind,
+    retry_class: RetryClass,
     accepted: Instant,
     deadline: Instant,
     tried: Vec<ExecutorId>,
@@ -94,12 +96,12 @@
         Question {
             route: &self.route,
             service: &self.service,
-            kind: self.kind,
+            retry_class: self.retry_class,
             hints: &self.hints,
             accepted: self.accepted,
             deadline: self.deadline,
             tried: &self.tried,
-            committed: self.streaming || self.attempts.may_have_run(),
+            may_have_run: self.streaming || self.attempts.may_have_run(),
         }
     }
 
@@ -127,10 +129,10 @@
         let now = self.now;
         let headers = &request.head.headers;
         let client_last_event = headers.get(names::LAST_EVENT_ID).and_then(|text| text.trim().parse().ok());
-        let kind = match route.route_type {
-            RouteType::Idempotent => Kind::Idempotent,
-            RouteType::Streaming if route.resumable => Kind::ResumableStream,
-            _ => Kind::NonIdempotent,
+        let retry_class = match route.route_type {
+            RouteType::Idempotent => RetryClass::Idempotent,
+            RouteType::Streaming if route.resumable => RetryClass::ResumableStream,
+            _ => RetryClass::NonIdempotent,
         };
         let service = route.pick_service(self.random_point()).as_str().to_owned();
         let serial = self.next_serial();
@@ -142,11 +144,11 @@
             hints: Hints::of(headers),
             request,
             service,
-            kind,
+            retry_class,
             accepted: now,
             deadline,
             tried: Vec::new(),
-            attempts: Attempts::new(kind, route.max_attempts),
+            attempts: Attempts::new(retry_class, route.max_attempts),
             attempt: None,
             begun: 0,
             streaming: false,
@@ -175,20 +177,20 @@
             };
             match self.send_attempt(index, &candidate) {
                 None => return,
-                Some(Next::Finish(answer)) => return self.finish(index, answer, None),
+                Some(RetryDecision::Finish(answer)) => return self.finish(index, answer, None),
                 Some(_) => {}
             }
         }
     }
 
     /// Begins an attempt; what follows where it failed at once.
-    fn send_attempt(&mut self, index: usize, candidate: &Candidate) -> Option<Next> {
+    fn send_attempt(&mut self, index: usize, candidate: &Candidate) -> Option<RetryDecision> {
         let now = self.now;
         let exchange = &mut self.exchanges[index];
         let question = exchange.question();
         let request = self.routing.request(now, &question);
-        let Some(flight) = self.routing.gateway.started(now, candidate.executor, &request) else {
-            return Some(exchange.attempts.ended(Outcome::NeverSent));
+        let Some(flight) = self.routing.gateway.attempt_started(now, candidate.executor, &request) else {
+            return Some(exchange.attempts.ended(AttemptOutcome::NeverSent));
         };
         exchange.tried.push(candidate.executor);
         exchange.begun += 1;
@@ -212,7 +214,7 @@
             }
             Err(failure) => {
                 let outcome = outcome_of(failure, false, false);
-                self.routing.gateway.finished(now, flight, outcome);
+                self.routing.gateway.attempt_finished(now, flight, outcome);
                 Some(self.exchanges[index].attempts.ended(outcome))
             }
         }
@@ -220,7 +222,7 @@
 
     fn watch_for_silence(&mut self, index: usize) {
         let exchange = &self.exchanges[index];
-        let Some(attempt) = exchange.attempt.as_ref().filter(|_| exchange.kind.may_run_again()) else {
+        let Some(attempt) = exchange.attempt.as_ref().filter(|_| exchange.retry_class.may_run_again()) else {
             return;
         };
         let silent_at = attempt.heard + exchange.silence_borne();
@@ -251,13 +253,13 @@
         attempt.head_seen = true;
         attempt.heard = now;
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
-        self.routing.gateway.head(now, attempt.flight, load);
+        self.routing.gateway.response_head(now, attempt.flight, load);
         if status == 421 {
-            attempt.refusal = Some(Outcome::Misdirected);
+            attempt.refusal = Some(AttemptOutcome::Misdirected);
             return;
         }
         if headers.get(names::NOT_EXECUTED).is_some() {
-            attempt.refusal = Some(Outcome::NotExecuted);
+            attempt.refusal = Some(AttemptOutcome::NotExecuted);
             return;
         }
         let success = (200..300).contains(&status);
@@ -290,7 +292,7 @@
             return;
         }
         attempt.heard = now;
-        self.routing.gateway.progress(now, attempt.flight);
+        self.routing.gateway.event_received(now, attempt.flight);
         if let Some(held) = &mut attempt.held {
             held.body.extend_from_slice(bytes);
             return;
@@ -313,17 +315,17 @@
         let Some(attempt) = exchange.attempt.take() else { return };
         let outcome = match attempt.refusal {
             Some(refusal) => refusal,
-            None if attempt.status >= 500 => Outcome::AnsweredFailure,
-            None if (200..300).contains(&attempt.status) => Outcome::Served,
-            None => Outcome::AnsweredOther,
+            None if attempt.status >= 500 => AttemptOutcome::AnsweredFailure,
+            None if (200..300).contains(&attempt.status) => AttemptOutcome::Served,
+            None => AttemptOutcome::AnsweredOther,
         };
-        if outcome == Outcome::Served && attempt.held.is_none() {
+        if outcome == AttemptOutcome::Served && attempt.held.is_none() {
             let mut rest = Vec::new();
             exchange.cutter.finish(&mut rest);
             let (client, serial) = (exchange.client, exchange.client_serial);
             self.write_client_chunk(client, serial, &rest);
         }
-        self.routing.gateway.finished(now, attempt.flight, outcome);
+        self.routing.gateway.attempt_finished(now, attempt.flight, outcome);
         self.after_attempt(index, outcome, attempt.held);
     }
 
@@ -336,16 +338,16 @@
             Some(refusal) => refusal,
             None => outcome_of(failure, exchange.streaming, exchange.cutter.can_resume()),
         };
-        self.routing.gateway.finished(now, attempt.flight, outcome);
+        self.routing.gateway.attempt_finished(now, attempt.flight, outcome);
         self.after_attempt(index, outcome, None);
     }
 
     /// An attempt is over: another one follows, or the answer.
-    fn after_attempt(&mut self, index: usize, outcome: Outcome, held: Option<HeldAnswer>) {
+    fn after_attempt(&mut self, index: usize, outcome: AttemptOutcome, held: Option<HeldAnswer>) {
         let exchange = &mut self.exchanges[index];
         match exchange.attempts.ended(outcome) {
-            Next::Finish(answer) => self.finish(index, answer, held),
-            Next::Retry | Next::Resume => self.next_attempt(index),
+            RetryDecision::Finish(answer) => self.finish(index, answer, held),
+            RetryDecision::Retry | RetryDecision::Resume => self.next_attempt(index),
         }
     }
 
@@ -379,12 +381,12 @@
         let exchange = &mut self.exchanges[index];
         let answer = match exchange.attempt.take() {
             Some(attempt) => {
-                let next = exchange.attempts.ended(Outcome::TimedOut);
-                self.routing.gateway.finished(now, attempt.flight, Outcome::TimedOut);
+                let next = exchange.attempts.ended(AttemptOutcome::TimedOut);
+                self.routing.gateway.attempt_finished(now, attempt.flight, AttemptOutcome::TimedOut);
                 self.abort_call(attempt.connection);
-                if let Next::Finish(answer) = next { answer } else { FinalAnswer::GatewayTimeout }
+                if let RetryDecision::Finish(answer) = next { answer } else { FinalResponse::GatewayTimeout }
             }
-            None => exchange.attempts.nobody(),
+            None => exchange.attempts.without_executor(),
         };
         self.finish(index, answer, None);
     }
@@ -402,11 +404,11 @@
     }
 
     /// Gives the client its answer, and ends the exchange.
-    fn finish(&mut self, index: usize, answer: FinalAnswer, held: Option<HeldAnswer>) {
+    fn finish(&mut self, index: usize, answer: FinalResponse, held: Option<HeldAnswer>) {
         let exchange = &self.exchanges[index];
         let (client, serial) = (exchange.client, exchange.client_serial);
         if exchange.streaming {
-            let served = answer == FinalAnswer::Nothing && held.is_none();
+            let served = answer == FinalResponse::Nothing && held.is_none();
             if served {
                 self.write_client(client, serial, b"0\r\n\r\n");
             } else {
@@ -414,19 +416,21 @@
             }
             return self.end_exchange(index, served);
         }
-        let may_run_again = exchange.kind.may_run_again();
+        let may_run_again = exchange.retry_class.may_run_again();
         let bytes = match (answer, held) {
             // The executor did not say that it has not run the request, and the client would take the status for that.
-            (FinalAnswer::Relay, Some(held)) if is_promise(held.status) && !may_run_again => {
+            (FinalResponse::Relay, Some(held)) if is_promise(held.status) && !may_run_again => {
                 http::answer(502, &[], b"")
             }
-            (FinalAnswer::Nothing | FinalAnswer::Relay, Some(held)) => held_answer(held),
-            (FinalAnswer::Refused, _) => http::answer(503, &[("Retry-After", RETRY_AFTER_S)], b""),
-            (FinalAnswer::GatewayTimeout, _) => http::answer(504, &[], b""),
-            (FinalAnswer::Cut, _) => return self.end_exchange(index, false),
+            (FinalResponse::Nothing | FinalResponse::Relay, Some(held)) => held_answer(held),
+            (FinalResponse::ServiceUnavailable, _) => {
+                http::answer(503, &[("Retry-After", RETRY_AFTER_S)], b"")
+            }
+            (FinalResponse::GatewayTimeout, _) => http::answer(504, &[], b""),
+            (FinalResponse::Abort, _) => return self.end_exchange(index, false),
             _ => http::answer(502, &[], b""),
         };
-        self.counters.failed += u64::from(!matches!(answer, FinalAnswer::Nothing | FinalAnswer::Relay));
+        self.counters.failed += u64::from(!matches!(answer, FinalResponse::Nothing | FinalResponse::Relay));
         self.write_own_answer(client, serial, bytes);
         self.end_exchange(index, true);
     }
@@ -442,7 +446,7 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.try_remove(index) else { return };
         if let Some(attempt) = exchange.attempt {
-            self.routing.gateway.finished(now, attempt.flight, Outcome::ClientGone);
+            self.routing.gateway.attempt_finished(now, attempt.flight, AttemptOutcome::ClientGone);
             self.abort_call(attempt.connection);
         }
     }
@@ -454,15 +458,15 @@
 }
 
 /// How an attempt ended whose connection failed.
-fn outcome_of(failure: Failure, streaming: bool, can_resume: bool) -> Outcome {
+fn outcome_of(failure: Failure, streaming: bool, can_resume: bool) -> AttemptOutcome {
     match failure {
-        Failure::NeverSent => Outcome::NeverSent,
-        Failure::BeforeHead if streaming && can_resume => Outcome::BrokenMidStream,
-        Failure::BeforeHead if streaming => Outcome::BrokenMidBody,
-        Failure::BeforeHead => Outcome::BrokenBeforeHead,
-        Failure::MidBody if streaming && can_resume => Outcome::BrokenMidStream,
-        Failure::MidBody if streaming => Outcome::BrokenMidBody,
-        Failure::MidBody => Outcome::BrokenBeforeRelay,
+        Failure::NeverSent => AttemptOutcome::NeverSent,
+        Failure::BeforeHead if streaming && can_resume => AttemptOutcome::BrokenMidStream,
+        Failure::BeforeHead if streaming => AttemptOutcome::BrokenMidBody,
+        Failure::BeforeHead => AttemptOutcome::BrokenBeforeHead,
+        Failure::MidBody if streaming && can_resume => AttemptOutcome::BrokenMidStream,
+        Failure::MidBody if streaming => AttemptOutcome::BrokenMidBody,
+        Failure::MidBody => AttemptOutcome::BrokenBeforeRelay,
     }
 }
 
--- a/crates/tier/src/items.rs
+++ b/crates/tier/src/items.rs
@@ -7,7 +7,7 @@
 use crate::upstream::{CallLeader, Failure, UpstreamEvent};
 use grebeusher_batch::{EventReader, EventTaken, FairShare, Outcome as RunOutcome, RunId, RunOrder};
 use grebeusher_configuration::configuration::RouteType;
-use grebeusher_gateway::{AttemptToken, Outcome, ServerLoad};
+use grebeusher_gateway::{AttemptOutcome, AttemptToken, ServerLoad};
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::headers::Headers;
 use rustc_hash::FxHashMap;
@@ -159,7 +159,7 @@
         let Some((candidate, request)) = chosen else {
             return self.end_run(place, order.run, RunOutcome::NotExecuted);
         };
-        let Some(flight) = self.routing.gateway.started(now, candidate.executor, &request) else {
+        let Some(flight) = self.routing.gateway.attempt_started(now, candidate.executor, &request) else {
             return self.end_run(place, order.run, RunOutcome::NotExecuted);
         };
         let key = self.next_serial();
@@ -181,7 +181,7 @@
                 self.alarms.set(now + SILENCE_TIMEOUT, Timer::ItemSilence { run: key });
             }
             Err(_) => {
-                self.routing.gateway.finished(now, flight, Outcome::NeverSent);
+                self.routing.gateway.attempt_finished(now, flight, AttemptOutcome::NeverSent);
                 self.end_run(place, order.run, RunOutcome::NotExecuted);
             }
         }
@@ -206,9 +206,9 @@
             UpstreamEvent::End => self.item_end(key),
             UpstreamEvent::Failed(failure) => {
                 let outcome = match failure {
-                    Failure::NeverSent => (Outcome::NeverSent, RunOutcome::NotExecuted),
-                    Failure::BeforeHead => (Outcome::BrokenBeforeHead, RunOutcome::Broken),
-                    Failure::MidBody => (Outcome::BrokenMidStream, RunOutcome::Broken),
+                    Failure::NeverSent => (AttemptOutcome::NeverSent, RunOutcome::NotExecuted),
+                    Failure::BeforeHead => (AttemptOutcome::BrokenBeforeHead, RunOutcome::Broken),
+                    Failure::MidBody => (AttemptOutcome::BrokenMidStream, RunOutcome::Broken),
                 };
                 self.item_over(key, outcome.0, outcome.1);
             }
@@ -222,7 +222,7 @@
         active.not_executed = headers.get(names::NOT_EXECUTED).is_some();
         active.stamped = headers.get(names::SERVER_SEAL).is_some();
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
-        self.routing.gateway.head(now, active.flight, load);
+        self.routing.gateway.response_head(now, active.flight, load);
     }
 
     fn item_data(&mut self, key: u64, bytes: &[u8]) {
@@ -231,7 +231,7 @@
         if !(200..300).contains(&active.status) || !active.stamped {
             return;
         }
-        self.routing.gateway.progress(now, active.flight);
+        self.routing.gateway.event_received(now, active.flight);
         let (place, run) = (active.place, active.run);
         let mut events = Vec::new();
         let understood = active.reader.push(bytes, |event| events.push(event)).is_ok();
@@ -249,28 +249,28 @@
         let Some(active) = self.items.active.get(&key) else { return };
         let connection = active.connection;
         self.abort_call(connection);
-        self.item_over(key, Outcome::BrokenMidStream, RunOutcome::Broken);
+        self.item_over(key, AttemptOutcome::BrokenMidStream, RunOutcome::Broken);
     }
 
     fn item_end(&mut self, key: u64) {
         let Some(active) = self.items.active.get(&key) else { return };
         let whole = active.stamped && active.reader.finish().is_ok();
         let (outcome, run) = match active.status {
-            421 => (Outcome::Misdirected, RunOutcome::Misdirected),
-            _ if active.not_executed => (Outcome::NotExecuted, RunOutcome::NotExecuted),
-            200..300 if whole => (Outcome::Served, RunOutcome::Complete),
-            200..300 => (Outcome::BrokenMidStream, RunOutcome::Broken),
-            422 => (Outcome::AnsweredOther, RunOutcome::Rejected422),
-            500 => (Outcome::AnsweredFailure, RunOutcome::Failed500),
-            _ => (Outcome::AnsweredFailure, RunOutcome::Broken),
+            421 => (AttemptOutcome::Misdirected, RunOutcome::Misdirected),
+            _ if active.not_executed => (AttemptOutcome::NotExecuted, RunOutcome::NotExecuted),
+            200..300 if whole => (AttemptOutcome::Served, RunOutcome::Complete),
+            200..300 => (AttemptOutcome::BrokenMidStream, RunOutcome::Broken),
+            422 => (AttemptOutcome::AnsweredOther, RunOutcome::Rejected422),
+            500 => (AttemptOutcome::AnsweredFailure, RunOutcome::Failed500),
+            _ => (AttemptOutcome::AnsweredFailure, RunOutcome::Broken),
         };
         self.item_over(key, outcome, run);
     }
 
-    fn item_over(&mut self, key: u64, outcome: Outcome, run: RunOutcome) {
+    fn item_over(&mut self, key: u64, outcome: AttemptOutcome, run: RunOutcome) {
         let now = self.now;
         let Some(active) = self.items.active.remove(&key) else { return };
-        self.routing.gateway.finished(now, active.flight, outcome);
+        self.routing.gateway.attempt_finished(now, active.flight, outcome);
         self.end_run(active.place, active.run, run);
     }
 
@@ -299,7 +299,7 @@
             self.items.active.iter().filter(|(_, run)| wanted(run)).map(|(key, _)| *key).collect();
         for key in keys {
             if let Some(active) = self.items.active.remove(&key) {
-                self.routing.gateway.finished(now, active.flight, Outcome::ClientGone);
+                self.routing.gateway.attempt_finished(now, active.flight, AttemptOutcome::ClientGone);
                 self.abort_call(active.connection);
             }
         }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -306,7 +306,7 @@
     }
 
     fn review_executors(&mut self) {
-        self.routing.gateway.review(self.now);
+        self.routing.gateway.detect_unresponsive(self.now);
         self.reviewing = self.runs_anything();
         if self.reviewing {
             self.alarms.set(self.now + REVIEW_INTERVAL, Timer::ReviewExecutors);
--- a/crates/tier/src/popularity.rs
+++ b/crates/tier/src/popularity.rs
@@ -88,15 +88,15 @@
         writeln!(
             text,
             "chosen by pick {} home {} next home {} kept {} out of lane {} queued {} in doubt {} refused {} nobody {}",
-            chosen.by_pick,
-            chosen.by_home,
-            chosen.by_next_home,
-            chosen.by_kept,
+            chosen.weighted_pick,
+            chosen.prefix_home,
+            chosen.next_prefix_home,
+            chosen.cached_prefix,
             chosen.out_of_lane,
             chosen.queued,
-            chosen.in_doubt,
-            chosen.refused,
-            chosen.nobody,
+            chosen.unhealthy,
+            chosen.rejected,
+            chosen.no_executor,
         )?;
         let Some(popularity) = self.routing.gateway.popularity() else {
             return writeln!(text, "popular prefixes: each node judges alone");
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/routing.rs
@@ -6,10 +6,10 @@
 use grebeusher_batch::RunOrder;
 use grebeusher_configuration::configuration::Route;
 use grebeusher_gateway::{
-    BatchItem, Choice, Descriptor, ExecutorId, Gateway, Kind, ModelKey, PromptParts, Request,
-    ServiceSettings, Standing, TokenCount, ZoneKey,
+    BatchItem, ExecutorDescriptor, ExecutorId, ExecutorState, Gateway, ModelKey, PromptSegments, Request,
+    RetryClass, RoutingDecision, ServiceSettings, TokenCount, ZoneKey,
 };
-use grebeusher_registry::{Class, Executor, ExecutorState};
+use grebeusher_registry::{Class, Executor, ExecutorState as RegisteredState};
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::headers::Headers;
 use rustc_hash::FxHashMap;
@@ -54,7 +54,7 @@
 pub struct Hints {
     model: Option<ModelKey>,
     tokens: Option<TokenCount>,
-    parts: PromptParts,
+    prompt: PromptSegments,
 }
 
 impl Hints {
@@ -63,9 +63,9 @@
         Hints {
             model: headers.get(names::MODEL_NAME).map(ModelKey::of),
             tokens: headers.get(names::TOKEN_COUNT).and_then(|text| TokenCount::parse(text).ok()),
-            parts: headers
+            prompt: headers
                 .get(names::PROMPT_PREFIX)
-                .and_then(|text| PromptParts::parse(text).ok())
+                .and_then(|text| PromptSegments::parse(text).ok())
                 .unwrap_or_default(),
         }
     }
@@ -79,8 +79,8 @@
         Hints {
             model: value(names::MODEL_NAME).map(ModelKey::of),
             tokens: value(names::TOKEN_COUNT).and_then(|text| TokenCount::parse(text).ok()),
-            parts: value(names::PROMPT_PREFIX)
-                .and_then(|text| PromptParts::parse(text).ok())
+            prompt: value(names::PROMPT_PREFIX)
+                .and_then(|text| PromptSegments::parse(text).ok())
                 .unwrap_or_default(),
         }
     }
@@ -93,7 +93,7 @@
     /// The service that the route's weights picked.
     pub service: &'a str,
     /// How it may be repeated.
-    pub kind: Kind,
+    pub retry_class: RetryClass,
     /// Its size and prompt.
     pub hints: &'a Hints,
     /// When it came.
@@ -103,7 +103,7 @@
     /// Executors that had it.
     pub tried: &'a [ExecutorId],
     /// Whether it may have run already, so that it can't be refused any more.
-    pub committed: bool,
+    pub may_have_run: bool,
 }
 
 /// The gateway with the names that it does not keep.
@@ -119,7 +119,7 @@
     /// No executors yet.
     pub fn new(zone: &str, seed: u64) -> Routing {
         Routing {
-            gateway: Gateway::new(grebeusher_gateway::Policy::default(), ZoneKey::of(zone), seed),
+            gateway: Gateway::new(grebeusher_gateway::GatewayConfig::default(), ZoneKey::of(zone), seed),
             known: FxHashMap::default(),
             generation: 0,
             configured: 0,
@@ -130,16 +130,16 @@
     pub fn choose(&mut self, now: Instant, question: &Question<'_>) -> RouteChoice {
         let request = self.request(now, question);
         match self.gateway.choose(now, &request) {
-            Choice::Send { executor, address } => match self.candidate(now, executor, address) {
+            RoutingDecision::Forward { executor, address } => match self.candidate(now, executor, address) {
                 Some(candidate) => RouteChoice::Send(candidate),
                 None => RouteChoice::Refuse { retry_after: Duration::from_millis(100) },
             },
-            Choice::Refuse { retry_after } => RouteChoice::Refuse { retry_after },
+            RoutingDecision::Reject { retry_after } => RouteChoice::Refuse { retry_after },
             // A node that has just started hears of the executors by their next heartbeats.
-            Choice::Nobody { retry_after } if now < Instant(0) + STARTUP_DURATION => {
+            RoutingDecision::NoExecutor { retry_after } if now < Instant(0) + STARTUP_DURATION => {
                 RouteChoice::Refuse { retry_after: retry_after.max(STARTING_RETRY) }
             }
-            Choice::Nobody { retry_after } => RouteChoice::Refuse { retry_after },
+            RoutingDecision::NoExecutor { retry_after } => RouteChoice::Refuse { retry_after },
         }
     }
 
@@ -148,22 +148,22 @@
         let service = self.gateway.service(question.service);
         Request {
             priority: u8::try_from(question.route.priority_level).unwrap_or(u8::MAX),
-            kind: question.kind,
+            retry_class: question.retry_class,
             model: question.hints.model,
             tokens: question.hints.tokens,
-            parts: question.hints.parts,
+            prompt: question.hints.prompt,
             excluded: question.tried,
-            objective: Duration::from_millis(question.route.target_latency_ms),
-            waited: now.since(question.accepted),
-            deadline_left: question.deadline.since(now),
-            committed: question.committed,
+            latency_objective: Duration::from_millis(question.route.target_latency_ms),
+            elapsed: now.since(question.accepted),
+            until_deadline: question.deadline.since(now),
+            may_have_run: question.may_have_run,
             ..Request::to(service)
         }
     }
 
     fn candidate(&self, now: Instant, executor: ExecutorId, address: SocketAddr) -> Option<Candidate> {
         let SocketAddr::V4(address) = address else { return None };
-        let instance: Arc<str> = self.gateway.view(now, executor)?.instance;
+        let instance: Arc<str> = self.gateway.executor_view(now, executor)?.instance;
         Some(Candidate { executor, target: Target { instance, address } })
     }
 
@@ -174,11 +174,11 @@
             service,
             model: None,
             tokens: None,
-            parts: PromptParts::default(),
+            prompt: PromptSegments::default(),
             excluded: &[],
             urgency: 0.5,
         };
-        self.gateway.batch_room(now, &item).is_some()
+        self.gateway.choose_for_batch(now, &item).is_some()
     }
 
     /// The executor that an item goes to, and the item as the gateway counts it.
@@ -193,21 +193,21 @@
             service,
             model: hints.model,
             tokens: hints.tokens,
-            parts: hints.parts,
+            prompt: hints.prompt,
             excluded: &[],
             urgency: 0.5,
         };
         let request = Request {
-            kind: Kind::ResumableStream,
+            retry_class: RetryClass::ResumableStream,
             model: hints.model,
             tokens: hints.tokens,
-            parts: hints.parts,
+            prompt: hints.prompt,
             priority: u8::MAX,
-            batch: true,
+            is_batch: true,
             ..Request::to(service)
         };
-        let executor = self.gateway.batch_room(now, &item)?;
-        let SocketAddr::V4(address) = self.gateway.view(now, executor)?.address else { return None };
+        let executor = self.gateway.choose_for_batch(now, &item)?;
+        let SocketAddr::V4(address) = self.gateway.executor_view(now, executor)?.address else { return None };
         let candidate = self.candidate(now, executor, SocketAddr::V4(address))?;
         Some((candidate, request))
     }
@@ -271,21 +271,23 @@
             self.close_idle_upstreams(&instance);
         }
         for executor in self.registry.executors().filter(|executor| executor.exists()) {
-            let standing = match executor.state {
-                ExecutorState::Draining | ExecutorState::Gone => Standing::Draining,
-                ExecutorState::Up if self.registry.is_only_recalled(&executor.id) => Standing::Draining,
-                ExecutorState::Up if executor.silent => Standing::Silent,
-                ExecutorState::Up => Standing::Up,
+            let state = match executor.state {
+                RegisteredState::Draining | RegisteredState::Gone => ExecutorState::Draining,
+                RegisteredState::Up if self.registry.is_only_recalled(&executor.id) => {
+                    ExecutorState::Draining
+                }
+                RegisteredState::Up if executor.silent => ExecutorState::Unresponsive,
+                RegisteredState::Up => ExecutorState::Ready,
             };
             let models: Vec<ModelKey> =
                 executor.models.iter().map(|model| ModelKey::of(&model.name)).collect();
-            let id = self.routing.gateway.upsert(&Descriptor {
+            let id = self.routing.gateway.upsert(&ExecutorDescriptor {
                 instance: &executor.id,
                 service: &executor.service,
                 address: address_of(executor),
                 zone: ZoneKey::of(&executor.zone),
                 slots: executor.slot_count,
-                standing,
+                state,
                 models: &models,
             });
             if !self.routing.known.contains_key(&executor.id) {
--- a/crates/tier/tests/stable_words.rs
+++ b/crates/tier/tests/stable_words.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-use grebeusher_gateway::{PromptParts, ServerLoad, TokenCount};
+use grebeusher_gateway::{PromptSegments, ServerLoad, TokenCount};
 use grebeusher_tier::header_names as names;
 use grebeusher_tier::messages::{Call, Reply};
 use grebeusher_time::Duration;
@@ -35,9 +35,9 @@
 
 #[test]
 fn the_forms_of_hints_stay() {
-    assert_eq!(TokenCount::parse("1460,80"), Ok(TokenCount { prompt: 1460, out: 80 }));
+    assert_eq!(TokenCount::parse("1460,80"), Ok(TokenCount { prompt: 1460, output: 80 }));
     assert_eq!(ServerLoad::parse("3,2,8"), Ok(ServerLoad { running: 3, waiting: 2, slots: 8 }));
-    let partitions = PromptParts::parse("5c1e07a2:800,91bd3f06:410").expect("two parts");
+    let partitions = PromptSegments::parse("5c1e07a2:800,91bd3f06:410").expect("two parts");
     let tokens: Vec<u32> = partitions.all().iter().map(|partition| partition.tokens).collect();
     assert_eq!((tokens, partitions.shared_tokens()), (vec![800, 410], 800));
 }
