--- a/crates/batch/src/compact.rs
+++ b/crates/batch/src/codec.rs
@@ -1,14 +1,15 @@
-//! The compact binary form of what is logged and sent between the processes of the tier: numbers in seven
-//! bits a byte, lengths checked against the bytes at hand before anything is set aside for them.
+//! The compact binary encoding of what is logged and sent between the nodes of the tier: numbers in seven bits a byte,
+//! lengths checked against the available bytes before anything is allocated for them.
 //!
-//! nanoserde's own forms of strings and lists trust the length that they read; these don't.
+//! nanoserde's own encodings of strings and lists trust the length that they read; these don't. The bytes are stored and
+//! must not change; `tests/stable_bytes.rs` pins them.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-use crate::shared::{SharedBytes, SharedText};
+use crate::shared_bytes::{SharedBytes, SharedText};
 
-/// What is read from shared bytes, and goes on referring to them for what is large in it.
-pub(crate) trait TakeShared: Sized {
+/// A value that is decoded from shared bytes, and refers to them for its large fields.
+pub(crate) trait DecodeShared: Sized {
     /// Reads one at the offset, and moves that behind it.
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Self, DeBinErr>;
 
@@ -22,9 +23,9 @@
     }
 }
 
-/// Elements that a list sets aside room for before it has read them.
-const TRUSTED_ELEMENTS: usize = 256;
-/// Bytes of the longest number: ten times seven bits hold 64.
+/// A list preallocates at most so many elements before it has read them.
+const MAX_PREALLOCATED_ELEMENTS: usize = 256;
+/// Bytes of the longest number: ten times seven bits have space for 64.
 const MAX_NUMBER_BYTES: usize = 10;
 
 pub(crate) fn malformed(offset: usize, wanted: usize, bytes: &[u8]) -> DeBinErr {
@@ -41,13 +42,13 @@
 
 pub(crate) fn take_number(offset: &mut usize, bytes: &[u8]) -> Result<u64, DeBinErr> {
     let mut number = 0u64;
-    for place in 0..MAX_NUMBER_BYTES {
+    for index in 0..MAX_NUMBER_BYTES {
         let byte = take_byte(offset, bytes)?;
         let bits = u64::from(byte & 0x7f);
-        if place == MAX_NUMBER_BYTES - 1 && bits > 1 {
+        if index == MAX_NUMBER_BYTES - 1 && bits > 1 {
             break;
         }
-        number |= bits << (7 * place);
+        number |= bits << (7 * index);
         if byte & 0x80 == 0 {
             return Ok(number);
         }
@@ -67,18 +68,18 @@
     T::try_from(number).map_err(|_| malformed(*offset, 0, bytes))
 }
 
-pub(crate) fn put_bytes(out: &mut Vec<u8>, piece: &[u8]) {
-    put_number(out, piece.len() as u64);
-    out.extend_from_slice(piece);
+pub(crate) fn put_bytes(out: &mut Vec<u8>, field: &[u8]) {
+    put_number(out, field.len() as u64);
+    out.extend_from_slice(field);
 }
 
 pub(crate) fn take_bytes<'a>(offset: &mut usize, bytes: &'a [u8]) -> Result<&'a [u8], DeBinErr> {
     let length: usize = take_small(offset, bytes)?;
     let end = offset.checked_add(length).filter(|&end| end <= bytes.len());
     let end = end.ok_or_else(|| malformed(*offset, length, bytes))?;
-    let piece = &bytes[*offset..end];
+    let field = &bytes[*offset..end];
     *offset = end;
-    Ok(piece)
+    Ok(field)
 }
 
 pub(crate) fn take_text<'a>(offset: &mut usize, bytes: &'a [u8]) -> Result<&'a str, DeBinErr> {
@@ -103,35 +104,35 @@
     }
 }
 
-/// A list of `at_most` elements, each of which takes a byte or more.
+/// A list of `max_len` elements, each of which takes a byte or more.
 pub(crate) fn take_list<T: DeBin>(
     offset: &mut usize,
     bytes: &[u8],
-    at_most: usize,
+    max_len: usize,
 ) -> Result<Vec<T>, DeBinErr> {
-    take_elements(offset, bytes, at_most, |offset| T::de_bin(offset, bytes))
+    take_elements(offset, bytes, max_len, |offset| T::de_bin(offset, bytes))
 }
 
 /// As [`take_list`], of elements that refer to the bytes.
-pub(crate) fn take_shared_list<T: TakeShared>(
+pub(crate) fn take_shared_list<T: DecodeShared>(
     offset: &mut usize,
     bytes: &SharedBytes,
-    at_most: usize,
+    max_len: usize,
 ) -> Result<Vec<T>, DeBinErr> {
-    take_elements(offset, bytes, at_most, |offset| T::take(offset, bytes))
+    take_elements(offset, bytes, max_len, |offset| T::take(offset, bytes))
 }
 
 fn take_elements<T>(
     offset: &mut usize,
     bytes: &[u8],
-    at_most: usize,
+    max_len: usize,
     take: impl Fn(&mut usize) -> Result<T, DeBinErr>,
 ) -> Result<Vec<T>, DeBinErr> {
     let count: usize = take_small(offset, bytes)?;
-    if count > at_most || count > bytes.len() - *offset {
+    if count > max_len || count > bytes.len() - *offset {
         return Err(malformed(*offset, count, bytes));
     }
-    let mut list = Vec::with_capacity(count.min(TRUSTED_ELEMENTS));
+    let mut list = Vec::with_capacity(count.min(MAX_PREALLOCATED_ELEMENTS));
     for _ in 0..count {
         list.push(take(offset)?);
     }
--- a/crates/batch/src/events.rs
+++ b/crates/batch/src/events.rs
@@ -1,43 +1,50 @@
-//! Reading a stream of events (`text/event-stream`) that comes in pieces cut anywhere.
+//! Parsing a stream of events (`text/event-stream`) that comes in chunks with any boundaries.
 
 use snafu::{OptionExt, Snafu, ensure};
 
 /// The largest event, all its lines together, and so about the most that a reader holds.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// The room for a line that is kept for the next one; streams are many.
-const KEPT_LINE_BYTES: usize = 4 << 10;
+/// A line buffer up to this capacity is reused for the next line. Streams are many, so larger ones are freed.
+const MAX_SPARE_LINE_BYTES: usize = 4 << 10;
 
-/// A whole event: its id and its data, several lines of which are joined by line feeds.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
+    /// The number in its `id` line.
     pub id: u64,
+    /// Its data, several lines of which are joined by line feeds.
     pub data: String,
 }
 
-/// Why a stream can't be read on. The run is to be taken for broken.
+/// Why a stream can't be read further. The run counts as broken.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum EventError {
+    /// An event exceeds [`MAX_EVENT_BYTES`].
     #[snafu(display("an event is larger than {MAX_EVENT_BYTES} bytes"))]
     TooLarge,
+    /// An event has data but no id, or its id is not a number.
     #[snafu(display("an event has no id that is a number"))]
     NoId,
+    /// The data of an event is not UTF-8.
     #[snafu(display("an event is no UTF-8"))]
     NotText,
+    /// The stream ends inside an event.
     #[snafu(display("the stream ends inside an event"))]
     Unfinished,
+    /// An earlier call failed.
     #[snafu(display("the stream was unreadable before"))]
     Failed,
 }
 
-/// Cuts a stream into events. Lines end with LF or CRLF, events with an empty line. Lines other than `id` and
-/// `data` (comments, `event`, what an engine says of its weights) are passed over.
+/// Splits a stream into events. Lines end with LF or CRLF, events with an empty line. Lines other than `id` and
+/// `data` (comments, `event`, an engine's description of its weights) are ignored.
 #[derive(Debug, Default)]
 pub struct EventReader {
     /// The line that has begun.
     line: Vec<u8>,
-    /// Bytes of the event that has begun, lines passed over included.
-    taken: usize,
+    /// Bytes of the event that has begun, ignored lines included.
+    event_bytes: usize,
     started: bool,
     id: IdField,
     data: Option<Vec<u8>>,
@@ -53,6 +60,7 @@
 }
 
 impl EventReader {
+    /// A reader at the start of a stream.
     pub fn new() -> EventReader {
         EventReader::default()
     }
@@ -73,7 +81,7 @@
         Ok(())
     }
 
-    /// Whether the stream may end here: nothing of an event has come that isn't whole.
+    /// Checks that the stream may end here: no event is incomplete.
     ///
     /// # Errors
     /// When an event has begun, or the stream was unreadable before.
@@ -84,27 +92,27 @@
         Ok(())
     }
 
-    /// Takes what is left of the line, or all of the bytes.
+    /// Consumes the rest of the line, or all of the bytes.
     fn step(&mut self, bytes: &mut &[u8]) -> Result<Option<Event>, EventError> {
         let end = bytes.iter().position(|&byte| byte == b'\n');
-        let (piece, rest) = match end {
+        let (chunk, rest) = match end {
             Some(end) => (&bytes[..end], &bytes[end + 1..]),
             None => (*bytes, &bytes[bytes.len()..]),
         };
         *bytes = rest;
-        self.taken += piece.len();
-        ensure!(self.taken <= MAX_EVENT_BYTES, TooLargeSnafu);
+        self.event_bytes += chunk.len();
+        ensure!(self.event_bytes <= MAX_EVENT_BYTES, TooLargeSnafu);
         if end.is_none() {
-            self.line.extend_from_slice(piece);
+            self.line.extend_from_slice(chunk);
             return Ok(None);
         }
         if self.line.is_empty() {
-            return self.take_line(piece);
+            return self.take_line(chunk);
         }
         let mut line = std::mem::take(&mut self.line);
-        line.extend_from_slice(piece);
+        line.extend_from_slice(chunk);
         let event = self.take_line(&line);
-        if line.capacity() <= KEPT_LINE_BYTES {
+        if line.capacity() <= MAX_SPARE_LINE_BYTES {
             line.clear();
             self.line = line;
         }
@@ -136,7 +144,7 @@
 
     /// An empty line. An event with an id but no data counts as one of empty data; lines of neither are none.
     fn end_event(&mut self) -> Result<Option<Event>, EventError> {
-        self.taken = 0;
+        self.event_bytes = 0;
         let (id, data) = (std::mem::take(&mut self.id), self.data.take());
         let id = match (id, &data) {
             (IdField::Missing, None) => return Ok(None),
--- a/crates/batch/src/fair_share.rs
+++ b/crates/batch/src/fair_share.rs
@@ -1,24 +1,24 @@
-//! How the leaders of the partitions share the room that executors have for items. Each leader finds room by itself; one that has
-//! many runs hears of room more often, and would keep what it has while the queue of another fills up.
+//! Fair sharing of the executors' capacity among the leaders of the partitions. Each leader finds capacity by itself; one
+//! with many runs gets more reports of it, and would keep what it has while the queue of another grows.
 
 use std::collections::BTreeMap;
 
 use grebeusher_time::{Duration, Instant};
 
-/// What a leader tells is true for about this long: some times the pause between two of its messages.
-const FRESHNESS_TTL: Duration = Duration::from_millis(600);
-/// Runs beyond its share that a leader may have, so that all of them together can grow into new room. With some 16
-/// messages of each leader a second a few hundred places are taken within a second.
+/// A leader's report is valid for this long: several times the interval of its reports.
+const REPORT_TTL: Duration = Duration::from_millis(600);
+/// Runs beyond its share that a leader may have, so that all of them together can grow into new capacity. With some 16
+/// reports of each leader a second a few hundred slots are taken within a second.
 const HEADROOM: f64 = 24.0;
-/// The same as a Part of its share.
+/// The same as a fraction of its share.
 const HEADROOM_SHARE: f64 = 0.1;
 
 /// Items of one partition.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PartitionLoad {
-    /// Those that run.
+    /// Items that run.
     pub running: u32,
-    /// Those that wait for room.
+    /// Items that wait for capacity.
     pub waiting: u32,
 }
 
@@ -28,25 +28,30 @@
     }
 }
 
-/// What the leaders of the other partitions told last.
+#[derive(Clone, Copy, Debug)]
+struct LoadReport {
+    load: PartitionLoad,
+    at: Instant,
+}
+
+/// The latest reports of the leaders, by the number of their partition.
 #[derive(Clone, Debug, Default)]
 pub struct FairShare {
-    others: BTreeMap<u8, (PartitionLoad, Instant)>,
+    reports: BTreeMap<u8, LoadReport>,
 }
 
 impl FairShare {
-    /// The leader of another partition told its load.
-    pub fn told(&mut self, now: Instant, partition: u8, load: PartitionLoad) {
-        self.others.insert(partition, (load, now));
+    /// The leader of a partition reported its load.
+    pub fn observe(&mut self, now: Instant, partition: u8, load: PartitionLoad) {
+        self.reports.insert(partition, LoadReport { load, at: now });
     }
 
-    /// Whether a partition with this load may begin a further item: always, while no other partition has items that wait; else up to
-    /// its share of all runs, by how many items each partition has, and a little beyond.
-    pub fn may_begin(&self, now: Instant, partition: u8, own: PartitionLoad) -> bool {
-        let fresh = |(other, (load, at)): (&u8, &(PartitionLoad, Instant))| {
-            (*other != partition && now.since(*at) < FRESHNESS_TTL).then_some(*load)
-        };
-        let others: Vec<PartitionLoad> = self.others.iter().filter_map(fresh).collect();
+    /// Whether a partition with this load may start a further item: always while no other partition has waiting items;
+    /// else up to its share of all runs, by how many items each partition has, and a little beyond.
+    pub fn may_start(&self, now: Instant, partition: u8, own: PartitionLoad) -> bool {
+        let others = self.reports.iter().filter(|(other, _)| **other != partition);
+        let fresh = others.filter(|(_, report)| now.since(report.at) < REPORT_TTL);
+        let others: Vec<PartitionLoad> = fresh.map(|(_, report)| report.load).collect();
         if others.iter().all(|other| other.waiting == 0) {
             return true;
         }
--- a/crates/batch/src/jobs.rs
+++ b/crates/batch/src/jobs.rs
@@ -1,57 +1,70 @@
-//! The batch jobs of one partition: a state machine that every replica moves by the same committed entries, and so
+//! The batch jobs of one partition: a state machine to which every replica applies the same committed entries, and so
 //! comes to the same state. It reads no clock.
+//!
+//! `entry` and `snapshot` have the stored bytes, which must not change; `result_page` has the bytes that readers see.
 
 mod entry;
 mod job;
-mod page;
+mod result_page;
 mod snapshot;
 
 use std::collections::BTreeMap;
 
 pub(crate) use entry::MAX_JOBS_IN_ENTRY;
-pub use entry::{Entry, EventsPiece, ItemProgress, ItemResult, JobResults, JobTerms, ResultState};
+pub use entry::{Entry, EventChunk, ItemProgress, ItemResult, JobResults, JobSettings, ResultState};
 pub(crate) use job::Job;
 pub use job::{OpenItem, Progress};
-pub use page::{Listing, MAX_PAGE_BYTES, Page};
+pub use result_page::{ListedResult, MAX_PAGE_BYTES, Page};
 pub use snapshot::SnapshotError;
 
 use crate::names::{ItemIndex, JobId};
 use crate::submission::Submission;
 
-/// What an entry changed.
+/// What an applied entry changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The job is kept: `already` if it was before. Answered 202 either way.
-    Submitted { job: JobId, already: bool },
-    /// These items got positions. Results of items that had one, or of jobs that have ended, are not among them.
+    /// The job is accepted. Answered 202 either way.
+    Submitted {
+        /// The job.
+        job: JobId,
+        /// Whether it was accepted by an earlier entry.
+        already: bool,
+    },
+    /// These items got positions in the results. Results of items that had one, or of jobs that have ended, are not
+    /// among them.
     Listed(Vec<(JobId, ItemIndex)>),
-    /// The job has ended.
-    Ended { job: JobId, state: EndState },
-    /// So many items got further.
+    /// The client ended its job.
+    Ended {
+        /// The job.
+        job: JobId,
+        /// What the entry met.
+        outcome: EndOutcome,
+    },
+    /// So many items progressed.
     Progressed(usize),
     /// These jobs are no longer known.
     Forgotten(Vec<JobId>),
 }
 
-/// What an end met.
+/// What the end of a job met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndState {
-    /// The job was open to the end; answered 200.
-    Now,
-    /// The job had been ended before; answered 200.
-    Before,
+pub enum EndOutcome {
+    /// The job had not ended before; answered 200.
+    Ended,
+    /// The job had ended before; answered 200.
+    AlreadyEnded,
     /// There is no such job.
-    NoSuchJob,
+    UnknownJob,
 }
 
-/// How far a job is.
+/// The progress of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobStatus {
     /// Its items.
     pub total: usize,
-    /// Those that have positions.
+    /// Those that have positions in the results.
     pub listed: usize,
-    /// Its client ended it.
+    /// Whether its client ended it.
     pub has_ended: bool,
 }
 
@@ -61,18 +74,20 @@
     jobs: BTreeMap<JobId, Job>,
     /// The tokens that wait on each route; routes on which none wait are left out.
     waiting: BTreeMap<String, u64>,
+    /// About the bytes that all jobs take in memory.
     cost: usize,
 }
 
 impl Jobs {
+    /// No jobs yet.
     pub fn new() -> Jobs {
         Jobs::default()
     }
 
-    /// Takes the next committed entry.
+    /// Applies the next committed entry.
     pub fn apply(&mut self, entry: Entry) -> Applied {
         match entry {
-            Entry::Submit { submission, terms } => self.submit(submission, terms),
+            Entry::Submit { submission, settings } => self.submit(submission, settings),
             Entry::Results(batches) => self.list(batches),
             Entry::Progress(items) => Applied::Progressed(self.advance(items)),
             Entry::Ended { job } => self.end(job),
@@ -80,13 +95,13 @@
         }
     }
 
-    fn submit(&mut self, submission: Submission, terms: JobTerms) -> Applied {
+    fn submit(&mut self, submission: Submission, settings: JobSettings) -> Applied {
         let id = submission.job.clone();
         if self.jobs.contains_key(&id) {
             return Applied::Submitted { job: id, already: true };
         }
-        let job = Job::new(submission, terms);
-        self.count_in(&job);
+        let job = Job::new(submission, settings);
+        self.add_to_sums(&job);
         self.jobs.insert(id.clone(), job);
         Applied::Submitted { job: id, already: false }
     }
@@ -116,15 +131,15 @@
     }
 
     fn end(&mut self, id: JobId) -> Applied {
-        let state = match self.change(&id, Job::end) {
-            Some(true) => EndState::Now,
-            Some(false) => EndState::Before,
-            None => EndState::NoSuchJob,
+        let outcome = match self.change(&id, Job::end) {
+            Some(true) => EndOutcome::Ended,
+            Some(false) => EndOutcome::AlreadyEnded,
+            None => EndOutcome::UnknownJob,
         };
-        Applied::Ended { job: id, state }
+        Applied::Ended { job: id, outcome }
     }
 
-    /// Jobs that are open stay, whatever the entry says: their results may still be asked for.
+    /// Open jobs stay, whatever the entry says: their results may still be asked for.
     fn forget(&mut self, ids: Vec<JobId>) -> Applied {
         let mut forgotten = Vec::new();
         for id in ids {
@@ -132,7 +147,7 @@
                 continue;
             }
             if let Some(job) = self.jobs.remove(&id) {
-                self.count_out(&job);
+                self.subtract_from_sums(&job);
                 forgotten.push(id);
             }
         }
@@ -151,7 +166,7 @@
         Some(result)
     }
 
-    fn count_in(&mut self, job: &Job) {
+    fn add_to_sums(&mut self, job: &Job) {
         self.cost = self.cost.saturating_add(job.cost());
         if job.waiting_tokens() > 0 {
             let waiting = self.waiting.entry(job.route().to_owned()).or_default();
@@ -159,7 +174,7 @@
         }
     }
 
-    fn count_out(&mut self, job: &Job) {
+    fn subtract_from_sums(&mut self, job: &Job) {
         self.cost = self.cost.saturating_sub(job.cost());
         self.subtract_waiting(job.route(), job.waiting_tokens());
     }
@@ -176,8 +191,8 @@
         }
     }
 
-    /// The results of a job from position `resume_after` on, as many as fit an answer of `max_bytes` (and one at
-    /// least, if there is one). Nothing if there is no such job.
+    /// The results of a job from position `resume_after` on, as many as fit a response of `max_bytes`, and at least one
+    /// if there is one. `None` if there is no such job.
     pub fn read(&self, job: &JobId, resume_after: usize, max_bytes: usize) -> Option<Page<'_>> {
         self.jobs.get(job).map(|job| job.page(resume_after, max_bytes))
     }
@@ -187,11 +202,12 @@
         self.jobs.get(job)?.item_body(item_id)
     }
 
-    /// How far a job is. Nothing if there is no such job.
+    /// The progress of a job. `None` if there is no such job.
     pub fn status(&self, job: &JobId) -> Option<JobStatus> {
         self.jobs.get(job).map(Job::status)
     }
 
+    /// Whether the job is known.
     pub fn contains(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job)
     }
@@ -221,10 +237,12 @@
         self.jobs.get(job).map(Job::cost)
     }
 
+    /// The number of jobs.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
+    /// Whether there are no jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
--- a/crates/batch/src/jobs/entry.rs
+++ b/crates/batch/src/jobs/entry.rs
@@ -1,31 +1,31 @@
-//! The entries of a partition's log.
+//! The entries of a partition's log, and their stored bytes.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-use crate::compact::{
-    TakeShared, malformed, put_bytes, put_list, put_number, put_optional_number, take_byte, take_list,
+use crate::codec::{
+    DecodeShared, malformed, put_bytes, put_list, put_number, put_optional_number, take_byte, take_list,
     take_number, take_optional_number, take_shared_list, take_shared_text, take_small, take_text,
 };
 use crate::names::{ItemIndex, JobId};
-use crate::shared::{SharedBytes, SharedText};
+use crate::shared_bytes::{SharedBytes, SharedText};
 use crate::submission::{MAX_ITEMS, Submission};
 
-/// The most jobs that one entry speaks of.
+/// The most jobs in one entry.
 pub(crate) const MAX_JOBS_IN_ENTRY: usize = 4096;
 
-/// What the route's configuration asked when the job was taken.
+/// What the route's configuration said when the job was accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct JobTerms {
-    /// By the wall clock of the leader that took the job, in ms since 1970. A hint to its successors for the order
-    /// of jobs; nothing is given up by it, as wall clocks jump.
+pub struct JobSettings {
+    /// By the wall clock of the leader that accepted the job, in ms since 1970. A hint to its successors for the order
+    /// of jobs. Nothing is given up by it, as wall clocks jump.
     pub accepted_at_wall_ms: u64,
-    /// How long the job had been in the tier when it was taken, in ms.
+    /// How long the job had been in the tier when it was accepted, in ms.
     pub age_at_acceptance_ms: u64,
     /// How long after the first send every result is due, in ms.
     pub completion_target_ms: u64,
     /// How long after the first send an item may be given up, in ms.
     pub retention_ms: u64,
-    /// The answers of 500 after which an item may be given up; 0 counts as 1.
+    /// The responses of 500 after which an item may be given up; 0 counts as 1.
     pub max_attempts: u32,
     /// The most tokens that may wait on the route; 0: no limit.
     pub queue_token_limit: u64,
@@ -33,10 +33,10 @@
     pub target_latency_ms: u64,
 }
 
-/// How an item came out.
+/// How an item ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResultState {
-    /// The text is the item's whole output.
+    /// The text is the item's complete output.
     Complete,
     /// The item was given up.
     DeadLetter,
@@ -52,58 +52,77 @@
     }
 }
 
-/// The end of one item.
+/// The result of one item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemResult {
+    /// The item.
     pub item: ItemIndex,
+    /// How it ended.
     pub state: ResultState,
     /// The data of all events in order, joined by line feeds.
     pub text: SharedText,
 }
 
-/// Ends of items of one job, in the order of their positions.
+/// Results of items of one job, in the order of their positions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobResults {
+    /// The job.
     pub job: JobId,
+    /// The results.
     pub results: Vec<ItemResult>,
 }
 
 /// Events that continue an item's text.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EventsPiece {
-    /// The event that the piece follows; none: the piece begins the text.
+pub struct EventChunk {
+    /// The event that the chunk follows; `None`: the chunk begins the text.
     pub after: Option<u64>,
-    /// The last event in the piece.
+    /// The last event in the chunk.
     pub last: u64,
     /// The data of the events after `after` up to `last`, joined by line feeds.
     pub text: String,
 }
 
-/// How far an item that is not listed has come.
+/// The progress of an item that is not listed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemProgress {
+    /// The job of the item.
     pub job: JobId,
+    /// The item.
     pub item: ItemIndex,
-    /// All answers of 500 so far.
+    /// All responses of 500 so far.
     pub failed_attempts: u32,
-    pub events: Option<EventsPiece>,
+    /// Events since those that are committed.
+    pub events: Option<EventChunk>,
 }
 
 /// A step of the partition's state, applied once it is committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
-    /// A job is kept from here on.
-    Submit { submission: Submission, terms: JobTerms },
-    /// Items have come out. One entry holds all that did in one turn of the leader's loop.
+    /// A job is accepted.
+    Submit {
+        /// The job with its items.
+        submission: Submission,
+        /// What its route's configuration said.
+        settings: JobSettings,
+    },
+    /// Items have ended. One entry has all that did in one turn of the leader's loop.
     Results(Vec<JobResults>),
-    /// Items have come further, so that a later leader need not begin anew.
+    /// Items have progressed, so that a later leader need not run them from the start.
     Progress(Vec<ItemProgress>),
     /// The client ended its job.
-    Ended { job: JobId },
+    Ended {
+        /// The job.
+        job: JobId,
+    },
     /// Jobs that nobody may ask for any longer.
-    Forget { jobs: Vec<JobId> },
+    Forget {
+        /// The jobs.
+        jobs: Vec<JobId>,
+    },
 }
 
+// The first byte of an entry.
 const SUBMIT: u8 = 1;
 const RESULTS: u8 = 2;
 const PROGRESS: u8 = 3;
@@ -113,10 +132,10 @@
 impl SerBin for Entry {
     fn ser_bin(&self, out: &mut Vec<u8>) {
         match self {
-            Entry::Submit { submission, terms } => {
+            Entry::Submit { submission, settings } => {
                 out.push(SUBMIT);
                 submission.ser_bin(out);
-                terms.ser_bin(out);
+                settings.ser_bin(out);
             }
             Entry::Results(batches) => {
                 out.push(RESULTS);
@@ -139,10 +158,10 @@
 }
 
 impl Entry {
-    /// Reads an entry from the bytes that the log holds. Bodies and texts are not copied: they go on referring to them.
+    /// Reads an entry from the bytes in the log. Bodies and texts are not copied: they refer to these bytes.
     ///
     /// # Errors
-    /// The bytes begin with no entry.
+    /// The bytes do not begin with an entry.
     pub fn from_shared(bytes: &SharedBytes) -> Result<Entry, DeBinErr> {
         Entry::take(&mut 0, bytes)
     }
@@ -154,12 +173,12 @@
     }
 }
 
-impl TakeShared for Entry {
+impl DecodeShared for Entry {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Entry, DeBinErr> {
         match take_byte(offset, bytes)? {
             SUBMIT => Ok(Entry::Submit {
                 submission: Submission::take(offset, bytes)?,
-                terms: JobTerms::de_bin(offset, bytes)?,
+                settings: JobSettings::de_bin(offset, bytes)?,
             }),
             RESULTS => take_shared_list(offset, bytes, MAX_JOBS_IN_ENTRY).map(Entry::Results),
             PROGRESS => take_list(offset, bytes, MAX_JOBS_IN_ENTRY).map(Entry::Progress),
@@ -170,7 +189,7 @@
     }
 }
 
-impl SerBin for JobTerms {
+impl SerBin for JobSettings {
     fn ser_bin(&self, out: &mut Vec<u8>) {
         put_number(out, self.accepted_at_wall_ms);
         put_number(out, self.age_at_acceptance_ms);
@@ -182,9 +201,9 @@
     }
 }
 
-impl DeBin for JobTerms {
-    fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<JobTerms, DeBinErr> {
-        Ok(JobTerms {
+impl DeBin for JobSettings {
+    fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<JobSettings, DeBinErr> {
+        Ok(JobSettings {
             accepted_at_wall_ms: take_number(offset, bytes)?,
             age_at_acceptance_ms: take_number(offset, bytes)?,
             completion_target_ms: take_number(offset, bytes)?,
@@ -223,7 +242,7 @@
     }
 }
 
-impl TakeShared for ItemResult {
+impl DecodeShared for ItemResult {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<ItemResult, DeBinErr> {
         Ok(ItemResult {
             item: ItemIndex::de_bin(offset, bytes)?,
@@ -240,14 +259,14 @@
     }
 }
 
-impl TakeShared for JobResults {
+impl DecodeShared for JobResults {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<JobResults, DeBinErr> {
         let job = JobId::de_bin(offset, bytes)?;
         Ok(JobResults { job, results: take_shared_list(offset, bytes, MAX_ITEMS)? })
     }
 }
 
-impl SerBin for EventsPiece {
+impl SerBin for EventChunk {
     fn ser_bin(&self, out: &mut Vec<u8>) {
         put_optional_number(out, self.after);
         put_number(out, self.last);
@@ -255,9 +274,9 @@
     }
 }
 
-impl DeBin for EventsPiece {
-    fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<EventsPiece, DeBinErr> {
-        Ok(EventsPiece {
+impl DeBin for EventChunk {
+    fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<EventChunk, DeBinErr> {
+        Ok(EventChunk {
             after: take_optional_number(offset, bytes)?,
             last: take_number(offset, bytes)?,
             text: take_text(offset, bytes)?.to_owned(),
--- a/crates/batch/src/jobs/job.rs
+++ b/crates/batch/src/jobs/job.rs
@@ -1,25 +1,28 @@
-//! One batch job: its items until they are listed, its results from then on.
+//! One batch job: its items until their results are listed, its results from then on.
 
 use super::JobStatus;
-use super::entry::{EventsPiece, ItemProgress, ItemResult, JobTerms};
-use super::page::{Listing, Page};
+use super::entry::{EventChunk, ItemProgress, ItemResult, JobSettings};
+use super::result_page::{ListedResult, Page};
 use crate::names::ItemIndex;
 use crate::submission::{ItemSpec, Submission};
 
-/// How far an item had come by what is committed.
+/// The committed progress of an item.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// The last event in `text`; none: no text yet.
+    /// The last event in `text`; `None`: no text yet.
     pub last_event: Option<u64>,
+    /// The data of the events so far, joined by line feeds.
     pub text: String,
-    /// Answers of 500.
+    /// Responses of 500.
     pub failed_attempts: u32,
 }
 
 /// An item that is not listed, of a job that has not ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenItem {
+    /// The item as it was submitted.
     pub spec: ItemSpec,
+    /// Its committed progress.
     pub progress: Progress,
 }
 
@@ -28,13 +31,15 @@
     pub(super) route: String,
     pub(super) service: String,
     pub(super) host: String,
-    pub(super) terms: JobTerms,
-    /// By the items' places; what is listed, or was dropped at the end of the job, is gone.
+    pub(super) settings: JobSettings,
+    /// By item index; `None` once listed, or dropped at the end of the job.
     pub(super) open: Vec<Option<Box<OpenItem>>>,
     /// By position.
-    pub(super) listed: Vec<Listing>,
+    pub(super) listed: Vec<ListedResult>,
     pub(super) ended: bool,
+    /// The tokens of the open items.
     waiting_tokens: u64,
+    /// About the bytes that the job takes in memory.
     cost: usize,
 }
 
@@ -43,25 +48,25 @@
     pub route: String,
     pub service: String,
     pub host: String,
-    pub terms: JobTerms,
+    pub settings: JobSettings,
     pub open: Vec<Option<Box<OpenItem>>>,
-    pub listed: Vec<Listing>,
+    pub listed: Vec<ListedResult>,
     pub ended: bool,
 }
 
 impl Job {
-    pub(super) fn new(submission: Submission, terms: JobTerms) -> Job {
+    pub(super) fn new(submission: Submission, settings: JobSettings) -> Job {
         let Submission { route, service, host, items, job: _ } = submission;
         let open = items
             .into_iter()
             .map(|spec| Some(Box::new(OpenItem { spec, progress: Progress::default() })))
             .collect();
-        Job::from_parts(JobParts { route, service, host, terms, open, listed: Vec::new(), ended: false })
+        Job::from_parts(JobParts { route, service, host, settings, open, listed: Vec::new(), ended: false })
     }
 
-    pub(super) fn from_parts(partitions: JobParts) -> Job {
-        let JobParts { route, service, host, terms, open, listed, ended } = partitions;
-        let mut job = Job { route, service, host, terms, open, listed, ended, waiting_tokens: 0, cost: 0 };
+    pub(super) fn from_parts(parts: JobParts) -> Job {
+        let JobParts { route, service, host, settings, open, listed, ended } = parts;
+        let mut job = Job { route, service, host, settings, open, listed, ended, waiting_tokens: 0, cost: 0 };
         job.waiting_tokens =
             job.open_items().fold(0, |sum, (_, item)| sum.saturating_add(item.spec.token_count));
         job.cost = job.counted_cost();
@@ -71,7 +76,7 @@
     fn counted_cost(&self) -> usize {
         let names = self.route.len() + self.service.len() + self.host.len();
         let open: usize = self.open_items().map(|(_, item)| item.cost()).sum();
-        let listed: usize = self.listed.iter().map(Listing::cost).sum();
+        let listed: usize = self.listed.iter().map(ListedResult::cost).sum();
         size_of::<Job>() + names + self.open.len() * size_of::<Option<Box<OpenItem>>>() + open + listed
     }
 
@@ -81,13 +86,13 @@
             return false;
         };
         self.drop_open(&item);
-        let listing = Listing::new(item.spec.id, result.state, result.text);
+        let listing = ListedResult::new(item.spec.id, result.state, result.text);
         self.cost += listing.cost();
         self.listed.push(listing);
         true
     }
 
-    /// Takes what is ahead of what is known: a later count, events that follow on the last.
+    /// Merges newer progress: a higher count, events that follow the last. Whether anything was newer.
     pub(super) fn advance(&mut self, progress: ItemProgress) -> bool {
         let Some(item) = self.open.get_mut(progress.item.as_usize()).and_then(Option::as_mut) else {
             return false;
@@ -96,15 +101,15 @@
         let counted = progress.failed_attempts > known.failed_attempts;
         known.failed_attempts = known.failed_attempts.max(progress.failed_attempts);
         let before = known.text.len();
-        let continued = progress.events.is_some_and(|piece| known.continue_with(piece));
+        let extended = progress.events.is_some_and(|chunk| known.append(chunk));
         self.cost += known.text.len() - before;
-        counted || continued
+        counted || extended
     }
 
     /// Ends the job and drops its items that are not listed. Whether it had not ended before.
     pub(super) fn end(&mut self) -> bool {
-        for place in 0..self.open.len() {
-            if let Some(item) = self.open[place].take() {
+        for index in 0..self.open.len() {
+            if let Some(item) = self.open[index].take() {
                 self.drop_open(&item);
             }
         }
@@ -145,8 +150,8 @@
         &self.host
     }
 
-    pub(crate) fn terms(&self) -> &JobTerms {
-        &self.terms
+    pub(crate) fn settings(&self) -> &JobSettings {
+        &self.settings
     }
 
     pub(super) fn status(&self) -> JobStatus {
@@ -166,8 +171,8 @@
     }
 
     pub(crate) fn open_items(&self) -> impl Iterator<Item = (ItemIndex, &OpenItem)> {
-        let places = self.open.iter().enumerate();
-        places.filter_map(|(place, item)| Some((ItemIndex::at(place), item.as_deref()?)))
+        let items = self.open.iter().enumerate();
+        items.filter_map(|(index, item)| Some((ItemIndex::at(index), item.as_deref()?)))
     }
 }
 
@@ -178,16 +183,16 @@
 }
 
 impl Progress {
-    fn continue_with(&mut self, piece: EventsPiece) -> bool {
-        let is_next = piece.after == self.last_event && piece.after.is_none_or(|after| after < piece.last);
+    fn append(&mut self, chunk: EventChunk) -> bool {
+        let is_next = chunk.after == self.last_event && chunk.after.is_none_or(|after| after < chunk.last);
         if !is_next {
             return false;
         }
         if self.last_event.is_some() {
             self.text.push('\n');
         }
-        self.text.push_str(&piece.text);
-        self.last_event = Some(piece.last);
+        self.text.push_str(&chunk.text);
+        self.last_event = Some(chunk.last);
         true
     }
 }
--- a/crates/batch/src/jobs/page.rs
+++ b/crates/batch/src/jobs/result_page.rs
@@ -1,18 +1,18 @@
-//! What readers of a job see.
+//! The pages of results that readers of a job get.
 
 use super::entry::ResultState;
-use crate::shared::SharedText;
+use crate::shared_bytes::SharedText;
 
-/// The most bytes of an answer to a reader: 1 MB less some slack for its head.
+/// The most bytes of a response to a reader: 1 MB less some slack for its head.
 pub const MAX_PAGE_BYTES: usize = 1_000_000 - 4_096;
-/// `{"total":200,"next_token":200,"result_list":[]}` and room for longer numbers.
+/// `{"total":200,"next_token":200,"result_list":[]}` and space for longer numbers.
 const FRAME_BYTES: usize = 96;
-/// What stands around a result's name, state and text, and the comma after it.
+/// The bytes around a result's name, state and text, and the comma after it.
 const RESULT_FRAME_BYTES: usize = r#"{"instance_id":"","state":"","text":""},"#.len();
 
 /// A result at its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listing {
+pub struct ListedResult {
     item_id: Box<str>,
     state: ResultState,
     text: SharedText,
@@ -20,17 +20,19 @@
     json_bytes: usize,
 }
 
-impl Listing {
-    pub(super) fn new(item_id: String, state: ResultState, text: SharedText) -> Listing {
+impl ListedResult {
+    pub(super) fn new(item_id: String, state: ResultState, text: SharedText) -> ListedResult {
         let json_bytes =
             RESULT_FRAME_BYTES + escaped_len(&item_id) + state.as_str().len() + escaped_len(&text);
-        Listing { item_id: item_id.into(), state, text, json_bytes }
+        ListedResult { item_id: item_id.into(), state, text, json_bytes }
     }
 
+    /// The name of the item.
     pub fn item_id(&self) -> &str {
         &self.item_id
     }
 
+    /// How it ended.
     pub fn state(&self) -> ResultState {
         self.state
     }
@@ -41,7 +43,7 @@
     }
 
     pub(super) fn cost(&self) -> usize {
-        size_of::<Listing>() + self.item_id.len() + self.text.len()
+        size_of::<ListedResult>() + self.item_id.len() + self.text.len()
     }
 
     fn write_json(&self, out: &mut String) {
@@ -63,35 +65,40 @@
     /// The position after the last of `results`; where they begin if there are none.
     pub next_token: usize,
     /// In the order of their positions.
-    pub results: &'a [Listing],
+    pub results: &'a [ListedResult],
 }
 
 impl<'a> Page<'a> {
-    pub(super) fn of(total: usize, listed: &'a [Listing], resume_after: usize, max_bytes: usize) -> Page<'a> {
+    pub(super) fn of(
+        total: usize,
+        listed: &'a [ListedResult],
+        resume_after: usize,
+        max_bytes: usize,
+    ) -> Page<'a> {
         let rest = listed.get(resume_after..).unwrap_or(&[]);
-        let mut room = max_bytes.saturating_sub(FRAME_BYTES);
-        let fits = |listing: &&Listing| {
-            let left = room.checked_sub(listing.json_bytes);
-            room = left.unwrap_or(0);
-            left.is_some()
+        let mut remaining = max_bytes.saturating_sub(FRAME_BYTES);
+        let fits = |result: &&ListedResult| {
+            let after = remaining.checked_sub(result.json_bytes);
+            remaining = after.unwrap_or(0);
+            after.is_some()
         };
         let count = rest.iter().take_while(fits).count().max(1).min(rest.len());
         Page { total, next_token: resume_after.saturating_add(count), results: &rest[..count] }
     }
 
-    /// The answer's body.
+    /// The body of the response.
     pub fn to_json(&self) -> String {
-        let results: usize = self.results.iter().map(|listing| listing.json_bytes).sum();
+        let results: usize = self.results.iter().map(|result| result.json_bytes).sum();
         let mut out = String::with_capacity(FRAME_BYTES + results);
         out.push_str(&format!(
             r#"{{"total":{},"next_token":{},"result_list":["#,
             self.total, self.next_token
         ));
-        for (place, listing) in self.results.iter().enumerate() {
-            if place > 0 {
+        for (index, result) in self.results.iter().enumerate() {
+            if index > 0 {
                 out.push(',');
             }
-            listing.write_json(&mut out);
+            result.write_json(&mut out);
         }
         out.push_str("]}");
         out
@@ -111,15 +118,15 @@
     text.bytes().map(escaped_width).sum()
 }
 
-/// Runs of plain bytes are copied whole. What is escaped is ASCII, so the cuts fall between characters.
+/// Runs of plain bytes are copied at once. Escaped bytes are ASCII, so the runs end between characters.
 fn write_escaped(out: &mut String, text: &str) {
     let mut plain_from = 0;
-    for (place, byte) in text.bytes().enumerate() {
+    for (offset, byte) in text.bytes().enumerate() {
         if escaped_width(byte) == 1 {
             continue;
         }
-        out.push_str(&text[plain_from..place]);
-        plain_from = place + 1;
+        out.push_str(&text[plain_from..offset]);
+        plain_from = offset + 1;
         match byte {
             b'"' => out.push_str("\\\""),
             b'\\' => out.push_str("\\\\"),
--- a/crates/batch/src/jobs/snapshot.rs
+++ b/crates/batch/src/jobs/snapshot.rs
@@ -1,4 +1,4 @@
-//! The whole state in bytes, for a replica that is behind and for the disk.
+//! The complete state in bytes, for a replica that is behind and for the disk.
 
 use std::collections::HashSet;
 
@@ -6,18 +6,18 @@
 use snafu::{Snafu, ensure};
 
 use super::Jobs;
-use super::entry::{JobTerms, ResultState};
+use super::entry::{JobSettings, ResultState};
 use super::job::{Job, JobParts, OpenItem, Progress};
-use super::page::Listing;
-use crate::compact::{
-    TakeShared, malformed, put_bytes, put_list, put_number, put_optional_number, take_byte,
+use super::result_page::ListedResult;
+use crate::codec::{
+    DecodeShared, malformed, put_bytes, put_list, put_number, put_optional_number, take_byte,
     take_optional_number, take_shared_list, take_shared_text, take_small, take_text,
 };
 use crate::names::{JobId, is_name};
-use crate::shared::SharedBytes;
+use crate::shared_bytes::SharedBytes;
 use crate::submission::{ItemSpec, MAX_ITEMS};
 
-/// The form that is written. Readers refuse others.
+/// The version of the format. Readers reject others.
 const VERSION: u8 = 1;
 /// The most jobs in a snapshot.
 const MAX_JOBS: usize = 1 << 20;
@@ -25,26 +25,39 @@
 /// Why a snapshot can't be read.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
+    /// It has another version of the format.
     #[snafu(display("the snapshot has form {version}, not {VERSION}"))]
-    OtherVersion { version: u8 },
+    OtherVersion {
+        /// Its version.
+        version: u8,
+    },
+    /// Its bytes are not a snapshot.
     #[snafu(display("the snapshot is malformed"))]
-    Malformed { source: DeBinErr },
+    Malformed {
+        /// Where they are not.
+        source: DeBinErr,
+    },
+    /// More bytes follow it.
     #[snafu(display("{bytes} bytes follow the snapshot"))]
-    Surplus { bytes: usize },
+    Surplus {
+        /// Their number.
+        bytes: usize,
+    },
+    /// A job is in it twice.
     #[snafu(display("a job stands in the snapshot twice"))]
     JobTwice,
 }
 
 impl Jobs {
-    /// The whole state. The same state gives the same bytes.
+    /// The complete state. The same state gives the same bytes.
     pub fn to_snapshot(&self) -> Vec<u8> {
-        // What the jobs take in memory is more than what they take in bytes, so that nothing grows and is copied.
+        // Jobs take more bytes in memory than in a snapshot, so that the buffer never grows.
         let mut out = Vec::with_capacity(self.cost);
         self.write_snapshot(&mut out);
         out
     }
 
-    /// Puts the bytes of [`Jobs::to_snapshot`] behind others.
+    /// Appends the bytes of [`Jobs::to_snapshot`].
     pub fn write_snapshot(&self, out: &mut Vec<u8>) {
         out.push(VERSION);
         put_number(out, self.jobs.len() as u64);
@@ -57,12 +70,12 @@
     /// The state that was written.
     ///
     /// # Errors
-    /// When the bytes are not a whole snapshot of this version.
+    /// When the bytes are not a complete snapshot of this version.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Jobs, SnapshotError> {
         Jobs::from_shared_snapshot(&SharedBytes::from(bytes))
     }
 
-    /// The state that was written, which goes on referring to the bytes for bodies and texts.
+    /// The state that was written, which refers to these bytes for bodies and texts.
     ///
     /// # Errors
     /// As [`Jobs::from_snapshot`].
@@ -75,7 +88,7 @@
         ensure!(offset == bytes.len(), SurplusSnafu { bytes: bytes.len() - offset });
         let mut jobs = Jobs::new();
         for JobRecord { id, job } in records {
-            jobs.count_in(&job);
+            jobs.add_to_sums(&job);
             ensure!(jobs.jobs.insert(id, job).is_none(), JobTwiceSnafu);
         }
         Ok(jobs)
@@ -87,7 +100,7 @@
     job: Job,
 }
 
-impl TakeShared for JobRecord {
+impl DecodeShared for JobRecord {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<JobRecord, DeBinErr> {
         Ok(JobRecord { id: JobId::de_bin(offset, bytes)?, job: Job::take(offset, bytes)? })
     }
@@ -98,7 +111,7 @@
         put_bytes(out, self.route.as_bytes());
         put_bytes(out, self.service.as_bytes());
         put_bytes(out, self.host.as_bytes());
-        self.terms.ser_bin(out);
+        self.settings.ser_bin(out);
         self.ended.ser_bin(out);
         put_number(out, self.open.len() as u64);
         for item in &self.open {
@@ -111,25 +124,25 @@
     }
 }
 
-impl TakeShared for Job {
+impl DecodeShared for Job {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Job, DeBinErr> {
         let route = take_text(offset, bytes)?.to_owned();
         let service = take_text(offset, bytes)?.to_owned();
         let host = take_text(offset, bytes)?.to_owned();
-        let terms = JobTerms::de_bin(offset, bytes)?;
+        let settings = JobSettings::de_bin(offset, bytes)?;
         let ended = bool::de_bin(offset, bytes)?;
         let open: Vec<OpenRecord> = take_shared_list(offset, bytes, MAX_ITEMS)?;
         let open: Vec<_> = open.into_iter().map(|record| record.0).collect();
-        let listed: Vec<Listing> = take_shared_list(offset, bytes, MAX_ITEMS)?;
+        let listed: Vec<ListedResult> = take_shared_list(offset, bytes, MAX_ITEMS)?;
         if !is_sound(&open, &listed, ended) {
             return Err(malformed(*offset, 0, bytes));
         }
-        Ok(Job::from_parts(JobParts { route, service, host, terms, open, listed, ended }))
+        Ok(Job::from_parts(JobParts { route, service, host, settings, open, listed, ended }))
     }
 }
 
 /// Whether each item is either open or listed (or dropped by the end), and none is twice.
-fn is_sound(open: &[Option<Box<OpenItem>>], listed: &[Listing], ended: bool) -> bool {
+fn is_sound(open: &[Option<Box<OpenItem>>], listed: &[ListedResult], ended: bool) -> bool {
     let unlisted = open.iter().flatten().count();
     let counts_fit = if ended {
         unlisted == 0 && listed.len() <= open.len()
@@ -138,12 +151,12 @@
     };
     let mut names = HashSet::new();
     let open_names = open.iter().flatten().map(|item| item.spec.id.as_str());
-    counts_fit && open_names.chain(listed.iter().map(Listing::item_id)).all(|name| names.insert(name))
+    counts_fit && open_names.chain(listed.iter().map(ListedResult::item_id)).all(|name| names.insert(name))
 }
 
 struct OpenRecord(Option<Box<OpenItem>>);
 
-impl TakeShared for OpenRecord {
+impl DecodeShared for OpenRecord {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<OpenRecord, DeBinErr> {
         Ok(OpenRecord(match bool::de_bin(offset, bytes)? {
             true => Some(Box::new(OpenItem::take(offset, bytes)?)),
@@ -161,7 +174,7 @@
     }
 }
 
-impl TakeShared for OpenItem {
+impl DecodeShared for OpenItem {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<OpenItem, DeBinErr> {
         Ok(OpenItem {
             spec: ItemSpec::take(offset, bytes)?,
@@ -174,7 +187,7 @@
     }
 }
 
-impl SerBin for Listing {
+impl SerBin for ListedResult {
     fn ser_bin(&self, out: &mut Vec<u8>) {
         put_bytes(out, self.item_id().as_bytes());
         self.state().ser_bin(out);
@@ -182,13 +195,13 @@
     }
 }
 
-impl TakeShared for Listing {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Listing, DeBinErr> {
+impl DecodeShared for ListedResult {
+    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<ListedResult, DeBinErr> {
         let id = take_text(offset, bytes)?;
         if !is_name(id) {
             return Err(malformed(*offset, 0, bytes));
         }
         let state = ResultState::de_bin(offset, bytes)?;
-        Ok(Listing::new(id.to_owned(), state, take_shared_text(offset, bytes)?))
+        Ok(ListedResult::new(id.to_owned(), state, take_shared_text(offset, bytes)?))
     }
 }
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,9 +1,16 @@
-//! Batch jobs: what is kept, how items are run, what readers see.
+//! Batch jobs: how they are stored, how their items are run, what readers see.
 //!
-//! All of it is a set of state machines without I/O. [`read_submission`] checks what a client sent;
-//! [`Leader::admit`] holds the quota; [`Jobs`] is moved by the committed entries of the partition's log, alike on each
-//! replica, and answers readers; [`Runner`] says, on the leader, which item runs next, takes the events that
-//! [`EventReader`] cuts from the executor's stream, and proposes results to the log.
+//! All of it is a set of state machines without I/O and without a clock; `grebeusher-tier` drives them. The path of a
+//! job:
+//!
+//! 1. [`read_submission`] validates what a client submitted.
+//! 2. [`AdmissionControl`], on the leader, applies the route's quota and the partition's memory bound.
+//! 3. [`Jobs`] applies the committed entries of the partition's log ([`Entry`]), the same on each replica, and serves
+//!    readers.
+//! 4. [`Runner`], on the leader, says which item runs next, takes the events that [`EventReader`] parses from the
+//!    executor's stream, and proposes results to the log. [`FairShare`] divides the executors' capacity among leaders.
+//!
+//! The log itself is `grebeusher-quorum`, and the choice of an executor is `grebeusher-gateway`.
 //!
 //! ```
 //! use grebeusher_batch::*;
@@ -21,28 +28,28 @@
 //! let submission = read_submission(head, body).expect("a proper submission");
 //! let job = submission.job.clone();
 //!
-//! // The leader admits the job, proposes it and, once it is committed, applies it and answers 202.
-//! let (mut jobs, mut leader, mut runner) = (Jobs::new(), Leader::new(1 << 20), Runner::new(1));
-//! runner.begin(&jobs, now, 0);
-//! assert_eq!(leader.admit(&jobs, &submission, 1_000), Admission::Propose);
-//! let terms = JobTerms { completion_target_ms: 8_000, retention_ms: 60_000, ..JobTerms::default() };
-//! let applied = jobs.apply(Entry::Submit { submission, terms });
-//! leader.applied(&applied);
+//! // The leader admits the job, proposes it, applies it once it is committed, and answers 202.
+//! let (mut jobs, mut admission, mut runner) = (Jobs::new(), AdmissionControl::new(1 << 20), Runner::new(1));
+//! runner.start_leading(&jobs, now, 0);
+//! assert_eq!(admission.admit(&jobs, &submission, 1_000), Admission::Propose);
+//! let settings = JobSettings { completion_target_ms: 8_000, retention_ms: 60_000, ..JobSettings::default() };
+//! let applied = jobs.apply(Entry::Submit { submission, settings });
+//! admission.applied(&applied);
 //! runner.applied(&jobs, &applied, now);
 //! assert_eq!(jobs.item_body(&job, "a"), Some(&[0xab, 0xcd][..]));
 //!
-//! // An executor has room: the item is sent there, and its stream is read.
+//! // An executor has capacity: the item is sent there, and its stream is read.
 //! let order = runner.next_item(&jobs, now, &|_: &str| Some(10_000)).expect("an item");
 //! let mut events = EventReader::new();
 //! events
 //!     .push(b"id: 0\ndata: one\n\nid: 1\ndata: two\n\n", |event| {
-//!         assert_eq!(runner.run_event(order.run, event.id, &event.data, now), EventTaken::Taken);
+//!         assert_eq!(runner.run_event(order.run, event.id, &event.data, now), EventDisposition::Accepted);
 //!     })
 //!     .expect("proper events");
 //! events.finish().expect("no event begun");
-//! runner.run_ended(order.run, Outcome::Complete, now);
+//! runner.run_ended(order.run, RunOutcome::Complete, now);
 //!
-//! // What came out is proposed, and readers see it once it is committed.
+//! // The result is proposed, and readers see it once it is committed.
 //! for entry in runner.take_proposals() {
 //!     let applied = jobs.apply(entry);
 //!     runner.applied(&jobs, &applied, now);
@@ -54,26 +61,28 @@
 //! );
 //! ```
 
-mod compact;
+#![warn(missing_docs)]
+
+mod admission;
+mod codec;
 mod events;
 mod fair_share;
 mod jobs;
-mod leader;
 mod names;
 mod runner;
-mod shared;
+mod shared_bytes;
 mod submission;
 
+pub use admission::{Admission, AdmissionControl, AdmissionRequest};
 pub use events::{Event, EventError, EventReader, MAX_EVENT_BYTES};
 pub use fair_share::{FairShare, PartitionLoad};
 pub use jobs::{
-    Applied, EndState, Entry, EventsPiece, ItemProgress, ItemResult, JobResults, JobStatus, JobTerms, Jobs,
-    Listing, MAX_PAGE_BYTES, OpenItem, Page, Progress, ResultState, SnapshotError,
+    Applied, EndOutcome, Entry, EventChunk, ItemProgress, ItemResult, JobResults, JobSettings, JobStatus,
+    Jobs, ListedResult, MAX_PAGE_BYTES, OpenItem, Page, Progress, ResultState, SnapshotError,
 };
-pub use leader::{Admission, Leader, Wanted};
 pub use names::{ItemIndex, JobId, MAX_NAME_BYTES};
-pub use runner::{EventTaken, MAX_TEXT_BYTES, Outcome, Room, RunId, RunOrder, Runner};
-pub use shared::{SharedBytes, SharedText};
+pub use runner::{Capacity, EventDisposition, MAX_TEXT_BYTES, RunId, RunOrder, RunOutcome, Runner};
+pub use shared_bytes::{SharedBytes, SharedText};
 pub use submission::{
     Header, ItemSpec, MAX_HEADERS, MAX_ITEMS, Submission, SubmissionError, SubmissionHead, TOKEN_HEADER,
     Tokens, read_submission,
--- a/crates/batch/src/names.rs
+++ b/crates/batch/src/names.rs
@@ -4,7 +4,7 @@
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-use crate::compact::{malformed, put_bytes, put_number, take_small, take_text};
+use crate::codec::{malformed, put_bytes, put_number, take_small, take_text};
 
 /// The longest name of a job or an item, in bytes. They travel in headers and paths.
 pub const MAX_NAME_BYTES: usize = 128;
@@ -14,11 +14,12 @@
 pub struct JobId(Box<str>);
 
 impl JobId {
-    /// The name, if it may be one.
+    /// The name, if it is valid.
     pub fn new(name: &str) -> Option<JobId> {
         is_name(name).then(|| JobId(name.into()))
     }
 
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -48,18 +49,19 @@
     }
 }
 
-/// The place of an item in its job as it was submitted, from 0. Not its position among the results.
+/// The index of an item in its job as it was submitted, from 0. Not its position among the results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ItemIndex(pub u16);
 
 impl ItemIndex {
+    /// The index for slices.
     pub fn as_usize(self) -> usize {
         usize::from(self.0)
     }
 
-    /// The place as a number that is known to be below the number of items in a job.
-    pub(crate) fn at(place: usize) -> ItemIndex {
-        ItemIndex(u16::try_from(place).unwrap_or(u16::MAX))
+    /// An index below [`MAX_ITEMS`](crate::MAX_ITEMS), which fits.
+    pub(crate) fn at(index: usize) -> ItemIndex {
+        ItemIndex(u16::try_from(index).unwrap_or(u16::MAX))
     }
 }
 
--- /dev/null
+++ b/crates/batch/src/runner/dispatch.rs
@@ -0,0 +1,107 @@
+//! Starting items: the job with the highest priority that fits the capacity, and its largest item that fits.
+
+use grebeusher_time::Instant;
+
+use super::job_run::JobRun;
+use super::priority::Turn;
+use super::run::{Capacity, RunId, RunOrder};
+use super::{ItemKey, Runner};
+use crate::jobs::{Job, Jobs, OpenItem};
+use crate::names::{ItemIndex, JobId};
+
+impl Runner {
+    /// The item that is to run now within this capacity, if any.
+    pub fn next_item(&mut self, jobs: &Jobs, now: Instant, capacity: &impl Capacity) -> Option<RunOrder> {
+        for job in self.jobs.values_mut() {
+            job.end_backoffs(now);
+        }
+        let turn = Turn::of(self.turns);
+        let expected = self.run_duration.expected();
+        let mut routes = RouteCapacities { capacity, known: Vec::new() };
+        let eligible = self.jobs.iter().filter(|(_, job)| !job.is_given_up(now) && routes.have_for(job));
+        let first = eligible.min_by_key(|(_, job)| job.priority(now, expected, turn));
+        let id = first.map(|(id, _)| id.clone())?;
+        self.start_item(jobs, &id, now, capacity)
+    }
+
+    fn start_item(
+        &mut self,
+        jobs: &Jobs,
+        id: &JobId,
+        now: Instant,
+        capacity: &impl Capacity,
+    ) -> Option<RunOrder> {
+        let job = jobs.job(id)?;
+        let max_tokens = capacity.tokens_for(job.route())?;
+        let run = RunId(self.last_run + 1);
+        let job_run = self.jobs.get_mut(id)?;
+        let item = job_run.start(max_tokens, run, now, self.turns)?;
+        let Some(open) = job.open_item(item) else {
+            job_run.remove(item);
+            return None;
+        };
+        let last_event_id = job_run.item(item).and_then(|item| item.last_event());
+        self.last_run += 1;
+        self.turns += 1;
+        self.runs.insert(run, ItemKey { job: id.clone(), item });
+        Some(RunOrder { last_event_id, ..run_order(run, id, item, job, open) })
+    }
+
+    /// The tokens of the item of a route that would run next if there were capacity for any. Without capacity reserved
+    /// for it, large items would wait behind small ones for ever.
+    pub fn next_item_tokens(&self, route: &str, now: Instant) -> Option<u64> {
+        let expected = self.run_duration.expected();
+        let jobs = self.jobs.values().filter(|job| job.route() == route && !job.is_given_up(now));
+        let ready =
+            jobs.filter_map(|job| Some((job.priority(now, expected, Turn::Urgency), job.largest_ready()?)));
+        ready.min_by_key(|(priority, _)| *priority).map(|(_, tokens)| tokens)
+    }
+}
+
+/// An order that runs the item from its first event.
+fn run_order(run: RunId, id: &JobId, item: ItemIndex, job: &Job, open: &OpenItem) -> RunOrder {
+    let spec = &open.spec;
+    RunOrder {
+        run,
+        job: id.clone(),
+        item,
+        attempt_id: spec.id.clone(),
+        route: job.route().to_owned(),
+        service: job.service().to_owned(),
+        host: job.host().to_owned(),
+        path: spec.path.clone(),
+        headers: spec.headers.clone(),
+        body: spec.body.clone(),
+        last_event_id: None,
+        token_count: spec.token_count,
+        tokens: spec.tokens(),
+    }
+}
+
+/// The capacity of each route, asked for once in a turn.
+struct RouteCapacities<'a, C> {
+    capacity: &'a C,
+    /// Routes are few.
+    known: Vec<RouteCapacity>,
+}
+
+struct RouteCapacity {
+    route: String,
+    tokens: Option<u64>,
+}
+
+impl<C: Capacity> RouteCapacities<'_, C> {
+    /// Whether an item of the job may run now.
+    fn have_for(&mut self, job: &JobRun) -> bool {
+        job.has_ready() && self.tokens_for(job.route()).is_some_and(|tokens| job.fits(tokens))
+    }
+
+    fn tokens_for(&mut self, route: &str) -> Option<u64> {
+        if let Some(known) = self.known.iter().find(|known| known.route == route) {
+            return known.tokens;
+        }
+        let tokens = self.capacity.tokens_for(route);
+        self.known.push(RouteCapacity { route: route.to_owned(), tokens });
+        tokens
+    }
+}
--- a/crates/batch/src/runner/item.rs
+++ b/crates/batch/src/runner/item_run.rs
@@ -3,25 +3,26 @@
 use grebeusher_time::Instant;
 
 use super::RunId;
-use crate::jobs::{EventsPiece, OpenItem};
+use crate::jobs::{EventChunk, OpenItem};
 
-/// The largest text of an item, so that a result fits an answer to a reader with every byte escaped as a pair.
+/// The largest text of an item, so that a result fits a reader's response with every byte escaped as a pair.
 pub const MAX_TEXT_BYTES: usize = 480_000;
-/// Runs in a row that don't follow on the last event, after which the item begins anew from the first.
-const MAX_MISFITS: u32 = 2;
-/// A text that is full grows by one Part in so many, or by the event if that is more. Doubling would leave a half of many
+/// Consecutive runs that don't follow the last event, after which the item runs again from its first event.
+const MAX_OUT_OF_ORDER: u32 = 2;
+/// A text that is full grows by one part in so many, or by the event if that is more. Doubling would leave half of many
 /// texts empty, and there are as many as items that run.
-const GROWTH_SHARE: usize = 8;
+const TEXT_GROWTH_DIVISOR: usize = 8;
 
+/// What an item waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// May run now.
     Ready,
     /// May run again from then on.
-    Pausing(Instant),
+    BackingOff(Instant),
     Running(RunId),
     /// Its result is known and waits for its entry to be applied.
-    Decided,
+    Finished,
 }
 
 /// How much of the text is committed.
@@ -29,19 +30,27 @@
 enum Committed {
     /// Up to this event, which ends at this byte.
     UpTo { last_event: Option<u64>, bytes: usize },
-    /// The committed text is of another run than the text here, and nothing may be added to it.
+    /// The committed text is of another run than the text here, and nothing may be appended to it.
     OtherRun,
 }
 
+/// What has come of an item since its last checkpoint.
+pub(super) struct ItemCheckpoint {
+    pub failed_attempts: u32,
+    pub events: EventChunk,
+}
+
 #[derive(Debug)]
 pub(super) struct ItemRun {
     pub phase: Phase,
     pub tokens: u64,
-    pub started: Instant,
+    /// When its last run started.
+    pub started_at: Instant,
     failed_attempts: u32,
     /// Runs that ended since the last event.
-    tries: u32,
-    misfits: u32,
+    attempts: u32,
+    /// Consecutive runs that didn't follow the last event.
+    out_of_order: u32,
     last_event: Option<u64>,
     text: String,
     committed: Committed,
@@ -53,10 +62,10 @@
         ItemRun {
             phase: Phase::Ready,
             tokens: open.spec.token_count,
-            started: Instant::default(),
+            started_at: Instant::default(),
             failed_attempts: progress.failed_attempts,
-            tries: 0,
-            misfits: 0,
+            attempts: 0,
+            out_of_order: 0,
             last_event: progress.last_event,
             text: progress.text.clone(),
             committed: Committed::UpTo { last_event: progress.last_event, bytes: progress.text.len() },
@@ -67,68 +76,72 @@
         self.last_event
     }
 
-    /// Adds the event if it is the next one. The first event of a run from the start may have any id.
-    pub fn take_event(&mut self, id: u64, data: &str) -> bool {
+    /// Appends the event if it is the next one. The first event of a run from the start may have any id.
+    pub fn append_event(&mut self, id: u64, data: &str) -> bool {
         let is_next = self.last_event.is_none_or(|last| last.checked_add(1) == Some(id));
         if !is_next || self.text.len() + data.len() >= MAX_TEXT_BYTES {
             return false;
         }
         let needed = data.len() + usize::from(self.last_event.is_some());
         if self.text.capacity() - self.text.len() < needed {
-            self.text.reserve_exact(needed.max(self.text.len() / GROWTH_SHARE));
+            self.text.reserve_exact(needed.max(self.text.len() / TEXT_GROWTH_DIVISOR));
         }
         if self.last_event.is_some() {
             self.text.push('\n');
         }
         self.text.push_str(data);
         self.last_event = Some(id);
-        self.tries = 0;
-        self.misfits = 0;
+        self.attempts = 0;
+        self.out_of_order = 0;
         true
     }
 
-    /// A run didn't follow on the last event.
-    pub fn misfit(&mut self) {
-        self.misfits += 1;
-        if self.misfits >= MAX_MISFITS {
-            self.misfits = 0;
+    /// A run didn't follow the last event.
+    pub fn count_out_of_order(&mut self) {
+        self.out_of_order += 1;
+        if self.out_of_order >= MAX_OUT_OF_ORDER {
+            self.out_of_order = 0;
             self.last_event = None;
             self.text = String::new();
             self.committed = Committed::OtherRun;
         }
     }
 
-    /// Counts a run that ended; how many had before, since the last event.
-    pub fn count_try(&mut self) -> u32 {
-        let before = self.tries;
-        self.tries = before.saturating_add(1);
+    /// Counts a run that ended. Returns how many had before, since the last event.
+    pub fn count_attempt(&mut self) -> u32 {
+        let before = self.attempts;
+        self.attempts = before.saturating_add(1);
         before
     }
 
-    /// Counts an answer of 500; all of them.
+    /// Counts a response of 500. Returns all of them.
     pub fn count_failure(&mut self) -> u32 {
         self.failed_attempts = self.failed_attempts.saturating_add(1);
         self.failed_attempts
     }
 
-    /// The answers of 500, unless the result is known.
-    pub fn undecided_failures(&self) -> Option<u32> {
-        (self.phase != Phase::Decided).then_some(self.failed_attempts)
+    /// The responses of 500, unless the item is finished.
+    pub fn unfinished_failures(&self) -> Option<u32> {
+        (self.phase != Phase::Finished).then_some(self.failed_attempts)
     }
 
-    /// The whole text; the item is decided.
-    pub fn take_text(&mut self) -> String {
-        self.phase = Phase::Decided;
+    /// Finishes the item. Returns its complete text.
+    pub fn finish(&mut self) -> String {
+        self.phase = Phase::Finished;
         std::mem::take(&mut self.text)
     }
 
-    /// What has come since the last checkpoint, with the count of failures.
-    pub fn checkpoint(&mut self) -> Option<(u32, EventsPiece)> {
+    /// What has come since the last checkpoint.
+    pub fn checkpoint(&mut self) -> Option<ItemCheckpoint> {
         let Committed::UpTo { last_event: after, bytes } = self.committed else { return None };
-        let last = self.last_event.filter(|_| self.phase != Phase::Decided && self.last_event != after)?;
+        let is_unfinished = self.phase != Phase::Finished;
+        let last = self.last_event.filter(|_| is_unfinished && self.last_event != after)?;
         let from = if after.is_some() { bytes + 1 } else { 0 };
         let text = self.text.get(from..)?.to_owned();
         self.committed = Committed::UpTo { last_event: Some(last), bytes: self.text.len() };
-        Some((self.failed_attempts, EventsPiece { after, last, text }))
+        Some(ItemCheckpoint {
+            failed_attempts: self.failed_attempts,
+            events: EventChunk { after, last, text },
+        })
     }
 }
--- /dev/null
+++ b/crates/batch/src/runner/run_reports.rs
@@ -0,0 +1,75 @@
+//! Events and outcomes of runs: results, retries with backoff, and items that can't succeed.
+
+use grebeusher_time::Instant;
+
+use super::backoff::{self, Backoff};
+use super::item_run::ItemRun;
+use super::run::{EventDisposition, RunId, RunOutcome};
+use super::{PendingResult, Runner};
+use crate::jobs::{ItemResult, ResultState};
+use crate::names::ItemIndex;
+use crate::shared_bytes::SharedText;
+
+impl Runner {
+    /// A complete event of a run has come.
+    pub fn run_event(&mut self, run: RunId, id: u64, data: &str, now: Instant) -> EventDisposition {
+        let Some(item) = self.running(run) else { return EventDisposition::UnknownRun };
+        if item.append_event(id, data) {
+            return EventDisposition::Accepted;
+        }
+        item.count_out_of_order();
+        self.back_off(run, backoff::BROKEN, now);
+        EventDisposition::OutOfOrder
+    }
+
+    /// A run has ended. Cancelled and unknown runs are ignored.
+    pub fn run_ended(&mut self, run: RunId, outcome: RunOutcome, now: Instant) {
+        let Some(item) = self.running(run) else { return };
+        match outcome {
+            RunOutcome::Complete if item.last_event().is_some() => self.complete(run, now),
+            RunOutcome::Complete | RunOutcome::Broken => self.back_off(run, backoff::BROKEN, now),
+            RunOutcome::NotExecuted | RunOutcome::Misdirected => {
+                self.back_off(run, backoff::NOT_EXECUTED, now);
+            }
+            RunOutcome::Rejected422 => self.give_up_item(run),
+            RunOutcome::Failed500 => self.count_failure(run, now),
+        }
+    }
+
+    fn complete(&mut self, run: RunId, now: Instant) {
+        let Some(key) = self.runs.remove(&run) else { return };
+        let Some(item) = self.jobs.get_mut(&key.job).and_then(|job| job.finish(key.item)) else { return };
+        self.run_duration.observe(now.since(item.started_at));
+        let result = ItemResult { item: key.item, state: ResultState::Complete, text: item.text.into() };
+        self.results.push(PendingResult { job: key.job, result });
+    }
+
+    fn give_up_item(&mut self, run: RunId) {
+        let Some(key) = self.runs.remove(&run) else { return };
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        job.finish(key.item);
+        self.results.push(PendingResult { result: dead_letter(key.item), job: key.job });
+    }
+
+    fn count_failure(&mut self, run: RunId, now: Instant) {
+        let Some(key) = self.runs.get(&run).cloned() else { return };
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        if job.count_failure(key.item) {
+            return self.give_up_item(run);
+        }
+        self.failures.push(key);
+        self.back_off(run, backoff::FAILED, now);
+    }
+
+    fn back_off(&mut self, run: RunId, backoff: Backoff, now: Instant) {
+        let Some(key) = self.runs.remove(&run) else { return };
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        let attempts = job.item_mut(key.item).map_or(0, ItemRun::count_attempt);
+        job.back_off(key.item, now + self.jitter.delay(backoff, attempts));
+    }
+}
+
+/// The result of an item that was given up.
+pub(super) fn dead_letter(item: ItemIndex) -> ItemResult {
+    ItemResult { item, state: ResultState::DeadLetter, text: SharedText::default() }
+}
--- a/crates/batch/src/shared.rs
+++ b/crates/batch/src/shared_bytes.rs
@@ -1,14 +1,14 @@
-//! Bytes that are referred to where they lie: a payload of the log and the state that it makes hold them once.
+//! Slices of shared buffers: a payload of the log and the state made from it have the bytes in memory once.
 
 use std::fmt;
 use std::ops::{Deref, Range};
 use std::sync::Arc;
 
-/// A piece of a buffer that others refer to as well. The buffer lives as long as any piece of it.
+/// A slice of a shared buffer. The buffer lives as long as any slice of it.
 #[derive(Clone, Default)]
 pub struct SharedBytes {
     buffer: Arc<[u8]>,
-    /// Where the piece lies; always within the buffer.
+    /// Always within the buffer.
     range: Range<u32>,
 }
 
@@ -19,7 +19,7 @@
         self.buffer.get(range).unwrap_or_default()
     }
 
-    /// A piece of this one, if it holds it. An empty piece refers to no buffer and so keeps none alive.
+    /// A part of this slice, if the range is within it. An empty slice refers to no buffer and so keeps none alive.
     pub fn slice(&self, range: Range<usize>) -> Option<SharedBytes> {
         if range.start > range.end || range.end > self.len() {
             return None;
@@ -27,9 +27,9 @@
         if range.is_empty() {
             return Some(SharedBytes::default());
         }
-        // Both lie within the range of this piece, which fits.
-        let place = |offset: usize| self.range.start + offset as u32;
-        Some(SharedBytes { buffer: self.buffer.clone(), range: place(range.start)..place(range.end) })
+        // Both are within the range of this slice, which fits.
+        let position = |offset: usize| self.range.start + offset as u32;
+        Some(SharedBytes { buffer: self.buffer.clone(), range: position(range.start)..position(range.end) })
     }
 
     /// All but the first `count` bytes; nothing if there are no more.
@@ -39,7 +39,7 @@
 }
 
 impl From<Arc<[u8]>> for SharedBytes {
-    /// All of a buffer; of one of 4 GiB and more, which no entry or snapshot has, what lies before that.
+    /// All of a buffer; of one above 4 GiB, which no entry or snapshot has, the first 4 GiB.
     fn from(buffer: Arc<[u8]>) -> SharedBytes {
         let end = u32::try_from(buffer.len()).unwrap_or(u32::MAX);
         SharedBytes { buffer, range: 0..end }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Text in shared bytes, which were checked to be UTF-8.
+/// A slice of a shared buffer that is UTF-8.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct SharedText(SharedBytes);
 
@@ -88,13 +88,13 @@
     /// The bytes as text.
     ///
     /// # Errors
-    /// They are no UTF-8.
+    /// They are not UTF-8.
     pub fn new(bytes: SharedBytes) -> Result<SharedText, std::str::Utf8Error> {
         std::str::from_utf8(&bytes)?;
         Ok(SharedText(bytes))
     }
 
-    /// The text. It was checked when it was made; the language wants it seen again, which costs less than writing it.
+    /// The text. It was checked when it was made, and is checked again here, as there is no unsafe code in this crate.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or_default()
     }
--- a/crates/batch/src/submission.rs
+++ b/crates/batch/src/submission.rs
@@ -1,35 +1,37 @@
 //! A batch job as its client submits it.
 
-mod reading;
+mod parse;
 
 use std::collections::HashSet;
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-pub use reading::{SubmissionError, SubmissionHead, read_submission};
+pub use parse::{SubmissionError, SubmissionHead, read_submission};
 
-use crate::compact::{
-    TakeShared, malformed, put_bytes, put_list, put_number, take_number, take_shared_bytes, take_shared_list,
-    take_shared_text, take_text,
+use crate::codec::{
+    DecodeShared, malformed, put_bytes, put_list, put_number, take_number, take_shared_bytes,
+    take_shared_list, take_shared_text, take_text,
 };
 use crate::names::{JobId, is_name};
-use crate::shared::{SharedBytes, SharedText};
+use crate::shared_bytes::{SharedBytes, SharedText};
 
 /// The most items in a job.
 pub const MAX_ITEMS: usize = 200;
 /// The most headers of an item.
 pub const MAX_HEADERS: usize = 64;
-/// The header that names an item's tokens: those of the prompt, a comma, the most that can come out.
+/// The header that states an item's tokens: those of the prompt, a comma, the most of the output.
 pub const TOKEN_HEADER: &str = "X-Grebeusher-Token-Count";
 
 /// A header of an item, checked: the name is a token, the value has no control characters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
+    /// Its name, an HTTP token.
     pub name: SharedText,
+    /// Its value.
     pub value: SharedText,
 }
 
-/// An item of a batch job: one request that is run later. What is large in it may lie in the entry that it came by, which
+/// An item of a batch job: one request that is run later. Its large fields may refer to the entry that it came by, which
 /// then stays in memory as long as the item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemSpec {
@@ -41,14 +43,16 @@
     pub headers: Vec<Header>,
     /// The decoded body.
     pub body: SharedBytes,
-    /// The prompt's tokens and the most that can come out.
+    /// The tokens of the prompt and the most tokens of the output together.
     pub token_count: u64,
 }
 
-/// The tokens of an item, divided as far as its header tells.
+/// The tokens of an item, divided as far as its header states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tokens {
+    /// The tokens of the prompt.
     pub prompt: u64,
+    /// The most tokens of the output.
     pub output: u64,
 }
 
@@ -72,7 +76,7 @@
     }
 }
 
-/// The place of the first item that has the name of an earlier one.
+/// The index of the first item that has the name of an earlier one.
 fn first_repeated(items: &[ItemSpec]) -> Option<usize> {
     let mut names = HashSet::with_capacity(items.len());
     items.iter().position(|item| !names.insert(item.id.as_str()))
@@ -81,13 +85,15 @@
 /// A batch job as it was submitted, with the route that it came in on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
+    /// The name of the job.
     pub job: JobId,
     /// The name of the route in the configuration.
     pub route: String,
-    /// The service that the route led to when the job was taken.
+    /// The service that the route led to when the job was accepted.
     pub service: String,
     /// The host of the route, for the items' requests.
     pub host: String,
+    /// Its items, at most [`MAX_ITEMS`], with different names.
     pub items: Vec<ItemSpec>,
 }
 
@@ -105,7 +111,7 @@
     }
 }
 
-impl TakeShared for Header {
+impl DecodeShared for Header {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Header, DeBinErr> {
         let name = take_shared_text(offset, bytes)?;
         Ok(Header { name, value: take_shared_text(offset, bytes)? })
@@ -122,7 +128,7 @@
     }
 }
 
-impl TakeShared for ItemSpec {
+impl DecodeShared for ItemSpec {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<ItemSpec, DeBinErr> {
         let id = take_text(offset, bytes)?;
         if !is_name(id) {
@@ -155,7 +161,7 @@
 }
 
 /// The names outlive the items and are copied.
-impl TakeShared for Submission {
+impl DecodeShared for Submission {
     fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Submission, DeBinErr> {
         let submission = Submission {
             job: JobId::de_bin(offset, bytes)?,
--- a/crates/batch/src/submission/reading.rs
+++ b/crates/batch/src/submission/parse.rs
@@ -1,5 +1,5 @@
-//! Reading the body of a submission. Everything that could change a request on its way to an executor (a line
-//! end in a header, a blank in a path) is refused here, so that no later stage has to look again.
+//! Parsing and validation of the body of a submission. Everything that could change a request on its way to an executor
+//! (a line end in a header, a blank in a path) is rejected here, so that no later stage has to check again.
 
 use std::collections::HashMap;
 
@@ -14,13 +14,13 @@
 
 /// The largest body of a submission.
 pub const MAX_SUBMISSION_BYTES: usize = 4 << 20;
-/// Values within values; a submission needs four. The reader of values calls itself for each.
+/// The most levels of nested values. A submission needs four; the JSON parser recurses for each.
 const MAX_DEPTH: usize = 16;
 /// The longest path of an item.
 const MAX_PATH_BYTES: usize = 8 << 10;
 /// The most bytes of an item's headers, names and values together.
 const MAX_HEADERS_BYTES: usize = 16 << 10;
-/// Whole numbers up to here are exact in JSON's numbers.
+/// Integers up to here are exact in a JSON number.
 const MAX_EXACT_NUMBER: f64 = 9_007_199_254_740_992.0;
 
 /// Headers that concern one connection or the length of a body, or that the sender of an item sets itself.
@@ -41,43 +41,97 @@
     "x-grebeusher-target-instance",
 ];
 
-/// Padding may be left out: what the bytes are is clear without it.
+/// Padding may be omitted: the bytes are unambiguous without it.
 const BASE64: GeneralPurpose = GeneralPurpose::new(
     &STANDARD,
     GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
 
-/// Why a submission is refused; all of these are the client's fault (400).
+/// Why a submission is rejected. All of these are the client's fault (400).
 #[derive(Debug, Snafu)]
 pub enum SubmissionError {
+    /// The body exceeds [`MAX_SUBMISSION_BYTES`].
     #[snafu(display("the body of {bytes} bytes is too large"))]
-    TooLarge { bytes: usize },
+    TooLarge {
+        /// The size of the body.
+        bytes: usize,
+    },
+    /// The body is not UTF-8.
     #[snafu(display("the body is no UTF-8"))]
-    NotText { source: std::str::Utf8Error },
+    NotText {
+        /// Where it is not.
+        source: std::str::Utf8Error,
+    },
+    /// Values are nested too deeply.
     #[snafu(display("values stand in each other too deeply"))]
     TooDeep,
+    /// The body is not JSON.
     #[snafu(display("the body is no JSON"))]
-    NotJson { source: tinyjson::JsonParseError },
+    NotJson {
+        /// Where it is not.
+        source: tinyjson::JsonParseError,
+    },
+    /// The body is not an object.
     #[snafu(display("the body is no object"))]
     NotAnObject,
+    /// A field of the body is missing or of another type.
     #[snafu(display("`{key}` is missing or of another kind"))]
-    Field { key: &'static str },
+    Field {
+        /// The name of the field.
+        key: &'static str,
+    },
+    /// The body has more than [`MAX_ITEMS`].
     #[snafu(display("{count} items, more than {MAX_ITEMS}"))]
-    TooManyItems { count: usize },
+    TooManyItems {
+        /// The number of items.
+        count: usize,
+    },
+    /// An item is not an object.
     #[snafu(display("item {item} is no object"))]
-    ItemNotAnObject { item: usize },
+    ItemNotAnObject {
+        /// The index of the item.
+        item: usize,
+    },
+    /// A field of an item is missing or of another type.
     #[snafu(display("`{key}` of item {item} is missing or of another kind"))]
-    ItemField { item: usize, key: &'static str },
+    ItemField {
+        /// The index of the item.
+        item: usize,
+        /// The name of the field.
+        key: &'static str,
+    },
+    /// The name of an item is invalid.
     #[snafu(display("the name of item {item} can't be one"))]
-    ItemName { item: usize },
+    ItemName {
+        /// The index of the item.
+        item: usize,
+    },
+    /// Two items have the same name.
     #[snafu(display("the name of item {item} is an earlier one's"))]
-    ItemTwice { item: usize },
+    ItemTwice {
+        /// The index of the item.
+        item: usize,
+    },
+    /// The path of an item is invalid.
     #[snafu(display("the path of item {item} can't be one"))]
-    ItemPath { item: usize },
+    ItemPath {
+        /// The index of the item.
+        item: usize,
+    },
+    /// The headers of an item are invalid or too large.
     #[snafu(display("the headers of item {item} can't be sent"))]
-    ItemHeaders { item: usize },
+    ItemHeaders {
+        /// The index of the item.
+        item: usize,
+    },
+    /// The payload of an item is not base64.
     #[snafu(display("the payload of item {item} is no base64"))]
-    ItemPayload { item: usize, source: base64::DecodeError },
+    ItemPayload {
+        /// The index of the item.
+        item: usize,
+        /// Where it is not.
+        source: base64::DecodeError,
+    },
 }
 
 /// What is known of a submission before its body is read.
@@ -96,7 +150,7 @@
 /// Reads the body of a submission.
 ///
 /// # Errors
-/// Whatever is wrong with it, see [`SubmissionError`]; the answer is 400.
+/// See [`SubmissionError`]; the answer is 400.
 pub fn read_submission(head: SubmissionHead, body: &[u8]) -> Result<Submission, SubmissionError> {
     ensure!(body.len() <= MAX_SUBMISSION_BYTES, TooLargeSnafu { bytes: body.len() });
     let text = std::str::from_utf8(body).context(NotTextSnafu)?;
--- a/crates/batch/tests/batches/leader_change.rs
+++ b/crates/batch/tests/batches/leader_change.rs
@@ -14,7 +14,7 @@
     }
     assert_eq!(partition.try_next(), None, "a replica that isn't the leader runs nothing");
     assert_eq!(partition.jobs, of.jobs);
-    partition.runner.begin(&partition.jobs, partition.now, wall_ms);
+    partition.runner.start_leading(&partition.jobs, partition.now, wall_ms);
     partition
 }
 
@@ -27,8 +27,8 @@
     let runs = [new.next(), new.next()];
     assert!(runs.iter().all(|order| order.last_event_id.is_none()));
     for run in &runs {
-        assert_eq!(new.event(run, 0, "a"), EventTaken::Taken);
-        new.end_run(run, Outcome::Complete);
+        assert_eq!(new.event(run, 0, "a"), EventDisposition::Accepted);
+        new.end_run(run, RunOutcome::Complete);
     }
     new.settle();
     assert_eq!(texts(&new.jobs, "j").len(), 2);
@@ -39,12 +39,12 @@
     let mut old = Partition::with_job("j", 1);
     let order = old.next();
     old.event(&order, 0, "a");
-    old.end_run(&order, Outcome::Complete);
+    old.end_run(&order, RunOutcome::Complete);
     let running = Partition::with_job("k", 1).next();
-    old.runner.cease();
+    old.runner.stop_leading();
     assert_eq!(old.runner.take_proposals(), []);
-    assert_eq!((old.try_next(), old.runner.take_cut_off(), old.runner.is_leader()), (None, vec![], false));
-    old.end_run(&running, Outcome::Complete);
+    assert_eq!((old.try_next(), old.runner.take_cancelled(), old.runner.is_leader()), (None, vec![], false));
+    old.end_run(&running, RunOutcome::Complete);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000);
     assert_eq!(new.next().attempt_id, "j-0");
 }
@@ -53,15 +53,15 @@
 fn a_leader_that_ceases_cuts_its_runs_off() {
     let mut partition = Partition::with_job("j", 2);
     let (first, second) = (partition.next(), partition.next());
-    partition.runner.cease();
-    let mut cut_off = partition.runner.take_cut_off();
+    partition.runner.stop_leading();
+    let mut cut_off = partition.runner.take_cancelled();
     cut_off.sort_unstable();
     assert_eq!(cut_off, [first.run, second.run]);
-    assert_eq!(partition.event(&first, 0, "a"), EventTaken::NoSuchRun);
-    partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+    assert_eq!(partition.event(&first, 0, "a"), EventDisposition::UnknownRun);
+    partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let again = [partition.next(), partition.next()];
     assert!(again.iter().all(|order| ![first.run, second.run].contains(&order.run)), "runs are told apart");
-    assert_eq!(partition.event(&first, 0, "a"), EventTaken::NoSuchRun);
+    assert_eq!(partition.event(&first, 0, "a"), EventDisposition::UnknownRun);
 }
 
 /// TWICE: both leaders' results reach the log.
@@ -72,8 +72,8 @@
     let order = new.next();
     new.event(&order, 0, "a");
     new.commit(complete("j", 0, "the predecessor's"));
-    assert_eq!(new.runner.take_cut_off(), [order.run]);
-    new.end_run(&order, Outcome::Complete);
+    assert_eq!(new.runner.take_cancelled(), [order.run]);
+    new.end_run(&order, RunOutcome::Complete);
     assert_eq!((new.settle(), new.try_next()), (0, None));
     assert_eq!(texts(&new.jobs, "j")[0].2, "the predecessor's");
 }
@@ -84,19 +84,19 @@
     let mut old = Partition::with_job("j", 1);
     let mut log = vec![submit("j", 1)];
     let order = old.next();
-    old.end_run(&order, Outcome::Failed500);
+    old.end_run(&order, RunOutcome::Failed500);
     for entry in old.runner.take_proposals() {
         log.push(entry.clone());
         old.commit(entry);
     }
     old.pass(5_000);
     let order = old.next();
-    old.end_run(&order, Outcome::Failed500);
+    old.end_run(&order, RunOutcome::Failed500);
     let mut new = successor(&old, &log, 1_000_000);
     for attempt in 2..=3 {
         new.pass(5_000);
         let order = new.next();
-        new.end_run(&order, Outcome::Failed500);
+        new.end_run(&order, RunOutcome::Failed500);
         new.settle();
         assert_eq!(texts(&new.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
     }
@@ -123,10 +123,10 @@
     let orders = [new.next(), new.next()];
     let resumed = orders.iter().find(|new| new.item == order.item).expect("both run");
     assert_eq!(resumed.last_event_id, Some(2));
-    assert_eq!(new.event(resumed, 3, "d"), EventTaken::Taken);
+    assert_eq!(new.event(resumed, 3, "d"), EventDisposition::Accepted);
     let third = new.runner.checkpoint().expect("an event more");
     new.commit(third);
-    new.end_run(resumed, Outcome::Complete);
+    new.end_run(resumed, RunOutcome::Complete);
     new.settle();
     assert_eq!(texts(&new.jobs, "j")[0].2, "a\nb\nc\nd");
 }
@@ -143,7 +143,7 @@
     for entry in entries {
         partition.commit(entry);
     }
-    partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+    partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let resumed: Vec<_> =
         std::iter::from_fn(|| partition.try_next()).map(|order| order.last_event_id).collect();
     assert_eq!(resumed, vec![Some(0); 10]);
@@ -156,7 +156,7 @@
     old.pass(1_000);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 86_400_000);
     new.runner.tick(new.now);
-    assert_eq!((new.settle(), new.runner.take_cut_off()), (0, vec![]));
+    assert_eq!((new.settle(), new.runner.take_cancelled()), (0, vec![]));
     new.pass(59_999);
     new.runner.tick(new.now);
     assert_eq!(new.settle(), 0, "the successor saw the job for less than its retention");
@@ -179,14 +179,14 @@
 #[test]
 fn a_successor_knows_the_older_job_by_the_wall_clock() {
     let old = Partition::led();
-    let mut newer = terms();
+    let mut newer = settings();
     newer.accepted_at_wall_ms += 3_000;
     let mut jobs = Jobs::new();
-    jobs.apply(Entry::Submit { submission: submission("a-newer", 1), terms: newer });
+    jobs.apply(Entry::Submit { submission: submission("a-newer", 1), settings: newer });
     jobs.apply(submit("b-older", 1));
     let jobs = Jobs::from_snapshot(&jobs.to_snapshot()).expect("whole");
     let mut new = Partition { jobs, runner: Runner::new(1), now: old.now };
-    new.runner.begin(&new.jobs, new.now, 1_004_000);
+    new.runner.start_leading(&new.jobs, new.now, 1_004_000);
     assert_eq!([new.next().job, new.next().job], ["b-older", "a-newer"].map(job));
 }
 
@@ -195,10 +195,10 @@
 fn a_new_job_is_not_old_by_a_wrong_clock() {
     let mut partition = Partition::led();
     partition.pass(30_000);
-    let jumped = JobTerms { accepted_at_wall_ms: 0, ..terms() };
-    partition.commit(Entry::Submit { submission: submission("b-jumped", 1), terms: jumped });
-    let loose = JobTerms { completion_target_ms: 20_000, ..terms() };
-    partition.commit(Entry::Submit { submission: submission("a-loose", 1), terms: loose });
+    let jumped = JobSettings { accepted_at_wall_ms: 0, ..settings() };
+    partition.commit(Entry::Submit { submission: submission("b-jumped", 1), settings: jumped });
+    let loose = JobSettings { completion_target_ms: 20_000, ..settings() };
+    partition.commit(Entry::Submit { submission: submission("a-loose", 1), settings: loose });
     assert_eq!(partition.next().job, job("b-jumped"), "it isn't late");
 }
 
@@ -210,16 +210,16 @@
     partition.commit(submit("done", 1));
     partition.commit(complete("done", 0, "text"));
     partition.pass(119_999);
-    assert_eq!(partition.runner.forgettable(&partition.jobs, partition.now, status), []);
+    assert_eq!(partition.runner.expired_jobs(&partition.jobs, partition.now, status), []);
     let mut late = Partition { jobs: partition.jobs.clone(), runner: Runner::new(1), now: partition.now };
-    late.runner.adopt(&late.jobs, late.now);
+    late.runner.track_jobs(&late.jobs, late.now);
     partition.pass(1);
     late.pass(1);
-    let forgettable = partition.runner.forgettable(&partition.jobs, partition.now, status);
-    assert_eq!(forgettable, [job("done")]);
-    assert_eq!(late.runner.forgettable(&late.jobs, late.now, status), [], "it saw the job a moment ago");
-    partition.commit(Entry::Forget { jobs: forgettable });
-    assert_eq!(partition.runner.forgettable(&partition.jobs, partition.now, status), []);
+    let expired_jobs = partition.runner.expired_jobs(&partition.jobs, partition.now, status);
+    assert_eq!(expired_jobs, [job("done")]);
+    assert_eq!(late.runner.expired_jobs(&late.jobs, late.now, status), [], "it saw the job a moment ago");
+    partition.commit(Entry::Forget { jobs: expired_jobs });
+    assert_eq!(partition.runner.expired_jobs(&partition.jobs, partition.now, status), []);
     assert!(!partition.jobs.contains(&job("done")) && partition.jobs.contains(&job("open")));
 }
 
@@ -233,9 +233,9 @@
     };
     assert_eq!(partition.commit(count(2)), Applied::Progressed(1));
     assert_eq!(partition.commit(count(1)), Applied::Progressed(0));
-    partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+    partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let order = partition.next();
-    partition.end_run(&order, Outcome::Failed500);
+    partition.end_run(&order, RunOutcome::Failed500);
     partition.settle();
     assert_eq!(texts(&partition.jobs, "j").len(), 1, "it was the third");
 }
--- a/crates/batch/tests/batches/pages.rs
+++ b/crates/batch/tests/batches/pages.rs
@@ -77,10 +77,10 @@
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 2));
     jobs.apply(complete("j", 0, "text"));
-    let ended = |state| Applied::Ended { job: job("j"), state };
-    assert_eq!(jobs.apply(Entry::Ended { job: job("j") }), ended(EndState::Now));
-    assert_eq!(jobs.apply(Entry::Ended { job: job("j") }), ended(EndState::Before));
-    let unknown = Applied::Ended { job: job("k"), state: EndState::NoSuchJob };
+    let ended = |outcome| Applied::Ended { job: job("j"), outcome };
+    assert_eq!(jobs.apply(Entry::Ended { job: job("j") }), ended(EndOutcome::Ended));
+    assert_eq!(jobs.apply(Entry::Ended { job: job("j") }), ended(EndOutcome::AlreadyEnded));
+    let unknown = Applied::Ended { job: job("k"), outcome: EndOutcome::UnknownJob };
     assert_eq!(jobs.apply(Entry::Ended { job: job("k") }), unknown);
     assert_eq!(texts(&jobs, "j").len(), 1, "what is listed stays");
     assert_eq!(jobs.apply(complete("j", 1, "late")), Applied::Listed(vec![]));
@@ -123,7 +123,7 @@
     let mut jobs = Jobs::new();
     let mut submission = submission("j", 2);
     submission.items[0].body = vec![0; 100_000].into();
-    jobs.apply(Entry::Submit { submission, terms: terms() });
+    jobs.apply(Entry::Submit { submission, settings: settings() });
     assert!(jobs.cost() > 100_000);
     jobs.apply(complete("j", 0, "text"));
     assert!(jobs.cost() < 5_000, "the body is dropped: {}", jobs.cost());
--- a/crates/batch/tests/batches/partition.rs
+++ b/crates/batch/tests/batches/partition.rs
@@ -14,7 +14,7 @@
 impl Partition {
     pub fn led() -> Partition {
         let mut partition = Partition { jobs: Jobs::new(), runner: Runner::new(7), now: at(1_000) };
-        partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+        partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
         partition
     }
 
@@ -52,11 +52,11 @@
         self.try_next().expect("an item may run")
     }
 
-    pub fn event(&mut self, order: &RunOrder, id: u64, data: &str) -> EventTaken {
+    pub fn event(&mut self, order: &RunOrder, id: u64, data: &str) -> EventDisposition {
         self.runner.run_event(order.run, id, data, self.now)
     }
 
-    pub fn end_run(&mut self, order: &RunOrder, outcome: Outcome) {
+    pub fn end_run(&mut self, order: &RunOrder, outcome: RunOutcome) {
         self.runner.run_ended(order.run, outcome, self.now);
     }
 }
--- a/crates/batch/tests/batches/quota.rs
+++ b/crates/batch/tests/batches/quota.rs
@@ -4,78 +4,78 @@
 
 use crate::sample::*;
 
-fn leader() -> Leader {
-    Leader::new(usize::MAX)
+fn admission_control() -> AdmissionControl {
+    AdmissionControl::new(usize::MAX)
 }
 
-fn apply(jobs: &mut Jobs, leader: &mut Leader, entry: Entry) {
+fn apply(jobs: &mut Jobs, admission: &mut AdmissionControl, entry: Entry) {
     let applied = jobs.apply(entry);
-    leader.applied(&applied);
+    admission.applied(&applied);
 }
 
 #[test]
 fn jobs_under_way_count_before_they_are_committed() {
-    let (jobs, mut leader) = (Jobs::new(), leader());
-    assert_eq!(leader.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
+    let (jobs, mut admission) = (Jobs::new(), admission_control());
+    assert_eq!(admission.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
     let full = Admission::QueueFull { waiting: 600, limit: 1_000 };
-    assert_eq!(leader.admit(&jobs, &submission("b", 5), 1_000), full);
-    assert_eq!(leader.admit(&jobs, &submission("c", 4), 1_000), Admission::Propose, "just fits");
-    assert_eq!(leader.waiting_tokens(&jobs, ROUTE), 1_000);
+    assert_eq!(admission.admit(&jobs, &submission("b", 5), 1_000), full);
+    assert_eq!(admission.admit(&jobs, &submission("c", 4), 1_000), Admission::Propose, "just fits");
+    assert_eq!(admission.waiting_tokens(&jobs, ROUTE), 1_000);
 }
 
 #[test]
 fn a_job_counts_once_when_it_is_committed() {
-    let (mut jobs, mut leader) = (Jobs::new(), leader());
-    leader.admit(&jobs, &submission("a", 6), 1_000);
-    apply(&mut jobs, &mut leader, submit("a", 6));
-    assert_eq!(leader.waiting_tokens(&jobs, ROUTE), 600);
+    let (mut jobs, mut admission) = (Jobs::new(), admission_control());
+    admission.admit(&jobs, &submission("a", 6), 1_000);
+    apply(&mut jobs, &mut admission, submit("a", 6));
+    assert_eq!(admission.waiting_tokens(&jobs, ROUTE), 600);
 }
 
 #[test]
 fn the_same_job_is_the_same_job_and_counts_once() {
-    let (mut jobs, mut leader) = (Jobs::new(), leader());
-    assert_eq!(leader.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
-    assert_eq!(leader.admit(&jobs, &submission("a", 6), 1_000), Admission::UnderWay);
-    assert!(leader.is_under_way(&job("a")));
-    apply(&mut jobs, &mut leader, submit("a", 6));
+    let (mut jobs, mut admission) = (Jobs::new(), admission_control());
+    assert_eq!(admission.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
+    assert_eq!(admission.admit(&jobs, &submission("a", 6), 1_000), Admission::Pending);
+    assert!(admission.is_pending(&job("a")));
+    apply(&mut jobs, &mut admission, submit("a", 6));
     assert_eq!(
-        leader.admit(&jobs, &submission("a", 6), 1_000),
-        Admission::Kept,
+        admission.admit(&jobs, &submission("a", 6), 1_000),
+        Admission::AlreadyAccepted,
         "though a second wouldn't fit"
     );
 }
 
 #[test]
 fn what_was_not_proposed_no_longer_counts() {
-    let (jobs, mut leader) = (Jobs::new(), leader());
-    leader.admit(&jobs, &submission("a", 6), 1_000);
-    leader.dropped(&job("a"));
-    assert_eq!(leader.admit(&jobs, &submission("b", 10), 1_000), Admission::Propose);
+    let (jobs, mut admission) = (Jobs::new(), admission_control());
+    admission.admit(&jobs, &submission("a", 6), 1_000);
+    admission.release(&job("a"));
+    assert_eq!(admission.admit(&jobs, &submission("b", 10), 1_000), Admission::Propose);
 }
 
 #[test]
 fn listed_items_and_ended_jobs_make_room() {
-    let (mut jobs, mut leader) = (Jobs::new(), leader());
-    apply(&mut jobs, &mut leader, submit("a", 6));
-    apply(&mut jobs, &mut leader, submit("b", 4));
+    let (mut jobs, mut admission) = (Jobs::new(), admission_control());
+    apply(&mut jobs, &mut admission, submit("a", 6));
+    apply(&mut jobs, &mut admission, submit("b", 4));
     assert_eq!(jobs.waiting_tokens(ROUTE), 1_000);
-    apply(&mut jobs, &mut leader, complete("a", 0, "text"));
-    apply(&mut jobs, &mut leader, complete("a", 0, "text again"));
+    apply(&mut jobs, &mut admission, complete("a", 0, "text"));
+    apply(&mut jobs, &mut admission, complete("a", 0, "text again"));
     assert_eq!(jobs.waiting_tokens(ROUTE), 900);
-    apply(&mut jobs, &mut leader, Entry::Ended { job: job("a") });
-    apply(&mut jobs, &mut leader, Entry::Ended { job: job("a") });
-    apply(&mut jobs, &mut leader, complete("a", 1, "late"));
+    apply(&mut jobs, &mut admission, Entry::Ended { job: job("a") });
+    apply(&mut jobs, &mut admission, Entry::Ended { job: job("a") });
+    apply(&mut jobs, &mut admission, complete("a", 1, "late"));
     assert_eq!(jobs.waiting_tokens(ROUTE), 400);
 }
 
 #[test]
 fn routes_count_apart_and_no_limit_is_none() {
-    let (jobs, mut leader) = (Jobs::new(), leader());
-    assert_eq!(leader.admit(&jobs, &submission_on("r-1", "a", &[900]), 1_000), Admission::Propose);
-    assert_eq!(leader.admit(&jobs, &submission_on("r-2", "b", &[900]), 1_000), Admission::Propose);
-    assert_eq!(leader.admit(&jobs, &submission_on("r-1", "c", &[u64::MAX]), 0), Admission::Propose);
+    let (jobs, mut admission) = (Jobs::new(), admission_control());
+    assert_eq!(admission.admit(&jobs, &submission_on("r-1", "a", &[900]), 1_000), Admission::Propose);
+    assert_eq!(admission.admit(&jobs, &submission_on("r-2", "b", &[900]), 1_000), Admission::Propose);
+    assert_eq!(admission.admit(&jobs, &submission_on("r-1", "c", &[u64::MAX]), 0), Admission::Propose);
     let full = Admission::QueueFull { waiting: u64::MAX, limit: 1_000 };
-    assert_eq!(leader.admit(&jobs, &submission_on("r-1", "d", &[1]), 1_000), full, "sums don't run over");
+    assert_eq!(admission.admit(&jobs, &submission_on("r-1", "d", &[1]), 1_000), full, "sums don't run over");
 }
 
 #[test]
@@ -84,20 +84,20 @@
     jobs.apply(submit("a", 9));
     let jobs = Jobs::from_snapshot(&jobs.to_snapshot()).expect("whole");
     let full = Admission::QueueFull { waiting: 900, limit: 1_000 };
-    assert_eq!(leader().admit(&jobs, &submission("b", 2), 1_000), full);
+    assert_eq!(admission_control().admit(&jobs, &submission("b", 2), 1_000), full);
 }
 
 #[test]
 fn jobs_that_memory_can_not_hold_are_refused() {
-    let (mut jobs, mut leader) = (Jobs::new(), Leader::new(20_000));
+    let (mut jobs, mut admission) = (Jobs::new(), AdmissionControl::new(20_000));
     let mut large = submission("a", 1);
     large.items[0].body = vec![0; 12_000].into();
-    assert_eq!(leader.admit(&jobs, &large, 0), Admission::Propose);
+    assert_eq!(admission.admit(&jobs, &large, 0), Admission::Propose);
     let mut other = large.clone();
     other.job = job("b");
-    assert_eq!(leader.admit(&jobs, &other, 0), Admission::NoMemory, "the first is under way");
-    apply(&mut jobs, &mut leader, Entry::Submit { submission: large, terms: terms() });
-    assert_eq!(leader.admit(&jobs, &other, 0), Admission::NoMemory, "the first is kept");
-    apply(&mut jobs, &mut leader, complete("a", 0, "text"));
-    assert_eq!(leader.admit(&jobs, &other, 0), Admission::Propose);
+    assert_eq!(admission.admit(&jobs, &other, 0), Admission::OutOfMemory, "the first is under way");
+    apply(&mut jobs, &mut admission, Entry::Submit { submission: large, settings: settings() });
+    assert_eq!(admission.admit(&jobs, &other, 0), Admission::OutOfMemory, "the first is kept");
+    apply(&mut jobs, &mut admission, complete("a", 0, "text"));
+    assert_eq!(admission.admit(&jobs, &other, 0), Admission::Propose);
 }
--- a/crates/batch/tests/batches/replay.rs
+++ b/crates/batch/tests/batches/replay.rs
@@ -22,8 +22,8 @@
         .prop_map(|(name, results)| JobResults { job: job(&name), results })
 }
 
-fn piece() -> impl Strategy<Value = EventsPiece> {
-    (prop::option::of(0u64..4), 0u64..5, "[a-z]{0,3}").prop_map(|(after, last, text)| EventsPiece {
+fn piece() -> impl Strategy<Value = EventChunk> {
+    (prop::option::of(0u64..4), 0u64..5, "[a-z]{0,3}").prop_map(|(after, last, text)| EventChunk {
         after,
         last,
         text,
@@ -104,7 +104,7 @@
                 let new = jobs.read(id, 0, usize::MAX).expect("it is still there");
                 prop_assert_eq!(old.total, new.total);
                 prop_assert_eq!(old.results, &new.results[..old.results.len()]);
-                let mut names: Vec<&str> = new.results.iter().map(Listing::item_id).collect();
+                let mut names: Vec<&str> = new.results.iter().map(ListedResult::item_id).collect();
                 names.sort_unstable();
                 names.dedup();
                 prop_assert_eq!(names.len(), new.results.len());
@@ -154,7 +154,7 @@
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 1));
     let piece = |after, last, text: &str| {
-        let events = Some(EventsPiece { after, last, text: text.into() });
+        let events = Some(EventChunk { after, last, text: text.into() });
         Entry::Progress(vec![ItemProgress { job: job("j"), item: ItemIndex(0), failed_attempts: 0, events }])
     };
     assert_eq!(jobs.apply(piece(Some(0), 2, "not yet")), Applied::Progressed(0));
--- a/crates/batch/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -24,9 +24,9 @@
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     for (id, data) in [(1, "a"), (2, ""), (3, "b\nc")] {
-        assert_eq!(partition.event(&order, id, data), EventTaken::Taken);
+        assert_eq!(partition.event(&order, id, data), EventDisposition::Accepted);
     }
-    partition.end_run(&order, Outcome::Complete);
+    partition.end_run(&order, RunOutcome::Complete);
     assert_eq!(partition.settle(), 1);
     assert_eq!(texts(&partition.jobs, "j"), [("j-0".into(), ResultState::Complete, "a\n\nb\nc".into())]);
     assert_eq!(
@@ -41,7 +41,7 @@
     let order = partition.next();
     partition.event(&order, 0, "");
     partition.event(&order, 1, "a");
-    partition.end_run(&order, Outcome::Complete);
+    partition.end_run(&order, RunOutcome::Complete);
     partition.settle();
     assert_eq!(texts(&partition.jobs, "j")[0].2, "\na");
 }
@@ -53,26 +53,26 @@
     let order = partition.next();
     partition.event(&order, 0, "a");
     partition.event(&order, 1, "b");
-    partition.end_run(&order, Outcome::Broken);
-    assert_eq!(partition.event(&order, 2, "late"), EventTaken::NoSuchRun, "the old run is over");
-    partition.end_run(&order, Outcome::Complete);
+    partition.end_run(&order, RunOutcome::Broken);
+    assert_eq!(partition.event(&order, 2, "late"), EventDisposition::UnknownRun, "the old run is over");
+    partition.end_run(&order, RunOutcome::Complete);
     assert_eq!(partition.settle(), 0, "nor can it end a second time");
     partition.pass(2_000);
     let order = partition.next();
     assert_eq!(order.last_event_id, Some(1));
-    assert_eq!(partition.event(&order, 2, "c"), EventTaken::Taken);
-    partition.end_run(&order, Outcome::Complete);
+    assert_eq!(partition.event(&order, 2, "c"), EventDisposition::Accepted);
+    partition.end_run(&order, RunOutcome::Complete);
     partition.settle();
     assert_eq!(texts(&partition.jobs, "j")[0].2, "a\nb\nc");
 }
 
 /// MIXED: nothing but a proper end makes a result complete.
 #[rstest]
-#[case(Outcome::Broken)]
-#[case(Outcome::NotExecuted)]
-#[case(Outcome::Misdirected)]
-#[case(Outcome::Failed500)]
-fn what_did_not_end_properly_is_not_complete(#[case] outcome: Outcome) {
+#[case(RunOutcome::Broken)]
+#[case(RunOutcome::NotExecuted)]
+#[case(RunOutcome::Misdirected)]
+#[case(RunOutcome::Failed500)]
+fn what_did_not_end_properly_is_not_complete(#[case] outcome: RunOutcome) {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
@@ -88,7 +88,7 @@
 fn a_run_without_an_event_is_not_complete() {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
-    partition.end_run(&order, Outcome::Complete);
+    partition.end_run(&order, RunOutcome::Complete);
     assert_eq!(partition.settle(), 0);
     partition.pass(5_000);
     assert_eq!(partition.next().last_event_id, None);
@@ -100,10 +100,10 @@
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
-    partition.end_run(&order, Outcome::Broken);
+    partition.end_run(&order, RunOutcome::Broken);
     partition.pass(5_000);
     let order = partition.next();
-    partition.end_run(&order, Outcome::Complete);
+    partition.end_run(&order, RunOutcome::Complete);
     partition.settle();
     assert_eq!(texts(&partition.jobs, "j")[0].2, "a");
 }
@@ -119,9 +119,9 @@
     let order = partition.next();
     partition.event(&order, 0, "a");
     partition.event(&order, 1, "b");
-    assert_eq!(partition.event(&order, id, "x"), EventTaken::CutOff);
-    assert_eq!(partition.event(&order, 2, "x"), EventTaken::NoSuchRun);
-    partition.end_run(&order, Outcome::Complete);
+    assert_eq!(partition.event(&order, id, "x"), EventDisposition::OutOfOrder);
+    assert_eq!(partition.event(&order, 2, "x"), EventDisposition::UnknownRun);
+    partition.end_run(&order, RunOutcome::Complete);
     assert_eq!(partition.settle(), 0);
     partition.pass(5_000);
     assert_eq!(partition.next().last_event_id, Some(1));
@@ -133,12 +133,12 @@
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
-    partition.end_run(&order, Outcome::Broken);
+    partition.end_run(&order, RunOutcome::Broken);
     for _ in 0..2 {
         partition.pass(5_000);
         let order = partition.next();
         assert_eq!(order.last_event_id, Some(0));
-        assert_eq!(partition.event(&order, 0, "other"), EventTaken::CutOff);
+        assert_eq!(partition.event(&order, 0, "other"), EventDisposition::OutOfOrder);
     }
     partition.pass(5_000);
     let order = partition.next();
@@ -146,7 +146,7 @@
     partition.event(&order, 0, "x");
     partition.event(&order, 1, "y");
     assert_eq!(partition.runner.checkpoint(), None, "two runs are not joined in what is committed");
-    partition.end_run(&order, Outcome::Complete);
+    partition.end_run(&order, RunOutcome::Complete);
     partition.settle();
     assert_eq!(texts(&partition.jobs, "j")[0].2, "x\ny", "nothing of the first run is left");
 }
@@ -156,7 +156,8 @@
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     let data = "x".repeat(1_000);
-    let taken = (0..).take_while(|id| partition.event(&order, *id, &data) == EventTaken::Taken).count();
+    let taken =
+        (0..).take_while(|id| partition.event(&order, *id, &data) == EventDisposition::Accepted).count();
     assert!((400..=MAX_TEXT_BYTES / 1_000).contains(&taken));
 }
 
@@ -167,7 +168,7 @@
     for attempt in 1..=3 {
         partition.pass(5_000);
         let order = partition.next();
-        partition.end_run(&order, Outcome::Failed500);
+        partition.end_run(&order, RunOutcome::Failed500);
         partition.settle();
         assert_eq!(texts(&partition.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
     }
@@ -176,11 +177,11 @@
 
 /// MIXED: breaks, full executors and wrong ones are no answers of 500, however many.
 #[rstest]
-#[case(Outcome::Broken)]
-#[case(Outcome::NotExecuted)]
-#[case(Outcome::Misdirected)]
-#[case(Outcome::Complete)]
-fn what_is_no_500_does_not_count(#[case] outcome: Outcome) {
+#[case(RunOutcome::Broken)]
+#[case(RunOutcome::NotExecuted)]
+#[case(RunOutcome::Misdirected)]
+#[case(RunOutcome::Complete)]
+fn what_is_no_500_does_not_count(#[case] outcome: RunOutcome) {
     let mut partition = Partition::with_job("j", 1);
     for _ in 0..10 {
         partition.pass(2_500);
@@ -194,11 +195,11 @@
 #[test]
 fn no_attempts_allowed_still_is_one() {
     let mut partition = Partition::led();
-    let terms = JobTerms { max_attempts: 0, ..terms() };
-    partition.commit(Entry::Submit { submission: submission("j", 1), terms });
+    let settings = JobSettings { max_attempts: 0, ..settings() };
+    partition.commit(Entry::Submit { submission: submission("j", 1), settings });
     assert_eq!(texts(&partition.jobs, "j"), []);
     let order = partition.next();
-    partition.end_run(&order, Outcome::Failed500);
+    partition.end_run(&order, RunOutcome::Failed500);
     partition.settle();
     assert_eq!(texts(&partition.jobs, "j").len(), 1);
 }
@@ -207,7 +208,7 @@
 fn a_poisoned_item_is_given_up_at_once_and_alone() {
     let mut partition = Partition::with_job("j", 2);
     let order = partition.next();
-    partition.end_run(&order, Outcome::Rejected422);
+    partition.end_run(&order, RunOutcome::Rejected422);
     partition.settle();
     let listed = texts(&partition.jobs, "j");
     assert_eq!(listed, [(order.attempt_id.clone(), ResultState::DeadLetter, String::new())]);
@@ -221,14 +222,14 @@
     let order = partition.next();
     partition.pass(59_999);
     partition.runner.tick(partition.now);
-    assert_eq!((partition.settle(), partition.runner.take_cut_off()), (0, vec![]));
+    assert_eq!((partition.settle(), partition.runner.take_cancelled()), (0, vec![]));
     assert!(partition.runner.next_wake() <= Some(at(61_000)));
     partition.pass(1);
     assert_eq!(partition.try_next(), None, "before the tick too");
     partition.runner.tick(partition.now);
     assert_eq!(partition.try_next(), None);
     assert_eq!(partition.settle(), 1);
-    assert_eq!(partition.runner.take_cut_off(), [order.run]);
+    assert_eq!(partition.runner.take_cancelled(), [order.run]);
     assert!(texts(&partition.jobs, "j").iter().all(|one| one.1 == ResultState::DeadLetter));
     assert_eq!(texts(&partition.jobs, "j").len(), 2);
     partition.runner.tick(partition.now);
@@ -238,8 +239,8 @@
 #[test]
 fn without_a_retention_nothing_is_given_up() {
     let mut partition = Partition::led();
-    let terms = JobTerms { retention_ms: 0, ..terms() };
-    partition.commit(Entry::Submit { submission: submission("j", 1), terms });
+    let settings = JobSettings { retention_ms: 0, ..settings() };
+    partition.commit(Entry::Submit { submission: submission("j", 1), settings });
     partition.pass(10_000_000);
     partition.runner.tick(partition.now);
     assert_eq!(partition.settle(), 0);
@@ -249,12 +250,13 @@
 #[test]
 fn the_items_of_a_route_that_is_gone_are_given_up() {
     let mut partition = Partition::with_job("j", 2);
-    partition.commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), terms: terms() });
+    partition
+        .commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), settings: settings() });
     let order = partition.next();
     assert_eq!(order.job, job("j"));
-    partition.runner.route_ended(ROUTE);
+    partition.runner.route_removed(ROUTE);
     partition.settle();
-    assert_eq!(partition.runner.take_cut_off(), [order.run]);
+    assert_eq!(partition.runner.take_cancelled(), [order.run]);
     assert_eq!(texts(&partition.jobs, "j").len(), 2);
     assert_eq!(partition.next().job, job("k"), "others run on");
     partition.runner.retain_routes(|_| true);
@@ -267,12 +269,12 @@
     let mut partition = Partition::with_job("j", 3);
     let (first, second) = (partition.next(), partition.next());
     partition.event(&first, 0, "a");
-    partition.end_run(&first, Outcome::Complete);
+    partition.end_run(&first, RunOutcome::Complete);
     partition.commit(Entry::Ended { job: job("j") });
-    assert_eq!(partition.runner.take_cut_off(), [second.run]);
+    assert_eq!(partition.runner.take_cancelled(), [second.run]);
     assert_eq!(partition.try_next(), None);
-    assert_eq!(partition.event(&second, 0, "a"), EventTaken::NoSuchRun);
-    partition.end_run(&second, Outcome::Broken);
+    assert_eq!(partition.event(&second, 0, "a"), EventDisposition::UnknownRun);
+    partition.end_run(&second, RunOutcome::Broken);
     partition.pass(10_000);
     assert_eq!((partition.try_next(), partition.settle(), partition.runner.running_count()), (None, 0, 0));
 }
@@ -284,7 +286,7 @@
     partition.commit(submit("k", 20));
     while let Some(order) = partition.try_next() {
         partition.event(&order, 0, "text");
-        partition.end_run(&order, Outcome::Complete);
+        partition.end_run(&order, RunOutcome::Complete);
     }
     assert_eq!(partition.settle(), 1);
     assert_eq!((texts(&partition.jobs, "j").len(), texts(&partition.jobs, "k").len()), (20, 20));
@@ -295,7 +297,7 @@
     let mut partition = Partition::with_job("j", 4);
     while let Some(order) = partition.try_next() {
         partition.event(&order, 0, &"x".repeat(300_000));
-        partition.end_run(&order, Outcome::Complete);
+        partition.end_run(&order, RunOutcome::Complete);
     }
     assert_eq!(partition.settle(), 4);
     assert_eq!(partition.jobs.status(&job("j")).map(|status| status.listed), Some(4));
@@ -306,8 +308,8 @@
     let mut partition = Partition::with_job("j", 2);
     let (done, failed) = (partition.next(), partition.next());
     partition.event(&done, 0, "text");
-    partition.end_run(&done, Outcome::Complete);
-    partition.end_run(&failed, Outcome::Failed500);
+    partition.end_run(&done, RunOutcome::Complete);
+    partition.end_run(&failed, RunOutcome::Failed500);
     let entries = partition.runner.take_proposals();
     for entry in entries.clone() {
         partition.runner.not_proposed(entry);
@@ -329,16 +331,16 @@
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "text");
-    partition.end_run(&order, Outcome::Complete);
+    partition.end_run(&order, RunOutcome::Complete);
     let entries = partition.runner.take_proposals();
-    partition.runner.begin(&partition.jobs, partition.now, 1_000_000);
+    partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let again = partition.next();
     for entry in entries {
         partition.runner.not_proposed(entry);
     }
     assert_eq!(partition.runner.take_proposals(), []);
     partition.event(&again, 0, "text");
-    partition.end_run(&again, Outcome::Complete);
+    partition.end_run(&again, RunOutcome::Complete);
     assert_eq!(partition.settle(), 1);
 }
 
@@ -347,8 +349,8 @@
 fn the_most_urgent_job_that_can_be_in_time_goes_first() {
     let mut partition = Partition::led();
     for (name, completion_target_ms) in [("late", 500), ("loose", 30_000), ("tight", 9_000)] {
-        let terms = JobTerms { completion_target_ms, ..terms() };
-        partition.commit(Entry::Submit { submission: submission(name, 1), terms });
+        let settings = JobSettings { completion_target_ms, ..settings() };
+        partition.commit(Entry::Submit { submission: submission(name, 1), settings });
     }
     let order: Vec<JobId> = std::iter::from_fn(|| partition.try_next()).map(|order| order.job).collect();
     assert_eq!(order, ["tight", "loose", "late"].map(job));
@@ -357,9 +359,9 @@
 #[test]
 fn the_time_before_a_job_was_taken_counts() {
     let mut partition = Partition::led();
-    let older = JobTerms { age_at_acceptance_ms: 3_000, completion_target_ms: 10_000, ..terms() };
-    partition.commit(Entry::Submit { submission: submission("a", 1), terms: terms() });
-    partition.commit(Entry::Submit { submission: submission("older", 1), terms: older });
+    let older = JobSettings { age_at_acceptance_ms: 3_000, completion_target_ms: 10_000, ..settings() };
+    partition.commit(Entry::Submit { submission: submission("a", 1), settings: settings() });
+    partition.commit(Entry::Submit { submission: submission("older", 1), settings: older });
     assert_eq!(partition.next().job, job("older"));
 }
 
@@ -369,8 +371,8 @@
 #[case::loose(50_000)]
 fn no_job_starves(#[case] completion_target_ms: u64) {
     let mut partition = Partition::led();
-    let terms = JobTerms { completion_target_ms, ..terms() };
-    partition.commit(Entry::Submit { submission: submission("patient", 2), terms });
+    let settings = JobSettings { completion_target_ms, ..settings() };
+    partition.commit(Entry::Submit { submission: submission("patient", 2), settings });
     let mut patient = 0;
     for number in 0..40 {
         partition.commit(submit(&format!("urgent{number}"), 1));
@@ -384,7 +386,7 @@
 fn the_largest_item_that_fits_goes_first() {
     let mut partition = Partition::led();
     let submission = submission_on(ROUTE, "j", &[100, 900, 500, 500]);
-    partition.commit(Entry::Submit { submission, terms: terms() });
+    partition.commit(Entry::Submit { submission, settings: settings() });
     let room = |tokens| move |_: &str| Some(tokens);
     let mut next = |tokens| {
         let order = partition.runner.next_item(&partition.jobs, partition.now, &room(tokens));
@@ -400,7 +402,7 @@
     partition.commit(complete("j", 0, "the predecessor's"));
     let order = partition.next();
     assert_eq!(order.item, ItemIndex(1));
-    partition.end_run(&order, Outcome::NotExecuted);
+    partition.end_run(&order, RunOutcome::NotExecuted);
     assert!(partition.runner.next_wake() < Some(at(2_000)), "it pauses");
     partition.commit(complete("j", 1, "the predecessor's"));
     assert_eq!(partition.runner.next_wake(), Some(at(61_000)));
@@ -410,14 +412,15 @@
 #[test]
 fn who_is_first_in_line_is_told() {
     let mut partition = Partition::led();
-    let loose = JobTerms { completion_target_ms: 50_000, ..terms() };
-    partition.commit(Entry::Submit { submission: submission_on(ROUTE, "a", &[9_000]), terms: loose });
-    partition.commit(Entry::Submit { submission: submission_on(ROUTE, "b", &[100, 700]), terms: terms() });
+    let loose = JobSettings { completion_target_ms: 50_000, ..settings() };
+    partition.commit(Entry::Submit { submission: submission_on(ROUTE, "a", &[9_000]), settings: loose });
+    partition
+        .commit(Entry::Submit { submission: submission_on(ROUTE, "b", &[100, 700]), settings: settings() });
     let mut lines = Vec::new();
     loop {
         lines.push((
-            partition.runner.first_in_line(ROUTE, partition.now),
-            partition.runner.first_in_line("r-other", partition.now),
+            partition.runner.next_item_tokens(ROUTE, partition.now),
+            partition.runner.next_item_tokens("r-other", partition.now),
         ));
         if partition.try_next().is_none() {
             break;
@@ -429,8 +432,8 @@
 #[test]
 fn a_route_without_room_holds_no_other_up() {
     let mut partition = Partition::with_job("j", 1);
-    let terms = JobTerms { completion_target_ms: 50_000, ..terms() };
-    partition.commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), terms });
+    let settings = JobSettings { completion_target_ms: 50_000, ..settings() };
+    partition.commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), settings });
     let room = |route: &str| (route == "r-other").then_some(1_000);
     let order = partition.runner.next_item(&partition.jobs, partition.now, &room);
     assert_eq!(order.map(|order| order.job), Some(job("k")));
@@ -441,12 +444,12 @@
 #[test]
 fn retries_pause_longer_each_time() {
     let mut partition = Partition::led();
-    let terms = JobTerms { max_attempts: u32::MAX, retention_ms: 0, ..terms() };
-    partition.commit(Entry::Submit { submission: submission("j", 1), terms });
+    let settings = JobSettings { max_attempts: u32::MAX, retention_ms: 0, ..settings() };
+    partition.commit(Entry::Submit { submission: submission("j", 1), settings });
     let mut pauses = Vec::new();
     for _ in 0..12 {
         let order = partition.next();
-        partition.end_run(&order, Outcome::Failed500);
+        partition.end_run(&order, RunOutcome::Failed500);
         let until = partition.runner.next_wake().expect("it pauses");
         pauses.push(until.since(partition.now).seconds());
         partition.now = until;
@@ -464,7 +467,7 @@
         if let Some(id) = data {
             partition.event(&order, id, "x");
         }
-        partition.end_run(&order, Outcome::Broken);
+        partition.end_run(&order, RunOutcome::Broken);
         let until = partition.runner.next_wake().expect("it pauses");
         let pause = until.since(partition.now).seconds();
         partition.now = until;
@@ -483,15 +486,15 @@
     assert_eq!((partition.runner.idle_tokens(ROUTE), partition.runner.idle_tokens("r-other")), (300, 0));
     let order = partition.next();
     assert_eq!(partition.runner.idle_tokens(ROUTE), 200);
-    partition.end_run(&order, Outcome::NotExecuted);
+    partition.end_run(&order, RunOutcome::NotExecuted);
     assert_eq!(partition.runner.idle_tokens(ROUTE), 300);
     partition.commit(complete("j", order.item.0, "the predecessor's"));
     assert_eq!(partition.runner.idle_tokens(ROUTE), 200, "listed while it paused");
     let order = partition.next();
     partition.event(&order, 0, "text");
-    partition.end_run(&order, Outcome::Complete);
+    partition.end_run(&order, RunOutcome::Complete);
     assert_eq!(partition.runner.idle_tokens(ROUTE), 100);
-    partition.runner.route_ended(ROUTE);
+    partition.runner.route_removed(ROUTE);
     assert_eq!((partition.runner.idle_tokens(ROUTE), partition.runner.next_wake()), (0, None));
 }
 
@@ -503,10 +506,10 @@
     let given_up = Some(at(61_000));
     assert_eq!(partition.runner.next_wake(), given_up);
     partition.event(&first, 0, "text");
-    partition.end_run(&first, Outcome::Complete);
+    partition.end_run(&first, RunOutcome::Complete);
     assert_eq!(partition.runner.next_wake(), given_up);
     partition.settle();
     assert_eq!(partition.runner.next_wake(), given_up);
-    partition.end_run(&second, Outcome::Rejected422);
+    partition.end_run(&second, RunOutcome::Rejected422);
     assert_eq!(partition.runner.next_wake(), None);
 }
--- a/crates/batch/tests/batches/sample.rs
+++ b/crates/batch/tests/batches/sample.rs
@@ -42,8 +42,8 @@
     submission_on(ROUTE, name, &vec![100; items])
 }
 
-pub fn terms() -> JobTerms {
-    JobTerms {
+pub fn settings() -> JobSettings {
+    JobSettings {
         accepted_at_wall_ms: 1_000_000,
         age_at_acceptance_ms: 0,
         completion_target_ms: 8_000,
@@ -55,7 +55,7 @@
 }
 
 pub fn submit(name: &str, items: usize) -> Entry {
-    Entry::Submit { submission: submission(name, items), terms: terms() }
+    Entry::Submit { submission: submission(name, items), settings: settings() }
 }
 
 pub fn result(place: u16, state: ResultState, text: &str) -> ItemResult {
--- a/crates/batch/tests/batches/sharing.rs
+++ b/crates/batch/tests/batches/sharing.rs
@@ -86,7 +86,7 @@
 fn progress_keeps_nothing() {
     let mut jobs = Jobs::new();
     committed(&mut jobs, submit("j", 1));
-    let events = Some(EventsPiece { after: None, last: 1, text: "begun".into() });
+    let events = Some(EventChunk { after: None, last: 1, text: "begun".into() });
     let progress = ItemProgress { job: job("j"), item: ItemIndex(0), failed_attempts: 1, events };
     assert!(is_released(&committed(&mut jobs, Entry::Progress(vec![progress]))));
 }
@@ -96,7 +96,7 @@
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 1));
     let mut runner = Runner::new(7);
-    runner.begin(&jobs, at(0), 0);
+    runner.start_leading(&jobs, at(0), 0);
     let order = runner.next_item(&jobs, at(0), &any_room).expect("it may run");
     assert!(lies_in(&order.body, &submission));
     committed(&mut jobs, complete("j", 0, "text"));
--- a/crates/batch/tests/batches/storm.rs
+++ b/crates/batch/tests/batches/storm.rs
@@ -54,12 +54,12 @@
     log: Vec<Entry>,
     replicas: Vec<Replica>,
     leader: usize,
-    admission: Leader,
+    admission: AdmissionControl,
     /// Proposed by the leader and not committed yet; lost when it changes, or some of it committed after all.
     proposed: Vec<Entry>,
     runs: Vec<Run>,
     fails: BTreeMap<String, u32>,
-    listed: BTreeMap<(JobId, usize), Listing>,
+    listed: BTreeMap<(JobId, usize), ListedResult>,
     turns: u64,
     /// And when a reader first knew of them.
     accepted: BTreeMap<JobId, Instant>,
@@ -87,7 +87,7 @@
             log: Vec::new(),
             replicas: (0..REPLICAS as u64).map(replica).collect(),
             leader: 0,
-            admission: Leader::new(usize::MAX),
+            admission: AdmissionControl::new(usize::MAX),
             proposed: Vec::new(),
             runs: Vec::new(),
             fails: BTreeMap::new(),
@@ -103,10 +103,10 @@
     fn begin(&mut self, leader: usize) {
         self.leader = leader;
         self.catch_up(leader);
-        self.admission = Leader::new(usize::MAX);
+        self.admission = AdmissionControl::new(usize::MAX);
         let wall_ms = 1_000_000 + self.dice.roll(200_000);
         let replica = &mut self.replicas[leader];
-        replica.runner.begin(&replica.jobs, self.now, wall_ms);
+        replica.runner.start_leading(&replica.jobs, self.now, wall_ms);
     }
 
     fn catch_up(&mut self, number: usize) {
@@ -126,7 +126,7 @@
         let replica = &mut self.replicas[number];
         replica.jobs = Jobs::from_snapshot(&replica.jobs.to_snapshot()).expect("whole");
         replica.runner = Runner::new(self.now.0);
-        replica.runner.adopt(&replica.jobs, self.now);
+        replica.runner.track_jobs(&replica.jobs, self.now);
     }
 
     /// The leader is gone. Any beginning of what it proposed may be committed; its runs go on unheard.
@@ -134,8 +134,8 @@
         let committed = self.dice.roll(self.proposed.len() as u64 + 1) as usize;
         self.log.extend(self.proposed.drain(..).take(committed));
         let old = self.leader;
-        self.replicas[old].runner.cease();
-        self.replicas[old].runner.take_cut_off();
+        self.replicas[old].runner.stop_leading();
+        self.replicas[old].runner.take_cancelled();
         self.runs.clear();
         if self.dice.one_in(2) {
             self.restore(old);
@@ -169,8 +169,8 @@
         let submission = submission(&format!("j{number}"), 1 + number as usize % 16);
         let jobs = &self.replicas[self.leader].jobs;
         if self.admission.admit(jobs, &submission, LIMIT) == Admission::Propose {
-            let terms = JobTerms { retention_ms: 0, ..terms() };
-            self.proposed.push(Entry::Submit { submission, terms });
+            let settings = JobSettings { retention_ms: 0, ..settings() };
+            self.proposed.push(Entry::Submit { submission, settings });
         }
     }
 
@@ -203,17 +203,17 @@
         let place = self.dice.roll(self.runs.len() as u64) as usize;
         let order = self.runs[place].order.clone();
         let outcome = match self.dice.roll(40) {
-            0 => Some(Outcome::Broken),
-            1 => Some(Outcome::NotExecuted),
-            2 => Some(Outcome::Misdirected),
-            3 => Some(Outcome::Failed500),
-            _ if is_poison(&order.attempt_id) => Some(Outcome::Rejected422),
+            0 => Some(RunOutcome::Broken),
+            1 => Some(RunOutcome::NotExecuted),
+            2 => Some(RunOutcome::Misdirected),
+            3 => Some(RunOutcome::Failed500),
+            _ if is_poison(&order.attempt_id) => Some(RunOutcome::Rejected422),
             4 => self.jump(place, 1),
             5 => self.jump(place, -1),
             _ => self.send_event(place),
         };
         let Some(outcome) = outcome else { return };
-        if outcome == Outcome::Failed500 {
+        if outcome == RunOutcome::Failed500 {
             *self.fails.entry(order.attempt_id.clone()).or_default() += 1;
         }
         self.runs.swap_remove(place);
@@ -222,7 +222,7 @@
 
     /// The executor leaves an event out or sends one again. The first event of a run from the start is the first
     /// whatever its id; there is nothing to tell it by.
-    fn jump(&mut self, place: usize, by: i64) -> Option<Outcome> {
+    fn jump(&mut self, place: usize, by: i64) -> Option<RunOutcome> {
         let run = &mut self.runs[place];
         let can_be_told = run.next > 0 && !run.has_gap;
         if can_be_told {
@@ -232,22 +232,22 @@
         None
     }
 
-    fn send_event(&mut self, place: usize) -> Option<Outcome> {
+    fn send_event(&mut self, place: usize) -> Option<RunOutcome> {
         let run = &mut self.runs[place];
         let events = output(&run.order.attempt_id);
         let Some(data) = events.get(run.next as usize) else {
-            return Some(if run.has_gap { Outcome::Broken } else { Outcome::Complete });
+            return Some(if run.has_gap { RunOutcome::Broken } else { RunOutcome::Complete });
         };
         let taken = self.replicas[self.leader].runner.run_event(run.order.run, run.next, data, self.now);
         run.next += 1;
         if run.has_gap {
-            assert_ne!(taken, EventTaken::Taken, "ORDER: an event that doesn't follow");
+            assert_ne!(taken, EventDisposition::Accepted, "ORDER: an event that doesn't follow");
         }
-        (taken != EventTaken::Taken).then_some(Outcome::Broken)
+        (taken != EventDisposition::Accepted).then_some(RunOutcome::Broken)
     }
 
     fn close_cut_off(&mut self) {
-        let cut_off = self.replicas[self.leader].runner.take_cut_off();
+        let cut_off = self.replicas[self.leader].runner.take_cancelled();
         self.runs.retain(|run| !cut_off.contains(&run.order.run));
     }
 
@@ -277,7 +277,7 @@
 
     fn forget(&mut self) {
         let replica = &self.replicas[self.leader];
-        let jobs = replica.runner.forgettable(&replica.jobs, self.now, STATUS);
+        let jobs = replica.runner.expired_jobs(&replica.jobs, self.now, STATUS);
         if !jobs.is_empty() {
             self.proposed.push(Entry::Forget { jobs });
         }
@@ -323,7 +323,7 @@
     }
 }
 
-fn judge_result(id: &JobId, listing: &Listing, fails: &BTreeMap<String, u32>) {
+fn judge_result(id: &JobId, listing: &ListedResult, fails: &BTreeMap<String, u32>) {
     assert!(listing.item_id().starts_with(&format!("{id}-")), "MIXED: an item of another job");
     match listing.state() {
         ResultState::Complete => {
--- a/crates/batch/tests/stable_bytes.rs
+++ b/crates/batch/tests/stable_bytes.rs
@@ -4,7 +4,7 @@
 //! a test pass: a changed form needs a new kind or a new version beside the old one.
 
 use grebeusher_batch::{
-    Entry, EventsPiece, Header, ItemIndex, ItemProgress, ItemResult, ItemSpec, JobId, JobResults, JobTerms,
+    Entry, EventChunk, Header, ItemIndex, ItemProgress, ItemResult, ItemSpec, JobId, JobResults, JobSettings,
     Jobs, ResultState, SharedBytes, Submission,
 };
 use nanoserde::{DeBin, SerBin};
@@ -70,8 +70,8 @@
 }
 
 /// Numbers of one byte, of two, and the longest.
-fn terms() -> JobTerms {
-    JobTerms {
+fn settings() -> JobSettings {
+    JobSettings {
         accepted_at_wall_ms: 1_700_000_000_123,
         age_at_acceptance_ms: 127,
         completion_target_ms: 128,
@@ -103,7 +103,7 @@
         failed_attempts,
         events,
     };
-    let piece = |after, last, text: &str| Some(EventsPiece { after, last, text: text.to_owned() });
+    let piece = |after, last, text: &str| Some(EventChunk { after, last, text: text.to_owned() });
     Entry::Progress(vec![
         further(0, 0, piece(None, 0, "one")),
         further(1, 2, None),
@@ -112,7 +112,7 @@
 }
 
 #[rstest]
-#[case::submit(Entry::Submit { submission: submission(), terms: terms() })]
+#[case::submit(Entry::Submit { submission: submission(), settings: settings() })]
 #[case::results(results())]
 #[case::progress(progress())]
 #[case::ended(Entry::Ended { job: job("job-1") })]
@@ -151,9 +151,9 @@
 
 #[test]
 fn the_terms_of_a_job_keep_their_bytes() {
-    let written = SerBin::serialize_bin(&terms());
+    let written = SerBin::serialize_bin(&settings());
     assert_eq!(written.escape_ascii().to_string(), TERMS.escape_ascii().to_string());
-    assert_eq!(<JobTerms as DeBin>::deserialize_bin(TERMS).expect("terms"), terms());
+    assert_eq!(<JobSettings as DeBin>::deserialize_bin(TERMS).expect("terms"), settings());
 }
 
 /// A job that is under way with all that an item may be, and one that has ended.
@@ -161,8 +161,8 @@
     let mut jobs = Jobs::new();
     let mut second = submission();
     second.job = job("job-2");
-    jobs.apply(Entry::Submit { submission: submission(), terms: terms() });
-    jobs.apply(Entry::Submit { submission: second, terms: JobTerms::default() });
+    jobs.apply(Entry::Submit { submission: submission(), settings: settings() });
+    jobs.apply(Entry::Submit { submission: second, settings: JobSettings::default() });
     let result = |item, state, text: &str| ItemResult { item: ItemIndex(item), state, text: text.into() };
     let of_first = vec![result(1, ResultState::DeadLetter, "half")];
     let of_second = vec![result(2, ResultState::Complete, "whole"), result(0, ResultState::DeadLetter, "")];
@@ -174,7 +174,7 @@
         job: job("job-1"),
         item: ItemIndex(2),
         failed_attempts: 3,
-        events: Some(EventsPiece { after: None, last: 200, text: "so far".to_owned() }),
+        events: Some(EventChunk { after: None, last: 200, text: "so far".to_owned() }),
     }]));
     jobs.apply(Entry::Ended { job: job("job-2") });
     jobs
--- a/crates/batch/tests/stable_words.rs
+++ b/crates/batch/tests/stable_words.rs
@@ -1,7 +1,7 @@
 //! Words that clients write and read, which every version must keep.
 
 use grebeusher_batch::{
-    Entry, Event, EventReader, ItemIndex, ItemResult, JobId, JobResults, JobTerms, Jobs, MAX_PAGE_BYTES,
+    Entry, Event, EventReader, ItemIndex, ItemResult, JobId, JobResults, JobSettings, Jobs, MAX_PAGE_BYTES,
     ResultState, Submission, SubmissionHead, TOKEN_HEADER, Tokens, read_submission,
 };
 use rstest::rstest;
@@ -84,7 +84,7 @@
     let mut second = submission.items[0].clone();
     second.id = "b\"".to_owned();
     submission.items.push(second);
-    jobs.apply(Entry::Submit { submission, terms: JobTerms::default() });
+    jobs.apply(Entry::Submit { submission, settings: JobSettings::default() });
     let page = |jobs: &Jobs, after| jobs.read(&job(), after, MAX_PAGE_BYTES).expect("a job").to_json();
     assert_eq!(page(&jobs, 0), r#"{"total":2,"next_token":0,"result_list":[]}"#);
     let result = |item, state, text: &str| ItemResult { item: ItemIndex(item), state, text: text.into() };
--- a/crates/tier/src/batch_load.rs
+++ b/crates/tier/src/batch_load.rs
@@ -17,7 +17,7 @@
         let Ok(told) = <BatchLoad as DeBin>::deserialize_bin(payload) else { return };
         if (1..=BATCH_PARTITIONS).contains(&told.partition) {
             let load = PartitionLoad { running: told.running, waiting: told.waiting };
-            self.items.shares.told(self.now, told.partition, load);
+            self.items.shares.observe(self.now, told.partition, load);
         }
     }
 
@@ -46,7 +46,7 @@
     pub(crate) fn has_fair_share(&mut self, place: usize) -> bool {
         let partition = self.partitions[place].partition;
         let load = self.batch_load(place);
-        self.items.shares.may_begin(self.now, partition, load)
+        self.items.shares.may_start(self.now, partition, load)
     }
 
     /// The items of a partition, if this node runs them.
--- a/crates/tier/src/batch_partition.rs
+++ b/crates/tier/src/batch_partition.rs
@@ -6,8 +6,8 @@
 use crate::partitions::{Application, Waiter};
 use crate::timers::Timer;
 use grebeusher_batch::{
-    Admission, Applied, Entry, JobId, JobTerms, Jobs, Leader, Runner, SharedBytes, SnapshotError, Submission,
-    Wanted,
+    Admission, AdmissionControl, AdmissionRequest, Applied, EndOutcome, Entry, JobId, JobSettings, Jobs,
+    Runner, SharedBytes, SnapshotError, Submission,
 };
 use grebeusher_quorum::Blob;
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -34,7 +34,7 @@
     jobs: Jobs,
     /// Nodes that are to be emptied, by name.
     pub(crate) retiring: BTreeSet<String>,
-    leader: Leader,
+    admission: AdmissionControl,
     most_cost: usize,
     pub(crate) runner: Runner,
     held: Vec<HeldRead>,
@@ -68,7 +68,7 @@
         BatchPartition {
             jobs: Jobs::new(),
             retiring: BTreeSet::new(),
-            leader: Leader::new(most_cost),
+            admission: AdmissionControl::new(most_cost),
             most_cost,
             runner: Runner::new(seed),
             held: Vec::new(),
@@ -128,9 +128,9 @@
     bytes
 }
 
-fn wanted<'a>(offer: &'a OfferJob, job: &'a JobId) -> Wanted<'a> {
+fn admission_request<'a>(offer: &'a OfferJob, job: &'a JobId) -> AdmissionRequest<'a> {
     let OfferJob { route, tokens, queue_token_limit, .. } = offer;
-    Wanted { job, route, tokens: *tokens, queue_token_limit: *queue_token_limit }
+    AdmissionRequest { job, route, tokens: *tokens, queue_token_limit: *queue_token_limit }
 }
 
 impl Node {
@@ -147,7 +147,7 @@
         let unreadable = |reason: String| RunError::State { partition: number, reason };
         if let Some(partition) = self.batch_mut(place) {
             partition.restore(&shared(bytes)).map_err(|e| unreadable(e.to_string()))?;
-            partition.runner.adopt(&partition.jobs, now);
+            partition.runner.track_jobs(&partition.jobs, now);
         }
         Ok(())
     }
@@ -166,7 +166,7 @@
                 let entry = Entry::from_shared(&payload.skip(1)).map_err(|e| unreadable(e.to_string()))?;
                 let Some(partition) = self.batch_mut(place) else { return Ok(()) };
                 let applied = partition.jobs.apply(entry);
-                partition.leader.applied(&applied);
+                partition.admission.applied(&applied);
                 partition.runner.applied(&partition.jobs, &applied, now);
                 self.after_applied(place, &applied)
             }
@@ -207,11 +207,11 @@
                 self.answer_held_reads(place, |job| jobs.contains(job));
                 200
             }
-            Applied::Ended { state, job } => {
+            Applied::Ended { outcome, job } => {
                 let ended = job.clone();
                 self.answer_held_reads(place, |job| *job == ended);
                 self.cut_off_runs(place);
-                if *state == grebeusher_batch::EndState::NoSuchJob { 404 } else { 200 }
+                if *outcome == EndOutcome::UnknownJob { 404 } else { 200 }
             }
             Applied::Progressed(_) | Applied::Forgotten(_) => 200,
         }
@@ -220,13 +220,13 @@
     pub(crate) fn batch_leader_changed(&mut self, place: usize, leads: bool) {
         let (now, wall_ms) = (self.now, self.wall_ms());
         let Some(partition) = self.batch_mut(place) else { return };
-        partition.leader = Leader::new(partition.most_cost);
+        partition.admission = AdmissionControl::new(partition.most_cost);
         let held = std::mem::take(&mut partition.held);
         let under_way = std::mem::take(&mut partition.under_way);
         if leads {
-            partition.runner.begin(&partition.jobs, now, wall_ms);
+            partition.runner.start_leading(&partition.jobs, now, wall_ms);
         } else {
-            partition.runner.cease();
+            partition.runner.stop_leading();
         }
         for read in held {
             self.reply(read.waiter.peer, read.waiter.number, Reply::Unavailable);
@@ -270,7 +270,7 @@
         // Readers come for a while longer than the bound, and a client's first send was before the job was taken.
         let status = Duration::from_seconds(self.settings.bounds.status_s + 10.0);
         let Some(partition) = self.batch_mut(place) else { return };
-        let jobs = partition.runner.forgettable(&partition.jobs, now, status);
+        let jobs = partition.runner.expired_jobs(&partition.jobs, now, status);
         if !jobs.is_empty() {
             self.partitions[place].propose(now, jobs_entry(&Entry::Forget { jobs }), None);
         }
@@ -285,24 +285,24 @@
         };
         let job = submission.job.clone();
         let Some(partition) = self.batch_mut(place) else { return };
-        match partition.leader.admit(&partition.jobs, &submission, call.queue_token_limit) {
-            Admission::Kept => self.reply(waiter.peer, waiter.number, answer(202)),
-            Admission::UnderWay => partition.under_way.push((job, waiter)),
+        match partition.admission.admit(&partition.jobs, &submission, call.queue_token_limit) {
+            Admission::AlreadyAccepted => self.reply(waiter.peer, waiter.number, answer(202)),
+            Admission::Pending => partition.under_way.push((job, waiter)),
             Admission::QueueFull { .. } => self.reply(waiter.peer, waiter.number, answer(429)),
-            Admission::NoMemory => self.reply(waiter.peer, waiter.number, answer(503)),
+            Admission::OutOfMemory => self.reply(waiter.peer, waiter.number, answer(503)),
             Admission::Propose => {
-                let terms = JobTerms {
+                let settings = JobSettings {
                     accepted_at_wall_ms: wall_ms,
                     completion_target_ms: call.completion_target_ms,
                     retention_ms: call.retention_ms,
                     max_attempts: call.max_attempts,
                     queue_token_limit: call.queue_token_limit,
-                    ..JobTerms::default()
+                    ..JobSettings::default()
                 };
-                let entry = jobs_entry(&Entry::Submit { submission, terms });
+                let entry = jobs_entry(&Entry::Submit { submission, settings });
                 if self.partitions[place].propose(now, entry, Some(waiter)).is_none() {
                     if let Some(partition) = self.batch_mut(place) {
-                        partition.leader.dropped(&job);
+                        partition.admission.release(&job);
                     }
                     self.reply(waiter.peer, waiter.number, Reply::Unavailable);
                 }
@@ -319,11 +319,11 @@
         let Some(job) = JobId::new(&offer.job) else {
             return self.reply(waiter.peer, waiter.number, answer(400));
         };
-        let reply = match partition.leader.judge(&partition.jobs, &wanted(offer, &job)) {
-            Admission::Kept => answer(202),
-            Admission::UnderWay => return partition.under_way.push((job, waiter)),
+        let reply = match partition.admission.check(&partition.jobs, &admission_request(offer, &job)) {
+            Admission::AlreadyAccepted => answer(202),
+            Admission::Pending => return partition.under_way.push((job, waiter)),
             Admission::QueueFull { .. } => answer(429),
-            Admission::NoMemory => answer(503),
+            Admission::OutOfMemory => answer(503),
             Admission::Propose => Reply::Wanted,
         };
         self.reply(waiter.peer, waiter.number, reply);
@@ -406,7 +406,7 @@
         let Some(place) = self.led_place(number, waiter) else { return };
         let Some(partition) = self.batch_mut(place) else { return };
         let known =
-            JobId::new(job).filter(|job| partition.jobs.contains(job) || partition.leader.is_under_way(job));
+            JobId::new(job).filter(|job| partition.jobs.contains(job) || partition.admission.is_pending(job));
         let Some(job) = known else {
             return self.reply(waiter.peer, waiter.number, Reply::Answer { status: 404, body: Vec::new() });
         };
--- a/crates/tier/src/items.rs
+++ b/crates/tier/src/items.rs
@@ -5,7 +5,7 @@
 use crate::routing::Hints;
 use crate::timers::Timer;
 use crate::upstream::{CallLeader, Failure, UpstreamEvent};
-use grebeusher_batch::{EventReader, EventTaken, FairShare, Outcome as RunOutcome, RunId, RunOrder};
+use grebeusher_batch::{EventDisposition, EventReader, FairShare, RunId, RunOrder, RunOutcome};
 use grebeusher_configuration::configuration::RouteType;
 use grebeusher_gateway::{AttemptOutcome, AttemptToken, ServerLoad};
 use grebeusher_time::{Duration, Instant};
@@ -236,9 +236,9 @@
         let mut events = Vec::new();
         let understood = active.reader.push(bytes, |event| events.push(event)).is_ok();
         let Some(partition) = self.batch_mut(place) else { return };
-        let taken = events
-            .iter()
-            .all(|event| partition.runner.run_event(run, event.id, &event.data, now) == EventTaken::Taken);
+        let taken = events.iter().all(|event| {
+            partition.runner.run_event(run, event.id, &event.data, now) == EventDisposition::Accepted
+        });
         if !understood || !taken {
             self.item_cut(key);
         }
@@ -290,7 +290,7 @@
     pub fn cut_off_runs(&mut self, place: usize) {
         let now = self.now;
         let Some(partition) = self.batch_mut(place) else { return };
-        let cut: Vec<RunId> = partition.runner.take_cut_off();
+        let cut: Vec<RunId> = partition.runner.take_cancelled();
         if cut.is_empty() {
             return;
         }
--- a/crates/tier/tests/batch_partition.rs
+++ b/crates/tier/tests/batch_partition.rs
@@ -1,7 +1,7 @@
 //! The state of a batch partition in bytes: the form on disks stays, and what is restored refers to the bytes.
 
 use grebeusher_batch::{
-    Entry, Header, ItemSpec, JobId, JobTerms, Jobs, MAX_PAGE_BYTES, SharedBytes, Submission,
+    Entry, Header, ItemSpec, JobId, JobSettings, Jobs, MAX_PAGE_BYTES, SharedBytes, Submission,
 };
 use grebeusher_tier::batch_partition::{BatchPartition, RestoreError};
 use nanoserde::SerBin;
@@ -30,7 +30,7 @@
         items: vec![item],
     };
     let mut jobs = Jobs::new();
-    jobs.apply(Entry::Submit { submission, terms: JobTerms::default() });
+    jobs.apply(Entry::Submit { submission, settings: JobSettings::default() });
     jobs
 }
 
--- a/crates/tier/tests/stable_state.rs
+++ b/crates/tier/tests/stable_state.rs
@@ -1,7 +1,7 @@
 //! Bytes of a batch partition's state that earlier versions put on disks, which this one must read and write unchanged.
 
 use grebeusher_batch::{
-    Entry, Header, ItemIndex, ItemResult, ItemSpec, JobId, JobResults, JobTerms, Jobs, ResultState,
+    Entry, Header, ItemIndex, ItemResult, ItemSpec, JobId, JobResults, JobSettings, Jobs, ResultState,
     SharedBytes, Submission,
 };
 use grebeusher_tier::batch_partition::BatchPartition;
@@ -26,9 +26,9 @@
         host: "lots.example".to_owned(),
         items: vec![item("a"), item("b")],
     };
-    let terms = JobTerms { retention_ms: 60_000, max_attempts: 3, ..JobTerms::default() };
+    let settings = JobSettings { retention_ms: 60_000, max_attempts: 3, ..JobSettings::default() };
     let mut jobs = Jobs::new();
-    jobs.apply(Entry::Submit { submission, terms });
+    jobs.apply(Entry::Submit { submission, settings });
     let result = ItemResult { item: ItemIndex(1), state: ResultState::Complete, text: "done".into() };
     jobs.apply(Entry::Results(vec![JobResults { job, results: vec![result] }]));
     jobs
