--- a/crates/batch/tests/batches/quota.rs
+++ b/crates/batch/tests/batches/admission.rs
@@ -2,7 +2,7 @@
 
 use grebeusher_batch::*;
 
-use crate::sample::*;
+use crate::fixture::*;
 
 fn admission_control() -> AdmissionControl {
     AdmissionControl::new(usize::MAX)
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn jobs_under_way_count_before_they_are_committed() {
+fn pending_jobs_count_before_they_are_committed() {
     let (jobs, mut admission) = (Jobs::new(), admission_control());
     assert_eq!(admission.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
     let full = Admission::QueueFull { waiting: 600, limit: 1_000 };
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_job_counts_once_when_it_is_committed() {
+fn a_committed_job_counts_once() {
     let (mut jobs, mut admission) = (Jobs::new(), admission_control());
     admission.admit(&jobs, &submission("a", 6), 1_000);
     apply(&mut jobs, &mut admission, submit("a", 6));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_same_job_is_the_same_job_and_counts_once() {
+fn a_repeated_submission_counts_once() {
     let (mut jobs, mut admission) = (Jobs::new(), admission_control());
     assert_eq!(admission.admit(&jobs, &submission("a", 6), 1_000), Admission::Propose);
     assert_eq!(admission.admit(&jobs, &submission("a", 6), 1_000), Admission::Pending);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_was_not_proposed_no_longer_counts() {
+fn a_released_job_no_longer_counts() {
     let (jobs, mut admission) = (Jobs::new(), admission_control());
     admission.admit(&jobs, &submission("a", 6), 1_000);
     admission.release(&job("a"));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn listed_items_and_ended_jobs_make_room() {
+fn listed_items_and_ended_jobs_free_quota() {
     let (mut jobs, mut admission) = (Jobs::new(), admission_control());
     apply(&mut jobs, &mut admission, submit("a", 6));
     apply(&mut jobs, &mut admission, submit("b", 4));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn routes_count_apart_and_no_limit_is_none() {
+fn routes_have_separate_quotas_and_zero_is_unlimited() {
     let (jobs, mut admission) = (Jobs::new(), admission_control());
     assert_eq!(admission.admit(&jobs, &submission_on("r-1", "a", &[900]), 1_000), Admission::Propose);
     assert_eq!(admission.admit(&jobs, &submission_on("r-2", "b", &[900]), 1_000), Admission::Propose);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_new_leader_counts_what_its_predecessors_took() {
+fn a_new_leader_counts_jobs_of_its_predecessors() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("a", 9));
     let jobs = Jobs::from_snapshot(&jobs.to_snapshot()).expect("whole");
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn jobs_that_memory_can_not_hold_are_refused() {
+fn jobs_beyond_the_memory_limit_are_rejected() {
     let (mut jobs, mut admission) = (Jobs::new(), AdmissionControl::new(20_000));
     let mut large = submission("a", 1);
     large.items[0].body = vec![0; 12_000].into();
--- a/crates/batch/tests/batches/events.rs
+++ b/crates/batch/tests/batches/events.rs
@@ -32,7 +32,7 @@
 #[case::wide("id: 1\ndata: čš\u{1f600}\n\n", &[(1, "čš\u{1f600}")])]
 #[case::single_return_is_data("id: 1\ndata: a\rb\n\n", &[(1, "a\rb")])]
 #[case::nothing("", &[])]
-fn whole_events_are_read(#[case] stream: &str, #[case] events: &[(u64, &str)]) {
+fn complete_events_are_read(#[case] stream: &str, #[case] events: &[(u64, &str)]) {
     let events: Vec<(u64, String)> = events.iter().map(|(id, data)| (*id, (*data).into())).collect();
     assert_eq!(read(&[stream.as_bytes()]), (events.clone(), Ok(())));
     let bytes: Vec<&[u8]> = stream.as_bytes().chunks(1).collect();
@@ -49,7 +49,7 @@
 #[case::only_an_id("id: 1\n")]
 #[case::only_data("data: a\n")]
 #[case::one_whole_and_a_byte("id: 1\ndata: a\n\ni")]
-fn a_stream_that_ends_inside_an_event_is_not_whole(#[case] stream: &str) {
+fn a_stream_that_ends_inside_an_event_is_unfinished(#[case] stream: &str) {
     let (_, end) = read(&[stream.as_bytes()]);
     assert_eq!(end, Err(EventError::Unfinished));
 }
@@ -59,7 +59,7 @@
 #[case::no_number(b"id: x\ndata: a\n\n", EventError::NoId)]
 #[case::too_large_a_number(b"id: 18446744073709551616\ndata: a\n\n", EventError::NoId)]
 #[case::no_text(b"id: 1\ndata: \xff\n\n", EventError::NotText)]
-fn what_is_no_event_ends_the_reading(#[case] stream: &[u8], #[case] error: EventError) {
+fn an_invalid_event_fails_the_stream(#[case] stream: &[u8], #[case] error: EventError) {
     let mut reader = EventReader::new();
     let mut events = Vec::new();
     assert_eq!(reader.push(b"id: 0\ndata: a\n\n", |event| events.push(event.id)), Ok(()));
@@ -72,7 +72,7 @@
 #[case::one_line(b"x")]
 #[case::many_lines(b"data: x\n")]
 #[case::many_comments(b": x\n")]
-fn an_event_without_end_is_not_held(#[case] piece: &[u8]) {
+fn an_event_beyond_the_limit_is_an_error(#[case] piece: &[u8]) {
     let mut reader = EventReader::new();
     let pushed =
         (0..MAX_EVENT_BYTES + 1).try_for_each(|_| reader.push(piece, |_| panic!("no event is whole")));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_long_stream_of_small_events_is_no_large_event() {
+fn the_size_limit_is_per_event() {
     let mut reader = EventReader::new();
     let mut count = 0;
     for id in 0..40_000 {
@@ -92,7 +92,7 @@
 proptest! {
     /// Bytes of any kind, in any pieces, never panic and give the same events as in one piece.
     #[test]
-    fn pieces_make_no_difference(
+    fn chunk_boundaries_make_no_difference(
         stream in r"(id: ?[0-9]{1,3}|data: ?[a-z]{0,4}|:|versions: 1|\r|\n|\n|\r\n\r\n|é){0,40}",
         cuts in prop::collection::vec(0usize..200, 0..10),
     ) {
@@ -106,14 +106,14 @@
     }
 
     #[test]
-    fn noise_does_no_harm(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..30), 0..10)) {
+    fn random_bytes_do_not_panic(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..30), 0..10)) {
         let pieces: Vec<&[u8]> = pieces.iter().map(Vec::as_slice).collect();
         let _ = read(&pieces);
     }
 
     /// What was written is read, whatever stands in the data but line ends.
     #[test]
-    fn what_was_written_is_read(data in prop::collection::vec("[^\r\n]{0,12}", 0..8), size in 1usize..20) {
+    fn written_events_are_read_back(data in prop::collection::vec("[^\r\n]{0,12}", 0..8), size in 1usize..20) {
         let lines = data.iter().enumerate();
         let stream: String = lines.map(|(id, data)| format!("data: {data}\nid: {id}\n\n")).collect();
         let pieces: Vec<&[u8]> = stream.as_bytes().chunks(size).collect();
--- a/crates/batch/tests/batches/sample.rs
+++ b/crates/batch/tests/batches/fixture.rs
@@ -73,6 +73,6 @@
 }
 
 /// Room for anything.
-pub fn any_room(_: &str) -> Option<u64> {
+pub fn any_capacity(_: &str) -> Option<u64> {
     Some(u64::MAX)
 }
--- a/crates/batch/tests/batches/leader_change.rs
+++ b/crates/batch/tests/batches/leader_change.rs
@@ -3,8 +3,8 @@
 use grebeusher_batch::*;
 use grebeusher_time::Duration;
 
+use crate::fixture::*;
 use crate::partition::Partition;
-use crate::sample::*;
 
 /// The same log on another replica, which takes over.
 fn successor(of: &Partition, log: &[Entry], wall_ms: u64) -> Partition {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn items_that_are_not_listed_begin_anew() {
+fn unlisted_items_run_again() {
     let mut old = Partition::with_job("j", 2);
     let order = old.next();
     old.event(&order, 0, "a");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn results_that_were_decided_but_not_committed_are_left_to_the_successor() {
+fn uncommitted_results_are_left_to_the_successor() {
     let mut old = Partition::with_job("j", 1);
     let order = old.next();
     old.event(&order, 0, "a");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_leader_that_ceases_cuts_its_runs_off() {
+fn a_leader_that_steps_down_cancels_its_runs() {
     let mut partition = Partition::with_job("j", 2);
     let (first, second) = (partition.next(), partition.next());
     partition.runner.stop_leading();
@@ -66,7 +66,7 @@
 
 /// TWICE: both leaders' results reach the log.
 #[test]
-fn a_result_that_the_predecessor_got_committed_stands() {
+fn a_result_committed_by_the_predecessor_is_final() {
     let old = Partition::with_job("j", 1);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000);
     let order = new.next();
@@ -80,7 +80,7 @@
 
 /// MIXED: answers of 500 that were committed count on, those that weren't are asked for again.
 #[test]
-fn committed_failures_count_on() {
+fn committed_failures_count_for_the_successor() {
     let mut old = Partition::with_job("j", 1);
     let mut log = vec![submit("j", 1)];
     let order = old.next();
@@ -104,7 +104,7 @@
 
 /// ORDER: the successor goes on from what is committed, with `Last-Event-Id`.
 #[test]
-fn a_checkpoint_spares_the_successor_the_beginning() {
+fn the_successor_resumes_from_a_checkpoint() {
     let mut old = Partition::with_job("j", 2);
     let order = old.next();
     old.event(&order, 0, "a");
@@ -151,7 +151,7 @@
 
 /// MIXED: a clock that jumps by a day gives nothing up and forgets nothing.
 #[test]
-fn a_wall_clock_that_jumps_gives_nothing_up() {
+fn a_wall_clock_jump_gives_nothing_up() {
     let mut old = Partition::with_job("j", 1);
     old.pass(1_000);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 86_400_000);
@@ -167,7 +167,7 @@
 
 /// MIXED: nor does one that is ahead by less than the retention.
 #[test]
-fn a_wall_clock_that_is_ahead_gives_nothing_up_early() {
+fn a_fast_wall_clock_gives_nothing_up_early() {
     let old = Partition::with_job("j", 1);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 30_000);
     new.pass(59_999);
@@ -177,7 +177,7 @@
 
 /// The wall clock only tells the successor which job is due first.
 #[test]
-fn a_successor_knows_the_older_job_by_the_wall_clock() {
+fn a_successor_orders_jobs_by_the_wall_clock() {
     let old = Partition::led();
     let mut newer = settings();
     newer.accepted_at_wall_ms += 3_000;
@@ -192,7 +192,7 @@
 
 /// A job that is taken now is new, whatever the wall clock says of it.
 #[test]
-fn a_new_job_is_not_old_by_a_wrong_clock() {
+fn an_incredible_age_by_the_wall_clock_is_ignored() {
     let mut partition = Partition::led();
     partition.pass(30_000);
     let jumped = JobSettings { accepted_at_wall_ms: 0, ..settings() };
@@ -204,7 +204,7 @@
 
 /// LOST: forgotten only so long after this replica first saw the job, and not while it is open.
 #[test]
-fn jobs_are_forgotten_by_the_steady_clock() {
+fn jobs_expire_by_the_monotonic_clock() {
     let status = Duration::from_millis(120_000);
     let mut partition = Partition::with_job("open", 1);
     partition.commit(submit("done", 1));
@@ -225,7 +225,7 @@
 
 /// MIXED: a count that comes late takes nothing back.
 #[test]
-fn an_older_count_of_failures_changes_nothing() {
+fn a_lower_failure_count_is_ignored() {
     let mut partition = Partition::with_job("j", 1);
     let count = |failed_attempts| {
         let progress = ItemProgress { job: job("j"), item: ItemIndex(0), failed_attempts, events: None };
--- a/crates/batch/tests/batches/sharing.rs
+++ b/crates/batch/tests/batches/memory_sharing.rs
@@ -5,7 +5,7 @@
 use grebeusher_batch::*;
 use nanoserde::SerBin;
 
-use crate::sample::*;
+use crate::fixture::*;
 
 /// The payload of an entry as a log holds it. A second count of it is a reference of the jobs.
 fn committed(jobs: &mut Jobs, entry: Entry) -> Arc<[u8]> {
@@ -20,25 +20,25 @@
     Arc::strong_count(payload) == 1
 }
 
-fn lies_in(piece: &[u8], payload: &Arc<[u8]>) -> bool {
+fn refers_to(piece: &[u8], payload: &Arc<[u8]>) -> bool {
     payload.as_ptr_range().contains(&piece.as_ptr())
 }
 
 #[test]
-fn bodies_and_texts_lie_in_the_payloads() {
+fn bodies_and_texts_refer_to_the_payloads() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 2));
     let results = committed(&mut jobs, complete("j", 0, "a text"));
     let body = jobs.item_body(&job("j"), "j-1").expect("it waits");
     assert_eq!(body, b"body of j-1");
-    assert!(lies_in(body, &submission));
+    assert!(refers_to(body, &submission));
     let page = jobs.read(&job("j"), 0, MAX_PAGE_BYTES).expect("the job is known");
     assert_eq!(page.results[0].text(), "a text");
-    assert!(lies_in(page.results[0].text().as_bytes(), &results));
+    assert!(refers_to(page.results[0].text().as_bytes(), &results));
 }
 
 #[test]
-fn a_submission_is_let_go_when_its_last_item_is_listed() {
+fn a_submission_is_released_when_its_last_item_is_listed() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 3));
     for place in [2, 0] {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_submission_is_let_go_when_its_job_is_ended() {
+fn a_submission_is_released_when_its_job_ends() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 3));
     let results = committed(&mut jobs, complete("j", 0, "text"));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_changes_nothing_is_not_kept() {
+fn an_entry_without_effect_is_released() {
     let mut jobs = Jobs::new();
     committed(&mut jobs, submit("j", 1));
     assert!(is_released(&committed(&mut jobs, submit("j", 1))), "the job is known");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_result_without_text_keeps_nothing() {
+fn a_result_without_text_is_released() {
     let mut jobs = Jobs::new();
     committed(&mut jobs, submit("j", 1));
     let results = vec![result(0, ResultState::DeadLetter, "")];
@@ -83,7 +83,7 @@
 
 /// Unfinished texts grow piece by piece, so they are the jobs' own.
 #[test]
-fn progress_keeps_nothing() {
+fn progress_is_copied() {
     let mut jobs = Jobs::new();
     committed(&mut jobs, submit("j", 1));
     let events = Some(EventChunk { after: None, last: 1, text: "begun".into() });
@@ -92,13 +92,13 @@
 }
 
 #[test]
-fn a_run_holds_the_body_as_long_as_it_is_under_way() {
+fn a_run_refers_to_its_body_until_it_ends() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 1));
     let mut runner = Runner::new(7);
     runner.start_leading(&jobs, at(0), 0);
-    let order = runner.next_item(&jobs, at(0), &any_room).expect("it may run");
-    assert!(lies_in(&order.body, &submission));
+    let order = runner.next_item(&jobs, at(0), &any_capacity).expect("it may run");
+    assert!(refers_to(&order.body, &submission));
     committed(&mut jobs, complete("j", 0, "text"));
     assert!(!is_released(&submission));
     drop(order);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn jobs_from_a_snapshot_lie_in_it_alone() {
+fn restored_jobs_refer_to_the_snapshot_alone() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 2));
     let results = committed(&mut jobs, complete("j", 0, "a text"));
@@ -115,16 +115,16 @@
     assert_eq!(restored, jobs);
     jobs = restored;
     assert!(is_released(&submission) && is_released(&results));
-    assert!(lies_in(jobs.item_body(&job("j"), "j-1").expect("it waits"), &snapshot));
+    assert!(refers_to(jobs.item_body(&job("j"), "j-1").expect("it waits"), &snapshot));
     let page = jobs.read(&job("j"), 0, MAX_PAGE_BYTES).expect("the job is known");
-    assert!(lies_in(page.results[0].text().as_bytes(), &snapshot));
+    assert!(refers_to(page.results[0].text().as_bytes(), &snapshot));
     jobs.apply(Entry::Ended { job: job("j") });
     jobs.apply(Entry::Forget { jobs: vec![job("j")] });
     assert!(is_released(&snapshot));
 }
 
 #[test]
-fn a_snapshot_is_written_behind_what_is_there() {
+fn a_snapshot_is_appended_to_the_buffer() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 2));
     let mut bytes = vec![7];
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn pieces_lie_within_their_bytes() {
+fn slices_stay_within_their_bytes() {
     let bytes = SharedBytes::from(&b"0123456789"[..]);
     let inner = bytes.slice(2..8).expect("it holds it");
     assert_eq!(inner.as_slice(), b"234567");
--- a/crates/batch/tests/batches/pages.rs
+++ b/crates/batch/tests/batches/pages.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use tinyjson::JsonValue;
 
-use crate::sample::*;
+use crate::fixture::*;
 
 fn read_json(jobs: &Jobs, name: &str, from: usize, max_bytes: usize) -> String {
     jobs.read(&job(name), from, max_bytes).expect("the job is known").to_json()
@@ -20,7 +20,7 @@
 
 /// MIXED: a result names the item and the text that belong together, and `total` is right.
 #[test]
-fn results_stand_in_the_order_of_their_entries() {
+fn results_are_in_the_order_of_their_entries() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 3));
     jobs.apply(complete("j", 2, "two"));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn results_of_items_and_jobs_that_are_not_there_are_passed_over() {
+fn results_of_unknown_items_and_jobs_are_ignored() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 1));
     let before = jobs.clone();
@@ -63,7 +63,7 @@
 
 /// LOST: the same job sent again is the same job, whatever its body says now.
 #[test]
-fn a_job_is_taken_once() {
+fn a_job_is_accepted_once() {
     let mut jobs = Jobs::new();
     assert_eq!(jobs.apply(submit("j", 2)), Applied::Submitted { job: job("j"), already: false });
     jobs.apply(complete("j", 0, "text"));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_end_is_an_end_however_often_it_comes() {
+fn ending_a_job_is_idempotent() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 2));
     jobs.apply(complete("j", 0, "text"));
@@ -89,7 +89,7 @@
 
 /// LOST and MIXED: a body is there, with its bytes, until the item is listed or the job ended.
 #[test]
-fn a_body_is_there_while_its_item_waits() {
+fn a_body_is_readable_while_its_item_is_open() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 3));
     jobs.apply(submit("k", 1));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn what_is_done_costs_less_and_what_is_forgotten_nothing() {
+fn listed_items_cost_less_and_forgotten_jobs_nothing() {
     let mut jobs = Jobs::new();
     let mut submission = submission("j", 2);
     submission.items[0].body = vec![0; 100_000].into();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn an_answer_keeps_within_its_bytes_but_for_a_single_result() {
+fn a_page_keeps_its_size_limit_except_for_a_single_result() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 10));
     for place in 0..10 {
@@ -152,7 +152,7 @@
 
 #[rstest]
 #[case(MAX_TEXT_BYTES)]
-fn the_largest_text_fits_an_answer(#[case] bytes: usize) {
+fn the_largest_text_fits_a_page(#[case] bytes: usize) {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 1));
     jobs.apply(complete("j", 0, &"\n".repeat(bytes)));
@@ -162,7 +162,7 @@
 proptest! {
     /// What the writer writes, another's reader reads back.
     #[test]
-    fn texts_survive_their_json(texts in prop::collection::vec(any::<String>(), 1..5), controls in "[\\x00-\\x7f\u{2028}]{0,40}") {
+    fn texts_round_trip_through_json(texts in prop::collection::vec(any::<String>(), 1..5), controls in "[\\x00-\\x7f\u{2028}]{0,40}") {
         let mut jobs = Jobs::new();
         jobs.apply(submit("j", texts.len() + 1));
         let texts: Vec<String> = texts.into_iter().chain([controls]).collect();
@@ -180,7 +180,7 @@
 
     /// Reading on by `next_token` gives every position once, whatever fits.
     #[test]
-    fn reading_on_gives_all(sizes in prop::collection::vec(0usize..3_000, 0..30), max_bytes in 0usize..5_000) {
+    fn reading_page_by_page_gives_all_results(sizes in prop::collection::vec(0usize..3_000, 0..30), max_bytes in 0usize..5_000) {
         let mut jobs = Jobs::new();
         jobs.apply(submit("j", sizes.len()));
         for (place, size) in (0..).zip(&sizes) {
--- a/crates/batch/tests/batches/partition.rs
+++ b/crates/batch/tests/batches/partition.rs
@@ -3,7 +3,7 @@
 use grebeusher_batch::*;
 use grebeusher_time::Instant;
 
-use crate::sample::*;
+use crate::fixture::*;
 
 pub struct Partition {
     pub jobs: Jobs,
@@ -45,7 +45,7 @@
     }
 
     pub fn try_next(&mut self) -> Option<RunOrder> {
-        self.runner.next_item(&self.jobs, self.now, &any_room)
+        self.runner.next_item(&self.jobs, self.now, &any_capacity)
     }
 
     pub fn next(&mut self) -> RunOrder {
--- a/crates/batch/tests/batches/storm.rs
+++ b/crates/batch/tests/batches/random_faults.rs
@@ -7,7 +7,7 @@
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
-use crate::sample::*;
+use crate::fixture::*;
 
 const REPLICAS: usize = 3;
 const LIMIT: u64 = 6_000;
@@ -187,7 +187,7 @@
         let room = 1 + self.dice.roll(4) as usize;
         let replica = &mut self.replicas[self.leader];
         while self.runs.len() < 8 + room {
-            let Some(order) = replica.runner.next_item(&replica.jobs, self.now, &any_room) else { break };
+            let Some(order) = replica.runner.next_item(&replica.jobs, self.now, &any_capacity) else { break };
             assert_eq!(order.body.as_slice(), format!("body of {}", order.attempt_id).as_bytes());
             assert!(!replica.jobs.has_ended(&order.job), "UNASKED");
             let next = order.last_event_id.map_or(0, |last| last + 1);
@@ -208,8 +208,8 @@
             2 => Some(RunOutcome::Misdirected),
             3 => Some(RunOutcome::Failed500),
             _ if is_poison(&order.attempt_id) => Some(RunOutcome::Rejected422),
-            4 => self.jump(place, 1),
-            5 => self.jump(place, -1),
+            4 => self.skip_events(place, 1),
+            5 => self.skip_events(place, -1),
             _ => self.send_event(place),
         };
         let Some(outcome) = outcome else { return };
@@ -222,7 +222,7 @@
 
     /// The executor leaves an event out or sends one again. The first event of a run from the start is the first
     /// whatever its id; there is nothing to tell it by.
-    fn jump(&mut self, place: usize, by: i64) -> Option<RunOutcome> {
+    fn skip_events(&mut self, place: usize, by: i64) -> Option<RunOutcome> {
         let run = &mut self.runs[place];
         let can_be_told = run.next > 0 && !run.has_gap;
         if can_be_told {
@@ -246,13 +246,13 @@
         (taken != EventDisposition::Accepted).then_some(RunOutcome::Broken)
     }
 
-    fn close_cut_off(&mut self) {
+    fn close_cancelled(&mut self) {
         let cut_off = self.replicas[self.leader].runner.take_cancelled();
         self.runs.retain(|run| !cut_off.contains(&run.order.run));
     }
 
     /// A reader looks at all of it, at the leader.
-    fn judge(&mut self) {
+    fn check_invariants(&mut self) {
         let jobs = &self.replicas[self.leader].jobs;
         assert!(jobs.waiting_tokens(ROUTE) <= LIMIT, "QUOTA");
         for id in jobs.names() {
@@ -268,7 +268,7 @@
                 assert!(names.insert(listing.item_id()), "TWICE: an item at two positions");
                 let known = self.listed.entry((id.clone(), position)).or_insert_with(|| listing.clone());
                 assert_eq!(known, listing, "TWICE: a position changed");
-                judge_result(id, listing, &self.fails);
+                check_result(id, listing, &self.fails);
             }
             let read = self.listed.range((id.clone(), 0)..).take_while(|((job, _), _)| job == id).count();
             assert_eq!(read, page.results.len(), "LOST: a position");
@@ -303,11 +303,11 @@
         self.propose();
         if self.dice.one_in(3) {
             self.commit();
-            self.close_cut_off();
+            self.close_cancelled();
         }
         if self.turns.is_multiple_of(25) {
             self.commit();
-            self.judge();
+            self.check_invariants();
         }
         if self.dice.one_in(20) {
             let follower = self.dice.roll(REPLICAS as u64) as usize;
@@ -323,7 +323,7 @@
     }
 }
 
-fn judge_result(id: &JobId, listing: &ListedResult, fails: &BTreeMap<String, u32>) {
+fn check_result(id: &JobId, listing: &ListedResult, fails: &BTreeMap<String, u32>) {
     assert!(listing.item_id().starts_with(&format!("{id}-")), "MIXED: an item of another job");
     match listing.state() {
         ResultState::Complete => {
@@ -337,7 +337,7 @@
 }
 
 #[rstest]
-fn everything_at_once_breaks_no_rule(#[values(1, 2, 3, 4, 5, 6, 7, 8)] block: u64) {
+fn random_faults_violate_no_invariant(#[values(1, 2, 3, 4, 5, 6, 7, 8)] block: u64) {
     for seed in block * 1_000..block * 1_000 + 8 {
         let mut storm = Storm::new(seed);
         for _ in 0..1_500 {
@@ -348,7 +348,7 @@
             storm.is_done()
         });
         assert!(calm.is_some(), "seed {seed}: jobs that were accepted never came to an end");
-        storm.judge();
+        storm.check_invariants();
         assert!(storm.accepted.len() > 20, "seed {seed}: hardly a job was tried");
         assert!(storm.listed.len() > 100, "seed {seed}: hardly an item was listed");
         let leader = storm.replicas[storm.leader].jobs.to_snapshot();
--- a/crates/batch/tests/batches/replay.rs
+++ b/crates/batch/tests/batches/replay.rs
@@ -4,7 +4,7 @@
 use nanoserde::{DeBin, SerBin};
 use proptest::prelude::*;
 
-use crate::sample::*;
+use crate::fixture::*;
 
 fn name() -> impl Strategy<Value = String> {
     (0u8..4).prop_map(|number| format!("j{number}"))
@@ -66,7 +66,7 @@
 
 proptest! {
     #[test]
-    fn a_snapshot_and_the_rest_give_the_same_as_all(
+    fn a_snapshot_and_later_entries_give_the_same_state(
         entries in prop::collection::vec(entry(), 0..60),
         cut in 0usize..60,
     ) {
@@ -82,7 +82,7 @@
     }
 
     #[test]
-    fn entries_survive_their_binary_form(entry in entry()) {
+    fn entries_round_trip_through_bytes(entry in entry()) {
         let bytes = entry.serialize_bin();
         prop_assert_eq!(&Entry::deserialize_bin(&bytes).expect("whole"), &entry);
         for end in 0..bytes.len() {
@@ -93,7 +93,7 @@
     /// TWICE and LOST over any entries: what stood at a position stands there until the job is forgotten, each
     /// item stands at one, and the sum of what waits is right.
     #[test]
-    fn positions_hold_whatever_comes(entries in prop::collection::vec(entry(), 0..80)) {
+    fn positions_never_change(entries in prop::collection::vec(entry(), 0..80)) {
         let mut jobs = Jobs::new();
         for entry in entries {
             let before = jobs.clone();
@@ -114,7 +114,7 @@
     }
 
     #[test]
-    fn a_snapshot_that_is_cut_or_longer_is_refused(entries in prop::collection::vec(entry(), 0..20)) {
+    fn a_truncated_or_extended_snapshot_is_rejected(entries in prop::collection::vec(entry(), 0..20)) {
         let mut jobs = Jobs::new();
         apply_all(&mut jobs, &entries);
         let mut bytes = jobs.to_snapshot();
@@ -127,7 +127,7 @@
     }
 
     #[test]
-    fn a_snapshot_with_a_broken_byte_is_refused_or_another(
+    fn a_corrupt_snapshot_does_not_panic(
         entries in prop::collection::vec(entry(), 5..20),
         place in any::<prop::sample::Index>(),
         byte in any::<u8>(),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_snapshot_of_another_form_is_refused() {
+fn a_snapshot_of_another_version_is_rejected() {
     let mut bytes = Jobs::new().to_snapshot();
     bytes[0] += 1;
     assert!(matches!(Jobs::from_snapshot(&bytes), Err(SnapshotError::OtherVersion { .. })));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn progress_only_goes_on_where_it_stood() {
+fn progress_must_follow_the_last_event() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 1));
     let piece = |after, last, text: &str| {
@@ -168,7 +168,7 @@
 
 /// TWICE: a snapshot in which an item stands twice, or is neither open nor listed, is not taken.
 #[test]
-fn a_snapshot_that_contradicts_itself_is_refused() {
+fn an_inconsistent_snapshot_is_rejected() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 2));
     let mut open = jobs.to_snapshot();
--- a/crates/batch/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -4,8 +4,8 @@
 use grebeusher_time::DurationExt;
 use rstest::rstest;
 
+use crate::fixture::*;
 use crate::partition::Partition;
-use crate::sample::*;
 
 #[test]
 fn an_item_is_sent_as_it_was_submitted() {
@@ -48,7 +48,7 @@
 
 /// ORDER: a run that broke goes on after the last whole event.
 #[test]
-fn a_broken_run_goes_on_after_its_last_event() {
+fn a_broken_run_resumes_after_its_last_event() {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
@@ -72,7 +72,7 @@
 #[case(RunOutcome::NotExecuted)]
 #[case(RunOutcome::Misdirected)]
 #[case(RunOutcome::Failed500)]
-fn what_did_not_end_properly_is_not_complete(#[case] outcome: RunOutcome) {
+fn a_run_that_did_not_end_properly_is_not_complete(#[case] outcome: RunOutcome) {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
@@ -96,7 +96,7 @@
 
 /// All events had come when the stream broke: the next run only has to say that there are no more.
 #[test]
-fn a_run_that_has_nothing_more_to_say_completes_the_text() {
+fn a_resumed_run_without_events_completes_the_text() {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
@@ -114,7 +114,7 @@
 #[case::before(0)]
 #[case::gap(3)]
 #[case::far(u64::MAX)]
-fn an_event_that_does_not_follow_cuts_the_run_off(#[case] id: u64) {
+fn an_event_out_of_order_ends_the_run(#[case] id: u64) {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
@@ -129,7 +129,7 @@
 
 /// Executors that never go on where they should: the item begins anew from nothing.
 #[test]
-fn an_item_that_nobody_goes_on_with_begins_anew() {
+fn an_item_that_cannot_be_resumed_runs_from_the_start() {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_text_without_end_is_not_held() {
+fn a_text_beyond_the_limit_is_not_accepted() {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     let data = "x".repeat(1_000);
@@ -181,7 +181,7 @@
 #[case(RunOutcome::NotExecuted)]
 #[case(RunOutcome::Misdirected)]
 #[case(RunOutcome::Complete)]
-fn what_is_no_500_does_not_count(#[case] outcome: RunOutcome) {
+fn only_a_500_counts_as_a_failed_attempt(#[case] outcome: RunOutcome) {
     let mut partition = Partition::with_job("j", 1);
     for _ in 0..10 {
         partition.pass(2_500);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn no_attempts_allowed_still_is_one() {
+fn zero_allowed_attempts_count_as_one() {
     let mut partition = Partition::led();
     let settings = JobSettings { max_attempts: 0, ..settings() };
     partition.commit(Entry::Submit { submission: submission("j", 1), settings });
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_poisoned_item_is_given_up_at_once_and_alone() {
+fn a_rejected_item_is_given_up_at_once_and_alone() {
     let mut partition = Partition::with_job("j", 2);
     let order = partition.next();
     partition.end_run(&order, RunOutcome::Rejected422);
@@ -217,7 +217,7 @@
 
 /// MIXED: not before the retention, by the steady clock.
 #[test]
-fn what_is_past_its_retention_is_given_up() {
+fn items_past_their_retention_are_given_up() {
     let mut partition = Partition::with_job("j", 2);
     let order = partition.next();
     partition.pass(59_999);
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn the_items_of_a_route_that_is_gone_are_given_up() {
+fn the_items_of_a_removed_route_are_given_up() {
     let mut partition = Partition::with_job("j", 2);
     partition
         .commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), settings: settings() });
@@ -265,7 +265,7 @@
 
 /// UNASKED: nothing of a job runs once its end is applied.
 #[test]
-fn an_end_cuts_off_what_runs() {
+fn ending_a_job_cancels_its_runs() {
     let mut partition = Partition::with_job("j", 3);
     let (first, second) = (partition.next(), partition.next());
     partition.event(&first, 0, "a");
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn what_was_not_proposed_is_proposed_again() {
+fn results_that_were_not_proposed_are_proposed_again() {
     let mut partition = Partition::with_job("j", 2);
     let (done, failed) = (partition.next(), partition.next());
     partition.event(&done, 0, "text");
@@ -327,7 +327,7 @@
 
 /// Entries of an earlier term that come back are none of this one's.
 #[test]
-fn what_an_earlier_term_proposed_is_not_proposed_again() {
+fn proposals_of_an_earlier_term_are_not_repeated() {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "text");
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn the_time_before_a_job_was_taken_counts() {
+fn the_time_before_acceptance_counts() {
     let mut partition = Partition::led();
     let older = JobSettings { age_at_acceptance_ms: 3_000, completion_target_ms: 10_000, ..settings() };
     partition.commit(Entry::Submit { submission: submission("a", 1), settings: settings() });
@@ -397,7 +397,7 @@
 }
 
 #[test]
-fn items_that_were_listed_while_they_waited_are_out_of_line() {
+fn items_listed_while_waiting_do_not_run() {
     let mut partition = Partition::with_job("j", 3);
     partition.commit(complete("j", 0, "the predecessor's"));
     let order = partition.next();
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn who_is_first_in_line_is_told() {
+fn the_tokens_of_the_next_item_are_reported() {
     let mut partition = Partition::led();
     let loose = JobSettings { completion_target_ms: 50_000, ..settings() };
     partition.commit(Entry::Submit { submission: submission_on(ROUTE, "a", &[9_000]), settings: loose });
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn a_route_without_room_holds_no_other_up() {
+fn a_route_without_capacity_blocks_no_other() {
     let mut partition = Partition::with_job("j", 1);
     let settings = JobSettings { completion_target_ms: 50_000, ..settings() };
     partition.commit(Entry::Submit { submission: submission_on("r-other", "k", &[100]), settings });
@@ -442,7 +442,7 @@
 
 /// Pauses grow, differ and stay bounded.
 #[test]
-fn retries_pause_longer_each_time() {
+fn the_backoff_of_retries_grows() {
     let mut partition = Partition::led();
     let settings = JobSettings { max_attempts: u32::MAX, retention_ms: 0, ..settings() };
     partition.commit(Entry::Submit { submission: submission("j", 1), settings });
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn an_event_ends_the_growing_of_pauses() {
+fn an_event_resets_the_backoff() {
     let mut partition = Partition::with_job("j", 1);
     let mut pause_after = |data: Option<u64>| {
         let order = partition.next();
@@ -481,7 +481,7 @@
 }
 
 #[test]
-fn the_tokens_that_wait_to_run_are_told() {
+fn idle_tokens_are_counted() {
     let mut partition = Partition::with_job("j", 3);
     assert_eq!((partition.runner.idle_tokens(ROUTE), partition.runner.idle_tokens("r-other")), (300, 0));
     let order = partition.next();
@@ -500,7 +500,7 @@
 
 /// While anything is undecided there is a moment to look again, and none once all is decided.
 #[test]
-fn there_is_a_moment_to_look_again_while_anything_is_undecided() {
+fn there_is_a_next_wake_while_anything_is_unfinished() {
     let mut partition = Partition::with_job("j", 2);
     let (first, second) = (partition.next(), partition.next());
     let given_up = Some(at(61_000));
--- a/crates/batch/tests/batches/submission.rs
+++ b/crates/batch/tests/batches/submission.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::sample::*;
+use crate::fixture::*;
 
 fn head() -> SubmissionHead {
     SubmissionHead {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_proper_submission_is_read_whole() {
+fn a_valid_submission_is_read() {
     let body = r#"{"batch_items":[{"instance_id":"e5b2","path":"/lots/3/91c4?x=1","header_map":
         {"X-B":"2 3","Host":"other.example","X-A":"é","Content-Length":"0","Last-Event-Id":"4"},
         "payload":"q83vEjRWeJA=","token_count":940}, {"instance_id":"0","path":"/","header_map":{},
@@ -63,7 +63,7 @@
 #[case::blanks("540, 400", Tokens { prompt: 540, output: 400 })]
 #[case::not_divided("940", Tokens { prompt: 940, output: 0 })]
 #[case::unreadable("a,b", Tokens { prompt: 940, output: 0 })]
-fn tokens_are_divided_as_the_header_says(#[case] value: &str, #[case] tokens: Tokens) {
+fn tokens_are_divided_by_the_header(#[case] value: &str, #[case] tokens: Tokens) {
     let body = one_item("header_map", &format!(r#"{{"x-grebeusher-token-count":"{value}"}}"#));
     assert_eq!(read(&body).expect("a proper submission").items[0].tokens(), tokens);
 }
@@ -90,7 +90,7 @@
 #[case::parts_of_tokens("token_count", "1.5")]
 #[case::endless_tokens("token_count", "1e300")]
 #[case::tokens_as_text("token_count", r#""940""#)]
-fn what_an_item_may_not_be_is_refused(#[case] key: &str, #[case] value: &str) {
+fn invalid_items_are_rejected(#[case] key: &str, #[case] value: &str) {
     assert!(read(&one_item("none", "")).is_ok(), "the rest is proper");
     assert!(read(&one_item(key, value)).is_err());
 }
@@ -103,12 +103,12 @@
 #[case::item_is_a_list(r#"{"batch_items":[[]]}"#)]
 #[case::cut_off(r#"{"batch_items":["#)]
 #[case::more_after_it(r#"{"batch_items":[]} {}"#)]
-fn what_a_submission_may_not_be_is_refused(#[case] body: &str) {
+fn invalid_submissions_are_rejected(#[case] body: &str) {
     assert!(read(body).is_err());
 }
 
 #[test]
-fn values_in_values_without_end_are_refused_and_do_no_harm() {
+fn deeply_nested_values_are_rejected() {
     let body = "[".repeat(1 << 20);
     assert!(matches!(read(&body), Err(SubmissionError::TooDeep)));
     let in_a_string = one_item("payload", &format!(r#""{}""#, "[".repeat(100)));
@@ -139,19 +139,19 @@
 }
 
 #[test]
-fn two_hundred_items_are_taken_and_no_more() {
+fn the_number_of_items_is_bounded() {
     assert_eq!(read(&items(200, |place| place)).expect("a proper submission").items.len(), 200);
     assert!(matches!(read(&items(201, |place| place)), Err(SubmissionError::TooManyItems { count: 201 })));
     assert!(read(&items(0, |place| place)).expect("nothing to do is proper").items.is_empty());
 }
 
 #[test]
-fn an_item_that_is_there_twice_is_refused() {
+fn duplicate_items_are_rejected() {
     assert!(matches!(read(&items(3, |place| place % 2)), Err(SubmissionError::ItemTwice { item: 2 })));
 }
 
 #[test]
-fn bytes_that_are_no_text_or_too_many_are_refused() {
+fn bodies_that_are_not_text_or_too_large_are_rejected() {
     assert!(matches!(read_submission(head(), b"\xff"), Err(SubmissionError::NotText { .. })));
     assert!(matches!(read_submission(head(), &vec![b' '; 5 << 20]), Err(SubmissionError::TooLarge { .. })));
 }
@@ -162,25 +162,25 @@
 #[case("a\n")]
 #[case("é")]
 #[case(&"a".repeat(129))]
-fn what_can_not_stand_in_a_path_or_header_is_no_name(#[case] name: &str) {
+fn names_are_valid_in_paths_and_headers(#[case] name: &str) {
     assert_eq!(JobId::new(name), None);
 }
 
 #[test]
-fn a_submission_with_an_item_twice_is_not_read_from_the_log() {
+fn duplicate_items_in_the_log_are_rejected() {
     let mut submission = submission("j", 2);
     submission.items[1] = submission.items[0].clone();
     assert!(Submission::deserialize_bin(&submission.serialize_bin()).is_err());
 }
 
 #[test]
-fn more_items_than_a_job_may_have_are_not_read_from_the_log() {
+fn too_many_items_in_the_log_are_rejected() {
     assert!(Submission::deserialize_bin(&submission("j", 200).serialize_bin()).is_ok());
     assert!(Submission::deserialize_bin(&submission("j", 201).serialize_bin()).is_err());
 }
 
 #[test]
-fn a_number_that_is_too_large_is_refused() {
+fn a_number_that_overflows_is_rejected() {
     let mut submission = submission("j", 1);
     submission.items[0].token_count = u64::MAX;
     let mut bytes = submission.serialize_bin();
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn the_binary_form_is_little_more_than_its_contents() {
+fn the_encoding_adds_little_to_its_contents() {
     let submission = submission("j", 40);
     let contents: usize = submission
         .items
@@ -204,12 +204,12 @@
 proptest! {
     /// Whatever comes is refused or read, and what is read survives its binary form.
     #[test]
-    fn anything_is_refused_or_read(body in r#"[\[\]{}":,a-z0-9\\ ]{0,60}"#) {
+    fn any_body_is_rejected_or_read(body in r#"[\[\]{}":,a-z0-9\\ ]{0,60}"#) {
         let _ = read(&body);
     }
 
     #[test]
-    fn what_is_read_survives_its_binary_form(
+    fn a_submission_round_trips_through_bytes(
         bodies in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..8),
         tokens in any::<u64>(),
     ) {
@@ -227,7 +227,7 @@
 
     /// Lengths that lie set nothing aside and end in an error, not in a panic.
     #[test]
-    fn broken_bytes_are_no_entry_or_another(place in 0usize..400, byte in any::<u8>()) {
+    fn corrupt_bytes_do_not_panic(place in 0usize..400, byte in any::<u8>()) {
         let mut bytes = submit("j", 3).serialize_bin();
         let place = place % bytes.len();
         bytes[place] = byte;
@@ -235,7 +235,7 @@
     }
 
     #[test]
-    fn noise_is_no_entry_or_another(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn random_bytes_are_no_entry_or_a_valid_one(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = Entry::deserialize_bin(&bytes);
         let _ = Jobs::from_snapshot(&bytes);
     }
--- a/crates/batch/tests/fair_share.rs
+++ b/crates/batch/tests/fair_share.rs
@@ -10,47 +10,47 @@
     PartitionLoad { running, waiting }
 }
 
-fn beside(others: &[(u8, PartitionLoad)]) -> FairShare {
+fn with_reports(others: &[(u8, PartitionLoad)]) -> FairShare {
     let mut shares = FairShare::default();
     others.iter().for_each(|(partition, load)| shares.observe(NOW, *partition, *load));
     shares
 }
 
 #[test]
-fn a_partition_takes_all_room_while_nothing_else_waits() {
+fn a_partition_takes_all_capacity_while_no_other_waits() {
     // Given other partitions whose items all run, when a partition has many runs, then it may begin more.
-    let shares = beside(&[(2, load(100, 0)), (3, load(100, 0))]);
+    let shares = with_reports(&[(2, load(100, 0)), (3, load(100, 0))]);
     assert!(shares.may_start(NOW, 1, load(800, 400)));
     assert!(FairShare::default().may_start(NOW, 1, load(800, 400)));
 }
 
 #[test]
-fn a_partition_with_few_items_left_leaves_room_to_one_with_a_long_queue() {
+fn a_partition_with_a_short_queue_yields_to_one_with_a_long_queue() {
     // Given a partition with 61 runs and 700 items that wait, when another one has 415 runs and few items left,
-    let shares = beside(&[(2, load(61, 700))]);
+    let shares = with_reports(&[(2, load(61, 700))]);
     // then that one begins none until its share is its own, and the first begins at once.
     assert!(!shares.may_start(NOW, 3, load(415, 60)));
-    assert!(beside(&[(3, load(415, 60))]).may_start(NOW, 2, load(61, 700)));
+    assert!(with_reports(&[(3, load(415, 60))]).may_start(NOW, 2, load(61, 700)));
 }
 
 #[rstest]
 #[case::from_nothing(0)]
 #[case::when_busy(200)]
-fn partitions_alike_grow_together_into_new_room(#[case] running: u32) {
+fn equal_partitions_grow_into_new_capacity(#[case] running: u32) {
     // Given three partitions alike, when there is room, then each may begin more beside the others.
     let alike = load(running, 500);
-    assert!(beside(&[(2, alike), (3, alike)]).may_start(NOW, 1, alike));
+    assert!(with_reports(&[(2, alike), (3, alike)]).may_start(NOW, 1, alike));
 }
 
 #[test]
-fn what_a_leader_told_long_ago_holds_nobody_back() {
+fn an_expired_report_has_no_effect() {
     // Given a leader that told of a long queue and was heard of no more, when others go on, then they take its room.
-    let shares = beside(&[(2, load(61, 700))]);
+    let shares = with_reports(&[(2, load(61, 700))]);
     assert!(shares.may_start(NOW + Duration::from_millis(1000), 3, load(415, 60)));
 }
 
 #[test]
-fn a_partition_is_not_held_back_by_what_it_told_itself() {
-    let shares = beside(&[(1, load(10, 900))]);
+fn a_partition_ignores_its_own_report() {
+    let shares = with_reports(&[(1, load(10, 900))]);
     assert!(shares.may_start(NOW, 1, load(400, 900)));
 }
