--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 use crate::service::ServiceSettings;
 use crate::service_table::ServiceTable;
 use crate::slot_map::SlotMap;
-use grebeusher_prefix_popularity::Popularity;
+use grebeusher_prefix_popularity::PopularityEstimator;
 use grebeusher_time::Instant;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -37,7 +37,7 @@
     pub(crate) decisions: DecisionCounters,
     pub(crate) prefix_demand: PrefixDemand,
     /// The tier's shared estimate of prefix popularity, where it is in use.
-    pub(crate) popularity: Option<Popularity>,
+    pub(crate) popularity: Option<PopularityEstimator>,
     pub(crate) prefix_labels: PrefixLabels,
     /// Reused between decisions, to save allocations.
     pub(crate) candidate_buffer: Vec<Candidate>,
--- a/crates/gateway/src/popular_prefixes.rs
+++ b/crates/gateway/src/popular_prefixes.rs
@@ -4,7 +4,7 @@
 use crate::gateway::Gateway;
 use crate::prefix_labels::PrefixLabel;
 use crate::request::Request;
-use grebeusher_prefix_popularity::{Identity, Popular, Popularity, Settings};
+use grebeusher_prefix_popularity::{Contributor, PopularPrefix, PopularityEstimator, Settings};
 use grebeusher_sizing::rendezvous;
 use grebeusher_time::Instant;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PopularPrefixView {
     /// Its key and demand.
-    pub popular: Popular,
+    pub popular: PopularPrefix,
     /// Its service. `None` where this node has not seen the prefix.
     pub service: Option<Arc<str>>,
     /// Its tokens; 0 where this node has not seen it.
@@ -25,19 +25,19 @@
 impl Gateway {
     /// From now on this node shares the estimate of prefix popularity with the other nodes, if the configuration
     /// says so.
-    pub fn share_prefixes(&mut self, now: Instant, own: Identity, settings: Settings) {
+    pub fn share_prefixes(&mut self, now: Instant, own: Contributor, settings: Settings) {
         if self.config.share_prefix_popularity {
-            self.popularity = Some(Popularity::new(settings, own, now));
+            self.popularity = Some(PopularityEstimator::new(settings, own, now));
         }
     }
 
     /// The shared estimate, where the configuration has one.
-    pub fn popularity_mut(&mut self) -> Option<&mut Popularity> {
+    pub fn popularity_mut(&mut self) -> Option<&mut PopularityEstimator> {
         self.popularity.as_mut()
     }
 
     /// As [`Gateway::popularity_mut`], to read it.
-    pub fn popularity(&self) -> Option<&Popularity> {
+    pub fn popularity(&self) -> Option<&PopularityEstimator> {
         self.popularity.as_ref()
     }
 
@@ -57,7 +57,7 @@
         if request.is_batch || !request.excluded.is_empty() {
             return;
         }
-        popularity.saw(now, key, own_tokens);
+        popularity.record(now, key, own_tokens);
         let label = PrefixLabel { service: request.service, prefix, tokens: request.shared_tokens(), size };
         self.prefix_labels.insert(key, label, popularity);
     }
@@ -68,7 +68,7 @@
         popularity.popular(limit).into_iter().map(|popular| self.popular_view(popular)).collect()
     }
 
-    fn popular_view(&self, popular: Popular) -> PopularPrefixView {
+    fn popular_view(&self, popular: PopularPrefix) -> PopularPrefixView {
         let unknown = PopularPrefixView { popular, service: None, tokens: 0, homes: Vec::new() };
         let Some(label) = self.prefix_labels.get(popular.key) else { return unknown };
         let Some(service) = self.services.get(label.service) else { return unknown };
--- a/crates/gateway/src/prefix_labels.rs
+++ b/crates/gateway/src/prefix_labels.rs
@@ -1,7 +1,7 @@
 //! What this node saw of prefixes lately, so that operators see more of one than its key.
 
 use crate::ids::ServiceId;
-use grebeusher_prefix_popularity::{Popularity, PrefixKey};
+use grebeusher_prefix_popularity::{PopularityEstimator, PrefixKey};
 use rustc_hash::FxHashMap;
 
 /// Labels at once.
@@ -29,7 +29,7 @@
     }
 
     /// Sets a label. Those of prefixes without demand make space for it.
-    pub fn insert(&mut self, key: PrefixKey, label: PrefixLabel, popularity: &Popularity) {
+    pub fn insert(&mut self, key: PrefixKey, label: PrefixLabel, popularity: &PopularityEstimator) {
         if self.0.len() >= MAX_LABELS && !self.0.contains_key(&key) {
             self.0.retain(|key, _| popularity.tokens_per_s(*key) > 0.0);
             if self.0.len() >= MAX_LABELS {
--- a/crates/gateway/tests/prefix_sharing.rs
+++ b/crates/gateway/tests/prefix_sharing.rs
@@ -5,7 +5,7 @@
     ModelKey, PromptSegments, Request, RetryClass, RoutingDecision, ServiceId, ServiceSettings, TokenCount,
     ZoneKey,
 };
-use grebeusher_prefix_popularity::{Contribution, Identity, Settings};
+use grebeusher_prefix_popularity::{Contribution, Contributor, Settings};
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -47,7 +47,7 @@
             let settings = ServiceSettings { max_connections: 10_000, kv_capacity_tokens: 400_000 };
             service = Some(gateway.set_service("s", settings));
             gateway.set_nodes(nodes as u32);
-            let own = Identity { origin: number as u64 + 1, incarnation: 1 };
+            let own = Contributor { origin: number as u64 + 1, incarnation: 1 };
             gateway.share_prefixes(START, own, Settings::default());
             gateway.popularity_mut().expect("it is shared").set_nodes(nodes);
             for number in 0..executors {
@@ -282,7 +282,7 @@
     );
     let settings = ServiceSettings { max_connections: 10_000, kv_capacity_tokens: 400_000 };
     alone.service = alone.nodes[0].set_service("s", settings);
-    alone.nodes[0].share_prefixes(START, Identity { origin: 1, incarnation: 1 }, Settings::default());
+    alone.nodes[0].share_prefixes(START, Contributor { origin: 1, incarnation: 1 }, Settings::default());
     assert!(alone.nodes[0].popularity().is_none());
     for number in 0..8 {
         alone.nodes[0].upsert(&executor(&format!("i-{number:02}")));
--- a/crates/prefix-popularity/src/contribution.rs
+++ b/crates/prefix-popularity/src/contribution.rs
@@ -1,82 +1,86 @@
-//! The register by which a node tells the others what its requests ask for.
+//! What a node reports of its own requests to the other nodes, and its bytes on the wire.
 
 use crate::error::{DecodeError, MalformedSnafu, OrderSnafu, TooLongSnafu};
 use crate::key::PrefixKey;
 use nanoserde::{DeBin, SerBin};
 use snafu::ensure;
 
-/// The most prefixes in a register.
-pub const MAX_SHARES: usize = 16;
-/// The longest register in its binary form: its head and its shares.
-pub const MAX_CONTRIBUTION: usize = HEAD_BYTES + MAX_SHARES * SHARE_BYTES;
-/// Origin, incarnation, sequence, and the number of shares.
-pub(crate) const HEAD_BYTES: usize = 8 + 8 + 4 + 8;
+/// The most prefixes in a contribution.
+pub const MAX_REPORTED_PREFIXES: usize = 16;
+/// The most bytes of an encoded contribution: its head and its rates.
+pub const MAX_CONTRIBUTION_BYTES: usize = HEAD_BYTES + MAX_REPORTED_PREFIXES * RATE_BYTES;
+/// The number of rates, as eight bytes at the end of the head.
+const COUNT_BYTES: usize = 8;
+/// Origin, incarnation, sequence, and the number of rates.
+pub(crate) const HEAD_BYTES: usize = 8 + 8 + 4 + COUNT_BYTES;
 /// Key and rate.
-pub(crate) const SHARE_BYTES: usize = 4 + 2;
-/// Tokens a second in one step of a rate.
-const STEP: f64 = 8.0;
+pub(crate) const RATE_BYTES: usize = 4 + 2;
+/// Tokens a second in one step of an encoded rate.
+const TOKENS_PER_S_STEP: f64 = 8.0;
 
-/// One prefix in a register.
+/// The rate of one prefix as it is sent and stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
-pub struct Share {
+pub struct PrefixRate {
     /// The prefix.
     pub key: PrefixKey,
-    /// Tokens a second, in steps of eight; what is more than fits counts as the most that does.
+    /// Tokens a second, in steps of eight, saturating.
     steps: u16,
 }
 
-impl Share {
-    /// A share of this rate.
-    pub fn of(key: PrefixKey, tokens_per_s: f64) -> Share {
-        // From a float it saturates, and not a number is 0.
-        Share { key, steps: (tokens_per_s / STEP).round() as u16 }
+impl PrefixRate {
+    /// The rate of a prefix, rounded to a step.
+    pub fn of(key: PrefixKey, tokens_per_s: f64) -> PrefixRate {
+        // The cast saturates, and makes 0 of a NaN.
+        PrefixRate { key, steps: (tokens_per_s / TOKENS_PER_S_STEP).round() as u16 }
     }
 
-    /// Its rate.
+    /// The rate in tokens a second.
     pub fn tokens_per_s(self) -> f64 {
-        f64::from(self.steps) * STEP
+        f64::from(self.steps) * TOKENS_PER_S_STEP
     }
 }
 
-/// What one node tells of its own requests; the newest takes the place of all before.
+/// The heaviest prefixes of one node's own requests: a last-writer-wins register with its origin as the only writer.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Contribution {
     /// The node, the only one that writes it.
     pub origin: u64,
-    /// Its life.
+    /// The incarnation of the node.
     pub incarnation: u64,
-    /// Rises with each register of that life.
+    /// Increases with each contribution of that incarnation.
     pub sequence: u32,
-    /// Its heaviest prefixes, in the order of their keys.
-    pub shares: Vec<Share>,
+    /// The node's heaviest prefixes, in the order of their keys.
+    pub rates: Vec<PrefixRate>,
 }
 
 impl Contribution {
-    /// Of two registers of one origin the greater is the newer.
-    pub(crate) fn order(&self) -> (u64, u32) {
+    /// Of two contributions of one origin the greater is the newer.
+    pub(crate) fn version(&self) -> (u64, u32) {
         (self.incarnation, self.sequence)
     }
 
-    /// The binary form.
+    /// The bytes for the wire.
     pub fn encode(&self) -> Vec<u8> {
         self.serialize_bin()
     }
 
-    /// Reads a whole register.
+    /// Reads a complete contribution.
     ///
     /// # Errors
-    /// Says what is wrong with bytes that are none.
+    /// When the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Result<Contribution, DecodeError> {
-        let (length, largest) = (bytes.len(), MAX_CONTRIBUTION);
-        ensure!(length <= largest, TooLongSnafu { length, largest });
-        // The length is checked against the number of shares before room is made for them.
-        let told = length.checked_sub(HEAD_BYTES).map(|shares| shares / SHARE_BYTES);
-        let number = bytes.get(HEAD_BYTES - 8..HEAD_BYTES).and_then(|field| field.try_into().ok());
-        let number = number.map(u64::from_le_bytes).and_then(|number| usize::try_from(number).ok());
-        ensure!(number.is_some() && number == told, MalformedSnafu);
-        let Ok(read) = <Contribution as DeBin>::deserialize_bin(bytes) else { return MalformedSnafu.fail() };
-        ensure!(length == HEAD_BYTES + read.shares.len() * SHARE_BYTES, MalformedSnafu);
-        ensure!(read.shares.is_sorted_by(|a, b| a.key < b.key), OrderSnafu);
-        Ok(read)
+        let (length, max_length) = (bytes.len(), MAX_CONTRIBUTION_BYTES);
+        ensure!(length <= max_length, TooLongSnafu { length, max_length });
+        // The length is checked against the stated number of rates before anything is allocated for them.
+        let possible = length.checked_sub(HEAD_BYTES).map(|rates| rates / RATE_BYTES);
+        let stated = bytes.get(HEAD_BYTES - COUNT_BYTES..HEAD_BYTES).and_then(|field| field.try_into().ok());
+        let stated = stated.map(u64::from_le_bytes).and_then(|count| usize::try_from(count).ok());
+        ensure!(stated.is_some() && stated == possible, MalformedSnafu);
+        let Ok(contribution) = <Contribution as DeBin>::deserialize_bin(bytes) else {
+            return MalformedSnafu.fail();
+        };
+        ensure!(length == HEAD_BYTES + contribution.rates.len() * RATE_BYTES, MalformedSnafu);
+        ensure!(contribution.rates.is_sorted_by(|a, b| a.key < b.key), OrderSnafu);
+        Ok(contribution)
     }
 }
--- a/crates/prefix-popularity/src/error.rs
+++ b/crates/prefix-popularity/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with settings and with bytes from outside.
+//! Errors of settings and of bytes from outside.
 
 use snafu::Snafu;
 
@@ -8,28 +8,28 @@
 pub struct SettingsError {
     /// The field of [`crate::Settings`].
     pub setting: &'static str,
-    /// What it is.
+    /// Its value.
     pub value: f64,
-    /// What it may be.
+    /// Its range, in words.
     pub expected: &'static str,
 }
 
-/// Bytes are no register or no snapshot.
+/// The bytes are not a contribution or a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DecodeError {
-    /// There are more of them than there may be.
-    #[snafu(display("{length} bytes, {largest} at most"))]
+    /// There are more bytes than allowed.
+    #[snafu(display("{length} bytes, {max_length} at most"))]
     TooLong {
-        /// How many there are.
+        /// The number of bytes.
         length: usize,
-        /// How many there may be.
-        largest: usize,
+        /// The most bytes allowed.
+        max_length: usize,
     },
-    /// They end early, go on after the end, or are of another kind.
+    /// The bytes end early, continue after the end, or are of another kind.
     #[snafu(display("malformed"))]
     Malformed,
-    /// Keys are not in order, each once.
+    /// The keys are not in ascending order, or one is there twice.
     #[snafu(display("keys out of order"))]
     Order,
 }
--- a/crates/prefix-popularity/tests/stories/sharing.rs
+++ b/crates/prefix-popularity/tests/fleet/sharing.rs
@@ -1,7 +1,9 @@
-//! The nodes have one sense of what is popular, whatever the network does to their registers.
+//! The nodes agree on what is popular, whatever the network does to their contributions.
 
-use crate::fleet::{Fleet, Network, assert_near, key};
-use grebeusher_prefix_popularity::{Contribution, MAX_CONTRIBUTION, Merge, Popularity, Settings};
+use crate::virtual_fleet::{Fleet, Network, assert_near, key};
+use grebeusher_prefix_popularity::{
+    Contribution, MAX_CONTRIBUTION_BYTES, MergeOutcome, PopularityEstimator, Settings,
+};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rstest::rstest;
 
@@ -13,9 +15,9 @@
 }
 
 #[rstest]
-#[case::a_quiet_network(Network::default())]
-#[case::all_comes_twice(Network { doubles: true, disorder: false })]
-#[case::in_any_order(Network { doubles: true, disorder: true })]
+#[case::a_perfect_network(Network::default())]
+#[case::duplicated_messages(Network { duplicates: true, reorders: false })]
+#[case::reordered_messages(Network { duplicates: true, reorders: true })]
 fn each_request_counts_once_at_every_node(#[case] network: Network) {
     // Given twenty nodes that each see the same prefix
     let mut fleet = Fleet::new(20, Settings::default(), network);
@@ -28,12 +30,12 @@
 }
 
 #[test]
-fn nobody_counts_twice_after_a_cut_heals() {
+fn nothing_counts_twice_after_a_network_partition() {
     // Given a fleet that knows the rate
-    let mut fleet = Fleet::new(20, Settings::default(), Network { doubles: true, disorder: true });
+    let mut fleet = Fleet::new(20, Settings::default(), Network { duplicates: true, reorders: true });
     fleet.run(MINUTE, even);
     // When it is cut for two minutes
-    fleet.cut(5);
+    fleet.partition(5);
     fleet.run(MINUTE.scaled(2.0), even);
     // Then each side soon counts only itself
     assert_near(&fleet.rates(key(1))[..5], 10_000.0, 0.1);
@@ -45,9 +47,9 @@
 }
 
 #[test]
-fn a_new_life_takes_the_place_of_the_old_one() {
+fn a_new_incarnation_replaces_the_old_one() {
     // Given a fleet that knows the rate
-    let mut fleet = Fleet::new(10, Settings::default(), Network { doubles: true, disorder: true });
+    let mut fleet = Fleet::new(10, Settings::default(), Network { duplicates: true, reorders: true });
     fleet.run(MINUTE, even);
     // When all nodes are restarted one after the other, without a disk
     for index in 0..10 {
@@ -63,7 +65,7 @@
 }
 
 #[test]
-fn what_a_node_told_that_is_gone_fades() {
+fn the_contribution_of_a_dead_node_decays() {
     // Given four nodes
     let mut fleet = Fleet::new(4, Settings::default(), Network::default());
     fleet.run(MINUTE, even);
@@ -75,11 +77,11 @@
     // And no longer after some minutes, nor does its register take memory
     fleet.run(MINUTE.scaled(3.0), even);
     assert_near(&fleet.rates(key(1))[..3], 6_000.0, 0.05);
-    assert_eq!(fleet.nodes[0].sizes().1, 2);
+    assert_eq!(fleet.nodes[0].sizes().contributors, 2);
 }
 
 #[test]
-fn a_newcomer_has_the_sense_of_its_peers_within_seconds() {
+fn a_new_node_knows_the_rates_within_seconds() {
     // Given a fleet of the large sites' size
     let mut fleet = Fleet::new(78, Settings::default(), Network::default());
     fleet.run(MINUTE, even);
@@ -91,62 +93,68 @@
 }
 
 #[test]
-fn old_and_repeated_registers_change_nothing() {
+fn old_and_repeated_contributions_are_ignored() {
     // Given a node that holds the second register of another one's second life
-    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Instant(0));
-    let of = |incarnation, sequence| Contribution { origin: 9, incarnation, sequence, shares: Vec::new() };
-    assert_eq!(node.merge(Instant(0), of(2, 2)), Merge::News);
+    let mut node =
+        PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
+    let of = |incarnation, sequence| Contribution { origin: 9, incarnation, sequence, rates: Vec::new() };
+    assert_eq!(node.merge(Instant(0), of(2, 2)), MergeOutcome::Merged);
     // When the same, an earlier one, or one of an earlier life comes
     for old in [of(2, 2), of(2, 1), of(1, 900)] {
         // Then it is not news, and so not passed on
-        assert_eq!(node.merge(Instant(0), old), Merge::Known);
+        assert_eq!(node.merge(Instant(0), old), MergeOutcome::Ignored);
     }
     // And a later one, or one of a later life, is
-    assert_eq!(node.merge(Instant(0), of(2, 3)), Merge::News);
-    assert_eq!(node.merge(Instant(0), of(3, 1)), Merge::News);
+    assert_eq!(node.merge(Instant(0), of(2, 3)), MergeOutcome::Merged);
+    assert_eq!(node.merge(Instant(0), of(3, 1)), MergeOutcome::Merged);
 }
 
 #[test]
-fn its_own_register_that_comes_back_is_no_news() {
+fn an_own_contribution_that_returns_is_ignored() {
     // Given a node whose register another doubled back to it
-    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Instant(0));
-    let own = Contribution { origin: 1_000, incarnation: 7, sequence: 7, shares: Vec::new() };
+    let mut node =
+        PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
+    let own = Contribution { origin: 1_000, incarnation: 7, sequence: 7, rates: Vec::new() };
     // Then it counts nothing of it, even if it names a life that is not there
-    assert_eq!(node.merge(Instant(0), own), Merge::Known);
-    assert_eq!(node.sizes().1, 0);
+    assert_eq!(node.merge(Instant(0), own), MergeOutcome::Ignored);
+    assert_eq!(node.sizes().contributors, 0);
 }
 
 #[rstest]
 #[case(14)]
 #[case(78)]
 #[case(360)]
-fn bytes_a_second_stay_in_their_share(#[case] count: usize) {
+fn traffic_stays_within_its_limit(#[case] count: usize) {
     // Given a tier whose nodes each have more prefixes than they tell
     let settings = Settings::default();
     let mut fleet = Fleet::new(count, settings, Network::default());
-    let asks = |index: usize| (0..30).map(|number| (key(number), 100 + index as u32)).collect();
-    fleet.run(Duration::from_millis(30_000), asks);
+    let requests = |index: usize| (0..30).map(|number| (key(number), 100 + index as u32)).collect();
+    fleet.run(Duration::from_millis(30_000), requests);
     // When it runs on
     fleet.sent_bytes = 0;
-    let four_periods = fleet.nodes[0].period().scaled(4.0);
-    fleet.run(four_periods, asks);
+    let four_periods = fleet.nodes[0].report_interval().scaled(4.0);
+    fleet.run(four_periods, requests);
     // Then registers take no more than their share of each link, in and out, frames included
-    let registers = fleet.sent_bytes as f64 / (28.0 + settings.told as f64 * 6.0);
+    let registers = fleet.sent_bytes as f64 / (28.0 + settings.reported_prefixes as f64 * 6.0);
     let per_node = (fleet.sent_bytes as f64 + registers * 16.0) * 2.0 / count as f64 / four_periods.seconds();
-    println!("{count} nodes: {per_node:.0} bytes a second, a register every {:?}", fleet.nodes[0].period());
-    assert!(per_node <= settings.bytes_per_s * 1.1, "{per_node}");
-    assert!(fleet.nodes[0].period() <= Duration::from_millis(30_000));
+    println!(
+        "{count} nodes: {per_node:.0} bytes a second, a register every {:?}",
+        fleet.nodes[0].report_interval()
+    );
+    assert!(per_node <= settings.max_bytes_per_s * 1.1, "{per_node}");
+    assert!(fleet.nodes[0].report_interval() <= Duration::from_millis(30_000));
 }
 
 #[test]
-fn a_register_of_any_length_is_read_or_refused() {
+fn a_contribution_of_any_length_is_read_or_rejected() {
     // Given a register
-    let mut node = Popularity::new(Settings::default(), crate::fleet::identity(0, 1), Instant(0));
-    (0..40).for_each(|number| node.saw(Instant(0), key(number), 1_000));
-    let told = node.tick(Instant(0) + Duration::from_millis(4_000)).expect("it is due");
-    let bytes = told.encode();
-    assert_eq!(Contribution::decode(&bytes).as_ref(), Ok(&told));
-    assert!(bytes.len() <= MAX_CONTRIBUTION);
+    let mut node =
+        PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
+    (0..40).for_each(|number| node.record(Instant(0), key(number), 1_000));
+    let contribution = node.tick(Instant(0) + Duration::from_millis(4_000)).expect("it is due");
+    let bytes = contribution.encode();
+    assert_eq!(Contribution::decode(&bytes).as_ref(), Ok(&contribution));
+    assert!(bytes.len() <= MAX_CONTRIBUTION_BYTES);
     // Then whatever is cut off, added or changed never panics, and no other length passes
     for length in 0..bytes.len() {
         assert!(Contribution::decode(&bytes[..length]).is_err(), "{length}");
--- a/crates/prefix-popularity/tests/stable_bytes.rs
+++ b/crates/prefix-popularity/tests/stable_bytes.rs
@@ -1,8 +1,9 @@
-//! Bytes written by earlier versions that this one must read and write unchanged: the registers that nodes tell each other,
+//! Bytes written by earlier versions that this one must read and write unchanged: the contributions that nodes send each other,
 //! the snapshot on the disk, and the keys in both.
 
 use grebeusher_prefix_popularity::{
-    Contribution, Identity, MAX_CONTRIBUTION, MAX_MEMORY, Popularity, PrefixKey, Settings, Share,
+    Contribution, Contributor, MAX_CONTRIBUTION_BYTES, MAX_SNAPSHOT_BYTES, PopularityEstimator, PrefixKey,
+    PrefixRate, Settings,
 };
 use grebeusher_time::Instant;
 use rstest::rstest;
@@ -20,14 +21,14 @@
     pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal")).collect()
 }
 
-fn node(origin: u64) -> Popularity {
-    let identity = Identity { origin, incarnation: 0x0000_0190_1122_3344 };
-    Popularity::new(Settings::default(), identity, Instant(0))
+fn node(origin: u64) -> PopularityEstimator {
+    let identity = Contributor { origin, incarnation: 0x0000_0190_1122_3344 };
+    PopularityEstimator::new(Settings::default(), identity, Instant(0))
 }
 
 #[rstest]
 #[case::of_nothing(
-    Contribution { origin: 1, incarnation: 2, sequence: 3, shares: Vec::new() },
+    Contribution { origin: 1, incarnation: 2, sequence: 3, rates: Vec::new() },
     "01000000000000000200000000000000030000000000000000000000"
 )]
 #[case::of_some_prefixes(
@@ -35,10 +36,10 @@
         origin: 0x0102_0304_0506_0708,
         incarnation: 0x0000_0190_1122_3344,
         sequence: 0x0a0b_0c0d,
-        shares: vec![
-            Share::of(PrefixKey(0x0000_0011), 8.0),
-            Share::of(PrefixKey(0x1122_3344), 20_000.0),
-            Share::of(PrefixKey(0xffee_ddcc), 1e9),
+        rates: vec![
+            PrefixRate::of(PrefixKey(0x0000_0011), 8.0),
+            PrefixRate::of(PrefixKey(0x1122_3344), 20_000.0),
+            PrefixRate::of(PrefixKey(0xffee_ddcc), 1e9),
         ],
     },
     "080706050403020144332211900100000d0c0b0a030000000000000011000000010044332211c409ccddeeffffff"
@@ -53,9 +54,9 @@
     let pinned =
         "080706050403020144332211900100000d0c0b0a030000000000000011000000010044332211c409ccddeeffffff";
     let read = Contribution::decode(&bytes(pinned)).expect("a register");
-    let shares: Vec<_> = read.shares.iter().map(|share| (share.key, share.tokens_per_s())).collect();
+    let rates: Vec<_> = read.rates.iter().map(|rate| (rate.key, rate.tokens_per_s())).collect();
     assert_eq!(
-        shares,
+        rates,
         [
             (PrefixKey(0x0000_0011), 8.0),
             (PrefixKey(0x1122_3344), 20_000.0),
@@ -68,36 +69,36 @@
 fn a_snapshot_keeps_its_bytes() {
     let pinned = "0300000000000000110000000a0044332211c409ccddeefff401";
     // Given a node that was told of some prefixes by another,
-    let mut told = node(1);
-    told.merge(
+    let mut writer = node(1);
+    writer.merge(
         Instant(0),
         Contribution {
             origin: 2,
             incarnation: 1,
             sequence: 1,
-            shares: vec![
-                Share::of(PrefixKey(0x0000_0011), 80.0),
-                Share::of(PrefixKey(0x1122_3344), 20_000.0),
-                Share::of(PrefixKey(0xffee_ddcc), 4_000.0),
+            rates: vec![
+                PrefixRate::of(PrefixKey(0x0000_0011), 80.0),
+                PrefixRate::of(PrefixKey(0x1122_3344), 20_000.0),
+                PrefixRate::of(PrefixKey(0xffee_ddcc), 4_000.0),
             ],
         },
     );
-    told.tick(Instant(0));
+    writer.tick(Instant(0));
     // then what it remembers is what earlier versions wrote,
-    assert_eq!(hex(&told.remember()), pinned);
+    assert_eq!(hex(&writer.snapshot()), pinned);
     // and a later process reads it as the same rates and writes it as it was.
     let mut later = node(1);
-    assert_eq!(later.recall(Instant(0), &bytes(pinned)), Ok(3));
+    assert_eq!(later.restore(Instant(0), &bytes(pinned)), Ok(3));
     let rate = |key| later.tokens_per_s(PrefixKey(key));
     assert_eq!([rate(0x0000_0011), rate(0x1122_3344), rate(0xffee_ddcc)], [80.0, 20_000.0, 4_000.0]);
-    assert_eq!(hex(&later.remember()), pinned);
+    assert_eq!(hex(&later.snapshot()), pinned);
 }
 
 #[test]
 fn a_snapshot_of_nothing_keeps_its_bytes() {
     let pinned = "0000000000000000";
-    assert_eq!(hex(&node(1).remember()), pinned);
-    assert_eq!(node(1).recall(Instant(0), &bytes(pinned)), Ok(0));
+    assert_eq!(hex(&node(1).snapshot()), pinned);
+    assert_eq!(node(1).restore(Instant(0), &bytes(pinned)), Ok(0));
 }
 
 #[rstest]
@@ -110,6 +111,6 @@
 
 #[test]
 fn the_largest_registers_and_snapshots_keep_their_sizes() {
-    assert_eq!(MAX_CONTRIBUTION, 124);
-    assert_eq!(MAX_MEMORY, 1_544);
+    assert_eq!(MAX_CONTRIBUTION_BYTES, 124);
+    assert_eq!(MAX_SNAPSHOT_BYTES, 1_544);
 }
--- a/crates/tier/src/popularity.rs
+++ b/crates/tier/src/popularity.rs
@@ -4,7 +4,7 @@
 
 use crate::messages::Channel;
 use crate::node::Node;
-use grebeusher_prefix_popularity::{Contribution, Identity, Merge, Settings};
+use grebeusher_prefix_popularity::{Contribution, Contributor, MergeOutcome, Settings};
 use grebeusher_registry::NodeId;
 use grebeusher_time::Duration;
 use std::fmt::Write;
@@ -21,12 +21,12 @@
     /// Begins with what an earlier process of this node knew.
     pub fn begin_popularity(&mut self) {
         let member = self.registry.own_member();
-        let own = Identity { origin: member.id().0, incarnation: member.incarnation };
+        let own = Contributor { origin: member.id().0, incarnation: member.incarnation };
         self.routing.gateway.share_prefixes(self.now, own, Settings::default());
         let Some(popularity) = self.routing.gateway.popularity_mut() else { return };
         let Some(folder) = &self.settings.data_path else { return };
         let Some(bytes) = self.world.read_hint(folder, NAME) else { return };
-        match popularity.recall(self.now, &bytes) {
+        match popularity.restore(self.now, &bytes) {
             Ok(count) => debug!("{count} popular prefixes are remembered"),
             Err(error) => warn!("remembered prefixes can't be read: {error}"),
         }
@@ -55,7 +55,7 @@
         let now = self.now;
         let merged =
             self.routing.gateway.popularity_mut().map(|popularity| popularity.merge(now, told.clone()));
-        if merged == Some(Merge::News) {
+        if merged == Some(MergeOutcome::Merged) {
             self.pass_popularity_on(&told);
         }
     }
@@ -75,7 +75,7 @@
         if !due || self.stopping() || popularity.popular(1).is_empty() {
             return;
         }
-        let bytes = popularity.remember();
+        let bytes = popularity.snapshot();
         self.popularity_written = self.now;
         if let Err(error) = self.world.keep_hint(&folder, NAME, &bytes) {
             warn!("popular prefixes can't be remembered: {error}");
@@ -101,12 +101,13 @@
         let Some(popularity) = self.routing.gateway.popularity() else {
             return writeln!(text, "popular prefixes: each node judges alone");
         };
-        let (counted, heard) = popularity.sizes();
+        let sizes = popularity.sizes();
+        let (counted, heard) = (sizes.tracked_prefixes, sizes.contributors);
         let counters = popularity.counters();
         writeln!(
             text,
             "popular prefixes: counted {counted} nodes heard {heard} told {} merged {} known {} homes added {} removed {}",
-            counters.told, counters.merged, counters.known, counters.homes_added, counters.homes_removed,
+            counters.sent, counters.merged, counters.ignored, counters.homes_added, counters.homes_removed,
         )?;
         for view in self.routing.gateway.popular(SHOWN) {
             let (key, rate) = (view.popular.key.0, view.popular.tokens_per_s);
