--- a/crates/dispatch/src/decide/choice.rs
+++ b/crates/dispatch/src/decide/choice.rs
@@ -2,7 +2,7 @@
 
 use super::{Dispatcher, executor::Executor, work::Work};
 use crate::{Duration, ExecutorId, Host, Instant, Tariff, UnitId};
-use grebeusher_sizing::{Candidate as Weighed, FLOOR, weights};
+use grebeusher_sizing::{MIN_WEIGHT, WeightedCandidate, weights};
 use rand::{Rng, distr::weighted::WeightedIndex};
 
 /// An executor that could take a work unit.
@@ -95,7 +95,7 @@
         const FRESH: Duration = Duration::from_millis(1000); // what a report is an average over
         let fresh = |e: &&Executor| e.reported.is_some_and(|at| now.since(at) < FRESH);
         let hears = !known && self.ready().filter(fresh).count() * 2 > self.roster.len();
-        let below = |c: &Candidate| if c.in_lane { 1.0 - FLOOR } else { 0.5 };
+        let below = |c: &Candidate| if c.in_lane { 1.0 - MIN_WEIGHT } else { 0.5 };
         // Nor does it show that own work waited long there: then others are looked at, unless a further place
         // may be had. Guards against queues before the few that a node uses while their neighbours idle.
         const BORNE: f64 = 0.1; // of the slack: the next one waits longer where a queue builds
@@ -124,8 +124,10 @@
         const NEARER: f64 = 3.0;
         let near = |e: &Executor| if known && e.zone == self.zone { NEARER } else { 1.0 };
         let strength = |e: &Executor| e.pace * e.weight * near(e);
-        let weigh =
-            |c: &Candidate| Weighed { utilisation: c.load, strength: strength(&self.executors[c.at]) };
+        let weigh = |c: &Candidate| WeightedCandidate {
+            utilisation: c.load,
+            weight_factor: strength(&self.executors[c.at]),
+        };
         let weighs = weights(&able.iter().map(weigh).collect::<Vec<_>>());
         let chosen = &able[self.chance.sample(WeightedIndex::new(weighs).ok()?)];
         // With no room anywhere it waits where it goes: the least wait of all would promise too much.
--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -5,7 +5,7 @@
 use crate::learnt::{KindLearnt, Learnt};
 use crate::word::mark;
 use crate::{Host, Instant, Standing};
-use grebeusher_sizing::{CutOffs, Remainder, Straddler, lanes_in_order};
+use grebeusher_sizing::{BoundaryRule, CutOffs, Remainder, lanes_in_order};
 use std::collections::BTreeMap;
 
 /// The parts of the executors that are for short and for long work.
@@ -57,7 +57,7 @@
             // By the learnt paces, all one until known: by number alone a slow lane gets more than it can do.
             let pace = |lane: usize| self.ready().filter(|e| e.lane <= lane).map(|e| e.pace).sum::<f64>();
             let due = sizes.iter().map(|entry| entry.size).sum::<f64>() * pace(0) / pace(1);
-            self.cut_offs = CutOffs::at_sums(&sizes, &[due], Straddler::Below);
+            self.cut_offs = CutOffs::at_sums(&sizes, &[due], BoundaryRule::LowerLane);
         }
         // What an executor can do when warm: the pace of its kind over all that ran, and the most slots seen.
         let kinds = self.kinds();
--- a/crates/dispatch/src/learnt.rs
+++ b/crates/dispatch/src/learnt.rs
@@ -64,7 +64,7 @@
 
 impl Default for Known {
     fn default() -> Known {
-        let (recent, told_kinds) = (Sample::of_last(SAMPLE), BTreeMap::new());
+        let (recent, told_kinds) = (Sample::with_limit(SAMPLE), BTreeMap::new());
         Known { recent, told: 0, told_kinds, median: 1.0, mean: 1.0, mean_run: 1.0 }
     }
 }
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -6,7 +6,7 @@
 use crate::gateway::Gateway;
 use crate::ids::ExecutorId;
 use crate::request::Request;
-use grebeusher_sizing::{Candidate as WeightedCandidate, pick};
+use grebeusher_sizing::{WeightedCandidate, pick};
 use grebeusher_time::{Duration, Instant};
 use rand::Rng;
 
@@ -95,7 +95,7 @@
     pub(crate) fn weighted_pick(&mut self, candidates: &[Candidate]) -> Option<ExecutorId> {
         let weighted = |c: &Candidate| WeightedCandidate {
             utilisation: c.has_load_estimate.then_some(c.utilisation),
-            strength: c.weight,
+            weight_factor: c.weight,
         };
         let weighted: Vec<WeightedCandidate> = candidates.iter().map(weighted).collect();
         let index = pick(&mut self.random, &weighted)?;
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -81,7 +81,7 @@
         tokens: f64,
         config: &GatewayConfig,
     ) {
-        if !self.sample.saw(size, work) {
+        if !self.sample.observe(size, work) {
             return;
         }
         let weight = if self.mean_request_tokens == 0.0 { 1.0 } else { NEWEST_WEIGHT };
--- a/crates/sizing/src/cut_offs.rs
+++ b/crates/sizing/src/cut_offs.rs
@@ -1,9 +1,9 @@
-//! Where one lane's sizes end and the next one's begin.
+//! The bounds between the sizes of one lane and the next.
 
+use crate::options::BoundaryRule;
 use crate::sample::SampleEntry;
-use crate::terms::Straddler;
 
-/// Bounds between lanes, smallest first: one fewer than there are lanes, or none while one lane holds all.
+/// Bounds between lanes, smallest first: one fewer than there are lanes, or none while one lane has all requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CutOffs {
     pub(crate) bounds: Vec<f64>,
@@ -15,25 +15,25 @@
         CutOffs::default()
     }
 
-    /// The bounds below which lie these amounts of the summed work of requests sorted by size. One lane for
-    /// all where an amount is no number.
-    pub fn at_sums(sorted: &[impl SampleEntry], due: &[f64], straddler: Straddler) -> CutOffs {
-        if !due.iter().all(|due| due.is_finite()) {
+    /// The bounds below which lie these amounts of the summed work of requests sorted by size. One lane for all where an
+    /// amount is not a number.
+    pub fn at_sums(sorted: &[impl SampleEntry], amounts: &[f64], rule: BoundaryRule) -> CutOffs {
+        if !amounts.iter().all(|amount| amount.is_finite()) {
             return CutOffs::one_lane();
         }
-        let belongs = |summed: f64, work: f64, due: f64| match straddler {
-            Straddler::Below => summed < due,
-            Straddler::ByHalf => summed + work / 2.0 <= due,
+        let is_below = |summed: f64, work: f64, amount: f64| match rule {
+            BoundaryRule::LowerLane => summed < amount,
+            BoundaryRule::MajorityLane => summed + work / 2.0 <= amount,
         };
         let (mut entries, mut summed, mut bound) = (sorted.iter().peekable(), 0.0, 0.0);
-        let bound_at = |&due: &f64| {
-            while let Some(entry) = entries.next_if(|entry| belongs(summed, entry.work(), due)) {
+        let bound_at = |&amount: &f64| {
+            while let Some(entry) = entries.next_if(|entry| is_below(summed, entry.work(), amount)) {
                 summed += entry.work();
                 bound = entry.size();
             }
             bound
         };
-        CutOffs { bounds: due.iter().map(bound_at).collect() }
+        CutOffs { bounds: amounts.iter().map(bound_at).collect() }
     }
 
     /// The lane of a size, from 0 for the smallest.
@@ -41,7 +41,7 @@
         self.bounds.iter().filter(|bound| size > **bound).count()
     }
 
-    /// How many lanes the bounds make.
+    /// The number of lanes.
     pub fn lanes(&self) -> usize {
         self.bounds.len() + 1
     }
--- a/crates/sizing/src/lanes.rs
+++ b/crates/sizing/src/lanes.rs
@@ -1,22 +1,23 @@
-//! Which executor is in which lane, where nothing but the hash of its id orders them.
+//! Which executor is in which lane, in the order of the hashes of their ids.
 
+use crate::options::Remainder;
 use crate::places::lanes_in_order;
-use crate::terms::Remainder;
 
-/// Cuts executors, given by the fixed hashes of their ids, into `lanes` runs of nearly equal number in the order
-/// of the hashes: every node that knows the same executors makes the same lanes. What does not divide evenly goes
-/// to the later lanes. The lane of each, in the order given; all 0 where there are fewer executors than lanes.
+/// Divides executors, given by the fixed hashes of their ids, into `lanes` runs of nearly equal number in the order of the
+/// hashes: every node that knows the same executors forms the same lanes. The remainder goes to the later lanes. Returns the
+/// lane of each, in the order given; all 0 where there are fewer executors than lanes.
 pub fn lanes_by_hash(hashes: &[u64], lanes: usize) -> Vec<usize> {
     lanes_by_share(hashes, &vec![1.0; lanes.max(1)])
 }
 
-/// As [`lanes_by_hash`], with lanes of unequal number by `shares`, as [`lanes_in_order`] cuts them.
+/// As [`lanes_by_hash`], with lanes of unequal number by `shares`, as [`lanes_in_order`] divides them.
 pub fn lanes_by_share(hashes: &[u64], shares: &[f64]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..hashes.len()).collect();
-    order.sort_unstable_by_key(|&at| (hashes[at], at));
+    order.sort_unstable_by_key(|&index| (hashes[index], index));
+    let lanes = lanes_in_order(hashes.len(), shares, Remainder::Later);
     let mut assigned = vec![0; hashes.len()];
-    for (at, lane) in order.into_iter().zip(lanes_in_order(hashes.len(), shares, Remainder::Later)) {
-        assigned[at] = lane;
+    for (index, lane) in order.into_iter().zip(lanes) {
+        assigned[index] = lane;
     }
     assigned
 }
--- a/crates/sizing/src/pick.rs
+++ b/crates/sizing/src/pick.rs
@@ -1,27 +1,32 @@
 //! The weighted random pick inside a lane.
 
-use crate::terms::Candidate;
+use crate::options::WeightedCandidate;
 use crate::weight::weights;
 use rand::Rng;
 
-/// Picks one at random by [`weights`] and returns its place. `None` where there is nothing to pick.
-pub fn pick(chance: &mut impl Rng, candidates: &[Candidate]) -> Option<usize> {
-    let mut weighs = weights(candidates);
-    weighs.iter_mut().filter(|weighs| !(weighs.is_finite() && **weighs > 0.0)).for_each(|w| *w = 0.0);
-    let total: f64 = weighs.iter().sum();
+/// Picks one at random by [`weights`] and returns its index. `None` where no candidate has a weight.
+pub fn pick(rng: &mut impl Rng, candidates: &[WeightedCandidate]) -> Option<usize> {
+    let mut weights = weights(candidates);
+    for weight in &mut weights {
+        if !weight.is_finite() || *weight <= 0.0 {
+            *weight = 0.0;
+        }
+    }
+    let total: f64 = weights.iter().sum();
     if total <= 0.0 {
         return None;
     }
-    let mut left = chance.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     let mut last = None;
-    for (place, weighs) in weighs.into_iter().enumerate() {
-        if weighs > 0.0 {
-            last = Some(place);
-            if left < weighs {
+    for (index, weight) in weights.into_iter().enumerate() {
+        if weight > 0.0 {
+            last = Some(index);
+            if remaining < weight {
                 return last;
             }
-            left -= weighs;
+            remaining -= weight;
         }
     }
-    last // where rounding left a trace over
+    // Rounding left a remainder: the last candidate takes it.
+    last
 }
--- a/crates/sizing/src/places.rs
+++ b/crates/sizing/src/places.rs
@@ -1,30 +1,33 @@
-//! How an order of executors is cut into lanes.
+//! How an order of executors is divided into lanes.
 
-use crate::terms::Remainder;
-/// The lane of each place in an order of `count` executors: each lane gets its entry of `shares` (in any
-/// unit) of all, and at least one. All 0 where executors are fewer than lanes, or a share is not above 0 or
-/// no number.
+use crate::options::Remainder;
+
+/// Makes up for rounding in sums like 0.1 + 0.2.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+
+/// The lane of each position in an order of `count` executors: each lane gets its entry of `shares` (in any unit) of all,
+/// and at least one. All 0 where executors are fewer than lanes, or a share is not a number above 0.
 pub fn lanes_in_order(count: usize, shares: &[f64], remainder: Remainder) -> Vec<usize> {
-    // Makes up for sums like 0.1 + 0.2.
-    const TRACE: f64 = 1e-9;
     let mut lanes = vec![0; count];
-    let sound = shares.iter().all(|share| share.is_finite() && *share > 0.0);
-    let whole: f64 = shares.iter().sum();
-    if count < shares.len() || !sound || !whole.is_finite() {
+    let is_valid = shares.iter().all(|share| share.is_finite() && *share > 0.0);
+    let total: f64 = shares.iter().sum();
+    if count < shares.len() || !is_valid || !total.is_finite() {
         return lanes;
     }
-    let (mut from, mut summed) = (0, 0.0);
+    let mut start = 0;
+    let mut summed = 0.0;
     for (lane, share) in shares.iter().enumerate() {
         summed += share;
-        let part = summed / whole * count as f64;
-        let due = match remainder {
-            Remainder::Earlier => (part - TRACE).ceil(),
-            Remainder::Later => part + TRACE,
+        let exact_end = summed / total * count as f64;
+        let rounded_end = match remainder {
+            Remainder::Earlier => (exact_end - ROUNDING_TOLERANCE).ceil(),
+            Remainder::Later => exact_end + ROUNDING_TOLERANCE,
         };
-        // Room is left for one in each lane that follows.
-        let until = (due as usize).max(from + 1).min(count - (shares.len() - 1 - lane));
-        lanes[from..until].fill(lane);
-        from = until;
+        // Each lane that follows keeps at least one position.
+        let following = shares.len() - 1 - lane;
+        let end = (rounded_end as usize).max(start + 1).min(count - following);
+        lanes[start..end].fill(lane);
+        start = end;
     }
     lanes
 }
--- a/crates/sizing/src/sample.rs
+++ b/crates/sizing/src/sample.rs
@@ -2,24 +2,24 @@
 
 use std::collections::VecDeque;
 
-/// What a sample keeps of a request.
+/// What a sample stores of a request.
 pub trait SampleEntry: Copy {
-    /// What decides the lane: the size as its hint says it.
+    /// The size by its hint, which decides the lane.
     fn size(&self) -> f64;
-    /// What it costs an executor, in the same unit.
+    /// The cost for an executor, in the same unit.
     fn work(&self) -> f64;
 }
 
 /// One request of the sample.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
-    /// What decides the lane: the size as its hint says it.
+pub struct SampledRequest {
+    /// The size by its hint, which decides the lane.
     pub size: f64,
-    /// What it costs an executor, in the same unit. The size, unless part of it is known to cost nothing.
+    /// The cost for an executor, in the same unit: the size, unless part of it is known to cost nothing.
     pub work: f64,
 }
 
-impl SampleEntry for Entry {
+impl SampleEntry for SampledRequest {
     fn size(&self) -> f64 {
         self.size
     }
@@ -29,9 +29,9 @@
     }
 }
 
-/// The last requests with a size, up to a limit; the oldest gives way.
+/// The last requests with a size, up to a limit; the oldest is dropped.
 #[derive(Clone, Debug)]
-pub struct Sample<E = Entry> {
+pub struct Sample<E = SampledRequest> {
     limit: usize,
     recent: VecDeque<E>,
 }
@@ -39,24 +39,24 @@
 impl Sample {
     /// An empty sample of the last `limit` requests (at least one).
     pub fn new(limit: usize) -> Sample {
-        Sample::of_last(limit)
+        Sample::with_limit(limit)
     }
 
-    /// Counts one request, as [`Sample::add`].
-    pub fn saw(&mut self, size: f64, work: f64) -> bool {
-        self.add(Entry { size, work })
+    /// Adds one request, as [`Sample::add`].
+    pub fn observe(&mut self, size: f64, work: f64) -> bool {
+        self.add(SampledRequest { size, work })
     }
 }
 
 impl<E: SampleEntry> Sample<E> {
-    /// An empty sample of the last `limit` requests (at least one), whatever is kept of each.
-    pub fn of_last(limit: usize) -> Sample<E> {
+    /// An empty sample of the last `limit` requests (at least one), with entries of any type.
+    pub fn with_limit(limit: usize) -> Sample<E> {
         Sample { limit: limit.max(1), recent: VecDeque::new() }
     }
 
-    /// Counts one request. Values that are not finite or not above 0 are left out, and `false` is returned.
+    /// Adds one request. Returns `false`, and ignores it, where a value is not finite or not above 0.
     pub fn add(&mut self, entry: E) -> bool {
-        if !is_sound(&entry) {
+        if !is_valid(&entry) {
             return false;
         }
         while self.is_full() {
@@ -66,26 +66,27 @@
         true
     }
 
-    /// Counts one request as older than all others. Left out where it is not sound or no room is left.
+    /// Adds one request as older than all others. Returns `false`, and ignores it, where a value is invalid or the sample is
+    /// full.
     pub fn add_older(&mut self, entry: E) -> bool {
-        let takes = is_sound(&entry) && !self.is_full();
-        if takes {
+        let is_added = is_valid(&entry) && !self.is_full();
+        if is_added {
             self.recent.push_front(entry);
         }
-        takes
+        is_added
     }
 
-    /// How many requests are in it.
+    /// The number of requests in it.
     pub fn len(&self) -> usize {
         self.recent.len()
     }
 
-    /// Whether nothing was counted yet.
+    /// Whether nothing was added yet.
     pub fn is_empty(&self) -> bool {
         self.recent.is_empty()
     }
 
-    /// Whether the next makes the oldest give way.
+    /// Whether the next replaces the oldest.
     pub fn is_full(&self) -> bool {
         self.recent.len() >= self.limit
     }
@@ -119,6 +120,6 @@
     }
 }
 
-fn is_sound(entry: &impl SampleEntry) -> bool {
+fn is_valid(entry: &impl SampleEntry) -> bool {
     [entry.size(), entry.work()].iter().all(|value| value.is_finite() && *value > 0.0)
 }
--- a/crates/sizing/src/weight.rs
+++ b/crates/sizing/src/weight.rs
@@ -1,22 +1,24 @@
-//! What an executor counts for in the pick inside a lane.
+//! The weight of an executor in the pick inside a lane.
 
-use crate::terms::Candidate;
-/// The least weight of one that may be picked: figures are late, and what is never picked is never heard of.
-pub const FLOOR: f64 = 0.1;
+use crate::options::WeightedCandidate;
 
-/// One minus the utilisation, [`FLOOR`] at least; less than that the more requests wait. A figure that is no
-/// number counts as full.
+/// The least weight of an executor that is not overfull. Load reports are late, and an executor that is never picked is
+/// never reported on.
+pub const MIN_WEIGHT: f64 = 0.1;
+
+/// One minus the utilisation, at least [`MIN_WEIGHT`] below 1; from 1 on less, the more requests wait. A utilisation that is
+/// not a number counts as full.
 pub fn weight(utilisation: f64) -> f64 {
     if utilisation.is_nan() {
-        return FLOOR;
+        return MIN_WEIGHT;
     }
-    if utilisation < 1.0 { (1.0 - utilisation.max(0.0)).max(FLOOR) } else { FLOOR / utilisation }
+    if utilisation < 1.0 { (1.0 - utilisation.max(0.0)).max(MIN_WEIGHT) } else { MIN_WEIGHT / utilisation }
 }
 
-/// Weight times strength of each. One without a figure has the mean weight of those that have one, or 1 where
-/// none has.
-pub fn weights(candidates: &[Candidate]) -> Vec<f64> {
+/// The weight of each candidate times its factor. One of unknown utilisation has the mean weight of the others, or 1 where
+/// none is known.
+pub fn weights(candidates: &[WeightedCandidate]) -> Vec<f64> {
     let known: Vec<f64> = candidates.iter().filter_map(|c| c.utilisation.map(weight)).collect();
     let mean = if known.is_empty() { 1.0 } else { known.iter().sum::<f64>() / known.len() as f64 };
-    candidates.iter().map(|c| c.utilisation.map_or(mean, weight) * c.strength).collect()
+    candidates.iter().map(|c| c.utilisation.map_or(mean, weight) * c.weight_factor).collect()
 }
--- a/crates/sizing/tests/sizing.rs
+++ b/crates/sizing/tests/sizing.rs
@@ -1,8 +1,8 @@
 //! SITA-E: the sample, the cut-offs, the lanes and the pick.
 
 use grebeusher_sizing::{
-    Candidate, CutOffs, FLOOR, Remainder, Sample, Straddler, fixed_hash, lanes_by_hash, lanes_by_share,
-    lanes_in_order, pick, rendezvous, share_of_lanes, weight,
+    BoundaryRule, CutOffs, MIN_WEIGHT, Remainder, Sample, WeightedCandidate, fixed_hash, lanes_by_hash,
+    lanes_by_share, lanes_in_order, pick, rendezvous, share_of_lanes, weight,
 };
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -12,7 +12,7 @@
 fn sample_of(sizes: impl IntoIterator<Item = f64>) -> Sample {
     let mut sample = Sample::new(1000);
     for size in sizes {
-        sample.saw(size, size);
+        sample.observe(size, size);
     }
     sample
 }
@@ -27,8 +27,8 @@
 #[case::three_lanes(&[2.0, 1.0, 1.0])]
 fn cut_offs_equalise_summed_work_per_share(#[case] shares: &[f64]) {
     // given sizes over four orders of magnitude
-    let mut chance = Pcg32::seed_from_u64(7);
-    let sample = sample_of((0..1000).map(|_| 10.0_f64.powf(4.0 * chance.random::<f64>())));
+    let mut rng = Pcg32::seed_from_u64(7);
+    let sample = sample_of((0..1000).map(|_| 10.0_f64.powf(4.0 * rng.random::<f64>())));
     // when the cut-offs are computed
     let cut_offs = CutOffs::equalising(&sample, shares, 50);
     // then each lane's part of the work is its share, up to one of the largest
@@ -40,26 +40,29 @@
 }
 
 #[rstest]
-#[case::below(Straddler::Below, 7.0)]
-#[case::by_half(Straddler::ByHalf, 3.0)]
-fn who_calls_says_where_a_request_on_the_cut_belongs(#[case] straddler: Straddler, #[case] bound: f64) {
+#[case::lower_lane(BoundaryRule::LowerLane, 7.0)]
+#[case::majority_lane(BoundaryRule::MajorityLane, 3.0)]
+fn the_boundary_rule_decides_the_lane_of_a_request_on_a_cut_off(
+    #[case] rule: BoundaryRule,
+    #[case] bound: f64,
+) {
     // given sizes of which the third lies on both sides of half of the sum, most of it above
     let sorted = sample_of([9.0, 1.0, 3.0, 7.0, 2.0]).sorted();
     // when the cut lies at half of the sum less a little
-    let cut_offs = CutOffs::at_sums(&sorted, &[9.4], straddler);
+    let cut_offs = CutOffs::at_sums(&sorted, &[9.4], rule);
     // then it is in the lane that the caller names
     assert_eq!(cut_offs.bounds(), [bound]);
-    assert_eq!(CutOffs::at_sums(&sorted, &[f64::NAN], straddler), CutOffs::one_lane());
+    assert_eq!(CutOffs::at_sums(&sorted, &[f64::NAN], rule), CutOffs::one_lane());
 }
 
 #[test]
-fn what_orders_the_lanes_may_differ_from_what_weighs() {
+fn lanes_are_by_size_and_cut_offs_by_work() {
     // given large requests that cost little, since most of them is kept already
     let mut sample = Sample::new(1000);
     for _ in 0..300 {
-        sample.saw(100.0, 100.0);
-        sample.saw(5000.0, 50.0);
-        sample.saw(9000.0, 50.0);
+        sample.observe(100.0, 100.0);
+        sample.observe(5000.0, 50.0);
+        sample.observe(9000.0, 50.0);
     }
     // when the cut-offs are computed for equal lanes
     let cut_offs = CutOffs::equalising(&sample, &[1.0, 1.0], 50);
@@ -68,10 +71,10 @@
 }
 
 #[test]
-fn the_work_is_summed_not_the_size() {
+fn cut_offs_sum_work_not_size() {
     // given a thousand requests of alike work whose sizes rise steeply
     let mut sample = Sample::new(1000);
-    let all = (1..=1000).all(|n| sample.saw(f64::from(n * n), 7.0));
+    let all = (1..=1000).all(|n| sample.observe(f64::from(n * n), 7.0));
     assert!(all);
     // when the cut-offs are computed for lanes of a half, a quarter and a quarter
     let cut_offs = CutOffs::equalising(&sample, &[2.0, 1.0, 1.0], 50);
@@ -85,16 +88,16 @@
 #[case::no_lane(100, &[])]
 #[case::empty_lane(100, &[1.0, 0.0])]
 #[case::no_number(100, &[1.0, f64::NAN])]
-fn one_lane_holds_all_where_nothing_can_be_cut(#[case] count: usize, #[case] shares: &[f64]) {
+fn one_lane_has_all_where_no_cut_off_is_possible(#[case] count: usize, #[case] shares: &[f64]) {
     let sample = sample_of((0..count).map(|n| n as f64 + 1.0));
     assert_eq!(CutOffs::equalising(&sample, shares, 50), CutOffs::one_lane());
 }
 
 #[test]
-fn the_sample_keeps_the_last_and_leaves_nonsense_out() {
+fn the_sample_has_the_last_valid_requests() {
     let mut sample = Sample::new(3);
     for size in [1.0, f64::NAN, 2.0, 0.0, -1.0, 3.0, f64::INFINITY, 4.0] {
-        sample.saw(size, size);
+        sample.observe(size, size);
     }
     let sizes: Vec<f64> = sample.entries().map(|entry| entry.size).collect();
     assert_eq!(sizes, [2.0, 3.0, 4.0]);
@@ -108,12 +111,16 @@
 #[case(10, 3, &[3, 3, 4])]
 #[case(1, 2, &[1])]
 #[case(5, 0, &[5])]
-fn lanes_are_of_nearly_equal_number(#[case] count: u64, #[case] lanes: usize, #[case] due: &[usize]) {
+fn lanes_by_hash_have_nearly_equal_numbers(
+    #[case] count: u64,
+    #[case] lanes: usize,
+    #[case] expected: &[usize],
+) {
     let hashes: Vec<u64> = (0..count).map(|n| fixed_hash(&format!("i-{n}"))).collect();
     let assigned = lanes_by_hash(&hashes, lanes);
     let counts: Vec<usize> =
-        (0..due.len()).map(|lane| assigned.iter().filter(|at| **at == lane).count()).collect();
-    assert_eq!(counts, due);
+        (0..expected.len()).map(|lane| assigned.iter().filter(|at| **at == lane).count()).collect();
+    assert_eq!(counts, expected);
 }
 
 #[rstest]
@@ -126,20 +133,20 @@
 #[case(1, &[1.0, 3.0], &[1, 0])]
 #[case(5, &[1.0, 0.0], &[5, 0])]
 #[case(5, &[1.0, f64::NAN], &[5, 0])]
-fn lanes_are_by_share_with_one_in_each_at_least(
+fn lanes_by_share_have_at_least_one_executor(
     #[case] count: u64,
     #[case] shares: &[f64],
-    #[case] due: &[usize],
+    #[case] expected: &[usize],
 ) {
     let hashes: Vec<u64> = (0..count).map(|n| fixed_hash(&format!("i-{n}"))).collect();
     let assigned = lanes_by_share(&hashes, shares);
     let counts: Vec<usize> =
-        (0..due.len()).map(|lane| assigned.iter().filter(|at| **at == lane).count()).collect();
-    assert_eq!(counts, due);
+        (0..expected.len()).map(|lane| assigned.iter().filter(|at| **at == lane).count()).collect();
+    assert_eq!(counts, expected);
 }
 
 #[test]
-fn what_does_not_divide_evenly_goes_where_the_caller_says() {
+fn the_remainder_goes_to_the_chosen_lane() {
     for count in 2_usize..5000 {
         let first = |remainder| {
             lanes_in_order(count, &[3.0, 1.0], remainder).iter().filter(|lane| **lane == 0).count()
@@ -153,18 +160,18 @@
 }
 
 #[test]
-fn what_was_told_is_older_than_what_was_seen_and_never_takes_its_place() {
+fn older_entries_never_replace_newer_ones() {
     let mut sample = Sample::new(3);
-    sample.saw(2.0, 2.0);
-    let older = grebeusher_sizing::Entry { size: 1.0, work: 1.0 };
+    sample.observe(2.0, 2.0);
+    let older = grebeusher_sizing::SampledRequest { size: 1.0, work: 1.0 };
     assert_eq!([older, older, older].map(|entry| sample.add_older(entry)), [true, true, false]);
-    assert!(sample.saw(3.0, 3.0));
+    assert!(sample.observe(3.0, 3.0));
     let sizes: Vec<f64> = sample.entries().map(|entry| entry.size).collect();
     assert_eq!(sizes, [1.0, 2.0, 3.0]);
 }
 
 #[test]
-fn every_node_makes_the_same_lanes_and_one_that_goes_moves_at_most_one_other() {
+fn lanes_do_not_depend_on_order_and_a_removal_moves_at_most_one_executor() {
     let hashes: Vec<u64> = (0..18).map(|n| fixed_hash(&format!("i-{n}"))).collect();
     let lanes = lanes_by_hash(&hashes, 2);
     let reversed: Vec<u64> = hashes.iter().rev().copied().collect();
@@ -181,7 +188,7 @@
 }
 
 #[test]
-fn a_rendezvous_order_keeps_all_others_in_place_when_one_goes() {
+fn removing_a_member_keeps_the_rendezvous_order_of_the_others() {
     let order = |key: u64, members: &[u64]| {
         let mut members = members.to_vec();
         members.sort_by_key(|member| std::cmp::Reverse(rendezvous(key, *member)));
@@ -201,51 +208,51 @@
 #[rstest]
 #[case(0.0, 1.0)]
 #[case(0.25, 0.75)]
-#[case(0.95, FLOOR)]
-#[case(1.0, FLOOR)]
-#[case(2.0, FLOOR / 2.0)]
+#[case(0.95, MIN_WEIGHT)]
+#[case(1.0, MIN_WEIGHT)]
+#[case(2.0, MIN_WEIGHT / 2.0)]
 #[case(-1.0, 1.0)]
-#[case(f64::NAN, FLOOR)]
-fn the_weight_is_what_is_left_with_a_floor(#[case] utilisation: f64, #[case] due: f64) {
-    assert!((weight(utilisation) - due).abs() < 1e-12);
+#[case(f64::NAN, MIN_WEIGHT)]
+fn the_weight_is_the_free_capacity_with_a_minimum(#[case] utilisation: f64, #[case] expected: f64) {
+    assert!((weight(utilisation) - expected).abs() < 1e-12);
 }
 
 #[test]
-fn picks_follow_the_weights_and_one_without_a_figure_gets_the_mean() {
-    let of = |utilisation| Candidate { utilisation, strength: 1.0 };
+fn picks_follow_the_weights_and_unknown_utilisation_gets_the_mean() {
+    let of = |utilisation| WeightedCandidate { utilisation, weight_factor: 1.0 };
     let candidates = [of(Some(0.0)), of(Some(0.5)), of(Some(1.0)), of(None)];
-    let mut chance = Pcg32::seed_from_u64(3);
+    let mut rng = Pcg32::seed_from_u64(3);
     let mut counts = [0.0; 4];
     for _ in 0..20_000 {
-        counts[pick(&mut chance, &candidates).unwrap()] += 1.0;
+        counts[pick(&mut rng, &candidates).unwrap()] += 1.0;
     }
-    let mean = (1.0 + 0.5 + FLOOR) / 3.0;
-    let total = 1.0 + 0.5 + FLOOR + mean;
-    for (count, weight) in counts.iter().zip([1.0, 0.5, FLOOR, mean]) {
+    let mean = (1.0 + 0.5 + MIN_WEIGHT) / 3.0;
+    let total = 1.0 + 0.5 + MIN_WEIGHT + mean;
+    for (count, weight) in counts.iter().zip([1.0, 0.5, MIN_WEIGHT, mean]) {
         assert!((count / 20_000.0 - weight / total).abs() < 0.01, "{counts:?}");
     }
 }
 
 #[test]
-fn what_has_no_strength_is_never_picked() {
-    let of = |strength| Candidate { utilisation: None, strength };
-    let mut chance = Pcg32::seed_from_u64(3);
+fn a_candidate_without_weight_is_never_picked() {
+    let of = |weight_factor| WeightedCandidate { utilisation: None, weight_factor };
+    let mut rng = Pcg32::seed_from_u64(3);
     for _ in 0..100 {
-        assert_eq!(pick(&mut chance, &[of(0.0), of(1.0), of(f64::NAN), of(-1.0)]), Some(1));
+        assert_eq!(pick(&mut rng, &[of(0.0), of(1.0), of(f64::NAN), of(-1.0)]), Some(1));
     }
-    assert_eq!(pick(&mut chance, &[of(0.0)]), None);
-    assert_eq!(pick(&mut chance, &[]), None);
+    assert_eq!(pick(&mut rng, &[of(0.0)]), None);
+    assert_eq!(pick(&mut rng, &[]), None);
 }
 
 proptest! {
     #[test]
-    fn no_input_panics_and_bounds_rise(
+    fn no_input_panics_and_bounds_ascend(
         sizes in proptest::collection::vec(any::<f64>(), 0..200),
         shares in proptest::collection::vec(any::<f64>(), 0..5),
-        fewest in 0_usize..100,
+        min_sample in 0_usize..100,
         probe in any::<f64>(),
     ) {
-        let cut_offs = CutOffs::equalising(&sample_of(sizes), &shares, fewest);
+        let cut_offs = CutOffs::equalising(&sample_of(sizes), &shares, min_sample);
         prop_assert!(cut_offs.bounds().is_sorted());
         prop_assert!(cut_offs.lane_of(probe) < cut_offs.lanes());
     }
