--- a/crates/batch/tests/batches/main.rs
+++ b/crates/batch/tests/batches/main.rs
@@ -1,5 +1,6 @@
-//! What must hold of batch jobs, told as stories over in-memory partitions.
+//! Batch jobs over in-memory partitions, a file for each concern.
 
+mod abandonment;
 mod admission;
 mod events;
 mod fixture;
@@ -7,7 +8,10 @@
 mod memory_sharing;
 mod pages;
 mod partition;
+mod proposals;
 mod random_faults;
 mod replay;
+mod retries;
 mod running;
+mod scheduling;
 mod submission;
