--- a/crates/gateway/tests/model/engine.rs
+++ b/crates/gateway/tests/model/engine.rs
@@ -1,6 +1,6 @@
 //! One executor: a batch of slots, prompts read in chunks between the tokens, a cache of prompt segments, a queue.
 
-use super::Arrival;
+use super::workload::Arrival;
 use grebeusher_gateway::PromptSegments;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -98,9 +98,9 @@
     /// Milliseconds until a new request's prompt_tokens would be read from.
     pub fn backlog_ms(&self) -> f64 {
         let unread: u32 = self.batch.iter().chain(&self.queue).map(|job| job.unread).sum();
-        let over = (self.batch.len() + self.queue.len() + 1).saturating_sub(self.slots);
+        let finished = (self.batch.len() + self.queue.len() + 1).saturating_sub(self.slots);
         f64::from(unread) / self.read_per_ms
-            + over as f64 * 30.0
+            + finished as f64 * 30.0
             + 0.01 * (self.batch.len() + self.queue.len()) as f64
     }
 
--- a/crates/gateway/tests/model/workload.rs
+++ b/crates/gateway/tests/model/workload.rs
@@ -84,16 +84,16 @@
 }
 
 pub struct Workload {
-    chance: Pcg32,
+    rng: Pcg32,
     classes: Vec<(Class, Vec<(u32, f64)>)>,
     number: u64,
 }
 
 impl Workload {
     pub fn new(classes: &[Class], seed: u64) -> Workload {
-        let mut chance = Pcg32::seed_from_u64(seed ^ 0x5eed);
-        let classes = classes.iter().map(|class| (class.clone(), subjects(&mut chance, class))).collect();
-        Workload { chance, classes, number: 0 }
+        let mut rng = Pcg32::seed_from_u64(seed ^ 0x5eed);
+        let classes = classes.iter().map(|class| (class.clone(), subjects(&mut rng, class))).collect();
+        Workload { rng, classes, number: 0 }
     }
 
     /// All arrivals until `end`, in order.
@@ -102,7 +102,7 @@
         for class in 0..self.classes.len() {
             let (per_s, mut at) = (self.classes[class].0.per_s, 0.0);
             loop {
-                at -= (1.0 - self.chance.random::<f64>()).ln() * 1000.0 / per_s;
+                at -= (1.0 - self.rng.random::<f64>()).ln() * 1000.0 / per_s;
                 if at >= end {
                     break;
                 }
@@ -116,11 +116,11 @@
     /// Batch items that come in jobs of 40.
     pub fn batch(&mut self, items_per_s: f64, end: f64) -> Vec<Arrival> {
         let class = Class::batch();
-        let things = subjects(&mut self.chance, &class);
+        let things = subjects(&mut self.rng, &class);
         self.classes.push((class, things));
         let last = self.classes.len() - 1;
         let jobs = (items_per_s / 40.0 * end / 1000.0) as usize;
-        let mut starts: Vec<f64> = (0..jobs).map(|_| self.chance.random::<f64>() * end).collect();
+        let mut starts: Vec<f64> = (0..jobs).map(|_| self.rng.random::<f64>() * end).collect();
         starts.sort_by(f64::total_cmp);
         starts.into_iter().flat_map(|at| vec![at; 40]).map(|at| self.one(last, at)).collect()
     }
@@ -128,10 +128,10 @@
     fn one(&mut self, class: usize, at: f64) -> Arrival {
         self.number += 1;
         let (shape, things) = &self.classes[class];
-        let subject = zipf(&mut self.chance, things);
+        let subject = zipf(&mut self.rng, things);
         let shared = things[subject].0;
-        let own = lognormal(&mut self.chance, shape.own);
-        let output = 16 * lognormal(&mut self.chance, shape.events);
+        let own = lognormal(&mut self.rng, shape.own);
+        let output = 16 * lognormal(&mut self.rng, shape.events);
         let header =
             format!("{:x}:{shared},{:x}:{own}", (class << 32) + subject, 0xabc_0000_0000 + self.number);
         let prompt = PromptSegments::parse(&header).unwrap();
@@ -140,23 +140,23 @@
     }
 }
 
-fn subjects(chance: &mut Pcg32, class: &Class) -> Vec<(u32, f64)> {
+fn subjects(rng: &mut Pcg32, class: &Class) -> Vec<(u32, f64)> {
     let mut summed = 0.0;
     (1..=class.subjects)
         .map(|rank| {
             summed += (rank as f64).powf(-class.skew);
-            (lognormal(chance, class.shared), summed)
+            (lognormal(rng, class.shared), summed)
         })
         .collect()
 }
 
-fn zipf(chance: &mut Pcg32, subjects: &[(u32, f64)]) -> usize {
-    let at = chance.random::<f64>() * subjects.last().unwrap().1;
+fn zipf(rng: &mut Pcg32, subjects: &[(u32, f64)]) -> usize {
+    let at = rng.random::<f64>() * subjects.last().unwrap().1;
     subjects.partition_point(|(_, summed)| *summed <= at).min(subjects.len() - 1)
 }
 
-fn lognormal(chance: &mut Pcg32, Tokens(mean, spread, most): Tokens) -> u32 {
-    let (a, b) = (1.0 - chance.random::<f64>(), chance.random::<f64>());
+fn lognormal(rng: &mut Pcg32, Tokens(mean, spread, most): Tokens) -> u32 {
+    let (a, b) = (1.0 - rng.random::<f64>(), rng.random::<f64>());
     let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
     (mean * (spread * normal - spread * spread / 2.0).exp()).clamp(1.0, most) as u32
 }
