--- a/crates/gateway/tests/routing/accounting.rs
+++ b/crates/gateway/tests/routing/accounting.rs
@@ -1,6 +1,6 @@
 //! Attempts and load reports in the accounts.
 
-use crate::fixture::{START, at, executor, fill, item, node, sent, sized, with_prefix};
+use crate::fixture::{START, at, executor, fill, forwarded, item, node, sized, with_prefix};
 use grebeusher_gateway::{AttemptOutcome, BatchItem, ExecutorFault, ExecutorState, ServerLoad};
 use grebeusher_time::Duration;
 use proptest::prelude::*;
@@ -11,9 +11,9 @@
     let token = gateway.attempt_started(START, ids[0], &sized(service, 9, 0)).unwrap();
     gateway.remove(ids[0]);
     gateway.remove(ids[0]);
-    // when another takes its place in the table
+    // when another takes its slot
     let new = gateway.upsert(&executor(5, ExecutorState::Ready));
-    // then what still comes from the old one concerns nobody
+    // then what still comes from the old one has no effect
     gateway.response_head(START, token, Some(ServerLoad { running: 4, waiting: 9, slots: 4 }));
     gateway.event_received(START, token);
     gateway.attempt_finished(START, token, AttemptOutcome::BrokenBeforeHead);
@@ -34,7 +34,7 @@
     gateway.attempt_finished(at(5), first, AttemptOutcome::Served);
     gateway.attempt_finished(at(5), first, AttemptOutcome::Served);
     assert_eq!(gateway.executor_view(at(5), ids[0]).unwrap().open_attempts, 1);
-    // nor does it end another that took its place in the books
+    // nor does it end another that took its slot
     let third = gateway.attempt_started(at(5), ids[0], &sized(service, 900, 10)).unwrap();
     gateway.attempt_finished(at(5), first, AttemptOutcome::Served);
     gateway.event_received(at(5), first);
@@ -55,7 +55,7 @@
         gateway.attempt_started(START, ids[0], &sized(service, 9, 0));
     }
     // then it is full, though its report says otherwise
-    assert!((0..100).all(|_| sent(gateway.choose(at(1), &sized(service, 9, 0))) == Some(ids[1])));
+    assert!((0..100).all(|_| forwarded(gateway.choose(at(1), &sized(service, 9, 0))) == Some(ids[1])));
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let out = |ms| gateway.executor_view(at(ms), ids[1]).unwrap().outstanding;
     assert_eq!(out(0), 6.0);
     assert!(out(600) < out(300) && out(300) < out(0));
-    // and with no news at all, into nothing
+    // and without further reports, into nothing
     (0..100).for_each(|_| fill(&mut gateway, at(2000), ids[0], 2, 0));
     let out = |ms| gateway.executor_view(at(ms), ids[1]).unwrap().outstanding;
     assert!((1.9..2.1).contains(&out(2000)), "{}", out(2000));
@@ -133,7 +133,7 @@
                 }
                 _ => {
                     let request = with_prefix(service, which, value % 40_000);
-                    if let Some(id) = sent(gateway.choose(now, &request)) {
+                    if let Some(id) = forwarded(gateway.choose(now, &request)) {
                         prop_assert!(gateway.accepts_requests(id));
                         let view = gateway.executor_view(now, id).unwrap();
                         let number = (0..8).find(|n| executor(*n, ExecutorState::Ready).instance == &*view.instance);
--- a/crates/gateway/tests/routing/eligibility.rs
+++ b/crates/gateway/tests/routing/eligibility.rs
@@ -1,6 +1,6 @@
 //! Which executors may get a request at all.
 
-use crate::fixture::{START, executor, node, sent, sized};
+use crate::fixture::{START, executor, forwarded, node, sized};
 use grebeusher_gateway::{
     BatchItem, ExecutorDescriptor, ExecutorState, ModelKey, PromptSegments, Request, RoutingDecision,
 };
@@ -16,7 +16,7 @@
     let (mut gateway, service, ids) = node(3, 7);
     gateway.upsert(&executor(1, state));
     let there =
-        (0..500).filter(|_| sent(gateway.choose(START, &sized(service, 9, 0))) == Some(ids[1])).count();
+        (0..500).filter(|_| forwarded(gateway.choose(START, &sized(service, 9, 0))) == Some(ids[1])).count();
     assert!(due.contains(&there), "{there}");
 }
 
@@ -24,7 +24,7 @@
 fn a_sole_executor_gets_requests_when_unresponsive_but_not_when_draining() {
     let (mut gateway, service, ids) = node(1, 7);
     gateway.upsert(&executor(0, ExecutorState::Unresponsive));
-    assert_eq!(sent(gateway.choose(START, &sized(service, 9, 0))), Some(ids[0]));
+    assert_eq!(forwarded(gateway.choose(START, &sized(service, 9, 0))), Some(ids[0]));
     assert!(gateway.accepts_requests(ids[0]));
     gateway.upsert(&executor(0, ExecutorState::Draining));
     assert!(matches!(gateway.choose(START, &sized(service, 9, 0)), RoutingDecision::NoExecutor { .. }));
@@ -44,7 +44,7 @@
 fn an_excluded_executor_is_not_chosen() {
     let (mut gateway, service, ids) = node(3, 7);
     let request = Request { excluded: &ids[..2], ..sized(service, 9, 0) };
-    assert!((0..100).all(|_| sent(gateway.choose(START, &request)) == Some(ids[2])));
+    assert!((0..100).all(|_| forwarded(gateway.choose(START, &request)) == Some(ids[2])));
     let request = Request { excluded: &ids, ..sized(service, 9, 0) };
     assert!(matches!(gateway.choose(START, &request), RoutingDecision::NoExecutor { .. }));
 }
@@ -54,5 +54,5 @@
     let (mut gateway, service, ids) = node(3, 7);
     gateway.upsert(&ExecutorDescriptor { models: &[ModelKey(2)], ..executor(1, ExecutorState::Ready) });
     let request = Request { model: Some(ModelKey(2)), ..sized(service, 9, 0) };
-    assert!((0..100).all(|_| sent(gateway.choose(START, &request)) == Some(ids[1])));
+    assert!((0..100).all(|_| forwarded(gateway.choose(START, &request)) == Some(ids[1])));
 }
--- a/crates/gateway/tests/routing/fixture.rs
+++ b/crates/gateway/tests/routing/fixture.rs
@@ -46,7 +46,7 @@
     }
 }
 
-pub fn sent(choice: RoutingDecision) -> Option<ExecutorId> {
+pub fn forwarded(choice: RoutingDecision) -> Option<ExecutorId> {
     if let RoutingDecision::Forward { executor, .. } = choice { Some(executor) } else { None }
 }
 
@@ -67,8 +67,8 @@
     ids.iter().for_each(|id| fill(gateway, now, *id, running, waiting));
 }
 
-pub fn with_prefix(service: ServiceId, subject: usize, tokens: u32) -> Request<'static> {
-    let prompt = PromptSegments::parse(&format!("{subject:x}:{tokens},ffff:100")).unwrap();
+pub fn with_prefix(service: ServiceId, prefix: usize, tokens: u32) -> Request<'static> {
+    let prompt = PromptSegments::parse(&format!("{prefix:x}:{tokens},ffff:100")).unwrap();
     Request { prompt, ..sized(service, tokens + 100, 0) }
 }
 
--- a/crates/gateway/tests/routing/lanes.rs
+++ b/crates/gateway/tests/routing/lanes.rs
@@ -1,6 +1,6 @@
 //! Lanes by size.
 
-use crate::fixture::{START, at, fill, node, sent, sized, train_sample};
+use crate::fixture::{START, at, fill, forwarded, node, sized, train_sample};
 use grebeusher_gateway::{AttemptOutcome, Gateway};
 
 #[test]
@@ -16,8 +16,8 @@
     // and small and large requests go to lanes of their own
     let lane = |gateway: &Gateway, id| gateway.executor_view(at(6000), id).unwrap().lane;
     for _ in 0..50 {
-        let small = sent(gateway.choose(at(6000), &sized(service, 300, 0))).unwrap();
-        let large = sent(gateway.choose(at(6000), &sized(service, 200, 900))).unwrap();
+        let small = forwarded(gateway.choose(at(6000), &sized(service, 300, 0))).unwrap();
+        let large = forwarded(gateway.choose(at(6000), &sized(service, 200, 900))).unwrap();
         assert_eq!((lane(&gateway, small), lane(&gateway, large)), (0, 1));
     }
 }
@@ -30,7 +30,7 @@
         gateway.attempt_finished(at(1), token, AttemptOutcome::Served);
     }
     let seen: std::collections::BTreeSet<_> =
-        (0..200).filter_map(|_| sent(gateway.choose(at(6000), &sized(service, 9, 0)))).collect();
+        (0..200).filter_map(|_| forwarded(gateway.choose(at(6000), &sized(service, 9, 0)))).collect();
     assert_eq!(seen.len(), 4);
 }
 
@@ -40,10 +40,10 @@
     train_sample(&mut gateway, service, ids[0]);
     let small = sized(service, 300, 0);
     let lane = |gateway: &Gateway, id| gateway.executor_view(at(6000), id).unwrap().lane;
-    sent(gateway.choose(at(6000), &small)).unwrap();
+    forwarded(gateway.choose(at(6000), &small)).unwrap();
     let only = *ids.iter().find(|id| lane(&gateway, **id) == 0).unwrap();
     fill(&mut gateway, at(6000), only, 4, 0);
-    let other = sent(gateway.choose(at(6000), &small)).unwrap();
+    let other = forwarded(gateway.choose(at(6000), &small)).unwrap();
     assert_eq!(lane(&gateway, other), 1);
     assert_eq!(gateway.decisions().out_of_lane, 1);
 }
--- a/crates/gateway/tests/routing/liveness.rs
+++ b/crates/gateway/tests/routing/liveness.rs
@@ -3,7 +3,7 @@
 use crate::fixture::{START, at, node, sized};
 use grebeusher_gateway::{AttemptOutcome, ExecutorId, Gateway};
 
-/// Two executors with a stream each, one of which falls silent at 100 ms; looked at every 100 ms until `until`.
+/// Two executors with a stream each, one of which becomes unresponsive at 100 ms; looked at every 100 ms until `until`.
 fn one_becomes_unresponsive(until: u64) -> (Gateway, Vec<ExecutorId>) {
     let (mut gateway, service, ids) = node(2, 7);
     let tokens: Vec<_> =
@@ -33,13 +33,13 @@
 
 #[test]
 fn a_node_that_stood_still_ejects_none() {
-    // given a node that was frozen for ten seconds with requests out
+    // given a node that was frozen for ten seconds with open requests
     let (mut gateway, ids) = one_becomes_unresponsive(100);
     gateway.detect_unresponsive(at(10_000));
     // then what came meanwhile is read first
     (1..=5).for_each(|n| gateway.detect_unresponsive(at(10_000 + n * 100)));
     assert!(ids.iter().all(|id| !gateway.executor_view(at(10_500), *id).unwrap().ejected));
-    // and whoever is silent from then on is
+    // and whoever is unresponsive from then on is
     (6..=8).for_each(|n| gateway.detect_unresponsive(at(10_000 + n * 100)));
     assert!(ids.iter().all(|id| gateway.executor_view(at(10_800), *id).unwrap().ejected));
 }
