--- a/crates/batch/tests/batches/main.rs
+++ b/crates/batch/tests/batches/main.rs
@@ -1,13 +1,17 @@
-//! What must hold of batch jobs, told as stories over in-memory partitions.
+//! Batch jobs over in-memory partitions, a file for each concern.
 
+mod abandonment;
+mod admission;
 mod events;
+mod fixture;
 mod leader_change;
+mod memory_sharing;
 mod pages;
 mod partition;
-mod quota;
+mod proposals;
+mod random_faults;
 mod replay;
+mod retries;
 mod running;
-mod sample;
-mod sharing;
-mod storm;
+mod scheduling;
 mod submission;
--- a/crates/gateway/tests/headers.rs
+++ b/crates/gateway/tests/headers.rs
@@ -1,12 +1,12 @@
 //! The headers of clients and executors, as they come from outside.
 
-use grebeusher_gateway::{HeaderError, MAX_PARTS, PromptParts, ServerLoad, TokenCount};
+use grebeusher_gateway::{HeaderError, MAX_SEGMENTS, PromptSegments, ServerLoad, TokenCount};
 use proptest::prelude::*;
 use rstest::rstest;
 
 #[rstest]
-#[case("1460,80", Ok(TokenCount { prompt: 1460, out: 80 }))]
-#[case(" 1 , 2 ", Ok(TokenCount { prompt: 1, out: 2 }))]
+#[case("1460,80", Ok(TokenCount { prompt: 1460, output: 80 }))]
+#[case(" 1 , 2 ", Ok(TokenCount { prompt: 1, output: 2 }))]
 #[case("1460", Err(HeaderError::Fields))]
 #[case("1,2,3", Err(HeaderError::Number))]
 #[case("+1,2", Err(HeaderError::Number))]
@@ -15,8 +15,8 @@
 #[case("99999999999,1", Err(HeaderError::Number))]
 #[case("16000001,1", Err(HeaderError::Number))]
 #[case(",", Err(HeaderError::Number))]
-fn token_counts(#[case] value: &str, #[case] due: Result<TokenCount, HeaderError>) {
-    assert_eq!(TokenCount::parse(value), due);
+fn token_counts_are_parsed(#[case] value: &str, #[case] expected: Result<TokenCount, HeaderError>) {
+    assert_eq!(TokenCount::parse(value), expected);
 }
 
 #[rstest]
@@ -24,22 +24,22 @@
 #[case("3,0", Err(HeaderError::Fields))]
 #[case("3,0,24,1", Err(HeaderError::Fields))]
 #[case("a,0,24", Err(HeaderError::Number))]
-fn loads(#[case] value: &str, #[case] due: Result<ServerLoad, HeaderError>) {
-    assert_eq!(ServerLoad::parse(value), due);
+fn server_loads_are_parsed(#[case] value: &str, #[case] expected: Result<ServerLoad, HeaderError>) {
+    assert_eq!(ServerLoad::parse(value), expected);
 }
 
 #[test]
-fn the_last_part_belongs_to_the_request_itself() {
-    let parts = PromptParts::parse("5c1e07a2:800,91bd3f06:410,e4402b7d:250").unwrap();
-    assert_eq!(parts.all().iter().map(|part| part.tokens).collect::<Vec<_>>(), [800, 410, 250]);
-    assert_eq!((parts.shared().len(), parts.shared_tokens()), (2, 1210));
-    assert!(PromptParts::default().shared().is_empty());
-    assert!(PromptParts::parse("5c1e07a2:800").unwrap().shared().is_empty());
+fn the_last_segment_is_not_shared() {
+    let prompt = PromptSegments::parse("5c1e07a2:800,91bd3f06:410,e4402b7d:250").unwrap();
+    assert_eq!(prompt.all().iter().map(|segment| segment.tokens).collect::<Vec<_>>(), [800, 410, 250]);
+    assert_eq!((prompt.shared().len(), prompt.shared_tokens()), (2, 1210));
+    assert!(PromptSegments::default().shared().is_empty());
+    assert!(PromptSegments::parse("5c1e07a2:800").unwrap().shared().is_empty());
 }
 
 #[test]
-fn a_part_is_another_behind_other_parts() {
-    let chain = |value| PromptParts::parse(value).unwrap().all().last().unwrap().chain;
+fn the_chain_hash_depends_on_all_segments_before() {
+    let chain = |value| PromptSegments::parse(value).unwrap().all().last().unwrap().chain_hash;
     assert_eq!(chain("aa:1,bb:2"), chain("AA:1, bb:2"));
     assert_ne!(chain("aa:1,bb:2"), chain("cc:1,bb:2"));
     assert_ne!(chain("aa:1,bb:2"), chain("aab:1,b:2"));
@@ -54,24 +54,24 @@
 #[case("xy:5")]
 #[case("aa:5,")]
 #[case("aa:-5")]
-fn malformed_parts_are_none(#[case] value: &str) {
-    assert!(PromptParts::parse(value).is_err());
+fn malformed_prompts_are_errors(#[case] value: &str) {
+    assert!(PromptSegments::parse(value).is_err());
 }
 
 #[test]
-fn parts_without_end_are_cut_off() {
+fn only_the_first_segments_are_kept() {
     let value = (0..1000).map(|n| format!("{n:x}:16000000")).collect::<Vec<_>>().join(",");
-    let parts = PromptParts::parse(&value).unwrap();
-    assert_eq!(parts.all().len(), MAX_PARTS);
+    let prompt = PromptSegments::parse(&value).unwrap();
+    assert_eq!(prompt.all().len(), MAX_SEGMENTS);
     // What is kept of it is all shared, since the last part is beyond.
-    assert_eq!(parts.shared_tokens(), 16 * 16_000_000);
+    assert_eq!(prompt.shared_tokens(), 16 * 16_000_000);
 }
 
 proptest! {
     #[test]
-    fn nothing_from_outside_panics(value in ".{0,200}") {
+    fn no_header_value_panics(value in ".{0,200}") {
         let _ = TokenCount::parse(&value);
         let _ = ServerLoad::parse(&value);
-        let _ = PromptParts::parse(&value);
+        let _ = PromptSegments::parse(&value);
     }
 }
--- a/crates/tier/src/requests/exchange.rs
+++ b/crates/tier/src/requests/exchange.rs
@@ -8,7 +8,9 @@
 use crate::requests::upstream::{Failure, MAX_UNWRITTEN, Target, UpstreamEvent, UpstreamUser};
 use crate::runtime::timers::Timer;
 use grebeusher_configuration::configuration::{Route, RouteType};
-use grebeusher_gateway::{AttemptToken, Attempts, ExecutorId, FinalAnswer, Kind, Next, Outcome, ServerLoad};
+use grebeusher_gateway::{
+    AttemptOutcome, AttemptToken, Attempts, ExecutorId, FinalResponse, RetryClass, RetryDecision, ServerLoad,
+};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::headers::Headers;
 use grebeusher_transport::http::{self, RequestHead};
@@ -49,7 +51,7 @@
     /// An answer that is buffered until it is complete.
     buffered: Option<BufferedAnswer>,
     /// The executor says that it did not run the request.
-    refusal: Option<Outcome>,
+    refusal: Option<AttemptOutcome>,
 }
 
 struct BufferedAnswer {
@@ -74,7 +76,7 @@
     hints: Hints,
     route: Rc<Route>,
     service: String,
-    kind: Kind,
+    retry_class: RetryClass,
     accepted: Instant,
     deadline: Instant,
     tried: Vec<ExecutorId>,
@@ -94,12 +96,12 @@
         Question {
             route: &self.route,
             service: &self.service,
-            kind: self.kind,
+            retry_class: self.retry_class,
             hints: &self.hints,
             accepted: self.accepted,
             deadline: self.deadline,
             tried: &self.tried,
-            committed: self.streaming || self.attempts.may_have_run(),
+            may_have_run: self.streaming || self.attempts.may_have_run(),
         }
     }
 
@@ -127,10 +129,10 @@
         let now = self.now;
         let headers = &request.head.headers;
         let client_last_event = headers.get(names::LAST_EVENT_ID).and_then(|text| text.trim().parse().ok());
-        let kind = match route.route_type {
-            RouteType::Idempotent => Kind::Idempotent,
-            RouteType::Streaming if route.resumable => Kind::ResumableStream,
-            _ => Kind::NonIdempotent,
+        let retry_class = match route.route_type {
+            RouteType::Idempotent => RetryClass::Idempotent,
+            RouteType::Streaming if route.resumable => RetryClass::ResumableStream,
+            _ => RetryClass::NonIdempotent,
         };
         let service = route.pick_service(self.random_point()).as_str().to_owned();
         let serial = self.next_serial();
@@ -142,11 +144,11 @@
             hints: Hints::of(headers),
             request,
             service,
-            kind,
+            retry_class,
             accepted: now,
             deadline,
             tried: Vec::new(),
-            attempts: Attempts::new(kind, route.max_attempts),
+            attempts: Attempts::new(retry_class, route.max_attempts),
             attempt: None,
             begun: 0,
             streaming: false,
@@ -175,20 +177,20 @@
             };
             match self.send_attempt(index, &candidate) {
                 None => return,
-                Some(Next::Finish(answer)) => return self.finish(index, answer, None),
+                Some(RetryDecision::Finish(answer)) => return self.finish(index, answer, None),
                 Some(_) => {}
             }
         }
     }
 
     /// Begins an attempt; what follows where it failed at once.
-    fn send_attempt(&mut self, index: usize, candidate: &Candidate) -> Option<Next> {
+    fn send_attempt(&mut self, index: usize, candidate: &Candidate) -> Option<RetryDecision> {
         let now = self.now;
         let exchange = &mut self.exchanges[index];
         let question = exchange.question();
         let request = self.routing.request(now, &question);
-        let Some(flight) = self.routing.gateway.started(now, candidate.executor, &request) else {
-            return Some(exchange.attempts.ended(Outcome::NeverSent));
+        let Some(flight) = self.routing.gateway.attempt_started(now, candidate.executor, &request) else {
+            return Some(exchange.attempts.ended(AttemptOutcome::NeverSent));
         };
         exchange.tried.push(candidate.executor);
         exchange.begun += 1;
@@ -212,7 +214,7 @@
             }
             Err(failure) => {
                 let outcome = outcome_of(failure, false, false);
-                self.routing.gateway.finished(now, flight, outcome);
+                self.routing.gateway.attempt_finished(now, flight, outcome);
                 Some(self.exchanges[index].attempts.ended(outcome))
             }
         }
@@ -220,7 +222,7 @@
 
     fn set_response_timeout(&mut self, index: usize) {
         let exchange = &self.exchanges[index];
-        let Some(attempt) = exchange.attempt.as_ref().filter(|_| exchange.kind.may_run_again()) else {
+        let Some(attempt) = exchange.attempt.as_ref().filter(|_| exchange.retry_class.may_run_again()) else {
             return;
         };
         let silent_at = attempt.last_activity + exchange.response_timeout();
@@ -254,13 +256,13 @@
         attempt.head_seen = true;
         attempt.last_activity = now;
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
-        self.routing.gateway.head(now, attempt.flight, load);
+        self.routing.gateway.response_head(now, attempt.flight, load);
         if status == 421 {
-            attempt.refusal = Some(Outcome::Misdirected);
+            attempt.refusal = Some(AttemptOutcome::Misdirected);
             return;
         }
         if headers.get(names::NOT_EXECUTED).is_some() {
-            attempt.refusal = Some(Outcome::NotExecuted);
+            attempt.refusal = Some(AttemptOutcome::NotExecuted);
             return;
         }
         let success = (200..300).contains(&status);
@@ -293,7 +295,7 @@
             return;
         }
         attempt.last_activity = now;
-        self.routing.gateway.progress(now, attempt.flight);
+        self.routing.gateway.event_received(now, attempt.flight);
         if let Some(buffered) = &mut attempt.buffered {
             buffered.body.extend_from_slice(bytes);
             return;
@@ -316,17 +318,17 @@
         let Some(attempt) = exchange.attempt.take() else { return };
         let outcome = match attempt.refusal {
             Some(refusal) => refusal,
-            None if attempt.status >= 500 => Outcome::AnsweredFailure,
-            None if (200..300).contains(&attempt.status) => Outcome::Served,
-            None => Outcome::AnsweredOther,
+            None if attempt.status >= 500 => AttemptOutcome::AnsweredFailure,
+            None if (200..300).contains(&attempt.status) => AttemptOutcome::Served,
+            None => AttemptOutcome::AnsweredOther,
         };
-        if outcome == Outcome::Served && attempt.buffered.is_none() {
+        if outcome == AttemptOutcome::Served && attempt.buffered.is_none() {
             let mut rest = Vec::new();
             exchange.events.finish(&mut rest);
             let (client, serial) = (exchange.client, exchange.client_serial);
             self.write_client_chunk(client, serial, &rest);
         }
-        self.routing.gateway.finished(now, attempt.flight, outcome);
+        self.routing.gateway.attempt_finished(now, attempt.flight, outcome);
         self.after_attempt(index, outcome, attempt.buffered);
     }
 
@@ -339,16 +341,16 @@
             Some(refusal) => refusal,
             None => outcome_of(failure, exchange.streaming, exchange.events.can_resume()),
         };
-        self.routing.gateway.finished(now, attempt.flight, outcome);
+        self.routing.gateway.attempt_finished(now, attempt.flight, outcome);
         self.after_attempt(index, outcome, None);
     }
 
     /// An attempt is over: another one follows, or the answer.
-    fn after_attempt(&mut self, index: usize, outcome: Outcome, buffered: Option<BufferedAnswer>) {
+    fn after_attempt(&mut self, index: usize, outcome: AttemptOutcome, buffered: Option<BufferedAnswer>) {
         let exchange = &mut self.exchanges[index];
         match exchange.attempts.ended(outcome) {
-            Next::Finish(answer) => self.finish(index, answer, buffered),
-            Next::Retry | Next::Resume => self.next_attempt(index),
+            RetryDecision::Finish(answer) => self.finish(index, answer, buffered),
+            RetryDecision::Retry | RetryDecision::Resume => self.next_attempt(index),
         }
     }
 
@@ -382,12 +384,12 @@
         let exchange = &mut self.exchanges[index];
         let answer = match exchange.attempt.take() {
             Some(attempt) => {
-                let next = exchange.attempts.ended(Outcome::TimedOut);
-                self.routing.gateway.finished(now, attempt.flight, Outcome::TimedOut);
+                let next = exchange.attempts.ended(AttemptOutcome::TimedOut);
+                self.routing.gateway.attempt_finished(now, attempt.flight, AttemptOutcome::TimedOut);
                 self.abort_call(attempt.connection);
-                if let Next::Finish(answer) = next { answer } else { FinalAnswer::GatewayTimeout }
+                if let RetryDecision::Finish(answer) = next { answer } else { FinalResponse::GatewayTimeout }
             }
-            None => exchange.attempts.nobody(),
+            None => exchange.attempts.without_executor(),
         };
         self.finish(index, answer, None);
     }
@@ -405,11 +407,11 @@
     }
 
     /// Gives the client its answer, and ends the exchange.
-    fn finish(&mut self, index: usize, answer: FinalAnswer, buffered: Option<BufferedAnswer>) {
+    fn finish(&mut self, index: usize, answer: FinalResponse, buffered: Option<BufferedAnswer>) {
         let exchange = &self.exchanges[index];
         let (client, serial) = (exchange.client, exchange.client_serial);
         if exchange.streaming {
-            let served = answer == FinalAnswer::Nothing && buffered.is_none();
+            let served = answer == FinalResponse::Nothing && buffered.is_none();
             if served {
                 self.write_client(client, serial, b"0\r\n\r\n");
             } else {
@@ -417,21 +419,23 @@
             }
             return self.end_exchange(index, served);
         }
-        let may_run_again = exchange.kind.may_run_again();
+        let may_run_again = exchange.retry_class.may_run_again();
         let bytes = match (answer, buffered) {
             // The executor did not say that it has not run the request, and the client would take the status for that.
-            (FinalAnswer::Relay, Some(buffered))
+            (FinalResponse::Relay, Some(buffered))
                 if promises_not_executed(buffered.status) && !may_run_again =>
             {
                 http::answer(502, &[], b"")
             }
-            (FinalAnswer::Nothing | FinalAnswer::Relay, Some(buffered)) => buffered_answer(buffered),
-            (FinalAnswer::Refused, _) => http::answer(503, &[("Retry-After", RETRY_AFTER_S)], b""),
-            (FinalAnswer::GatewayTimeout, _) => http::answer(504, &[], b""),
-            (FinalAnswer::Cut, _) => return self.end_exchange(index, false),
+            (FinalResponse::Nothing | FinalResponse::Relay, Some(buffered)) => buffered_answer(buffered),
+            (FinalResponse::ServiceUnavailable, _) => {
+                http::answer(503, &[("Retry-After", RETRY_AFTER_S)], b"")
+            }
+            (FinalResponse::GatewayTimeout, _) => http::answer(504, &[], b""),
+            (FinalResponse::Abort, _) => return self.end_exchange(index, false),
             _ => http::answer(502, &[], b""),
         };
-        self.counters.failed += u64::from(!matches!(answer, FinalAnswer::Nothing | FinalAnswer::Relay));
+        self.counters.failed += u64::from(!matches!(answer, FinalResponse::Nothing | FinalResponse::Relay));
         self.write_own_answer(client, serial, bytes);
         self.end_exchange(index, true);
     }
@@ -447,7 +451,7 @@
         let now = self.now;
         let Some(exchange) = self.exchanges.try_remove(index) else { return };
         if let Some(attempt) = exchange.attempt {
-            self.routing.gateway.finished(now, attempt.flight, Outcome::ClientGone);
+            self.routing.gateway.attempt_finished(now, attempt.flight, AttemptOutcome::ClientGone);
             self.abort_call(attempt.connection);
         }
     }
@@ -459,15 +463,15 @@
 }
 
 /// How an attempt ended whose connection failed.
-fn outcome_of(failure: Failure, streaming: bool, can_resume: bool) -> Outcome {
+fn outcome_of(failure: Failure, streaming: bool, can_resume: bool) -> AttemptOutcome {
     match failure {
-        Failure::NeverSent => Outcome::NeverSent,
-        Failure::BeforeHead if streaming && can_resume => Outcome::BrokenMidStream,
-        Failure::BeforeHead if streaming => Outcome::BrokenMidBody,
-        Failure::BeforeHead => Outcome::BrokenBeforeHead,
-        Failure::MidBody if streaming && can_resume => Outcome::BrokenMidStream,
-        Failure::MidBody if streaming => Outcome::BrokenMidBody,
-        Failure::MidBody => Outcome::BrokenBeforeRelay,
+        Failure::NeverSent => AttemptOutcome::NeverSent,
+        Failure::BeforeHead if streaming && can_resume => AttemptOutcome::BrokenMidStream,
+        Failure::BeforeHead if streaming => AttemptOutcome::BrokenMidBody,
+        Failure::BeforeHead => AttemptOutcome::BrokenBeforeHead,
+        Failure::MidBody if streaming && can_resume => AttemptOutcome::BrokenMidStream,
+        Failure::MidBody if streaming => AttemptOutcome::BrokenMidBody,
+        Failure::MidBody => AttemptOutcome::BrokenBeforeRelay,
     }
 }
 
--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -1,10 +1,10 @@
 //! The common sense of popular prefixes between the nodes: sent down the relay tree, and kept as a hint on the disk.
 //!
-//! Whether anybody hears it, or it is on the disk, no rule rests on: it only says where shared part of prompts are kept.
+//! Whether anybody hears it, or it is on the disk, no rule rests on: it only says where shared parts of prompts are kept.
 
 use crate::links::messages::Channel;
 use crate::node::Node;
-use grebeusher_prefix_popularity::{Contribution, Identity, Merge, Settings};
+use grebeusher_prefix_popularity::{Contribution, Contributor, MergeOutcome, Settings};
 use grebeusher_registry::NodeId;
 use grebeusher_time::Duration;
 use std::fmt::Write;
@@ -21,12 +21,12 @@
     /// Begins with what an earlier process of this node knew.
     pub fn begin_popularity(&mut self) {
         let member = self.registry.own_member();
-        let own = Identity { origin: member.id().0, incarnation: member.incarnation };
+        let own = Contributor { origin: member.id().0, incarnation: member.incarnation };
         self.routing.gateway.share_prefixes(self.now, own, Settings::default());
         let Some(popularity) = self.routing.gateway.popularity_mut() else { return };
         let Some(folder) = &self.settings.data_path else { return };
         let Some(bytes) = self.world.read_hint(folder, NAME) else { return };
-        match popularity.recall(self.now, &bytes) {
+        match popularity.restore(self.now, &bytes) {
             Ok(count) => debug!(count, "popular prefixes restored"),
             Err(error) => warn!(%error, "popular prefixes unreadable"),
         }
@@ -59,7 +59,7 @@
             .gateway
             .popularity_mut()
             .map(|popularity| popularity.merge(now, contribution.clone()));
-        if merged == Some(Merge::News) {
+        if merged == Some(MergeOutcome::Merged) {
             self.pass_popularity_on(&contribution);
         }
     }
@@ -79,7 +79,7 @@
         if !due || self.stopping() || popularity.popular(1).is_empty() {
             return;
         }
-        let bytes = popularity.remember();
+        let bytes = popularity.snapshot();
         self.popularity_written = self.now;
         if let Err(error) = self.world.keep_hint(&folder, NAME, &bytes) {
             warn!(%error, "popular prefixes not written");
@@ -92,25 +92,26 @@
         writeln!(
             text,
             "chosen by pick {} home {} next home {} kept {} out of lane {} queued {} in doubt {} refused {} nobody {}",
-            chosen.by_pick,
-            chosen.by_home,
-            chosen.by_next_home,
-            chosen.by_kept,
+            chosen.weighted_pick,
+            chosen.prefix_home,
+            chosen.next_prefix_home,
+            chosen.cached_prefix,
             chosen.out_of_lane,
             chosen.queued,
-            chosen.in_doubt,
-            chosen.refused,
-            chosen.nobody,
+            chosen.unhealthy,
+            chosen.rejected,
+            chosen.no_executor,
         )?;
         let Some(popularity) = self.routing.gateway.popularity() else {
             return writeln!(text, "popular prefixes: each node judges alone");
         };
-        let (counted, heard) = popularity.sizes();
+        let sizes = popularity.sizes();
+        let (counted, heard) = (sizes.tracked_prefixes, sizes.contributors);
         let counters = popularity.counters();
         writeln!(
             text,
             "popular prefixes: counted {counted} nodes heard {heard} told {} merged {} known {} homes added {} removed {}",
-            counters.told, counters.merged, counters.known, counters.homes_added, counters.homes_removed,
+            counters.sent, counters.merged, counters.ignored, counters.homes_added, counters.homes_removed,
         )?;
         for view in self.routing.gateway.popular(SHOWN) {
             let (key, rate) = (view.popular.key.0, view.popular.tokens_per_s);
