--- a/crates/registry/src/confirmation.rs
+++ b/crates/registry/src/confirmation.rs
@@ -1,9 +1,9 @@
-//! Drains: a call is acknowledged when every live node has confirmed what it said, or after a bound; and never before it is
+//! Drains: a call is acknowledged when every live node has acknowledged what it said, or after a bound; and never before it is
 //! kept by more machines of the core than may be lost.
 //!
 //! An acknowledgement binds all nodes that are in touch with the core, also those that the node which gives it can't reach
-//! or holds for dead: they learn of the drain from a machine of the core that has it. At least one of those that confirmed
-//! is none of the lost ones, and so in touch with them. A node that is cut off hears no confirmations and acknowledges
+//! or considers dead: they learn of the drain from a machine of the core that has it. At least one of those that confirmed
+//! is none of the lost ones, and so in touch with them. A node that is partitioned off hears no confirmations and acknowledges
 //! nothing: the executor then calls another node.
 
 use crate::message::{Message, Relay};
@@ -15,164 +15,165 @@
 use std::net::SocketAddrV4;
 
 /// For how long nodes that have not confirmed are told again directly, also after the call was answered.
-const INSISTENCE: Duration = Duration::from_millis(2_000);
+const RESEND_DURATION: Duration = Duration::from_millis(2_000);
 
-/// News that everyone has to confirm.
-struct Telling {
+/// Updates that everyone has to confirm.
+struct ConfirmedBroadcast {
     relay: Relay,
     outstanding: BTreeSet<SocketAddrV4>,
-    copies: Copies,
+    core_replicas: CoreReplicas,
     calls: Vec<CallToken>,
     started: Instant,
     next_retry: Instant,
 }
 
-/// The machines of the core that have some news.
+/// The machines of the core that have some updates.
 #[derive(Default)]
-struct Copies {
+struct CoreReplicas {
     machines: BTreeSet<SocketAddrV4>,
     zones: BTreeSet<String>,
 }
 
-impl Copies {
-    fn note(&mut self, member: &Member) {
+impl CoreReplicas {
+    fn insert(&mut self, member: &Member) {
         self.machines.insert(member.address);
         self.zones.insert(member.zone.clone());
     }
 
-    /// Whether one of them is left, and knows the news, whatever is lost.
-    fn outlast(&self, losses: Losses) -> bool {
+    /// Whether one of them is left, and knows the updates, whatever is lost.
+    fn survive(&self, losses: Losses) -> bool {
         self.machines.len() > losses.machines && self.zones.len() > losses.zones
     }
 }
 
 /// How a call of an executor that waited ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SettledCalls {
+pub struct CompletedCalls {
     /// To be acknowledged.
-    pub told: Vec<CallToken>,
-    /// Too few machines have confirmed: not to be acknowledged, so that the executor calls another node.
-    pub untold: Vec<CallToken>,
+    pub acknowledged: Vec<CallToken>,
+    /// Too few machines have acknowledged: not to be acknowledged, so that the executor calls another node.
+    pub rejected: Vec<CallToken>,
 }
 
 /// The state of drains.
 #[derive(Default)]
 pub(crate) struct Confirmations {
-    tellings: Vec<Telling>,
-    /// Executors whose news go out with the next flush, and the calls that wait for them.
-    gathered: BTreeMap<String, Vec<CallToken>>,
+    broadcasts: Vec<ConfirmedBroadcast>,
+    /// Executors whose updates go out with the next flush, and the calls that wait for them.
+    batched: BTreeMap<String, Vec<CallToken>>,
     flush: Option<Instant>,
     next_token: u64,
 }
 
 impl Confirmations {
     pub(crate) fn next_wake(&self, timings: &Timings) -> Option<Instant> {
-        let tellings = self.tellings.iter().map(|telling| {
-            let bound = telling.started + timings.confirm_bound;
-            if telling.calls.is_empty() { telling.next_retry } else { telling.next_retry.min(bound) }
+        let broadcasts = self.broadcasts.iter().map(|broadcast| {
+            let bound = broadcast.started + timings.confirm_bound;
+            if broadcast.calls.is_empty() { broadcast.next_retry } else { broadcast.next_retry.min(bound) }
         });
-        tellings.chain(self.flush).min()
+        broadcasts.chain(self.flush).min()
     }
 
-    pub(crate) fn shift(&mut self, by: Duration) {
-        for telling in &mut self.tellings {
-            telling.started = telling.started + by;
+    pub(crate) fn postpone(&mut self, by: Duration) {
+        for broadcast in &mut self.broadcasts {
+            broadcast.started = broadcast.started + by;
         }
     }
 }
 
 impl Registry {
     /// The calls that may be answered now. To be asked after each message and tick; each call is named once.
-    pub fn settled_calls(&mut self, now: Instant) -> SettledCalls {
+    pub fn take_completed_calls(&mut self, now: Instant) -> CompletedCalls {
         let (bound, losses) = (self.timings.confirm_bound, self.losses);
-        let mut settled = SettledCalls::default();
-        for telling in &mut self.confirmations.tellings {
-            if telling.is_told(now, bound, losses) {
-                settled.told.append(&mut telling.calls);
-            } else if telling.is_late(now, bound) {
-                settled.untold.append(&mut telling.calls);
+        let mut completed = CompletedCalls::default();
+        for broadcast in &mut self.confirmations.broadcasts {
+            if broadcast.may_be_acknowledged(now, bound, losses) {
+                completed.acknowledged.append(&mut broadcast.calls);
+            } else if broadcast.has_timed_out(now, bound) {
+                completed.rejected.append(&mut broadcast.calls);
             }
         }
-        settled
+        completed
     }
 
     /// Has everyone told of an executor that takes no more requests; the call waits for that.
-    pub(crate) fn tell_all(&mut self, now: Instant, id: &str, state: ExecutorState) -> Answer {
+    pub(crate) fn broadcast_state(&mut self, now: Instant, id: &str, state: ExecutorState) -> Answer {
         let (bound, losses) = (self.timings.confirm_bound, self.losses);
-        let tellings = &mut self.confirmations.tellings;
-        let under_way = tellings.iter_mut().find(|telling| telling.covers(id, state));
-        if under_way.as_ref().is_some_and(|telling| telling.is_told(now, bound, losses)) {
+        let broadcasts = &mut self.confirmations.broadcasts;
+        let in_flight = broadcasts.iter_mut().find(|broadcast| broadcast.covers(id, state));
+        if in_flight.as_ref().is_some_and(|broadcast| broadcast.may_be_acknowledged(now, bound, losses)) {
             return Answer::Now;
         }
         self.confirmations.next_token += 1;
         let token = CallToken(self.confirmations.next_token);
-        match under_way {
-            Some(telling) => telling.calls.push(token),
+        match in_flight {
+            Some(broadcast) => broadcast.calls.push(token),
             None => {
-                self.confirmations.gathered.entry(id.to_owned()).or_default().push(token);
+                self.confirmations.batched.entry(id.to_owned()).or_default().push(token);
                 self.confirmations.flush.get_or_insert(now + self.timings.urgent_batch);
             }
         }
-        Answer::WhenTold(token)
+        Answer::WhenAcknowledged(token)
     }
 
     pub(crate) fn receive_confirm(&mut self, from: SocketAddrV4, incarnation: u64, sequence: u64) {
         let core_member = self.by_address.get(&from).and_then(|name| self.member(name)).cloned();
         let core_member = core_member.filter(|member| self.is_core(member));
-        let telling =
-            self.confirmations.tellings.iter_mut().find(|telling| {
-                (telling.relay.incarnation, telling.relay.sequence) == (incarnation, sequence)
-            });
-        if let Some(telling) = telling {
-            telling.outstanding.remove(&from);
-            core_member.iter().for_each(|member| telling.copies.note(member));
+        let broadcast = self.confirmations.broadcasts.iter_mut().find(|broadcast| {
+            (broadcast.relay.incarnation, broadcast.relay.sequence) == (incarnation, sequence)
+        });
+        if let Some(broadcast) = broadcast {
+            broadcast.outstanding.remove(&from);
+            core_member.iter().for_each(|member| broadcast.core_replicas.insert(member));
         }
-        self.settle_tellings();
+        self.retire_broadcasts();
     }
 
     pub(crate) fn tick_confirmations(&mut self, now: Instant) {
         if self.confirmations.flush.is_some_and(|flush| flush <= now) {
-            self.flush_tellings(now);
+            self.flush_broadcasts(now);
         }
-        if self.confirmations.tellings.is_empty() {
+        if self.confirmations.broadcasts.is_empty() {
             return;
         }
-        let live: BTreeSet<SocketAddrV4> = self.ring.others().map(|place| place.address).collect();
+        let live: BTreeSet<SocketAddrV4> =
+            self.ring.others().map(|ring_member| ring_member.address).collect();
         let retry = self.timings.confirm_retry;
         let mut messages = Vec::new();
-        for telling in &mut self.confirmations.tellings {
-            telling.outstanding.retain(|address| live.contains(address));
-            if telling.next_retry <= now {
-                telling.next_retry = now + retry;
+        for broadcast in &mut self.confirmations.broadcasts {
+            broadcast.outstanding.retain(|address| live.contains(address));
+            if broadcast.next_retry <= now {
+                broadcast.next_retry = now + retry;
                 messages.extend(
-                    telling.outstanding.iter().map(|to| (*to, Message::Relay(telling.relay.clone()))),
+                    broadcast.outstanding.iter().map(|to| (*to, Message::Relay(broadcast.relay.clone()))),
                 );
             }
-            if now.since(telling.started) > INSISTENCE {
-                telling.outstanding.clear();
+            if now.since(broadcast.started) > RESEND_DURATION {
+                broadcast.outstanding.clear();
             }
         }
         self.output.messages.extend(messages);
-        self.settle_tellings();
+        self.retire_broadcasts();
     }
 
-    fn flush_tellings(&mut self, now: Instant) {
+    fn flush_broadcasts(&mut self, now: Instant) {
         self.confirmations.flush = None;
-        let mut gathered = std::mem::take(&mut self.confirmations.gathered);
-        let keys: Vec<Key> = gathered.keys().cloned().map(Key::Executor).collect();
+        let mut batched = std::mem::take(&mut self.confirmations.batched);
+        let keys: Vec<Key> = batched.keys().cloned().map(Key::Executor).collect();
         for registers in self.registers_in_messages(&keys) {
             let ids = registers.iter().filter_map(Register::as_executor).map(|executor| &executor.id);
-            let calls = ids.filter_map(|id| gathered.remove(id)).flatten().collect();
+            let calls = ids.filter_map(|id| batched.remove(id)).flatten().collect();
             let relay = self.new_relay(true, registers);
-            self.pass_on(&relay);
-            let outstanding = self.ring.others().map(|place| place.address).collect();
+            self.forward(&relay);
+            let outstanding = self.ring.others().map(|ring_member| ring_member.address).collect();
             let next_retry = now + self.timings.confirm_retry;
-            let mut copies = Copies::default();
+            let mut core_replicas = CoreReplicas::default();
             if self.is_core(self.own_member()) {
-                copies.note(self.own_member());
+                core_replicas.insert(self.own_member());
             }
-            let telling = Telling { relay, outstanding, copies, calls, started: now, next_retry };
-            self.confirmations.tellings.push(telling);
+            let broadcast =
+                ConfirmedBroadcast { relay, outstanding, core_replicas, calls, started: now, next_retry };
+            self.confirmations.broadcasts.push(broadcast);
         }
     }
 
@@ -182,35 +183,36 @@
         has_disk(member) || (member.class == Class::Edge && !self.members().any(has_disk))
     }
 
-    /// Lets go of what everyone has confirmed, or was told for long enough, and whose calls were named.
-    fn settle_tellings(&mut self) {
+    /// Lets go of what everyone has acknowledged, or was told for long enough, and whose calls were named.
+    fn retire_broadcasts(&mut self) {
         let losses = self.losses;
-        let tellings = std::mem::take(&mut self.confirmations.tellings);
-        for telling in tellings {
-            if telling.outstanding.is_empty() && telling.copies.outlast(losses) {
-                let executors = telling.relay.registers.iter().filter_map(Register::as_executor);
-                executors.for_each(|told| self.executors.set_told(&told.id, told.state));
+        let broadcasts = std::mem::take(&mut self.confirmations.broadcasts);
+        for broadcast in broadcasts {
+            if broadcast.outstanding.is_empty() && broadcast.core_replicas.survive(losses) {
+                let executors = broadcast.relay.registers.iter().filter_map(Register::as_executor);
+                executors
+                    .for_each(|executor| self.executors.set_confirmed_state(&executor.id, executor.state));
             }
-            if !telling.outstanding.is_empty() || !telling.calls.is_empty() {
-                self.confirmations.tellings.push(telling);
+            if !broadcast.outstanding.is_empty() || !broadcast.calls.is_empty() {
+                self.confirmations.broadcasts.push(broadcast);
             }
         }
     }
 }
 
-impl Telling {
+impl ConfirmedBroadcast {
     /// Whether its calls may be acknowledged.
-    fn is_told(&self, now: Instant, bound: Duration, losses: Losses) -> bool {
-        self.copies.outlast(losses) && (self.outstanding.is_empty() || self.is_late(now, bound))
+    fn may_be_acknowledged(&self, now: Instant, bound: Duration, losses: Losses) -> bool {
+        self.core_replicas.survive(losses) && (self.outstanding.is_empty() || self.has_timed_out(now, bound))
     }
 
     /// Whether its calls wait no longer.
-    fn is_late(&self, now: Instant, bound: Duration) -> bool {
+    fn has_timed_out(&self, now: Instant, bound: Duration) -> bool {
         now.since(self.started) >= bound
     }
 
     fn covers(&self, id: &str, state: ExecutorState) -> bool {
         let mut executors = self.relay.registers.iter().filter_map(Register::as_executor);
-        executors.any(|told| told.id == id && told.state >= state)
+        executors.any(|executor| executor.id == id && executor.state >= state)
     }
 }
--- a/crates/registry/src/executor.rs
+++ b/crates/registry/src/executor.rs
@@ -8,7 +8,7 @@
 /// The most models that a register carries; what an executor names beyond is left out.
 pub(crate) const MAX_MODELS: usize = 16;
 
-/// What an executor has said of its life. It only ever moves on, never back.
+/// What an executor has said of its lifecycle. It only ever moves on, never back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExecutorState {
     /// Takes requests.
@@ -45,7 +45,7 @@
     pub config_version: String,
     /// `prefill`, `decode` or `both`; empty if it named none.
     pub pipeline_stage: String,
-    /// What it has said of its life.
+    /// What it has said of its lifecycle.
     pub state: ExecutorState,
     /// How much longer it stays slow, in ms, when it made the call `call_seq`.
     pub cold_left_ms: u64,
@@ -54,9 +54,9 @@
     /// What it holds.
     pub models: Vec<Model>,
     /// The name of the node that it called, which sees to its liveness.
-    pub heard_by: String,
+    pub reporter: String,
     /// Whether it misses its heartbeats. A hint: it may run all the same.
-    pub silent: bool,
+    pub unresponsive: bool,
 }
 
 impl Executor {
@@ -70,7 +70,7 @@
     fn order(&self) -> (u64, bool, u64) {
         let mut out = Writer::default();
         Executor { state: ExecutorState::Up, ..self.clone() }.write(&mut out);
-        (self.call_seq, self.silent, hash::of_bytes(&out.bytes))
+        (self.call_seq, self.unresponsive, hash::of_bytes(&out.bytes))
     }
 
     /// Takes over what is newer in `other`. Whether anything changed.
@@ -95,8 +95,8 @@
             || self.pipeline_stage != other.pipeline_stage
             || self.state != other.state
             || self.models != other.models
-            || self.heard_by != other.heard_by
-            || self.silent != other.silent
+            || self.reporter != other.reporter
+            || self.unresponsive != other.unresponsive
     }
 }
 
@@ -125,11 +125,11 @@
             ExecutorState::Draining => 1,
             ExecutorState::Gone => 2,
         };
-        out.u8(state | u8::from(self.silent) << 2);
+        out.u8(state | u8::from(self.unresponsive) << 2);
         out.u64(self.cold_left_ms);
         out.u64(self.call_seq);
         out.list(&self.models);
-        out.text(&self.heard_by);
+        out.text(&self.reporter);
     }
 
     fn read(input: &mut Reader<'_>) -> Result<Executor, DecodeError> {
@@ -162,8 +162,8 @@
             cold_left_ms: input.u64()?,
             call_seq: input.u64()?,
             models: input.list("the models of an executor", MAX_MODELS)?,
-            heard_by: input.text()?,
-            silent: flags & 0b100 != 0,
+            reporter: input.text()?,
+            unresponsive: flags & 0b100 != 0,
         })
     }
 }
--- a/crates/registry/src/recall.rs
+++ b/crates/registry/src/hint.rs
@@ -10,43 +10,43 @@
 const VERSION: u8 = 1;
 
 /// The most executors that are remembered.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_HINTED_EXECUTORS: usize = 4_096;
 
 impl Registry {
-    /// The executors that exist as far as is known, for [`Registry::recall`] of a later process of this node.
-    pub fn remember(&self) -> Vec<u8> {
-        let existing = self.executors().filter(|executor| executor.exists() && !executor.silent);
-        let executors: Vec<Executor> = existing.take(MAX_REMEMBERED).cloned().collect();
+    /// The executors that exist as far as is known, for [`Registry::restore_executors`] of a later process of this node.
+    pub fn executors_hint(&self) -> Vec<u8> {
+        let existing = self.executors().filter(|executor| executor.exists() && !executor.unresponsive);
+        let executors: Vec<Executor> = existing.take(MAX_HINTED_EXECUTORS).cloned().collect();
         let mut out = Writer::default();
         out.u8(VERSION);
         out.list(&executors);
         out.bytes
     }
 
-    /// Whether an executor is known only from an earlier process of this node, and has not been heard for so long since that
+    /// Whether an executor is known only from an earlier process of this node, and has not been contacted for so long since that
     /// it may have said meanwhile that it leaves.
-    pub fn is_only_recalled(&self, id: &str) -> bool {
-        self.executors.is_only_recalled(id)
+    pub fn is_only_restored(&self, id: &str) -> bool {
+        self.executors.is_only_restored(id)
     }
 
     /// Takes over what an earlier process of this node remembered. It merges like what any node tells: each next
-    /// heartbeat of an executor is newer, and one that doesn't come leaves it silent.
+    /// heartbeat of an executor is newer, and one that doesn't come leaves it unresponsive.
     ///
     /// # Errors
-    /// The bytes are not in the form of [`Registry::remember`].
-    pub fn recall(&mut self, now: Instant, bytes: &[u8]) -> Result<usize, DecodeError> {
+    /// The bytes are not in the form of [`Registry::executors_hint`].
+    pub fn restore_executors(&mut self, now: Instant, bytes: &[u8]) -> Result<usize, DecodeError> {
         let mut input = Reader::new(bytes);
         let version = input.u8()?;
         if version != VERSION {
             return UnknownVariantSnafu { what: "the form of remembered executors", tag: version }.fail();
         }
-        let executors: Vec<Executor> = input.list("remembered executors", MAX_REMEMBERED)?;
+        let executors: Vec<Executor> = input.list("remembered executors", MAX_HINTED_EXECUTORS)?;
         let count = executors.len();
         for executor in executors {
             let (id, known) = (executor.id.clone(), self.executor(&executor.id).is_some());
             self.merge_executor(now, executor);
             if !known {
-                self.executors.set_recalled(&id);
+                self.executors.set_restored(&id);
             }
         }
         Ok(count)
--- a/crates/registry/src/join.rs
+++ b/crates/registry/src/join.rs
@@ -14,13 +14,13 @@
 const WELCOME_MEMBERS: usize = 16;
 
 /// How long a node goes on calling the seeds that have not answered, after others have.
-const INSISTENCE: Duration = Duration::from_millis(3_000);
+const RESEND_DURATION: Duration = Duration::from_millis(3_000);
 
 /// The state of joining.
 pub(crate) struct Joining {
     pub(crate) seeds: Vec<SocketAddrV4>,
     started: Instant,
-    next_try: Option<Instant>,
+    next_attempt: Option<Instant>,
     welcomed: bool,
 }
 
@@ -29,12 +29,12 @@
         seeds.sort();
         seeds.dedup();
         seeds.retain(|seed| *seed != own);
-        let next_try = (!seeds.is_empty()).then_some(now);
-        Joining { seeds, started: now, next_try, welcomed: false }
+        let next_attempt = (!seeds.is_empty()).then_some(now);
+        Joining { seeds, started: now, next_attempt, welcomed: false }
     }
 
     pub(crate) fn next_wake(&self) -> Option<Instant> {
-        self.next_try
+        self.next_attempt
     }
 }
 
@@ -54,27 +54,27 @@
     }
 
     pub(crate) fn tick_joining(&mut self, now: Instant) {
-        if self.joining.next_try.is_none_or(|next| next > now) {
+        if self.joining.next_attempt.is_none_or(|next| next > now) {
             return;
         }
         let unknown: Vec<SocketAddrV4> = self.unknown_seeds().collect();
-        let settled = self.joining.welcomed && now.since(self.joining.started) > INSISTENCE;
-        if settled || (unknown.is_empty() && self.is_joined()) {
+        let completed = self.joining.welcomed && now.since(self.joining.started) > RESEND_DURATION;
+        if completed || (unknown.is_empty() && self.is_joined()) {
             // From here on unknown seeds are probed as the dead are.
-            self.joining.next_try = None;
+            self.joining.next_attempt = None;
             return;
         }
         for seed in unknown {
             self.send(seed, Message::Join(self.own_member().clone()));
         }
         let jitter = self.random.random_range(0.9..1.1);
-        self.joining.next_try = Some(now + self.timings.join_retry.scaled(jitter));
+        self.joining.next_attempt = Some(now + self.timings.join_retry.scaled(jitter));
     }
 
     pub(crate) fn receive_join(&mut self, now: Instant, from: SocketAddrV4, member: Member) {
         self.merge_member(now, member, Source::Peer(from));
         let own = self.own_member().clone();
-        let others = self.live_members().filter(|other| other.address != from && other.id() != self.own);
+        let others = self.live_members().filter(|other| other.address != from && other.id() != self.own_id);
         let mut random = self.random.clone();
         let sample = others.choose_multiple(&mut random, WELCOME_MEMBERS);
         let mut members = vec![own];
@@ -98,11 +98,11 @@
             self.merge_member(now, member, Source::Welcome(from));
         }
         // The rest is taken from any of them, so that seeds need not serve everyone who starts.
-        let helper =
+        let sync_peer =
             addresses.into_iter().filter(|address| *address != self.own_address).choose(&mut self.random);
-        // Each seed welcomes it, and each of their helpers would bring the same.
-        if self.repairs.begin_filling(now) {
-            self.start_repair(now, helper.unwrap_or(from));
+        // Each seed welcomes it, and each of their probers would bring the same.
+        if self.repairs.begin_initial_sync(now) {
+            self.start_repair(now, sync_peer.unwrap_or(from));
         }
     }
 }
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -14,7 +14,7 @@
     Storage,
 }
 
-/// What is known of a node's life.
+/// What is known of a node's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
     /// Runs.
@@ -50,7 +50,7 @@
     pub name: String,
     /// Where the node listens for other nodes.
     pub address: SocketAddrV4,
-    /// The time of day at the start of the process, in ms since the epoch; raised if an older life had a later one.
+    /// The time of day at the start of the process, in ms since the epoch; raised if an earlier incarnation had a later one.
     pub incarnation: u64,
     /// Raised by the node at each change of its register, so also to refute its death.
     pub status_version: u64,
@@ -64,7 +64,7 @@
     pub replica: Option<u64>,
     /// Whether it was started with `bootstrap`.
     pub bootstrap: bool,
-    /// What is known of its life.
+    /// What is known of its lifecycle.
     pub state: MemberState,
 }
 
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -14,7 +14,7 @@
 const MAX_MEMBERS: usize = 2_048;
 
 /// A node that was falsely called dead again within this span is given more time from then on.
-const DOUBT: Duration = Duration::from_millis(20_000);
+const FALSE_DEATH_MEMORY: Duration = Duration::from_millis(20_000);
 
 /// How often the time that a node is given doubles at most.
 const MAX_SUSPICIONS: u32 = 3;
@@ -25,19 +25,19 @@
     /// When the register last changed.
     pub(crate) changed: Instant,
     /// When anything last came from it.
-    pub(crate) last_heard: Option<Instant>,
-    /// How often it came back from the dead within one life, lately.
-    doubts: u32,
-    last_doubt: Instant,
+    pub(crate) last_contact: Option<Instant>,
+    /// How often it came back from the dead within one incarnation, lately.
+    false_deaths: u32,
+    last_false_death: Instant,
 }
 
 impl MemberEntry {
     /// How much more time the node is given before it is called dead.
-    pub(crate) fn patience(&self, now: Instant) -> f64 {
-        if now.since(self.last_doubt) > DOUBT {
+    pub(crate) fn suspicion_multiplier(&self, now: Instant) -> f64 {
+        if now.since(self.last_false_death) > FALSE_DEATH_MEMORY {
             return 1.0;
         }
-        f64::from(1_u32 << self.doubts.saturating_sub(1).min(MAX_SUSPICIONS))
+        f64::from(1_u32 << self.false_deaths.saturating_sub(1).min(MAX_SUSPICIONS))
     }
 
     pub(crate) fn is_dead(&self) -> bool {
@@ -62,50 +62,55 @@
         let name = member.name.clone();
         let before = self.members.remove(&name);
         if let Some(before) = &before {
-            self.forget_address(&before.member);
+            self.unindex_address(&before.member);
         }
-        let (last_heard, mut doubts, mut last_doubt) = before
-            .as_ref()
-            .map_or((None, 0, Instant(0)), |entry| (entry.last_heard, entry.doubts, entry.last_doubt));
+        let (last_contact, mut false_deaths, mut last_false_death) =
+            before.as_ref().map_or((None, 0, Instant(0)), |entry| {
+                (entry.last_contact, entry.false_deaths, entry.last_false_death)
+            });
         let came_back = before.as_ref().is_some_and(|entry| {
             entry.is_dead() && member.serves() && entry.member.incarnation == member.incarnation
         });
         if came_back {
-            doubts = if now.since(last_doubt) > DOUBT { 1 } else { doubts.saturating_add(1) };
-            last_doubt = now;
+            false_deaths = if now.since(last_false_death) > FALSE_DEATH_MEMORY {
+                1
+            } else {
+                false_deaths.saturating_add(1)
+            };
+            last_false_death = now;
         }
-        self.note_address(&member);
-        let changed_place = before.as_ref().is_none_or(|entry| {
+        self.index_address(&member);
+        let ring_changed = before.as_ref().is_none_or(|entry| {
             entry.member.serves() != member.serves() || entry.member.address != member.address
         });
         let state = member.state;
         let hash = Register::Member(member.clone()).hash();
         self.digest.set(Key::Member(name.clone()), hash, member.serves());
-        if changed_place {
-            self.ring.follow(&member, self.own);
+        if ring_changed {
+            self.ring.update(&member, self.own_id);
         }
-        let entry = MemberEntry { member, changed: now, last_heard, doubts, last_doubt };
+        let entry = MemberEntry { member, changed: now, last_contact, false_deaths, last_false_death };
         self.members.insert(name.clone(), entry);
-        self.count_facts(&name);
-        if changed_place {
-            self.rewatch(now);
-            self.liveness.replan_probes();
+        self.update_metadata_digest(&name);
+        if ring_changed {
+            self.update_watches(now);
+            self.liveness.reset_probe_schedule();
         }
         self.generation.members += 1;
         self.output.events.push(Event::MemberChanged { name, state });
     }
 
-    fn forget_address(&mut self, member: &Member) {
+    fn unindex_address(&mut self, member: &Member) {
         if self.by_address.get(&member.address) == Some(&member.name) {
             self.by_address.remove(&member.address);
         }
     }
 
     /// An address belongs to the live node with the latest start.
-    fn note_address(&mut self, member: &Member) {
-        let holder = self.by_address.get(&member.address).and_then(|name| self.members.get(name));
+    fn index_address(&mut self, member: &Member) {
+        let current = self.by_address.get(&member.address).and_then(|name| self.members.get(name));
         let rank = |member: &Member| (member.serves(), member.incarnation);
-        if holder.is_none_or(|holder| rank(&holder.member) <= rank(member)) {
+        if current.is_none_or(|current| rank(&current.member) <= rank(member)) {
             self.by_address.insert(member.address, member.name.clone());
         }
     }
@@ -125,15 +130,15 @@
         }
     }
 
-    pub(crate) fn note_heard(&mut self, now: Instant, from: SocketAddrV4) {
-        self.liveness.last_heard = Some(now);
+    pub(crate) fn record_contact(&mut self, now: Instant, from: SocketAddrV4) {
+        self.liveness.last_contact = Some(now);
         let Some(name) = self.by_address.get(&from) else {
             return;
         };
         let Some(entry) = self.members.get_mut(name) else {
             return;
         };
-        entry.last_heard = Some(now);
+        entry.last_contact = Some(now);
         if entry.member.state == MemberState::Suspect {
             let name = name.clone();
             self.set_suspect(&name, false);
@@ -153,19 +158,19 @@
 
     /// Merges the register of a node.
     pub(crate) fn merge_member(&mut self, now: Instant, member: Member, source: Source) {
-        if member.id() == self.own {
-            return self.answer_to(now, &member, source);
+        if member.id() == self.own_id {
+            return self.refute(now, &member, source);
         }
         let known = self.members.get(&member.name);
         if known.is_none() && self.members.len() >= MAX_MEMBERS {
             return;
         }
-        let itself = |address: SocketAddrV4| address == member.address && member.serves();
+        let is_subject = |address: SocketAddrV4| address == member.address && member.serves();
         let order = known.map(|entry| entry.member.order());
         if order.is_some_and(|order| order >= member.order()) {
             // A node that does not know what was said of it has to hear it.
             if let Source::Peer(from) = source
-                && itself(from)
+                && is_subject(from)
                 && order.is_some_and(|order| order > member.order())
             {
                 self.send_registers(from, &[Key::Member(member.name)]);
@@ -175,7 +180,7 @@
         match source {
             Source::Relay => self.put_member(now, member),
             Source::Welcome(_) => self.put_member(now, member),
-            Source::Peer(from) if itself(from) => {
+            Source::Peer(from) if is_subject(from) => {
                 let key = Key::Member(member.name.clone());
                 self.put_member(now, member);
                 self.announce(now, key);
@@ -183,43 +188,43 @@
             Source::Peer(_)
                 if member.state == MemberState::Dead && known.is_some_and(|known| known.member.serves()) =>
             {
-                self.hold_death(now, member);
+                self.defer_death(now, member);
             }
             Source::Peer(_) => self.put_member(now, member),
         }
     }
 
     /// Answers to what another node holds of this one: a death is refuted, and an older register is set right.
-    fn answer_to(&mut self, now: Instant, said: &Member, source: Source) {
+    fn refute(&mut self, now: Instant, claim: &Member, source: Source) {
         let own = self.own_member();
-        if said.order() > own.order() && own.state != MemberState::Left {
-            self.outbid(now, said);
+        if claim.order() > own.order() && own.state != MemberState::Left {
+            self.supersede(now, claim);
         }
         if let Source::Peer(from) = source
-            && said.order() != self.own_member().order()
+            && claim.order() != self.own_member().order()
         {
             self.send_registers(from, &[Key::Member(self.own_name.clone())]);
         }
     }
 
-    fn outbid(&mut self, now: Instant, said: &Member) {
+    fn supersede(&mut self, now: Instant, claim: &Member) {
         let mut own = self.own_member().clone();
-        if said.incarnation > own.incarnation {
-            // Of an older life, under a clock that was ahead.
-            own.incarnation = said.incarnation.saturating_add(1);
+        if claim.incarnation > own.incarnation {
+            // Of an earlier incarnation, under a clock that was ahead.
+            own.incarnation = claim.incarnation.saturating_add(1);
             own.status_version = 0;
         } else {
-            own.status_version = said.status_version.saturating_add(1);
+            own.status_version = claim.status_version.saturating_add(1);
         }
         let raised = own.incarnation;
         self.put_member(now, own);
         self.announce(now, Key::Member(self.own_name.clone()));
-        if let Some(mut facts) = self.facts.get(&self.own_name).cloned()
-            && facts.incarnation < raised
+        if let Some(mut node_metadata) = self.node_metadata.get(&self.own_name).cloned()
+            && node_metadata.incarnation < raised
         {
-            facts.incarnation = raised;
-            self.put_facts(facts);
-            self.announce(now, Key::Facts(self.own_name.clone()));
+            node_metadata.incarnation = raised;
+            self.put_facts(node_metadata);
+            self.announce(now, Key::NodeMetadata(self.own_name.clone()));
         }
     }
 
@@ -228,7 +233,7 @@
         let mut dead: Vec<(Instant, String)> = self
             .members
             .values()
-            .filter(|entry| !entry.member.serves() && entry.member.id() != self.own)
+            .filter(|entry| !entry.member.serves() && entry.member.id() != self.own_id)
             .map(|entry| (entry.changed, entry.member.name.clone()))
             .collect();
         dead.sort();
@@ -242,13 +247,13 @@
 
     fn remove_member(&mut self, name: &str) {
         if let Some(entry) = self.members.remove(name) {
-            self.forget_address(&entry.member);
+            self.unindex_address(&entry.member);
             self.digest.remove(&Key::Member(name.to_owned()));
             self.generation.members += 1;
         }
-        if self.facts.remove(name).is_some() {
-            self.digest.remove(&Key::Facts(name.to_owned()));
-            self.generation.facts += 1;
+        if self.node_metadata.remove(name).is_some() {
+            self.digest.remove(&Key::NodeMetadata(name.to_owned()));
+            self.generation.node_metadata += 1;
         }
     }
 
@@ -258,8 +263,8 @@
         if others == 0 {
             return None;
         }
-        let place = self.ring.other(self.random.random_range(0..others))?;
-        Some((place.id, place.address))
+        let ring_member = self.ring.other(self.random.random_range(0..others))?;
+        Some((ring_member.id, ring_member.address))
     }
 
     pub(crate) fn member_of(&self, id: NodeId) -> Option<&MemberEntry> {
--- a/crates/registry/src/message.rs
+++ b/crates/registry/src/message.rs
@@ -16,7 +16,7 @@
 pub(crate) const SUMMARIES_PER_MESSAGE: usize = 900;
 
 /// How many registers are asked for in one message.
-pub(crate) const WANTS_PER_MESSAGE: usize = 1_800;
+pub(crate) const WANTED_KEYS_PER_MESSAGE: usize = 1_800;
 
 /// How many registers a message may name at most: each takes over 16 bytes.
 const MAX_REGISTERS: usize = MAX_MESSAGE / 16;
@@ -38,18 +38,18 @@
     pub answer: bool,
 }
 
-/// News on their way down the tree of relays.
+/// Updates on their way down the tree of relays.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relay {
     /// The root of the tree.
     pub origin: NodeId,
-    /// The life of the origin, within which `sequence` is unique.
+    /// The incarnation of the origin, within which `sequence` is unique.
     pub incarnation: u64,
     /// Rises by one with each message of the origin.
     pub sequence: u64,
     /// Whether the origin waits for everyone's [`Message::Confirm`].
     pub confirm: bool,
-    /// The news.
+    /// The updates.
     pub registers: Vec<Register>,
 }
 
@@ -76,9 +76,9 @@
         /// Who wants to know, if not the receiver.
         asker: Option<NodeId>,
     },
-    /// News.
+    /// Updates.
     Relay(Relay),
-    /// That the sender has the news of this number; straight to their origin.
+    /// That the sender has the updates of this number; straight to their origin.
     Confirm {
         /// [`Relay::incarnation`].
         incarnation: u64,
--- a/crates/registry/src/facts.rs
+++ b/crates/registry/src/node_metadata.rs
@@ -5,19 +5,19 @@
 use snafu::Snafu;
 
 /// The largest payload, in bytes.
-pub const MAX_FACTS: usize = 512;
+pub const MAX_METADATA: usize = 512;
 
-/// A payload exceeds [`MAX_FACTS`].
+/// A payload exceeds [`MAX_METADATA`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("facts of {length} bytes"))]
-pub struct FactsTooLarge {
+pub struct MetadataTooLarge {
     /// The length of the payload.
     pub length: usize,
 }
 
 /// The register of what one node says of itself; the newest takes the place of all before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct NodeMetadata {
     /// The name of the node, the key.
     pub node: String,
     /// The node's incarnation when it said so.
@@ -28,31 +28,31 @@
     pub payload: Vec<u8>,
 }
 
-impl Facts {
+impl NodeMetadata {
     /// Of two registers of one node the greater is the newer.
     pub(crate) fn order(&self) -> (u64, u64) {
         (self.incarnation, self.counter)
     }
 }
 
-impl Wire for Facts {
+impl Wire for NodeMetadata {
     fn write(&self, out: &mut Writer) {
         out.text(&self.node);
         out.u64(self.incarnation);
         out.u64(self.counter);
-        let length = self.payload.len().min(MAX_FACTS);
+        let length = self.payload.len().min(MAX_METADATA);
         out.u16(length as u16);
         out.bytes.extend_from_slice(&self.payload[..length]);
     }
 
-    fn read(input: &mut Reader<'_>) -> Result<Facts, DecodeError> {
+    fn read(input: &mut Reader<'_>) -> Result<NodeMetadata, DecodeError> {
         let node = input.text()?;
         let incarnation = input.u64()?;
         let counter = input.u64()?;
         let length = usize::from(input.u16()?);
-        if length > MAX_FACTS {
-            return TooLongSnafu { what: "facts", length, largest: MAX_FACTS }.fail();
+        if length > MAX_METADATA {
+            return TooLongSnafu { what: "facts", length, largest: MAX_METADATA }.fail();
         }
-        Ok(Facts { node, incarnation, counter, payload: input.take(length)?.to_vec() })
+        Ok(NodeMetadata { node, incarnation, counter, payload: input.take(length)?.to_vec() })
     }
 }
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -3,7 +3,7 @@
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, UnknownVariantSnafu};
 use crate::hash;
-use crate::{Executor, Facts, Member, NodeId};
+use crate::{Executor, Member, NodeId, NodeMetadata};
 
 /// One register.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -13,7 +13,7 @@
     /// An executor.
     Executor(Executor),
     /// What a node says of itself.
-    Facts(Facts),
+    NodeMetadata(NodeMetadata),
 }
 
 /// What a register is found by.
@@ -21,7 +21,7 @@
 pub(crate) enum Key {
     Member(String),
     Executor(String),
-    Facts(String),
+    NodeMetadata(String),
 }
 
 impl Key {
@@ -29,7 +29,7 @@
         let (kind, text) = match self {
             Key::Member(name) => return NodeId::of(name).0,
             Key::Executor(id) => (b'e', id),
-            Key::Facts(name) => (b'f', name),
+            Key::NodeMetadata(name) => (b'f', name),
         };
         let mut bytes = Vec::with_capacity(text.len() + 1);
         bytes.push(kind);
@@ -43,7 +43,7 @@
         match self {
             Register::Member(member) => Key::Member(member.name.clone()),
             Register::Executor(executor) => Key::Executor(executor.id.clone()),
-            Register::Facts(facts) => Key::Facts(facts.node.clone()),
+            Register::NodeMetadata(node_metadata) => Key::NodeMetadata(node_metadata.node.clone()),
         }
     }
 
@@ -80,9 +80,9 @@
                 out.u8(1);
                 executor.write(out);
             }
-            Register::Facts(facts) => {
+            Register::NodeMetadata(node_metadata) => {
                 out.u8(2);
-                facts.write(out);
+                node_metadata.write(out);
             }
         }
     }
@@ -91,7 +91,7 @@
         match input.u8()? {
             0 => Ok(Register::Member(Member::read(input)?)),
             1 => Ok(Register::Executor(Executor::read(input)?)),
-            2 => Ok(Register::Facts(Facts::read(input)?)),
+            2 => Ok(Register::NodeMetadata(NodeMetadata::read(input)?)),
             tag => UnknownVariantSnafu { what: "a register", tag }.fail(),
         }
     }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -12,7 +12,7 @@
 use crate::relay::Relays;
 use crate::repair::Repairs;
 use crate::ring::Ring;
-use crate::{Executor, Facts, FactsTooLarge, Losses, MAX_FACTS, Settings, Timings};
+use crate::{Executor, Losses, MAX_METADATA, MetadataTooLarge, NodeMetadata, Settings, Timings};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,20 +21,20 @@
 
 /// A process that was not called for so long beyond what it asked for has been frozen: its own silence must not
 /// count as that of others.
-const FREEZE: Duration = Duration::from_millis(600);
+const FREEZE_THRESHOLD: Duration = Duration::from_millis(600);
 
 /// Who is there, as one node knows it.
 pub struct Registry {
     pub(crate) timings: Timings,
     pub(crate) losses: Losses,
     pub(crate) random: Pcg64Mcg,
-    pub(crate) own: NodeId,
+    pub(crate) own_id: NodeId,
     pub(crate) own_name: String,
     pub(crate) own_address: SocketAddrV4,
     pub(crate) configuration_version: u64,
     pub(crate) members: BTreeMap<String, MemberEntry>,
     pub(crate) by_address: HashMap<SocketAddrV4, String>,
-    pub(crate) facts: BTreeMap<String, Facts>,
+    pub(crate) node_metadata: BTreeMap<String, NodeMetadata>,
     pub(crate) executors: Executors,
     pub(crate) digest: Digest,
     pub(crate) ring: Ring,
@@ -45,7 +45,7 @@
     pub(crate) confirmations: Confirmations,
     pub(crate) generation: Generation,
     pub(crate) output: Output,
-    expected: Instant,
+    expected_wake: Instant,
 }
 
 /// Counters that rise whenever something changes.
@@ -55,8 +55,8 @@
     pub members: u64,
     /// Of the executors.
     pub executors: u64,
-    /// Of the facts.
-    pub facts: u64,
+    /// Of the metadata.
+    pub node_metadata: u64,
 }
 
 /// What a caller has to know at once.
@@ -75,7 +75,7 @@
         id: String,
     },
     /// A node said something new of itself.
-    FactsChanged {
+    MetadataChanged {
         /// The name of the node.
         node: String,
     },
@@ -108,8 +108,8 @@
     Now,
     /// Not at all: this node has no room for the executor.
     Never,
-    /// When [`Registry::settled_calls`] names the token.
-    WhenTold(CallToken),
+    /// When [`Registry::take_completed_calls`] names the token.
+    WhenAcknowledged(CallToken),
 }
 
 /// What follows from a call of an executor.
@@ -126,18 +126,18 @@
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Registry {
         let Settings { mut member, seeds, timings, losses } = settings;
         member.state = MemberState::Alive;
-        let own = member.id();
+        let own_id = member.id();
         let own_address = member.address;
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let phase = Duration::from_nanos(random.random_range(0..=timings.heartbeat.nanos()));
         let mut registry = Registry {
-            own,
+            own_id,
             own_name: member.name.clone(),
             own_address,
             configuration_version: 0,
             members: BTreeMap::new(),
             by_address: HashMap::new(),
-            facts: BTreeMap::new(),
+            node_metadata: BTreeMap::new(),
             executors: Executors::new(now),
             digest: Digest::new(),
             ring: Ring::default(),
@@ -148,7 +148,7 @@
             confirmations: Confirmations::default(),
             generation: Generation::default(),
             output: Output::default(),
-            expected: now,
+            expected_wake: now,
             timings,
             losses,
             random,
@@ -160,16 +160,16 @@
 
     /// Takes a message in from the node at the internal address `from`.
     pub fn receive(&mut self, now: Instant, from: SocketAddrV4, message: Message) {
-        self.enter(now);
+        self.begin_step(now);
         if from == self.own_address {
             return;
         }
-        self.note_heard(now, from);
+        self.record_contact(now, from);
         match message {
             Message::Join(member) => self.receive_join(now, from, member),
             Message::Welcome(members) => self.receive_welcome(now, from, members),
             Message::Heartbeat(heartbeat) => self.receive_heartbeat(now, from, heartbeat),
-            Message::Ping { asker } => self.send(from, Message::Pong { subject: self.own, asker }),
+            Message::Ping { asker } => self.send(from, Message::Pong { subject: self.own_id, asker }),
             Message::PingFor(subject) => self.receive_ping_for(from, subject),
             Message::Pong { subject, asker } => self.receive_pong(now, subject, asker),
             Message::Relay(relay) => self.receive_relay(now, from, relay),
@@ -183,14 +183,14 @@
 
     /// Does what is due. To be called at [`Registry::next_wake`], and any time before.
     pub fn tick(&mut self, now: Instant) {
-        self.enter(now);
+        self.begin_step(now);
         self.tick_joining(now);
         self.tick_liveness(now);
         self.tick_executors(now);
         self.tick_repairs(now);
         self.tick_relays(now);
         self.tick_confirmations(now);
-        self.expected = self.next_wake();
+        self.expected_wake = self.next_wake();
     }
 
     /// When something is due next.
@@ -203,7 +203,7 @@
             self.relays.next_wake(),
             self.confirmations.next_wake(&self.timings),
         ];
-        wakes.into_iter().flatten().min().unwrap_or(self.expected)
+        wakes.into_iter().flatten().min().unwrap_or(self.expected_wake)
     }
 
     /// What has come up since the last call: to be taken after each call that changes something.
@@ -244,7 +244,7 @@
         &self.members[&self.own_name].member
     }
 
-    /// All executors in the order of their ids, also those that are silent or gone for a while.
+    /// All executors in the order of their ids, also those that are unresponsive or gone for a while.
     pub fn executors(&self) -> impl Iterator<Item = &Executor> {
         self.executors.iter()
     }
@@ -260,13 +260,13 @@
     }
 
     /// What the nodes say of themselves, also those that are dead for a while.
-    pub fn facts(&self) -> impl Iterator<Item = &Facts> {
-        self.facts.values()
+    pub fn node_metadata(&self) -> impl Iterator<Item = &NodeMetadata> {
+        self.node_metadata.values()
     }
 
     /// What the node of this name says of itself.
-    pub fn facts_of(&self, name: &str) -> Option<&Facts> {
-        self.facts.get(name)
+    pub fn metadata_of(&self, name: &str) -> Option<&NodeMetadata> {
+        self.node_metadata.get(name)
     }
 
     /// Counters that rise whenever something changes.
@@ -292,33 +292,34 @@
     /// Tells all nodes something of this one, in the place of what it said before.
     ///
     /// # Errors
-    /// Refuses more than [`MAX_FACTS`] bytes.
-    pub fn set_facts(&mut self, now: Instant, payload: Vec<u8>) -> Result<(), FactsTooLarge> {
-        if payload.len() > MAX_FACTS {
-            return Err(FactsTooLarge { length: payload.len() });
+    /// Refuses more than [`MAX_METADATA`] bytes.
+    pub fn set_metadata(&mut self, now: Instant, payload: Vec<u8>) -> Result<(), MetadataTooLarge> {
+        if payload.len() > MAX_METADATA {
+            return Err(MetadataTooLarge { length: payload.len() });
         }
-        self.enter(now);
-        let counter = self.facts.get(&self.own_name).map_or(0, |facts| facts.counter) + 1;
+        self.begin_step(now);
+        let counter =
+            self.node_metadata.get(&self.own_name).map_or(0, |node_metadata| node_metadata.counter) + 1;
         let incarnation = self.own_member().incarnation;
-        self.put_facts(Facts { node: self.own_name.clone(), incarnation, counter, payload });
-        self.announce(now, Key::Facts(self.own_name.clone()));
+        self.put_facts(NodeMetadata { node: self.own_name.clone(), incarnation, counter, payload });
+        self.announce(now, Key::NodeMetadata(self.own_name.clone()));
         Ok(())
     }
 
     /// Says that this node was asked to stop. It still serves, but executors are sent elsewhere.
     pub fn leave(&mut self, now: Instant) {
-        self.enter(now);
+        self.begin_step(now);
         self.change_own_state(now, MemberState::Leaving);
     }
 
     /// Says that this node stops now: to be called once, last.
     pub fn left(&mut self, now: Instant) {
-        self.enter(now);
+        self.begin_step(now);
         self.change_own_state(now, MemberState::Left);
-        self.flush_news();
+        self.flush_updates();
     }
 
-    /// The internal addresses to which this node passes on what the node `origin` tells all: its place in the tree
+    /// The internal addresses to which this node forwards what the node `origin` tells all: its place in the tree
     /// of relays that is rooted there.
     pub fn relay_children(&self, origin: &str) -> Vec<SocketAddrV4> {
         self.children(NodeId::of(origin))
@@ -340,7 +341,7 @@
     pub(crate) fn heartbeat_message(&self, answer: bool) -> Message {
         let own = self.own_member();
         Message::Heartbeat(Heartbeat {
-            node: self.own,
+            node: self.own_id,
             incarnation: own.incarnation,
             status_version: own.status_version,
             digest: self.digest.total(),
@@ -353,42 +354,46 @@
     pub(crate) fn register(&self, key: &Key) -> Option<Register> {
         match key {
             Key::Member(name) => Some(Register::Member(self.member(name)?.clone())),
-            Key::Executor(id) => Some(Register::Executor(self.executors.told(id)?)),
-            Key::Facts(name) => Some(Register::Facts(self.facts.get(name)?.clone())),
+            Key::Executor(id) => Some(Register::Executor(self.executors.published(id)?)),
+            Key::NodeMetadata(name) => Some(Register::NodeMetadata(self.node_metadata.get(name)?.clone())),
         }
     }
 
-    pub(crate) fn put_facts(&mut self, facts: Facts) {
-        let node = facts.node.clone();
-        self.facts.insert(node.clone(), facts);
-        self.count_facts(&node);
-        self.generation.facts += 1;
-        self.output.events.push(Event::FactsChanged { node });
+    pub(crate) fn put_facts(&mut self, node_metadata: NodeMetadata) {
+        let node = node_metadata.node.clone();
+        self.node_metadata.insert(node.clone(), node_metadata);
+        self.update_metadata_digest(&node);
+        self.generation.node_metadata += 1;
+        self.output.events.push(Event::MetadataChanged { node });
     }
 
-    /// Facts count in the digest while their node lives.
-    pub(crate) fn count_facts(&mut self, node: &str) {
-        let Some(facts) = self.facts.get(node) else {
+    /// Metadata count in the digest while their node lives.
+    pub(crate) fn update_metadata_digest(&mut self, node: &str) {
+        let Some(node_metadata) = self.node_metadata.get(node) else {
             return;
         };
         let live = self.members.get(node).is_some_and(|entry| entry.member.serves());
-        self.digest.set(Key::Facts(node.to_owned()), Register::Facts(facts.clone()).hash(), live);
+        self.digest.set(
+            Key::NodeMetadata(node.to_owned()),
+            Register::NodeMetadata(node_metadata.clone()).hash(),
+            live,
+        );
     }
 
     /// To be called before anything changes.
-    pub(crate) fn enter(&mut self, now: Instant) {
-        self.notice_freeze(now);
+    pub(crate) fn begin_step(&mut self, now: Instant) {
+        self.detect_freeze(now);
         self.repairs.record(now, self.digest.total());
     }
 
     /// After a freeze all waits begin anew.
-    fn notice_freeze(&mut self, now: Instant) {
-        let late = now.since(self.expected);
-        if late > FREEZE {
+    fn detect_freeze(&mut self, now: Instant) {
+        let late = now.since(self.expected_wake);
+        if late > FREEZE_THRESHOLD {
             self.liveness.restart(now);
-            self.executors.shift(late);
-            self.confirmations.shift(late);
+            self.executors.postpone(late);
+            self.confirmations.postpone(late);
         }
-        self.expected = self.expected.max(now);
+        self.expected_wake = self.expected_wake.max(now);
     }
 }
--- a/crates/registry/src/relay.rs
+++ b/crates/registry/src/relay.rs
@@ -1,4 +1,4 @@
-//! How news reach all: down a tree of relays that is rooted at the node which tells them.
+//! How updates reach all: down a tree of relays that is rooted at the node which tells them.
 
 use crate::member::NodeId;
 use crate::members::Source;
@@ -10,39 +10,39 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
 
-/// From how many origins passed-on messages are remembered.
+/// From how many origins forwarded messages are remembered.
 const MAX_ORIGINS: usize = 2_048;
 
-/// What a repair brought is told on by each node that it reached after a random part of this span, unless it has come
+/// What a repair brought is forwarded by each node that it reached after a random part of this span, unless it has come
 /// down a tree of relays by then. So mostly one node tells all, however many were repaired.
-const FORWARD_TIMEOUT: Duration = Duration::from_millis(100);
+const MAX_FORWARD_DELAY: Duration = Duration::from_millis(100);
 
-/// What is due within this span is told on together.
-const TELL_ON_TOGETHER: Duration = Duration::from_millis(30);
+/// What is due within this span is forwarded together.
+const FORWARD_BATCH_WINDOW: Duration = Duration::from_millis(30);
 
-/// How many registers wait to be told on at most; the others spread by repair alone.
+/// How many registers wait to be forwarded at most; the others spread by repair alone.
 const MAX_FORWARDED: usize = 1_024;
 
-/// The messages of one origin that were passed on: the highest number and, in bits, those just below it.
-struct Window {
+/// The messages of one origin that were forwarded: the highest number and, in bits, those just below it.
+struct SequenceWindow {
     incarnation: u64,
     highest: u64,
-    passed: u128,
+    forwarded: u128,
 }
 
-impl Window {
-    /// Whether the message was not passed on before. What lies below the window counts as passed on.
+impl SequenceWindow {
+    /// Whether the message was not forwarded before. What lies below the window counts as forwarded.
     fn admit(&mut self, incarnation: u64, sequence: u64) -> bool {
         if incarnation < self.incarnation {
             return false;
         }
         if incarnation > self.incarnation {
-            *self = Window { incarnation, highest: sequence, passed: 1 };
+            *self = SequenceWindow { incarnation, highest: sequence, forwarded: 1 };
             return true;
         }
         if sequence > self.highest {
-            let shift = u32::try_from(sequence - self.highest).unwrap_or(u32::MAX);
-            self.passed = self.passed.checked_shl(shift).unwrap_or(0) | 1;
+            let postpone = u32::try_from(sequence - self.highest).unwrap_or(u32::MAX);
+            self.forwarded = self.forwarded.checked_shl(postpone).unwrap_or(0) | 1;
             self.highest = sequence;
             return true;
         }
@@ -50,32 +50,32 @@
         else {
             return false;
         };
-        let fresh = self.passed & bit == 0;
-        self.passed |= bit;
-        fresh
+        let incoming = self.forwarded & bit == 0;
+        self.forwarded |= bit;
+        incoming
     }
 }
 
 /// The state of relaying.
 #[derive(Default)]
 pub(crate) struct Relays {
-    windows: HashMap<NodeId, Window>,
+    windows: HashMap<NodeId, SequenceWindow>,
     sequence: u64,
-    news: BTreeSet<Key>,
+    pending_updates: BTreeSet<Key>,
     flush: Option<Instant>,
-    told_on: BTreeMap<Key, Instant>,
+    pending_forwards: BTreeMap<Key, Instant>,
 }
 
 impl Relays {
     pub(crate) fn next_wake(&self) -> Option<Instant> {
-        self.told_on.values().copied().chain(self.flush).min()
+        self.pending_forwards.values().copied().chain(self.flush).min()
     }
 
     fn admit(&mut self, relay: &Relay) -> bool {
         if let Some(window) = self.windows.get_mut(&relay.origin) {
             return window.admit(relay.incarnation, relay.sequence);
         }
-        let window = Window { incarnation: relay.incarnation, highest: relay.sequence, passed: 1 };
+        let window = SequenceWindow { incarnation: relay.incarnation, highest: relay.sequence, forwarded: 1 };
         self.windows.insert(relay.origin, window);
         true
     }
@@ -84,35 +84,35 @@
 impl Registry {
     /// Has all nodes told of a register, together with what else comes up shortly.
     pub(crate) fn announce(&mut self, now: Instant, key: Key) {
-        self.relays.news.insert(key);
+        self.relays.pending_updates.insert(key);
         self.relays.flush.get_or_insert(now + self.timings.batch);
     }
 
     /// Has all nodes told of a register that a repair brought, if nobody else does.
-    pub(crate) fn tell_on(&mut self, now: Instant, key: Key) {
-        if self.relays.told_on.len() < MAX_FORWARDED {
-            let wait = Duration::from_nanos(self.random.random_range(0..=FORWARD_TIMEOUT.nanos()));
-            self.relays.told_on.entry(key).or_insert(now + wait);
+    pub(crate) fn schedule_forward(&mut self, now: Instant, key: Key) {
+        if self.relays.pending_forwards.len() < MAX_FORWARDED {
+            let wait = Duration::from_nanos(self.random.random_range(0..=MAX_FORWARD_DELAY.nanos()));
+            self.relays.pending_forwards.entry(key).or_insert(now + wait);
         }
     }
 
-    fn tick_told_on(&mut self, now: Instant) {
-        if self.relays.told_on.values().all(|due| *due > now) {
+    fn tick_forwards(&mut self, now: Instant) {
+        if self.relays.pending_forwards.values().all(|due| *due > now) {
             return;
         }
-        let soon = now + TELL_ON_TOGETHER;
-        let waiting = std::mem::take(&mut self.relays.told_on);
-        let (due, waiting): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            waiting.into_iter().partition(|(_, due)| *due <= soon);
-        self.relays.told_on = waiting;
-        self.relays.news.extend(due.into_keys());
+        let soon = now + FORWARD_BATCH_WINDOW;
+        let pending = std::mem::take(&mut self.relays.pending_forwards);
+        let (due, pending): (BTreeMap<_, _>, BTreeMap<_, _>) =
+            pending.into_iter().partition(|(_, due)| *due <= soon);
+        self.relays.pending_forwards = pending;
+        self.relays.pending_updates.extend(due.into_keys());
         self.relays.flush = Some(now);
     }
 
     pub(crate) fn tick_relays(&mut self, now: Instant) {
-        self.tick_told_on(now);
+        self.tick_forwards(now);
         if self.relays.flush.is_some_and(|flush| flush <= now) {
-            self.flush_news();
+            self.flush_updates();
         }
         if self.relays.windows.len() > MAX_ORIGINS {
             let known = &self.digest;
@@ -120,12 +120,12 @@
         }
     }
 
-    pub(crate) fn flush_news(&mut self) {
+    pub(crate) fn flush_updates(&mut self) {
         self.relays.flush = None;
-        let keys: Vec<Key> = std::mem::take(&mut self.relays.news).into_iter().collect();
+        let keys: Vec<Key> = std::mem::take(&mut self.relays.pending_updates).into_iter().collect();
         for registers in self.registers_in_messages(&keys) {
             let relay = self.new_relay(false, registers);
-            self.pass_on(&relay);
+            self.forward(&relay);
         }
     }
 
@@ -133,47 +133,49 @@
     pub(crate) fn new_relay(&mut self, confirm: bool, registers: Vec<Register>) -> Relay {
         self.relays.sequence += 1;
         let incarnation = self.own_member().incarnation;
-        Relay { origin: self.own, incarnation, sequence: self.relays.sequence, confirm, registers }
+        Relay { origin: self.own_id, incarnation, sequence: self.relays.sequence, confirm, registers }
     }
 
     /// The registers of some keys, in parts that fit in a message each.
     pub(crate) fn registers_in_messages(&self, keys: &[Key]) -> Vec<Vec<Register>> {
-        let mut parts = Vec::new();
+        let mut batches = Vec::new();
         let (mut part, mut length) = (Vec::new(), 0);
         for register in keys.iter().filter_map(|key| self.register(key)) {
             let more = register.length();
             if length + more > REGISTERS_PER_MESSAGE && !part.is_empty() {
-                parts.push(std::mem::take(&mut part));
+                batches.push(std::mem::take(&mut part));
                 length = 0;
             }
             length += more;
             part.push(register);
         }
         if !part.is_empty() {
-            parts.push(part);
+            batches.push(part);
         }
-        parts
+        batches
     }
 
     pub(crate) fn children(&self, origin: NodeId) -> Vec<SocketAddrV4> {
-        self.ring.children(origin, self.timings.fan_out).map(|place| place.address).collect()
+        self.ring.children(origin, self.timings.fan_out).map(|ring_member| ring_member.address).collect()
     }
 
-    pub(crate) fn pass_on(&mut self, relay: &Relay) {
+    pub(crate) fn forward(&mut self, relay: &Relay) {
         for child in self.children(relay.origin) {
             self.send(child, Message::Relay(relay.clone()));
         }
     }
 
     pub(crate) fn receive_relay(&mut self, now: Instant, from: SocketAddrV4, relay: Relay) {
-        if relay.origin == self.own {
+        if relay.origin == self.own_id {
             return;
         }
         for register in &relay.registers {
             self.merge(now, register.clone(), Source::Relay);
             let key = register.key();
-            if self.relays.told_on.contains_key(&key) && self.register(&key).as_ref() == Some(register) {
-                self.relays.told_on.remove(&key);
+            if self.relays.pending_forwards.contains_key(&key)
+                && self.register(&key).as_ref() == Some(register)
+            {
+                self.relays.pending_forwards.remove(&key);
             }
         }
         if relay.confirm {
@@ -182,7 +184,7 @@
             self.send(origin, Message::Confirm { incarnation, sequence });
         }
         if self.relays.admit(&relay) {
-            self.pass_on(&relay);
+            self.forward(&relay);
         }
     }
 
@@ -193,16 +195,19 @@
             Register::Executor(executor) => {
                 self.merge_executor(now, executor);
             }
-            Register::Facts(facts) => self.merge_facts(facts),
+            Register::NodeMetadata(node_metadata) => self.merge_facts(node_metadata),
         }
     }
 
-    fn merge_facts(&mut self, facts: crate::Facts) {
-        // Facts without their node would never be forgotten; they come again by repair.
-        let known = self.members.contains_key(&facts.node) && facts.node != self.own_name;
-        let newer = self.facts.get(&facts.node).is_none_or(|held| held.order() < facts.order());
+    fn merge_facts(&mut self, node_metadata: crate::NodeMetadata) {
+        // Metadata without their node would never be forgotten; they come again by repair.
+        let known = self.members.contains_key(&node_metadata.node) && node_metadata.node != self.own_name;
+        let newer = self
+            .node_metadata
+            .get(&node_metadata.node)
+            .is_none_or(|held| held.order() < node_metadata.order());
         if known && newer {
-            self.put_facts(facts);
+            self.put_facts(node_metadata);
         }
     }
 }
--- a/crates/registry/src/repair.rs
+++ b/crates/registry/src/repair.rs
@@ -4,62 +4,62 @@
 use crate::digest::{BUCKETS, Summary};
 use crate::member::{Member, MemberState};
 use crate::members::Source;
-use crate::message::{Message, SUMMARIES_PER_MESSAGE, WANTS_PER_MESSAGE};
+use crate::message::{Message, SUMMARIES_PER_MESSAGE, WANTED_KEYS_PER_MESSAGE};
 use crate::register::{Key, Register};
 use crate::registry::Registry;
 use grebeusher_time::{Duration, DurationExt, Instant};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-/// How many repairs this node starts in a burst; a cut that heals needs a few.
-const BURST: f64 = 6.0;
+/// How many repairs this node starts in a burst; a network partition that heals needs a few.
+const REPAIR_BURST: f64 = 6.0;
 
-/// How many repairs a second this node starts at length: while news are under way digests always differ a little.
+/// How many repairs a second this node starts at length: while updates are under way digests always differ a little.
 const REPAIRS_PER_SECOND: f64 = 2.5;
 
 /// When the digests are compared again after a repair brought something.
-const COMPARE_AGAIN: Duration = Duration::from_millis(100);
+const COMPARE_DELAY: Duration = Duration::from_millis(100);
 
-/// For how long a node remembers which digests it had: one that has such a digest is only behind by news that are
+/// For how long a node remembers which digests it had: one that has such a digest is only behind by updates that are
 /// still on their way to it.
-const NEWS_UNDER_WAY: Duration = Duration::from_millis(300);
+const PROPAGATION_DELAY: Duration = Duration::from_millis(300);
 
 /// How many of its digests a node remembers.
 const MAX_PAST_DIGESTS: usize = 128;
 
 /// How long a node that another called dead has to refute it before it is believed.
-const REFUTATION: Duration = Duration::from_millis(600);
+const REFUTATION_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How many deaths wait for a refutation at most.
-const MAX_PENDING: usize = 1_024;
+const MAX_DEFERRED_DEATHS: usize = 1_024;
 
 /// How many transfers wait at most; what does not fit is asked for again.
 const MAX_TRANSFERS: usize = 64;
 
 /// Between two batches of messages of the transfers that wait.
-const TRANSFER_PACE: Duration = Duration::from_millis(50);
+const TRANSFER_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How many messages of a transfer are sent in a batch.
 const TRANSFER_BATCH: usize = 4;
 
 /// A node that has just started is brought what all others know.
-const NEWCOMER: Duration = Duration::from_millis(3_000);
+const NEWCOMER_DURATION: Duration = Duration::from_millis(3_000);
 
 /// For how long a node that has just started and is brought much compares with nobody else, who would bring the same.
-const FILLING: Duration = Duration::from_millis(150);
+const INITIAL_SYNC_DURATION: Duration = Duration::from_millis(150);
 
 /// A message with so many registers is part of much.
-const MUCH: usize = 32;
+const BULK_REGISTERS: usize = 32;
 
 /// The state of repairs.
 pub(crate) struct Repairs {
     started: Instant,
-    filling_until: Instant,
+    initial_sync_until: Instant,
     tokens: f64,
     refilled: Instant,
     /// Until when each digest was this node's.
-    past: VecDeque<(Instant, u64)>,
-    compare_again: Option<(Instant, SocketAddrV4)>,
+    recent_digests: VecDeque<(Instant, u64)>,
+    next_comparison: Option<(Instant, SocketAddrV4)>,
     held: BTreeMap<String, (Instant, Member)>,
     transfers: VecDeque<(SocketAddrV4, VecDeque<Key>)>,
     next_transfer: Instant,
@@ -69,11 +69,11 @@
     pub(crate) fn new(now: Instant) -> Repairs {
         Repairs {
             started: now,
-            filling_until: now,
-            tokens: BURST,
+            initial_sync_until: now,
+            tokens: REPAIR_BURST,
             refilled: now,
-            past: VecDeque::new(),
-            compare_again: None,
+            recent_digests: VecDeque::new(),
+            next_comparison: None,
             held: BTreeMap::new(),
             transfers: VecDeque::new(),
             next_transfer: now,
@@ -81,7 +81,7 @@
     }
 
     pub(crate) fn next_wake(&self) -> Option<Instant> {
-        let again = self.compare_again.map(|(at, _)| at);
+        let again = self.next_comparison.map(|(at, _)| at);
         let held = self.held.values().map(|(until, _)| *until).min();
         let transfer = (!self.transfers.is_empty()).then_some(self.next_transfer);
         [again, held, transfer].into_iter().flatten().min()
@@ -89,34 +89,37 @@
 
     /// Notes the digest as it is now, before a change.
     pub(crate) fn record(&mut self, now: Instant, digest: u64) {
-        match self.past.back_mut() {
+        match self.recent_digests.back_mut() {
             Some((until, last)) if *last == digest => *until = now,
-            _ => self.past.push_back((now, digest)),
+            _ => self.recent_digests.push_back((now, digest)),
         }
-        if self.past.len() > MAX_PAST_DIGESTS {
-            self.past.pop_front();
+        if self.recent_digests.len() > MAX_PAST_DIGESTS {
+            self.recent_digests.pop_front();
         }
     }
 
-    fn is_filling(&self, now: Instant) -> bool {
-        now < self.filling_until
+    fn is_in_initial_sync(&self, now: Instant) -> bool {
+        now < self.initial_sync_until
     }
 
     /// From here on the node is brought much by one other. Whether it was not already.
-    pub(crate) fn begin_filling(&mut self, now: Instant) -> bool {
-        let begins = !self.is_filling(now);
+    pub(crate) fn begin_initial_sync(&mut self, now: Instant) -> bool {
+        let begins = !self.is_in_initial_sync(now);
         if begins {
-            self.filling_until = now + FILLING;
+            self.initial_sync_until = now + INITIAL_SYNC_DURATION;
         }
         begins
     }
 
-    fn had_lately(&self, now: Instant, digest: u64) -> bool {
-        self.past.iter().any(|(until, past)| *past == digest && now.since(*until) <= NEWS_UNDER_WAY)
+    fn had_recently(&self, now: Instant, digest: u64) -> bool {
+        self.recent_digests.iter().any(|(until, recent_digests)| {
+            *recent_digests == digest && now.since(*until) <= PROPAGATION_DELAY
+        })
     }
 
     fn take_token(&mut self, now: Instant) -> bool {
-        self.tokens = (self.tokens + now.since(self.refilled).seconds() * REPAIRS_PER_SECOND).min(BURST);
+        self.tokens =
+            (self.tokens + now.since(self.refilled).seconds() * REPAIRS_PER_SECOND).min(REPAIR_BURST);
         self.refilled = now;
         let there = self.tokens >= 1.0;
         if there {
@@ -130,8 +133,8 @@
     /// Compares digests with another node. Unless one of the two was lately where the other is now, they need repair;
     /// the one who is behind can't see which of the two it is, so it answers with its own.
     pub(crate) fn compare_digests(&mut self, now: Instant, peer: SocketAddrV4, theirs: u64, answer: bool) {
-        let expected = theirs == self.digest.total() || self.repairs.had_lately(now, theirs);
-        if expected || self.repairs.is_filling(now) {
+        let expected_wake = theirs == self.digest.total() || self.repairs.had_recently(now, theirs);
+        if expected_wake || self.repairs.is_in_initial_sync(now) {
             return;
         }
         if answer {
@@ -149,7 +152,8 @@
     }
 
     pub(crate) fn receive_buckets(&mut self, now: Instant, from: SocketAddrV4, sums: &[u64]) {
-        let busy = self.repairs.is_filling(now) || self.repairs.transfers.iter().any(|(to, _)| *to == from);
+        let busy =
+            self.repairs.is_in_initial_sync(now) || self.repairs.transfers.iter().any(|(to, _)| *to == from);
         if sums.len() != BUCKETS || busy {
             return;
         }
@@ -167,9 +171,9 @@
                 self.send_summaries(from, complete, std::mem::take(&mut entries));
                 complete = 0;
             }
-            let whole = more.len() <= SUMMARIES_PER_MESSAGE;
+            let complete_bucket = more.len() <= SUMMARIES_PER_MESSAGE;
             entries.extend(more.into_iter().take(SUMMARIES_PER_MESSAGE));
-            complete |= u64::from(whole) << bucket;
+            complete |= u64::from(complete_bucket) << bucket;
         }
         if complete != 0 || !entries.is_empty() {
             self.send_summaries(from, complete, entries);
@@ -189,10 +193,10 @@
         entries: &[Summary],
     ) {
         let difference = self.digest.compare(complete, entries);
-        for keys in difference.wanted.chunks(WANTS_PER_MESSAGE) {
+        for keys in difference.wanted.chunks(WANTED_KEYS_PER_MESSAGE) {
             self.send(from, Message::Want(keys.to_vec()));
         }
-        self.forget_executors(now, &difference.forgotten);
+        self.evict_executors(now, &difference.forgotten);
         self.transfer(now, from, difference.lacking);
     }
 
@@ -203,21 +207,21 @@
 
     pub(crate) fn receive_registers(&mut self, now: Instant, from: SocketAddrV4, registers: Vec<Register>) {
         let before = self.generation;
-        // What is news to an old node may be so to others on its side.
-        let tell_on = now.since(self.repairs.started) > NEWCOMER;
-        if !tell_on && registers.len() >= MUCH {
-            self.repairs.filling_until = now + FILLING;
+        // What is updates to an old node may be so to others on its side.
+        let schedule_forward = now.since(self.repairs.started) > NEWCOMER_DURATION;
+        if !schedule_forward && registers.len() >= BULK_REGISTERS {
+            self.repairs.initial_sync_until = now + INITIAL_SYNC_DURATION;
         }
         for register in registers {
             let key = register.key();
             let generation = self.generation;
             self.merge(now, register, Source::Peer(from));
-            if tell_on && generation != self.generation {
-                self.tell_on(now, key);
+            if schedule_forward && generation != self.generation {
+                self.schedule_forward(now, key);
             }
         }
         if before != self.generation {
-            self.repairs.compare_again = Some((now + COMPARE_AGAIN, from));
+            self.repairs.next_comparison = Some((now + COMPARE_DELAY, from));
         }
     }
 
@@ -226,8 +230,8 @@
         if keys.is_empty() {
             return;
         }
-        let parts = self.registers_in_messages(&keys);
-        if parts.len() <= 1 {
+        let batches = self.registers_in_messages(&keys);
+        if batches.len() <= 1 {
             return self.send_registers(to, &keys);
         }
         if self.repairs.transfers.len() < MAX_TRANSFERS {
@@ -243,15 +247,15 @@
     }
 
     pub(crate) fn tick_repairs(&mut self, now: Instant) {
-        if let Some((_, peer)) = self.repairs.compare_again.take_if(|(at, _)| *at <= now) {
+        if let Some((_, peer)) = self.repairs.next_comparison.take_if(|(at, _)| *at <= now) {
             let heartbeat = self.own_heartbeat();
             self.send(peer, heartbeat);
         }
         if !self.repairs.transfers.is_empty() && self.repairs.next_transfer <= now {
-            self.repairs.next_transfer = now + TRANSFER_PACE;
+            self.repairs.next_transfer = now + TRANSFER_INTERVAL;
             (0..TRANSFER_BATCH).for_each(|_| self.continue_transfer());
         }
-        self.believe_deaths(now);
+        self.apply_deferred_deaths(now);
     }
 
     /// Sends one message of the transfer that has waited longest.
@@ -279,19 +283,19 @@
         }
     }
 
-    /// Another node, perhaps one from beyond a cut, holds for dead whom this one holds alive: the one in question is
-    /// asked first, so that a cut that heals does not make all of its other side look dead for a moment.
-    pub(crate) fn hold_death(&mut self, now: Instant, member: Member) {
+    /// Another node, perhaps one from beyond a network partition, considers dead whom this one holds alive: the one in question is
+    /// asked first, so that a network partition that heals does not make all of its other side look dead for a moment.
+    pub(crate) fn defer_death(&mut self, now: Instant, member: Member) {
         let newer = self.repairs.held.get(&member.name).is_none_or(|(_, held)| held.order() < member.order());
-        if !newer || self.repairs.held.len() >= MAX_PENDING {
+        if !newer || self.repairs.held.len() >= MAX_DEFERRED_DEATHS {
             return;
         }
         let known = self.members.get(&member.name).map_or(member.address, |entry| entry.member.address);
         self.send(known, Message::Registers(vec![Register::Member(member.clone())]));
-        self.repairs.held.insert(member.name.clone(), (now + REFUTATION, member));
+        self.repairs.held.insert(member.name.clone(), (now + REFUTATION_TIMEOUT, member));
     }
 
-    fn believe_deaths(&mut self, now: Instant) {
+    fn apply_deferred_deaths(&mut self, now: Instant) {
         if self.repairs.held.values().all(|(until, _)| *until > now) {
             return;
         }
--- a/crates/registry/src/settings.rs
+++ b/crates/registry/src/settings.rs
@@ -9,29 +9,29 @@
 pub struct Timings {
     /// Between two heartbeats of a node.
     pub heartbeat: Duration,
-    /// How long a node may be silent before it is asked directly and by way of others.
+    /// How long a node may be unresponsive before it is asked directly and by way of others.
     pub suspect_after: Duration,
-    /// How long a node may be silent before it is dead.
+    /// How long a node may be unresponsive before it is dead.
     pub dead_after: Duration,
     /// How many nodes watch each node.
     pub watchers: usize,
-    /// How many nodes each node passes news on to.
+    /// How many nodes each node passes updates on to.
     pub fan_out: usize,
-    /// Between two tries at a seed that has not answered.
+    /// Between two attempts at a seed that has not answered.
     pub join_retry: Duration,
-    /// How long news wait for more to share their message.
+    /// How long updates wait for more to share their message.
     pub batch: Duration,
     /// The same for what a call waits for.
     pub urgent_batch: Duration,
-    /// Between two tries at a node that has not confirmed.
+    /// Between two attempts at a node that has not confirmed.
     pub confirm_retry: Duration,
     /// How long a call waits at most for all to confirm.
     pub confirm_bound: Duration,
     /// Between two heartbeats of an executor (`heartbeat_ms`).
     pub executor_heartbeat: Duration,
-    /// How long an executor that is silent or gone is shown.
+    /// How long an executor that is unresponsive or gone is shown.
     pub executor_retention: Duration,
-    /// How long the dead and gone are remembered, so that late news of them are known for what they are.
+    /// How long the dead and gone are remembered, so that late updates of them are known for what they are.
     pub tombstone_retention: Duration,
 }
 
@@ -56,15 +56,15 @@
 }
 
 impl Timings {
-    /// How long an executor may miss its heartbeats before it is called silent: three of them and a little more.
-    pub fn executor_silence(&self) -> Duration {
+    /// How long an executor may miss its heartbeats before it is called unresponsive: three of them and a little more.
+    pub fn executor_timeout(&self) -> Duration {
         self.executor_heartbeat.scaled(3.0) + Duration::from_millis(300)
     }
 
     /// The same for one that is known from the disk only, since the start: two heartbeats. One that had
     /// said that it leaves calls no more, and a loss of all power has the whole tier forget what it said; by the time that
     /// nodes count as in touch again (`contact_ms`) nothing may be sent there.
-    pub fn recalled_executor_silence(&self) -> Duration {
+    pub fn restored_executor_timeout(&self) -> Duration {
         self.executor_heartbeat.scaled(2.0)
     }
 }
--- a/crates/registry/tests/cost.rs
+++ b/crates/registry/tests/cost.rs
@@ -22,9 +22,9 @@
 #[case(78)]
 #[case(360)]
 fn at_rest_messages_do_not_grow_with_the_fleet(#[case] count: usize) {
-    let mut fleet = Fleet::settled(count, 1);
+    let mut fleet = Fleet::converged(count, 1);
     fleet.run(Duration::from_millis(4_000));
-    fleet.forget_traffic();
+    fleet.reset_traffic();
     fleet.run(Duration::from_millis(10_000));
     let (messages, bytes) = busiest(&fleet, 10);
     println!(
@@ -38,12 +38,12 @@
 #[case(14, 90, 4)]
 #[case(78, 480, 8)]
 #[case(360, 2_200, 20)]
-fn with_executors_that_come_and_go_bytes_stay_in_their_share(
+fn executor_churn_stays_within_the_bandwidth_budget(
     #[case] count: usize,
     #[case] executors: usize,
     #[case] changes_per_second: usize,
 ) {
-    let mut fleet = Fleet::settled(count, 1);
+    let mut fleet = Fleet::converged(count, 1);
     let edges = count - count / 8;
     let reports: Vec<_> = (0..executors)
         .map(|number| {
@@ -57,7 +57,7 @@
     }
     fleet.run(Duration::from_millis(3_000));
     assert!(fleet.all_show_same_executors());
-    fleet.forget_traffic();
+    fleet.reset_traffic();
     // Each beats on at its node; some end and others start.
     let (mut beat, mut round) = (reports.clone(), 0);
     for step in 0..50 {
@@ -88,19 +88,19 @@
 #[rstest]
 #[case(14, 1)]
 #[case(78, 12)]
-fn the_dead_are_called_at_a_bounded_pace(#[case] count: usize, #[case] dead: usize) {
-    let mut fleet = Fleet::settled(count, 1);
+fn dead_nodes_are_probed_at_a_bounded_rate(#[case] count: usize, #[case] dead: usize) {
+    let mut fleet = Fleet::converged(count, 1);
     (count - dead..count).for_each(|index| fleet.kill(index));
     fleet.run(Duration::from_millis(6_000));
     fleet.assert_all_agree();
-    fleet.forget_traffic();
+    fleet.reset_traffic();
     fleet.run(Duration::from_millis(10_000));
     let calls: u64 = fleet.nodes.iter().map(|node| node.to_nobody).sum();
     println!("{dead} dead of {count}: {calls} calls to nobody in 10 s");
     assert!(calls as usize <= dead * 50 + 20, "{calls} calls");
     assert!(calls as usize >= dead * 25, "only {calls} calls");
     fleet.run(Duration::from_millis(30_000));
-    fleet.forget_traffic();
+    fleet.reset_traffic();
     fleet.run(Duration::from_millis(10_000));
     let calls: u64 = fleet.nodes.iter().map(|node| node.to_nobody).sum();
     println!("{dead} long dead of {count}: {calls} calls to nobody in 10 s");
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn a_newcomer_is_brought_all_executors_at_a_pace() {
-    let mut fleet = Fleet::settled(78, 1);
+fn a_new_node_receives_all_executors_at_a_bounded_rate() {
+    let mut fleet = Fleet::converged(78, 1);
     for number in 0..2_200 {
         let mut first = report(&format!("i-{number:08x}"), number);
         first.address.set_port(9_000 + number as u16);
@@ -122,7 +122,7 @@
     assert!(fleet.all_show_same_executors());
     fleet.kill(50);
     fleet.run(Duration::from_millis(200));
-    fleet.forget_traffic();
+    fleet.reset_traffic();
     fleet.start(50);
     let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_show_same_executors);
     let received = fleet.nodes[50].received;
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn one_node_alone_brings_a_newcomer_what_it_has_at_a_pace() {
+fn a_single_peer_transfers_its_registers_at_a_bounded_rate() {
     let mut fleet = Fleet::new(2, 1);
     fleet.start(0);
     for number in 0..2_200 {
@@ -153,7 +153,7 @@
 /// Not a test of time, as machines differ: says what it measures.
 #[test]
 fn the_processor_time_of_a_node_among_many() {
-    let mut fleet = Fleet::settled(78, 1);
+    let mut fleet = Fleet::converged(78, 1);
     fleet.run(Duration::from_millis(2_000));
     let start = std::time::Instant::now();
     fleet.run(Duration::from_millis(10_000));
@@ -164,9 +164,9 @@
 #[rstest]
 #[case(14)]
 #[case(360)]
-fn what_each_node_passes_on_down_the_trees_is_about_what_it_hears(#[case] count: usize) {
+fn relay_load_is_even_across_nodes(#[case] count: usize) {
     // Given a settled fleet in which each node tells all others something once
-    let fleet = Fleet::settled(count, 1);
+    let fleet = Fleet::converged(count, 1);
     let ids: Vec<_> = fleet.registry(0).members().map(|member| member.id()).collect();
     assert_eq!(ids.len(), count);
     let sent = |node: usize| -> usize {
--- a/crates/registry/tests/drains.rs
+++ b/crates/registry/tests/drains.rs
@@ -17,7 +17,7 @@
 
 /// A fleet with one executor that all know.
 fn with_executor(count: usize, seed: u64) -> (Fleet, HeartbeatReport) {
-    let mut fleet = Fleet::settled(count, seed);
+    let mut fleet = Fleet::converged(count, seed);
     let first = report("i-1", 0);
     assert_eq!(fleet.heartbeat(4, &first).answer, Answer::Now);
     let took = fleet.run_until(Duration::from_millis(500), |fleet| all_show(fleet, "i-1", ExecutorState::Up));
@@ -29,8 +29,8 @@
 fn a_drain_reaches_all_before_its_answer(#[values(14, 78, 360)] count: usize) {
     let (mut fleet, first) = with_executor(count, 1);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    assert!(!fleet.is_told(5, answer));
-    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_told(5, answer));
+    assert!(!fleet.is_acknowledged(5, answer));
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, answer));
     println!("{count} nodes: the drain was answered after {took:?}");
     assert!(took.is_some_and(|took| took <= Duration::from_millis(100)), "took {took:?}");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
@@ -43,55 +43,55 @@
     fleet.links.doubled = 0.2;
     fleet.links.longest = Duration::from_millis(40);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    let took = fleet.run_until(Duration::from_millis(690), |fleet| fleet.is_told(5, answer));
+    let took = fleet.run_until(Duration::from_millis(690), |fleet| fleet.is_acknowledged(5, answer));
     assert!(took.is_some(), "not answered before the bound");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
 }
 
 #[test]
-fn the_end_of_an_executor_reaches_all_before_its_answer() {
+fn a_deregistration_reaches_all_before_its_answer() {
     let (mut fleet, first) = with_executor(14, 2);
     let drain = fleet.heartbeat(5, &draining(&first)).answer;
     // The end comes while the drain is still being told, and must not be answered with it.
     let end = fleet.deregister(5, "i-1");
-    assert!(matches!(end, Answer::WhenTold(_)));
-    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_told(5, end));
+    assert!(matches!(end, Answer::WhenAcknowledged(_)));
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, end));
     assert!(took.is_some(), "not answered");
-    assert!(fleet.is_told(5, drain));
+    assert!(fleet.is_acknowledged(5, drain));
     assert!(all_show(&fleet, "i-1", ExecutorState::Gone));
     assert_eq!(fleet.deregister(5, "i-1"), Answer::Now);
 }
 
 #[test]
-fn the_end_said_while_a_drain_is_on_its_way_is_told_by_itself() {
+fn a_deregistration_during_a_drain_is_broadcast_separately() {
     let (mut fleet, first) = with_executor(14, 2);
     fleet.heartbeat(5, &draining(&first));
     fleet.run(Duration::from_millis(5));
     let end = fleet.deregister(5, "i-1");
-    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_told(5, end));
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, end));
     assert!(took.is_some(), "not answered");
     assert!(all_show(&fleet, "i-1", ExecutorState::Gone));
 }
 
 #[test]
-fn an_end_is_told_also_by_a_node_that_does_not_know_the_executor() {
+fn a_node_that_does_not_know_the_executor_broadcasts_its_deregistration() {
     let (mut fleet, _) = with_executor(14, 2);
     fleet.kill(6);
     fleet.run(Duration::from_millis(100));
     fleet.start(6);
     let end = fleet.deregister(6, "i-1");
-    assert!(matches!(end, Answer::WhenTold(_)));
+    assert!(matches!(end, Answer::WhenAcknowledged(_)));
     let took =
         fleet.run_until(Duration::from_millis(2_000), |fleet| all_show(fleet, "i-1", ExecutorState::Gone));
     assert!(took.is_some(), "not all know the end");
 }
 
 #[test]
-fn a_drain_is_answered_after_the_bound_when_one_is_silent_and_reaches_it_later() {
+fn a_drain_is_answered_at_the_deadline_and_reaches_an_unresponsive_node_later() {
     let (mut fleet, first) = with_executor(14, 3);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_told(5, answer));
+    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_acknowledged(5, answer));
     assert!(
         took.is_some_and(|took| took >= Duration::from_millis(700) && took <= Duration::from_millis(710)),
         "took {took:?}"
@@ -111,16 +111,21 @@
     fleet.kill(9);
     fleet.run(Duration::from_millis(2_500));
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_told(5, answer));
+    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_acknowledged(5, answer));
     assert!(took.is_some_and(|took| took <= Duration::from_millis(60)), "took {took:?}");
 }
 
 #[rstest]
-fn the_owner_dies_just_after_its_answer(#[values(14, 78)] count: usize, #[values(1, 2, 3)] seed: u64) {
+fn a_drain_survives_its_reporter_dying_after_the_answer(
+    #[values(14, 78)] count: usize,
+    #[values(1, 2, 3)] seed: u64,
+) {
     let (mut fleet, first) = with_executor(count, seed);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_told(5, answer)).expect("an answer");
+    fleet
+        .run_until(Duration::from_millis(1_000), |fleet| fleet.is_acknowledged(5, answer))
+        .expect("an answer");
     fleet.run(Duration::from_millis(4));
     fleet.kill(5);
     fleet.heal();
@@ -130,27 +135,27 @@
 }
 
 #[test]
-fn a_lone_loss_of_the_first_message_is_made_good_by_retries() {
+fn a_lost_first_message_is_recovered_by_retries() {
     let (mut fleet, first) = with_executor(14, 3);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
     fleet.run(Duration::from_millis(20));
     fleet.heal();
-    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_told(5, answer));
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, answer));
     assert!(took.is_some_and(|took| took <= Duration::from_millis(200)), "took {took:?}");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
 }
 
 #[test]
-fn a_drain_told_by_a_node_that_died_is_told_again_by_the_next_one() {
+fn a_drain_is_broadcast_again_after_its_node_died() {
     let (mut fleet, first) = with_executor(14, 3);
     let drain = draining(&first);
     fleet.heartbeat(5, &drain);
     fleet.run(Duration::from_millis(5));
     fleet.kill(5);
     let answer = fleet.heartbeat(6, &next(&drain)).answer;
-    assert!(matches!(answer, Answer::WhenTold(_)), "answered though nobody knows who has it");
-    fleet.run_until(Duration::from_millis(710), |fleet| fleet.is_told(6, answer)).expect("an answer");
+    assert!(matches!(answer, Answer::WhenAcknowledged(_)), "answered though nobody knows who has it");
+    fleet.run_until(Duration::from_millis(710), |fleet| fleet.is_acknowledged(6, answer)).expect("an answer");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
     // Later heartbeats need not wait again, also when nothing is under way any more.
     assert_eq!(fleet.heartbeat(6, &next(&next(&drain))).answer, Answer::Now);
@@ -159,7 +164,7 @@
 }
 
 #[test]
-fn a_repeated_call_waits_for_the_same_news() {
+fn a_repeated_call_waits_for_the_same_broadcast() {
     let (mut fleet, first) = with_executor(14, 3);
     fleet.cut_off(&[9]);
     let drain = draining(&first);
@@ -167,9 +172,9 @@
     fleet.run(Duration::from_millis(300));
     let two = fleet.heartbeat(5, &next(&drain)).answer;
     fleet.run(Duration::from_millis(390));
-    assert!(!fleet.is_told(5, one) && !fleet.is_told(5, two));
+    assert!(!fleet.is_acknowledged(5, one) && !fleet.is_acknowledged(5, two));
     fleet.run(Duration::from_millis(20));
-    assert!(fleet.is_told(5, one) && fleet.is_told(5, two));
+    assert!(fleet.is_acknowledged(5, one) && fleet.is_acknowledged(5, two));
 }
 
 #[test]
@@ -202,13 +207,13 @@
     let late = HeartbeatReport { call_seq: 3, ..draining(&first) };
     let answer = fleet.heartbeat(4, &late).answer;
     fleet.run(Duration::from_millis(100));
-    assert!(fleet.is_told(4, answer));
+    assert!(fleet.is_acknowledged(4, answer));
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
 }
 
 #[test]
 fn many_drains_at_once_share_their_messages() {
-    let mut fleet = Fleet::settled(78, 6);
+    let mut fleet = Fleet::converged(78, 6);
     let reports: Vec<HeartbeatReport> =
         (0..300).map(|number| report(&format!("i-{number}"), number)).collect();
     for (number, report) in reports.iter().enumerate() {
@@ -217,11 +222,11 @@
         fleet.heartbeat(number % 60, &report);
     }
     fleet.run(Duration::from_millis(1_000));
-    fleet.forget_traffic();
+    fleet.reset_traffic();
     let answers: Vec<Answer> =
         reports.iter().map(|report| fleet.heartbeat(7, &draining(report)).answer).collect();
     let took = fleet.run_until(Duration::from_millis(600), |fleet| {
-        answers.iter().all(|answer| fleet.is_told(7, *answer))
+        answers.iter().all(|answer| fleet.is_acknowledged(7, *answer))
     });
     assert!(took.is_some_and(|took| took <= Duration::from_millis(100)), "took {took:?}");
     let reached = reports.iter().all(|report| all_show(&fleet, &report.id, ExecutorState::Draining));
@@ -231,15 +236,15 @@
 }
 
 #[test]
-fn a_node_alone_answers_at_once_where_no_loss_is_borne() {
+fn a_single_node_answers_at_once_when_no_loss_is_tolerated() {
     let mut fleet = Fleet::new(1, 1);
-    fleet.bear(Losses::default());
+    fleet.tolerate(Losses::default());
     fleet.start(0);
     let first = report("i-1", 0);
     fleet.heartbeat(0, &first);
     let answer = fleet.heartbeat(0, &draining(&first)).answer;
     fleet.run(Duration::from_millis(10));
-    assert!(fleet.is_told(0, answer));
+    assert!(fleet.is_acknowledged(0, answer));
 }
 
 /// Calls of an executor that leaves go to a node, again and again for some seconds; whether one was acknowledged.
@@ -249,10 +254,10 @@
         let answer =
             if ends { fleet.deregister(index, &first.id) } else { fleet.heartbeat(index, &call).answer };
         fleet.run(Duration::from_millis(900));
-        if fleet.is_told(index, answer) {
+        if fleet.is_acknowledged(index, answer) {
             return true;
         }
-        assert!(fleet.is_turned_away(index, answer), "a call is left without an answer");
+        assert!(fleet.is_rejected(index, answer), "a call is left without an answer");
         call = next(&call);
     }
     false
@@ -263,14 +268,14 @@
 #[case::alone_without_a_disk(&[13], 1)]
 #[case::with_others_without_a_disk(&[5, 12, 13], 1)]
 #[case::with_another_machine_of_the_core(&[4, 5, 13], 2)]
-fn a_node_on_the_lesser_side_of_a_cut_acknowledges_no_leave(
+fn the_minority_side_of_a_network_partition_acknowledges_no_drain(
     #[case] side: &[usize],
     #[case] machines: usize,
     #[values(false, true)] ends: bool,
 ) {
     // Given a fleet of which so many machines of the core may be lost, and nodes that are cut off with that many at most,
     let mut fleet = Fleet::new(22, 4);
-    fleet.bear(Losses { machines, zones: 0 });
+    fleet.tolerate(Losses { machines, zones: 0 });
     fleet.start_all(Duration::from_millis(300));
     fleet.run(Duration::from_millis(6_000));
     let first = report("i-1", 0);
@@ -285,7 +290,7 @@
 }
 
 #[test]
-fn a_drain_that_was_told_in_vain_is_told_anew() {
+fn an_unacknowledged_drain_is_broadcast_again() {
     // Given a node that was cut off while it told of a drain, for longer than it insists,
     let (mut fleet, first) = with_executor(14, 3);
     fleet.cut_off(&[5]);
@@ -294,11 +299,11 @@
     fleet.run(Duration::from_millis(4_000));
     // when the call comes again, then it waits again: nobody has confirmed anything.
     let answer = fleet.heartbeat(5, &next(&drain)).answer;
-    assert!(matches!(answer, Answer::WhenTold(_)), "{answer:?}");
+    assert!(matches!(answer, Answer::WhenAcknowledged(_)), "{answer:?}");
 }
 
 #[test]
-fn a_node_that_has_just_started_acknowledges_no_leave_by_itself() {
+fn a_new_node_alone_acknowledges_no_drain() {
     // Given a node that knows nobody yet, when an executor leaves there,
     let (mut fleet, first) = with_executor(14, 3);
     fleet.kill(6);
@@ -310,13 +315,13 @@
 }
 
 #[test]
-fn a_leave_is_acknowledged_while_as_many_are_lost_as_may_be() {
+fn a_drain_is_acknowledged_under_the_tolerated_losses() {
     // Given a fleet with one machine of the core down and one edge node cut off,
     let (mut fleet, first) = with_executor(14, 3);
     fleet.kill(2);
     fleet.cut_off(&[13]);
     // when an executor leaves, then its call is acknowledged when the bound is over.
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
-    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_told(5, answer));
+    let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_acknowledged(5, answer));
     assert!(took.is_some_and(|took| took <= Duration::from_millis(710)), "took {took:?}");
 }
--- a/crates/registry/tests/executors.rs
+++ b/crates/registry/tests/executors.rs
@@ -21,7 +21,7 @@
 }
 
 /// Has an executor beat at one node for a while.
-fn beat_on(fleet: &mut Fleet, index: usize, last: &mut HeartbeatReport, times: usize) {
+fn send_heartbeats(fleet: &mut Fleet, index: usize, last: &mut HeartbeatReport, times: usize) {
     for _ in 0..times {
         fleet.run(Duration::from_millis(1_200));
         *last = next(last);
@@ -30,15 +30,15 @@
 }
 
 #[test]
-fn what_is_new_is_told_and_plain_heartbeats_are_not() {
-    let mut fleet = Fleet::settled(14, 1);
+fn changes_are_published_and_unchanged_heartbeats_are_not() {
+    let mut fleet = Fleet::converged(14, 1);
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
     fleet.run(Duration::from_millis(200));
     assert!(all_show(&fleet, "i-1", |executor| executor.call_seq == 1
-        && executor.heard_by == fleet.nodes[4].name));
+        && executor.reporter == fleet.nodes[4].name));
     let before = fleet.registry(9).generation();
-    beat_on(&mut fleet, 4, &mut last, 5);
+    send_heartbeats(&mut fleet, 4, &mut last, 5);
     fleet.run(Duration::from_millis(200));
     assert_eq!(fleet.registry(9).generation(), before);
     last = next(&last);
@@ -52,11 +52,11 @@
 
 #[test]
 fn a_late_call_changes_nothing() {
-    let mut fleet = Fleet::settled(14, 1);
+    let mut fleet = Fleet::converged(14, 1);
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
     let late = next(&last);
-    beat_on(&mut fleet, 4, &mut last, 4);
+    send_heartbeats(&mut fleet, 4, &mut last, 4);
     let mut late = HeartbeatReport { service: "another".to_owned(), ..late };
     late.address.set_port(1);
     assert_eq!(fleet.heartbeat(4, &late).answer, Answer::Now);
@@ -67,24 +67,24 @@
 }
 
 #[test]
-fn a_late_call_at_another_node_loses_against_what_the_owner_heard_since() {
-    let mut fleet = Fleet::settled(14, 1);
+fn a_late_call_at_another_node_loses_against_newer_heartbeats_at_the_reporter() {
+    let mut fleet = Fleet::converged(14, 1);
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
     let late = next(&last);
-    beat_on(&mut fleet, 4, &mut last, 4);
+    send_heartbeats(&mut fleet, 4, &mut last, 4);
     // Plain heartbeats are not told, so the other node takes the late call for news.
     fleet.heartbeat(9, &late);
     fleet.run(Duration::from_millis(500));
     let owner = fleet.nodes[4].name.clone();
-    assert!(all_show(&fleet, "i-1", |executor| executor.heard_by == owner && executor.call_seq == 5));
+    assert!(all_show(&fleet, "i-1", |executor| executor.reporter == owner && executor.call_seq == 5));
 }
 
 #[rstest]
 #[case(14)]
 #[case(78)]
 fn heartbeats_are_shared_evenly_among_the_edge_nodes_of_a_zone(#[case] count: usize) {
-    let mut fleet = Fleet::settled(count, 1);
+    let mut fleet = Fleet::converged(count, 1);
     let mut load: BTreeMap<SocketAddrV4, usize> = BTreeMap::new();
     let edges = count - count / 8;
     for number in 0..400 {
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn a_node_that_goes_moves_only_its_own_executors() {
-    let mut fleet = Fleet::settled(14, 1);
+fn a_departing_node_moves_only_its_own_executors() {
+    let mut fleet = Fleet::converged(14, 1);
     let reports: Vec<HeartbeatReport> = (0..200)
         .map(|number| {
             let mut first = report(&format!("i-{number}"), 1);
@@ -128,29 +128,29 @@
 
 #[test]
 fn all_edge_nodes_stand_in_for_a_zone_without_any() {
-    let mut fleet = Fleet::settled(14, 1);
+    let mut fleet = Fleet::converged(14, 1);
     let first = HeartbeatReport { zone: "elsewhere".to_owned(), ..report("i-1", 0) };
     assert!(fleet.heartbeat(0, &first).heartbeat_target.is_some());
 }
 
 #[test]
-fn an_executor_that_misses_its_heartbeats_is_silent_until_the_next_one() {
-    let mut fleet = Fleet::settled(14, 1);
+fn an_executor_that_misses_its_heartbeats_is_unresponsive_until_the_next_one() {
+    let mut fleet = Fleet::converged(14, 1);
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
-    beat_on(&mut fleet, 4, &mut last, 3);
+    send_heartbeats(&mut fleet, 4, &mut last, 3);
     fleet.run(SILENCE.saturating_sub(Duration::from_millis(100)));
-    assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| !executor.unresponsive));
     fleet.run(Duration::from_millis(900));
-    assert!(all_show(&fleet, "i-1", |executor| executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
     fleet.heartbeat(4, &next(&last));
     fleet.run(Duration::from_millis(200));
-    assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| !executor.unresponsive));
 }
 
 #[test]
-fn an_executor_whose_node_died_is_silent_unless_another_hears_it() {
-    let mut fleet = Fleet::settled(14, 1);
+fn an_executor_whose_reporter_died_is_unresponsive_unless_another_node_hears_it() {
+    let mut fleet = Fleet::converged(14, 1);
     let lost = report("i-1", 0);
     let mut moves = report("i-2", 0);
     moves.address.set_port(8_081);
@@ -158,14 +158,14 @@
     fleet.heartbeat(4, &moves);
     fleet.run(Duration::from_millis(200));
     fleet.kill(4);
-    beat_on(&mut fleet, 6, &mut moves, 6);
-    assert!(all_show(&fleet, "i-1", |executor| executor.silent));
-    assert!(all_show(&fleet, "i-2", |executor| !executor.silent));
+    send_heartbeats(&mut fleet, 6, &mut moves, 6);
+    assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
+    assert!(all_show(&fleet, "i-2", |executor| !executor.unresponsive));
 }
 
 #[test]
-fn a_frozen_owner_that_wakes_calls_no_executor_silent() {
-    let mut fleet = Fleet::settled(14, 1);
+fn a_frozen_reporter_that_wakes_marks_no_executor_unresponsive() {
+    let mut fleet = Fleet::converged(14, 1);
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
     fleet.run(Duration::from_millis(200));
@@ -173,30 +173,30 @@
     fleet.run(Duration::from_millis(6_000));
     fleet.thaw(4);
     fleet.run(Duration::from_millis(1_000));
-    assert!(shown(&fleet, 4, "i-1").is_some_and(|executor| !executor.silent));
+    assert!(shown(&fleet, 4, "i-1").is_some_and(|executor| !executor.unresponsive));
     last = next(&last);
     fleet.heartbeat(4, &last);
     fleet.run(Duration::from_millis(500));
-    assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| !executor.unresponsive));
 }
 
 #[test]
-fn an_owner_that_restarts_sees_to_its_executors_again() {
-    let mut fleet = Fleet::settled(14, 1);
+fn a_restarted_reporter_watches_its_executors_again() {
+    let mut fleet = Fleet::converged(14, 1);
     fleet.heartbeat(4, &report("i-1", 0));
     fleet.run(Duration::from_millis(200));
     fleet.kill(4);
     fleet.run(Duration::from_millis(100));
     fleet.start(4);
     fleet.run(Duration::from_millis(1_000));
-    assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| !executor.unresponsive));
     fleet.run(Duration::from_millis(5_000));
-    assert!(all_show(&fleet, "i-1", |executor| executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
 }
 
 #[test]
-fn silent_and_ended_executors_are_forgotten_and_do_not_come_back() {
-    let mut fleet = Fleet::settled(14, 1);
+fn unresponsive_and_gone_executors_expire_and_do_not_come_back() {
+    let mut fleet = Fleet::converged(14, 1);
     fleet.heartbeat(4, &report("i-1", 0));
     let mut ended = report("i-2", 0);
     ended.address.set_port(8_081);
@@ -211,7 +211,7 @@
     for index in 0..14 {
         assert_eq!(fleet.registry(index).executors().count(), 0, "{}", fleet.nodes[index].name);
     }
-    fleet.forget_traffic();
+    fleet.reset_traffic();
     fleet.run(Duration::from_millis(5_000));
     let bytes = fleet.nodes.iter().map(|node| node.sent.bytes + node.received.bytes).max().unwrap_or(0) / 5;
     assert!(bytes < 1_200, "{bytes} bytes a second over what is forgotten");
@@ -219,43 +219,43 @@
     fleet.heartbeat(6, &next(&ended));
     fleet.heartbeat(6, &next(&report("i-1", 0)));
     fleet.run(Duration::from_millis(500));
-    assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| !executor.unresponsive));
     assert!((0..14).all(|index| shown(&fleet, index, "i-2").is_none()));
 }
 
 #[test]
-fn an_address_used_again_makes_its_former_executor_silent() {
-    let mut fleet = Fleet::settled(14, 1);
+fn a_reused_address_makes_its_former_executor_unresponsive() {
+    let mut fleet = Fleet::converged(14, 1);
     let mut crashed = report("i-1", 0);
     fleet.heartbeat(4, &crashed);
-    beat_on(&mut fleet, 4, &mut crashed, 1);
+    send_heartbeats(&mut fleet, 4, &mut crashed, 1);
     let mut heir = report("i-2", 0);
     heir.service = "wuno96b".to_owned();
     fleet.heartbeat(9, &heir);
     fleet.run(Duration::from_millis(200));
-    assert!(all_show(&fleet, "i-2", |executor| !executor.silent && executor.service == "wuno96b"));
+    assert!(all_show(&fleet, "i-2", |executor| !executor.unresponsive && executor.service == "wuno96b"));
     // The owner has heard the former later than what was told; its silence is a matter of the missing heartbeats then.
     fleet.run(Duration::from_millis(4_500));
-    assert!(all_show(&fleet, "i-1", |executor| executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
     fleet.heartbeat(9, &next(&heir));
     fleet.run(Duration::from_millis(200));
-    assert!(all_show(&fleet, "i-2", |executor| !executor.silent));
+    assert!(all_show(&fleet, "i-2", |executor| !executor.unresponsive));
 }
 
 #[test]
-fn an_executor_that_called_once_is_silent_as_soon_as_its_address_is_used_again() {
-    let mut fleet = Fleet::settled(14, 1);
+fn an_executor_that_called_once_is_unresponsive_when_its_address_is_reused() {
+    let mut fleet = Fleet::converged(14, 1);
     fleet.heartbeat(4, &report("i-1", 0));
     fleet.run(Duration::from_millis(200));
     fleet.heartbeat(9, &report("i-2", 0));
     fleet.run(Duration::from_millis(200));
-    assert!(all_show(&fleet, "i-1", |executor| executor.silent));
-    assert!(all_show(&fleet, "i-2", |executor| !executor.silent));
+    assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
+    assert!(all_show(&fleet, "i-2", |executor| !executor.unresponsive));
 }
 
 #[test]
-fn an_executor_known_to_drain_by_a_merge_stays_so_whatever_the_order() {
-    let mut fleet = Fleet::settled(14, 1);
+fn a_merged_drain_persists_in_any_order() {
+    let mut fleet = Fleet::converged(14, 1);
     let first = report("i-1", 0);
     fleet.heartbeat(4, &first);
     fleet.run(Duration::from_millis(200));
@@ -274,34 +274,34 @@
 
 /// A fleet whose nodes all restart, the first of them with what it had kept of an executor.
 fn restarted_with_a_hint() -> (Fleet, HeartbeatReport) {
-    let mut fleet = Fleet::settled(14, 1);
+    let mut fleet = Fleet::converged(14, 1);
     let first = report("i-1", 0);
     fleet.heartbeat(4, &first);
     fleet.run(Duration::from_millis(200));
-    let kept = fleet.registry(4).remember();
+    let kept = fleet.registry(4).executors_hint();
     (0..14).for_each(|index| fleet.kill(index));
     (0..14).for_each(|index| fleet.start(index));
     let now = fleet.now;
-    fleet.with(4, |registry| registry.recall(now, &kept)).expect("what was kept can be read");
+    fleet.with(4, |registry| registry.restore_executors(now, &kept)).expect("what was kept can be read");
     (fleet, first)
 }
 
 #[test]
-fn an_executor_that_is_only_remembered_is_not_relied_on_for_as_long_as_nodes_need_to_be_in_touch() {
+fn an_executor_that_is_only_restored_is_not_relied_on_until_nodes_are_in_contact() {
     // Given a tier that has lost all power, with an executor on a disk which had meanwhile said that it leaves,
     let (mut fleet, _) = restarted_with_a_hint();
     fleet.run(Duration::from_millis(2_000));
-    assert!(shown(&fleet, 4, "i-1").is_some_and(|executor| !executor.silent));
+    assert!(shown(&fleet, 4, "i-1").is_some_and(|executor| !executor.unresponsive));
     // when it does not call again, then nothing is sent to it by the time that nodes count as in touch.
     fleet.run(Duration::from_millis(1_000));
-    assert!(fleet.registry(4).is_only_recalled("i-1"));
-    assert!(all_show(&fleet, "i-1", |executor| executor.silent));
+    assert!(fleet.registry(4).is_only_restored("i-1"));
+    assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
 }
 
 #[test]
-fn an_executor_that_is_remembered_and_calls_again_is_relied_on() {
+fn a_restored_executor_that_calls_again_is_relied_on() {
     let (mut fleet, mut last) = restarted_with_a_hint();
-    beat_on(&mut fleet, 4, &mut last, 3);
-    assert!(!fleet.registry(4).is_only_recalled("i-1"));
-    assert!(all_show(&fleet, "i-1", |executor| !executor.silent));
+    send_heartbeats(&mut fleet, 4, &mut last, 3);
+    assert!(!fleet.registry(4).is_only_restored("i-1"));
+    assert!(all_show(&fleet, "i-1", |executor| !executor.unresponsive));
 }
--- a/crates/registry/tests/fleet/mod.rs
+++ b/crates/registry/tests/fleet/mod.rs
@@ -51,8 +51,8 @@
     pub sent: Traffic,
     pub received: Traffic,
     pub to_nobody: u64,
-    pub told: BTreeMap<CallToken, Instant>,
-    pub untold: BTreeMap<CallToken, Instant>,
+    pub acknowledged: BTreeMap<CallToken, Instant>,
+    pub rejected: BTreeMap<CallToken, Instant>,
     pub events: Vec<(Instant, Event)>,
     waiting: Vec<(SocketAddrV4, Message)>,
     wake: Option<Instant>,
@@ -60,7 +60,7 @@
     starts: u64,
 }
 
-enum Happening {
+enum Scheduled {
     Arrive { from: SocketAddrV4, to: SocketAddrV4, message: Message },
     Wake(usize),
     Start(usize),
@@ -73,7 +73,7 @@
     pub random: Pcg64Mcg,
     cut: BTreeSet<(usize, usize)>,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    scheduled_events: BTreeMap<u64, Scheduled>,
     next: u64,
     seed: u64,
 }
@@ -124,14 +124,14 @@
             random: Pcg64Mcg::seed_from_u64(seed),
             cut: BTreeSet::new(),
             queue: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
+            scheduled_events: BTreeMap::new(),
             next: 0,
             seed,
         }
     }
 
     /// A fleet whose nodes all started within 0.3 s and have had time to settle.
-    pub fn settled(count: usize, seed: u64) -> Fleet {
+    pub fn converged(count: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(count, seed);
         fleet.start_all(Duration::from_millis(300));
         fleet.run(Duration::from_millis(6_000));
@@ -152,7 +152,7 @@
     }
 
     pub fn start_in(&mut self, index: usize, wait: Duration) {
-        self.schedule(self.now + wait, Happening::Start(index));
+        self.schedule(self.now + wait, Scheduled::Start(index));
     }
 
     pub fn start(&mut self, index: usize) {
@@ -165,8 +165,8 @@
         node.registry = Some(Registry::new(settings, seed, self.now));
         node.frozen = false;
         node.wake = None;
-        node.told.clear();
-        node.untold.clear();
+        node.acknowledged.clear();
+        node.rejected.clear();
         self.follow(index);
     }
 
@@ -224,8 +224,8 @@
             }
             self.queue.pop();
             self.now = self.now.max(at);
-            if let Some(happening) = self.happenings.remove(&id) {
-                self.happen(happening);
+            if let Some(scheduled) = self.scheduled_events.remove(&id) {
+                self.dispatch(scheduled);
             }
         }
         self.now = until;
@@ -265,25 +265,25 @@
         self.with(index, |registry| registry.deregister(now, id))
     }
 
-    pub fn is_told(&self, index: usize, answer: Answer) -> bool {
+    pub fn is_acknowledged(&self, index: usize, answer: Answer) -> bool {
         match answer {
             Answer::Now => true,
             Answer::Never => false,
-            Answer::WhenTold(token) => self.nodes[index].told.contains_key(&token),
+            Answer::WhenAcknowledged(token) => self.nodes[index].acknowledged.contains_key(&token),
         }
     }
 
     /// Whether a call was answered without an acknowledgement.
-    pub fn is_turned_away(&self, index: usize, answer: Answer) -> bool {
+    pub fn is_rejected(&self, index: usize, answer: Answer) -> bool {
         match answer {
             Answer::Now => false,
             Answer::Never => true,
-            Answer::WhenTold(token) => self.nodes[index].untold.contains_key(&token),
+            Answer::WhenAcknowledged(token) => self.nodes[index].rejected.contains_key(&token),
         }
     }
 
     /// Says what may be lost at once, to nodes that start from now on.
-    pub fn bear(&mut self, losses: Losses) {
+    pub fn tolerate(&mut self, losses: Losses) {
         self.nodes.iter_mut().for_each(|node| node.settings.losses = losses);
     }
 
@@ -330,7 +330,7 @@
         }
     }
 
-    pub fn forget_traffic(&mut self) {
+    pub fn reset_traffic(&mut self) {
         for node in &mut self.nodes {
             node.sent = Traffic::default();
             node.received = Traffic::default();
@@ -339,17 +339,17 @@
         }
     }
 
-    fn schedule(&mut self, at: Instant, happening: Happening) {
+    fn schedule(&mut self, at: Instant, scheduled: Scheduled) {
         self.next += 1;
-        self.happenings.insert(self.next, happening);
+        self.scheduled_events.insert(self.next, scheduled);
         self.queue.push(Reverse((at, self.next)));
     }
 
-    fn happen(&mut self, happening: Happening) {
+    fn dispatch(&mut self, scheduled: Scheduled) {
         let now = self.now;
-        match happening {
-            Happening::Start(index) => self.start(index),
-            Happening::Wake(index) => {
+        match scheduled {
+            Scheduled::Start(index) => self.start(index),
+            Scheduled::Wake(index) => {
                 let node = &mut self.nodes[index];
                 if node.wake != Some(now) || node.frozen || node.registry.is_none() {
                     return;
@@ -357,7 +357,7 @@
                 node.wake = None;
                 self.with(index, |registry| registry.tick(now));
             }
-            Happening::Arrive { from, to, message } => {
+            Scheduled::Arrive { from, to, message } => {
                 let Some(index) = self.at(to) else {
                     return;
                 };
@@ -385,15 +385,15 @@
         let Some(registry) = &mut node.registry else {
             return;
         };
-        let settled = registry.settled_calls(now);
-        node.told.extend(settled.told.into_iter().map(|token| (token, now)));
-        node.untold.extend(settled.untold.into_iter().map(|token| (token, now)));
+        let converged = registry.take_completed_calls(now);
+        node.acknowledged.extend(converged.acknowledged.into_iter().map(|token| (token, now)));
+        node.rejected.extend(converged.rejected.into_iter().map(|token| (token, now)));
         let output = registry.take_output();
         node.events.extend(output.events.into_iter().map(|event| (now, event)));
         let wake = registry.next_wake().max(now + Duration::from_nanos(1));
         if node.wake.is_none_or(|planned| wake < planned || planned < now) {
             node.wake = Some(wake);
-            self.schedule(wake, Happening::Wake(index));
+            self.schedule(wake, Scheduled::Wake(index));
         }
         for (to, message) in output.messages {
             self.post(index, to, message);
@@ -422,7 +422,7 @@
             let delay = Duration::from_nanos(
                 self.random.random_range(self.links.shortest.nanos()..=self.links.longest.nanos()),
             );
-            self.schedule(self.now + delay, Happening::Arrive { from, to, message: message.clone() });
+            self.schedule(self.now + delay, Scheduled::Arrive { from, to, message: message.clone() });
         }
     }
 }
@@ -437,8 +437,8 @@
             sent: Traffic::default(),
             received: Traffic::default(),
             to_nobody: 0,
-            told: BTreeMap::new(),
-            untold: BTreeMap::new(),
+            acknowledged: BTreeMap::new(),
+            rejected: BTreeMap::new(),
             events: Vec::new(),
             waiting: Vec::new(),
             wake: None,
--- a/crates/registry/tests/reports.rs
+++ b/crates/registry/tests/heartbeat_reports.rs
@@ -9,7 +9,7 @@
     "models":[{"name":"m","config_version":3,"adapters":[]}],"call_seq":4,"later":{"deep":[1,2,{"x":null}]}}"#;
 
 #[test]
-fn a_whole_body_is_read_and_unknown_fields_are_ignored() {
+fn a_complete_body_is_read_and_unknown_fields_are_ignored() {
     let report = HeartbeatReport::parse("i-1", BODY.as_bytes()).expect("a heartbeat");
     assert_eq!(
         (report.id.as_str(), report.service.as_str(), report.zone.as_str()),
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_body_without_what_may_be_absent_is_read() {
+fn a_body_without_optional_fields_is_read() {
     let body = r#"{"service":"s","address":"10.0.0.1:80","zone":"z","slot_count":1,"state":"draining","call_seq":1}"#;
     let report = HeartbeatReport::parse("i-1", body.as_bytes()).expect("a heartbeat");
     assert_eq!(report.state, ExecutorState::Draining);
@@ -43,7 +43,11 @@
 #[case::endless_sequence("\"call_seq\":4", "\"call_seq\":1e300", "call_seq")]
 #[case::models_as_text("[{\"name\":\"m\",\"config_version\":3,\"adapters\":[]}]", "\"m\"", "models")]
 #[case::nameless_model("{\"name\":\"m\",", "{", "name")]
-fn a_body_with_a_wrong_field_is_refused(#[case] from: &str, #[case] to: &str, #[case] field: &'static str) {
+fn a_body_with_an_invalid_field_is_rejected(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] field: &'static str,
+) {
     let body = BODY.replacen(from, to, 1);
     assert_ne!(body, BODY);
     assert_eq!(HeartbeatReport::parse("i-1", body.as_bytes()), Err(ReportError::Field { field }));
@@ -55,12 +59,12 @@
 #[case::cut(&BODY.as_bytes()[..40])]
 #[case::not_text(b"{\"service\":\"\xff\"}")]
 #[case::more_behind(b"{} {}")]
-fn what_is_no_object_is_refused(#[case] body: &[u8]) {
+fn a_body_that_is_not_an_object_is_rejected(#[case] body: &[u8]) {
     assert_eq!(HeartbeatReport::parse("i-1", body), Err(ReportError::NotJson));
 }
 
 #[test]
-fn deep_nesting_and_size_are_refused_before_they_are_parsed() {
+fn deep_nesting_and_size_are_rejected_before_parsing() {
     let deep = "[".repeat(MAX_REPORT);
     assert_eq!(HeartbeatReport::parse("i-1", deep.as_bytes()), Err(ReportError::NotJson));
     let large = vec![b' '; MAX_REPORT + 1];
@@ -73,7 +77,7 @@
 #[rstest]
 #[case("")]
 #[case(&"i".repeat(256))]
-fn an_id_of_no_proper_length_is_refused(#[case] id: &str) {
+fn an_id_of_invalid_length_is_rejected(#[case] id: &str) {
     assert!(HeartbeatReport::parse(id, BODY.as_bytes()).is_err());
 }
 
--- a/crates/registry/tests/cuts.rs
+++ b/crates/registry/tests/network_partitions.rs
@@ -7,13 +7,13 @@
 use grebeusher_time::Duration;
 use rstest::rstest;
 
-fn executors_agree(fleet: &Fleet) -> bool {
+fn all_show_same_executors(fleet: &Fleet) -> bool {
     fleet.all_show_same_executors()
 }
 
 #[rstest]
 fn a_death_is_known_to_all_within_its_bound(#[values(14, 78)] count: usize, #[values(1, 2, 3)] seed: u64) {
-    let mut fleet = Fleet::settled(count, seed);
+    let mut fleet = Fleet::converged(count, seed);
     fleet.kill(5);
     let took = fleet.run_until(Duration::from_millis(4_000), Fleet::all_know_all);
     assert!(
@@ -23,8 +23,8 @@
 }
 
 #[rstest]
-fn a_third_dies_at_once(#[values(14, 78)] count: usize) {
-    let mut fleet = Fleet::settled(count, 1);
+fn all_survivors_agree_when_a_third_dies_at_once(#[values(14, 78)] count: usize) {
+    let mut fleet = Fleet::converged(count, 1);
     (0..count / 3).for_each(|index| fleet.kill(index * 3));
     let took = fleet.run_until(Duration::from_millis(8_000), Fleet::all_know_all);
     println!("a third of {count} was known to be dead after {took:?}");
@@ -37,13 +37,13 @@
 #[case::half(14, &[0, 1, 2, 3, 4, 5, 6])]
 #[case::one_of_many(78, &[5])]
 #[case::a_zone_of_many(78, &[0, 4, 8, 12, 16, 20, 24, 28, 32, 36, 40, 44, 48, 52, 56, 60, 64])]
-fn both_sides_of_a_cut_agree_soon_after_it_heals(
+fn both_sides_agree_soon_after_a_network_partition_heals(
     #[case] count: usize,
     #[case] side: &[usize],
     #[values(1_000, 3_000, 12_000)] length: u64,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let mut fleet = Fleet::settled(count, seed);
+    let mut fleet = Fleet::converged(count, seed);
     for number in 0..40 {
         let mut first = report(&format!("i-{number}"), number);
         first.address.set_port(9_000 + number as u16);
@@ -79,13 +79,13 @@
     assert!(took.is_some_and(|took| took <= Duration::from_millis(600)), "members known after {took:?}");
     fleet.run(Duration::from_millis(4_000));
     fleet.assert_all_agree();
-    assert!(executors_agree(&fleet), "not all show the same executors");
+    assert!(all_show_same_executors(&fleet), "not all show the same executors");
 }
 
 #[rstest]
-fn a_node_cut_off_alone_calls_nobody_dead(#[values(1, 2, 3)] seed: u64) {
-    let mut fleet = Fleet::settled(14, seed);
-    fleet.forget_traffic();
+fn an_isolated_node_marks_nobody_dead(#[values(1, 2, 3)] seed: u64) {
+    let mut fleet = Fleet::converged(14, seed);
+    fleet.reset_traffic();
     fleet.cut_off(&[5]);
     fleet.run(Duration::from_millis(10_000));
     assert!(fleet.registry(5).is_isolated(fleet.now));
@@ -104,9 +104,9 @@
 #[rstest]
 #[case::short(Duration::from_millis(1_200))]
 #[case::long(Duration::from_millis(9_000))]
-fn a_frozen_node_that_wakes_calls_nobody_dead_and_is_known_again(#[case] length: Duration) {
-    let mut fleet = Fleet::settled(14, 8);
-    fleet.forget_traffic();
+fn a_frozen_node_that_wakes_marks_nobody_dead_and_rejoins(#[case] length: Duration) {
+    let mut fleet = Fleet::converged(14, 8);
+    fleet.reset_traffic();
     fleet.freeze(5);
     fleet.run(length);
     fleet.thaw(5);
@@ -122,9 +122,9 @@
 }
 
 #[test]
-fn all_frozen_together_call_nobody_dead() {
-    let mut fleet = Fleet::settled(14, 8);
-    fleet.forget_traffic();
+fn nodes_frozen_together_mark_nobody_dead() {
+    let mut fleet = Fleet::converged(14, 8);
+    fleet.reset_traffic();
     (0..14).for_each(|index| fleet.freeze(index));
     fleet.run(Duration::from_millis(5_000));
     (0..14).for_each(|index| fleet.thaw(index));
@@ -136,9 +136,9 @@
 #[rstest]
 #[case::one_link(&[(5, 6)])]
 #[case::many_links(&[(5, 6), (5, 7), (8, 5), (9, 10), (1, 0), (3, 12)])]
-fn a_link_that_fails_one_way_kills_nobody(#[case] links: &[(usize, usize)], #[values(1, 2, 3)] seed: u64) {
-    let mut fleet = Fleet::settled(14, seed);
-    fleet.forget_traffic();
+fn a_one_way_link_failure_marks_nobody_dead(#[case] links: &[(usize, usize)], #[values(1, 2, 3)] seed: u64) {
+    let mut fleet = Fleet::converged(14, seed);
+    fleet.reset_traffic();
     links.iter().for_each(|(from, to)| fleet.cut_one_way(*from, *to));
     fleet.run(Duration::from_millis(20_000));
     fleet.assert_all_agree();
@@ -147,9 +147,9 @@
 }
 
 #[test]
-fn a_node_that_one_of_its_watchers_does_not_hear_is_vouched_for_by_others() {
-    let mut fleet = Fleet::settled(14, 4);
-    fleet.forget_traffic();
+fn indirect_probes_keep_a_node_alive_that_one_watcher_cannot_reach() {
+    let mut fleet = Fleet::converged(14, 4);
+    fleet.reset_traffic();
     // Some of these watch it.
     for to in (0..14).filter(|to| *to != 5) {
         fleet.cut_one_way(5, to);
@@ -162,9 +162,9 @@
 }
 
 #[test]
-fn a_node_that_can_only_send_calls_nobody_dead() {
-    let mut fleet = Fleet::settled(14, 2);
-    fleet.forget_traffic();
+fn a_node_that_can_only_send_marks_nobody_dead() {
+    let mut fleet = Fleet::converged(14, 2);
+    fleet.reset_traffic();
     (0..14).filter(|index| *index != 5).for_each(|index| fleet.cut_one_way(index, 5));
     fleet.run(Duration::from_millis(20_000));
     let deaths: usize = fleet.nodes.iter().map(fleet::Node::deaths_seen).sum();
@@ -173,8 +173,8 @@
 
 #[test]
 fn a_node_that_can_only_receive_dies_once() {
-    let mut fleet = Fleet::settled(14, 2);
-    fleet.forget_traffic();
+    let mut fleet = Fleet::converged(14, 2);
+    fleet.reset_traffic();
     (0..14).filter(|index| *index != 5).for_each(|index| fleet.cut_one_way(5, index));
     fleet.run(Duration::from_millis(20_000));
     let most = fleet.nodes.iter().map(fleet::Node::deaths_seen).max().unwrap_or(0);
@@ -186,8 +186,8 @@
 
 #[rstest]
 fn bad_links_do_not_make_nodes_flap(#[values(1, 2, 3)] seed: u64) {
-    let mut fleet = Fleet::settled(14, seed);
-    fleet.forget_traffic();
+    let mut fleet = Fleet::converged(14, seed);
+    fleet.reset_traffic();
     fleet.links.loss = 0.2;
     fleet.links.longest = Duration::from_millis(80);
     fleet.run(Duration::from_millis(60_000));
@@ -200,7 +200,7 @@
 
 #[test]
 fn all_restart_together_and_know_each_other() {
-    let mut fleet = Fleet::settled(14, 2);
+    let mut fleet = Fleet::converged(14, 2);
     (0..14).for_each(|index| fleet.kill(index));
     fleet.run(Duration::from_millis(3_000));
     fleet.start_all(Duration::from_millis(300));
@@ -210,8 +210,8 @@
 }
 
 #[test]
-fn a_node_whose_seeds_are_all_dead_is_found_by_the_others() {
-    let mut fleet = Fleet::settled(14, 2);
+fn a_node_whose_seeds_are_all_dead_is_found_by_probes() {
+    let mut fleet = Fleet::converged(14, 2);
     [0, 1, 2].into_iter().for_each(|seed| fleet.kill(seed));
     fleet.kill(7);
     fleet.run(Duration::from_millis(4_000));
@@ -221,8 +221,8 @@
 }
 
 #[test]
-fn a_death_told_wrongly_is_refuted() {
-    let mut fleet = Fleet::settled(14, 2);
+fn a_false_death_is_refuted() {
+    let mut fleet = Fleet::converged(14, 2);
     let mut said = fleet.registry(0).member(&fleet.nodes[5].name).cloned().expect("a member");
     said.state = MemberState::Dead;
     let (now, from) = (fleet.now, fleet.nodes[1].address);
@@ -235,8 +235,8 @@
 }
 
 #[test]
-fn a_node_that_leaves_serves_on_and_is_then_gone_at_once() {
-    let mut fleet = Fleet::settled(14, 2);
+fn a_leaving_node_serves_until_it_has_left() {
+    let mut fleet = Fleet::converged(14, 2);
     let (now, name) = (fleet.now, fleet.nodes[5].name.clone());
     fleet.with(5, |registry| registry.leave(now));
     fleet.run(Duration::from_millis(200));
@@ -253,9 +253,9 @@
 }
 
 #[test]
-fn a_node_that_is_falsely_called_dead_again_and_again_is_given_more_time() {
-    let mut fleet = Fleet::settled(14, 2);
-    fleet.forget_traffic();
+fn repeated_false_deaths_lengthen_the_death_timeout() {
+    let mut fleet = Fleet::converged(14, 2);
+    fleet.reset_traffic();
     for _ in 0..10 {
         fleet.cut_off(&[5]);
         fleet.run(Duration::from_millis(2_200));
--- a/crates/registry/tests/stable_bytes.rs
+++ b/crates/registry/tests/stable_bytes.rs
@@ -2,8 +2,8 @@
 //! remembered on the disk, and the hashes in both.
 
 use grebeusher_registry::{
-    Class, Executor, ExecutorState, Facts, Heartbeat, HeartbeatReport, Losses, MAX_FACTS, MAX_MESSAGE,
-    Member, MemberState, Message, Model, NodeId, Register, Registry, Relay, Settings, Summary, Timings,
+    Class, Executor, ExecutorState, Heartbeat, HeartbeatReport, Losses, MAX_MESSAGE, MAX_METADATA, Member,
+    MemberState, Message, Model, NodeId, NodeMetadata, Register, Registry, Relay, Settings, Summary, Timings,
 };
 use grebeusher_time::Instant;
 use nanoserde::{DeBin, SerBin};
@@ -81,12 +81,12 @@
             Model { name: "large".to_owned(), config_version: 9 },
             Model { name: "größer".to_owned(), config_version: u64::MAX },
         ],
-        heard_by: "edge-1".to_owned(),
-        silent: false,
+        reporter: "edge-1".to_owned(),
+        unresponsive: false,
     }
 }
 
-fn bare_executor(state: ExecutorState, silent: bool) -> Executor {
+fn bare_executor(state: ExecutorState, unresponsive: bool) -> Executor {
     Executor {
         id: "i-2".to_owned(),
         service: "s".to_owned(),
@@ -99,13 +99,18 @@
         cold_left_ms: 0,
         call_seq: 2,
         models: Vec::new(),
-        heard_by: "edge-1".to_owned(),
-        silent,
+        reporter: "edge-1".to_owned(),
+        unresponsive,
     }
 }
 
-fn facts() -> Facts {
-    Facts { node: "edge-1".to_owned(), incarnation: 3, counter: 4, payload: vec![0xde, 0xad, 0x00, 0xbe] }
+fn node_metadata() -> NodeMetadata {
+    NodeMetadata {
+        node: "edge-1".to_owned(),
+        incarnation: 3,
+        counter: 4,
+        payload: vec![0xde, 0xad, 0x00, 0xbe],
+    }
 }
 
 fn buckets() -> Vec<u64> {
@@ -144,7 +149,7 @@
     match register {
         Register::Member(_) => 0,
         Register::Executor(_) => 1,
-        Register::Facts(_) => 2,
+        Register::NodeMetadata(_) => 2,
     }
 }
 
@@ -190,7 +195,7 @@
         incarnation: 0x0000_0190_1122_3344,
         sequence: 6,
         confirm: true,
-        registers: vec![Register::Member(edge()), Register::Executor(executor()), Register::Facts(facts())],
+        registers: vec![Register::Member(edge()), Register::Executor(executor()), Register::NodeMetadata(node_metadata())],
     }),
     "\
      060807060504030201443322119001000006000000000000000103000006656467652d310a000001ec1d443322119001\
@@ -240,7 +245,7 @@
     Message::Registers(vec![
         Register::Member(storage()),
         Register::Executor(executor()),
-        Register::Facts(facts()),
+        Register::NodeMetadata(node_metadata()),
     ]),
     "\
      0b0300000973746f726167652d320a000002ed1d07000000000000000000000000000000010000000103692d31046368\
@@ -305,8 +310,11 @@
     Register::Executor(bare_executor(ExecutorState::Gone, true)),
     "0103692d3201730a0000080100017a0100000000000600000000000000000200000000000000000006656467652d31"
 )]
-#[case::facts(Register::Facts(facts()), "0206656467652d31030000000000000004000000000000000400dead00be")]
-#[case::facts_of_nothing(Register::Facts(Facts { payload: Vec::new(), ..facts() }), "0206656467652d31030000000000000004000000000000000000")]
+#[case::node_metadata(
+    Register::NodeMetadata(node_metadata()),
+    "0206656467652d31030000000000000004000000000000000400dead00be"
+)]
+#[case::facts_of_nothing(Register::NodeMetadata(NodeMetadata { payload: Vec::new(), ..node_metadata() }), "0206656467652d31030000000000000004000000000000000000")]
 fn a_register_keeps_its_bytes(#[case] register: Register, #[case] pinned: &str) {
     // A message of one register: its own head is three bytes.
     let message = Message::Registers(vec![register.clone()]);
@@ -317,7 +325,7 @@
 }
 
 #[test]
-fn a_suspicion_is_told_as_the_life_it_doubts() {
+fn a_suspected_member_is_encoded_as_alive() {
     let told = Message::Join(member_in(MemberState::Suspect)).encode();
     assert_eq!(hex(&told), hex(&Message::Join(member_in(MemberState::Alive)).encode()));
 }
@@ -331,7 +339,7 @@
 }
 
 #[test]
-fn remembered_executors_keep_their_bytes() {
+fn the_executors_hint_keeps_its_bytes() {
     let pinned = "\
         01020003692d3104636861740a000009901f027a320403020102763304626f746800dc05000000000000887766554433\
         22110200056c617267650900000000000000086772c3b6c39f6572ffffffffffffffff06656467652d3103692d320173\
@@ -347,19 +355,19 @@
     let registers = executors.iter().cloned().map(Register::Executor).collect();
     told.receive(NOW, address(1, 7_660), Message::Registers(registers));
     // then it remembers the others as earlier versions did,
-    assert_eq!(hex(&told.remember()), pinned);
+    assert_eq!(hex(&told.executors_hint()), pinned);
     // and a later process reads and writes them as they were.
     let mut later = registry();
-    assert_eq!(later.recall(NOW, &bytes(pinned)), Ok(2));
+    assert_eq!(later.restore_executors(NOW, &bytes(pinned)), Ok(2));
     assert_eq!(later.executors().collect::<Vec<_>>(), [&executors[0], &executors[1]]);
-    assert_eq!(hex(&later.remember()), pinned);
+    assert_eq!(hex(&later.executors_hint()), pinned);
 }
 
 #[test]
-fn no_executors_are_remembered_in_the_same_bytes() {
+fn an_empty_executors_hint_keeps_its_bytes() {
     let pinned = "010000";
-    assert_eq!(hex(&registry().remember()), pinned);
-    assert_eq!(registry().recall(NOW, &bytes(pinned)), Ok(0));
+    assert_eq!(hex(&registry().executors_hint()), pinned);
+    assert_eq!(registry().restore_executors(NOW, &bytes(pinned)), Ok(0));
 }
 
 #[rstest]
@@ -377,7 +385,7 @@
     let registers = vec![
         Register::Member(edge()),
         Register::Executor(executor()),
-        Register::Facts(facts()),
+        Register::NodeMetadata(node_metadata()),
         Register::Member(member_in(MemberState::Dead)),
     ];
     registry.receive(NOW, peer, Message::Registers(registers));
@@ -417,9 +425,9 @@
 }
 
 #[test]
-fn the_bounds_of_what_is_told_keep_their_values() {
+fn message_bounds_keep_their_values() {
     assert_eq!(MAX_MESSAGE, 16_384);
-    assert_eq!(MAX_FACTS, 512);
+    assert_eq!(MAX_METADATA, 512);
 }
 
 /// A node among four others, all of which take heartbeats of executors; it passes on to two nodes at most.
@@ -439,7 +447,7 @@
 }
 
 #[test]
-fn all_versions_pass_news_on_along_the_same_trees() {
+fn all_versions_relay_along_the_same_trees() {
     let registry = node_among_others();
     let trees: Vec<Vec<SocketAddrV4>> =
         (3..8).map(|number| registry.relay_children(&format!("edge-{number}"))).collect();
--- a/crates/registry/tests/start.rs
+++ b/crates/registry/tests/start.rs
@@ -70,8 +70,8 @@
 #[rstest]
 #[case::at_once(Duration::from_millis(50))]
 #[case::after_its_death(Duration::from_millis(4_000))]
-fn a_restarted_node_is_known_by_its_new_life(#[case] pause: Duration) {
-    let mut fleet = Fleet::settled(14, 3);
+fn a_restarted_node_is_known_by_its_new_incarnation(#[case] pause: Duration) {
+    let mut fleet = Fleet::converged(14, 3);
     let before = fleet.registry(5).own_member().incarnation;
     fleet.kill(5);
     fleet.run(pause);
@@ -88,8 +88,8 @@
 }
 
 #[test]
-fn a_node_that_restarts_under_a_clock_that_went_back_outbids_its_older_life() {
-    let mut fleet = Fleet::settled(14, 3);
+fn a_node_restarted_under_an_earlier_clock_supersedes_its_previous_incarnation() {
+    let mut fleet = Fleet::converged(14, 3);
     let before = fleet.registry(5).own_member().incarnation;
     fleet.kill(5);
     fleet.run(Duration::from_millis(100));
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_machine_that_replaces_another_is_known_and_the_other_dead() {
-    let mut fleet = Fleet::settled(14, 9);
+    let mut fleet = Fleet::converged(14, 9);
     let former = fleet.nodes[13].name.clone();
     fleet.kill(13);
     let mut replacement = settings(14, &[0, 1, 2], 13);
@@ -121,9 +121,9 @@
 }
 
 #[test]
-fn many_restarts_at_once_make_no_wave() {
-    let mut fleet = Fleet::settled(78, 4);
-    fleet.forget_traffic();
+fn mass_restarts_cause_no_message_storm() {
+    let mut fleet = Fleet::converged(78, 4);
+    fleet.reset_traffic();
     let restarted: Vec<usize> = (20..66).collect();
     restarted.iter().for_each(|index| fleet.kill(*index));
     fleet.run(Duration::from_millis(500));
@@ -147,17 +147,17 @@
 }
 
 #[test]
-fn news_that_come_twice_are_passed_on_once() {
-    let mut fleet = Fleet::settled(78, 4);
+fn a_duplicated_relay_is_forwarded_once() {
+    let mut fleet = Fleet::converged(78, 4);
     let sent = |fleet: &Fleet| -> u64 { fleet.nodes.iter().map(|node| node.sent.messages).sum() };
     let mut told = Vec::new();
     for doubled in [0.0, 1.0] {
         fleet.links.doubled = doubled;
-        fleet.forget_traffic();
+        fleet.reset_traffic();
         let start = sent(&fleet);
         for payload in 0..20 {
             let now = fleet.now;
-            fleet.with(5, |registry| registry.set_facts(now, vec![payload])).expect("small enough");
+            fleet.with(5, |registry| registry.set_metadata(now, vec![payload])).expect("small enough");
             fleet.run(Duration::from_millis(60));
         }
         told.push(sent(&fleet) - start);
--- a/crates/registry/tests/wire.rs
+++ b/crates/registry/tests/wire.rs
@@ -1,8 +1,8 @@
 //! Messages: their binary form, and bytes that are none.
 
 use grebeusher_registry::{
-    Class, DecodeError, Executor, ExecutorState, Facts, Heartbeat, Losses, MAX_MESSAGE, Member, MemberState,
-    Message, Model, NodeId, Register, Registry, Relay, Settings, Summary, Timings,
+    Class, DecodeError, Executor, ExecutorState, Heartbeat, Losses, MAX_MESSAGE, Member, MemberState,
+    Message, Model, NodeId, NodeMetadata, Register, Registry, Relay, Settings, Summary, Timings,
 };
 use grebeusher_time::Instant;
 use nanoserde::{DeBin, SerBin};
@@ -61,10 +61,10 @@
             service,
             address,
             zone,
-            (slot_count, cold_left_ms, call_seq, silent),
+            (slot_count, cold_left_ms, call_seq, unresponsive),
             state,
             models,
-            heard_by,
+            reporter,
         )| Executor {
             id,
             service,
@@ -77,19 +77,21 @@
             cold_left_ms,
             call_seq,
             models,
-            heard_by,
-            silent,
+            reporter,
+            unresponsive,
         },
     )
 }
 
 fn registers() -> impl Strategy<Value = Register> {
-    let facts = ("[a-c]{1,2}", any::<u64>(), any::<u64>(), proptest::collection::vec(any::<u8>(), 0..512))
-        .prop_map(|(node, incarnation, counter, payload)| Facts { node, incarnation, counter, payload });
+    let node_metadata =
+        ("[a-c]{1,2}", any::<u64>(), any::<u64>(), proptest::collection::vec(any::<u8>(), 0..512)).prop_map(
+            |(node, incarnation, counter, payload)| NodeMetadata { node, incarnation, counter, payload },
+        );
     prop_oneof![
         members().prop_map(Register::Member),
         executors().prop_map(Register::Executor),
-        facts.prop_map(Register::Facts)
+        node_metadata.prop_map(Register::NodeMetadata)
     ]
 }
 
@@ -156,7 +158,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read(message in messages()) {
+    fn messages_round_trip(message in messages()) {
         prop_assert_eq!(Message::decode(&message.encode()).expect("a message"), message.clone());
         let mut bytes = message.serialize_bin();
         bytes.extend_from_slice(&message.serialize_bin());
@@ -167,7 +169,7 @@
     }
 
     #[test]
-    fn bytes_that_are_no_message_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         if let Ok(message) = Message::decode(&bytes) {
             prop_assert_eq!(message.encode(), bytes);
         }
@@ -187,7 +189,7 @@
 
     /// Whatever comes, from whomever, in whatever order: the registry stands and keeps its bounds.
     #[test]
-    fn any_messages_in_any_order_are_taken(
+    fn any_message_sequence_is_accepted(
         messages in proptest::collection::vec((messages(), 0..4_u8, 0..900_u64), 0..80),
     ) {
         let mut registry = registry();
@@ -197,7 +199,7 @@
             let from = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, from + 1), 7_660);
             registry.receive(now, from, message);
             registry.tick(now);
-            registry.settled_calls(now);
+            registry.take_completed_calls(now);
             for (_, message) in registry.take_output().messages {
                 prop_assert!(message.encode().len() <= MAX_MESSAGE);
             }
@@ -219,7 +221,7 @@
             let from = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 2), 7_660);
             for mut executor in registers {
                 // Not of this node, which has its own view of what it hears itself.
-                executor.heard_by = "b".to_owned();
+                executor.reporter = "b".to_owned();
                 let message = Message::Registers(vec![Register::Executor(executor)]);
                 registry.receive(Instant(1_000_000_000), from, message);
             }
@@ -230,7 +232,7 @@
 }
 
 #[test]
-fn lengths_that_promise_too_much_are_refused() {
+fn oversized_length_prefixes_are_rejected() {
     // A list of 65,535 registers in a message of a few bytes.
     assert_eq!(
         Message::decode(&[11, 255, 255, 0]).err().map(|error| error.to_string().contains("65535")),
--- a/crates/tier/src/calls.rs
+++ b/crates/tier/src/calls.rs
@@ -358,13 +358,13 @@
         }
         // Nobody takes a job by its offer.
         pending.unheard |= pending.sent == Sent::Whole;
-        if let Some(silent) = pending.tried.last() {
-            self.unheard.insert(*silent, now + UNRESPONSIVE_TTL);
+        if let Some(unresponsive) = pending.tried.last() {
+            self.unheard.insert(*unresponsive, now + UNRESPONSIVE_TTL);
         }
         if pending.partition.is_none() {
-            let silent = pending.tried.last().copied();
+            let unresponsive = pending.tried.last().copied();
             // A link that was idle may have been forgotten on the way, and the system takes a while to notice.
-            silent.into_iter().for_each(|silent| self.close_link_to(silent));
+            unresponsive.into_iter().for_each(|unresponsive| self.close_link_to(unresponsive));
             return self.end_call(number, None);
         }
         self.try_call(number);
--- a/crates/tier/src/control.rs
+++ b/crates/tier/src/control.rs
@@ -75,7 +75,9 @@
                 match effect.answer {
                     Answer::Now => self.answer_heartbeat(connection, serial, effect.heartbeat_target),
                     Answer::Never => self.not_acknowledged(connection, serial),
-                    Answer::WhenTold(token) => drop(self.told_waiters.insert(token, (connection, serial))),
+                    Answer::WhenAcknowledged(token) => {
+                        self.told_waiters.insert(token, (connection, serial));
+                    }
                 }
             }
             Err(_) => self.answer(connection, serial, http::answer(400, &[], b"")),
@@ -95,20 +97,20 @@
         match self.registry.deregister(self.now, id) {
             Answer::Now => self.answer(connection, serial, http::answer(200, &[JSON], b"{}")),
             Answer::Never => self.not_acknowledged(connection, serial),
-            Answer::WhenTold(token) => drop(self.told_waiters.insert(token, (connection, serial))),
+            Answer::WhenAcknowledged(token) => drop(self.told_waiters.insert(token, (connection, serial))),
         }
         self.routing_changed = true;
     }
 
     /// Calls whose news every node has by now, or that have waited for long enough, are answered.
     pub fn answer_told(&mut self) {
-        let settled = self.registry.settled_calls(self.now);
-        for token in settled.told {
+        let settled = self.registry.take_completed_calls(self.now);
+        for token in settled.acknowledged {
             if let Some((connection, serial)) = self.told_waiters.remove(&token) {
                 self.answer(connection, serial, http::answer(200, &[JSON], b"{}"));
             }
         }
-        for token in settled.untold {
+        for token in settled.rejected {
             if let Some((connection, serial)) = self.told_waiters.remove(&token) {
                 self.not_acknowledged(connection, serial);
             }
--- a/crates/tier/src/dispatch.rs
+++ b/crates/tier/src/dispatch.rs
@@ -110,7 +110,7 @@
                 self.routing_changed = true;
             }
             Event::ExecutorChanged { .. } => self.routing_changed = true,
-            Event::FactsChanged { .. } => {}
+            Event::MetadataChanged { .. } => {}
         }
     }
 
--- a/crates/tier/src/leaders.rs
+++ b/crates/tier/src/leaders.rs
@@ -1,6 +1,6 @@
 //! Which node leads which partition, by what the nodes tell of themselves.
 
-use grebeusher_registry::{Facts, Generation, Registry};
+use grebeusher_registry::{Generation, NodeMetadata, Registry};
 use nanoserde::{DeBin, SerBin};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -40,9 +40,9 @@
     /// The node that leads a partition, by the highest term that any living node has told.
     pub fn leader(&self, registry: &Registry, partition: u8) -> Option<SocketAddrV4> {
         let mut known = self.known.borrow_mut();
-        let Generation { members, facts, .. } = registry.generation();
-        if known.read_at != Some((members, facts)) {
-            *known = Known { read_at: Some((members, facts)), leaders: read_leaders(registry) };
+        let Generation { members, node_metadata, .. } = registry.generation();
+        if known.read_at != Some((members, node_metadata)) {
+            *known = Known { read_at: Some((members, node_metadata)), leaders: read_leaders(registry) };
         }
         known.leaders.get(&partition).map(|(_, address)| *address)
     }
@@ -60,9 +60,9 @@
 
 fn read_leaders(registry: &Registry) -> BTreeMap<u8, (u64, SocketAddrV4)> {
     let mut leaders = BTreeMap::new();
-    for facts in registry.facts() {
-        if let Some(address) = address_of_teller(registry, facts)
-            && let Ok(led) = <LedPartitions as DeBin>::deserialize_bin(&facts.payload)
+    for node_metadata in registry.node_metadata() {
+        if let Some(address) = address_of_teller(registry, node_metadata)
+            && let Ok(led) = <LedPartitions as DeBin>::deserialize_bin(&node_metadata.payload)
         {
             led.partitions.iter().for_each(|led| note_leader(&mut leaders, led, address));
         }
@@ -71,9 +71,9 @@
 }
 
 /// Where the node of these facts is, if it lives and they are of its present life.
-fn address_of_teller(registry: &Registry, facts: &Facts) -> Option<SocketAddrV4> {
-    let member = registry.member(&facts.node).filter(|member| member.serves())?;
-    (member.incarnation == facts.incarnation).then_some(member.address)
+fn address_of_teller(registry: &Registry, node_metadata: &NodeMetadata) -> Option<SocketAddrV4> {
+    let member = registry.member(&node_metadata.node).filter(|member| member.serves())?;
+    (member.incarnation == node_metadata.incarnation).then_some(member.address)
 }
 
 /// The higher term leads; of two alike the one that was read first.
--- a/crates/tier/src/partitions.rs
+++ b/crates/tier/src/partitions.rs
@@ -326,12 +326,12 @@
     /// Tells all nodes which partitions this node leads, at which terms.
     fn tell_leadership(&mut self) {
         let led = self.partitions.iter().filter(|host| host.leads());
-        let facts = LedPartitions {
+        let node_metadata = LedPartitions {
             partitions: led
                 .map(|host| LedPartition { partition: host.partition, term: host.replica.term().0 })
                 .collect(),
         };
-        if self.registry.set_facts(self.now, SerBin::serialize_bin(&facts)).is_err() {
+        if self.registry.set_metadata(self.now, SerBin::serialize_bin(&node_metadata)).is_err() {
             warn!("more parts are owned than can be told");
         }
     }
--- a/crates/tier/src/remembered.rs
+++ b/crates/tier/src/remembered.rs
@@ -21,7 +21,7 @@
     pub fn recall_executors(&mut self) {
         let Some(folder) = self.settings.data_path.clone() else { return };
         let Some(bytes) = self.world.read_hint(&folder, NAME) else { return };
-        match self.registry.recall(self.now, &bytes) {
+        match self.registry.restore_executors(self.now, &bytes) {
             Ok(count) => debug!("{count} executors are remembered"),
             Err(error) => warn!("remembered executors can't be read: {error}"),
         }
@@ -37,7 +37,7 @@
             return;
         }
         self.remembered = Remembered { written: self.now, generation };
-        if let Err(error) = self.world.keep_hint(&folder, NAME, &self.registry.remember()) {
+        if let Err(error) = self.world.keep_hint(&folder, NAME, &self.registry.executors_hint()) {
             warn!("the executors can't be remembered: {error}");
         }
     }
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/routing.rs
@@ -273,8 +273,8 @@
         for executor in self.registry.executors().filter(|executor| executor.exists()) {
             let standing = match executor.state {
                 ExecutorState::Draining | ExecutorState::Gone => Standing::Draining,
-                ExecutorState::Up if self.registry.is_only_recalled(&executor.id) => Standing::Draining,
-                ExecutorState::Up if executor.silent => Standing::Silent,
+                ExecutorState::Up if self.registry.is_only_restored(&executor.id) => Standing::Draining,
+                ExecutorState::Up if executor.unresponsive => Standing::Silent,
                 ExecutorState::Up => Standing::Up,
             };
             let models: Vec<ModelKey> =
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -50,10 +50,10 @@
             }
         }
         for executor in self.registry.executors() {
-            let (id, state, silent) = (&executor.id, executor.state, executor.silent);
+            let (id, state, unresponsive) = (&executor.id, executor.state, executor.unresponsive);
             writeln!(
                 text,
-                "executor {id} {} {} {state:?} silent {silent}",
+                "executor {id} {} {} {state:?} silent {unresponsive}",
                 executor.service, executor.address
             )?;
         }
--- a/crates/tier/tests/leaders.rs
+++ b/crates/tier/tests/leaders.rs
@@ -1,7 +1,7 @@
 //! Which node leads a partition, as the others hear of it.
 
 use grebeusher_registry::{
-    Class, Facts, Losses, Member, MemberState, Message, Register, Registry, Settings, Timings,
+    Class, Losses, Member, MemberState, Message, NodeMetadata, Register, Registry, Settings, Timings,
 };
 use grebeusher_tier::leaders::{LeaderIndex, LedPartition, LedPartitions};
 use grebeusher_time::Instant;
@@ -35,7 +35,12 @@
 }
 
 fn facts_of_b(incarnation: u64, counter: u64, partitions: &[(u8, u64)]) -> Register {
-    Register::Facts(Facts { node: "b".to_owned(), incarnation, counter, payload: payload(partitions) })
+    Register::NodeMetadata(NodeMetadata {
+        node: "b".to_owned(),
+        incarnation,
+        counter,
+        payload: payload(partitions),
+    })
 }
 
 #[test]
@@ -50,7 +55,7 @@
     let (mut registry, index) = (Registry::new(settings, 1, NOW), LeaderIndex::default());
     let (a, b) = (member("a", 1).address, member("b", 2).address);
     assert_eq!(index.leader(&registry, 1), None);
-    assert!(registry.set_facts(NOW, payload(&[(1, 3)])).is_ok());
+    assert!(registry.set_metadata(NOW, payload(&[(1, 3)])).is_ok());
     assert_eq!(index.leader(&registry, 1), Some(a));
     // when another node comes and tells a higher term, then it is the leader, of just that partition
     hear(&mut registry, Register::Member(member("b", 2)));
