--- a/crates/registry/src/confirmation.rs
+++ b/crates/registry/src/confirmation.rs
@@ -6,9 +6,10 @@
 //! is none of the lost ones, and so in touch with them. A node that is partitioned off hears no confirmations and acknowledges
 //! nothing: the executor then calls another node.
 
+use crate::event::{Answer, CallToken};
 use crate::message::{Message, Relay};
 use crate::register::Key;
-use crate::registry::{Answer, CallToken, Registry};
+use crate::registry::Registry;
 use crate::{Class, ExecutorState, Losses, Member, Register, Timings};
 use grebeusher_time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/registry/src/executor.rs
+++ b/crates/registry/src/executor.rs
@@ -3,7 +3,8 @@
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, UnknownVariantSnafu};
 use crate::hash;
-use std::net::SocketAddrV4;
+use crate::report::HeartbeatReport;
+use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// The most models that a register carries; what an executor names beyond is left out.
 pub(crate) const MAX_MODELS: usize = 16;
@@ -60,6 +61,44 @@
 }
 
 impl Executor {
+    /// The register after a heartbeat to the node `reporter`.
+    pub(crate) fn reported(report: HeartbeatReport, reporter: &str) -> Executor {
+        Executor {
+            id: report.id,
+            service: report.service,
+            address: report.address,
+            zone: report.zone,
+            slot_count: report.slot_count,
+            config_version: report.config_version,
+            pipeline_stage: report.pipeline_stage,
+            state: report.state,
+            cold_left_ms: report.cold_left_ms,
+            call_seq: report.call_seq,
+            models: report.models,
+            reporter: reporter.to_owned(),
+            unresponsive: false,
+        }
+    }
+
+    /// The register of an executor that deregisters at a node which does not know it; others may.
+    pub(crate) fn unknown(id: &str, reporter: &str) -> Executor {
+        Executor {
+            id: id.to_owned(),
+            service: String::new(),
+            address: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
+            zone: String::new(),
+            slot_count: 0,
+            config_version: String::new(),
+            pipeline_stage: String::new(),
+            state: ExecutorState::Gone,
+            cold_left_ms: 0,
+            call_seq: 0,
+            models: Vec::new(),
+            reporter: reporter.to_owned(),
+            unresponsive: false,
+        }
+    }
+
     /// Whether it has not ended as far as is known.
     pub fn exists(&self) -> bool {
         self.state != ExecutorState::Gone
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -1,8 +1,9 @@
 //! The set of nodes: how registers of nodes merge, and how a node answers to what is said of it.
 
+use crate::event::Event;
 use crate::member::{Member, MemberState, NodeId};
 use crate::register::{Key, Register};
-use crate::registry::{Event, Registry};
+use crate::registry::Registry;
 use grebeusher_time::{Duration, Instant};
 use rand::Rng;
 use std::net::SocketAddrV4;
@@ -223,7 +224,7 @@
             && node_metadata.incarnation < raised
         {
             node_metadata.incarnation = raised;
-            self.put_facts(node_metadata);
+            self.put_metadata(node_metadata);
             self.announce(now, Key::NodeMetadata(self.own_name.clone()));
         }
     }
--- a/crates/registry/src/node_metadata.rs
+++ b/crates/registry/src/node_metadata.rs
@@ -2,6 +2,10 @@
 
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, TooLongSnafu};
+use crate::event::Event;
+use crate::register::{Key, Register};
+use crate::registry::Registry;
+use grebeusher_time::Instant;
 use snafu::Snafu;
 
 /// The largest payload, in bytes.
@@ -56,3 +60,43 @@
         Ok(NodeMetadata { node, incarnation, counter, payload: input.take(length)?.to_vec() })
     }
 }
+
+impl Registry {
+    /// Tells all nodes something of this one, in the place of what it said before.
+    ///
+    /// # Errors
+    /// Refuses more than [`MAX_METADATA`] bytes.
+    pub fn set_metadata(&mut self, now: Instant, payload: Vec<u8>) -> Result<(), MetadataTooLarge> {
+        if payload.len() > MAX_METADATA {
+            return Err(MetadataTooLarge { length: payload.len() });
+        }
+        self.begin_step(now);
+        let counter =
+            self.node_metadata.get(&self.own_name).map_or(0, |node_metadata| node_metadata.counter) + 1;
+        let incarnation = self.own_member().incarnation;
+        self.put_metadata(NodeMetadata { node: self.own_name.clone(), incarnation, counter, payload });
+        self.announce(now, Key::NodeMetadata(self.own_name.clone()));
+        Ok(())
+    }
+
+    pub(crate) fn put_metadata(&mut self, node_metadata: NodeMetadata) {
+        let node = node_metadata.node.clone();
+        self.node_metadata.insert(node.clone(), node_metadata);
+        self.update_metadata_digest(&node);
+        self.generation.node_metadata += 1;
+        self.output.events.push(Event::MetadataChanged { node });
+    }
+
+    /// Metadata count in the digest while their node lives.
+    pub(crate) fn update_metadata_digest(&mut self, node: &str) {
+        let Some(node_metadata) = self.node_metadata.get(node) else {
+            return;
+        };
+        let live = self.members.get(node).is_some_and(|entry| entry.member.serves());
+        self.digest.set(
+            Key::NodeMetadata(node.to_owned()),
+            Register::NodeMetadata(node_metadata.clone()).hash(),
+            live,
+        );
+    }
+}
--- a/crates/registry/src/relay.rs
+++ b/crates/registry/src/relay.rs
@@ -207,7 +207,7 @@
             .get(&node_metadata.node)
             .is_none_or(|held| held.order() < node_metadata.order());
         if known && newer {
-            self.put_facts(node_metadata);
+            self.put_metadata(node_metadata);
         }
     }
 }
--- a/crates/registry/src/repair.rs
+++ b/crates/registry/src/repair.rs
@@ -1,14 +1,13 @@
-//! Repair: nodes whose digests differ exchange first the hashes of the parts, then the versions in the parts that
-//! differ, then the registers.
+//! Anti-entropy: nodes whose digests differ exchange first the hashes of the buckets, then the versions in the buckets
+//! that differ, then the registers themselves. Repairs are started at a bounded rate.
 
 use crate::digest::{BUCKETS, Summary};
-use crate::member::{Member, MemberState};
 use crate::members::Source;
 use crate::message::{Message, SUMMARIES_PER_MESSAGE, WANTED_KEYS_PER_MESSAGE};
-use crate::register::{Key, Register};
+use crate::register::Register;
 use crate::registry::Registry;
 use grebeusher_time::{Duration, DurationExt, Instant};
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
 /// How many repairs this node starts in a burst; a network partition that heals needs a few.
@@ -27,21 +26,6 @@
 /// How many of its digests a node remembers.
 const MAX_PAST_DIGESTS: usize = 128;
 
-/// How long a node that another called dead has to refute it before it is believed.
-const REFUTATION_TIMEOUT: Duration = Duration::from_millis(600);
-
-/// How many deaths wait for a refutation at most.
-const MAX_DEFERRED_DEATHS: usize = 1_024;
-
-/// How many transfers wait at most; what does not fit is asked for again.
-const MAX_TRANSFERS: usize = 64;
-
-/// Between two batches of messages of the transfers that wait.
-const TRANSFER_INTERVAL: Duration = Duration::from_millis(50);
-
-/// How many messages of a transfer are sent in a batch.
-const TRANSFER_BATCH: usize = 4;
-
 /// A node that has just started is brought what all others know.
 const NEWCOMER_DURATION: Duration = Duration::from_millis(3_000);
 
@@ -60,9 +44,6 @@
     /// Until when each digest was this node's.
     recent_digests: VecDeque<(Instant, u64)>,
     next_comparison: Option<(Instant, SocketAddrV4)>,
-    held: BTreeMap<String, (Instant, Member)>,
-    transfers: VecDeque<(SocketAddrV4, VecDeque<Key>)>,
-    next_transfer: Instant,
 }
 
 impl Repairs {
@@ -74,17 +55,11 @@
             refilled: now,
             recent_digests: VecDeque::new(),
             next_comparison: None,
-            held: BTreeMap::new(),
-            transfers: VecDeque::new(),
-            next_transfer: now,
         }
     }
 
     pub(crate) fn next_wake(&self) -> Option<Instant> {
-        let again = self.next_comparison.map(|(at, _)| at);
-        let held = self.held.values().map(|(until, _)| *until).min();
-        let transfer = (!self.transfers.is_empty()).then_some(self.next_transfer);
-        [again, held, transfer].into_iter().flatten().min()
+        self.next_comparison.map(|(at, _)| at)
     }
 
     /// Notes the digest as it is now, before a change.
@@ -152,8 +127,7 @@
     }
 
     pub(crate) fn receive_buckets(&mut self, now: Instant, from: SocketAddrV4, sums: &[u64]) {
-        let busy =
-            self.repairs.is_in_initial_sync(now) || self.repairs.transfers.iter().any(|(to, _)| *to == from);
+        let busy = self.repairs.is_in_initial_sync(now) || self.transfers.is_sending_to(from);
         if sums.len() != BUCKETS || busy {
             return;
         }
@@ -225,88 +199,10 @@
         }
     }
 
-    /// Sends registers that fit in a message at once, and more of them at a pace.
-    fn transfer(&mut self, now: Instant, to: SocketAddrV4, keys: Vec<Key>) {
-        if keys.is_empty() {
-            return;
-        }
-        let batches = self.registers_in_messages(&keys);
-        if batches.len() <= 1 {
-            return self.send_registers(to, &keys);
-        }
-        if self.repairs.transfers.len() < MAX_TRANSFERS {
-            self.repairs.next_transfer = self.repairs.next_transfer.max(now);
-            self.repairs.transfers.push_back((to, keys.into()));
-        }
-    }
-
-    pub(crate) fn send_registers(&mut self, to: SocketAddrV4, keys: &[Key]) {
-        for registers in self.registers_in_messages(keys) {
-            self.send(to, Message::Registers(registers));
-        }
-    }
-
     pub(crate) fn tick_repairs(&mut self, now: Instant) {
         if let Some((_, peer)) = self.repairs.next_comparison.take_if(|(at, _)| *at <= now) {
             let heartbeat = self.own_heartbeat();
             self.send(peer, heartbeat);
         }
-        if !self.repairs.transfers.is_empty() && self.repairs.next_transfer <= now {
-            self.repairs.next_transfer = now + TRANSFER_INTERVAL;
-            (0..TRANSFER_BATCH).for_each(|_| self.continue_transfer());
-        }
-        self.apply_deferred_deaths(now);
-    }
-
-    /// Sends one message of the transfer that has waited longest.
-    fn continue_transfer(&mut self) {
-        let Some((to, mut keys)) = self.repairs.transfers.pop_front() else {
-            return;
-        };
-        let (mut registers, mut length) = (Vec::new(), 0);
-        while let Some(key) = keys.pop_front() {
-            let Some(register) = self.register(&key) else {
-                continue;
-            };
-            length += register.length();
-            if length > crate::message::REGISTERS_PER_MESSAGE && !registers.is_empty() {
-                keys.push_front(key);
-                break;
-            }
-            registers.push(register);
-        }
-        if !registers.is_empty() {
-            self.send(to, Message::Registers(registers));
-        }
-        if !keys.is_empty() {
-            self.repairs.transfers.push_back((to, keys));
-        }
-    }
-
-    /// Another node, perhaps one from beyond a network partition, considers dead whom this one holds alive: the one in question is
-    /// asked first, so that a network partition that heals does not make all of its other side look dead for a moment.
-    pub(crate) fn defer_death(&mut self, now: Instant, member: Member) {
-        let newer = self.repairs.held.get(&member.name).is_none_or(|(_, held)| held.order() < member.order());
-        if !newer || self.repairs.held.len() >= MAX_DEFERRED_DEATHS {
-            return;
-        }
-        let known = self.members.get(&member.name).map_or(member.address, |entry| entry.member.address);
-        self.send(known, Message::Registers(vec![Register::Member(member.clone())]));
-        self.repairs.held.insert(member.name.clone(), (now + REFUTATION_TIMEOUT, member));
-    }
-
-    fn apply_deferred_deaths(&mut self, now: Instant) {
-        if self.repairs.held.values().all(|(until, _)| *until > now) {
-            return;
-        }
-        let (due, held): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            std::mem::take(&mut self.repairs.held).into_iter().partition(|(_, (until, _))| *until <= now);
-        self.repairs.held = held;
-        for (name, (_, member)) in due {
-            let stands = self.members.get(&name).is_some_and(|entry| entry.member.order() < member.order());
-            if stands && member.state == MemberState::Dead {
-                self.put_member(now, member);
-            }
-        }
     }
 }
--- /dev/null
+++ b/crates/registry/src/watch.rs
@@ -0,0 +1,241 @@
+//! Watches: each node is watched by the members that follow it in the ring, as in SWIM. A watched node that is
+//! unresponsive is probed directly and through other nodes; it is declared dead only after some node has answered, so
+//! that the fault is not this node's own link.
+
+use crate::member::{MemberState, NodeId};
+use crate::members::MemberEntry;
+use crate::message::Message;
+use crate::register::Key;
+use crate::registry::Registry;
+use crate::ring::RingMember;
+use crate::settings::Timings;
+use grebeusher_time::{Duration, DurationExt, Instant};
+use rand::seq::IteratorRandom;
+use std::collections::BTreeMap;
+use std::net::SocketAddrV4;
+
+/// Between two questions after a node that is unresponsive.
+const INDIRECT_PROBE_INTERVAL: Duration = Duration::from_millis(300);
+
+/// How many rounds of questions somebody must have answered before the one in question is dead. In the first the
+/// question to it may have been lost in a network partition that has just healed.
+const MIN_ANSWERED_PROBES: u32 = 2;
+
+/// How many other nodes are asked to ping a unresponsive one: its link to this node may be all that fails.
+const INDIRECT_PROBERS: usize = 3;
+
+/// How much later the next watcher calls a node dead than the one before, so that mostly one tells.
+const DEATH_STAGGER: Duration = Duration::from_millis(100);
+
+/// How long after a change of the ring the watches are looked at, so that changes that come together share a look.
+const WATCH_BATCH_DELAY: Duration = Duration::from_millis(1);
+
+/// What this node, as a watcher, knows of one member.
+pub(crate) struct Watch {
+    name: String,
+    /// Silence counts from here at the earliest.
+    pub(crate) since: Instant,
+    /// When the probe in flight was sent.
+    probed_at: Option<Instant>,
+    /// How many probes some node answered, so that the fault is not this node's own link.
+    answered_probes: u32,
+    /// How many probes were sent since the last contact.
+    probes: u32,
+    /// Nearest first: how far the watched node stands before this one.
+    rank: u64,
+}
+
+/// What follows from one check of a watched node.
+struct WatchCheck {
+    action: WatchAction,
+    /// When it has to be checked again, if nothing else happens.
+    next: Option<Instant>,
+}
+
+enum WatchAction {
+    Wait,
+    Probe,
+    DeclareDead,
+}
+
+/// A node that is to be probed directly and through others.
+struct IndirectProbe {
+    id: NodeId,
+    name: String,
+    address: SocketAddrV4,
+    /// How many probes it has had, this one included.
+    probes: u32,
+}
+
+impl Watch {
+    pub(crate) fn reset(&mut self) {
+        (self.probed_at, self.answered_probes, self.probes) = (None, 0, 0);
+    }
+
+    fn check(
+        &mut self,
+        now: Instant,
+        entry: &MemberEntry,
+        timings: &Timings,
+        last_pong: Option<Instant>,
+    ) -> WatchCheck {
+        let last_contact = entry.last_contact.unwrap_or(Instant(0)).max(self.since);
+        let silence = now.since(last_contact);
+        if silence < timings.suspect_after {
+            self.reset();
+            return WatchCheck {
+                action: WatchAction::Wait,
+                next: Some(last_contact + timings.suspect_after),
+            };
+        }
+        let dead_after = timings.dead_after.scaled(entry.suspicion_multiplier(now))
+            + Duration::from_nanos(DEATH_STAGGER.nanos() * self.rank);
+        self.finish_probe(now, last_pong);
+        if silence >= dead_after && self.answered_probes >= MIN_ANSWERED_PROBES {
+            return WatchCheck { action: WatchAction::DeclareDead, next: None };
+        }
+        let action = self.start_probe(now);
+        let next_probe = self.probed_at.unwrap_or(now) + INDIRECT_PROBE_INTERVAL;
+        let death = last_contact + dead_after;
+        let next = if death > now { next_probe.min(death) } else { next_probe };
+        WatchCheck { action, next: Some(next) }
+    }
+
+    /// Begins a probe, unless one is in flight.
+    fn start_probe(&mut self, now: Instant) -> WatchAction {
+        if self.probed_at.is_some() {
+            return WatchAction::Wait;
+        }
+        self.probed_at = Some(now);
+        self.probes += 1;
+        WatchAction::Probe
+    }
+
+    /// Ends a probe that has lasted long enough, and counts it if anybody answered.
+    fn finish_probe(&mut self, now: Instant, last_pong: Option<Instant>) {
+        if let Some(probed_at) =
+            self.probed_at.take_if(|probed_at| now.since(*probed_at) >= INDIRECT_PROBE_INTERVAL)
+            && last_pong.is_some_and(|answer| answer >= probed_at)
+        {
+            self.answered_probes += 1;
+        }
+    }
+}
+
+impl Registry {
+    /// Follows a change of the ring: takes up whom this node has to watch now.
+    pub(crate) fn update_watches(&mut self, now: Instant) {
+        let mut previous = std::mem::take(&mut self.liveness.watches);
+        let mut watches = BTreeMap::new();
+        for (rank, ring_member) in self.ring.predecessors(self.timings.watchers).enumerate() {
+            let known = self.members.get(&ring_member.name).map(|entry| entry.changed);
+            // A node that has long been a member is watched now because another died; perhaps it died too.
+            let long_known = known.is_some_and(|changed| now.since(changed) > self.timings.dead_after);
+            let since = if long_known { now - self.timings.suspect_after } else { now };
+            let mut watch = previous.remove(&ring_member.id).unwrap_or_else(|| Watch {
+                name: ring_member.name.clone(),
+                since,
+                probed_at: None,
+                answered_probes: 0,
+                probes: 0,
+                rank: 0,
+            });
+            watch.rank = rank as u64;
+            watches.insert(ring_member.id, watch);
+        }
+        self.liveness.watches = watches;
+        self.liveness.next_watch = Some(now + WATCH_BATCH_DELAY);
+    }
+
+    pub(crate) fn check_watches(&mut self, now: Instant) {
+        let mut next = now + self.timings.suspect_after;
+        let (mut to_probe, mut dead) = (Vec::new(), Vec::new());
+        for (id, watch) in &mut self.liveness.watches {
+            let Some(entry) = self.members.get(&watch.name) else {
+                continue;
+            };
+            let check = watch.check(now, entry, &self.timings, self.liveness.last_pong);
+            next = check.next.map_or(next, |at| next.min(at));
+            match check.action {
+                WatchAction::Wait => {}
+                WatchAction::Probe => {
+                    let (name, address) = (watch.name.clone(), entry.member.address);
+                    to_probe.push(IndirectProbe { id: *id, name, address, probes: watch.probes });
+                }
+                WatchAction::DeclareDead => dead.push(watch.name.clone()),
+            }
+        }
+        self.liveness.next_watch = (!self.liveness.watches.is_empty()).then_some(next);
+        for probe in to_probe {
+            self.probe_indirectly(now, probe);
+        }
+        for name in dead {
+            self.declare_dead(now, &name);
+        }
+    }
+
+    fn probe_indirectly(&mut self, now: Instant, probe: IndirectProbe) {
+        let IndirectProbe { id, name, address, probes } = probe;
+        if probes > 1 {
+            self.set_suspect(&name, true);
+        }
+        self.send(address, Message::Ping { asker: None });
+        // Nodes with recent contact are likely on this side of a network partition; others fill up the rest.
+        let others = self.ring.others().filter(|ring_member| ring_member.id != id);
+        let (near, far): (Vec<&RingMember>, Vec<&RingMember>) = others.partition(|ring_member| {
+            let heard = self.members.get(&ring_member.name).and_then(|entry| entry.last_contact);
+            heard.is_some_and(|heard| now.since(heard) < self.timings.suspect_after)
+        });
+        let mut probers: Vec<SocketAddrV4> = near
+            .iter()
+            .map(|ring_member| ring_member.address)
+            .choose_multiple(&mut self.random, INDIRECT_PROBERS);
+        let more = INDIRECT_PROBERS - probers.len();
+        probers.extend(
+            far.iter().map(|ring_member| ring_member.address).choose_multiple(&mut self.random, more),
+        );
+        for prober in probers {
+            self.send(prober, Message::PingFor(id));
+        }
+    }
+
+    fn declare_dead(&mut self, now: Instant, name: &str) {
+        let Some(entry) = self.members.get(name) else {
+            return;
+        };
+        let mut member = entry.member.clone();
+        member.state = MemberState::Dead;
+        self.put_member(now, member);
+        self.announce(now, Key::Member(name.to_owned()));
+    }
+
+    pub(crate) fn receive_ping_for(&mut self, from: SocketAddrV4, subject: NodeId) {
+        let asker = self.by_address.get(&from).map(|name| NodeId::of(name));
+        // The asker learns at least that this node hears it.
+        self.send(from, Message::Pong { subject: self.own_id, asker: None });
+        let Some(address) = self.member_of(subject).map(|entry| entry.member.address) else {
+            return;
+        };
+        if asker.is_some() && address != self.own_address {
+            self.send(address, Message::Ping { asker });
+        }
+    }
+
+    pub(crate) fn receive_pong(&mut self, now: Instant, subject: NodeId, asker: Option<NodeId>) {
+        if let Some(asker) = asker.filter(|asker| *asker != self.own_id) {
+            let address = self.member_of(asker).map(|entry| entry.member.address);
+            if let Some(address) = address {
+                self.send(address, Message::Pong { subject, asker: Some(asker) });
+            }
+            return;
+        }
+        self.liveness.last_pong = Some(now);
+        let Some(name) = self.member_of(subject).map(|entry| entry.member.name.clone()) else {
+            return;
+        };
+        if let Some(entry) = self.members.get_mut(&name) {
+            entry.last_contact = Some(now);
+        }
+        self.set_suspect(&name, false);
+    }
+}
