--- a/crates/configuration/src/configuration/invalid.rs
+++ b/crates/configuration/src/configuration/error.rs
@@ -2,20 +2,20 @@
 
 use snafu::Snafu;
 
-use super::{MAX_BODY_BYTES, MAX_ROUTES, MAX_SERVICES, MAX_SPLITS};
-use crate::json::{FieldError, Unreadable};
+use super::limits::{MAX_BODY_BYTES, MAX_ROUTES, MAX_SERVICES, MAX_SPLITS};
+use crate::json::{FieldError, JsonError};
 use crate::names::{HostName, RouteName, ServiceName};
 
-/// Why a configuration is refused; one line.
+/// Why a configuration is rejected; one line.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum Invalid {
-    /// The body, or the part of it at `path`, can't be read whole.
+pub enum ConfigurationError {
+    /// The body, or the partition of it at `path`, cannot be read.
     #[snafu(display("{path}: {source}"))]
     Text {
         /// The part that was read; `body` for its outer frame.
         path: String,
         /// What is wrong with its text.
-        source: Unreadable,
+        source: JsonError,
     },
     /// A field is missing, of the wrong kind or out of range.
     #[snafu(display("{source}"))]
@@ -28,7 +28,7 @@
     VersionZero,
     /// `timeout_ms` is 0 or missing.
     #[snafu(display("route {route} has no timeout_ms"))]
-    NoTimeout {
+    MissingTimeout {
         /// The route without a time-out.
         route: RouteName,
     },
@@ -40,7 +40,7 @@
     },
     /// The weights of a route add up to 0.
     #[snafu(display("the weights of route {route} add up to 0"))]
-    NoWeight {
+    ZeroWeight {
         /// The route with those weights.
         route: RouteName,
     },
@@ -54,7 +54,7 @@
     },
     /// Two routes have the same host and prefix.
     #[snafu(display("two routes have the host {hostname} and the prefix {path_prefix}"))]
-    SamePlace {
+    DuplicateRoute {
         /// Their host.
         hostname: HostName,
         /// Their prefix.
@@ -62,7 +62,7 @@
     },
     /// Two services have the same name.
     #[snafu(display("service_list holds {service} twice"))]
-    ServiceTwice {
+    DuplicateService {
         /// Their name.
         service: ServiceName,
     },
--- a/crates/configuration/src/configuration/read.rs
+++ b/crates/configuration/src/configuration/parse.rs
@@ -1,44 +1,44 @@
-//! From bytes to typed routes and services.
+//! From the bytes of a body to typed routes and services, field by field.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use tinyjson::JsonValue;
 
-use super::{
-    ClientLimits, Configuration, EngineType, Invalid, MAX_BODY_BYTES, MAX_ROUTES, MAX_SERVICES, MAX_SPLITS,
-    Model, Protocol, Route, RouteType, Service, TrafficSplit, WeightedService,
-};
-use crate::json::{FieldError, Fields, Unreadable, elements, members, parse};
+use super::error::ConfigurationError;
+use super::limits::{MAX_BODY_BYTES, MAX_ROUTES, MAX_SERVICES, MAX_SPLITS};
+use super::model::{ClientLimits, Configuration, EngineType, Model, Protocol, Route, RouteType, Service};
+use super::traffic::{TrafficSplit, WeightedService};
+use crate::json::{FieldError, Fields, JsonError, elements, members, parse};
 use crate::names::{HostName, RouteName, ServiceName};
 use crate::routes::bare_host;
 
 const DEFAULT_HEALTH_PATH: &str = "/health";
 
-/// Reads the whole body; its parts are not yet compared with one another.
-pub(super) fn whole(body: &[u8]) -> Result<Configuration, Invalid> {
+/// Parses the body. Its routes and services are not yet checked against one another.
+pub(super) fn body(body: &[u8]) -> Result<Configuration, ConfigurationError> {
     if body.len() > MAX_BODY_BYTES {
-        return Err(Invalid::BodyTooLarge { bytes: body.len() });
+        return Err(ConfigurationError::BodyTooLarge { bytes: body.len() });
     }
-    let text = std::str::from_utf8(body).map_err(|_| unreadable("body", Unreadable::NotUtf8))?;
-    let mut parts = Parts::default();
+    let text = std::str::from_utf8(body).map_err(|_| unreadable("body", JsonError::NotUtf8))?;
+    let mut root = RootMembers::default();
     for member in members(text).map_err(|source| unreadable("body", source))? {
-        parts.take(&member.key, member.value)?;
+        root.read_member(&member.key, member.value)?;
     }
-    parts.into_configuration()
+    root.into_configuration()
 }
 
 /// The members of the root as far as they have been read.
 #[derive(Default)]
-struct Parts {
+struct RootMembers {
     version: Option<u64>,
     routes: Option<Vec<Route>>,
     services: Option<Vec<Service>>,
     limits: ClientLimits,
 }
 
-impl Parts {
-    fn take(&mut self, key: &str, text: &str) -> Result<(), Invalid> {
+impl RootMembers {
+    fn read_member(&mut self, key: &str, text: &str) -> Result<(), ConfigurationError> {
         match key {
             "config_version" => self.version = Some(version(&parsed(key, text)?)?),
             "route_table" => self.routes = Some(routes(text)?),
@@ -47,13 +47,13 @@
                 let value = parsed(key, text)?;
                 self.limits = limits(&value).map_err(|error| field(error.within(key)))?;
             }
-            // A field that is not known has to be whole all the same.
+            // A field that is not known has to be valid JSON all the same.
             _ => drop(parsed(key, text)?),
         }
         Ok(())
     }
 
-    fn into_configuration(self) -> Result<Configuration, Invalid> {
+    fn into_configuration(self) -> Result<Configuration, ConfigurationError> {
         let missing = |name, expected| field(FieldError::new(name, expected));
         Ok(Configuration {
             version: self.version.ok_or_else(|| missing("config_version", VERSION))?,
@@ -64,24 +64,24 @@
     }
 }
 
-fn unreadable(path: impl Into<String>, source: Unreadable) -> Invalid {
-    Invalid::Text { path: path.into(), source }
+fn unreadable(path: impl Into<String>, source: JsonError) -> ConfigurationError {
+    ConfigurationError::Text { path: path.into(), source }
 }
 
-fn field(source: FieldError) -> Invalid {
-    Invalid::Field { source }
+fn field(source: FieldError) -> ConfigurationError {
+    ConfigurationError::Field { source }
 }
 
-fn parsed(path: &str, text: &str) -> Result<JsonValue, Invalid> {
+fn parsed(path: &str, text: &str) -> Result<JsonValue, ConfigurationError> {
     parse(text).map_err(|source| unreadable(path, source))
 }
 
 const VERSION: &str = "a whole number above 0, at most 2^53";
 
-fn version(value: &JsonValue) -> Result<u64, Invalid> {
+fn version(value: &JsonValue) -> Result<u64, ConfigurationError> {
     const MAX: f64 = 9_007_199_254_740_992.0;
     match value {
-        JsonValue::Number(0.0) => Err(Invalid::VersionZero),
+        JsonValue::Number(0.0) => Err(ConfigurationError::VersionZero),
         JsonValue::Number(number) if number.fract() == 0.0 && (1.0..=MAX).contains(number) => {
             Ok(*number as u64)
         }
@@ -90,7 +90,7 @@
 }
 
 /// The texts of a list's elements. Null stands for a list that is missing.
-fn element_texts<'a>(name: &str, text: &'a str) -> Result<Vec<&'a str>, Invalid> {
+fn element_texts<'a>(name: &str, text: &'a str) -> Result<Vec<&'a str>, ConfigurationError> {
     if !text.starts_with('[') {
         parsed(name, text)?;
         return Err(field(FieldError::new(name, "a list")));
@@ -98,24 +98,24 @@
     elements(text).map_err(|source| unreadable(name, source))
 }
 
-fn routes(text: &str) -> Result<Vec<Route>, Invalid> {
+fn routes(text: &str) -> Result<Vec<Route>, ConfigurationError> {
     let texts = element_texts("route_table", text)?;
     if texts.len() > MAX_ROUTES {
-        return Err(Invalid::TooManyRoutes { count: texts.len() });
+        return Err(ConfigurationError::TooManyRoutes { count: texts.len() });
     }
     let mut names = SharedNames::default();
     let mut read = |(index, text)| {
         let path = || format!("route_table[{index}]");
         let value = parse(text).map_err(|source| unreadable(path(), source))?;
-        route(&value, &mut names).map_err(|refusal| refusal.within(&path()))
+        route(&value, &mut names).map_err(|error| error.within(&path()))
     };
     texts.into_iter().enumerate().map(&mut read).collect()
 }
 
-fn services(text: &str) -> Result<Vec<Service>, Invalid> {
+fn services(text: &str) -> Result<Vec<Service>, ConfigurationError> {
     let texts = element_texts("service_list", text)?;
     if texts.len() > MAX_SERVICES {
-        return Err(Invalid::TooManyServices { count: texts.len() });
+        return Err(ConfigurationError::TooManyServices { count: texts.len() });
     }
     let read = |(index, text)| {
         let path = || format!("service_list[{index}]");
@@ -152,39 +152,39 @@
     name
 }
 
-/// Why a route is refused: a field of it, or one of the reasons that name it.
-enum Refusal {
+/// Why a route is rejected: a field of it, or one of the reasons that name it.
+enum RouteError {
     Field(FieldError),
-    Invalid(Invalid),
+    ConfigurationError(ConfigurationError),
 }
 
-impl Refusal {
-    fn within(self, path: &str) -> Invalid {
+impl RouteError {
+    fn within(self, path: &str) -> ConfigurationError {
         match self {
-            Refusal::Field(error) => field(error.within(path)),
-            Refusal::Invalid(invalid) => invalid,
+            RouteError::Field(error) => field(error.within(path)),
+            RouteError::ConfigurationError(invalid) => invalid,
         }
     }
 }
 
-impl From<FieldError> for Refusal {
-    fn from(error: FieldError) -> Refusal {
-        Refusal::Field(error)
+impl From<FieldError> for RouteError {
+    fn from(error: FieldError) -> RouteError {
+        RouteError::Field(error)
     }
 }
 
-fn route(value: &JsonValue, names: &mut SharedNames) -> Result<Route, Refusal> {
+fn route(value: &JsonValue, names: &mut SharedNames) -> Result<Route, RouteError> {
     let fields = Fields::of(value)?;
-    let name: RouteName = fields.needed_text("name")?.into();
+    let name: RouteName = fields.required_text("name")?.into();
     let timeout_ms = fields.count("timeout_ms")?.unwrap_or_default();
     if timeout_ms == 0 {
-        return Err(Refusal::Invalid(Invalid::NoTimeout { route: name }));
+        return Err(RouteError::ConfigurationError(ConfigurationError::MissingTimeout { route: name }));
     }
     let traffic = traffic(&fields, &name, names)?;
     Ok(Route {
         name,
-        hostname: names.host(fields.needed_text("hostname")?),
-        path_prefix: Arc::from(fields.needed_text("path_prefix")?),
+        hostname: names.host(fields.required_text("hostname")?),
+        path_prefix: Arc::from(fields.required_text("path_prefix")?),
         route_type: route_type(&fields)?,
         timeout_ms,
         target_latency_ms: fields.count("target_latency_ms")?.unwrap_or(timeout_ms),
@@ -193,7 +193,7 @@
         max_attempts: fields.small_count("max_attempts")?.unwrap_or(1).max(1),
         session_affinity: fields.flag("session_affinity")?.unwrap_or_default(),
         resumable: fields.flag("resumable")?.unwrap_or_default(),
-        gap_aim_ms: fields.count("gap_aim_ms")?,
+        event_gap_target_ms: fields.count("gap_aim_ms")?,
         completion_target_ms: fields.count("completion_target_ms")?,
         retention_s: fields.amount("retention_s")?,
         queue_token_limit: fields.count("queue_token_limit")?.unwrap_or_default(),
@@ -211,7 +211,11 @@
 }
 
 /// A split goes before a single service, where a route has both.
-fn traffic(fields: &Fields<'_>, route: &RouteName, names: &mut SharedNames) -> Result<TrafficSplit, Refusal> {
+fn traffic(
+    fields: &Fields<'_>,
+    route: &RouteName,
+    names: &mut SharedNames,
+) -> Result<TrafficSplit, RouteError> {
     let Some(splits) = fields.list("traffic_split")? else {
         let service = fields.text("service")?;
         let service =
@@ -219,25 +223,29 @@
         return Ok(TrafficSplit::single(names.service(service)));
     };
     if splits.len() > MAX_SPLITS {
-        return Err(Refusal::Invalid(Invalid::TooManySplits { route: route.clone() }));
+        return Err(RouteError::ConfigurationError(ConfigurationError::TooManySplits {
+            route: route.clone(),
+        }));
     }
     let read = |(index, value)| {
         split(value, names).map_err(|error: FieldError| error.at(index).within("traffic_split"))
     };
     let shares = splits.iter().enumerate().map(read).collect::<Result<_, FieldError>>()?;
-    TrafficSplit::weighted(shares).ok_or_else(|| Refusal::Invalid(Invalid::NoWeight { route: route.clone() }))
+    TrafficSplit::weighted(shares).ok_or_else(|| {
+        RouteError::ConfigurationError(ConfigurationError::ZeroWeight { route: route.clone() })
+    })
 }
 
 fn split(value: &JsonValue, names: &mut SharedNames) -> Result<WeightedService, FieldError> {
     let fields = Fields::of(value)?;
-    let service = names.service(fields.needed_text("service")?);
+    let service = names.service(fields.required_text("service")?);
     Ok(WeightedService { service, weight: fields.amount("split_weight")?.unwrap_or_default() })
 }
 
 fn service(value: &JsonValue) -> Result<Service, FieldError> {
     let fields = Fields::of(value)?;
     Ok(Service {
-        name: fields.needed_text("name")?.into(),
+        name: fields.required_text("name")?.into(),
         health_path: fields.text("health_path")?.unwrap_or(DEFAULT_HEALTH_PATH).to_owned(),
         max_connections: fields.small_count("max_connections")?,
         protocol: match fields.text("protocol")? {
@@ -268,7 +276,7 @@
 
 fn model(value: &JsonValue) -> Result<Model, FieldError> {
     let fields = Fields::of(value)?;
-    Ok(Model { name: fields.needed_text("name")?.into(), config_version: fields.count("config_version")? })
+    Ok(Model { name: fields.required_text("name")?.into(), config_version: fields.count("config_version")? })
 }
 
 fn limits(value: &JsonValue) -> Result<ClientLimits, FieldError> {
--- a/crates/configuration/src/json/fields.rs
+++ b/crates/configuration/src/json/fields.rs
@@ -1,5 +1,5 @@
 //! Typed fields of a JSON object. A field that is absent or null takes its default; one of the wrong kind or out
-//! of range is refused by its path and what was expected there.
+//! of range is rejected by its path and what was expected there.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -80,7 +80,7 @@
         self.get(name).map(|value| text(value).map_err(|error| error.within(name))).transpose()
     }
 
-    pub fn needed_text(&self, name: &str) -> Result<&'a str, FieldError> {
+    pub fn required_text(&self, name: &str) -> Result<&'a str, FieldError> {
         self.text(name)?.ok_or_else(|| FieldError::new(name, "a text that is not empty"))
     }
 
--- a/crates/configuration/src/json/frame.rs
+++ b/crates/configuration/src/json/frame.rs
@@ -1,7 +1,9 @@
 //! Cuts the outer frame of a large JSON text into the texts of its values, so that each is parsed by itself and
 //! never a tree of the whole. What is inside a cut is checked when it is parsed.
 
-use super::{Unreadable, parse};
+use super::error::JsonError;
+use super::parse::parse;
+use super::scan::end_of_string;
 use tinyjson::JsonValue;
 
 /// A member of an object: its key, read, and the text of its value.
@@ -10,8 +12,8 @@
     pub value: &'a str,
 }
 
-/// The members of the object that makes up the whole text. A key that stands twice is refused.
-pub(crate) fn members(text: &str) -> Result<Vec<Member<'_>>, Unreadable> {
+/// The members of the object that makes up the whole text. A key that stands twice is rejected.
+pub(crate) fn members(text: &str) -> Result<Vec<Member<'_>>, JsonError> {
     let mut cursor = Cursor { text, at: 0 };
     let mut members: Vec<Member<'_>> = Vec::new();
     cursor.expect(b'{')?;
@@ -19,11 +21,11 @@
         loop {
             let member = cursor.member()?;
             if members.iter().any(|other| other.key == member.key) {
-                return Err(Unreadable::KeyTwice);
+                return Err(JsonError::DuplicateKey);
             }
             members.push(member);
             if members.len() > MAX_ROOT_MEMBERS {
-                return Err(Unreadable::NotJson);
+                return Err(JsonError::NotJson);
             }
             if !cursor.next_is(b',') {
                 break;
@@ -39,7 +41,7 @@
 const MAX_ROOT_MEMBERS: usize = 256;
 
 /// The texts of the elements of the array that makes up the whole text.
-pub(crate) fn elements(text: &str) -> Result<Vec<&str>, Unreadable> {
+pub(crate) fn elements(text: &str) -> Result<Vec<&str>, JsonError> {
     let mut cursor = Cursor { text, at: 0 };
     let mut elements = Vec::new();
     cursor.expect(b'[')?;
@@ -77,25 +79,25 @@
         found
     }
 
-    fn expect(&mut self, byte: u8) -> Result<(), Unreadable> {
-        if self.next_is(byte) { Ok(()) } else { Err(Unreadable::NotJson) }
+    fn expect(&mut self, byte: u8) -> Result<(), JsonError> {
+        if self.next_is(byte) { Ok(()) } else { Err(JsonError::NotJson) }
     }
 
-    fn expect_end(&mut self) -> Result<(), Unreadable> {
-        if self.peek().is_none() { Ok(()) } else { Err(Unreadable::NotJson) }
+    fn expect_end(&mut self) -> Result<(), JsonError> {
+        if self.peek().is_none() { Ok(()) } else { Err(JsonError::NotJson) }
     }
 
-    fn member(&mut self) -> Result<Member<'a>, Unreadable> {
+    fn member(&mut self) -> Result<Member<'a>, JsonError> {
         if self.peek() != Some(b'"') {
-            return Err(Unreadable::NotJson);
+            return Err(JsonError::NotJson);
         }
-        let JsonValue::String(key) = parse(self.value()?)? else { return Err(Unreadable::NotJson) };
+        let JsonValue::String(key) = parse(self.value()?)? else { return Err(JsonError::NotJson) };
         self.expect(b':')?;
         Ok(Member { key, value: self.value()? })
     }
 
     /// The text of the value that comes next.
-    fn value(&mut self) -> Result<&'a str, Unreadable> {
+    fn value(&mut self) -> Result<&'a str, JsonError> {
         let bytes = self.text.as_bytes();
         let end = match self.peek() {
             Some(b'"') => end_of_string(bytes, self.at),
@@ -103,8 +105,8 @@
             Some(_) => end_of_scalar(bytes, self.at),
             None => None,
         };
-        let end = end.ok_or(Unreadable::NotJson)?;
-        let value = self.text.get(self.at..end).ok_or(Unreadable::NotJson)?;
+        let end = end.ok_or(JsonError::NotJson)?;
+        let value = self.text.get(self.at..end).ok_or(JsonError::NotJson)?;
         self.at = end;
         Ok(value)
     }
@@ -114,18 +116,6 @@
     matches!(byte, b' ' | b'\t' | b'\n' | b'\r')
 }
 
-/// Where the string that starts at `start` ends: after its closing quote.
-pub(crate) fn end_of_string(bytes: &[u8], start: usize) -> Option<usize> {
-    let mut at = start + 1;
-    loop {
-        match bytes.get(at)? {
-            b'"' => return Some(at + 1),
-            b'\\' => at += 2,
-            _ => at += 1,
-        }
-    }
-}
-
 /// Where the array or object that starts at `start` ends. Kinds of brackets are told apart by the parser later.
 fn end_of_nested(bytes: &[u8], start: usize) -> Option<usize> {
     let (mut depth, mut at) = (0_usize, start);
--- a/crates/configuration/src/names.rs
+++ b/crates/configuration/src/names.rs
@@ -1,4 +1,4 @@
-//! Names as types, so that none is taken for another. They are shared, and cheap to clone.
+//! Names as types, so that none is accepted for another. They are shared, and cheap to clone.
 
 use std::borrow::Borrow;
 use std::fmt;
--- a/crates/configuration/src/register/answer.rs
+++ b/crates/configuration/src/register/answer.rs
@@ -1,6 +1,6 @@
 //! The answer that an operator gets to a change.
 
-use super::{Applied, Verdict};
+use super::state::{Applied, Verdict};
 
 /// What the operator is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -8,9 +8,9 @@
     /// The change is in force, or was.
     Acknowledged,
     /// Another version than the change's base is current.
-    OtherVersion,
+    VersionMismatch,
     /// The configuration is invalid.
-    Invalid,
+    ConfigurationError,
 }
 
 impl Answer {
@@ -18,8 +18,8 @@
     pub const fn status(self) -> u16 {
         match self {
             Answer::Acknowledged => 200,
-            Answer::OtherVersion => 412,
-            Answer::Invalid => 400,
+            Answer::VersionMismatch => 412,
+            Answer::ConfigurationError => 400,
         }
     }
 }
@@ -28,10 +28,10 @@
     /// The answer that follows at once; none while the change is to be proposed or is undecided, or if none is known.
     pub const fn answer(self) -> Option<Answer> {
         match self {
-            Verdict::AlreadyTaken => Some(Answer::Acknowledged),
-            Verdict::OtherVersionIsCurrent => Some(Answer::OtherVersion),
-            Verdict::NotAbove => Some(Answer::Invalid),
-            Verdict::Take | Verdict::Undecided | Verdict::TooOld => None,
+            Verdict::AlreadyAccepted => Some(Answer::Acknowledged),
+            Verdict::VersionMismatch => Some(Answer::VersionMismatch),
+            Verdict::VersionNotAbove => Some(Answer::ConfigurationError),
+            Verdict::Accept | Verdict::Undecided | Verdict::OlderThanHistory => None,
         }
     }
 }
@@ -40,8 +40,8 @@
     /// The answer to the call that had the change proposed.
     pub const fn answer(self) -> Answer {
         match self {
-            Applied::Taken | Applied::AlreadyTaken => Answer::Acknowledged,
-            Applied::LostRace => Answer::OtherVersion,
+            Applied::Accepted | Applied::AlreadyAccepted => Answer::Acknowledged,
+            Applied::Conflict => Answer::VersionMismatch,
         }
     }
 }
--- a/crates/configuration/src/register/change.rs
+++ b/crates/configuration/src/register/change.rs
@@ -50,7 +50,7 @@
         /// The format they begin with.
         format: u8,
     },
-    /// They end before the body begins, or the body is larger than any that is taken.
+    /// They end before the body begins, or the body is larger than any that is accepted.
     #[snafu(display("an entry can't have {bytes} bytes"))]
     Length {
         /// How many there are.
@@ -66,7 +66,7 @@
 
 /// The binary form: this byte, the change, and then the body to the end.
 const FORMAT: u8 = 1;
-const HEAD_BYTES: usize = 1 + Change::BYTES;
+const HEADER_BYTES: usize = 1 + Change::BYTES;
 
 impl Entry {
     /// An entry for a body that an operator sent.
@@ -86,7 +86,7 @@
 
     /// The binary form.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEAD_BYTES + self.body.len());
+        let mut bytes = Vec::with_capacity(HEADER_BYTES + self.body.len());
         bytes.push(FORMAT);
         self.change.ser_bin(&mut bytes);
         bytes.extend_from_slice(&self.body);
@@ -103,7 +103,7 @@
         if format != FORMAT {
             return Err(EntryError::Format { format });
         }
-        if bytes.len() > HEAD_BYTES + MAX_BODY_BYTES {
+        if bytes.len() > HEADER_BYTES + MAX_BODY_BYTES {
             return Err(length);
         }
         let mut at = 1;
--- a/crates/configuration/src/register/pending.rs
+++ b/crates/configuration/src/register/pending.rs
@@ -1,11 +1,11 @@
-//! Changes that are in the log of the part's leader and not yet committed.
+//! Changes that are in the log of the partition's leader and not yet committed.
 
-use super::Change;
+use super::change::Change;
 
 /// The changes that the leader has proposed, or found in its log when it became the leader, and that are not yet
 /// applied. While there is one, no other change can be judged but by what is committed.
 ///
-/// The leader of the part keeps it; replicas have none. As a change is proposed only while nothing is pending, it
+/// The leader of the partition keeps it; replicas have none. As a change is proposed only while nothing is pending, it
 /// is no longer than the uncommitted end of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pending {
@@ -13,7 +13,7 @@
 }
 
 impl Pending {
-    /// Nothing is under way.
+    /// Nothing is pending.
     pub fn new() -> Pending {
         Pending::default()
     }
@@ -36,7 +36,7 @@
         self.changes.clear();
     }
 
-    /// Whether nothing is under way.
+    /// Whether nothing is pending.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
--- a/crates/configuration/src/register/snapshot.rs
+++ b/crates/configuration/src/register/snapshot.rs
@@ -6,13 +6,14 @@
 use nanoserde::{DeBin, SerBin};
 use snafu::Snafu;
 
-use super::{BodyHash, Change, ConfigurationRegister, MAX_HISTORY};
+use super::change::{BodyHash, Change};
+use super::state::{ConfigurationRegister, MAX_HISTORY};
 use crate::configuration::MAX_BODY_BYTES;
 
 /// The binary form: this byte, the count of changes, the changes, and then the body to the end.
 const FORMAT: u8 = 1;
 const COUNT_BYTES: usize = 4;
-const HEAD_BYTES: usize = 1 + COUNT_BYTES;
+const HEADER_BYTES: usize = 1 + COUNT_BYTES;
 
 /// Why bytes are not a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
@@ -46,7 +47,8 @@
 impl ConfigurationRegister {
     /// The binary form of the whole register.
     pub fn encode(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(HEAD_BYTES + self.history.len() * Change::BYTES + self.body.len());
+        let mut bytes =
+            Vec::with_capacity(HEADER_BYTES + self.history.len() * Change::BYTES + self.body.len());
         bytes.push(FORMAT);
         // At most MAX_HISTORY.
         (self.history.len() as u32).ser_bin(&mut bytes);
@@ -70,7 +72,7 @@
         }
         let mut at = 1;
         let count = u32::de_bin(&mut at, bytes).map_err(|_| length())? as usize;
-        if count > MAX_HISTORY || bytes.len() > HEAD_BYTES + count * Change::BYTES + MAX_BODY_BYTES {
+        if count > MAX_HISTORY || bytes.len() > HEADER_BYTES + count * Change::BYTES + MAX_BODY_BYTES {
             return Err(length());
         }
         let changes = (0..count).map(|_| Change::de_bin(&mut at, bytes).map_err(|_| length()));
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -19,10 +19,10 @@
 
 /// The routes of one host, ordered by prefix.
 #[derive(Clone, Debug, Default)]
-struct HostRoutes(Vec<Place>);
+struct HostRoutes(Vec<PrefixNode>);
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct PrefixNode {
     /// The index of the route in the configuration.
     route: usize,
     /// The index in the same host of the longest other prefix that begins this one.
@@ -34,8 +34,8 @@
     pub fn new(configuration: Arc<Configuration>) -> RouteTable {
         let mut hosts: HashMap<HostName, HostRoutes> = HashMap::new();
         for (index, route) in configuration.routes.iter().enumerate() {
-            let places = &mut hosts.entry(route.hostname.clone()).or_default().0;
-            places.push(Place { route: index, parent: None });
+            let nodes = &mut hosts.entry(route.hostname.clone()).or_default().0;
+            nodes.push(PrefixNode { route: index, parent: None });
         }
         for routes in hosts.values_mut() {
             routes.order(&configuration.routes);
@@ -66,7 +66,7 @@
 
 impl HostRoutes {
     fn order(&mut self, routes: &[Route]) {
-        let prefix = |place: &Place| routes[place.route].path_prefix.as_ref();
+        let prefix = |node: &PrefixNode| routes[node.route].path_prefix.as_ref();
         self.0.sort_unstable_by(|one, other| prefix(one).cmp(prefix(other)));
         // In this order, all that a prefix begins follow it, so its ancestors are still on the stack.
         let mut ancestors: Vec<usize> = Vec::new();
@@ -81,15 +81,15 @@
     }
 
     fn find(&self, routes: &[Route], path: &str) -> Option<usize> {
-        let prefix = |place: &Place| routes[place.route].path_prefix.as_ref();
+        let prefix = |node: &PrefixNode| routes[node.route].path_prefix.as_ref();
         // What stands between a prefix of the path and the path in this order begins with that prefix, so the
         // longest one is the last that isn't above the path, or an ancestor of it.
-        let mut next = self.0.partition_point(|place| prefix(place) <= path).checked_sub(1);
-        while let Some(place) = next.and_then(|index| self.0.get(index)) {
-            if path.starts_with(prefix(place)) {
-                return Some(place.route);
+        let mut next = self.0.partition_point(|node| prefix(node) <= path).checked_sub(1);
+        while let Some(node) = next.and_then(|index| self.0.get(index)) {
+            if path.starts_with(prefix(node)) {
+                return Some(node.route);
             }
-            next = place.parent;
+            next = node.parent;
         }
         None
     }
--- a/crates/configuration/src/settings.rs
+++ b/crates/configuration/src/settings.rs
@@ -1,6 +1,6 @@
 //! The settings of a process: one JSON file that the platform writes.
 //!
-//! Fields that are not known are ignored. Text that is wrong is refused by one line that names the field.
+//! Fields that are not known are ignored. Text that is wrong is rejected by one line that names the field.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -9,20 +9,20 @@
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
-use crate::json::{FieldError, Fields, Unreadable, parse, texts};
+use crate::json::{FieldError, Fields, JsonError, parse, texts};
 use crate::names::{NodeName, RegionName, RoleName, ZoneName};
 
 /// How often a member of the tier sends heartbeats where the file doesn't say, in milliseconds.
 const DEFAULT_HEARTBEAT_MS: u64 = 1000;
 
-/// Why a settings file is refused; one line.
+/// Why a settings file is rejected. The text is one line that names the field.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SettingsError {
     /// The text is not JSON.
     #[snafu(display("settings: {source}"))]
     Text {
         /// What is wrong with the text.
-        source: Unreadable,
+        source: JsonError,
     },
     /// A field is missing or wrong.
     #[snafu(display("settings: {source}"))]
@@ -57,21 +57,21 @@
     pub internal_ports: PortRange,
     /// `control_plane` addresses of a few machines, which may be down.
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// True only at the first start of the whole system, when the disks are empty.
+    /// Whether this is the first start of the system, when the disks are empty. Default false.
     pub bootstrap: bool,
-    /// Whether the loss of this machine counts in `fault_tolerance`.
+    /// Whether the loss of this machine counts in `fault_tolerance`. Default false.
     pub quorum_member: bool,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub limits: ProcessLimits,
     /// The folder on the machine's disk; none where the machine has no disk.
     pub data_path: Option<PathBuf>,
-    /// About how often executors send heartbeats, in milliseconds.
+    /// About how often executors send heartbeats, in milliseconds; above 0. Default 1000.
     pub heartbeat_ms: u64,
-    /// The parts of the rules that are in force.
+    /// The sets of rules that are in force. Default: none.
     pub contracts: Vec<Contract>,
     /// What may be lost at once.
     pub fault_tolerance: FaultTolerance,
-    /// The figures of the rules.
+    /// The time-outs and limits of those rules.
     pub bounds: Bounds,
 }
 
@@ -99,7 +99,7 @@
     Other(String),
 }
 
-/// A part of the rules.
+/// A set of rules that the deployment holds the tier to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Contract {
     /// What holds always.
@@ -118,7 +118,7 @@
     Stream,
     /// Model executors.
     Engine,
-    /// A part that this version doesn't know.
+    /// A set that this version doesn't know.
     Other(String),
 }
 
@@ -180,19 +180,19 @@
 /// What a process may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// The share of a core.
+    /// The share of a core; above 0.
     pub cpu_share: f64,
-    /// Going over it gets the process killed.
+    /// Memory in megabytes; above 0. The platform kills a process that exceeds it.
     pub memory_mb: u64,
-    /// Of these, 200 are kept for files outside the folder on the disk.
+    /// Open files and sockets; above 0. Of these, 200 are reserved for files outside the data folder.
     pub file_descriptors: u64,
-    /// The machine's own link.
+    /// The bandwidth of the machine's link in megabits a second; above 0.
     pub link_mbps: f64,
-    /// None where the machine has no disk.
+    /// Disk space in megabytes; none where the machine has no disk.
     pub disk_mb: Option<u64>,
 }
 
-/// What may be lost at the same time while all rules still hold.
+/// What may be lost at the same time while all rules still hold. Each is 0 by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
     /// Machines with `quorum_member`.
@@ -203,34 +203,34 @@
     pub region_losses: u32,
 }
 
-/// The figures of the rules. Each takes its default where the file doesn't give it.
+/// The time-outs and limits of the rules. Each takes its default where the file doesn't give it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// How far the lists that callers choose nodes from lag behind, in seconds. Default 3.
     pub seed_lag_s: f64,
     /// After how long the address of an ended executor may go to another service, in seconds. Default 2.
     pub addr_reuse_s: f64,
-    /// How long a machine must be without trouble to be in touch. Default 3000.
+    /// How long a machine must be without a fault to count as in contact, in milliseconds. Default 3000.
     pub contact_ms: u64,
-    /// How long a proper order may be without an acknowledgement. Default 4000.
+    /// How long a valid change of the operator may go without an acknowledgement, in milliseconds. Default 4000.
     pub ack_timeout_ms: u64,
     /// How long a machine that is back still counts as lost, in seconds. Default 5.
     pub sync_time_s: f64,
-    /// How long after the acknowledgement a draining executor may still get requests. Default 2000.
+    /// How long after the acknowledgement a draining executor may still get requests, in milliseconds. Default 2000.
     pub drain_timeout_ms: u64,
     /// From SIGTERM to SIGKILL, in seconds. Default 8.
     pub grace_period_s: f64,
-    /// Within which a request that was read may be cut off without being lost. Default 200.
+    /// Within which a request that was read may be cut off without counting as lost, in milliseconds. Default 200.
     pub loss_slack_ms: u64,
-    /// How long after its acknowledgement a configuration must be in force. Default 2000.
+    /// How long after its acknowledgement a configuration must be in force, in milliseconds. Default 2000.
     pub config_apply_ms: u64,
-    /// How long after an effect of a version was seen an older one may still act. Default 250.
+    /// How long after an effect of a version was seen an older one may still act, in milliseconds. Default 250.
     pub downgrade_slack_ms: u64,
-    /// By how much an unstable core lengthens `config_apply_ms` at most. Default 5000.
+    /// By how much an unstable core lengthens `config_apply_ms` at most, in milliseconds. Default 5000.
     pub max_stretch_ms: u64,
     /// How long after the machines are back requests must be served, in seconds. Default 12.
     pub recovery_s: f64,
-    /// By when an event of a stream must have been passed on. Default 120.
+    /// By when an event of a stream must have been forwarded, in milliseconds. Default 120.
     pub pass_ms: u64,
     /// The page names it without a meaning; in seconds. Default 0.
     pub again_s: f64,
@@ -238,9 +238,9 @@
     pub finish_s: f64,
     /// How long results of a batch job stay readable after it was sent, in seconds. Default 120.
     pub status_s: f64,
-    /// How long after the end of a batch job its items may still run. Default 3000.
+    /// How long after the end of a batch job its items may still run, in milliseconds. Default 3000.
     pub cancel_ms: u64,
-    /// How long after a 202 or a read a machine may not know of it yet. Default 1000.
+    /// How long after a 202 or a read another machine may not know of the job yet, in milliseconds. Default 1000.
     pub settle_ms: u64,
     /// The share of `queue_token_limit` by which it may be exceeded. Default 0.1.
     pub quota_overrun: f64,
@@ -295,13 +295,13 @@
     fn from_value(value: &JsonValue) -> Result<Settings, FieldError> {
         let fields = Fields::of(value)?;
         Ok(Settings {
-            node_name: fields.needed_text("node_name")?.into(),
-            role: fields.needed_text("role")?.into(),
-            machine_class: machine_class(fields.needed_text("machine_class")?),
+            node_name: fields.required_text("node_name")?.into(),
+            role: fields.required_text("role")?.into(),
+            machine_class: machine_class(fields.required_text("machine_class")?),
             served_roles: texts(&fields, "served_roles")?.into_iter().map(served_role).collect(),
             ip_address: ip_address(&fields)?,
-            zone: fields.needed_text("zone")?.into(),
-            region: fields.needed_text("region")?.into(),
+            zone: fields.required_text("zone")?.into(),
+            region: fields.required_text("region")?.into(),
             zones: zones(&fields)?,
             bindings: bindings(&fields)?,
             internal_ports: internal_ports(&fields)?,
@@ -350,14 +350,14 @@
 }
 
 fn ip_address(fields: &Fields<'_>) -> Result<Ipv4Addr, FieldError> {
-    let parsed = fields.needed_text("ip_address")?.parse();
+    let parsed = fields.required_text("ip_address")?.parse();
     parsed.map_err(|_| FieldError::new("ip_address", "an IPv4 address"))
 }
 
 fn zones(fields: &Fields<'_>) -> Result<Zones, FieldError> {
     let Some(zones) = fields.child("zones")? else { return Ok(Zones::default()) };
     let read = |(zone, _): (&String, &JsonValue)| {
-        let region = zones.needed_text(zone).map_err(|error| error.within("zones"))?;
+        let region = zones.required_text(zone).map_err(|error| error.within("zones"))?;
         Ok((ZoneName::from(zone.as_str()), RegionName::from(region)))
     };
     zones.entries().map(read).collect::<Result<_, FieldError>>().map(Zones)
--- a/crates/configuration/tests/configuration.rs
+++ b/crates/configuration/tests/configuration.rs
@@ -1,13 +1,13 @@
-//! A configuration is read whole or refused with its reason.
+//! A configuration is read whole or rejected with its reason.
 
 mod bodies;
 
 use bodies::{body, large, plain, route, route_with, service, services};
 use grebeusher_configuration::configuration::{
-    ClientLimits, Configuration, Invalid, MAX_BODY_BYTES, MAX_ROUTES, MAX_SERVICES, MAX_SPLITS, Protocol,
-    RouteType,
+    ClientLimits, Configuration, ConfigurationError, MAX_BODY_BYTES, MAX_ROUTES, MAX_SERVICES, MAX_SPLITS,
+    Protocol, RouteType,
 };
-use grebeusher_configuration::{FieldError, Unreadable};
+use grebeusher_configuration::{FieldError, JsonError};
 use rstest::rstest;
 
 const FULL: &str = r#"{"config_version":7,"route_table":[
@@ -18,16 +18,16 @@
  {"name":"sedge","protocol":"h2"}],
  "limits":{"max_header_bytes":100,"max_body_bytes":200,"header_timeout_ms":300,"idle_timeout_ms":400}}"#;
 
-fn refusal(text: &str) -> Invalid {
+fn error(text: &str) -> ConfigurationError {
     Configuration::read(text.as_bytes()).expect_err("is invalid")
 }
 
-fn field(path: &str, expected: &'static str) -> Invalid {
-    Invalid::Field { source: FieldError { path: path.to_owned(), expected } }
+fn field(path: &str, expected: &'static str) -> ConfigurationError {
+    ConfigurationError::Field { source: FieldError { path: path.to_owned(), expected } }
 }
 
-fn text(path: &str, source: Unreadable) -> Invalid {
-    Invalid::Text { path: path.to_owned(), source }
+fn text(path: &str, source: JsonError) -> ConfigurationError {
+    ConfigurationError::Text { path: path.to_owned(), source }
 }
 
 #[test]
@@ -46,7 +46,7 @@
     );
     let [plain, split, bulk] = &read.routes[..] else { panic!("three routes") };
     assert_eq!((plain.name.as_str(), plain.hostname.as_str()), ("r-a", "pond.example"));
-    assert_eq!((plain.route_type, plain.gap_aim_ms), (RouteType::Streaming, Some(250)));
+    assert_eq!((plain.route_type, plain.event_gap_target_ms), (RouteType::Streaming, Some(250)));
     assert!(plain.session_affinity && !plain.resumable && !plain.may_run_again());
     assert_eq!((split.timeout_ms, split.target_latency_ms, split.priority_level), (5000, 200, 2));
     assert_eq!(split.max_attempts, 2);
@@ -73,7 +73,10 @@
 
     let route = &read.routes[0];
     assert_eq!((route.target_latency_ms, route.priority_level, route.max_attempts), (900, 0, 1));
-    assert_eq!((route.gap_aim_ms, route.completion_target_ms, route.retention_s), (None, None, None));
+    assert_eq!(
+        (route.event_gap_target_ms, route.completion_target_ms, route.retention_s),
+        (None, None, None)
+    );
     assert_eq!((route.queue_token_limit, route.session_affinity, route.resumable), (0, false, false));
     assert!(!route.may_run_again());
     assert_eq!(read.limits, ClientLimits::default());
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn given_a_body_cut_short_anywhere_when_read_then_it_cannot_be_read_whole() {
+fn given_a_body_cut_short_anywhere_when_read_then_it_is_unreadable() {
     let whole = FULL.as_bytes();
     for length in 0..whole.len() {
         assert!(Configuration::read(&whole[..length]).is_err(), "cut at {length}");
@@ -115,8 +118,8 @@
 #[case::trailing_value("{}")]
 #[case::trailing_comma(",")]
 #[case::trailing_nul("\0")]
-fn given_bytes_after_the_body_when_read_then_it_is_refused(#[case] after: &str) {
-    assert_eq!(refusal(&format!("{}{after}", plain())), text("body", Unreadable::NotJson));
+fn given_bytes_after_the_body_when_read_then_it_is_rejected(#[case] after: &str) {
+    assert_eq!(error(&format!("{}{after}", plain())), text("body", JsonError::NotJson));
     assert!(Configuration::read(format!("{}\r\n ", plain()).as_bytes()).is_ok(), "white space may follow");
 }
 
@@ -133,50 +136,50 @@
 #[case::comma_last(r#"{"config_version":7,}"#)]
 #[case::two_values(r#"{"config_version":7 8}"#)]
 #[case::wrong_bracket(r#"{"config_version":7]"#)]
-fn given_a_broken_frame_when_read_then_it_cannot_be_read_whole(#[case] broken: &str) {
-    assert_eq!(refusal(broken), text("body", Unreadable::NotJson));
+fn given_a_broken_frame_when_read_then_it_is_unreadable(#[case] broken: &str) {
+    assert_eq!(error(broken), text("body", JsonError::NotJson));
 }
 
 #[rstest]
-#[case::list_comma("[1,]", Unreadable::NotJson)]
-#[case::brackets_crossed("[{]}", Unreadable::NotJson)]
-#[case::word("yes", Unreadable::NotJson)]
-#[case::leading_zero("01", Unreadable::NotJson)]
-#[case::bad_escape(r#""\x""#, Unreadable::NotJson)]
-#[case::half_a_pair(r#""\ud800""#, Unreadable::NotJson)]
-#[case::control("\"a\u{1}\"", Unreadable::NotJson)]
-#[case::twice(r#"{"a":1,"a":1}"#, Unreadable::KeyTwice)]
-#[case::twice_escaped(r#"[{"a":1,"\u0061":2}]"#, Unreadable::KeyTwice)]
-fn given_a_broken_part_when_read_then_the_reason_names_it(#[case] part: &str, #[case] reason: Unreadable) {
+#[case::list_comma("[1,]", JsonError::NotJson)]
+#[case::brackets_crossed("[{]}", JsonError::NotJson)]
+#[case::word("yes", JsonError::NotJson)]
+#[case::leading_zero("01", JsonError::NotJson)]
+#[case::bad_escape(r#""\x""#, JsonError::NotJson)]
+#[case::half_a_pair(r#""\ud800""#, JsonError::NotJson)]
+#[case::control("\"a\u{1}\"", JsonError::NotJson)]
+#[case::twice(r#"{"a":1,"a":1}"#, JsonError::DuplicateKey)]
+#[case::twice_escaped(r#"[{"a":1,"\u0061":2}]"#, JsonError::DuplicateKey)]
+fn given_a_broken_part_when_read_then_the_reason_names_it(#[case] part: &str, #[case] reason: JsonError) {
     let unknown = plain().replacen('{', &format!("{{\"later\":{part},"), 1);
-    assert_eq!(refusal(&unknown), text("later", reason.clone()));
+    assert_eq!(error(&unknown), text("later", reason.clone()));
 
     let in_route = plain().replace(r#""priority_level":1"#, &format!(r#""priority_level":1,"later":{part}"#));
-    assert_eq!(refusal(&in_route), text("route_table[0]", reason));
+    assert_eq!(error(&in_route), text("route_table[0]", reason));
 }
 
 #[rstest]
 #[case::plain("config_version")]
 #[case::escaped("config\\u005fversion")]
-fn given_a_key_of_the_root_twice_when_read_then_it_is_refused(#[case] key: &str) {
+fn given_a_duplicate_root_key_when_read_then_it_is_rejected(#[case] key: &str) {
     let twice = plain().replacen('{', &format!("{{\"{key}\":6,"), 1);
 
-    assert_eq!(refusal(&twice), text("body", Unreadable::KeyTwice));
+    assert_eq!(error(&twice), text("body", JsonError::DuplicateKey));
 }
 
 #[test]
-fn given_bytes_that_are_not_utf8_when_read_then_they_are_refused() {
+fn given_bytes_that_are_not_utf8_when_read_then_they_are_rejected() {
     let mut bytes = plain().into_bytes();
     bytes[20] = 0xff;
 
-    assert_eq!(Configuration::read(&bytes), Err(text("body", Unreadable::NotUtf8)));
+    assert_eq!(Configuration::read(&bytes), Err(text("body", JsonError::NotUtf8)));
 }
 
 #[rstest]
 #[case::lists("[")]
 #[case::objects("{\"a\":")]
 #[case::in_turn("[{\"a\":")]
-fn given_nesting_that_would_overflow_a_stack_when_read_then_it_is_refused(#[case] open: &str) {
+fn given_nesting_that_would_overflow_a_stack_when_read_then_it_is_rejected(#[case] open: &str) {
     let deep = open.repeat(300_000);
     assert!(Configuration::read(deep.as_bytes()).is_err());
 
@@ -191,22 +194,25 @@
         .collect();
     let balanced = format!("{deep}1{}", close.repeat(300_000));
     let as_field = plain().replacen('{', &format!("{{\"later\":{balanced},"), 1);
-    assert_eq!(refusal(&as_field), text("later", Unreadable::TooDeep));
+    assert_eq!(error(&as_field), text("later", JsonError::TooDeep));
     let as_route = body("7", &[balanced], &services());
-    assert_eq!(refusal(&as_route), text("route_table[0]", Unreadable::TooDeep));
+    assert_eq!(error(&as_route), text("route_table[0]", JsonError::TooDeep));
 }
 
 #[rstest]
-#[case::zero("0", Invalid::VersionZero)]
-#[case::minus_zero("-0", Invalid::VersionZero)]
+#[case::zero("0", ConfigurationError::VersionZero)]
+#[case::minus_zero("-0", ConfigurationError::VersionZero)]
 #[case::negative("-3", field("config_version", "a whole number above 0, at most 2^53"))]
 #[case::fraction("7.5", field("config_version", "a whole number above 0, at most 2^53"))]
 #[case::inexact("9007199254740994", field("config_version", "a whole number above 0, at most 2^53"))]
 #[case::endless("1e999", field("config_version", "a whole number above 0, at most 2^53"))]
 #[case::text("\"7\"", field("config_version", "a whole number above 0, at most 2^53"))]
 #[case::null("null", field("config_version", "a whole number above 0, at most 2^53"))]
-fn given_a_wrong_version_when_read_then_it_is_refused(#[case] version: &str, #[case] reason: Invalid) {
-    assert_eq!(refusal(&body(version, &[], &services())), reason);
+fn given_an_invalid_version_when_read_then_it_is_rejected(
+    #[case] version: &str,
+    #[case] reason: ConfigurationError,
+) {
+    assert_eq!(error(&body(version, &[], &services())), reason);
 }
 
 #[rstest]
@@ -216,7 +222,7 @@
 fn given_a_missing_part_when_read_then_it_is_named(#[case] part: &str, #[case] expected: &'static str) {
     let without = plain().replacen(part, "something_else", 1);
 
-    assert_eq!(refusal(&without), field(part, expected));
+    assert_eq!(error(&without), field(part, expected));
 }
 
 #[rstest]
@@ -300,7 +306,7 @@
     let whole = plain();
     assert!(whole.contains(from), "the case changes something");
 
-    assert_eq!(refusal(&whole.replacen(from, to, 1)), field(path, expected));
+    assert_eq!(error(&whole.replacen(from, to, 1)), field(path, expected));
 }
 
 #[rstest]
@@ -311,17 +317,20 @@
 #[case::without_a_weight(
     r#""traffic_split":[{"service":"alpha","split_weight":1},{"service":"gamma","split_weight":0}]"#
 )]
-fn given_an_unknown_service_when_read_then_it_is_refused(#[case] target: &str) {
+fn given_an_unknown_service_when_read_then_it_is_rejected(#[case] target: &str) {
     let text = body("7", &[route_with("r-1", "h", "/a/", target)], &services());
 
-    assert_eq!(refusal(&text), Invalid::UnknownService { route: "r-1".into(), service: "gamma".into() });
+    assert_eq!(
+        error(&text),
+        ConfigurationError::UnknownService { route: "r-1".into(), service: "gamma".into() }
+    );
 }
 
 #[rstest]
 #[case::same("shop.example", "shop.example")]
 #[case::other_case("shop.example", "Shop.EXAMPLE")]
 #[case::with_a_port("shop.example", "shop.example:80")]
-fn given_two_routes_at_the_same_place_when_read_then_they_are_refused(
+fn given_two_routes_with_the_same_host_and_prefix_when_read_then_they_are_rejected(
     #[case] one: &str,
     #[case] other: &str,
 ) {
@@ -331,8 +340,9 @@
         route("r-3", other, "/a/", "beta"),
     ];
 
-    let reason = Invalid::SamePlace { hostname: "shop.example".into(), path_prefix: "/a/".into() };
-    assert_eq!(refusal(&body("7", &routes, &services())), reason);
+    let reason =
+        ConfigurationError::DuplicateRoute { hostname: "shop.example".into(), path_prefix: "/a/".into() };
+    assert_eq!(error(&body("7", &routes, &services())), reason);
 }
 
 #[test]
@@ -351,56 +361,59 @@
 #[case::empty(r#""traffic_split":[]"#)]
 #[case::missing(r#""traffic_split":[{"service":"alpha"}]"#)]
 #[case::beside_a_service(r#""service":"alpha","traffic_split":[{"service":"alpha","split_weight":0}]"#)]
-fn given_weights_that_add_up_to_nothing_when_read_then_they_are_refused(#[case] target: &str) {
+fn given_weights_that_add_up_to_nothing_when_read_then_they_are_rejected(#[case] target: &str) {
     let text = body("7", &[route_with("r-1", "h", "/a/", target)], &services());
 
-    assert_eq!(refusal(&text), Invalid::NoWeight { route: "r-1".into() });
+    assert_eq!(error(&text), ConfigurationError::ZeroWeight { route: "r-1".into() });
 }
 
 #[rstest]
 #[case::zero(r#""timeout_ms":0,"#)]
 #[case::missing("")]
 #[case::null(r#""timeout_ms":null,"#)]
-fn given_no_timeout_when_read_then_it_is_refused(#[case] timeout: &str) {
+fn given_a_missing_timeout_when_read_then_it_is_rejected(#[case] timeout: &str) {
     let text = plain().replace(r#""timeout_ms":3000,"#, timeout);
 
-    assert_eq!(refusal(&text), Invalid::NoTimeout { route: "r-1".into() });
+    assert_eq!(error(&text), ConfigurationError::MissingTimeout { route: "r-1".into() });
 }
 
 #[rstest]
 #[case::no_first("one/")]
 #[case::no_last("/one")]
 #[case::neither("one")]
-fn given_a_prefix_without_its_slashes_when_read_then_it_is_refused(#[case] prefix: &str) {
+fn given_a_prefix_without_its_slashes_when_read_then_it_is_rejected(#[case] prefix: &str) {
     let text = body("7", &[route("r-1", "h", prefix, "alpha")], &services());
 
-    assert_eq!(refusal(&text), Invalid::Prefix { route: "r-1".into() });
+    assert_eq!(error(&text), ConfigurationError::Prefix { route: "r-1".into() });
 }
 
 #[test]
-fn given_a_service_twice_when_read_then_it_is_refused() {
+fn given_a_duplicate_service_when_read_then_it_is_rejected() {
     let text = body("7", &[], &[service("alpha"), service("beta"), service("alpha")]);
 
-    assert_eq!(refusal(&text), Invalid::ServiceTwice { service: "alpha".into() });
+    assert_eq!(error(&text), ConfigurationError::DuplicateService { service: "alpha".into() });
 }
 
 #[test]
-fn given_more_than_is_ever_sent_when_read_then_it_is_refused_by_its_size() {
+fn given_an_oversized_body_when_read_then_it_is_rejected_by_its_size() {
     let bytes = vec![b' '; MAX_BODY_BYTES + 1];
-    assert_eq!(Configuration::read(&bytes), Err(Invalid::BodyTooLarge { bytes: bytes.len() }));
+    assert_eq!(Configuration::read(&bytes), Err(ConfigurationError::BodyTooLarge { bytes: bytes.len() }));
 
     let many = |count: usize| vec!["0".to_owned(); count];
     let routes = body("7", &many(MAX_ROUTES + 1), &[]);
-    assert_eq!(refusal(&routes), Invalid::TooManyRoutes { count: MAX_ROUTES + 1 });
+    assert_eq!(error(&routes), ConfigurationError::TooManyRoutes { count: MAX_ROUTES + 1 });
     let services_ = body("7", &[], &many(MAX_SERVICES + 1));
-    assert_eq!(refusal(&services_), Invalid::TooManyServices { count: MAX_SERVICES + 1 });
+    assert_eq!(error(&services_), ConfigurationError::TooManyServices { count: MAX_SERVICES + 1 });
 
     let splits = vec![r#"{"service":"alpha","split_weight":1}"#; MAX_SPLITS + 1].join(",");
     let split = route_with("r-1", "h", "/a/", &format!(r#""traffic_split":[{splits}]"#));
-    assert_eq!(refusal(&body("7", &[split], &services())), Invalid::TooManySplits { route: "r-1".into() });
+    assert_eq!(
+        error(&body("7", &[split], &services())),
+        ConfigurationError::TooManySplits { route: "r-1".into() }
+    );
 
     let long = body("7", &[route("r-1", "h", &format!("/{}/", "x".repeat(5000)), "alpha")], &services());
-    assert_eq!(refusal(&long), field("route_table[0].path_prefix", "a text of at most 4096 bytes"));
+    assert_eq!(error(&long), field("route_table[0].path_prefix", "a text of at most 4096 bytes"));
 }
 
 #[test]
@@ -413,11 +426,8 @@
 
 #[test]
 fn given_any_reason_when_shown_then_it_is_one_line() {
-    let reasons = [
-        refusal("{"),
-        refusal(&body("0", &[], &[])),
-        refusal(&plain().replace("alpha\",\"max", "x\",\"max")),
-    ];
+    let reasons =
+        [error("{"), error(&body("0", &[], &[])), error(&plain().replace("alpha\",\"max", "x\",\"max"))];
 
     for reason in reasons {
         let line = reason.to_string();
--- a/crates/configuration/tests/bad_changes.rs
+++ b/crates/configuration/tests/invalid_changes.rs
@@ -25,10 +25,12 @@
     }
 
     fn replace(&mut self, base: u64, body: &str) -> u16 {
-        let Ok(configuration) = Configuration::read(body.as_bytes()) else { return Answer::Invalid.status() };
+        let Ok(configuration) = Configuration::read(body.as_bytes()) else {
+            return Answer::ConfigurationError.status();
+        };
         let entry = Entry::new(base, configuration.version, Arc::from(body.as_bytes()));
         match self.register.judge(entry.change(), &Pending::new()) {
-            Verdict::Take => self.register.apply(&entry).answer().status(),
+            Verdict::Accept => self.register.apply(&entry).answer().status(),
             verdict => verdict.answer().map_or(503, Answer::status),
         }
     }
@@ -67,7 +69,7 @@
 #[case::stale_match_of_the_current_body(0, valid("5"), 412)]
 #[case::never_current(4, valid("7"), 412)]
 #[case::shared_key(5, valid("7").replacen(r#""name":"r-1""#, r#""name":"r-1","name":"r-2""#, 1), 400)]
-fn given_a_bad_change_when_sent_then_it_is_refused_and_nothing_changes(
+fn given_an_invalid_change_when_sent_then_it_is_rejected_and_nothing_changes(
     #[case] base: u64,
     #[case] body: String,
     #[case] status: u16,
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn given_a_taken_change_when_sent_again_then_it_is_acknowledged_also_after_later_ones() {
+fn given_an_accepted_change_when_sent_again_then_it_is_acknowledged_also_after_later_ones() {
     let mut catalog = Catalog::at_version_5();
     assert_eq!(catalog.replace(5, &valid("90")), 200);
 
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn given_a_body_in_the_senders_own_layout_when_taken_then_it_is_kept_byte_for_byte() {
+fn given_a_body_in_the_senders_own_layout_when_accepted_then_it_is_kept_byte_for_byte() {
     let odd = plain().replace(':', " :\t").replace("/one/", "/\\u006fne/");
     let mut catalog = Catalog::default();
 
@@ -125,6 +127,6 @@
 
     let loser = Entry::new(5, 8, Arc::from(valid("8").as_bytes()));
 
-    assert_eq!(catalog.register.apply(&loser), Applied::LostRace);
-    assert_eq!(Applied::LostRace.answer().status(), 412);
+    assert_eq!(catalog.register.apply(&loser), Applied::Conflict);
+    assert_eq!(Applied::Conflict.answer().status(), 412);
 }
--- a/crates/configuration/tests/register.rs
+++ b/crates/configuration/tests/register.rs
@@ -15,11 +15,11 @@
     Entry::new(base, version, Arc::from(body.as_bytes()))
 }
 
-/// A register after the entries, each of which is taken.
+/// A register after the entries, each of which is accepted.
 fn register(entries: &[Entry]) -> ConfigurationRegister {
     let mut register = ConfigurationRegister::new();
     for entry in entries {
-        assert_eq!(register.apply(entry), Applied::Taken);
+        assert_eq!(register.apply(entry), Applied::Accepted);
     }
     register
 }
@@ -35,33 +35,33 @@
 }
 
 #[test]
-fn given_an_empty_register_when_the_first_change_comes_then_it_is_taken_on_base_0() {
+fn given_an_empty_register_when_the_first_change_comes_then_it_is_accepted_on_base_0() {
     let mut register = ConfigurationRegister::new();
     let first = entry(0, 3, "first");
     assert_eq!((register.version(), register.body().len()), (0, 0));
 
-    assert_eq!(judge(&register, &first), Verdict::Take);
-    assert_eq!(register.apply(&first), Applied::Taken);
+    assert_eq!(judge(&register, &first), Verdict::Accept);
+    assert_eq!(register.apply(&first), Applied::Accepted);
 
     assert_eq!((register.version(), register.body().as_ref()), (3, b"first".as_slice()));
 }
 
 #[rstest]
-#[case::next(5, 9, "new", Verdict::Take)]
-#[case::uneven_step(5, 4000, "new", Verdict::Take)]
-#[case::the_same_again(3, 5, "second", Verdict::AlreadyTaken)]
-#[case::an_older_one_again(0, 3, "first", Verdict::AlreadyTaken)]
-#[case::same_version_other_body(3, 5, "other", Verdict::OtherVersionIsCurrent)]
-#[case::same_body_other_base(0, 5, "second", Verdict::OtherVersionIsCurrent)]
-#[case::same_body_on_itself(5, 5, "second", Verdict::NotAbove)]
-#[case::same_body_higher_version(3, 6, "second", Verdict::OtherVersionIsCurrent)]
-#[case::not_above(5, 4, "new", Verdict::NotAbove)]
-#[case::zero(5, 0, "new", Verdict::NotAbove)]
-#[case::old_base(3, 9, "new", Verdict::OtherVersionIsCurrent)]
-#[case::between(4, 9, "new", Verdict::OtherVersionIsCurrent)]
-#[case::base_0(0, 9, "new", Verdict::OtherVersionIsCurrent)]
-#[case::base_ahead(6, 9, "new", Verdict::OtherVersionIsCurrent)]
-#[case::base_ahead_not_above(9, 7, "new", Verdict::OtherVersionIsCurrent)]
+#[case::next(5, 9, "new", Verdict::Accept)]
+#[case::uneven_step(5, 4000, "new", Verdict::Accept)]
+#[case::the_same_again(3, 5, "second", Verdict::AlreadyAccepted)]
+#[case::an_older_one_again(0, 3, "first", Verdict::AlreadyAccepted)]
+#[case::same_version_other_body(3, 5, "other", Verdict::VersionMismatch)]
+#[case::same_body_other_base(0, 5, "second", Verdict::VersionMismatch)]
+#[case::same_body_on_itself(5, 5, "second", Verdict::VersionNotAbove)]
+#[case::same_body_higher_version(3, 6, "second", Verdict::VersionMismatch)]
+#[case::not_above(5, 4, "new", Verdict::VersionNotAbove)]
+#[case::zero(5, 0, "new", Verdict::VersionNotAbove)]
+#[case::old_base(3, 9, "new", Verdict::VersionMismatch)]
+#[case::between(4, 9, "new", Verdict::VersionMismatch)]
+#[case::base_0(0, 9, "new", Verdict::VersionMismatch)]
+#[case::base_ahead(6, 9, "new", Verdict::VersionMismatch)]
+#[case::base_ahead_not_above(9, 7, "new", Verdict::VersionMismatch)]
 fn given_versions_3_and_5_when_a_change_comes_then_it_is_judged(
     #[case] base: u64,
     #[case] version: u64,
@@ -73,9 +73,9 @@
 
     assert_eq!(judge(&register, &change), verdict);
     let applied = match verdict {
-        Verdict::Take => Applied::Taken,
-        Verdict::AlreadyTaken => Applied::AlreadyTaken,
-        _ => Applied::LostRace,
+        Verdict::Accept => Applied::Accepted,
+        Verdict::AlreadyAccepted => Applied::AlreadyAccepted,
+        _ => Applied::Conflict,
     };
     assert_eq!(register.apply(&change), applied, "what is applied agrees with the verdict");
 }
@@ -84,10 +84,10 @@
 #[case::on_the_same_base(5, 9, "new", Verdict::Undecided)]
 #[case::the_same(5, 7, "pending", Verdict::Undecided)]
 #[case::on_the_pending_version(7, 9, "new", Verdict::Undecided)]
-#[case::old_base(3, 9, "new", Verdict::OtherVersionIsCurrent)]
-#[case::taken_before(3, 5, "second", Verdict::AlreadyTaken)]
-#[case::not_above(5, 5, "new", Verdict::NotAbove)]
-fn given_a_change_under_way_when_another_comes_then_only_what_is_committed_decides(
+#[case::old_base(3, 9, "new", Verdict::VersionMismatch)]
+#[case::taken_before(3, 5, "second", Verdict::AlreadyAccepted)]
+#[case::not_above(5, 5, "new", Verdict::VersionNotAbove)]
+fn given_a_pending_change_when_another_comes_then_only_what_is_committed_decides(
     #[case] base: u64,
     #[case] version: u64,
     #[case] body: &str,
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn given_a_change_under_way_when_it_is_applied_then_those_that_waited_are_decided() {
+fn given_a_pending_change_when_it_is_applied_then_those_that_waited_are_decided() {
     let mut register = register(&[entry(0, 3, "first")]);
     let (winner, loser) = (entry(3, 7, "winner"), entry(3, 8, "loser"));
     let mut pending = pending(&winner);
@@ -110,12 +110,12 @@
     pending.applied(winner.change());
 
     assert!(pending.is_empty());
-    assert_eq!(register.judge(winner.change(), &pending), Verdict::AlreadyTaken);
-    assert_eq!(register.judge(loser.change(), &pending), Verdict::OtherVersionIsCurrent);
+    assert_eq!(register.judge(winner.change(), &pending), Verdict::AlreadyAccepted);
+    assert_eq!(register.judge(loser.change(), &pending), Verdict::VersionMismatch);
 }
 
 #[test]
-fn given_a_change_under_way_when_the_leadership_is_lost_then_nothing_is_under_way() {
+fn given_a_pending_change_when_the_leadership_is_lost_then_nothing_is_pending() {
     let mut pending = pending(&entry(3, 7, "one"));
     pending.propose(*entry(3, 8, "two").change());
 
@@ -130,15 +130,15 @@
 fn given_two_changes_on_one_base_both_in_the_log_when_applied_then_the_first_wins() {
     let mut register = register(&[entry(0, 3, "first")]);
 
-    assert_eq!(register.apply(&entry(3, 8, "one")), Applied::Taken);
-    assert_eq!(register.apply(&entry(3, 9, "two")), Applied::LostRace);
-    assert_eq!(register.apply(&entry(3, 8, "one")), Applied::AlreadyTaken);
-    assert_eq!(register.apply(&entry(3, 8, "two")), Applied::LostRace, "the same version with another body");
+    assert_eq!(register.apply(&entry(3, 8, "one")), Applied::Accepted);
+    assert_eq!(register.apply(&entry(3, 9, "two")), Applied::Conflict);
+    assert_eq!(register.apply(&entry(3, 8, "one")), Applied::AlreadyAccepted);
+    assert_eq!(register.apply(&entry(3, 8, "two")), Applied::Conflict, "the same version with another body");
 
     assert_eq!((register.version(), register.body().as_ref()), (8, b"one".as_slice()));
 }
 
-/// A register that has taken one change more than it remembers: versions 3, 6, 9 and so on.
+/// A register that has accepted one change more than it remembers: versions 3, 6, 9 and so on.
 fn register_that_forgot_one() -> (ConfigurationRegister, Vec<Entry>) {
     let count = MAX_HISTORY as u64 + 1;
     let entries: Vec<Entry> = (0..count).map(|index| entry(index * 3, (index + 1) * 3, "body")).collect();
@@ -146,25 +146,26 @@
 }
 
 #[test]
-fn given_more_changes_than_are_remembered_when_an_old_one_comes_again_then_it_is_neither_refused_nor_taken() {
+fn given_more_changes_than_the_history_holds_when_an_old_one_comes_again_then_it_is_neither_rejected_nor_accepted()
+ {
     let (mut register, entries) = register_that_forgot_one();
 
     assert_eq!(register.history().count(), MAX_HISTORY);
-    assert_eq!(judge(&register, &entries[1]), Verdict::AlreadyTaken, "the oldest that is remembered");
-    assert_eq!(judge(&register, &entries[0]), Verdict::TooOld);
+    assert_eq!(judge(&register, &entries[1]), Verdict::AlreadyAccepted, "the oldest that is remembered");
+    assert_eq!(judge(&register, &entries[0]), Verdict::OlderThanHistory);
     assert_eq!(judge(&register, &entries[0]).answer(), None);
-    assert_eq!(register.apply(&entries[0]), Applied::LostRace);
+    assert_eq!(register.apply(&entries[0]), Applied::Conflict);
     assert_eq!(register.version(), (MAX_HISTORY as u64 + 1) * 3);
 }
 
 #[rstest]
-#[case::below_what_is_remembered(0, 2, Verdict::TooOld)]
-#[case::the_forgotten_number_with_another_body(0, 3, Verdict::TooOld)]
-#[case::that_can_never_have_been_taken(3, 3, Verdict::OtherVersionIsCurrent)]
-#[case::between_two_that_are_remembered(3, 5, Verdict::OtherVersionIsCurrent)]
-#[case::a_remembered_number_with_another_body(3, 6, Verdict::OtherVersionIsCurrent)]
-#[case::a_forgotten_base_and_a_later_number(0, 4, Verdict::OtherVersionIsCurrent)]
-fn given_a_forgotten_change_when_another_one_comes_then_it_is_refused_if_it_was_surely_not_taken(
+#[case::below_what_is_remembered(0, 2, Verdict::OlderThanHistory)]
+#[case::the_forgotten_number_with_another_body(0, 3, Verdict::OlderThanHistory)]
+#[case::that_can_never_have_been_taken(3, 3, Verdict::VersionMismatch)]
+#[case::between_two_that_are_remembered(3, 5, Verdict::VersionMismatch)]
+#[case::a_remembered_number_with_another_body(3, 6, Verdict::VersionMismatch)]
+#[case::a_forgotten_base_and_a_later_number(0, 4, Verdict::VersionMismatch)]
+fn given_a_change_older_than_the_history_when_another_one_comes_then_it_is_rejected_if_it_was_certainly_not_accepted(
     #[case] base: u64,
     #[case] version: u64,
     #[case] verdict: Verdict,
@@ -175,19 +176,19 @@
 }
 
 #[test]
-fn given_a_register_that_remembers_all_when_an_old_change_comes_then_it_is_refused() {
+fn given_a_complete_history_when_an_old_change_comes_then_it_is_rejected() {
     let register = register(&[entry(0, 3, "first"), entry(3, 5, "second")]);
 
-    assert_eq!(judge(&register, &entry(0, 2, "other")), Verdict::OtherVersionIsCurrent);
+    assert_eq!(judge(&register, &entry(0, 2, "other")), Verdict::VersionMismatch);
 }
 
 #[rstest]
-#[case(Verdict::AlreadyTaken, Some(200))]
-#[case(Verdict::OtherVersionIsCurrent, Some(412))]
-#[case(Verdict::NotAbove, Some(400))]
-#[case(Verdict::Take, None)]
+#[case(Verdict::AlreadyAccepted, Some(200))]
+#[case(Verdict::VersionMismatch, Some(412))]
+#[case(Verdict::VersionNotAbove, Some(400))]
+#[case(Verdict::Accept, None)]
 #[case(Verdict::Undecided, None)]
-#[case(Verdict::TooOld, None)]
+#[case(Verdict::OlderThanHistory, None)]
 fn given_a_verdict_when_answered_then_it_has_its_status(
     #[case] verdict: Verdict,
     #[case] status: Option<u16>,
@@ -196,9 +197,9 @@
 }
 
 #[rstest]
-#[case(Applied::Taken, 200)]
-#[case(Applied::AlreadyTaken, 200)]
-#[case(Applied::LostRace, 412)]
+#[case(Applied::Accepted, 200)]
+#[case(Applied::AlreadyAccepted, 200)]
+#[case(Applied::Conflict, 412)]
 fn given_an_outcome_when_answered_then_it_has_its_status(#[case] applied: Applied, #[case] status: u16) {
     assert_eq!(applied.answer().status(), status);
 }
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn given_an_entry_cut_or_changed_anywhere_when_decoded_then_it_is_refused_or_another_change() {
+fn given_an_entry_cut_or_changed_anywhere_when_decoded_then_it_is_rejected_or_another_change() {
     let whole = entry(5, 7, "body of the change");
     let bytes = whole.encode();
     for length in 0..bytes.len() {
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn given_bytes_that_are_no_entry_when_decoded_then_the_reason_is_told() {
+fn given_invalid_bytes_when_decoded_then_the_error_names_the_reason() {
     let bytes = entry(5, 7, "body").encode();
     let mut format = bytes.clone();
     format[0] = 9;
@@ -252,7 +253,7 @@
 }
 
 #[test]
-fn given_a_snapshot_cut_or_changed_when_decoded_then_it_is_refused() {
+fn given_a_snapshot_cut_or_changed_when_decoded_then_it_is_rejected() {
     let bytes = register(&[entry(0, 3, "first"), entry(3, 9, "second")]).encode();
     for length in 0..bytes.len() {
         assert!(ConfigurationRegister::decode(&bytes[..length]).is_err(), "cut at {length}");
@@ -276,10 +277,10 @@
 }
 
 #[test]
-fn given_a_snapshot_with_more_changes_than_are_remembered_when_decoded_then_it_is_refused() {
+fn given_a_snapshot_with_more_changes_than_the_history_holds_when_decoded_then_it_is_rejected() {
     let entries: Vec<Entry> = (1..=MAX_HISTORY as u64).map(|base| entry(base, base + 1, "body")).collect();
     let mut register = register(&[entry(0, 1, "body")]);
-    entries.iter().for_each(|entry| assert_eq!(register.apply(entry), Applied::Taken));
+    entries.iter().for_each(|entry| assert_eq!(register.apply(entry), Applied::Accepted));
     let full = register.encode();
     assert_eq!(ConfigurationRegister::decode(&full), Ok(register));
 
@@ -292,7 +293,7 @@
 }
 
 #[test]
-fn given_an_empty_snapshot_with_a_body_when_decoded_then_it_is_refused() {
+fn given_an_empty_snapshot_with_a_body_when_decoded_then_it_is_rejected() {
     let mut bytes = ConfigurationRegister::new().encode();
     bytes.push(b'x');
 
@@ -355,14 +356,17 @@
     fn call(&mut self, leader: usize, entry: Entry) {
         let leader = &mut self.leaders[leader];
         match leader.register.judge(entry.change(), &leader.pending) {
-            Verdict::Take => {
+            Verdict::Accept => {
                 leader.pending.propose(*entry.change());
                 leader.proposals.push(entry);
             }
-            Verdict::AlreadyTaken => {
+            Verdict::AlreadyAccepted => {
                 self.acknowledged.insert(*entry.change());
             }
-            Verdict::OtherVersionIsCurrent | Verdict::TooOld | Verdict::NotAbove | Verdict::Undecided => {}
+            Verdict::VersionMismatch
+            | Verdict::OlderThanHistory
+            | Verdict::VersionNotAbove
+            | Verdict::Undecided => {}
         }
     }
 
@@ -404,7 +408,7 @@
         for change in &self.acknowledged {
             assert_eq!(successors.insert(change.base, change), None, "two changes on one base");
             for leader in &self.leaders {
-                assert_eq!(leader.register.judge(change, &leader.pending), Verdict::AlreadyTaken);
+                assert_eq!(leader.register.judge(change, &leader.pending), Verdict::AlreadyAccepted);
             }
         }
         assert_eq!(self.leaders[0].register, self.leaders[1].register);
@@ -425,7 +429,7 @@
     #![proptest_config(seeded())]
 
     #[test]
-    fn given_two_leaders_over_one_log_when_calls_and_commits_mix_then_one_change_is_taken_for_each_base(
+    fn given_two_leaders_over_one_log_when_calls_and_commits_mix_then_one_change_is_accepted_for_each_base(
         steps in proptest::collection::vec(any_step(), 1..120),
     ) {
         let mut fleet = Fleet::default();
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -12,10 +12,10 @@
 use proptest::test_runner::RngSeed;
 use rstest::rstest;
 
-fn table(places: &[(&str, &str)]) -> RouteTable {
+fn table(nodes: &[(&str, &str)]) -> RouteTable {
     let named =
         |(index, (host, prefix)): (usize, &(&str, &str))| route(&index.to_string(), host, prefix, "alpha");
-    let routes: Vec<String> = places.iter().enumerate().map(named).collect();
+    let routes: Vec<String> = nodes.iter().enumerate().map(named).collect();
     let read = Configuration::read(body("1", &routes, &services()).as_bytes()).expect("is valid");
     RouteTable::new(Arc::new(read))
 }
@@ -114,8 +114,8 @@
         prefixes in proptest::collection::btree_set("/([ab/-]{0,6}/)?", 1..40),
         paths in proptest::collection::vec("/[ab/?-]{0,9}", 1..40),
     ) {
-        let places: Vec<(&str, &str)> = prefixes.iter().map(|prefix| ("h", prefix.as_str())).collect();
-        let table = table(&places);
+        let nodes: Vec<(&str, &str)> = prefixes.iter().map(|prefix| ("h", prefix.as_str())).collect();
+        let table = table(&nodes);
         for path in &paths {
             let bare = path.split('?').next().unwrap_or_default();
             let longest = prefixes.iter().filter(|prefix| bare.starts_with(prefix.as_str())).max_by_key(|p| p.len());
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn given_weights_of_zero_when_picked_then_those_services_are_never_taken() {
+fn given_weights_of_zero_when_picked_then_those_services_are_never_picked() {
     let split = split(&[("first", 0.0), ("alpha", 0.1), ("middle", 0.0), ("beta", 0.2), ("last", 0.0)])
         .expect("a weight");
 
@@ -185,8 +185,8 @@
 #[test]
 fn given_thousands_of_nested_prefixes_when_looked_up_then_the_nearest_ancestor_is_found() {
     let prefixes: Vec<String> = (1..400).map(|depth| format!("/{}", "a/".repeat(depth))).collect();
-    let places: Vec<(&str, &str)> = prefixes.iter().map(|prefix| ("h", prefix.as_str())).collect();
-    let table = table(&places);
+    let nodes: Vec<(&str, &str)> = prefixes.iter().map(|prefix| ("h", prefix.as_str())).collect();
+    let table = table(&nodes);
 
     assert_eq!(found(&table, "h", &format!("{}b", prefixes[200])), Some(prefixes[200].clone()));
     assert_eq!(found(&table, "h", &format!("{}a/a/b", prefixes[398])), Some(prefixes[398].clone()));
--- a/crates/configuration/tests/settings.rs
+++ b/crates/configuration/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process is read whole, or refused by the name of its wrong field.
+//! The settings file of a process is read whole, or rejected by the name of its wrong field.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 use grebeusher_configuration::settings::{
     Bounds, Contract, MachineClass, ServedRole, Settings, SettingsError,
 };
-use grebeusher_configuration::{FieldError, Unreadable};
+use grebeusher_configuration::{FieldError, JsonError};
 use rstest::rstest;
 
 const EDGE: &str = r#"{
@@ -29,7 +29,7 @@
     text.parse().expect("an address")
 }
 
-fn refusal(text: &str) -> SettingsError {
+fn error(text: &str) -> SettingsError {
     Settings::read(text).expect_err("is refused")
 }
 
@@ -132,7 +132,7 @@
     assert!(LEAST.contains(field), "the case changes something");
 
     let source = FieldError { path: path.to_owned(), expected };
-    assert_eq!(refusal(&LEAST.replacen(field, "", 1)), SettingsError::Field { source });
+    assert_eq!(error(&LEAST.replacen(field, "", 1)), SettingsError::Field { source });
 }
 
 #[rstest]
@@ -247,18 +247,18 @@
 ) {
     assert!(EDGE.contains(from), "the case changes something");
 
-    assert_eq!(refusal(&EDGE.replacen(from, to, 1)).to_string(), line);
+    assert_eq!(error(&EDGE.replacen(from, to, 1)).to_string(), line);
 }
 
 #[rstest]
-#[case::empty("", Unreadable::NotJson)]
-#[case::cut(&EDGE[..EDGE.len() - 3], Unreadable::NotJson)]
-#[case::deep(&"[".repeat(1_000_000), Unreadable::TooDeep)]
-fn given_text_that_is_not_json_when_read_then_it_is_refused(#[case] text: &str, #[case] source: Unreadable) {
-    assert_eq!(refusal(text), SettingsError::Text { source });
+#[case::empty("", JsonError::NotJson)]
+#[case::cut(&EDGE[..EDGE.len() - 3], JsonError::NotJson)]
+#[case::deep(&"[".repeat(1_000_000), JsonError::TooDeep)]
+fn given_text_that_is_not_json_when_read_then_it_is_rejected(#[case] text: &str, #[case] source: JsonError) {
+    assert_eq!(error(text), SettingsError::Text { source });
 }
 
 #[test]
-fn given_a_root_that_is_no_object_when_read_then_it_is_refused() {
-    assert_eq!(refusal("[]").to_string(), "settings: the root: expected an object");
+fn given_a_root_that_is_not_an_object_when_read_then_it_is_rejected() {
+    assert_eq!(error("[]").to_string(), "settings: the root: expected an object");
 }
--- a/crates/configuration/tests/stable_bytes.rs
+++ b/crates/configuration/tests/stable_bytes.rs
@@ -60,23 +60,23 @@
 }
 
 #[test]
-fn what_is_no_entry_is_refused_by_one_line() {
-    let refusal = |bytes: &[u8]| Entry::decode(bytes).expect_err("is refused").to_string();
-    assert_eq!(refusal(&[&[2], &ENTRY[1..]].concat()), "an entry of format 2 instead of 1");
-    assert_eq!(refusal(&ENTRY[..32]), "an entry can't have 32 bytes");
-    assert_eq!(refusal(&ENTRY[..ENTRY.len() - 1]), "the body of version 7 is damaged");
+fn an_invalid_entry_is_rejected_by_one_line() {
+    let error = |bytes: &[u8]| Entry::decode(bytes).expect_err("is refused").to_string();
+    assert_eq!(error(&[&[2], &ENTRY[1..]].concat()), "an entry of format 2 instead of 1");
+    assert_eq!(error(&ENTRY[..32]), "an entry can't have 32 bytes");
+    assert_eq!(error(&ENTRY[..ENTRY.len() - 1]), "the body of version 7 is damaged");
 }
 
 #[test]
-fn what_is_no_snapshot_is_refused_by_one_line() {
-    let refusal = |bytes: &[u8]| ConfigurationRegister::decode(bytes).expect_err("is refused").to_string();
-    assert_eq!(refusal(&[&[2], &TWO_CHANGES[1..]].concat()), "a snapshot of format 2 instead of 1");
-    assert_eq!(refusal(&TWO_CHANGES[..40]), "a snapshot can't have 40 bytes");
+fn an_invalid_snapshot_is_rejected_by_one_line() {
+    let error = |bytes: &[u8]| ConfigurationRegister::decode(bytes).expect_err("is refused").to_string();
+    assert_eq!(error(&[&[2], &TWO_CHANGES[1..]].concat()), "a snapshot of format 2 instead of 1");
+    assert_eq!(error(&TWO_CHANGES[..40]), "a snapshot can't have 40 bytes");
     assert_eq!(
-        refusal(&TWO_CHANGES[..TWO_CHANGES.len() - 1]),
+        error(&TWO_CHANGES[..TWO_CHANGES.len() - 1]),
         "the body of the snapshot at version 7 is damaged"
     );
     let mut broken = TWO_CHANGES.to_vec();
     broken[37] = 4;
-    assert_eq!(refusal(&broken), "the history of the snapshot is broken at version 7");
+    assert_eq!(error(&broken), "the history of the snapshot is broken at version 7");
 }
--- a/crates/configuration/tests/stable_words.rs
+++ b/crates/configuration/tests/stable_words.rs
@@ -48,7 +48,7 @@
 
 /// What comes of a text in which one key is misspelt.
 enum Misspelt<T: 'static> {
-    /// The text is refused by this line.
+    /// The text is rejected by this line.
     Refused(&'static str),
     /// The text is read as if the key were not there.
     Default(fn(&mut T)),
@@ -162,7 +162,7 @@
     ("route_table[0].max_attempts", Takes(|read| read.routes[0].max_attempts = 1), AMOUNT),
     ("route_table[0].session_affinity", Takes(|read| read.routes[0].session_affinity = false), FLAG),
     ("route_table[0].resumable", Takes(|read| read.routes[0].resumable = false), FLAG),
-    ("route_table[0].gap_aim_ms", Takes(|read| read.routes[0].gap_aim_ms = None), AMOUNT),
+    ("route_table[0].gap_aim_ms", Takes(|read| read.routes[0].event_gap_target_ms = None), AMOUNT),
     ("route_table[0].completion_target_ms", Takes(|read| read.routes[0].completion_target_ms = None), AMOUNT),
     ("route_table[0].retention_s", Takes(|read| read.routes[0].retention_s = None), AMOUNT),
     ("route_table[0].queue_token_limit", Takes(|read| read.routes[0].queue_token_limit = 0), AMOUNT),
@@ -285,8 +285,8 @@
 
 /// The paths without the places in lists.
 fn words<'a>(paths: impl Iterator<Item = &'a str>) -> BTreeSet<String> {
-    let places = |path: &str| path.replace("[0]", "[]").replace("[1]", "[]");
-    paths.map(places).collect()
+    let nodes = |path: &str| path.replace("[0]", "[]").replace("[1]", "[]");
+    paths.map(nodes).collect()
 }
 
 fn settings() -> Settings {
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn whole_settings_are_read_key_by_key() {
+fn complete_settings_are_read_key_by_key() {
     let Settings {
         node_name,
         role,
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn a_whole_configuration_is_read_key_by_key() {
+fn a_complete_configuration_is_read_key_by_key() {
     let expected = Configuration {
         version: 7,
         routes: vec![
@@ -471,7 +471,7 @@
                 max_attempts: 4,
                 session_affinity: true,
                 resumable: true,
-                gap_aim_ms: Some(250),
+                event_gap_target_ms: Some(250),
                 completion_target_ms: Some(10_000),
                 retention_s: Some(22.5),
                 queue_token_limit: 1400,
@@ -488,7 +488,7 @@
                 max_attempts: 1,
                 session_affinity: false,
                 resumable: false,
-                gap_aim_ms: None,
+                event_gap_target_ms: None,
                 completion_target_ms: None,
                 retention_s: None,
                 queue_token_limit: 0,
@@ -643,7 +643,7 @@
 #[case::ip(&replaced(SETTINGS, r#""10.7.0.35","#, r#""10.7.0","#), "settings: ip_address: expected an IPv4 address")]
 #[case::list(&replaced(SETTINGS, r#"["base"]"#, "[7]"), "settings: contracts[0]: expected a text that is not empty")]
 #[case::zone(&replaced(SETTINGS, r#"{"north": "coast"}"#, r#"{"north": 7}"#), "settings: zones.north: expected a text that is not empty")]
-fn settings_that_are_wrong_otherwise_are_refused_by_one_line(#[case] text: &str, #[case] line: &str) {
+fn other_invalid_settings_are_rejected_by_one_line(#[case] text: &str, #[case] line: &str) {
     assert_eq!(settings_line(text), line);
 }
 
@@ -663,7 +663,7 @@
 )]
 #[case::same_place("/coot/", "/heron/", "two routes have the host pond.example and the prefix /heron/")]
 #[case::service_twice("{\"name\": \"sedge\"}", "{\"name\": \"reed\"}", "service_list holds reed twice")]
-fn a_configuration_that_is_wrong_otherwise_is_refused_by_one_line(
+fn another_invalid_configuration_is_rejected_by_one_line(
     #[case] from: &str,
     #[case] to: &str,
     #[case] line: &str,
@@ -672,25 +672,25 @@
 }
 
 #[test]
-fn a_configuration_that_is_no_text_is_refused_by_one_line() {
+fn a_configuration_that_is_not_utf8_is_rejected_by_one_line() {
     assert_eq!(configuration_line("{"), "body: not JSON");
-    let refusal = |body: &[u8]| Configuration::read(body).expect_err("is refused").to_string();
-    assert_eq!(refusal(b"\xff"), "body: not UTF-8");
-    assert_eq!(refusal(&vec![b' '; (8 << 20) + 1]), "the body has 8388609 bytes, more than 8388608");
+    let error = |body: &[u8]| Configuration::read(body).expect_err("is refused").to_string();
+    assert_eq!(error(b"\xff"), "body: not UTF-8");
+    assert_eq!(error(&vec![b' '; (8 << 20) + 1]), "the body has 8388609 bytes, more than 8388608");
 }
 
 /// The status of each answer. An answer that is added needs its own here.
 fn stable_status(answer: Answer) -> u16 {
     match answer {
         Answer::Acknowledged => 200,
-        Answer::OtherVersion => 412,
-        Answer::Invalid => 400,
+        Answer::VersionMismatch => 412,
+        Answer::ConfigurationError => 400,
     }
 }
 
 #[rstest]
 fn the_statuses_of_answers_to_a_change_stay(
-    #[values(Answer::Acknowledged, Answer::OtherVersion, Answer::Invalid)] answer: Answer,
+    #[values(Answer::Acknowledged, Answer::VersionMismatch, Answer::ConfigurationError)] answer: Answer,
 ) {
     assert_eq!(answer.status(), stable_status(answer));
 }
--- a/crates/tier/src/configuration_partition.rs
+++ b/crates/tier/src/configuration_partition.rs
@@ -90,7 +90,7 @@
         let Application::Configuration(partition) = &mut host.application else { return };
         let verdict = partition.register.judge(&change, &partition.pending);
         match verdict {
-            Verdict::Take => {
+            Verdict::Accept => {
                 partition.pending.propose(change);
                 let entry = Entry::new(base, configuration.version, Arc::from(body));
                 if host.propose(now, entry.encode(), Some(waiter)).is_none() {
--- a/crates/tier/src/exchange.rs
+++ b/crates/tier/src/exchange.rs
@@ -20,12 +20,12 @@
 const MIN_TIME: Duration = Duration::from_millis(3);
 /// An idempotent request is sent to another executor after this many objectives without a byte.
 const SILENT_OBJECTIVES: f64 = 4.0;
-/// It is never taken for silent sooner than this.
+/// It is never accepted for silent sooner than this.
 const MIN_SILENCE: Duration = Duration::from_millis(900);
 /// A resumable stream that pauses for this many of its aims for pauses goes on at another executor: the client gives it
 /// up after eight of them.
 const SILENT_PAUSES: f64 = 3.0;
-/// A pause is never taken for silence sooner than this.
+/// A pause is never accepted for silence sooner than this.
 const MIN_PAUSE: Duration = Duration::from_millis(700);
 /// What a client is told to wait where nothing better is known (seconds).
 const RETRY_AFTER_S: &str = "0.2";
@@ -38,7 +38,7 @@
     pub body: Vec<u8>,
 }
 
-/// The attempt that is under way.
+/// The attempt that is pending.
 struct Attempt {
     connection: usize,
     flight: AttemptToken,
@@ -49,7 +49,7 @@
     /// An answer that is held until it is whole.
     held: Option<HeldAnswer>,
     /// The executor says that it did not run the request.
-    refusal: Option<Outcome>,
+    error: Option<Outcome>,
 }
 
 struct HeldAnswer {
@@ -61,7 +61,7 @@
 /// One exchange of a life of the process: its place, and a serial that no other exchange has, as places are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExchangeKey {
-    place: usize,
+    node: usize,
     serial: u64,
 }
 
@@ -106,7 +106,7 @@
     /// How long an attempt may be silent before the request goes to another executor.
     fn silence_borne(&self) -> Duration {
         let begun = self.attempt.as_ref().is_some_and(|attempt| attempt.head_seen);
-        match self.route.gap_aim_ms {
+        match self.route.event_gap_target_ms {
             Some(gap_ms) if begun => MIN_PAUSE.max(Duration::from_millis(gap_ms).scaled(SILENT_PAUSES)),
             _ => {
                 MIN_SILENCE.max(Duration::from_millis(self.route.target_latency_ms).scaled(SILENT_OBJECTIVES))
@@ -194,7 +194,7 @@
         exchange.begun += 1;
         let bytes = executor_request(exchange, &candidate.target, now);
         let attempt_id = exchange.request.head.headers.get(names::ATTEMPT_ID).unwrap_or_default().to_owned();
-        let leader = CallLeader::Exchange(ExchangeKey { place: index, serial: exchange.serial });
+        let leader = CallLeader::Exchange(ExchangeKey { node: index, serial: exchange.serial });
         match self.start_call(leader, &candidate.target, &attempt_id, &bytes) {
             Ok(connection) => {
                 let attempt = Attempt {
@@ -204,7 +204,7 @@
                     heard: now,
                     head_seen: false,
                     held: None,
-                    refusal: None,
+                    error: None,
                 };
                 self.exchanges[index].attempt = Some(attempt);
                 self.watch_for_silence(index);
@@ -231,7 +231,7 @@
 
     /// Something came back from the executor.
     pub fn exchange_event(&mut self, key: ExchangeKey, event: UpstreamEvent<'_>) {
-        let index = key.place;
+        let index = key.node;
         if self.exchanges.get(index).is_none_or(|exchange| exchange.serial != key.serial) {
             return;
         }
@@ -253,11 +253,11 @@
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
         self.routing.gateway.head(now, attempt.flight, load);
         if status == 421 {
-            attempt.refusal = Some(Outcome::Misdirected);
+            attempt.error = Some(Outcome::Misdirected);
             return;
         }
         if headers.get(names::NOT_EXECUTED).is_some() {
-            attempt.refusal = Some(Outcome::NotExecuted);
+            attempt.error = Some(Outcome::NotExecuted);
             return;
         }
         let success = (200..300).contains(&status);
@@ -286,7 +286,7 @@
         let now = self.now;
         let exchange = &mut self.exchanges[index];
         let Some(attempt) = &mut exchange.attempt else { return };
-        if attempt.refusal.is_some() {
+        if attempt.error.is_some() {
             return;
         }
         attempt.heard = now;
@@ -311,8 +311,8 @@
         let now = self.now;
         let exchange = &mut self.exchanges[index];
         let Some(attempt) = exchange.attempt.take() else { return };
-        let outcome = match attempt.refusal {
-            Some(refusal) => refusal,
+        let outcome = match attempt.error {
+            Some(error) => error,
             None if attempt.status >= 500 => Outcome::AnsweredFailure,
             None if (200..300).contains(&attempt.status) => Outcome::Served,
             None => Outcome::AnsweredOther,
@@ -332,8 +332,8 @@
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.cutter.discard_partial();
         let Some(attempt) = exchange.attempt.take() else { return };
-        let outcome = match attempt.refusal {
-            Some(refusal) => refusal,
+        let outcome = match attempt.error {
+            Some(error) => error,
             None => outcome_of(failure, exchange.streaming, exchange.cutter.can_resume()),
         };
         self.routing.gateway.finished(now, attempt.flight, outcome);
@@ -447,7 +447,7 @@
         }
     }
 
-    /// How many requests are under way.
+    /// How many requests are pending.
     pub fn exchange_count(&self) -> usize {
         self.exchanges.len()
     }
