--- a/crates/node/src/wire/fellows.rs
+++ b/crates/node/src/wire/fellows.rs
@@ -12,7 +12,7 @@
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_maintenance::{self as maintenance, Command, Permission, Permit, Shown, Works, node_name};
-use grebeusher_membership::{Fellow, Host, Membership, Word};
+use grebeusher_membership::{ExecutorObservation, Host, LiveMember, Member, Membership};
 use grebeusher_node_config::fleet;
 use polling::{Event, Poller};
 use serde::Serialize;
@@ -168,7 +168,7 @@
 /// Acts for membership; what it leaves for the loop is taken from there.
 struct Hand {
     post: Rc<Post>,
-    words: Rc<RefCell<Vec<Word>>>,
+    words: Rc<RefCell<Vec<ExecutorObservation>>>,
     newcomers: Rc<RefCell<Vec<u32>>>,
 }
 
@@ -177,8 +177,8 @@
         self.post.say(to, MEMBERSHIP, datagram);
     }
 
-    fn came(&mut self, fellow: Fellow) {
-        let Fellow { address, number, generation } = fellow;
+    fn member_up(&mut self, fellow: Member) {
+        let Member { address, number, generation } = fellow;
         info!(
             fellow = number,
             start = generation,
@@ -192,8 +192,8 @@
         }
     }
 
-    fn went(&mut self, fellow: Fellow) {
-        let Fellow { number, generation, .. } = fellow;
+    fn member_down(&mut self, fellow: Member) {
+        let Member { number, generation, .. } = fellow;
         info!(fellow = number, start = generation, "node {number} is gone, start {generation}");
         self.post.counters.fellows_went.up();
         let mut addresses = self.post.addresses.borrow_mut();
@@ -202,7 +202,7 @@
         }
     }
 
-    fn heard_of(&mut self, word: Word) {
+    fn executor_observed(&mut self, word: ExecutorObservation) {
         self.words.borrow_mut().push(word);
     }
 }
@@ -214,7 +214,7 @@
     clock: Clock,
     own: u32,
     count: u64,
-    words: Rc<RefCell<Vec<Word>>>,
+    words: Rc<RefCell<Vec<ExecutorObservation>>>,
     /// Nodes of which it was heard that they are there, and that have not been told yet what they have missed.
     newcomers: Rc<RefCell<Vec<u32>>>,
     membership: RefCell<Membership<Hand>>,
@@ -279,11 +279,11 @@
             own: (own as u32, posted.known_as.unwrap_or(at)),
             counters: counters.clone(),
         });
-        let words: Rc<RefCell<Vec<Word>>> = Rc::default();
+        let words: Rc<RefCell<Vec<ExecutorObservation>>> = Rc::default();
         let newcomers: Rc<RefCell<Vec<u32>>> = Rc::default();
         let hand = Hand { post: post.clone(), words: words.clone(), newcomers: newcomers.clone() };
         let now = clock.now();
-        let fellow = Fellow { address: post.own.1, number: post.own.0, generation: now.0 / 1_000_000 };
+        let fellow = Member { address: post.own.1, number: post.own.0, generation: now.0 / 1_000_000 };
         let holder = Holder { number: fellow.number, generation: fellow.generation };
         let budgets = fleet.budgets.as_ref();
         let parts = budgets.map(|posted| Parts::new(now, posted, names, holder).map(RefCell::new));
@@ -394,7 +394,7 @@
         let school = school.map(|school| school.asks_at);
         let (tells_at, times) = self.tells_budgets.get();
         let tells = (times > 0).then_some(tells_at);
-        let dues = [self.membership.borrow().next_due(), asks, settles, works, school, tells];
+        let dues = [self.membership.borrow().next_timeout(), asks, settles, works, school, tells];
         dues.into_iter().flatten().min()
     }
 
@@ -486,7 +486,7 @@
     pub fn members(&self) -> Vec<(u32, SocketAddr, u64, u64)> {
         let now = self.clock.now();
         let membership = self.membership.borrow();
-        let member = |(fellow, since): (Fellow, Instant)| {
+        let member = |LiveMember { member: fellow, since }| {
             (fellow.number, fellow.address, fellow.generation, now.since(since).nanos() / 1_000_000)
         };
         let mut members: Vec<_> = membership.members().map(member).collect();
@@ -505,7 +505,7 @@
 
     pub fn due(&self, exchange: &mut Exchange) {
         let now = self.clock.now();
-        self.membership.borrow_mut().due(now);
+        self.membership.borrow_mut().handle_timeout(now);
         if let Some(settling) = &self.settling {
             settling.borrow_mut().due(now);
         }
@@ -535,7 +535,7 @@
     fn hears(&self, datagram: &[u8], exchange: &mut Exchange) {
         self.post.counters.datagrams_came.up();
         let understood = match self.post.frame.inside(datagram) {
-            Some((MEMBERSHIP, body)) => self.membership.borrow_mut().heard(self.clock.now(), body),
+            Some((MEMBERSHIP, body)) => self.membership.borrow_mut().receive(self.clock.now(), body).is_ok(),
             Some((WORD, body)) => match body.split_first_chunk() {
                 Some((from, word)) => {
                     exchange.told(u64::from(u32::from_be_bytes(*from)), word);
@@ -543,7 +543,7 @@
                 }
                 None => false,
             },
-            Some((MISSED, body)) => match postcard::from_bytes::<Vec<Word>>(body) {
+            Some((MISSED, body)) => match postcard::from_bytes::<Vec<ExecutorObservation>>(body) {
                 Ok(missed) => {
                     self.words.borrow_mut().extend(missed);
                     true
@@ -593,7 +593,7 @@
             }
         }
         let words = std::mem::take(&mut *self.words.borrow_mut());
-        for Word { executor, at_ms, gone } in words {
+        for ExecutorObservation { executor, at_ms, gone } in words {
             exchange.heard_of(executor, Instant(at_ms.saturating_mul(1_000_000)), gone);
         }
         self.tells_newcomers(exchange);
@@ -615,9 +615,12 @@
         }
     }
 
-    fn missed(exchange: &Exchange) -> Vec<Word> {
-        let word =
-            |(executor, at, gone): (u64, Instant, bool)| Word { executor, at_ms: at.0 / 1_000_000, gone };
+    fn missed(exchange: &Exchange) -> Vec<ExecutorObservation> {
+        let word = |(executor, at, gone): (u64, Instant, bool)| ExecutorObservation {
+            executor,
+            at_ms: at.0 / 1_000_000,
+            gone,
+        };
         exchange.seen_lately(RECENT).map(word).collect()
     }
 
@@ -629,7 +632,7 @@
             return;
         }
         let membership = self.membership.borrow();
-        let others: Vec<SocketAddr> = membership.members().map(|(fellow, _)| fellow.address).collect();
+        let others: Vec<SocketAddr> = membership.members().map(|live| live.member.address).collect();
         if others.is_empty() {
             return;
         }
@@ -749,7 +752,7 @@
         if self.clock.now().since(at) < RECENT {
             self.membership
                 .borrow_mut()
-                .tells(self.clock.now(), Word { executor, at_ms: at.0 / 1_000_000, gone });
+                .broadcast(self.clock.now(), ExecutorObservation { executor, at_ms: at.0 / 1_000_000, gone });
         }
     }
 }
--- a/crates/node/tests/stable_bytes.rs
+++ b/crates/node/tests/stable_bytes.rs
@@ -7,7 +7,7 @@
     Ask, Command, Moved, Outcome, Permit, Phase, Plan, Seen, Shown, ShownMachine, Stage, Step, View,
     WhenLost, Works, ZoneSeen,
 };
-use grebeusher_membership::Word;
+use grebeusher_membership::ExecutorObservation;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::json;
@@ -289,7 +289,7 @@
     let from = (7u32, nowhere);
     let life = (0x5a5a_5a5a_5a5a_5a00_u64 | 1, 0x77_u64);
     let words = [(0x8c1f_30d2_7a5b_e964_u64, 1_700_000_003_000_u64, true), (7, 1_700_000_004_000, false)]
-        .map(|(executor, at_ms, gone)| Word { executor, at_ms, gone });
+        .map(|(executor, at_ms, gone)| ExecutorObservation { executor, at_ms, gone });
     let moved = Moved { number: 44, what: "s-0 is out".to_owned() };
     // The knock of a node that has just started, in the form of membership.
     let knock = bytes("0120010db80000000000000000000000078a3e0282d095ffbc3100000a0100018a3e000006");
