--- a/crates/registry/src/confirmation.rs
+++ b/crates/registry/src/confirmation.rs
@@ -1,10 +1,10 @@
-//! Drains: a call is acknowledged when every live node has acknowledged what it said, or after a bound; and never before it is
-//! kept by more machines of the core than may be lost.
+//! Confirmed broadcasts of drains: the call of an executor is acknowledged once all live nodes have confirmed its new
+//! state, or at a deadline; and never before more machines of the core have it than may be lost.
 //!
-//! An acknowledgement binds all nodes that are in touch with the core, also those that the node which gives it can't reach
-//! or considers dead: they learn of the drain from a machine of the core that has it. At least one of those that confirmed
-//! is none of the lost ones, and so in touch with them. A node that is partitioned off hears no confirmations and acknowledges
-//! nothing: the executor then calls another node.
+//! An acknowledgement binds all nodes in contact with the core, also those that this node cannot reach or considers
+//! dead: they learn of the drain from a machine of the core. At least one machine that confirmed survives the losses,
+//! and so is in contact with them. An isolated node receives no confirmations and acknowledges nothing: the executor
+//! then calls another node.
 
 use crate::event::{Answer, CallToken};
 use crate::message::{Message, Relay};
@@ -15,10 +15,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// For how long nodes that have not confirmed are told again directly, also after the call was answered.
+/// For how long a broadcast is resent directly to nodes that have not confirmed it, also after the call was answered.
 const RESEND_DURATION: Duration = Duration::from_millis(2_000);
 
-/// Updates that everyone has to confirm.
+/// A relay that all live nodes have to confirm, and the calls that wait for it.
 struct ConfirmedBroadcast {
     relay: Relay,
     outstanding: BTreeSet<SocketAddrV4>,
@@ -28,7 +28,7 @@
     next_retry: Instant,
 }
 
-/// The machines of the core that have some updates.
+/// The machines of the core that have confirmed a broadcast.
 #[derive(Default)]
 struct CoreReplicas {
     machines: BTreeSet<SocketAddrV4>,
@@ -41,7 +41,7 @@
         self.zones.insert(member.zone.clone());
     }
 
-    /// Whether one of them is left, and knows the updates, whatever is lost.
+    /// Whether at least one of them is left after any tolerated losses.
     fn survive(&self, losses: Losses) -> bool {
         self.machines.len() > losses.machines && self.zones.len() > losses.zones
     }
@@ -97,7 +97,7 @@
         completed
     }
 
-    /// Has everyone told of an executor that takes no more requests; the call waits for that.
+    /// Broadcasts that an executor takes no more requests; the call waits for the confirmations.
     pub(crate) fn broadcast_state(&mut self, now: Instant, id: &str, state: ExecutorState) -> Answer {
         let (bound, losses) = (self.timings.confirm_bound, self.losses);
         let broadcasts = &mut self.confirmations.broadcasts;
@@ -137,24 +137,25 @@
         if self.confirmations.broadcasts.is_empty() {
             return;
         }
+        self.resend_broadcasts(now);
+        self.retire_broadcasts();
+    }
+
+    fn resend_broadcasts(&mut self, now: Instant) {
         let live: BTreeSet<SocketAddrV4> =
             self.ring.others().map(|ring_member| ring_member.address).collect();
         let retry = self.timings.confirm_retry;
-        let mut messages = Vec::new();
         for broadcast in &mut self.confirmations.broadcasts {
             broadcast.outstanding.retain(|address| live.contains(address));
             if broadcast.next_retry <= now {
                 broadcast.next_retry = now + retry;
-                messages.extend(
-                    broadcast.outstanding.iter().map(|to| (*to, Message::Relay(broadcast.relay.clone()))),
-                );
+                let resent = |to: &SocketAddrV4| (*to, Message::Relay(broadcast.relay.clone()));
+                self.output.messages.extend(broadcast.outstanding.iter().map(resent));
             }
             if now.since(broadcast.started) > RESEND_DURATION {
                 broadcast.outstanding.clear();
             }
         }
-        self.output.messages.extend(messages);
-        self.retire_broadcasts();
     }
 
     fn flush_broadcasts(&mut self, now: Instant) {
@@ -162,7 +163,7 @@
         let mut batched = std::mem::take(&mut self.confirmations.batched);
         let keys: Vec<Key> = batched.keys().cloned().map(Key::Executor).collect();
         for registers in self.registers_in_messages(&keys) {
-            let ids = registers.iter().filter_map(Register::as_executor).map(|executor| &executor.id);
+            let ids = registers.iter().filter_map(Register::as_executor).map(|executor| &executor.report.id);
             let calls = ids.filter_map(|id| batched.remove(id)).flatten().collect();
             let relay = self.new_relay(true, registers);
             self.forward(&relay);
@@ -184,15 +185,16 @@
         has_disk(member) || (member.class == Class::Edge && !self.members().any(has_disk))
     }
 
-    /// Lets go of what everyone has acknowledged, or was told for long enough, and whose calls were named.
+    /// Drops the broadcasts that nobody has still to confirm and whose calls were all completed.
     fn retire_broadcasts(&mut self) {
         let losses = self.losses;
         let broadcasts = std::mem::take(&mut self.confirmations.broadcasts);
         for broadcast in broadcasts {
             if broadcast.outstanding.is_empty() && broadcast.core_replicas.survive(losses) {
                 let executors = broadcast.relay.registers.iter().filter_map(Register::as_executor);
-                executors
-                    .for_each(|executor| self.executors.set_confirmed_state(&executor.id, executor.state));
+                executors.for_each(|executor| {
+                    self.executors.set_confirmed_state(&executor.report.id, executor.report.state)
+                });
             }
             if !broadcast.outstanding.is_empty() || !broadcast.calls.is_empty() {
                 self.confirmations.broadcasts.push(broadcast);
@@ -214,6 +216,6 @@
 
     fn covers(&self, id: &str, state: ExecutorState) -> bool {
         let mut executors = self.relay.registers.iter().filter_map(Register::as_executor);
-        executors.any(|executor| executor.id == id && executor.state >= state)
+        executors.any(|executor| executor.report.id == id && executor.report.state >= state)
     }
 }
--- a/crates/registry/src/executor.rs
+++ b/crates/registry/src/executor.rs
@@ -32,29 +32,10 @@
 /// The register of one incarnation of an executor, written by the node that it called last.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Executor {
-    /// The `instance_id`, the key.
-    pub id: String,
-    /// The service that it runs.
-    pub service: String,
-    /// Where it takes requests.
-    pub address: SocketAddrV4,
-    /// Its zone.
-    pub zone: String,
-    /// How many requests it works on at once.
-    pub slot_count: u32,
-    /// The version of its software.
-    pub config_version: String,
-    /// `prefill`, `decode` or `both`; empty if it named none.
-    pub pipeline_stage: String,
-    /// What it has said of its lifecycle.
-    pub state: ExecutorState,
-    /// How much longer it stays slow, in ms, when it made the call `call_seq`.
-    pub cold_left_ms: u64,
-    /// The call that this register comes from; plain heartbeats after it are not told.
-    pub call_seq: u64,
-    /// What it holds.
-    pub models: Vec<Model>,
-    /// The name of the node that it called, which sees to its liveness.
+    /// The heartbeat that this register comes from; plain heartbeats after it are not published. Its state may be
+    /// further on than that of the call, as the state merges by itself and only ever moves on.
+    pub report: HeartbeatReport,
+    /// The name of the node that it called, which watches its heartbeats.
     pub reporter: String,
     /// Whether it misses its heartbeats. A hint: it may run all the same.
     pub unresponsive: bool,
@@ -63,26 +44,12 @@
 impl Executor {
     /// The register after a heartbeat to the node `reporter`.
     pub(crate) fn reported(report: HeartbeatReport, reporter: &str) -> Executor {
-        Executor {
-            id: report.id,
-            service: report.service,
-            address: report.address,
-            zone: report.zone,
-            slot_count: report.slot_count,
-            config_version: report.config_version,
-            pipeline_stage: report.pipeline_stage,
-            state: report.state,
-            cold_left_ms: report.cold_left_ms,
-            call_seq: report.call_seq,
-            models: report.models,
-            reporter: reporter.to_owned(),
-            unresponsive: false,
-        }
+        Executor { report, reporter: reporter.to_owned(), unresponsive: false }
     }
 
     /// The register of an executor that deregisters at a node which does not know it; others may.
     pub(crate) fn unknown(id: &str, reporter: &str) -> Executor {
-        Executor {
+        let report = HeartbeatReport {
             id: id.to_owned(),
             service: String::new(),
             address: SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0),
@@ -94,46 +61,46 @@
             cold_left_ms: 0,
             call_seq: 0,
             models: Vec::new(),
-            reporter: reporter.to_owned(),
-            unresponsive: false,
-        }
+        };
+        Executor::reported(report, reporter)
+    }
+
+    /// The same register in another state.
+    pub(crate) fn with_state(mut self, state: ExecutorState) -> Executor {
+        self.report.state = state;
+        self
     }
 
     /// Whether it has not ended as far as is known.
     pub fn exists(&self) -> bool {
-        self.state != ExecutorState::Gone
+        self.report.state != ExecutorState::Gone
     }
 
     /// Of two registers of one executor the greater is the newer. The last part decides between two that took one
     /// call number in turn; the state is left out of it, as that goes its own way.
     fn order(&self) -> (u64, bool, u64) {
         let mut out = Writer::default();
-        Executor { state: ExecutorState::Up, ..self.clone() }.write(&mut out);
-        (self.call_seq, self.unresponsive, hash::of_bytes(&out.bytes))
+        self.clone().with_state(ExecutorState::Up).write(&mut out);
+        (self.report.call_seq, self.unresponsive, hash::of_bytes(&out.bytes))
     }
 
     /// Takes over what is newer in `other`. Whether anything changed.
     pub(crate) fn merge(&mut self, other: Executor) -> bool {
-        let state = self.state.max(other.state);
+        let state = self.report.state.max(other.report.state);
         let newer = other.order() > self.order();
-        let changed = newer || state != self.state;
+        let changed = newer || state != self.report.state;
         if newer {
             *self = other;
         }
-        self.state = state;
+        self.report.state = state;
         changed
     }
 
     /// Whether others need to know the difference between the two. What a plain heartbeat changes is none.
     pub(crate) fn differs_from(&self, other: &Executor) -> bool {
-        self.service != other.service
-            || self.address != other.address
-            || self.zone != other.zone
-            || self.slot_count != other.slot_count
-            || self.config_version != other.config_version
-            || self.pipeline_stage != other.pipeline_stage
-            || self.state != other.state
-            || self.models != other.models
+        let HeartbeatReport { cold_left_ms, call_seq, .. } = other.report;
+        let comparable = HeartbeatReport { cold_left_ms, call_seq, ..self.report.clone() };
+        comparable != other.report
             || self.reporter != other.reporter
             || self.unresponsive != other.unresponsive
     }
@@ -152,22 +119,22 @@
 
 impl Wire for Executor {
     fn write(&self, out: &mut Writer) {
-        out.text(&self.id);
-        out.text(&self.service);
-        self.address.write(out);
-        out.text(&self.zone);
-        out.u32(self.slot_count);
-        out.text(&self.config_version);
-        out.text(&self.pipeline_stage);
-        let state = match self.state {
+        out.text(&self.report.id);
+        out.text(&self.report.service);
+        self.report.address.write(out);
+        out.text(&self.report.zone);
+        out.u32(self.report.slot_count);
+        out.text(&self.report.config_version);
+        out.text(&self.report.pipeline_stage);
+        let state = match self.report.state {
             ExecutorState::Up => 0,
             ExecutorState::Draining => 1,
             ExecutorState::Gone => 2,
         };
         out.u8(state | u8::from(self.unresponsive) << 2);
-        out.u64(self.cold_left_ms);
-        out.u64(self.call_seq);
-        out.list(&self.models);
+        out.u64(self.report.cold_left_ms);
+        out.u64(self.report.call_seq);
+        out.list(&self.report.models);
         out.text(&self.reporter);
     }
 
@@ -189,7 +156,7 @@
         if flags > 0b111 {
             return UnknownVariantSnafu { what: "the flags of an executor", tag: flags }.fail();
         }
-        Ok(Executor {
+        let report = HeartbeatReport {
             id,
             service,
             address,
@@ -201,8 +168,7 @@
             cold_left_ms: input.u64()?,
             call_seq: input.u64()?,
             models: input.list("the models of an executor", MAX_MODELS)?,
-            reporter: input.text()?,
-            unresponsive: flags & 0b100 != 0,
-        })
+        };
+        Ok(Executor { report, reporter: input.text()?, unresponsive: flags & 0b100 != 0 })
     }
 }
--- a/crates/registry/src/executors/calls.rs
+++ b/crates/registry/src/executors/calls.rs
@@ -25,7 +25,8 @@
         let (id, drains) = (report.id.clone(), report.state == ExecutorState::Draining);
         self.apply_heartbeat(now, report);
         let unconfirmed = self.executors.entries.get(&id).is_some_and(|entry| {
-            entry.visible.state == ExecutorState::Draining && entry.confirmed_state < ExecutorState::Draining
+            entry.visible.report.state == ExecutorState::Draining
+                && entry.confirmed_state < ExecutorState::Draining
         });
         let answer = if drains && unconfirmed {
             self.broadcast_state(now, &id, ExecutorState::Draining)
@@ -45,7 +46,7 @@
             return Answer::Now;
         }
         let known = self.executors.published(id).unwrap_or_else(|| Executor::unknown(id, &self.own_name));
-        let gone = Executor { state: ExecutorState::Gone, ..known };
+        let gone = known.with_state(ExecutorState::Gone);
         if !self.put_executor(now, gone) {
             return Answer::Never;
         }
@@ -63,26 +64,29 @@
         if !published.exists() {
             return;
         }
-        let latest =
-            self.executors.entries.get(&report.id).map_or(published.call_seq, |entry| entry.latest_call_seq);
+        let latest = self
+            .executors
+            .entries
+            .get(&report.id)
+            .map_or(published.report.call_seq, |entry| entry.latest_call_seq);
         if report.call_seq <= latest {
             // Late. Only that it drains still counts, as it never goes back.
-            if drains && published.state == ExecutorState::Up {
-                self.put_executor(now, Executor { state: ExecutorState::Draining, ..published });
+            if drains && published.report.state == ExecutorState::Up {
+                self.put_executor(now, published.with_state(ExecutorState::Draining));
             }
             return;
         }
         let mut incoming = Executor::reported(report, &self.own_name);
-        incoming.state = incoming.state.max(published.state);
-        let id = incoming.id.clone();
+        incoming.report.state = incoming.report.state.max(published.report.state);
+        let id = incoming.report.id.clone();
         if incoming.differs_from(&published) {
-            let announced_by_broadcast = drains && published.state == ExecutorState::Up;
+            let announced_by_broadcast = drains && published.report.state == ExecutorState::Up;
             if self.put_executor(now, incoming.clone()) && !announced_by_broadcast {
                 self.announce(now, Key::Executor(id.clone()));
             }
         }
         if let Some(entry) = self.executors.entries.get_mut(&id) {
-            entry.latest_call_seq = entry.latest_call_seq.max(incoming.call_seq);
+            entry.latest_call_seq = entry.latest_call_seq.max(incoming.report.call_seq);
             entry.last_heartbeat = now;
             entry.restored = false;
         }
@@ -90,7 +94,7 @@
 
     fn admit_executor(&mut self, now: Instant, incoming: Executor) {
         let (id, address, drains) =
-            (incoming.id.clone(), incoming.address, incoming.state != ExecutorState::Up);
+            (incoming.report.id.clone(), incoming.report.address, incoming.report.state != ExecutorState::Up);
         if !self.put_executor(now, incoming) {
             return;
         }
@@ -98,10 +102,11 @@
             self.announce(now, Key::Executor(id.clone()));
         }
         // Whoever had the address before has ended, even if it did not say so.
-        let former = self.executors.iter().filter(|other| other.address == address && other.id != id);
+        let former =
+            self.executors.iter().filter(|other| other.report.address == address && other.report.id != id);
         let former: Vec<String> = former
             .filter(|other| other.exists() && !other.unresponsive)
-            .map(|other| other.id.clone())
+            .map(|other| other.report.id.clone())
             .collect();
         former.iter().for_each(|former| self.announce_unresponsive(now, former));
     }
--- a/crates/registry/src/executors/expiry.rs
+++ b/crates/registry/src/executors/expiry.rs
@@ -49,7 +49,7 @@
         !self.visible.unresponsive && self.visible.exists() && now.since(self.last_heartbeat) > timeout
     }
 
-    /// Takes the register's word while the reporter lives, and finds the executor unresponsive once it has been
+    /// Follows the published register while the reporter lives, and finds the executor unresponsive once it has been
     /// gone for the time-out. Whether the view changed.
     fn follow_reporter(&mut self, now: Instant, reporter: Reporter, timeout: Duration) -> bool {
         let was_unresponsive = self.visible.unresponsive;
--- a/crates/registry/src/executors/merge.rs
+++ b/crates/registry/src/executors/merge.rs
@@ -11,39 +11,36 @@
 const MAX_EXECUTORS: usize = 16_384;
 
 impl Registry {
-    /// Merges the register of an executor that another node told.
+    /// Merges the register of an executor that another node published.
     pub(crate) fn merge_executor(&mut self, now: Instant, incoming: Executor) {
-        let Some(mut published) = self.executors.published(&incoming.id) else {
+        let Some(mut published) = self.executors.published(&incoming.report.id) else {
             self.put_executor(now, incoming);
             return;
         };
         if !published.merge(incoming) {
             return;
         }
-        let id = published.id.clone();
+        let id = published.report.id.clone();
         let own = self.executors.entries.get(&id).filter(|entry| {
             entry.visible.reporter == self.own_name
-                && entry.latest_call_seq > published.call_seq
+                && entry.latest_call_seq > published.report.call_seq
                 && published.exists()
         });
         let Some(entry) = own else {
             self.put_executor(now, published);
             return;
         };
-        // This node has heard from it later than what it is told now.
-        let mine = Executor {
-            state: published.state,
-            call_seq: entry.latest_call_seq,
-            unresponsive: false,
-            ..entry.published()
-        };
+        // This node has had a later call than the one in the merged register.
+        let mut mine = Executor { unresponsive: false, ..entry.published() };
+        mine.report.state = published.report.state;
+        mine.report.call_seq = entry.latest_call_seq;
         self.put_executor(now, mine);
         self.announce(now, Key::Executor(id));
     }
 
     /// Puts a register in the place of the one before. Whether there was room.
     pub(super) fn put_executor(&mut self, now: Instant, executor: Executor) -> bool {
-        let id = executor.id.clone();
+        let id = executor.report.id.clone();
         let has_tombstone = self.executors.tombstones.contains_key(&id);
         if has_tombstone && (executor.unresponsive || !executor.exists()) {
             self.update_executor_digest(&executor, false);
@@ -75,7 +72,7 @@
     pub(super) fn update_executor_digest(&mut self, published: &Executor, visible: bool) {
         let live = published.exists() && visible;
         self.digest.set(
-            Key::Executor(published.id.clone()),
+            Key::Executor(published.report.id.clone()),
             Register::Executor(published.clone()).hash(),
             live,
         );
--- a/crates/registry/src/executors/mod.rs
+++ b/crates/registry/src/executors/mod.rs
@@ -39,7 +39,7 @@
     fn new(executor: Executor, now: Instant) -> Entry {
         Entry {
             published_unresponsive: executor.unresponsive,
-            latest_call_seq: executor.call_seq,
+            latest_call_seq: executor.report.call_seq,
             last_heartbeat: now,
             orphaned_since: None,
             inactive_since: None,
@@ -57,8 +57,8 @@
         if executor.reporter != self.visible.reporter {
             self.last_heartbeat = now;
         }
-        self.restored &= executor.call_seq <= self.latest_call_seq;
-        self.latest_call_seq = self.latest_call_seq.max(executor.call_seq);
+        self.restored &= executor.report.call_seq <= self.latest_call_seq;
+        self.latest_call_seq = self.latest_call_seq.max(executor.report.call_seq);
         self.published_unresponsive = executor.unresponsive;
         self.orphaned_since = None;
         self.visible = executor;
--- a/crates/registry/src/hint.rs
+++ b/crates/registry/src/hint.rs
@@ -29,7 +29,7 @@
         self.executors.is_only_restored(id)
     }
 
-    /// Takes over what an earlier process of this node remembered. It merges like what any node tells: each next
+    /// Takes over what an earlier process of this node remembered. It merges like any register: each next
     /// heartbeat of an executor is newer, and one that doesn't come leaves it unresponsive.
     ///
     /// # Errors
@@ -43,7 +43,7 @@
         let executors: Vec<Executor> = input.list("remembered executors", MAX_HINTED_EXECUTORS)?;
         let count = executors.len();
         for executor in executors {
-            let (id, known) = (executor.id.clone(), self.executor(&executor.id).is_some());
+            let (id, known) = (executor.report.id.clone(), self.executor(&executor.report.id).is_some());
             self.merge_executor(now, executor);
             if !known {
                 self.executors.set_restored(&id);
--- a/crates/registry/src/liveness.rs
+++ b/crates/registry/src/liveness.rs
@@ -17,8 +17,8 @@
 /// Between two events that say that the configuration is behind the same version.
 const CONFIGURATION_EVENT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Every so many heartbeats a random node hears one in the stead of one of the far members of the ring: whom all nodes
-/// place differently in their rings hears of it all the same.
+/// Every so many heartbeats one goes to a random node in place of a far member of the ring. So a node that others place
+/// differently in their rings still compares digests with all.
 const RANDOM_INTERVAL: usize = 16;
 
 /// The state of heartbeats and watches.
@@ -29,7 +29,7 @@
     pub(crate) next_watch: Option<Instant>,
     /// When anything last came from anyone.
     pub(crate) last_contact: Option<Instant>,
-    /// When another node last answered a question of this one, and so has heard it.
+    /// When another node last answered a probe of this one, and so has received it.
     pub(crate) last_pong: Option<Instant>,
     pub(crate) watches: BTreeMap<NodeId, Watch>,
     pub(crate) probe_cursor: usize,
@@ -80,11 +80,11 @@
 }
 
 impl Registry {
-    /// Whether this node has heard nobody for a while, though it knows of others: then it is likely partitioned off. It calls
-    /// nobody dead as long as none of those it asks answers.
+    /// Whether this node has had no contact for a while, though it knows of others: then it is likely partitioned off.
+    /// It declares nobody dead as long as none of its probes is answered.
     pub fn is_isolated(&self, now: Instant) -> bool {
         let bound = self.timings.heartbeat.scaled(2.5);
-        self.ring.len() > 1 && self.liveness.last_contact.is_none_or(|heard| now.since(heard) > bound)
+        self.ring.len() > 1 && self.liveness.last_contact.is_none_or(|contact| now.since(contact) > bound)
     }
 
     pub(crate) fn tick_liveness(&mut self, now: Instant) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Who hears a heartbeat beside the watchers, so that digests are compared all over the fleet. Mostly a far member of
+    /// Who receives a heartbeat in addition to the watchers, so that digests are compared all over the fleet. Mostly a far member of
     /// the ring, one of a few: a link to a random node each time would have to be made anew in a large fleet.
     fn extra_heartbeat_target(&mut self) -> Option<SocketAddrV4> {
         self.liveness.heartbeats_sent = self.liveness.heartbeats_sent.wrapping_add(1);
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -19,7 +19,7 @@
 pub enum MemberState {
     /// Runs.
     Alive,
-    /// Alive by its register, but this node has not heard it for a while. Never sent to others.
+    /// Alive by its register, but without contact to this node for a while. Never sent to others.
     Suspect,
     /// Its watchers no longer hear it. It may come back.
     Dead,
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -14,7 +14,7 @@
 /// How many live nodes are taken in at most: over twice the largest design.
 const MAX_MEMBERS: usize = 2_048;
 
-/// A node that was falsely called dead again within this span is given more time from then on.
+/// A node that was falsely declared dead twice within this duration is given more time from then on.
 const FALSE_DEATH_MEMORY: Duration = Duration::from_millis(20_000);
 
 /// How often the time that a node is given doubles at most.
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Suspicion is this node's own view, so nobody is told.
+    /// Suspicion is this node's own view and is not published.
     pub(crate) fn set_suspect(&mut self, name: &str, suspect: bool) {
         let (from, to) = match suspect {
             true => (MemberState::Alive, MemberState::Suspect),
--- a/crates/registry/src/node_metadata.rs
+++ b/crates/registry/src/node_metadata.rs
@@ -1,4 +1,4 @@
-//! Small things that a node tells all others of itself.
+//! Node metadata: a small payload that each node publishes of itself. Its bytes are the caller's.
 
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, TooLongSnafu};
@@ -87,7 +87,7 @@
         self.output.events.push(Event::MetadataChanged { node });
     }
 
-    /// Metadata count in the digest while their node lives.
+    /// Metadata counts in the digest while its node lives.
     pub(crate) fn update_metadata_digest(&mut self, node: &str) {
         let Some(node_metadata) = self.node_metadata.get(node) else {
             return;
--- a/crates/registry/src/queries.rs
+++ b/crates/registry/src/queries.rs
@@ -48,7 +48,7 @@
 
     /// The executors of one service.
     pub fn executors_of(&self, service: &str) -> impl Iterator<Item = &Executor> {
-        self.executors().filter(move |executor| executor.service == service)
+        self.executors().filter(move |executor| executor.report.service == service)
     }
 
     /// The executor with this id.
@@ -76,7 +76,7 @@
         self.configuration_version
     }
 
-    /// The internal addresses to which this node forwards what the node `origin` tells all: its place in the tree
+    /// The internal addresses to which this node forwards the relays of the node `origin`: its children in the tree
     /// of relays that is rooted there.
     pub fn relay_children(&self, origin: &str) -> Vec<SocketAddrV4> {
         self.children(NodeId::of(origin))
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -1,4 +1,4 @@
-//! What is told: a register of one of the sets, and its key.
+//! What nodes publish: a register of one of the sets, and its key.
 
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, UnknownVariantSnafu};
@@ -42,7 +42,7 @@
     pub(crate) fn key(&self) -> Key {
         match self {
             Register::Member(member) => Key::Member(member.name.clone()),
-            Register::Executor(executor) => Key::Executor(executor.id.clone()),
+            Register::Executor(executor) => Key::Executor(executor.report.id.clone()),
             Register::NodeMetadata(node_metadata) => Key::NodeMetadata(node_metadata.node.clone()),
         }
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The hash of all that is told of it.
+    /// The hash of its binary form.
     pub(crate) fn hash(&self) -> u64 {
         let mut out = Writer::default();
         self.write(&mut out);
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -196,7 +196,7 @@
         })
     }
 
-    /// The register of a key as it is to be told.
+    /// The register of a key as it is published.
     pub(crate) fn register(&self, key: &Key) -> Option<Register> {
         match key {
             Key::Member(name) => Some(Register::Member(self.member(name)?.clone())),
--- a/crates/registry/src/relay.rs
+++ b/crates/registry/src/relay.rs
@@ -1,4 +1,4 @@
-//! How updates reach all: down a tree of relays that is rooted at the node which tells them.
+//! How updates reach all nodes: down a tree of relays that is rooted at their origin. Each node forwards a relay once.
 
 use crate::member::NodeId;
 use crate::members::Source;
@@ -13,11 +13,11 @@
 /// From how many origins forwarded messages are remembered.
 const MAX_ORIGINS: usize = 2_048;
 
-/// What a repair brought is forwarded by each node that it reached after a random part of this span, unless it has come
-/// down a tree of relays by then. So mostly one node tells all, however many were repaired.
+/// A register that a repair brought is announced after a random delay of at most this, unless a relay has brought it by
+/// then. So mostly one node announces it, however many were repaired.
 const MAX_FORWARD_DELAY: Duration = Duration::from_millis(100);
 
-/// What is due within this span is forwarded together.
+/// Forwards that are due within this duration share a relay.
 const FORWARD_BATCH_WINDOW: Duration = Duration::from_millis(30);
 
 /// How many registers wait to be forwarded at most; the others spread by repair alone.
@@ -82,13 +82,13 @@
 }
 
 impl Registry {
-    /// Has all nodes told of a register, together with what else comes up shortly.
+    /// Announces a register to all nodes, batched with other changes.
     pub(crate) fn announce(&mut self, now: Instant, key: Key) {
         self.relays.pending_updates.insert(key);
         self.relays.flush.get_or_insert(now + self.timings.batch);
     }
 
-    /// Has all nodes told of a register that a repair brought, if nobody else does.
+    /// Announces a register that a repair brought, unless another node does so first.
     pub(crate) fn schedule_forward(&mut self, now: Instant, key: Key) {
         if self.relays.pending_forwards.len() < MAX_FORWARDED {
             let wait = Duration::from_nanos(self.random.random_range(0..=MAX_FORWARD_DELAY.nanos()));
--- a/crates/registry/src/report.rs
+++ b/crates/registry/src/report.rs
@@ -16,10 +16,10 @@
 /// The largest whole number that JSON carries exactly.
 const MAX_NUMBER: f64 = 9_007_199_254_740_992.0;
 
-/// One heartbeat of an executor.
+/// One heartbeat of an executor. It is also what the nodes publish of the executor, in [`crate::Executor::report`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeartbeatReport {
-    /// The `instance_id`, from the path of the call.
+    /// The `instance_id`, from the path of the call; the key of the register.
     pub id: String,
     /// The service that it runs.
     pub service: String,
@@ -33,13 +33,13 @@
     pub config_version: String,
     /// `prefill`, `decode` or `both`; empty if it names none.
     pub pipeline_stage: String,
-    /// `up` or `draining`, never gone.
+    /// `up` or `draining`; gone only in the register of an executor that has deregistered.
     pub state: ExecutorState,
-    /// How much longer it stays slow, in ms.
+    /// How much longer it is warming up at the time of the call, in ms.
     pub cold_left_ms: u64,
     /// Rises with every call.
     pub call_seq: u64,
-    /// What it holds, at most 16.
+    /// The models that it holds, at most 16.
     pub models: Vec<Model>,
 }
 
--- a/crates/registry/src/settings.rs
+++ b/crates/registry/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start.
+//! The settings of a registry.
 
 use crate::Member;
 use grebeusher_time::{Duration, DurationExt};
@@ -15,7 +15,7 @@
     pub dead_after: Duration,
     /// How many nodes watch each node.
     pub watchers: usize,
-    /// How many nodes each node passes updates on to.
+    /// How many nodes each node forwards a relay to.
     pub fan_out: usize,
     /// Between two attempts at a seed that has not answered.
     pub join_retry: Duration,
@@ -69,7 +69,7 @@
     }
 }
 
-/// What a node is told at its start.
+/// The settings of a registry, given at its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// The node itself. Its state is set to alive.
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -24,10 +24,10 @@
 /// How many other nodes are asked to ping a unresponsive one: its link to this node may be all that fails.
 const INDIRECT_PROBERS: usize = 3;
 
-/// How much later the next watcher calls a node dead than the one before, so that mostly one tells.
+/// How much later each further watcher declares a node dead, so that mostly one announces it.
 const DEATH_STAGGER: Duration = Duration::from_millis(100);
 
-/// How long after a change of the ring the watches are looked at, so that changes that come together share a look.
+/// How long after a change of the ring the watches are checked, so that changes that come together share a check.
 const WATCH_BATCH_DELAY: Duration = Duration::from_millis(1);
 
 /// What this node, as a watcher, knows of one member.
@@ -123,7 +123,7 @@
 }
 
 impl Registry {
-    /// Follows a change of the ring: takes up whom this node has to watch now.
+    /// Follows a change of the ring: watches exactly the members that precede this node.
     pub(crate) fn update_watches(&mut self, now: Instant) {
         let mut previous = std::mem::take(&mut self.liveness.watches);
         let mut watches = BTreeMap::new();
@@ -183,8 +183,8 @@
         // Nodes with recent contact are likely on this side of a network partition; others fill up the rest.
         let others = self.ring.others().filter(|ring_member| ring_member.id != id);
         let (near, far): (Vec<&RingMember>, Vec<&RingMember>) = others.partition(|ring_member| {
-            let heard = self.members.get(&ring_member.name).and_then(|entry| entry.last_contact);
-            heard.is_some_and(|heard| now.since(heard) < self.timings.suspect_after)
+            let last_contact = self.members.get(&ring_member.name).and_then(|entry| entry.last_contact);
+            last_contact.is_some_and(|contact| now.since(contact) < self.timings.suspect_after)
         });
         let mut probers: Vec<SocketAddrV4> = near
             .iter()
@@ -211,7 +211,7 @@
 
     pub(crate) fn receive_ping_for(&mut self, from: SocketAddrV4, subject: NodeId) {
         let asker = self.by_address.get(&from).map(|name| NodeId::of(name));
-        // The asker learns at least that this node hears it.
+        // The asker learns at least that this node receives its messages.
         self.send(from, Message::Pong { subject: self.own_id, asker: None });
         let Some(address) = self.member_of(subject).map(|entry| entry.member.address) else {
             return;
--- a/crates/registry/tests/drains.rs
+++ b/crates/registry/tests/drains.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 
 fn state_at(fleet: &Fleet, index: usize, id: &str) -> Option<ExecutorState> {
-    fleet.registry(index).executor(id).map(|executor| executor.state)
+    fleet.registry(index).executor(id).map(|executor| executor.report.state)
 }
 
 fn all_show(fleet: &Fleet, id: &str, state: ExecutorState) -> bool {
--- a/crates/registry/tests/executors.rs
+++ b/crates/registry/tests/executors.rs
@@ -35,7 +35,7 @@
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
     fleet.run(Duration::from_millis(200));
-    assert!(all_show(&fleet, "i-1", |executor| executor.call_seq == 1
+    assert!(all_show(&fleet, "i-1", |executor| executor.report.call_seq == 1
         && executor.reporter == fleet.nodes[4].name));
     let before = fleet.registry(9).generation();
     send_heartbeats(&mut fleet, 4, &mut last, 5);
@@ -45,7 +45,8 @@
     last.models = vec![Model { name: "m".to_owned(), config_version: 2 }];
     fleet.heartbeat(4, &last);
     fleet.run(Duration::from_millis(200));
-    assert!(all_show(&fleet, "i-1", |executor| executor.models.len() == 1 && executor.call_seq == 7));
+    assert!(all_show(&fleet, "i-1", |executor| executor.report.models.len() == 1
+        && executor.report.call_seq == 7));
     assert_eq!(fleet.registry(9).executors_of("huvo11a").count(), 1);
     assert_eq!(fleet.registry(9).executors_of("another").count(), 0);
 }
@@ -61,9 +62,8 @@
     late.address.set_port(1);
     assert_eq!(fleet.heartbeat(4, &late).answer, Answer::Now);
     fleet.run(Duration::from_millis(500));
-    assert!(
-        all_show(&fleet, "i-1", |executor| executor.service == "huvo11a" && executor.address.port() == 8_080)
-    );
+    assert!(all_show(&fleet, "i-1", |executor| executor.report.service == "huvo11a"
+        && executor.report.address.port() == 8_080));
 }
 
 #[test]
@@ -77,7 +77,7 @@
     fleet.heartbeat(9, &late);
     fleet.run(Duration::from_millis(500));
     let owner = fleet.nodes[4].name.clone();
-    assert!(all_show(&fleet, "i-1", |executor| executor.reporter == owner && executor.call_seq == 5));
+    assert!(all_show(&fleet, "i-1", |executor| executor.reporter == owner && executor.report.call_seq == 5));
 }
 
 #[rstest]
@@ -233,7 +233,9 @@
     heir.service = "wuno96b".to_owned();
     fleet.heartbeat(9, &heir);
     fleet.run(Duration::from_millis(200));
-    assert!(all_show(&fleet, "i-2", |executor| !executor.unresponsive && executor.service == "wuno96b"));
+    assert!(
+        all_show(&fleet, "i-2", |executor| !executor.unresponsive && executor.report.service == "wuno96b")
+    );
     // The owner has heard the former later than what was told; its silence is a matter of the missing heartbeats then.
     fleet.run(Duration::from_millis(4_500));
     assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
@@ -267,8 +269,8 @@
     fleet.run(Duration::from_millis(1_000));
     fleet.heal();
     fleet.run(Duration::from_millis(1_500));
-    assert!(all_show(&fleet, "i-1", |executor| executor.state == ExecutorState::Draining
-        && executor.call_seq == 40));
+    assert!(all_show(&fleet, "i-1", |executor| executor.report.state == ExecutorState::Draining
+        && executor.report.call_seq == 40));
     assert!(fleet.all_show_same_executors());
 }
 
--- a/crates/registry/tests/network_partitions.rs
+++ b/crates/registry/tests/network_partitions.rs
@@ -68,7 +68,8 @@
             (0..20).all(|number| {
                 let drained = fleet.registry(index).executor(&format!("i-{number}"));
                 let fresh = fleet.registry(index).executor(&format!("n-{number}"));
-                drained.is_some_and(|executor| executor.state == ExecutorState::Draining) && fresh.is_some()
+                drained.is_some_and(|executor| executor.report.state == ExecutorState::Draining)
+                    && fresh.is_some()
             })
         })
     };
--- a/crates/registry/tests/stable_bytes.rs
+++ b/crates/registry/tests/stable_bytes.rs
@@ -67,38 +67,47 @@
 
 fn executor() -> Executor {
     Executor {
-        id: "i-1".to_owned(),
-        service: "chat".to_owned(),
-        address: address(9, 8_080),
-        zone: "z2".to_owned(),
-        slot_count: 0x0102_0304,
-        config_version: "v3".to_owned(),
-        pipeline_stage: "both".to_owned(),
-        state: ExecutorState::Up,
-        cold_left_ms: 1_500,
-        call_seq: 0x1122_3344_5566_7788,
-        models: vec![
-            Model { name: "large".to_owned(), config_version: 9 },
-            Model { name: "größer".to_owned(), config_version: u64::MAX },
-        ],
+        report: HeartbeatReport {
+            id: "i-1".to_owned(),
+            service: "chat".to_owned(),
+            address: address(9, 8_080),
+            zone: "z2".to_owned(),
+            slot_count: 0x0102_0304,
+            config_version: "v3".to_owned(),
+            pipeline_stage: "both".to_owned(),
+            state: ExecutorState::Up,
+            cold_left_ms: 1_500,
+            call_seq: 0x1122_3344_5566_7788,
+            models: vec![
+                Model { name: "large".to_owned(), config_version: 9 },
+                Model { name: "größer".to_owned(), config_version: u64::MAX },
+            ],
+        },
         reporter: "edge-1".to_owned(),
         unresponsive: false,
     }
 }
 
+fn with_id(id: &str, mut executor: Executor) -> Executor {
+    executor.report.id = id.to_owned();
+    executor
+}
+
 fn bare_executor(state: ExecutorState, unresponsive: bool) -> Executor {
     Executor {
-        id: "i-2".to_owned(),
-        service: "s".to_owned(),
-        address: address(8, 1),
-        zone: "z".to_owned(),
-        slot_count: 1,
-        config_version: String::new(),
-        pipeline_stage: String::new(),
-        state,
-        cold_left_ms: 0,
-        call_seq: 2,
-        models: Vec::new(),
+        report: HeartbeatReport {
+            id: "i-2".to_owned(),
+            service: "s".to_owned(),
+            address: address(8, 1),
+            zone: "z".to_owned(),
+            slot_count: 1,
+            config_version: String::new(),
+            pipeline_stage: String::new(),
+            state,
+            cold_left_ms: 0,
+            call_seq: 2,
+            models: Vec::new(),
+        },
         reporter: "edge-1".to_owned(),
         unresponsive,
     }
@@ -349,8 +358,8 @@
     let executors = [
         executor(),
         bare_executor(ExecutorState::Draining, false),
-        Executor { id: "i-3".to_owned(), ..bare_executor(ExecutorState::Gone, false) },
-        Executor { id: "i-4".to_owned(), ..bare_executor(ExecutorState::Up, true) },
+        with_id("i-3", bare_executor(ExecutorState::Gone, false)),
+        with_id("i-4", bare_executor(ExecutorState::Up, true)),
     ];
     let registers = executors.iter().cloned().map(Register::Executor).collect();
     told.receive(NOW, address(1, 7_660), Message::Registers(registers));
--- a/crates/registry/tests/wire.rs
+++ b/crates/registry/tests/wire.rs
@@ -1,8 +1,8 @@
 //! Messages: their binary form, and bytes that are none.
 
 use grebeusher_registry::{
-    Class, DecodeError, Executor, ExecutorState, Heartbeat, Losses, MAX_MESSAGE, Member, MemberState,
-    Message, Model, NodeId, NodeMetadata, Register, Registry, Relay, Settings, Summary, Timings,
+    Class, DecodeError, Executor, ExecutorState, Heartbeat, HeartbeatReport, Losses, MAX_MESSAGE, Member,
+    MemberState, Message, Model, NodeId, NodeMetadata, Register, Registry, Relay, Settings, Summary, Timings,
 };
 use grebeusher_time::Instant;
 use nanoserde::{DeBin, SerBin};
@@ -66,17 +66,19 @@
             models,
             reporter,
         )| Executor {
-            id,
-            service,
-            address,
-            zone,
-            slot_count,
-            config_version: "v1".to_owned(),
-            pipeline_stage: "both".to_owned(),
-            state,
-            cold_left_ms,
-            call_seq,
-            models,
+            report: HeartbeatReport {
+                id,
+                service,
+                address,
+                zone,
+                slot_count,
+                config_version: "v1".to_owned(),
+                pipeline_stage: "both".to_owned(),
+                state,
+                cold_left_ms,
+                call_seq,
+                models,
+            },
             reporter,
             unresponsive,
         },
--- a/crates/tier/src/routing.rs
+++ b/crates/tier/src/routing.rs
@@ -271,25 +271,27 @@
             self.close_idle_upstreams(&instance);
         }
         for executor in self.registry.executors().filter(|executor| executor.exists()) {
-            let standing = match executor.state {
+            let standing = match executor.report.state {
                 ExecutorState::Draining | ExecutorState::Gone => Standing::Draining,
-                ExecutorState::Up if self.registry.is_only_restored(&executor.id) => Standing::Draining,
+                ExecutorState::Up if self.registry.is_only_restored(&executor.report.id) => {
+                    Standing::Draining
+                }
                 ExecutorState::Up if executor.unresponsive => Standing::Silent,
                 ExecutorState::Up => Standing::Up,
             };
             let models: Vec<ModelKey> =
-                executor.models.iter().map(|model| ModelKey::of(&model.name)).collect();
+                executor.report.models.iter().map(|model| ModelKey::of(&model.name)).collect();
             let id = self.routing.gateway.upsert(&Descriptor {
-                instance: &executor.id,
-                service: &executor.service,
+                instance: &executor.report.id,
+                service: &executor.report.service,
                 address: address_of(executor),
-                zone: ZoneKey::of(&executor.zone),
-                slots: executor.slot_count,
+                zone: ZoneKey::of(&executor.report.zone),
+                slots: executor.report.slot_count,
                 standing,
                 models: &models,
             });
-            if !self.routing.known.contains_key(&executor.id) {
-                self.routing.known.insert(executor.id.clone(), id);
+            if !self.routing.known.contains_key(&executor.report.id) {
+                self.routing.known.insert(executor.report.id.clone(), id);
             }
         }
     }
@@ -301,6 +303,6 @@
 }
 
 fn address_of(executor: &Executor) -> SocketAddr {
-    let address: SocketAddrV4 = executor.address;
+    let address: SocketAddrV4 = executor.report.address;
     SocketAddr::V4(address)
 }
--- a/crates/tier/src/status.rs
+++ b/crates/tier/src/status.rs
@@ -50,11 +50,12 @@
             }
         }
         for executor in self.registry.executors() {
-            let (id, state, unresponsive) = (&executor.id, executor.state, executor.unresponsive);
+            let (id, state, unresponsive) =
+                (&executor.report.id, executor.report.state, executor.unresponsive);
             writeln!(
                 text,
                 "executor {id} {} {} {state:?} silent {unresponsive}",
-                executor.service, executor.address
+                executor.report.service, executor.report.address
             )?;
         }
         let counters = &self.counters;
