--- a/crates/tier/src/requests/exchange.rs
+++ b/crates/tier/src/requests/exchange.rs
@@ -40,7 +40,7 @@
     pub body: Vec<u8>,
 }
 
-/// The attempt that is under way.
+/// The attempt that is in flight.
 struct Attempt {
     connection: usize,
     flight: AttemptToken,
@@ -63,7 +63,7 @@
 /// One exchange of a life of the process: its place, and a serial that no other exchange has, as places are used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExchangeKey {
-    place: usize,
+    index: usize,
     serial: u64,
 }
 
@@ -108,7 +108,7 @@
     /// How long an attempt may be silent before the request goes to another executor.
     fn response_timeout(&self) -> Duration {
         let begun = self.attempt.as_ref().is_some_and(|attempt| attempt.head_seen);
-        match self.route.gap_aim_ms {
+        match self.route.event_gap_target_ms {
             Some(gap_ms) if begun => MIN_PAUSE.max(Duration::from_millis(gap_ms).scaled(SILENT_PAUSES)),
             _ => {
                 MIN_SILENCE.max(Duration::from_millis(self.route.target_latency_ms).scaled(SILENT_OBJECTIVES))
@@ -196,7 +196,7 @@
         exchange.begun += 1;
         let bytes = executor_request(exchange, &candidate.target, now);
         let attempt_id = exchange.request.head.headers.get(names::ATTEMPT_ID).unwrap_or_default().to_owned();
-        let user = UpstreamUser::Exchange(ExchangeKey { place: index, serial: exchange.serial });
+        let user = UpstreamUser::Exchange(ExchangeKey { index, serial: exchange.serial });
         match self.start_call(user, &candidate.target, &attempt_id, &bytes) {
             Ok(connection) => {
                 let attempt = Attempt {
@@ -236,7 +236,7 @@
 
     /// Something came back from the executor.
     pub fn exchange_event(&mut self, key: ExchangeKey, event: UpstreamEvent<'_>) {
-        let index = key.place;
+        let index = key.index;
         if self.exchanges.get(index).is_none_or(|exchange| exchange.serial != key.serial) {
             return;
         }
@@ -456,7 +456,7 @@
         }
     }
 
-    /// How many requests are under way.
+    /// How many requests are in flight.
     pub fn exchange_count(&self) -> usize {
         self.exchanges.len()
     }
