--- a/crates/tier/tests/pages.rs
+++ b/crates/tier/tests/pages.rs
@@ -54,3 +54,30 @@
         }
     }
 }
+
+/// The constant messages of the warnings and errors in a source file.
+fn warnings_in(source: &str) -> Vec<String> {
+    let calls = ["warn!(", "error!("].into_iter().flat_map(|macro_name| source.split(macro_name).skip(1));
+    let message = |call: &str| call.split('"').nth(1).map(str::to_owned);
+    calls.filter_map(message).collect()
+}
+
+fn sources(folder: &Path) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(folder).expect("a folder of the sources");
+    let paths = entries.map(|entry| entry.expect("a file of the sources").path());
+    paths.flat_map(|path| if path.is_dir() { sources(&path) } else { vec![path] }).collect()
+}
+
+#[test]
+fn each_warning_and_error_of_the_tier_has_a_row_on_the_operators_page() {
+    let page = page("docs/tier-operations.md");
+    let mut found = 0;
+    for path in sources(&root().join("crates/tier/src")) {
+        let source = std::fs::read_to_string(&path).expect("a source file");
+        for message in warnings_in(&source) {
+            found += 1;
+            assert!(page.contains(&message), "{}: {message}", path.display());
+        }
+    }
+    assert!(found >= 10, "{found} messages");
+}
