--- a/crates/batch/tests/batches/leader_change.rs
+++ b/crates/batch/tests/batches/leader_change.rs
@@ -54,9 +54,9 @@
     let mut partition = Partition::with_job("j", 2);
     let (first, second) = (partition.next(), partition.next());
     partition.runner.stop_leading();
-    let mut cut_off = partition.runner.take_cancelled();
-    cut_off.sort_unstable();
-    assert_eq!(cut_off, [first.run, second.run]);
+    let mut cancelled = partition.runner.take_cancelled();
+    cancelled.sort_unstable();
+    assert_eq!(cancelled, [first.run, second.run]);
     assert_eq!(partition.event(&first, 0, "a"), EventDisposition::UnknownRun);
     partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let again = [partition.next(), partition.next()];
@@ -78,7 +78,7 @@
     assert_eq!(texts(&new.jobs, "j")[0].2, "the predecessor's");
 }
 
-/// MIXED: answers of 500 that were committed count on, those that weren't are asked for again.
+/// MIXED: answers of 500 that were committed count on, those that weren't are requested again.
 #[test]
 fn committed_failures_count_for_the_successor() {
     let mut old = Partition::with_job("j", 1);
@@ -102,7 +102,7 @@
     }
 }
 
-/// ORDER: the successor goes on from what is committed, with `Last-Event-Id`.
+/// ORDER: the successor continues from what is committed, with `Last-Event-Id`.
 #[test]
 fn the_successor_resumes_from_a_checkpoint() {
     let mut old = Partition::with_job("j", 2);
--- a/crates/batch/tests/batches/random_faults.rs
+++ b/crates/batch/tests/batches/random_faults.rs
@@ -129,7 +129,7 @@
         replica.runner.track_jobs(&replica.jobs, self.now);
     }
 
-    /// The leader is gone. Any beginning of what it proposed may be committed; its runs go on unheard.
+    /// The leader fails. Any prefix of its proposals may be committed; its runs continue without a reader.
     fn change_leader(&mut self) {
         let committed = self.dice.roll(self.proposed.len() as u64 + 1) as usize;
         self.log.extend(self.proposed.drain(..).take(committed));
@@ -247,8 +247,8 @@
     }
 
     fn close_cancelled(&mut self) {
-        let cut_off = self.replicas[self.leader].runner.take_cancelled();
-        self.runs.retain(|run| !cut_off.contains(&run.order.run));
+        let cancelled = self.replicas[self.leader].runner.take_cancelled();
+        self.runs.retain(|run| !cancelled.contains(&run.order.run));
     }
 
     /// A reader looks at all of it, at the leader.
@@ -264,11 +264,11 @@
             }
             let page = jobs.read(id, 0, MAX_PAGE_BYTES).expect("LOST: the job");
             let mut names = BTreeSet::new();
-            for (position, listing) in page.results.iter().enumerate() {
-                assert!(names.insert(listing.item_id()), "TWICE: an item at two positions");
-                let known = self.listed.entry((id.clone(), position)).or_insert_with(|| listing.clone());
-                assert_eq!(known, listing, "TWICE: a position changed");
-                check_result(id, listing, &self.fails);
+            for (position, result) in page.results.iter().enumerate() {
+                assert!(names.insert(result.item_id()), "TWICE: an item at two positions");
+                let known = self.listed.entry((id.clone(), position)).or_insert_with(|| result.clone());
+                assert_eq!(known, result, "TWICE: a position changed");
+                check_result(id, result, &self.fails);
             }
             let read = self.listed.range((id.clone(), 0)..).take_while(|((job, _), _)| job == id).count();
             assert_eq!(read, page.results.len(), "LOST: a position");
@@ -323,15 +323,15 @@
     }
 }
 
-fn check_result(id: &JobId, listing: &ListedResult, fails: &BTreeMap<String, u32>) {
-    assert!(listing.item_id().starts_with(&format!("{id}-")), "MIXED: an item of another job");
-    match listing.state() {
+fn check_result(id: &JobId, result: &ListedResult, fails: &BTreeMap<String, u32>) {
+    assert!(result.item_id().starts_with(&format!("{id}-")), "MIXED: an item of another job");
+    match result.state() {
         ResultState::Complete => {
-            assert_eq!(listing.text(), output(listing.item_id()).join("\n"), "MIXED or ORDER");
+            assert_eq!(result.text(), output(result.item_id()).join("\n"), "MIXED or ORDER");
         }
         ResultState::DeadLetter => {
-            let failed = fails.get(listing.item_id()).copied().unwrap_or(0);
-            assert!(is_poison(listing.item_id()) || failed >= 3, "MIXED: given up after {failed}");
+            let failed = fails.get(result.item_id()).copied().unwrap_or(0);
+            assert!(is_poison(result.item_id()) || failed >= 3, "MIXED: given up after {failed}");
         }
     }
 }
--- a/crates/batch/tests/batches/retries.rs
+++ b/crates/batch/tests/batches/retries.rs
@@ -25,7 +25,7 @@
     assert_eq!(partition.next().last_event_id, Some(0));
 }
 
-/// Executors that never go on where they should: the item begins anew from nothing.
+/// Executors that never go on where they should: the item starts again from nothing.
 #[test]
 fn an_item_that_cannot_be_resumed_runs_from_the_start() {
     let mut partition = Partition::with_job("j", 1);
--- a/crates/batch/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -45,7 +45,7 @@
     assert_eq!(texts(&partition.jobs, "j")[0].2, "\na");
 }
 
-/// ORDER: a run that broke goes on after the last whole event.
+/// ORDER: a run that broke continues after the last whole event.
 #[test]
 fn a_broken_run_resumes_after_its_last_event() {
     let mut partition = Partition::with_job("j", 1);
--- a/crates/batch/tests/batches/submission.rs
+++ b/crates/batch/tests/batches/submission.rs
@@ -1,4 +1,4 @@
-//! What a submission must be, and what of it is refused before it can do harm.
+//! What a submission must be, and what of it is rejected before it can do harm.
 
 use grebeusher_batch::*;
 use nanoserde::{DeBin, SerBin};
@@ -101,7 +101,7 @@
 #[case::no_items("{}")]
 #[case::items_are_an_object(r#"{"batch_items":{}}"#)]
 #[case::item_is_a_list(r#"{"batch_items":[[]]}"#)]
-#[case::cut_off(r#"{"batch_items":["#)]
+#[case::truncated(r#"{"batch_items":["#)]
 #[case::more_after_it(r#"{"batch_items":[]} {}"#)]
 fn invalid_submissions_are_rejected(#[case] body: &str) {
     assert!(read(body).is_err());
@@ -202,7 +202,7 @@
 }
 
 proptest! {
-    /// Whatever comes is refused or read, and what is read survives its binary form.
+    /// Whatever comes is rejected or read, and what is read survives its binary form.
     #[test]
     fn any_body_is_rejected_or_read(body in r#"[\[\]{}":,a-z0-9\\ ]{0,60}"#) {
         let _ = read(&body);
--- a/crates/batch/tests/fair_share.rs
+++ b/crates/batch/tests/fair_share.rs
@@ -37,7 +37,7 @@
 #[case::from_nothing(0)]
 #[case::when_busy(200)]
 fn equal_partitions_grow_into_new_capacity(#[case] running: u32) {
-    // Given three partitions alike, when there is room, then each may begin more beside the others.
+    // Given three partitions alike, when there is capacity, then each may begin more beside the others.
     let alike = load(running, 500);
     assert!(with_reports(&[(2, alike), (3, alike)]).may_start(NOW, 1, alike));
 }
--- a/crates/prefix-popularity/tests/fleet/counting.rs
+++ b/crates/prefix-popularity/tests/fleet/counting.rs
@@ -16,14 +16,14 @@
 
 #[test]
 fn a_rate_is_a_decaying_mean() {
-    // Given a prefix that is asked for at a steady pace
+    // Given a prefix that is requested at a steady pace
     let mut fleet = Fleet::new(1, Settings::default(), Network::default());
     fleet.run(SECOND.scaled(5.0), |_| vec![(key(1), 1_000)]);
     // Then its rate is known before the span of the mean has passed
     assert_near(&fleet.rates(key(1)), 10_000.0, 0.1);
     fleet.run(SECOND.scaled(60.0), |_| vec![(key(1), 1_000)]);
     assert_near(&fleet.rates(key(1)), 10_000.0, 0.05);
-    // When nobody requests for it any more it fades by two thirds in twenty seconds, and is gone after minutes
+    // When nobody requests it any more its rate decays by two thirds in twenty seconds, and to nothing within minutes
     fleet.run(SECOND.scaled(20.0), |_| Vec::new());
     assert_near(&fleet.rates(key(1)), 3_680.0, 0.1);
     fleet.run(SECOND.scaled(180.0), |_| Vec::new());
@@ -61,7 +61,7 @@
 
 #[test]
 fn the_number_of_contributors_is_bounded() {
-    // Given registers of ever new origins
+    // Given contributions of ever new origins
     let mut node = alone();
     let contribution = |origin| Contribution { origin, incarnation: 1, sequence: 1, rates: Vec::new() };
     let merged = (0..5_000)
@@ -135,7 +135,7 @@
     let snapshot = fleet.nodes[0].snapshot();
     fleet.restart(0, Some(&snapshot));
     assert!(fleet.homes(key(1))[0] > 1);
-    // Then it is gone within minutes
+    // Then it has decayed within minutes
     fleet.run(SECOND.scaled(180.0), |_| Vec::new());
     assert_eq!(fleet.homes(key(1)), [1]);
     assert!(fleet.rates(key(1))[0] < 10.0);
--- a/crates/prefix-popularity/tests/fleet/sharing.rs
+++ b/crates/prefix-popularity/tests/fleet/sharing.rs
@@ -21,7 +21,7 @@
 fn each_request_counts_once_at_every_node(#[case] network: Network) {
     // Given twenty nodes that each see the same prefix
     let mut fleet = Fleet::new(20, Settings::default(), network);
-    // When they have told each other for a minute
+    // When they have reported to each other for a minute
     fleet.run(MINUTE, even);
     // Then all of them know the whole rate, and so the same number of homes
     assert_near(&fleet.rates(key(1)), 40_000.0, 0.05);
@@ -34,13 +34,13 @@
     // Given a fleet that knows the rate
     let mut fleet = Fleet::new(20, Settings::default(), Network { duplicates: true, reorders: true });
     fleet.run(MINUTE, even);
-    // When it is cut for two minutes
+    // When it is partitioned for two minutes
     fleet.partition(5);
     fleet.run(MINUTE.scaled(2.0), even);
     // Then each side soon counts only itself
     assert_near(&fleet.rates(key(1))[..5], 10_000.0, 0.1);
     assert_near(&fleet.rates(key(1))[5..], 30_000.0, 0.1);
-    // And when the cut heals all count each node once
+    // And when the network partition heals all count each node once
     fleet.heal();
     fleet.run(Duration::from_millis(20_000), even);
     assert_near(&fleet.rates(key(1)), 40_000.0, 0.05);
@@ -59,7 +59,7 @@
         let most = fleet.rates(key(1))[..].iter().fold(0.0_f64, |most, rate| most.max(*rate));
         assert!(most < 24_000.0, "{most}");
     }
-    // And afterwards the sense is whole
+    // And afterwards the estimate is complete
     fleet.run(Duration::from_millis(10_000), even);
     assert_near(&fleet.rates(key(1)), 20_000.0, 0.1);
 }
@@ -74,7 +74,7 @@
     // Then it still counts for a moment, as its clients may come back elsewhere
     fleet.run(Duration::from_millis(3_000), even);
     assert_near(&fleet.rates(key(1))[..3], 8_000.0, 0.1);
-    // And no longer after some minutes, nor does its register take memory
+    // And no longer after some minutes, nor does its contribution take memory
     fleet.run(MINUTE.scaled(3.0), even);
     assert_near(&fleet.rates(key(1))[..3], 6_000.0, 0.05);
     assert_eq!(fleet.nodes[0].sizes().contributors, 2);
@@ -94,28 +94,28 @@
 
 #[test]
 fn old_and_repeated_contributions_are_ignored() {
-    // Given a node that holds the second register of another one's second life
+    // Given a node that holds the second contribution of another one's second incarnation
     let mut node =
         PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
     let of = |incarnation, sequence| Contribution { origin: 9, incarnation, sequence, rates: Vec::new() };
     assert_eq!(node.merge(Instant(0), of(2, 2)), MergeOutcome::Merged);
-    // When the same, an earlier one, or one of an earlier life comes
+    // When the same, an earlier one, or one of an earlier incarnation comes
     for old in [of(2, 2), of(2, 1), of(1, 900)] {
-        // Then it is not news, and so not passed on
+        // Then it is not new, and so not relayed
         assert_eq!(node.merge(Instant(0), old), MergeOutcome::Ignored);
     }
-    // And a later one, or one of a later life, is
+    // And a later one, or one of a later incarnation, is
     assert_eq!(node.merge(Instant(0), of(2, 3)), MergeOutcome::Merged);
     assert_eq!(node.merge(Instant(0), of(3, 1)), MergeOutcome::Merged);
 }
 
 #[test]
 fn an_own_contribution_that_returns_is_ignored() {
-    // Given a node whose register another doubled back to it
+    // Given a node whose contribution another sent back to it
     let mut node =
         PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
     let own = Contribution { origin: 1_000, incarnation: 7, sequence: 7, rates: Vec::new() };
-    // Then it counts nothing of it, even if it names a life that is not there
+    // Then it counts nothing of it, even if it names an incarnation that is not there
     assert_eq!(node.merge(Instant(0), own), MergeOutcome::Ignored);
     assert_eq!(node.sizes().contributors, 0);
 }
@@ -134,7 +134,7 @@
     fleet.sent_bytes = 0;
     let four_periods = fleet.nodes[0].report_interval().scaled(4.0);
     fleet.run(four_periods, requests);
-    // Then registers take no more than their share of each link, in and out, frames included
+    // Then contributions take no more than their share of each link, in and out, frames included
     let registers = fleet.sent_bytes as f64 / (28.0 + settings.reported_prefixes as f64 * 6.0);
     let per_node = (fleet.sent_bytes as f64 + registers * 16.0) * 2.0 / count as f64 / four_periods.seconds();
     println!(
@@ -147,7 +147,7 @@
 
 #[test]
 fn a_contribution_of_any_length_is_read_or_rejected() {
-    // Given a register
+    // Given a contribution
     let mut node =
         PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
     (0..40).for_each(|number| node.record(Instant(0), key(number), 1_000));
@@ -162,7 +162,7 @@
     let mut longer = bytes.clone();
     longer.push(0);
     assert!(Contribution::decode(&longer).is_err());
-    // A number of shares beyond all memory is refused before room is made
+    // A number of rates beyond all memory is rejected before anything is allocated
     let mut huge = bytes.clone();
     huge[20..28].fill(0xff);
     assert!(Contribution::decode(&huge).is_err());
