--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -27,18 +27,43 @@
     pub(crate) changed: Instant,
     /// When anything last came from it.
     pub(crate) last_contact: Option<Instant>,
-    /// How often it came back from the dead within one incarnation, lately.
-    false_deaths: u32,
-    last_false_death: Instant,
+    false_deaths: FalseDeaths,
+}
+
+/// How often a node lately refuted its death within one incarnation.
+#[derive(Clone, Copy, Default)]
+struct FalseDeaths {
+    count: u32,
+    last: Instant,
+}
+
+impl FalseDeaths {
+    fn is_forgotten(self, now: Instant) -> bool {
+        now.since(self.last) > FALSE_DEATH_MEMORY
+    }
+
+    fn record(&mut self, now: Instant) {
+        self.count = if self.is_forgotten(now) { 1 } else { self.count.saturating_add(1) };
+        self.last = now;
+    }
+
+    fn suspicion_multiplier(self, now: Instant) -> f64 {
+        if self.is_forgotten(now) {
+            return 1.0;
+        }
+        f64::from(1_u32 << self.count.saturating_sub(1).min(MAX_SUSPICIONS))
+    }
 }
 
 impl MemberEntry {
     /// How much more time the node is given before it is called dead.
     pub(crate) fn suspicion_multiplier(&self, now: Instant) -> f64 {
-        if now.since(self.last_false_death) > FALSE_DEATH_MEMORY {
-            return 1.0;
-        }
-        f64::from(1_u32 << self.false_deaths.saturating_sub(1).min(MAX_SUSPICIONS))
+        self.false_deaths.suspicion_multiplier(now)
+    }
+
+    /// Whether `member` refutes that this entry is dead, without a restart.
+    fn is_refuted_by(&self, member: &Member) -> bool {
+        self.is_dead() && member.serves() && self.member.incarnation == member.incarnation
     }
 
     pub(crate) fn is_dead(&self) -> bool {
@@ -65,20 +90,10 @@
         if let Some(before) = &before {
             self.unindex_address(&before.member);
         }
-        let (last_contact, mut false_deaths, mut last_false_death) =
-            before.as_ref().map_or((None, 0, Instant(0)), |entry| {
-                (entry.last_contact, entry.false_deaths, entry.last_false_death)
-            });
-        let came_back = before.as_ref().is_some_and(|entry| {
-            entry.is_dead() && member.serves() && entry.member.incarnation == member.incarnation
-        });
-        if came_back {
-            false_deaths = if now.since(last_false_death) > FALSE_DEATH_MEMORY {
-                1
-            } else {
-                false_deaths.saturating_add(1)
-            };
-            last_false_death = now;
+        let last_contact = before.as_ref().and_then(|entry| entry.last_contact);
+        let mut false_deaths = before.as_ref().map(|entry| entry.false_deaths).unwrap_or_default();
+        if before.as_ref().is_some_and(|entry| entry.is_refuted_by(&member)) {
+            false_deaths.record(now);
         }
         self.index_address(&member);
         let ring_changed = before.as_ref().is_none_or(|entry| {
@@ -90,7 +105,7 @@
         if ring_changed {
             self.ring.update(&member, self.own_id);
         }
-        let entry = MemberEntry { member, changed: now, last_contact, false_deaths, last_false_death };
+        let entry = MemberEntry { member, changed: now, last_contact, false_deaths };
         self.members.insert(name.clone(), entry);
         self.update_metadata_digest(&name);
         if ring_changed {
