--- a/crates/registry/src/event.rs
+++ b/crates/registry/src/event.rs
@@ -64,7 +64,7 @@
     Now,
     /// Not at all: this node has no room for the executor.
     Never,
-    /// When [`Registry::take_completed_calls`] names the token.
+    /// When [`Registry::take_completed_calls`](crate::Registry::take_completed_calls) names the token.
     WhenAcknowledged(CallToken),
 }
 
