--- a/crates/quorum/src/blob.rs
+++ b/crates/quorum/src/blob.rs
@@ -4,7 +4,7 @@
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-use crate::ids::short;
+use crate::ids::truncated_input;
 
 /// Shared bytes: cheap to clone from the log into messages, writes and the application, which may keep them as they are
 /// (`Arc::from`) and so hold them once together with the log.
@@ -80,8 +80,8 @@
 impl DeBin for Blob {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Blob, DeBinErr> {
         let length = u32::de_bin(offset, bytes)? as usize;
-        let end = offset.checked_add(length).ok_or_else(|| short(*offset, length, bytes))?;
-        let content = bytes.get(*offset..end).ok_or_else(|| short(*offset, length, bytes))?;
+        let end = offset.checked_add(length).ok_or_else(|| truncated_input(*offset, length, bytes))?;
+        let content = bytes.get(*offset..end).ok_or_else(|| truncated_input(*offset, length, bytes))?;
         *offset = end;
         Ok(Blob::from(content))
     }
@@ -95,17 +95,17 @@
     }
 }
 
-/// Reads a list whose items take at least `least` bytes each; a count that the input can't hold is refused before any
+/// Reads a list whose items take at least `min_item_bytes` bytes each; a count that the input can't hold is refused before any
 /// room is made for it.
 pub(crate) fn read_list<T: DeBin>(
-    least: usize,
+    min_item_bytes: usize,
     offset: &mut usize,
     bytes: &[u8],
 ) -> Result<Vec<T>, DeBinErr> {
     let count = u32::de_bin(offset, bytes)? as usize;
-    let wanted = count.saturating_mul(least);
+    let wanted = count.saturating_mul(min_item_bytes);
     if wanted > bytes.len().saturating_sub(*offset) {
-        return Err(short(*offset, wanted, bytes));
+        return Err(truncated_input(*offset, wanted, bytes));
     }
     let mut items = Vec::with_capacity(count);
     for _ in 0..count {
--- a/crates/quorum/src/disk/error.rs
+++ b/crates/quorum/src/disk/error.rs
@@ -18,7 +18,7 @@
     Damaged { what: &'static str, path: PathBuf },
     /// A newer version of this program has written what this one can't read. Nothing is lost: go on with the newer one.
     #[snafu(display("{} was written by a newer version of this program: {what}", path.display()))]
-    NewerForm { what: &'static str, path: PathBuf },
+    NewerFormat { what: &'static str, path: PathBuf },
     /// An earlier write or sync failed so that the state of the file is unknown: open the store anew.
     #[snafu(display("the store failed before and must be opened anew"))]
     Poisoned,
--- a/crates/quorum/src/disk/files.rs
+++ b/crates/quorum/src/disk/files.rs
@@ -51,7 +51,7 @@
 }
 
 /// Takes away a file's content, if there is one. Not synced.
-pub(super) fn empty(path: &Path) -> Result<(), StoreError> {
+pub(super) fn truncate(path: &Path) -> Result<(), StoreError> {
     match OpenOptions::new().write(true).open(path) {
         Ok(file) => file.set_len(0).context(IoSnafu { action: "empty", path }),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(()),
--- a/crates/quorum/src/disk/identity.rs
+++ b/crates/quorum/src/disk/identity.rs
@@ -4,9 +4,9 @@
 
 use nanoserde::{DeBin, SerBin};
 
-use super::error::{DamagedSnafu, NewerFormSnafu, StoreError};
+use super::error::{DamagedSnafu, NewerFormatSnafu, StoreError};
 use super::files;
-use super::form::{Form, MARK_BYTES};
+use super::format::{FileFormat, HEADER_BYTES};
 use crate::ids::ReplicaId;
 
 /// The identity of a disk.
@@ -18,13 +18,13 @@
 }
 
 /// "GQI1" marks an identity. In every form the last four bytes are the checksum of all before.
-const FORM: Form = Form { letters: *b"GQI", number: b'1' };
+const FORMAT: FileFormat = FileFormat { magic: *b"GQI", version: b'1' };
 
 /// The checksum.
 const CHECKSUM_BYTES: usize = 4;
 
 /// Mark, identity and checksum.
-const BYTES: usize = MARK_BYTES + 8 + CHECKSUM_BYTES;
+const BYTES: usize = HEADER_BYTES + 8 + CHECKSUM_BYTES;
 
 impl Identity {
     /// The identity in `folder`; if there is none, it becomes `random`, synced in both copies before it is returned.
@@ -38,9 +38,9 @@
         let copies = [folder.join("identity-0"), folder.join("identity-1")];
         let contents = [files::read(&copies[0])?, files::read(&copies[1])?];
         if let Some(newer) = contents.iter().position(|content| is_newer(content)) {
-            return NewerFormSnafu { what: "the identity", path: &copies[newer] }.fail();
+            return NewerFormatSnafu { what: "the identity", path: &copies[newer] }.fail();
         }
-        let known = contents.iter().find_map(|content| parse(content));
+        let known = contents.iter().find_map(|content| decode(content));
         let id = match known {
             Some(id) => id,
             // The second copy is begun only when the first one is synced.
@@ -49,9 +49,9 @@
         };
         for (copy, content) in copies.iter().zip(&contents) {
             // A process that ended between write and sync leaves a copy that is readable but not yet safe.
-            match parse(content) == Some(id) {
+            match decode(content) == Some(id) {
                 true => files::sync_file(copy)?,
-                false => drop(files::replace(copy, &form(id))?),
+                false => drop(files::replace(copy, &encode(id))?),
             }
             files::sync_folder(folder)?;
         }
@@ -59,22 +59,22 @@
     }
 }
 
-fn form(id: ReplicaId) -> Vec<u8> {
+fn encode(id: ReplicaId) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(BYTES);
-    bytes.extend_from_slice(&FORM.mark());
+    bytes.extend_from_slice(&FORMAT.header());
     id.ser_bin(&mut bytes);
     crc32fast::hash(&bytes).ser_bin(&mut bytes);
     bytes
 }
 
-fn parse(bytes: &[u8]) -> Option<ReplicaId> {
+fn decode(bytes: &[u8]) -> Option<ReplicaId> {
     let content: &[u8; BYTES] = bytes.try_into().ok()?;
-    let mut offset = MARK_BYTES;
+    let mut offset = HEADER_BYTES;
     let id = ReplicaId::de_bin(&mut offset, content).ok()?;
-    (form(id) == content).then_some(id)
+    (encode(id) == content).then_some(id)
 }
 
 fn is_newer(bytes: &[u8]) -> bool {
     let Some((content, checksum)) = bytes.split_last_chunk::<CHECKSUM_BYTES>() else { return false };
-    FORM.is_newer(content) && crc32fast::hash(content) == u32::from_le_bytes(*checksum)
+    FORMAT.is_newer(content) && crc32fast::hash(content) == u32::from_le_bytes(*checksum)
 }
--- a/crates/quorum/src/disk/mod.rs
+++ b/crates/quorum/src/disk/mod.rs
@@ -8,7 +8,7 @@
 
 mod error;
 mod files;
-mod form;
+mod format;
 mod identity;
 mod records;
 mod slot;
--- a/crates/quorum/src/disk/records.rs
+++ b/crates/quorum/src/disk/records.rs
@@ -11,36 +11,36 @@
     /// The first record: the log holds all that the generation began with.
     Base {
         generation: u64,
-        hard: HardState,
+        hard_state: HardState,
         entries: Vec<Entry>,
     },
-    Hard(HardState),
+    HardState(HardState),
     /// Entries that replace everything from the first one's index on.
     Entries(Vec<Entry>),
 }
 
 const BASE: u8 = 1;
-const HARD: u8 = 2;
+const HARD_STATE: u8 = 2;
 const ENTRIES: u8 = 3;
 
 /// Length and checksum.
-const HEAD_BYTES: usize = 8;
+const PREFIX_BYTES: usize = 8;
 
 /// Index, term and the payload's kind.
-const MIN_ENTRY: usize = 17;
+const MIN_ENTRY_BYTES: usize = 17;
 
 impl SerBin for Record {
     fn ser_bin(&self, output: &mut Vec<u8>) {
         match self {
-            Record::Base { generation, hard, entries } => {
+            Record::Base { generation, hard_state, entries } => {
                 BASE.ser_bin(output);
                 generation.ser_bin(output);
-                hard.ser_bin(output);
+                hard_state.ser_bin(output);
                 write_list(entries, output);
             }
-            Record::Hard(hard) => {
-                HARD.ser_bin(output);
-                hard.ser_bin(output);
+            Record::HardState(hard_state) => {
+                HARD_STATE.ser_bin(output);
+                hard_state.ser_bin(output);
             }
             Record::Entries(entries) => {
                 ENTRIES.ser_bin(output);
@@ -55,11 +55,11 @@
         match u8::de_bin(offset, bytes)? {
             BASE => Ok(Record::Base {
                 generation: u64::de_bin(offset, bytes)?,
-                hard: HardState::de_bin(offset, bytes)?,
-                entries: read_list(MIN_ENTRY, offset, bytes)?,
+                hard_state: HardState::de_bin(offset, bytes)?,
+                entries: read_list(MIN_ENTRY_BYTES, offset, bytes)?,
             }),
-            HARD => Ok(Record::Hard(HardState::de_bin(offset, bytes)?)),
-            ENTRIES => Ok(Record::Entries(read_list(MIN_ENTRY, offset, bytes)?)),
+            HARD_STATE => Ok(Record::HardState(HardState::de_bin(offset, bytes)?)),
+            ENTRIES => Ok(Record::Entries(read_list(MIN_ENTRY_BYTES, offset, bytes)?)),
             _ => Err(DeBinErr::new(*offset, 1, bytes.len())),
         }
     }
@@ -71,23 +71,23 @@
 
 /// The running checksum of a generation's records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Chain(u32);
+pub(super) struct ChecksumChain(u32);
 
-impl Chain {
+impl ChecksumChain {
     /// The start of a chain. The first record holds the generation, so that all later checksums depend on it.
-    pub(super) const START: Chain = Chain(0);
+    pub(super) const START: ChecksumChain = ChecksumChain(0);
 
-    fn follow(self, content: &[u8]) -> Chain {
+    fn extend(self, content: &[u8]) -> ChecksumChain {
         let mut hasher = crc32fast::Hasher::new_with_initial(self.0);
         hasher.update(&(content.len() as u64).to_le_bytes());
         hasher.update(content);
-        Chain(hasher.finalize())
+        ChecksumChain(hasher.finalize())
     }
 
     /// Adds a record in its form on disk; the chain after it.
-    pub(super) fn write(self, record: &Record, output: &mut Vec<u8>) -> Chain {
+    pub(super) fn write(self, record: &Record, output: &mut Vec<u8>) -> ChecksumChain {
         let content = record.serialize_bin();
-        let next = self.follow(&content);
+        let next = self.extend(&content);
         (content.len() as u32).ser_bin(output);
         next.0.ser_bin(output);
         output.extend_from_slice(&content);
@@ -101,7 +101,7 @@
     ///
     /// The record is whole and of no kind that this program knows: a newer one has written it, and it must not be
     /// taken for a torn end.
-    pub(super) fn read(self, bytes: &[u8]) -> Result<Option<(Record, Chain, usize)>, UnknownRecord> {
+    pub(super) fn read(self, bytes: &[u8]) -> Result<Option<(Record, ChecksumChain, usize)>, UnknownRecord> {
         let Some((content, next, end)) = self.whole(bytes) else { return Ok(None) };
         let mut offset = 0;
         match Record::de_bin(&mut offset, content) {
@@ -111,13 +111,13 @@
     }
 
     /// The content of the record at the start of `bytes` if its checksum holds, the chain after it, and its size.
-    fn whole(self, bytes: &[u8]) -> Option<(&[u8], Chain, usize)> {
+    fn whole(self, bytes: &[u8]) -> Option<(&[u8], ChecksumChain, usize)> {
         let mut offset = 0;
         let length = u32::de_bin(&mut offset, bytes).ok()? as usize;
         let checksum = u32::de_bin(&mut offset, bytes).ok()?;
-        let end = HEAD_BYTES.checked_add(length)?;
-        let content = bytes.get(HEAD_BYTES..end)?;
-        let next = self.follow(content);
+        let end = PREFIX_BYTES.checked_add(length)?;
+        let content = bytes.get(PREFIX_BYTES..end)?;
+        let next = self.extend(content);
         (next.0 == checksum).then_some((content, next, end))
     }
 }
--- a/crates/quorum/src/disk/slot.rs
+++ b/crates/quorum/src/disk/slot.rs
@@ -2,7 +2,7 @@
 
 use nanoserde::{DeBin, SerBin};
 
-use super::form::{Form, MARK_BYTES};
+use super::format::{FileFormat, HEADER_BYTES};
 use crate::entry::Snapshot;
 
 /// What a slot holds.
@@ -14,35 +14,35 @@
 
 /// "GQS1" marks a slot and the form of its content. In every form the checksum of the rest follows, so that a newer one
 /// can be told from a torn one. The log of a slot's generation has the slot's form.
-const FORM: Form = Form { letters: *b"GQS", number: b'1' };
+const FORMAT: FileFormat = FileFormat { magic: *b"GQS", version: b'1' };
 
 /// Mark and checksum.
-const HEAD_BYTES: usize = 8;
+const PREFIX_BYTES: usize = 8;
 
 /// Room for all but the application's bytes, so that those are copied once.
-const HEAD_ROOM: usize = 1024;
+const PREFIX_CAPACITY: usize = 1024;
 
 impl Slot {
     /// The content of a slot's file: mark, checksum, then the rest.
     pub(super) fn to_bytes(&self) -> Vec<u8> {
         let size = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.bytes.len());
-        let mut bytes = Vec::with_capacity(size + HEAD_ROOM);
-        bytes.extend_from_slice(&FORM.mark());
+        let mut bytes = Vec::with_capacity(size + PREFIX_CAPACITY);
+        bytes.extend_from_slice(&FORMAT.header());
         0u32.ser_bin(&mut bytes);
         self.ser_bin(&mut bytes);
-        let checksum = crc32fast::hash(&bytes[HEAD_BYTES..]);
-        bytes[4..HEAD_BYTES].copy_from_slice(&checksum.to_le_bytes());
+        let checksum = crc32fast::hash(&bytes[PREFIX_BYTES..]);
+        bytes[4..PREFIX_BYTES].copy_from_slice(&checksum.to_le_bytes());
         bytes
     }
 
     /// Whether a slot's file is whole and of a newer form.
     pub(super) fn is_newer(bytes: &[u8]) -> bool {
-        FORM.is_newer(bytes) && whole_content(bytes).is_some()
+        FORMAT.is_newer(bytes) && verified_content(bytes).is_some()
     }
 
     /// Reads a slot's file; none if it is torn.
     pub(super) fn from_bytes(bytes: &[u8]) -> Option<Slot> {
-        let content = whole_content(bytes).filter(|_| FORM.is_this(bytes))?;
+        let content = verified_content(bytes).filter(|_| FORMAT.matches(bytes))?;
         let mut read = 0;
         let slot = Slot::de_bin(&mut read, content).ok()?;
         (read == content.len()).then_some(slot)
@@ -50,8 +50,8 @@
 }
 
 /// What follows the mark and the checksum, if the checksum holds.
-fn whole_content(bytes: &[u8]) -> Option<&[u8]> {
-    let mut offset = MARK_BYTES;
+fn verified_content(bytes: &[u8]) -> Option<&[u8]> {
+    let mut offset = HEADER_BYTES;
     let checksum = u32::de_bin(&mut offset, bytes).ok()?;
     let content = bytes.get(offset..)?;
     (checksum == crc32fast::hash(content)).then_some(content)
--- a/crates/quorum/src/disk/store.rs
+++ b/crates/quorum/src/disk/store.rs
@@ -6,11 +6,11 @@
 
 use snafu::{ResultExt, ensure};
 
-use super::error::{DamagedSnafu, IoSnafu, NewerFormSnafu, PoisonedSnafu, StoreError};
+use super::error::{DamagedSnafu, IoSnafu, NewerFormatSnafu, PoisonedSnafu, StoreError};
 use super::files;
-use super::records::{Chain, Record, UnknownRecord};
+use super::records::{ChecksumChain, Record, UnknownRecord};
 use super::slot::Slot;
-use crate::entry::{Entry, HardState, Restored, Snapshot, Write};
+use crate::entry::{Entry, HardState, RestoredState, Snapshot, Write};
 
 /// The first generation; its slot has no snapshot.
 const FIRST_GENERATION: u64 = 1;
@@ -31,7 +31,7 @@
     file: File,
     /// The whole records, in bytes.
     length: u64,
-    chain: Chain,
+    chain: ChecksumChain,
     /// Something was written since the last sync.
     dirty: bool,
 }
@@ -40,12 +40,12 @@
 #[derive(Debug)]
 struct LogContent {
     generation: u64,
-    hard: HardState,
+    hard_state: HardState,
     entries: Vec<Entry>,
     length: u64,
-    chain: Chain,
+    chain: ChecksumChain,
     /// There is more than the first record, so the generation has been in force.
-    was_in_force: bool,
+    was_active: bool,
 }
 
 impl Store {
@@ -55,12 +55,12 @@
     /// # Errors
     ///
     /// When the disk refuses, what was synced once can't be read, or a newer version of this program has written it.
-    pub fn open(folder: &Path) -> Result<(Store, Restored), StoreError> {
+    pub fn open(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         files::create_folder(folder)?;
         let slots = [read_slot(folder, 0)?, read_slot(folder, 1)?];
         let logs = [read_log(folder, 0)?, read_log(folder, 1)?];
         let newest = (0..2)
-            .filter(|&parity| is_whole(&slots[parity], &logs[parity]))
+            .filter(|&parity| is_complete(&slots[parity], &logs[parity]))
             .max_by_key(|&parity| slots[parity].as_ref().map(|slot| slot.generation));
         let generation = newest.and_then(|parity| slots[parity].as_ref()).map(|slot| slot.generation);
         ensure_nothing_lost(folder, generation, &slots, &logs)?;
@@ -73,7 +73,7 @@
         else {
             return Store::create(folder);
         };
-        Store::go_on(folder, slot, log)
+        Store::resume(folder, slot, log)
     }
 
     /// Opens the files after a write or sync has failed in this process, and writes all of them anew: the system may
@@ -82,22 +82,22 @@
     /// # Errors
     ///
     /// As [`Store::open`], and when the disk still refuses.
-    pub fn open_after_failure(folder: &Path) -> Result<(Store, Restored), StoreError> {
+    pub fn open_after_failure(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         let (mut store, restored) = Store::open(folder)?;
-        store.begin_generation(restored.snapshot.clone(), restored.hard, restored.entries.clone())?;
+        store.begin_generation(restored.snapshot.clone(), restored.hard_state, restored.entries.clone())?;
         Ok((store, restored))
     }
 
-    fn create(folder: &Path) -> Result<(Store, Restored), StoreError> {
+    fn create(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         let log = begin_log(folder, FIRST_GENERATION, HardState::default(), Vec::new())?;
         write_slot(folder, Slot { generation: FIRST_GENERATION, snapshot: None })?;
         let store = Store { folder: folder.to_owned(), generation: FIRST_GENERATION, log, poisoned: false };
-        Ok((store, Restored::default()))
+        Ok((store, RestoredState::default()))
     }
 
     /// Goes on with a generation that was found whole. A process that ended between write and sync leaves files that
     /// are readable but not yet safe, so they are synced first.
-    fn go_on(folder: &Path, slot: Slot, content: LogContent) -> Result<(Store, Restored), StoreError> {
+    fn resume(folder: &Path, slot: Slot, content: LogContent) -> Result<(Store, RestoredState), StoreError> {
         let generation = slot.generation;
         let path = log_path(folder, generation);
         let file =
@@ -106,9 +106,13 @@
         file.sync_all().context(IoSnafu { action: "sync", path: &path })?;
         files::sync_file(&slot_path(folder, generation))?;
         files::sync_folder(folder)?;
-        empty_other_generation(folder, generation)?;
+        truncate_other_generation(folder, generation)?;
         let log = LogFile { path, file, length: content.length, chain: content.chain, dirty: false };
-        let restored = Restored { hard: content.hard, snapshot: slot.snapshot, entries: content.entries };
+        let restored = RestoredState {
+            hard_state: content.hard_state,
+            snapshot: slot.snapshot,
+            entries: content.entries,
+        };
         Ok((Store { folder: folder.to_owned(), generation, log, poisoned: false }, restored))
     }
 
@@ -122,8 +126,9 @@
     pub fn write(&mut self, writes: &[Write]) -> Result<(), StoreError> {
         ensure!(!self.poisoned, PoisonedSnafu);
         let newest = writes.iter().rposition(|write| matches!(write, Write::Snapshot { .. }));
-        if let Some(Write::Snapshot { snapshot, hard, entries }) = newest.and_then(|at| writes.get(at)) {
-            self.begin_generation(Some(snapshot.clone()), *hard, entries.clone())?;
+        if let Some(Write::Snapshot { snapshot, hard_state, entries }) = newest.and_then(|at| writes.get(at))
+        {
+            self.begin_generation(Some(snapshot.clone()), *hard_state, entries.clone())?;
         }
         let appended = &writes[newest.map_or(0, |at| at + 1)..];
         let mut bytes = Vec::new();
@@ -158,7 +163,7 @@
         self.log.length
     }
 
-    fn append(&mut self, bytes: &[u8], chain: Chain) -> Result<(), StoreError> {
+    fn append(&mut self, bytes: &[u8], chain: ChecksumChain) -> Result<(), StoreError> {
         let log = &mut self.log;
         log.dirty = true;
         if let Err(error) = log.file.write_all_at(bytes, log.length) {
@@ -175,32 +180,32 @@
     fn begin_generation(
         &mut self,
         snapshot: Option<Snapshot>,
-        hard: HardState,
+        hard_state: HardState,
         entries: Vec<Entry>,
     ) -> Result<(), StoreError> {
         let generation = self.generation + 1;
-        let log = begin_log(&self.folder, generation, hard, entries)?;
+        let log = begin_log(&self.folder, generation, hard_state, entries)?;
         // When this fails, the slot may be in force or not; only opening anew can tell.
         self.poisoned = true;
         write_slot(&self.folder, Slot { generation, snapshot })?;
         self.poisoned = false;
         self.generation = generation;
         self.log = log;
-        empty_other_generation(&self.folder, generation)
+        truncate_other_generation(&self.folder, generation)
     }
 }
 
 /// Gives back the room of the generation beside the one in force, which is whole and synced: nothing goes back to it, and
 /// a disk need not hold each state twice but while one is written. Whether that lasts does not matter.
-fn empty_other_generation(folder: &Path, in_force: u64) -> Result<(), StoreError> {
-    let other = in_force + 1;
-    files::empty(&slot_path(folder, other))?;
-    files::empty(&log_path(folder, other))
+fn truncate_other_generation(folder: &Path, active: u64) -> Result<(), StoreError> {
+    let other = active + 1;
+    files::truncate(&slot_path(folder, other))?;
+    files::truncate(&log_path(folder, other))
 }
 
 fn to_record(write: &Write) -> Option<Record> {
     match write {
-        Write::Hard(hard) => Some(Record::Hard(*hard)),
+        Write::HardState(hard_state) => Some(Record::HardState(*hard_state)),
         Write::Entries(entries) => Some(Record::Entries(entries.clone())),
         Write::Snapshot { .. } => None,
     }
@@ -222,12 +227,12 @@
 fn begin_log(
     folder: &Path,
     generation: u64,
-    hard: HardState,
+    hard_state: HardState,
     entries: Vec<Entry>,
 ) -> Result<LogFile, StoreError> {
     let path = log_path(folder, generation);
     let mut bytes = Vec::new();
-    let chain = Chain::START.write(&Record::Base { generation, hard, entries }, &mut bytes);
+    let chain = ChecksumChain::START.write(&Record::Base { generation, hard_state, entries }, &mut bytes);
     let file = files::replace(&path, &bytes)?;
     files::sync_folder(folder)?;
     Ok(LogFile { path, file, length: bytes.len() as u64, chain, dirty: false })
@@ -236,14 +241,14 @@
 fn read_slot(folder: &Path, parity: u64) -> Result<Option<Slot>, StoreError> {
     let path = slot_path(folder, parity);
     let content = files::read(&path)?;
-    ensure!(!Slot::is_newer(&content), NewerFormSnafu { what: "the slot", path });
+    ensure!(!Slot::is_newer(&content), NewerFormatSnafu { what: "the slot", path });
     Ok(Slot::from_bytes(&content).filter(|slot| slot.generation % 2 == parity))
 }
 
 fn read_log(folder: &Path, parity: u64) -> Result<Option<LogContent>, StoreError> {
     let path = log_path(folder, parity);
     let content = files::read(&path)?;
-    let newer = |_: UnknownRecord| NewerFormSnafu { what: "a record of the log", path: &path }.build();
+    let newer = |_: UnknownRecord| NewerFormatSnafu { what: "a record of the log", path: &path }.build();
     let base = read_base(&content).map_err(newer)?;
     let Some(mut log) = base.filter(|log| log.generation % 2 == parity) else {
         return Ok(None);
@@ -251,7 +256,7 @@
     while let Some((record, chain, size)) = log.chain.read(&content[log.length as usize..]).map_err(newer)? {
         match record {
             Record::Base { .. } => break,
-            Record::Hard(hard) => log.hard = hard,
+            Record::HardState(hard_state) => log.hard_state = hard_state,
             Record::Entries(entries) => {
                 let follows = replace_tail(&mut log.entries, entries);
                 ensure!(follows, DamagedSnafu { what: "the entries have a gap", path });
@@ -259,17 +264,22 @@
         }
         log.chain = chain;
         log.length += size as u64;
-        log.was_in_force = true;
+        log.was_active = true;
     }
     Ok(Some(log))
 }
 
 /// The first record.
 fn read_base(content: &[u8]) -> Result<Option<LogContent>, UnknownRecord> {
-    Ok(match Chain::START.read(content)? {
-        Some((Record::Base { generation, hard, entries }, chain, size)) => {
-            Some(LogContent { generation, hard, entries, length: size as u64, chain, was_in_force: false })
-        }
+    Ok(match ChecksumChain::START.read(content)? {
+        Some((Record::Base { generation, hard_state, entries }, chain, size)) => Some(LogContent {
+            generation,
+            hard_state,
+            entries,
+            length: size as u64,
+            chain,
+            was_active: false,
+        }),
         _ => None,
     })
 }
@@ -283,7 +293,7 @@
     follows
 }
 
-fn is_whole(slot: &Option<Slot>, log: &Option<LogContent>) -> bool {
+fn is_complete(slot: &Option<Slot>, log: &Option<LogContent>) -> bool {
     matches!((slot, log), (Some(slot), Some(log)) if slot.generation == log.generation)
 }
 
@@ -291,15 +301,15 @@
 /// slot is, and the first generation alone has none before it.
 fn ensure_nothing_lost(
     folder: &Path,
-    in_force: Option<u64>,
+    active: Option<u64>,
     slots: &[Option<Slot>; 2],
     logs: &[Option<LogContent>; 2],
 ) -> Result<(), StoreError> {
-    let newest = in_force.unwrap_or(0);
+    let newest = active.unwrap_or(0);
     let slot_without_log = slots.iter().flatten().any(|slot| slot.generation > newest);
     ensure!(!slot_without_log, DamagedSnafu { what: "the log of a slot is not whole", path: folder });
-    let ahead = |log: &LogContent| log.was_in_force || log.generation > newest + 1;
-    let log_without_slot = logs.iter().flatten().any(|log| log.generation > newest && ahead(log));
+    let is_ahead = |log: &LogContent| log.was_active || log.generation > newest + 1;
+    let log_without_slot = logs.iter().flatten().any(|log| log.generation > newest && is_ahead(log));
     ensure!(!log_without_slot, DamagedSnafu { what: "the slot of a log is not whole", path: folder });
     Ok(())
 }
--- a/crates/quorum/src/entry.rs
+++ b/crates/quorum/src/entry.rs
@@ -4,13 +4,13 @@
 
 use crate::blob::Blob;
 use crate::group::Group;
-use crate::ids::{Founding, Index, Position, ReplicaId, Term};
+use crate::ids::{ClusterId, Index, Position, ReplicaId, Term};
 
 /// What an entry says.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum Payload {
     /// The first entry of a leadership; it carries nothing.
-    Opening,
+    Noop,
     /// The group from this entry on.
     Group(Group),
     /// A command of the application.
@@ -23,7 +23,7 @@
         const ENTRY_OVERHEAD: usize = 32;
         ENTRY_OVERHEAD
             + match self {
-                Payload::Opening => 0,
+                Payload::Noop => 0,
                 Payload::Group(group) => 8 * (group.voters.len() + group.outgoing.len()),
                 Payload::Command(bytes) => bytes.len(),
             }
@@ -51,9 +51,9 @@
     /// The newest term that was seen.
     pub term: Term,
     /// Who got the vote in that term.
-    pub voted: Option<ReplicaId>,
+    pub vote: Option<ReplicaId>,
     /// The founding that the replica belongs to; none before it was founded or first written to.
-    pub founding: Option<Founding>,
+    pub cluster_id: Option<ClusterId>,
     /// An index up to which the log was known to be committed when this was written; may lag.
     pub commit: Index,
 }
@@ -71,8 +71,8 @@
 
 /// What was found on disk at the start; the default is an empty disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Restored {
-    pub hard: HardState,
+pub struct RestoredState {
+    pub hard_state: HardState,
     pub snapshot: Option<Snapshot>,
     /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
@@ -82,9 +82,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
     /// The promises, in the stead of all earlier ones.
-    Hard(HardState),
+    HardState(HardState),
     /// Entries without gaps. They replace everything from the first one's index on.
     Entries(Vec<Entry>),
     /// The whole state anew: after it nothing that was written before counts.
-    Snapshot { snapshot: Snapshot, hard: HardState, entries: Vec<Entry> },
+    Snapshot { snapshot: Snapshot, hard_state: HardState, entries: Vec<Entry> },
 }
--- a/crates/quorum/src/error.rs
+++ b/crates/quorum/src/error.rs
@@ -27,10 +27,10 @@
     NotLeader { hint: Option<ReplicaId> },
     /// A change or the handing over of the leadership is under way.
     #[snafu(display("a change is under way"))]
-    UnderWay,
+    InProgress,
     /// The leader has not committed an entry of its own term yet; try again soon.
     #[snafu(display("the leadership is not settled yet"))]
-    Unsettled,
+    NotCommitted,
     #[snafu(display("the new group is empty or too large"))]
     Invalid,
 }
@@ -38,12 +38,12 @@
 /// Why a leadership was not handed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
-pub enum HandOverError {
+pub enum TransferLeadershipError {
     #[snafu(display("not the leader"))]
     NotLeader { hint: Option<ReplicaId> },
     /// It is being handed to somebody else already.
     #[snafu(display("the leadership is being handed over"))]
-    UnderWay,
+    InProgress,
     /// Nobody else can take it, or the named one is no voter.
     #[snafu(display("nobody can take the leadership"))]
     NoTarget,
@@ -52,10 +52,10 @@
 /// Why a founding was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
-pub enum FoundError {
+pub enum BootstrapError {
     /// The replica belongs to another founding already.
     #[snafu(display("the part was founded otherwise"))]
-    Founded,
+    AlreadyBootstrapped,
     /// The group is empty, too large, joint, or does not name this replica.
     #[snafu(display("not a group that founds"))]
     Invalid,
--- a/crates/quorum/src/group.rs
+++ b/crates/quorum/src/group.rs
@@ -3,7 +3,7 @@
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
 use crate::blob::{read_list, write_list};
-use crate::ids::{Founding, ReplicaId};
+use crate::ids::{ClusterId, ReplicaId};
 
 /// The most voters of one group.
 pub const MAX_VOTERS: usize = 31;
@@ -27,12 +27,12 @@
     }
 
     /// The joint group on the way from this one to `voters`.
-    pub(crate) fn towards(&self, voters: Vec<ReplicaId>) -> Group {
+    pub(crate) fn enter_joint(&self, voters: Vec<ReplicaId>) -> Group {
         Group { voters, outgoing: self.voters.clone() }
     }
 
     /// The group after a joint one.
-    pub(crate) fn settled(&self) -> Group {
+    pub(crate) fn leave_joint(&self) -> Group {
         Group { voters: self.voters.clone(), outgoing: Vec::new() }
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// Whether the replica decides, in either list.
-    pub fn names(&self, replica: ReplicaId) -> bool {
+    pub fn contains(&self, replica: ReplicaId) -> bool {
         self.voters.contains(&replica) || self.outgoing.contains(&replica)
     }
 
@@ -53,12 +53,12 @@
     }
 
     /// Whether those for whom `says_yes` holds are a quorum.
-    pub fn decides(&self, says_yes: impl Fn(ReplicaId) -> bool) -> bool {
-        self.agreed(says_yes)
+    pub fn has_quorum(&self, says_yes: impl Fn(ReplicaId) -> bool) -> bool {
+        self.reached_by_quorum(says_yes)
     }
 
     /// The largest value that a quorum has reached.
-    pub fn agreed<T: Ord + Default>(&self, value: impl Fn(ReplicaId) -> T) -> T {
+    pub fn reached_by_quorum<T: Ord + Default>(&self, value: impl Fn(ReplicaId) -> T) -> T {
         let incoming = reached_by_majority(&self.voters, &value);
         if !self.is_joint() {
             return incoming;
@@ -67,10 +67,10 @@
     }
 
     /// The fingerprint of a founding with this group.
-    pub fn founding(&self) -> Founding {
+    pub fn cluster_id(&self) -> ClusterId {
         // The identities are random themselves.
         let bytes: Vec<u8> = self.voters.iter().flat_map(|voter| voter.0.to_le_bytes()).collect();
-        Founding(grebeusher_hash::fixed_hash_of(&bytes))
+        ClusterId(grebeusher_hash::fixed_hash_of(&bytes))
     }
 
     /// Whether the lists are ordered, without repeats and of a size that is allowed.
--- a/crates/quorum/src/ids.rs
+++ b/crates/quorum/src/ids.rs
@@ -48,7 +48,7 @@
 
 /// A fingerprint of the group that a partition was founded with. Replicas of two foundings never talk to each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct Founding(pub u64);
+pub struct ClusterId(pub u64);
 
 /// Numbers above this are refused when they come from outside, so that counting on can't run over.
 const MAX_NUMBER: u64 = u64::MAX / 4;
@@ -66,6 +66,6 @@
 }
 
 /// The failure of a read beyond what a length allows.
-pub(crate) fn short(offset: usize, wanted: usize, bytes: &[u8]) -> DeBinErr {
+pub(crate) fn truncated_input(offset: usize, wanted: usize, bytes: &[u8]) -> DeBinErr {
     DeBinErr::new(offset, wanted, bytes.len())
 }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -19,20 +19,20 @@
 //! # fn snapshot_of_application() -> Vec<u8> { Vec::new() }
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
 //! let identity = Identity::load_or_create("data".as_ref(), random())?;
-//! let (mut store, restored) = Store::open("data/part-0".as_ref())?;
+//! let (mut store, restored) = Store::open("data/partition-0".as_ref())?;
 //! let timing = Timing {
-//!     heartbeat: Duration::from_millis(50),
-//!     election_min: Duration::from_millis(500),
-//!     election_max: Duration::from_millis(900),
-//!     lease: Duration::from_millis(400),
+//!     heartbeat_interval: Duration::from_millis(50),
+//!     election_timeout_min: Duration::from_millis(500),
+//!     election_timeout_max: Duration::from_millis(900),
+//!     lease_duration: Duration::from_millis(400),
 //! };
 //! let mut replica = Replica::new(identity.id, restored, timing, random(), now());
 //! // Only where the system starts for the first time, on each replica that the group names:
-//! replica.found(Group::of([identity.id, ReplicaId(2), ReplicaId(3)]))?;
+//! replica.bootstrap(Group::of([identity.id, ReplicaId(2), ReplicaId(3)]))?;
 //! loop {
 //!     while replica.has_ready() {
 //!         let ready = replica.take_ready();
-//!         ready.ahead.into_iter().for_each(|(to, message)| send(to, message));
+//!         ready.immediate_messages.into_iter().for_each(|(to, message)| send(to, message));
 //!         store.write(&ready.writes)?;
 //!         if ready.must_sync {
 //!             store.sync()?;
@@ -62,6 +62,8 @@
 //! A failed write or sync is an error upward: the program drops replica and store, and ends or opens them anew by
 //! [`disk::Store::open_after_failure`]. A replica that was not told that something is synced must not go on.
 
+#![warn(missing_docs)]
+
 pub mod disk;
 
 mod blob;
@@ -69,22 +71,21 @@
 mod error;
 mod group;
 mod ids;
-mod log;
 mod message;
 mod progress;
+mod raft_log;
 mod ready;
 mod replica;
-mod role;
 mod timing;
 
 pub use blob::Blob;
-pub use entry::{Entry, HardState, Payload, Restored, Snapshot, Write};
-pub use error::{ChangeError, CompactError, FoundError, HandOverError, ProposeError};
+pub use entry::{Entry, HardState, Payload, RestoredState, Snapshot, Write};
+pub use error::{BootstrapError, ChangeError, CompactError, ProposeError, TransferLeadershipError};
 pub use group::{Group, MAX_VOTERS};
-pub use ids::{Founding, Index, Position, ReplicaId, Term};
+pub use ids::{ClusterId, Index, Position, ReplicaId, Term};
 pub use message::{
-    Append, AppendReply, Body, Candidacy, Chunk, ChunkReply, DecodeError, MAX_MESSAGE, Message, Outcome,
-    Stamp, VoteReply, decode, encode,
+    Append, AppendOutcome, AppendResponse, Body, DecodeError, LeaderTimestamp, MAX_MESSAGE, Message,
+    SnapshotChunk, SnapshotChunkResponse, VoteRequest, VoteResponse, decode, encode,
 };
 pub use ready::{Committed, Ready, Restore};
 pub use replica::Replica;
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -7,7 +7,7 @@
 use crate::blob::{Blob, read_list, write_list};
 use crate::entry::Entry;
 use crate::group::Group;
-use crate::ids::{Founding, Index, Position, ReplicaId, Term};
+use crate::ids::{ClusterId, Index, Position, ReplicaId, Term};
 
 /// The largest message in its binary form, in bytes: the largest command and its surroundings.
 pub const MAX_MESSAGE: usize = crate::MAX_COMMAND + 64 * 1024;
@@ -18,7 +18,7 @@
     pub from: ReplicaId,
     pub to: ReplicaId,
     /// The founding that the sender belongs to.
-    pub founding: Founding,
+    pub cluster_id: ClusterId,
     /// The sender's term; for a pre-vote, and a pre-vote that was granted, the one that it is about.
     pub term: Term,
     pub body: Body,
@@ -28,46 +28,46 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum Body {
     /// Would you vote for me in this term? Promises nothing.
-    PreVote(Candidacy),
-    PreVoteReply(VoteReply),
+    RequestPreVote(VoteRequest),
+    PreVoteResponse(VoteResponse),
     /// Vote for me in this term.
-    Vote(Candidacy),
-    VoteReply(VoteReply),
+    RequestVote(VoteRequest),
+    VoteResponse(VoteResponse),
     /// Entries of the leader; without any it is a heartbeat.
     Append(Append),
-    AppendReply(AppendReply),
+    AppendResponse(AppendResponse),
     /// A piece of the leader's snapshot.
-    Chunk(Chunk),
-    ChunkReply(ChunkReply),
+    SnapshotChunk(SnapshotChunk),
+    SnapshotChunkResponse(SnapshotChunkResponse),
     /// The leader gave up its lease: start an election at once.
-    TakeOver,
+    TimeoutNow,
 }
 
 /// What a candidate says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct Candidacy {
+pub struct VoteRequest {
     /// The end of its log.
     pub last: Position,
     /// The leader of the term before gave up its lease for this election, so that nobody has to wait for its end.
-    pub handed_over: bool,
+    pub leadership_transfer: bool,
 }
 
 /// The answer to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct VoteReply {
+pub struct VoteResponse {
     pub granted: bool,
 }
 
 /// A point of the leader's clock, echoed by the reply: the lease counts from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct Stamp(pub u64);
+pub struct LeaderTimestamp(pub u64);
 
-impl Stamp {
-    pub(crate) fn at(moment: Instant) -> Stamp {
-        Stamp(moment.0)
+impl LeaderTimestamp {
+    pub(crate) fn from_instant(instant: Instant) -> LeaderTimestamp {
+        LeaderTimestamp(instant.0)
     }
 
-    pub(crate) fn moment(self) -> Instant {
+    pub(crate) fn instant(self) -> Instant {
         Instant(self.0)
     }
 }
@@ -78,46 +78,46 @@
     pub previous: Position,
     /// What the leader knows to be committed.
     pub commit: Index,
-    pub sent: Stamp,
+    pub sent: LeaderTimestamp,
     pub entries: Vec<Entry>,
 }
 
 /// The answer to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct AppendReply {
-    pub outcome: Outcome,
-    pub sent: Stamp,
+pub struct AppendResponse {
+    pub outcome: AppendOutcome,
+    pub sent: LeaderTimestamp,
 }
 
 /// What became of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub enum Outcome {
+pub enum AppendOutcome {
     /// The log is the leader's up to here, synced.
     Matched(Index),
-    /// The entry before `refused` differs or is missing; the logs may agree at `hint` at best.
-    Conflict { refused: Index, hint: Index },
+    /// The entry before `rejected` differs or is missing; the logs may agree at `hint` at best.
+    Conflict { rejected: Index, hint: Index },
     /// The sender's term is over.
-    Outdated,
+    StaleTerm,
 }
 
 /// A piece of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct Chunk {
+pub struct SnapshotChunk {
     pub last: Position,
     pub group: Group,
     /// The size of the whole snapshot, in bytes.
     pub total: u64,
     pub offset: u64,
     pub bytes: Blob,
-    pub sent: Stamp,
+    pub sent: LeaderTimestamp,
 }
 
 /// How much of a snapshot has arrived without gaps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct ChunkReply {
+pub struct SnapshotChunkResponse {
     pub last: Position,
     pub received: u64,
-    pub sent: Stamp,
+    pub sent: LeaderTimestamp,
 }
 
 impl SerBin for Append {
@@ -132,12 +132,12 @@
 impl DeBin for Append {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Append, DeBinErr> {
         // Index, term and the payload's kind.
-        const MIN_ENTRY: usize = 8 + 8 + 1;
+        const MIN_ENTRY_BYTES: usize = 8 + 8 + 1;
         Ok(Append {
             previous: Position::de_bin(offset, bytes)?,
             commit: Index::de_bin(offset, bytes)?,
-            sent: Stamp::de_bin(offset, bytes)?,
-            entries: read_list(MIN_ENTRY, offset, bytes)?,
+            sent: LeaderTimestamp::de_bin(offset, bytes)?,
+            entries: read_list(MIN_ENTRY_BYTES, offset, bytes)?,
         })
     }
 }
@@ -176,7 +176,7 @@
         self.term.is_plausible()
             && match &self.body {
                 Body::Append(append) => append.is_plausible(self.term),
-                Body::Chunk(chunk) => chunk.is_plausible(self.term),
+                Body::SnapshotChunk(chunk) => chunk.is_plausible(self.term),
                 _ => true,
             }
     }
@@ -205,7 +205,7 @@
     }
 }
 
-impl Chunk {
+impl SnapshotChunk {
     fn is_plausible(&self, term: Term) -> bool {
         self.last.index.is_plausible()
             && self.last.index > Index(0)
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -17,42 +17,42 @@
 const SNAPSHOT_WINDOW: u64 = 2 * crate::MAX_CHUNK as u64;
 
 /// After so many heartbeats without a piece of the snapshot arriving, pieces are taken for lost.
-const STALLED_BEATS: u32 = 10;
+const STALLED_HEARTBEATS: u32 = 10;
 
 /// How entries go to a follower.
 #[derive(Clone, Debug, Hash)]
-pub(crate) enum Flow {
+pub(crate) enum ProgressState {
     /// Where its log ends is not known: one message at a time, and without entries while it is silent.
     Probe { waiting: bool, silent: bool },
     /// Its log is known to agree: several messages at a time.
-    Pipeline { flights: VecDeque<Flight>, bytes: usize },
+    Replicate { inflights: VecDeque<Inflight>, bytes: usize },
     /// It needs entries that only the snapshot still has.
-    Snapshot(Transfer),
+    Snapshot(SnapshotTransfer),
 }
 
 /// A message with entries that has not been answered.
 #[derive(Clone, Copy, Debug, Hash)]
-pub(crate) struct Flight {
+pub(crate) struct Inflight {
     last: Index,
     bytes: usize,
 }
 
 /// A snapshot under way.
 #[derive(Clone, Debug, Hash)]
-pub(crate) struct Transfer {
+pub(crate) struct SnapshotTransfer {
     pub(crate) snapshot: Snapshot,
     pub(crate) sent: u64,
     received: u64,
-    beats_without_news: u32,
+    heartbeats_without_progress: u32,
     finished: bool,
 }
 
-impl Transfer {
+impl SnapshotTransfer {
     /// Goes on from what is known to have arrived.
     fn resume(&mut self) {
         self.sent = self.received;
         self.finished = false;
-        self.beats_without_news = 0;
+        self.heartbeats_without_progress = 0;
     }
 
     fn total(&self) -> u64 {
@@ -67,11 +67,11 @@
     pub(crate) matched: Index,
     /// The next entry to send.
     pub(crate) next: Index,
-    pub(crate) flow: Flow,
+    pub(crate) state: ProgressState,
     /// When the newest message that it answered in this term was sent.
-    pub(crate) answered: Option<Instant>,
+    pub(crate) last_response: Option<Instant>,
     /// A heartbeat is due, if nothing else is sent.
-    pub(crate) beat_due: bool,
+    pub(crate) heartbeat_due: bool,
 }
 
 impl Progress {
@@ -80,114 +80,122 @@
         Progress {
             matched: Index(0),
             next: last.next(),
-            flow: Flow::Probe { waiting: false, silent: false },
-            answered: None,
-            beat_due: true,
+            state: ProgressState::Probe { waiting: false, silent: false },
+            last_response: None,
+            heartbeat_due: true,
         }
     }
 
     /// Notes that a message sent at `sent` was answered. If pieces of a snapshot were lost, they are sent anew now that
     /// somebody is there to take them.
-    pub(crate) fn note_answer(&mut self, sent: Instant) {
-        self.answered = self.answered.max(Some(sent));
-        match &mut self.flow {
-            Flow::Snapshot(transfer) if transfer.beats_without_news >= STALLED_BEATS => transfer.resume(),
+    pub(crate) fn record_response(&mut self, sent: Instant) {
+        self.last_response = self.last_response.max(Some(sent));
+        match &mut self.state {
+            ProgressState::Snapshot(transfer)
+                if transfer.heartbeats_without_progress >= STALLED_HEARTBEATS =>
+            {
+                transfer.resume()
+            }
             _ => {}
         }
     }
 
     /// A heartbeat is due.
-    pub(crate) fn beat(&mut self) {
-        self.beat_due = true;
-        match &mut self.flow {
-            Flow::Probe { waiting, silent } => *silent |= *waiting,
-            Flow::Pipeline { .. } => {}
-            Flow::Snapshot(transfer) => transfer.beats_without_news += 1,
+    pub(crate) fn tick_heartbeat(&mut self) {
+        self.heartbeat_due = true;
+        match &mut self.state {
+            ProgressState::Probe { waiting, silent } => *silent |= *waiting,
+            ProgressState::Replicate { .. } => {}
+            ProgressState::Snapshot(transfer) => transfer.heartbeats_without_progress += 1,
         }
     }
 
     /// Whether entries, or a probe, may be sent now.
-    pub(crate) fn has_room(&self) -> bool {
-        match &self.flow {
-            Flow::Probe { waiting, silent } => !waiting && !silent,
-            Flow::Pipeline { flights, bytes } => *bytes < WINDOW_BYTES && flights.len() < WINDOW_MESSAGES,
-            Flow::Snapshot(transfer) => {
+    pub(crate) fn can_send(&self) -> bool {
+        match &self.state {
+            ProgressState::Probe { waiting, silent } => !waiting && !silent,
+            ProgressState::Replicate { inflights, bytes } => {
+                *bytes < WINDOW_BYTES && inflights.len() < WINDOW_MESSAGES
+            }
+            ProgressState::Snapshot(transfer) => {
                 !transfer.finished && transfer.sent - transfer.received < SNAPSHOT_WINDOW
             }
         }
     }
 
     /// Notes that entries up to `last` were sent, or an empty probe.
-    pub(crate) fn note_sent(&mut self, last: Index, bytes: usize) {
-        match &mut self.flow {
-            Flow::Probe { waiting, .. } => *waiting = true,
-            Flow::Pipeline { flights, bytes: under_way } => {
-                flights.push_back(Flight { last, bytes });
-                *under_way += bytes;
+    pub(crate) fn record_sent(&mut self, last: Index, bytes: usize) {
+        match &mut self.state {
+            ProgressState::Probe { waiting, .. } => *waiting = true,
+            ProgressState::Replicate { inflights, bytes: in_flight } => {
+                inflights.push_back(Inflight { last, bytes });
+                *in_flight += bytes;
                 self.next = last.next();
             }
-            Flow::Snapshot(_) => {}
+            ProgressState::Snapshot(_) => {}
         }
     }
 
     /// Its log agrees up to `index`. Tells whether that is news.
-    pub(crate) fn note_matched(&mut self, index: Index) -> bool {
+    pub(crate) fn record_match(&mut self, index: Index) -> bool {
         let news = index > self.matched;
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched.next());
         let matched = self.matched;
-        match &mut self.flow {
-            Flow::Probe { .. } => self.start_pipeline(),
-            Flow::Pipeline { flights, bytes } => {
-                while flights.front().is_some_and(|flight| flight.last <= matched) {
-                    let Some(flight) = flights.pop_front() else { break };
-                    *bytes -= flight.bytes;
+        match &mut self.state {
+            ProgressState::Probe { .. } => self.become_replicate(),
+            ProgressState::Replicate { inflights, bytes } => {
+                while inflights.front().is_some_and(|inflight| inflight.last <= matched) {
+                    let Some(inflight) = inflights.pop_front() else { break };
+                    *bytes -= inflight.bytes;
                 }
             }
-            Flow::Snapshot(transfer) if matched >= transfer.snapshot.last.index => self.start_pipeline(),
-            Flow::Snapshot(_) => {}
+            ProgressState::Snapshot(transfer) if matched >= transfer.snapshot.last.index => {
+                self.become_replicate()
+            }
+            ProgressState::Snapshot(_) => {}
         }
         news
     }
 
-    fn start_pipeline(&mut self) {
+    fn become_replicate(&mut self) {
         self.next = self.matched.next();
-        self.flow = Flow::Pipeline { flights: VecDeque::new(), bytes: 0 };
+        self.state = ProgressState::Replicate { inflights: VecDeque::new(), bytes: 0 };
     }
 
-    /// An append after `refused` did not fit; the logs may agree at `hint` at best. Replies to older messages than the
+    /// An append after `rejected` did not fit; the logs may agree at `hint` at best. Replies to older messages than the
     /// newest probe change nothing.
-    pub(crate) fn note_conflict(&mut self, refused: Index, hint: Index) {
-        let concerns_probe = match &self.flow {
-            Flow::Probe { .. } => refused == self.next.previous(),
-            Flow::Pipeline { .. } => refused > self.matched && refused < self.next,
-            Flow::Snapshot(_) => false,
+    pub(crate) fn record_rejection(&mut self, rejected: Index, hint: Index) {
+        let concerns_probe = match &self.state {
+            ProgressState::Probe { .. } => rejected == self.next.previous(),
+            ProgressState::Replicate { .. } => rejected > self.matched && rejected < self.next,
+            ProgressState::Snapshot(_) => false,
         };
         if concerns_probe {
-            self.next = hint.min(refused.previous()).next().max(self.matched.next());
-            self.flow = Flow::Probe { waiting: false, silent: false };
+            self.next = hint.min(rejected.previous()).next().max(self.matched.next());
+            self.state = ProgressState::Probe { waiting: false, silent: false };
         }
     }
 
     /// Starts sending a snapshot.
-    pub(crate) fn start_snapshot(&mut self, snapshot: Snapshot) {
-        self.flow = Flow::Snapshot(Transfer {
+    pub(crate) fn become_snapshot(&mut self, snapshot: Snapshot) {
+        self.state = ProgressState::Snapshot(SnapshotTransfer {
             snapshot,
             sent: 0,
             received: 0,
-            beats_without_news: 0,
+            heartbeats_without_progress: 0,
             finished: false,
         });
     }
 
     /// The follower has this much of the snapshot that ends at `last`.
-    pub(crate) fn note_received(&mut self, last: Index, received: u64) {
-        let Flow::Snapshot(transfer) = &mut self.flow else { return };
+    pub(crate) fn record_snapshot_received(&mut self, last: Index, received: u64) {
+        let ProgressState::Snapshot(transfer) = &mut self.state else { return };
         if transfer.snapshot.last.index != last || received > transfer.total() {
             return;
         }
         if received > transfer.received {
-            transfer.beats_without_news = 0;
+            transfer.heartbeats_without_progress = 0;
         }
         // Less than before: it started anew and has lost what it had, or this is an old reply. Either way the pieces
         // from there on go again once nothing else is heard.
@@ -196,27 +204,27 @@
     }
 
     /// The log up to which a snapshot is under way, if one is.
-    pub(crate) fn snapshot_under_way(&self) -> Option<Index> {
-        match &self.flow {
-            Flow::Snapshot(transfer) => Some(transfer.snapshot.last.index),
+    pub(crate) fn pending_snapshot(&self) -> Option<Index> {
+        match &self.state {
+            ProgressState::Snapshot(transfer) => Some(transfer.snapshot.last.index),
             _ => None,
         }
     }
 
     /// Whether its log is known to agree, and nothing is under way to it.
-    pub(crate) fn is_at_rest(&self) -> bool {
-        matches!(&self.flow, Flow::Pipeline { flights, .. } if flights.is_empty())
+    pub(crate) fn is_idle(&self) -> bool {
+        matches!(&self.state, ProgressState::Replicate { inflights, .. } if inflights.is_empty())
     }
 
     /// Whether entries go to it as they come.
-    pub(crate) fn is_pipelined(&self) -> bool {
-        matches!(self.flow, Flow::Pipeline { .. })
+    pub(crate) fn is_replicating(&self) -> bool {
+        matches!(self.state, ProgressState::Replicate { .. })
     }
 }
 
-impl Transfer {
+impl SnapshotTransfer {
     /// The bounds of the next piece; notes it as sent.
-    pub(crate) fn next_piece(&mut self) -> std::ops::Range<usize> {
+    pub(crate) fn next_chunk(&mut self) -> std::ops::Range<usize> {
         let start = self.sent;
         let end = (start + crate::MAX_CHUNK as u64).min(self.total());
         self.sent = end;
--- a/crates/quorum/src/log.rs
+++ b/crates/quorum/src/raft_log.rs
@@ -3,12 +3,12 @@
 
 use std::collections::VecDeque;
 
-use crate::entry::{Entry, Payload, Restored, Snapshot};
+use crate::entry::{Entry, Payload, RestoredState, Snapshot};
 use crate::group::Group;
 use crate::ids::{Index, Position, ReplicaId, Term};
 
 /// Entries that a snapshot contains stay in memory up to so many bytes, for followers that are a little behind.
-const RETAINED_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RETAINED_BYTES: usize = 8 * 1024 * 1024;
 
 /// Where a group came into force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,7 +19,7 @@
 
 /// The log of a replica.
 #[derive(Clone, Debug)]
-pub(crate) struct Log {
+pub(crate) struct RaftLog {
     snapshot: Option<Snapshot>,
     /// The position just before the first entry in memory.
     before: Position,
@@ -27,24 +27,24 @@
     /// The bytes of the entries in memory.
     bytes: usize,
     /// The bytes of the entries after the snapshot.
-    fresh_bytes: usize,
+    uncompacted_bytes: usize,
     /// The group at the snapshot and those after it, ascending; the first one always stands.
     groups: Vec<GroupAt>,
 }
 
-impl Log {
+impl RaftLog {
     /// The log that was found on disk; entries that don't follow on are left out.
-    pub(crate) fn restored(restored: Restored) -> Log {
+    pub(crate) fn restored(restored: RestoredState) -> RaftLog {
         let (before, group) = match &restored.snapshot {
             Some(snapshot) => (snapshot.last, snapshot.group.clone()),
             None => (Position::default(), Group::default()),
         };
-        let mut log = Log {
+        let mut log = RaftLog {
             snapshot: restored.snapshot,
             before,
             entries: VecDeque::new(),
             bytes: 0,
-            fresh_bytes: 0,
+            uncompacted_bytes: 0,
             groups: vec![GroupAt { index: before.index, group }],
         };
         for entry in restored.entries {
@@ -70,8 +70,8 @@
     }
 
     /// The bytes of the entries that no snapshot contains.
-    pub(crate) fn fresh_bytes(&self) -> usize {
-        self.fresh_bytes
+    pub(crate) fn uncompacted_bytes(&self) -> usize {
+        self.uncompacted_bytes
     }
 
     /// The term of an entry, when it is still known.
@@ -100,12 +100,12 @@
     }
 
     /// As many entries from an index on as fit, at least one if there is any, and their bytes.
-    pub(crate) fn batch(&self, from: Index, most_bytes: usize) -> (Vec<Entry>, usize) {
+    pub(crate) fn batch(&self, from: Index, max_bytes: usize) -> (Vec<Entry>, usize) {
         let mut bytes = 0;
         let mut entries = Vec::new();
         for entry in self.range(from, self.last().index) {
             let size = entry.payload.size();
-            if !entries.is_empty() && bytes + size > most_bytes {
+            if !entries.is_empty() && bytes + size > max_bytes {
                 break;
             }
             bytes += size;
@@ -119,7 +119,7 @@
         debug_assert_eq!(entry.index, self.last().index.next());
         let size = entry.payload.size();
         self.bytes += size;
-        self.fresh_bytes += size;
+        self.uncompacted_bytes += size;
         if let Payload::Group(group) = &entry.payload {
             self.groups.push(GroupAt { index: entry.index, group: group.clone() });
         }
@@ -131,7 +131,7 @@
         while self.entries.back().is_some_and(|entry| entry.index >= from) {
             let Some(entry) = self.entries.pop_back() else { break };
             self.bytes -= entry.payload.size();
-            self.fresh_bytes = self.fresh_bytes.saturating_sub(entry.payload.size());
+            self.uncompacted_bytes = self.uncompacted_bytes.saturating_sub(entry.payload.size());
         }
         while self.groups.len() > 1 && self.groups.last().is_some_and(|last| last.index >= from) {
             self.groups.pop();
@@ -144,8 +144,8 @@
     }
 
     /// Whether the group before the newest one names a replica.
-    pub(crate) fn previous_group_names(&self, replica: ReplicaId) -> bool {
-        self.groups.iter().nth_back(1).is_some_and(|known| known.group.names(replica))
+    pub(crate) fn previous_group_contains(&self, replica: ReplicaId) -> bool {
+        self.groups.iter().nth_back(1).is_some_and(|known| known.group.contains(replica))
     }
 
     /// The entry that brought the newest group.
@@ -170,9 +170,9 @@
         self.groups.retain(|known| known.index > last.index);
         self.groups.insert(0, GroupAt { index: last.index, group: snapshot.group.clone() });
         self.snapshot = Some(snapshot);
-        self.fresh_bytes = self.bytes_between(last.index, self.last().index);
-        let most = if floor < last.index { 8 * RETAINED_BYTES } else { RETAINED_BYTES };
-        while self.bytes - self.fresh_bytes > most && self.before.index < last.index {
+        self.uncompacted_bytes = self.bytes_between(last.index, self.last().index);
+        let max_retained = if floor < last.index { 8 * MAX_RETAINED_BYTES } else { MAX_RETAINED_BYTES };
+        while self.bytes - self.uncompacted_bytes > max_retained && self.before.index < last.index {
             let Some(entry) = self.entries.pop_front() else { break };
             self.bytes -= entry.payload.size();
             self.before = entry.position();
@@ -189,7 +189,7 @@
         }
         self.entries.clear();
         self.bytes = 0;
-        self.fresh_bytes = 0;
+        self.uncompacted_bytes = 0;
         self.before = last;
         self.groups = vec![GroupAt { index: last.index, group: snapshot.group.clone() }];
         self.snapshot = Some(snapshot);
--- a/crates/quorum/src/ready.rs
+++ b/crates/quorum/src/ready.rs
@@ -13,13 +13,13 @@
     pub payload: Blob,
 }
 
-/// A batch of work. The order is: `ahead` may be sent at once; then `writes` are written and, if `must_sync`, synced;
+/// A batch of work. The order is: `immediate_messages` may be sent at once; then `writes` are written and, if `must_sync`, synced;
 /// then [`Replica::synced`](crate::Replica::synced) is called, `messages` are sent, `restore` is loaded and `committed`
 /// is applied. The next batch is taken only after that; messages and proposals may come in between.
 #[derive(Debug, Default)]
 pub struct Ready {
     /// Messages that promise nothing about this replica's disk: a leader's entries go out while it writes them itself.
-    pub ahead: Vec<(ReplicaId, Message)>,
+    pub immediate_messages: Vec<(ReplicaId, Message)>,
     /// What goes to disk, in order.
     pub writes: Vec<Write>,
     /// Whether `writes` must be synced before `messages` are sent; if not, there are none.
--- a/crates/quorum/src/replica/election.rs
+++ b/crates/quorum/src/replica/election.rs
@@ -6,49 +6,60 @@
 use rand::Rng;
 
 use super::Replica;
+use super::role::Role;
 use crate::ids::{Index, Position, ReplicaId, Term};
-use crate::message::{Body, Candidacy, VoteReply};
-use crate::role::Role;
+use crate::message::{Body, VoteRequest, VoteResponse};
+use crate::timing::Timing;
+
+/// Why a candidate asks for votes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum CampaignKind {
+    /// Its election timeout ran out. Voters that hear a leader ignore the request.
+    Timeout,
+    /// The leader gave up its lease for it, so no voter has to wait for the end of that.
+    LeadershipTransfer,
+}
 
 impl Replica {
     /// Asks whether an election has a chance, which promises nothing and disturbs nobody.
-    pub(super) fn start_pre_vote(&mut self) {
+    pub(super) fn pre_campaign(&mut self) {
         let granted = BTreeSet::from([self.identity]);
-        let decided = self.group().decides(|voter| granted.contains(&voter));
+        let won = self.group().has_quorum(|voter| granted.contains(&voter));
         self.role = Role::PreCandidate { granted };
-        self.put_off_question();
-        if decided {
-            self.start_vote(false);
+        self.reset_pre_vote_timeout();
+        if won {
+            self.campaign(CampaignKind::Timeout);
             return;
         }
-        let candidacy = Candidacy { last: self.log.last(), handed_over: false };
-        self.ask_others(self.hard.term.next(), Body::PreVote(candidacy));
+        let request = VoteRequest { last: self.log.last(), leadership_transfer: false };
+        self.send_to_peers(self.hard_state.term.next(), Body::RequestPreVote(request));
     }
 
     /// Stands in the next term.
-    pub(super) fn start_vote(&mut self, handed_over: bool) {
-        self.adopt(self.hard.term.next());
-        self.hard.voted = Some(self.identity);
+    pub(super) fn campaign(&mut self, kind: CampaignKind) {
+        self.advance_term(self.hard_state.term.next());
+        self.hard_state.vote = Some(self.identity);
         let granted = BTreeSet::from([self.identity]);
-        let decided = self.group().decides(|voter| granted.contains(&voter));
+        let won = self.group().has_quorum(|voter| granted.contains(&voter));
         self.role = Role::Candidate { granted };
-        self.put_off_election();
-        if decided {
+        self.reset_election_timeout();
+        if won {
             self.become_leader();
             return;
         }
-        let candidacy = Candidacy { last: self.log.last(), handed_over };
-        self.ask_others(self.hard.term, Body::Vote(candidacy));
+        let leadership_transfer = kind == CampaignKind::LeadershipTransfer;
+        let request = VoteRequest { last: self.log.last(), leadership_transfer };
+        self.send_to_peers(self.hard_state.term, Body::RequestVote(request));
     }
 
     /// A question that some refuse because they heard of the leader a little later is put again soon.
-    fn put_off_question(&mut self) {
-        let election_min = self.timing.election_min;
-        let wait = self.rng.random_range(election_min.nanos() / 2..=election_min.nanos());
-        self.election_at = self.now + Duration::from_nanos(wait);
+    fn reset_pre_vote_timeout(&mut self) {
+        let election_timeout_min = self.timing.election_timeout_min;
+        let wait = self.rng.random_range(election_timeout_min.nanos() / 2..=election_timeout_min.nanos());
+        self.election_deadline = self.now + Duration::from_nanos(wait);
     }
 
-    fn ask_others(&mut self, term: Term, body: Body) {
+    fn send_to_peers(&mut self, term: Term, body: Body) {
         let others: Vec<ReplicaId> =
             self.group().members().filter(|member| *member != self.identity).collect();
         for other in others {
@@ -56,108 +67,142 @@
         }
     }
 
-    pub(super) fn receive_pre_vote(&mut self, from: ReplicaId, term: Term, candidacy: Candidacy) {
-        let granted = term > self.hard.term && !self.hears_leader() && self.would_vote(from, candidacy.last);
-        let answered = if granted { term } else { self.hard.term };
-        self.send(from, answered, Body::PreVoteReply(VoteReply { granted }));
+    pub(super) fn receive_pre_vote(&mut self, from: ReplicaId, term: Term, request: VoteRequest) {
+        let granted = term > self.hard_state.term
+            && !self.is_within_leader_lease()
+            && self.can_vote_for(from, request.last);
+        let response_term = if granted { term } else { self.hard_state.term };
+        self.send(from, response_term, Body::PreVoteResponse(VoteResponse { granted }));
     }
 
-    pub(super) fn receive_pre_vote_reply(&mut self, from: ReplicaId, term: Term, reply: VoteReply) {
-        if !reply.granted {
-            self.follow_if_newer(term);
+    pub(super) fn receive_pre_vote_response(&mut self, from: ReplicaId, term: Term, response: VoteResponse) {
+        if !response.granted {
+            self.step_down_if_newer(term);
             return;
         }
-        if term != self.hard.term.next() {
+        if term != self.hard_state.term.next() {
             return;
         }
         let Role::PreCandidate { granted } = &mut self.role else { return };
         granted.insert(from);
         let granted = granted.clone();
-        if self.group().decides(|voter| granted.contains(&voter)) {
-            self.start_vote(false);
+        if self.group().has_quorum(|voter| granted.contains(&voter)) {
+            self.campaign(CampaignKind::Timeout);
         }
     }
 
-    pub(super) fn receive_vote(&mut self, from: ReplicaId, term: Term, candidacy: Candidacy) {
-        if term < self.hard.term {
-            self.send(from, self.hard.term, Body::VoteReply(VoteReply { granted: false }));
+    pub(super) fn receive_vote(&mut self, from: ReplicaId, term: Term, request: VoteRequest) {
+        if term < self.hard_state.term {
+            self.send(from, self.hard_state.term, Body::VoteResponse(VoteResponse { granted: false }));
             return;
         }
-        if !candidacy.handed_over && self.hears_leader() {
+        if !request.leadership_transfer && self.is_within_leader_lease() {
             return;
         }
-        self.follow_if_newer(term);
-        let free = self.hard.voted.is_none_or(|voted| voted == from);
-        let granted = free && self.leader_hint().is_none() && self.would_vote(from, candidacy.last);
-        if granted && self.hard.voted.is_none() {
-            self.hard.voted = Some(from);
-            self.output.hard = true;
-            self.follow(term, None);
+        self.step_down_if_newer(term);
+        let free = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted = free && self.leader_hint().is_none() && self.can_vote_for(from, request.last);
+        if granted && self.hard_state.vote.is_none() {
+            self.hard_state.vote = Some(from);
+            self.output.hard_state_changed = true;
+            self.become_follower(term, None);
         }
-        self.send(from, self.hard.term, Body::VoteReply(VoteReply { granted }));
+        self.send(from, self.hard_state.term, Body::VoteResponse(VoteResponse { granted }));
     }
 
-    pub(super) fn receive_vote_reply(&mut self, from: ReplicaId, term: Term, reply: VoteReply) {
-        if term != self.hard.term || !reply.granted {
-            self.follow_if_newer(term);
+    pub(super) fn receive_vote_response(&mut self, from: ReplicaId, term: Term, response: VoteResponse) {
+        if term != self.hard_state.term || !response.granted {
+            self.step_down_if_newer(term);
             return;
         }
         let Role::Candidate { granted } = &mut self.role else { return };
         granted.insert(from);
         let granted = granted.clone();
-        if self.group().decides(|voter| granted.contains(&voter)) {
+        if self.group().has_quorum(|voter| granted.contains(&voter)) {
             self.become_leader();
         }
     }
 
-    pub(super) fn receive_take_over(&mut self, from: ReplicaId, term: Term) {
-        let told_by_leader = matches!(self.role, Role::Follower { leader } if leader == Some(from));
-        if term == self.hard.term && told_by_leader && self.may_stand() {
-            self.start_vote(true);
+    pub(super) fn receive_timeout_now(&mut self, from: ReplicaId, term: Term) {
+        let is_from_leader = matches!(self.role, Role::Follower { leader } if leader == Some(from));
+        if term == self.hard_state.term && is_from_leader && self.is_promotable() {
+            self.campaign(CampaignKind::LeadershipTransfer);
         }
     }
 
-    pub(super) fn follow_if_newer(&mut self, term: Term) {
-        if term > self.hard.term {
-            self.follow(term, None);
+    pub(super) fn step_down_if_newer(&mut self, term: Term) {
+        if term > self.hard_state.term {
+            self.become_follower(term, None);
         }
     }
 
     /// Whether it must not help anybody against a leader that may hold a lease, or may have one itself.
-    fn hears_leader(&self) -> bool {
-        let heard = match self.leadership() {
+    fn is_within_leader_lease(&self) -> bool {
+        let contact = match self.leader_state() {
             Some(_) => self.quorum_contact(),
-            None => Some(self.heard),
+            None => Some(self.last_leader_contact),
         };
-        heard.is_some_and(|heard| self.now < heard + self.timing.election_min)
+        contact.is_some_and(|contact| self.now < contact + self.timing.election_timeout_min)
     }
 
     /// Whether the candidate's log may hold everything that is committed. A replica without any entry has nothing to
     /// compare, so it only learns.
-    fn would_vote(&self, candidate: ReplicaId, last: Position) -> bool {
+    fn can_vote_for(&self, candidate: ReplicaId, last: Position) -> bool {
         let own = self.log.last();
         own.index > Index(0) && last >= own && !(last == own && self.was_removed(candidate))
     }
 
     /// Whether it is decided that a replica does not belong to the group, as far as the own log goes.
     fn was_removed(&self, replica: ReplicaId) -> bool {
-        self.commit >= self.log.group_index() && !self.group().names(replica)
+        self.commit >= self.log.group_index() && !self.group().contains(replica)
     }
 
     /// Notes a sign of a living leader.
-    pub(super) fn note_leader(&mut self, term: Term, leader: ReplicaId) {
-        self.heard = self.now;
-        self.follow(term, Some(leader));
+    pub(super) fn become_follower_of(&mut self, term: Term, leader: ReplicaId) {
+        self.last_leader_contact = self.now;
+        self.become_follower(term, Some(leader));
     }
 
     /// When a quorum was last asked something that it has answered since.
     pub(super) fn quorum_contact(&self) -> Option<Instant> {
-        let leadership = self.leadership()?;
-        self.group().agreed(|voter| {
+        let leader_state = self.leader_state()?;
+        self.group().reached_by_quorum(|voter| {
             if voter == self.identity {
                 return Some(self.now);
             }
-            leadership.followers.get(&voter).and_then(|follower| follower.answered)
+            leader_state.followers.get(&voter).and_then(|follower| follower.last_response)
         })
     }
+
+    /// Whether it may become leader: when the newest group names it, or when it only may have been removed. In the latter
+    /// case it may be the only one left with the entry that says so, and has to get that decided before it goes.
+    pub(super) fn is_promotable(&self) -> bool {
+        let is_undecided = self.log.group_index() > self.commit;
+        self.group().contains(self.identity)
+            || (is_undecided && self.log.previous_group_contains(self.identity))
+    }
+
+    pub(super) fn reset_election_timeout(&mut self) {
+        let Timing { election_timeout_min, election_timeout_max, .. } = self.timing;
+        let extra =
+            self.rng.random_range(0..=election_timeout_max.saturating_sub(election_timeout_min).nanos());
+        self.election_deadline = self.now + election_timeout_min + Duration::from_nanos(extra);
+    }
+
+    /// Takes over a newer term.
+    pub(super) fn advance_term(&mut self, term: Term) {
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.vote = None;
+            self.output.hard_state_changed = true;
+            self.incoming_snapshot = None;
+        }
+    }
+
+    /// Follows somebody, or nobody yet.
+    pub(super) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
+        self.advance_term(term);
+        self.role = Role::Follower { leader };
+        self.reset_election_timeout();
+    }
 }
--- a/crates/quorum/src/replica/following.rs
+++ b/crates/quorum/src/replica/follower.rs
@@ -3,13 +3,15 @@
 use super::Replica;
 use crate::blob::Blob;
 use crate::entry::{Entry, Snapshot};
-use crate::ids::{Founding, Position, ReplicaId, Term};
-use crate::message::{Append, AppendReply, Body, Chunk, ChunkReply, Outcome, Stamp};
+use crate::ids::{ClusterId, Position, ReplicaId, Term};
+use crate::message::{
+    Append, AppendOutcome, AppendResponse, Body, LeaderTimestamp, SnapshotChunk, SnapshotChunkResponse,
+};
 use crate::ready::Restore;
 
 /// A snapshot that is still arriving.
 #[derive(Clone, Debug, Hash)]
-pub(super) struct Assembly {
+pub(super) struct IncomingSnapshot {
     leader: ReplicaId,
     last: Position,
     bytes: Vec<u8>,
@@ -22,31 +24,31 @@
         }
         let sent = append.sent;
         let outcome = self.take_entries(append);
-        self.reply_append(from, outcome, sent);
+        self.respond_to_append(from, outcome, sent);
     }
 
-    fn reply_append(&mut self, to: ReplicaId, outcome: Outcome, sent: Stamp) {
-        self.send(to, self.hard.term, Body::AppendReply(AppendReply { outcome, sent }));
+    fn respond_to_append(&mut self, to: ReplicaId, outcome: AppendOutcome, sent: LeaderTimestamp) {
+        self.send(to, self.hard_state.term, Body::AppendResponse(AppendResponse { outcome, sent }));
     }
 
     /// Follows the sender, unless its term is over, which it is told. A term has one leader: who claims to be a second
     /// one is not believed.
-    fn accept_leader(&mut self, from: ReplicaId, term: Term, sent: Stamp) -> bool {
-        if term < self.hard.term {
-            self.reply_append(from, Outcome::Outdated, sent);
+    fn accept_leader(&mut self, from: ReplicaId, term: Term, sent: LeaderTimestamp) -> bool {
+        if term < self.hard_state.term {
+            self.respond_to_append(from, AppendOutcome::StaleTerm, sent);
             return false;
         }
-        let known = self.leader_hint().filter(|_| term == self.hard.term);
+        let known = self.leader_hint().filter(|_| term == self.hard_state.term);
         if known.is_some_and(|known| known != from) {
             return false;
         }
-        self.note_leader(term, from);
+        self.become_follower_of(term, from);
         true
     }
 
     /// Takes the entries that follow on the own log. What is committed here is in every later leader's log, so it is
     /// never compared, let alone taken back.
-    fn take_entries(&mut self, append: Append) -> Outcome {
+    fn take_entries(&mut self, append: Append) -> AppendOutcome {
         let Append { previous, commit, entries, .. } = append;
         if previous.index > self.commit && self.log.term_at(previous.index) != Some(previous.term) {
             return self.conflict(previous);
@@ -57,7 +59,7 @@
             self.take_entry(entry);
         }
         self.commit = self.commit.max(commit.min(end).min(self.log.last().index));
-        Outcome::Matched(end.max(decided))
+        AppendOutcome::Matched(end.max(decided))
     }
 
     fn take_entry(&mut self, entry: Entry) {
@@ -68,56 +70,65 @@
             self.log.truncate(entry.index);
         }
         if entry.index == self.log.last().index.next() {
-            self.output.note_change(entry.index);
+            self.output.record_change(entry.index);
             self.log.push(entry);
         }
     }
 
-    fn conflict(&self, previous: Position) -> Outcome {
+    fn conflict(&self, previous: Position) -> AppendOutcome {
         let hint = self.log.last_with_term_up_to(previous.index.previous(), previous.term);
-        Outcome::Conflict { refused: previous.index, hint: hint.max(self.commit) }
+        AppendOutcome::Conflict { rejected: previous.index, hint: hint.max(self.commit) }
     }
 
-    pub(super) fn receive_chunk(&mut self, from: ReplicaId, term: Term, chunk: Chunk) {
+    pub(super) fn receive_chunk(&mut self, from: ReplicaId, term: Term, chunk: SnapshotChunk) {
         if !self.accept_leader(from, term, chunk.sent) {
             return;
         }
         if chunk.last.index <= self.commit {
-            self.reply_append(from, Outcome::Matched(self.commit), chunk.sent);
+            self.respond_to_append(from, AppendOutcome::Matched(self.commit), chunk.sent);
             return;
         }
         let (last, sent) = (chunk.last, chunk.sent);
-        let Some(bytes) = self.assemble(from, &chunk) else {
-            let received = self.assembly.as_ref().map_or(0, |assembly| assembly.bytes.len() as u64);
-            self.send(from, self.hard.term, Body::ChunkReply(ChunkReply { last, received, sent }));
+        let Some(bytes) = self.collect_chunk(from, &chunk) else {
+            let received = self
+                .incoming_snapshot
+                .as_ref()
+                .map_or(0, |incoming_snapshot| incoming_snapshot.bytes.len() as u64);
+            self.send(
+                from,
+                self.hard_state.term,
+                Body::SnapshotChunkResponse(SnapshotChunkResponse { last, received, sent }),
+            );
             return;
         };
         self.install(Snapshot { last, group: chunk.group, bytes });
-        self.reply_append(from, Outcome::Matched(last.index), sent);
+        self.respond_to_append(from, AppendOutcome::Matched(last.index), sent);
     }
 
     /// Adds a piece to the snapshot that it belongs to. The bytes, once they are whole.
-    fn assemble(&mut self, leader: ReplicaId, chunk: &Chunk) -> Option<Blob> {
+    fn collect_chunk(&mut self, leader: ReplicaId, chunk: &SnapshotChunk) -> Option<Blob> {
         let last = chunk.last;
-        let goes_on = |assembly: &Assembly| assembly.leader == leader && assembly.last == last;
-        if !self.assembly.as_ref().is_some_and(goes_on) {
-            self.assembly = Some(Assembly { leader, last, bytes: Vec::new() });
+        let goes_on = |incoming_snapshot: &IncomingSnapshot| {
+            incoming_snapshot.leader == leader && incoming_snapshot.last == last
+        };
+        if !self.incoming_snapshot.as_ref().is_some_and(goes_on) {
+            self.incoming_snapshot = Some(IncomingSnapshot { leader, last, bytes: Vec::new() });
         }
-        let assembly = self.assembly.as_mut()?;
-        if chunk.offset == assembly.bytes.len() as u64 {
-            assembly.bytes.extend_from_slice(chunk.bytes.as_slice());
+        let incoming_snapshot = self.incoming_snapshot.as_mut()?;
+        if chunk.offset == incoming_snapshot.bytes.len() as u64 {
+            incoming_snapshot.bytes.extend_from_slice(chunk.bytes.as_slice());
         }
-        if (assembly.bytes.len() as u64) < chunk.total {
+        if (incoming_snapshot.bytes.len() as u64) < chunk.total {
             return None;
         }
-        self.assembly.take().map(|assembly| Blob::from(assembly.bytes))
+        self.incoming_snapshot.take().map(|incoming_snapshot| Blob::from(incoming_snapshot.bytes))
     }
 
     fn install(&mut self, snapshot: Snapshot) {
         let index = snapshot.last.index;
         self.output.restore = Some(Restore { index, bytes: snapshot.bytes.clone() });
-        self.output.rewrite = true;
-        self.output.handed = self.output.handed.min(index);
+        self.output.snapshot_changed = true;
+        self.output.writing = self.output.writing.min(index);
         self.output.synced = self.output.synced.min(index);
         self.log.install(snapshot);
         self.commit = index;
@@ -125,10 +136,10 @@
     }
 
     /// The first sign of a leader tells an empty replica which founding it belongs to.
-    pub(super) fn join(&mut self, founding: Founding) {
-        if self.hard.founding.is_none() {
-            self.hard.founding = Some(founding);
-            self.output.hard = true;
+    pub(super) fn adopt_cluster_id(&mut self, cluster_id: ClusterId) {
+        if self.hard_state.cluster_id.is_none() {
+            self.hard_state.cluster_id = Some(cluster_id);
+            self.output.hard_state_changed = true;
         }
     }
 }
--- /dev/null
+++ b/crates/quorum/src/replica/group_change.rs
@@ -0,0 +1,162 @@
+//! Change of the voters by joint consensus.
+//!
+//! A change has three steps, each of which starts only when the one before is complete: new voters catch up as learners
+//! ([`PendingChange`], known to this leader only), the joint group is committed, and then the final group. A leader that
+//! fails in the first step leaves nothing behind; after it, the next leader completes the change.
+
+use super::Replica;
+use super::role::PendingChange;
+use crate::entry::Payload;
+use crate::error::ChangeError;
+use crate::group::{Group, MAX_VOTERS};
+use crate::ids::ReplicaId;
+use crate::message::Body;
+use crate::progress::Progress;
+use grebeusher_time::DurationExt;
+
+/// How many entries a learner may be behind when it becomes a voter.
+const MAX_PROMOTION_LAG: u64 = 32;
+
+/// A learner that has not answered for so many times `election_timeout_max` is given up.
+const LEARNER_RESPONSE_TIMEOUT_FACTOR: f64 = 3.0;
+
+/// A change whose learners have not caught up within so many times `election_timeout_max` is given up.
+const CATCH_UP_TIMEOUT_FACTOR: f64 = 20.0;
+
+impl Replica {
+    /// Changes the group to these voters. New ones are caught up as learners first; then a joint group is in force until
+    /// a quorum of both has it, and the change finishes by itself. The same group again is fine.
+    ///
+    /// # Errors
+    ///
+    /// When this replica is not the leader, or something else is under way.
+    pub fn change_group(
+        &mut self,
+        now: grebeusher_time::Instant,
+        voters: Vec<ReplicaId>,
+    ) -> Result<(), ChangeError> {
+        self.advance(now);
+        let hint = self.leader_hint();
+        let Some(leader_state) = self.leader_state() else { return Err(ChangeError::NotLeader { hint }) };
+        let wanted = Group::of(voters);
+        if wanted.voters.is_empty() || wanted.voters.len() > MAX_VOTERS {
+            return Err(ChangeError::Invalid);
+        }
+        if leader_state.change.is_some()
+            || leader_state.leadership_transfer.is_some()
+            || self.group().is_joint()
+        {
+            return Err(ChangeError::InProgress);
+        }
+        if self.commit < leader_state.term_start || self.commit < self.log.group_index() {
+            return Err(ChangeError::NotCommitted);
+        }
+        if wanted == *self.group() {
+            return Ok(());
+        }
+        self.track_progress(&wanted.voters);
+        let since = self.now;
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.change = Some(PendingChange { voters: wanted.voters, since });
+        }
+        self.check_change();
+        Ok(())
+    }
+
+    /// The voters of a change whose learners are still catching up.
+    pub fn pending_change(&self) -> Option<&[ReplicaId]> {
+        let change = self.leader_state()?.change.as_ref()?;
+        Some(&change.voters)
+    }
+
+    /// Whether the newest group is a plain one that is decided, and no other is on its way.
+    pub fn is_group_stable(&self) -> bool {
+        !self.group().is_joint() && self.pending_change().is_none() && self.commit >= self.log.group_index()
+    }
+
+    /// Puts the joint group in force once all learners are nearly where the leader is.
+    pub(super) fn check_change(&mut self) {
+        let Some(leader_state) = self.leader_state() else { return };
+        let Some(change) = &leader_state.change else { return };
+        let last = self.log.last().index;
+        let caught_up = |follower: &Progress| {
+            follower.is_replicating() && follower.matched.plus(MAX_PROMOTION_LAG) >= last
+        };
+        let ready = change.voters.iter().all(|voter| {
+            self.group().contains(*voter)
+                || *voter == self.identity
+                || leader_state.followers.get(voter).is_some_and(caught_up)
+        });
+        if !ready {
+            return;
+        }
+        let joint = self.group().enter_joint(change.voters.clone());
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.change = None;
+        }
+        self.append(self.hard_state.term, Payload::Group(joint));
+        self.advance_commit();
+    }
+
+    /// Gives a change up whose learners are silent or too slow.
+    pub(super) fn tick_change(&mut self) {
+        let now = self.now;
+        let response_timeout = self.timing.election_timeout_max.scaled(LEARNER_RESPONSE_TIMEOUT_FACTOR);
+        let catch_up_timeout = self.timing.election_timeout_max.scaled(CATCH_UP_TIMEOUT_FACTOR);
+        let group = self.group().clone();
+        let Some(leader_state) = self.leader_state_mut() else { return };
+        let Some(change) = &leader_state.change else { return };
+        let is_silent = |voter: &ReplicaId| {
+            let last_response = leader_state.followers.get(voter).and_then(|follower| follower.last_response);
+            !group.contains(*voter)
+                && now > last_response.unwrap_or(change.since).max(change.since) + response_timeout
+        };
+        if change.voters.iter().any(is_silent) || now > change.since + catch_up_timeout {
+            leader_state.change = None;
+            leader_state.followers.retain(|replica, _| group.contains(*replica));
+        }
+    }
+
+    /// Goes on with a change when its last entry is committed: from the joint group to the new one, and from there to
+    /// the end of what the new one does not name.
+    pub(super) fn advance_group_change(&mut self) {
+        if self.commit < self.log.group_index() {
+            return;
+        }
+        if self.group().is_joint() {
+            let settled = self.group().leave_joint();
+            self.append(self.hard_state.term, Payload::Group(settled));
+            self.advance_commit();
+            return;
+        }
+        self.remove_outgoing();
+        if !self.group().contains(self.identity) {
+            self.leave();
+        }
+    }
+
+    /// Stops sending to those who left, after a last word by which they learn that they did.
+    fn remove_outgoing(&mut self) {
+        let Some(leader_state) = self.leader_state() else { return };
+        let learners = leader_state.change.as_ref().map_or(&[][..], |change| &change.voters);
+        let stays = |replica: &ReplicaId| self.group().contains(*replica) || learners.contains(replica);
+        let followers = leader_state.followers.keys().copied();
+        let leaving: Vec<ReplicaId> = followers.filter(|replica| !stays(replica)).collect();
+        for replica in leaving {
+            if let Some(body) = self.final_append(replica) {
+                self.send(replica, self.hard_state.term, body);
+            }
+            if let Some(leader_state) = self.leader_state_mut() {
+                leader_state.followers.remove(&replica);
+            }
+        }
+    }
+
+    /// A leader that the new group does not name ends its leadership in favour of a voter that has everything.
+    fn leave(&mut self) {
+        if let Some(successor) = self.best_transfer_candidate() {
+            self.send(successor, self.hard_state.term, Body::TimeoutNow);
+        }
+        self.become_follower(self.hard_state.term, None);
+    }
+}
--- a/crates/quorum/src/replica/sending.rs
+++ b/crates/quorum/src/replica/replication.rs
@@ -3,8 +3,8 @@
 use super::Replica;
 use crate::blob::Blob;
 use crate::ids::{Index, Position, ReplicaId};
-use crate::message::{Append, Body, Chunk, Message, Stamp};
-use crate::progress::{Flow, Progress};
+use crate::message::{Append, Body, LeaderTimestamp, Message, SnapshotChunk};
+use crate::progress::{Progress, ProgressState};
 
 /// Entries arrive one after the other and stay, while a snapshot that was not whole when its leader changed begins anew. So
 /// only one that takes a moment on any link goes in the place of entries, in bytes.
@@ -15,26 +15,26 @@
     pub(super) fn has_entries_to_send(&self) -> bool {
         let last = self.log.last().index;
         let waits = |follower: &Progress| {
-            let in_transfer = matches!(follower.flow, Flow::Snapshot(_));
-            follower.beat_due || (follower.has_room() && (in_transfer || follower.next <= last))
+            let in_transfer = matches!(follower.state, ProgressState::Snapshot(_));
+            follower.heartbeat_due || (follower.can_send() && (in_transfer || follower.next <= last))
         };
-        self.leadership().is_some_and(|leadership| leadership.followers.values().any(waits))
+        self.leader_state().is_some_and(|leader_state| leader_state.followers.values().any(waits))
     }
 
     /// Everything that may be sent to the followers now. It promises nothing of the own disk: what the leader itself has
     /// counts for a quorum only once it is synced.
     pub(super) fn entries_to_send(&mut self) -> Vec<(ReplicaId, Message)> {
-        let Some(leadership) = self.leadership_mut() else { return Vec::new() };
-        let mut followers = std::mem::take(&mut leadership.followers);
+        let Some(leader_state) = self.leader_state_mut() else { return Vec::new() };
+        let mut followers = std::mem::take(&mut leader_state.followers);
         let mut messages = Vec::new();
         for (replica, follower) in &mut followers {
             while let Some(body) = self.next_body(follower) {
-                messages.push((*replica, self.message(*replica, self.hard.term, body)));
-                follower.beat_due = false;
+                messages.push((*replica, self.message(*replica, self.hard_state.term, body)));
+                follower.heartbeat_due = false;
             }
         }
-        if let Some(leadership) = self.leadership_mut() {
-            leadership.followers = followers;
+        if let Some(leader_state) = self.leader_state_mut() {
+            leader_state.followers = followers;
         }
         messages
     }
@@ -42,29 +42,29 @@
     /// The next thing for one follower, if anything is due.
     fn next_body(&self, follower: &mut Progress) -> Option<Body> {
         let last = self.log.last().index;
-        let has_news = follower.next <= last;
-        let may_send = follower.has_room();
-        if let Flow::Snapshot(transfer) = &mut follower.flow {
+        let has_entries = follower.next <= last;
+        let may_send = follower.can_send();
+        if let ProgressState::Snapshot(transfer) = &mut follower.state {
             let empty = Position::default();
-            let beat = follower.beat_due;
+            let tick_heartbeat = follower.heartbeat_due;
             return match may_send {
                 true => Some(self.chunk(transfer)),
-                false => beat.then(|| self.heartbeat(empty)),
+                false => tick_heartbeat.then(|| self.heartbeat(empty)),
             };
         }
         let Some(previous) =
             self.position_before(follower.next).filter(|_| !self.snapshot_is_shorter(follower))
         else {
-            return self.start_transfer(follower);
+            return self.start_snapshot_transfer(follower);
         };
-        if has_news && may_send {
+        if has_entries && may_send {
             let (entries, bytes) = self.log.batch(follower.next, crate::MAX_APPEND);
-            follower.note_sent(entries.last()?.index, bytes);
+            follower.record_sent(entries.last()?.index, bytes);
             return Some(self.append_body(previous, entries));
         }
-        if follower.beat_due {
-            if !follower.is_pipelined() {
-                follower.note_sent(previous.index, 0);
+        if follower.heartbeat_due {
+            if !follower.is_replicating() {
+                follower.record_sent(previous.index, 0);
             }
             return Some(self.heartbeat(previous));
         }
@@ -75,7 +75,7 @@
     /// entries that the log still has. After hundreds of changes of a large configuration these are many times longer, and
     /// each of them has to be applied.
     fn snapshot_is_shorter(&self, follower: &Progress) -> bool {
-        let Some(snapshot) = self.log.snapshot().filter(|_| follower.is_at_rest()) else { return false };
+        let Some(snapshot) = self.log.snapshot().filter(|_| follower.is_idle()) else { return false };
         if follower.matched >= snapshot.last.index || snapshot.bytes.len() > MAX_RESTART_BYTES {
             return false;
         }
@@ -84,9 +84,9 @@
     }
 
     /// The follower needs what the log no longer has, or gets it sooner so.
-    fn start_transfer(&self, follower: &mut Progress) -> Option<Body> {
-        follower.start_snapshot(self.log.snapshot()?.clone());
-        let Flow::Snapshot(transfer) = &mut follower.flow else { return None };
+    fn start_snapshot_transfer(&self, follower: &mut Progress) -> Option<Body> {
+        follower.become_snapshot(self.log.snapshot()?.clone());
+        let ProgressState::Snapshot(transfer) = &mut follower.state else { return None };
         Some(self.chunk(transfer))
     }
 
@@ -102,25 +102,30 @@
     }
 
     fn append_body(&self, previous: Position, entries: Vec<crate::entry::Entry>) -> Body {
-        Body::Append(Append { previous, commit: self.commit, sent: Stamp::at(self.now), entries })
+        Body::Append(Append {
+            previous,
+            commit: self.commit,
+            sent: LeaderTimestamp::from_instant(self.now),
+            entries,
+        })
     }
 
-    fn chunk(&self, transfer: &mut crate::progress::Transfer) -> Body {
-        let piece = transfer.next_piece();
+    fn chunk(&self, transfer: &mut crate::progress::SnapshotTransfer) -> Body {
+        let piece = transfer.next_chunk();
         let snapshot = &transfer.snapshot;
-        Body::Chunk(Chunk {
+        Body::SnapshotChunk(SnapshotChunk {
             last: snapshot.last,
             group: snapshot.group.clone(),
             total: snapshot.bytes.len() as u64,
             offset: piece.start as u64,
             bytes: Blob::from(&snapshot.bytes.as_slice()[piece]),
-            sent: Stamp::at(self.now),
+            sent: LeaderTimestamp::from_instant(self.now),
         })
     }
 
     /// The last message to a replica that leaves the group: the entries that it still needs, if they fit one.
-    pub(super) fn last_word(&self, replica: ReplicaId) -> Option<Body> {
-        let follower = self.leadership()?.followers.get(&replica)?;
+    pub(super) fn final_append(&self, replica: ReplicaId) -> Option<Body> {
+        let follower = self.leader_state()?.followers.get(&replica)?;
         let first = follower.matched.next();
         let previous = self.position_before(first)?;
         let (entries, _) = self.log.batch(first, crate::MAX_APPEND);
@@ -128,7 +133,7 @@
     }
 
     /// The oldest snapshot that is still being sent.
-    pub(super) fn oldest_transfer(&self) -> Option<Index> {
-        self.leadership()?.followers.values().filter_map(Progress::snapshot_under_way).min()
+    pub(super) fn oldest_pending_snapshot(&self) -> Option<Index> {
+        self.leader_state()?.followers.values().filter_map(Progress::pending_snapshot).min()
     }
 }
--- a/crates/quorum/src/role.rs
+++ b/crates/quorum/src/replica/role.rs
@@ -17,24 +17,24 @@
     /// It asks for votes in its term.
     Candidate { granted: BTreeSet<ReplicaId> },
     /// It won its term.
-    Leader(Box<Leadership>),
+    Leader(Box<LeaderState>),
 }
 
 /// What a leader keeps.
 #[derive(Clone, Debug)]
-pub(crate) struct Leadership {
+pub(crate) struct LeaderState {
     pub(crate) since: Instant,
     /// The first entry of its own term.
-    pub(crate) opening: Index,
+    pub(crate) term_start: Index,
     pub(crate) followers: BTreeMap<ReplicaId, Progress>,
-    pub(crate) next_beat: Instant,
+    pub(crate) next_heartbeat: Instant,
     /// The bytes of the entries that wait for a quorum.
     pub(crate) uncommitted: usize,
     pub(crate) change: Option<PendingChange>,
-    pub(crate) hand_over: Option<HandOver>,
+    pub(crate) leadership_transfer: Option<LeadershipTransfer>,
     /// Once somebody was told to take over, reads are over for the rest of the term: the votes that it may win wait
     /// for no lease.
-    pub(crate) lease_given_up: bool,
+    pub(crate) lease_revoked: bool,
 }
 
 /// A change of the group whose new voters are still learning.
@@ -46,9 +46,9 @@
 
 /// The leadership on its way to another voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct HandOver {
+pub(crate) struct LeadershipTransfer {
     pub(crate) target: ReplicaId,
     pub(crate) deadline: Instant,
     /// Whether the target was told.
-    pub(crate) told: bool,
+    pub(crate) timeout_now_sent: bool,
 }
--- a/crates/quorum/tests/codec.rs
+++ b/crates/quorum/tests/codec.rs
@@ -1,9 +1,9 @@
 //! The binary form of messages: whole, cut, bent and made up.
 
 use grebeusher_quorum::{
-    Append, AppendReply, Blob, Body, Candidacy, Chunk, ChunkReply, DecodeError, Entry, Founding, Group,
-    Index, MAX_MESSAGE, Message, Outcome, Payload, Position, Replica, ReplicaId, Restored, Stamp, Term,
-    VoteReply, decode, encode,
+    Append, AppendOutcome, AppendResponse, Blob, Body, ClusterId, DecodeError, Entry, Group, Index,
+    LeaderTimestamp, MAX_MESSAGE, Message, Payload, Position, Replica, ReplicaId, RestoredState,
+    SnapshotChunk, SnapshotChunkResponse, Term, VoteRequest, VoteResponse, decode, encode,
 };
 use grebeusher_time::{Duration, Instant};
 use proptest::collection::vec;
@@ -18,7 +18,7 @@
 
 fn payload() -> impl Strategy<Value = Payload> {
     prop_oneof![
-        Just(Payload::Opening),
+        Just(Payload::Noop),
         group().prop_map(Payload::Group),
         vec(any::<u8>(), 0..40).prop_map(|bytes| Payload::Command(Blob::from(bytes))),
     ]
@@ -36,56 +36,62 @@
                 last = Position { term: Term(last.term.0 + later), index: last.index.next() };
                 Entry { index: last.index, term: last.term, payload }
             });
-            Append { previous, entries: entries.collect(), commit: Index(commit), sent: Stamp(sent) }
+            Append {
+                previous,
+                entries: entries.collect(),
+                commit: Index(commit),
+                sent: LeaderTimestamp(sent),
+            }
         },
     )
 }
 
-fn chunk() -> impl Strategy<Value = Chunk> {
+fn chunk() -> impl Strategy<Value = SnapshotChunk> {
     (position(), group(), vec(any::<u8>(), 0..40), 0..30u64, 0..30u64).prop_map(
         |(last, group, bytes, offset, rest)| {
             let total = offset + bytes.len() as u64 + rest;
             let last = Position { index: last.index.next(), ..last };
-            Chunk { last, group, total, offset, bytes: Blob::from(bytes), sent: Stamp(3) }
+            SnapshotChunk { last, group, total, offset, bytes: Blob::from(bytes), sent: LeaderTimestamp(3) }
         },
     )
 }
 
-fn outcome() -> impl Strategy<Value = Outcome> {
+fn outcome() -> impl Strategy<Value = AppendOutcome> {
     prop_oneof![
-        (0..20u64).prop_map(|index| Outcome::Matched(Index(index))),
-        (0..20u64, 0..20u64)
-            .prop_map(|(refused, hint)| { Outcome::Conflict { refused: Index(refused), hint: Index(hint) } }),
-        Just(Outcome::Outdated),
+        (0..20u64).prop_map(|index| AppendOutcome::Matched(Index(index))),
+        (0..20u64, 0..20u64).prop_map(|(rejected, hint)| {
+            AppendOutcome::Conflict { rejected: Index(rejected), hint: Index(hint) }
+        }),
+        Just(AppendOutcome::StaleTerm),
     ]
 }
 
 fn body() -> impl Strategy<Value = Body> {
-    let candidacy =
-        (position(), any::<bool>()).prop_map(|(last, handed_over)| Candidacy { last, handed_over });
-    let reply = any::<bool>().prop_map(|granted| VoteReply { granted });
+    let request = (position(), any::<bool>())
+        .prop_map(|(last, leadership_transfer)| VoteRequest { last, leadership_transfer });
+    let response = any::<bool>().prop_map(|granted| VoteResponse { granted });
     prop_oneof![
-        1 => candidacy.clone().prop_map(Body::PreVote),
-        1 => reply.clone().prop_map(Body::PreVoteReply),
-        1 => candidacy.prop_map(Body::Vote),
-        1 => reply.prop_map(Body::VoteReply),
+        1 => request.clone().prop_map(Body::RequestPreVote),
+        1 => response.clone().prop_map(Body::PreVoteResponse),
+        1 => request.prop_map(Body::RequestVote),
+        1 => response.prop_map(Body::VoteResponse),
         4 => append().prop_map(Body::Append),
-        2 => outcome().prop_map(|outcome| Body::AppendReply(AppendReply { outcome, sent: Stamp(3) })),
-        2 => chunk().prop_map(Body::Chunk),
+        2 => outcome().prop_map(|outcome| Body::AppendResponse(AppendResponse { outcome, sent: LeaderTimestamp(3) })),
+        2 => chunk().prop_map(Body::SnapshotChunk),
         1 => (position(), 0..40u64).prop_map(|(last, received)| {
-            Body::ChunkReply(ChunkReply { last, received, sent: Stamp(3) })
+            Body::SnapshotChunkResponse(SnapshotChunkResponse { last, received, sent: LeaderTimestamp(3) })
         }),
-        1 => Just(Body::TakeOver),
+        1 => Just(Body::TimeoutNow),
     ]
 }
 
-const FOUNDING: Founding = Founding(77);
+const FOUNDING: ClusterId = ClusterId(77);
 
 fn message() -> impl Strategy<Value = Message> {
     (2..5u64, 1..12u64, body()).prop_map(|(from, term, body)| Message {
         from: ReplicaId(from),
         to: ReplicaId(1),
-        founding: FOUNDING,
+        cluster_id: FOUNDING,
         term: Term(term),
         body,
     })
@@ -100,7 +106,7 @@
     Propose,
     Compact,
     Change(Vec<u64>),
-    HandOver,
+    LeadershipTransfer,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -111,16 +117,16 @@
         1 => Just(Step::Propose),
         1 => Just(Step::Compact),
         1 => vec(1..6u64, 0..4).prop_map(Step::Change),
-        1 => Just(Step::HandOver),
+        1 => Just(Step::LeadershipTransfer),
     ]
 }
 
 fn timing() -> grebeusher_quorum::Timing {
     grebeusher_quorum::Timing {
-        heartbeat: Duration::from_millis(20),
-        election_min: Duration::from_millis(200),
-        election_max: Duration::from_millis(400),
-        lease: Duration::from_millis(150),
+        heartbeat_interval: Duration::from_millis(20),
+        election_timeout_min: Duration::from_millis(200),
+        election_timeout_max: Duration::from_millis(400),
+        lease_duration: Duration::from_millis(150),
     }
 }
 
@@ -157,10 +163,10 @@
     /// Whatever arrives, in whatever order: no panic, and what a replica takes for decided only grows.
     #[test]
     fn no_message_brings_a_replica_down(steps in vec(step(), 1..60), seed in any::<u64>()) {
-        let hard = grebeusher_quorum::HardState { term: Term(1), founding: Some(FOUNDING), ..Default::default() };
+        let hard_state = grebeusher_quorum::HardState { term: Term(1), cluster_id: Some(FOUNDING), ..Default::default() };
         let voters = Group::of((1..4).map(ReplicaId));
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(voters) };
-        let restored = Restored { hard, snapshot: None, entries: vec![entry] };
+        let restored = RestoredState { hard_state, snapshot: None, entries: vec![entry] };
         let mut now = Instant(0);
         let mut replica = Replica::new(ReplicaId(1), restored, timing(), seed, now);
         let mut commit = Index(0);
@@ -180,7 +186,7 @@
                 Step::Change(voters) => {
                     let _ = replica.change_group(now, voters.into_iter().map(ReplicaId).collect());
                 }
-                Step::HandOver => drop(replica.hand_over(now, None).is_ok()),
+                Step::LeadershipTransfer => drop(replica.transfer_leadership(now, None).is_ok()),
             }
             prop_assert!(replica.commit_index() >= commit);
             commit = replica.commit_index();
@@ -193,12 +199,16 @@
 #[test]
 fn a_list_that_claims_more_than_the_message_holds_is_refused_before_room_is_made() {
     // Given an append whose count of entries is bent to the most that fits its field
-    let append =
-        Append { previous: Position::default(), commit: Index(0), sent: Stamp(0), entries: Vec::new() };
+    let append = Append {
+        previous: Position::default(),
+        commit: Index(0),
+        sent: LeaderTimestamp(0),
+        entries: Vec::new(),
+    };
     let message = Message {
         from: ReplicaId(2),
         to: ReplicaId(1),
-        founding: FOUNDING,
+        cluster_id: FOUNDING,
         term: Term(1),
         body: Body::Append(append),
     };
@@ -214,9 +224,9 @@
     let message = Message {
         from: ReplicaId(2),
         to: ReplicaId(1),
-        founding: FOUNDING,
+        cluster_id: FOUNDING,
         term: Term(1),
-        body: Body::TakeOver,
+        body: Body::TimeoutNow,
     };
     let mut bytes = encode(&message);
     bytes.push(0);
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -5,7 +5,7 @@
 
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
 use grebeusher_quorum::{
-    Blob, Entry, Founding, Group, HardState, Index, Payload, Position, Replica, ReplicaId, Restored,
+    Blob, ClusterId, Entry, Group, HardState, Index, Payload, Position, Replica, ReplicaId, RestoredState,
     Snapshot, Term, Timing, Write,
 };
 use grebeusher_time::{Duration, Instant};
@@ -19,11 +19,11 @@
     tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a folder")
 }
 
-fn hard(term: u64) -> HardState {
+fn hard_state(term: u64) -> HardState {
     HardState {
         term: Term(term),
-        voted: Some(ReplicaId(term)),
-        founding: Some(Founding(9)),
+        vote: Some(ReplicaId(term)),
+        cluster_id: Some(ClusterId(9)),
         commit: Index(0),
     }
 }
@@ -42,27 +42,31 @@
 }
 
 /// What the writes should have come to.
-fn fold(state: &mut Restored, write: &Write) {
+fn fold(state: &mut RestoredState, write: &Write) {
     match write {
-        Write::Hard(hard) => state.hard = *hard,
+        Write::HardState(hard_state) => state.hard_state = *hard_state,
         Write::Entries(entries) => {
             let Some(first) = entries.first() else { return };
             state.entries.retain(|entry| entry.index < first.index);
             state.entries.extend(entries.clone());
         }
-        Write::Snapshot { snapshot, hard, entries } => {
-            *state = Restored { hard: *hard, snapshot: Some(snapshot.clone()), entries: entries.clone() };
+        Write::Snapshot { snapshot, hard_state, entries } => {
+            *state = RestoredState {
+                hard_state: *hard_state,
+                snapshot: Some(snapshot.clone()),
+                entries: entries.clone(),
+            };
         }
     }
 }
 
-fn folded(writes: &[Write]) -> Restored {
-    let mut state = Restored::default();
+fn folded(writes: &[Write]) -> RestoredState {
+    let mut state = RestoredState::default();
     writes.iter().for_each(|write| fold(&mut state, write));
     state
 }
 
-fn reopened(folder: &Path) -> Restored {
+fn reopened(folder: &Path) -> RestoredState {
     Store::open(folder).expect("it can be read").1
 }
 
@@ -94,12 +98,12 @@
     // Given a store that was written to, also over entries that were there
     let folder = new_folder();
     let (mut store, restored) = Store::open(folder.path()).expect("it is empty");
-    assert_eq!(restored, Restored::default());
+    assert_eq!(restored, RestoredState::default());
     let writes = [
-        Write::Hard(hard(1)),
+        Write::HardState(hard_state(1)),
         Write::Entries(vec![entry(1, 1, 10), entry(2, 1, 0), entry(3, 1, 300_000)]),
         Write::Entries(vec![entry(2, 2, 7)]),
-        Write::Hard(hard(2)),
+        Write::HardState(hard_state(2)),
     ];
     store.write(&writes).expect("there is room");
     store.sync().expect("the disk works");
@@ -121,7 +125,7 @@
             Write::Entries(vec![entry(round * 10, 1, 3)]),
             Write::Snapshot {
                 snapshot: snapshot(round * 10, round, 5_000),
-                hard: hard(round),
+                hard_state: hard_state(round),
                 entries: vec![entry(round * 10 + 1, round, 9)],
             },
             Write::Entries(vec![entry(round * 10 + 2, round, 9)]),
@@ -140,12 +144,13 @@
 /// A store with something synced, and two batches after it that are not. The synced size of its log.
 fn with_unsynced_tail(folder: &Path) -> (Vec<Write>, Vec<Write>, usize) {
     let (mut store, _) = Store::open(folder).expect("it is empty");
-    let synced = vec![Write::Hard(hard(1)), Write::Entries(vec![entry(1, 1, 20), entry(2, 1, 20)])];
+    let synced =
+        vec![Write::HardState(hard_state(1)), Write::Entries(vec![entry(1, 1, 20), entry(2, 1, 20)])];
     store.write(&synced).expect("there is room");
     store.sync().expect("the disk works");
     let size = read(folder, "log-1").len();
-    let first = vec![Write::Hard(hard(2)), Write::Entries(vec![entry(2, 2, 30)])];
-    let second = vec![Write::Entries(vec![entry(3, 2, 30)]), Write::Hard(hard(3))];
+    let first = vec![Write::HardState(hard_state(2)), Write::Entries(vec![entry(2, 2, 30)])];
+    let second = vec![Write::Entries(vec![entry(3, 2, 30)]), Write::HardState(hard_state(3))];
     store.write(&first).expect("there is room");
     store.write(&second).expect("there is room");
     (synced, [first, second].concat(), size)
@@ -205,7 +210,11 @@
     let old = read(folder.path(), "log-1");
     let (mut store, _) = Store::open(folder.path()).expect("it is whole");
     for round in 1..=2 {
-        let state = Write::Snapshot { snapshot: snapshot(9, 9, 9), hard: hard(round), entries: Vec::new() };
+        let state = Write::Snapshot {
+            snapshot: snapshot(9, 9, 9),
+            hard_state: hard_state(round),
+            entries: Vec::new(),
+        };
         store.write(&[state]).expect("there is room");
     }
     let new = read(folder.path(), "log-1");
@@ -230,7 +239,7 @@
     let (mut store, _) = Store::open(folder.path()).expect("it is empty");
     let generation = |round: u64| Write::Snapshot {
         snapshot: snapshot(round * 10, round, 100),
-        hard: hard(round),
+        hard_state: hard_state(round),
         entries: vec![entry(round * 10 + 1, round, 9)],
     };
     let mut former = new_folder();
@@ -283,7 +292,7 @@
     for round in 1..=4 {
         let state = Write::Snapshot {
             snapshot: snapshot(round, round, 5_000),
-            hard: hard(round),
+            hard_state: hard_state(round),
             entries: Vec::new(),
         };
         store.write(&[state]).expect("there is room");
@@ -293,7 +302,8 @@
     }
     // And also after a restart that finds the one before still there
     let former = copy_of(folder.path());
-    let state = Write::Snapshot { snapshot: snapshot(9, 9, 5_000), hard: hard(9), entries: Vec::new() };
+    let state =
+        Write::Snapshot { snapshot: snapshot(9, 9, 5_000), hard_state: hard_state(9), entries: Vec::new() };
     store.write(&[state]).expect("there is room");
     let expected = reopened(copy_of(folder.path()).path());
     let [old] = with_content(former.path(), ["slot-0", "slot-1"])[..] else { panic!("one slot") };
@@ -310,13 +320,13 @@
     for end in 0..log.len() {
         let copy = new_folder();
         put(copy.path(), "log-1", &log[..end]);
-        assert_eq!(reopened(copy.path()), Restored::default());
+        assert_eq!(reopened(copy.path()), RestoredState::default());
     }
     for end in 0..slot.len() {
         let copy = new_folder();
         put(copy.path(), "log-1", &log);
         put(copy.path(), "slot-1", &slot[..end]);
-        assert_eq!(reopened(copy.path()), Restored::default());
+        assert_eq!(reopened(copy.path()), RestoredState::default());
     }
 }
 
@@ -324,10 +334,11 @@
 fn second_generation() -> tempfile::TempDir {
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("it is empty");
-    let state = Write::Snapshot { snapshot: snapshot(9, 9, 9), hard: hard(9), entries: Vec::new() };
-    store.write(&[Write::Hard(hard(1))]).expect("there is room");
+    let state =
+        Write::Snapshot { snapshot: snapshot(9, 9, 9), hard_state: hard_state(9), entries: Vec::new() };
+    store.write(&[Write::HardState(hard_state(1))]).expect("there is room");
     store.write(&[state]).expect("there is room");
-    store.write(&[Write::Hard(hard(10))]).expect("there is room");
+    store.write(&[Write::HardState(hard_state(10))]).expect("there is room");
     store.sync().expect("the disk works");
     folder
 }
@@ -384,8 +395,11 @@
     store.write(&[Write::Entries(vec![entry(1, 1, 100)])]).expect("there is room");
     // When a record does not fit, nor a generation, they are refused, again and again
     let long = Write::Entries(vec![entry(2, 1, 100_000)]);
-    let state =
-        Write::Snapshot { snapshot: snapshot(1, 1, 1), hard: hard(9), entries: vec![entry(2, 1, 100_000)] };
+    let state = Write::Snapshot {
+        snapshot: snapshot(1, 1, 1),
+        hard_state: hard_state(9),
+        entries: vec![entry(2, 1, 100_000)],
+    };
     for _ in 0..3 {
         assert!(matches!(store.write(std::slice::from_ref(&long)), Err(StoreError::Io { .. })));
         assert!(matches!(store.write(std::slice::from_ref(&state)), Err(StoreError::Io { .. })));
@@ -394,9 +408,10 @@
     store.write(&[Write::Entries(vec![entry(2, 1, 100)])]).expect("there is room");
     store.sync().expect("the disk works");
     // But when a slot does not fit, nobody knows which generation is in force, until it is opened anew
-    let state = Write::Snapshot { snapshot: snapshot(2, 1, 100_000), hard: hard(9), entries: Vec::new() };
+    let state =
+        Write::Snapshot { snapshot: snapshot(2, 1, 100_000), hard_state: hard_state(9), entries: Vec::new() };
     assert!(matches!(store.write(std::slice::from_ref(&state)), Err(StoreError::Io { .. })));
-    assert!(matches!(store.write(&[Write::Hard(hard(9))]), Err(StoreError::Poisoned)));
+    assert!(matches!(store.write(&[Write::HardState(hard_state(9))]), Err(StoreError::Poisoned)));
     assert!(matches!(store.sync(), Err(StoreError::Poisoned)));
 }
 
@@ -406,11 +421,14 @@
         // Given a store with records after its snapshot, or without one
         let folder = new_folder();
         let (mut store, _) = Store::open(folder.path()).expect("it is empty");
-        let state = Write::Snapshot { snapshot: snapshot(1, 1, 50), hard: hard(2), entries: Vec::new() };
+        let state =
+            Write::Snapshot { snapshot: snapshot(1, 1, 50), hard_state: hard_state(2), entries: Vec::new() };
         if had_snapshot {
             store.write(&[state]).expect("there is room");
         }
-        store.write(&[Write::Hard(hard(3)), Write::Entries(vec![entry(2, 1, 9)])]).expect("there is room");
+        store
+            .write(&[Write::HardState(hard_state(3)), Write::Entries(vec![entry(2, 1, 9)])])
+            .expect("there is room");
         let before = reopened(copy_of(folder.path()).path());
         let old = copy_of(folder.path());
         // When it is opened after a failure
@@ -419,8 +437,8 @@
         assert_eq!(restored, before);
         assert_eq!(reopened(folder.path()), before);
         for files in [["log-0", "log-1"], ["slot-0", "slot-1"]] {
-            let [in_force] = with_content(folder.path(), files)[..] else { panic!("one of {files:?}") };
-            assert_ne!(read(folder.path(), in_force), read(old.path(), in_force));
+            let [active] = with_content(folder.path(), files)[..] else { panic!("one of {files:?}") };
+            assert_ne!(read(folder.path(), active), read(old.path(), active));
         }
     }
 }
@@ -479,10 +497,10 @@
     let folder = new_folder();
     let partition: PathBuf = folder.path().join("part-0");
     let timing = Timing {
-        heartbeat: Duration::from_millis(20),
-        election_min: Duration::from_millis(200),
-        election_max: Duration::from_millis(400),
-        lease: Duration::from_millis(150),
+        heartbeat_interval: Duration::from_millis(20),
+        election_timeout_min: Duration::from_millis(200),
+        election_timeout_max: Duration::from_millis(400),
+        lease_duration: Duration::from_millis(150),
     };
     let mut now = Instant(0);
     let mut sum = 0;
@@ -491,7 +509,7 @@
         let identity = Identity::load_or_create(folder.path(), 7 + life).expect("the disk works");
         let (mut store, restored) = Store::open(&partition).expect("the disk works");
         let mut replica = Replica::new(identity.id, restored, timing, life, now);
-        replica.found(Group::of([identity.id])).expect("it is the same each time");
+        replica.bootstrap(Group::of([identity.id])).expect("it is the same each time");
         let mut state = 0u64;
         for round in 0..60 {
             // When it leads the partition, and takes commands
@@ -528,15 +546,19 @@
     vec((0..10u8, 1..4u8, 0..300u16), 1..4)
 }
 
-fn to_write(state: &Restored, (kind, count, size): (u8, u8, u16)) -> Write {
+fn to_write(state: &RestoredState, (kind, count, size): (u8, u8, u16)) -> Write {
     let base = state.snapshot.as_ref().map_or(0, |snapshot| snapshot.last.index.0);
     let last = state.entries.last().map_or(base, |entry| entry.index.0);
-    let term = state.hard.term.0 + 1;
+    let term = state.hard_state.term.0 + 1;
     match kind {
-        0..=2 => Write::Hard(hard(term)),
+        0..=2 => Write::HardState(hard_state(term)),
         3 => {
             let snapshot = snapshot(last, term, usize::from(size));
-            Write::Snapshot { snapshot, hard: hard(term), entries: vec![entry(last + 1, term, 3)] }
+            Write::Snapshot {
+                snapshot,
+                hard_state: hard_state(term),
+                entries: vec![entry(last + 1, term, 3)],
+            }
         }
         _ => {
             let first = last.saturating_sub(u64::from(kind == 4)).max(base) + 1;
@@ -559,7 +581,7 @@
     ) {
         let folder = new_folder();
         let (mut store, _) = Store::open(folder.path()).expect("it is empty");
-        let mut state = Restored::default();
+        let mut state = RestoredState::default();
         let mut safe_size = store.log_bytes();
         let mut possible = vec![state.clone()];
         let mut generation = 1;
--- a/crates/quorum/tests/disk_forms.rs
+++ b/crates/quorum/tests/disk_forms.rs
@@ -31,8 +31,8 @@
             group: Group::of([ReplicaId(1), ReplicaId(2)]),
             bytes: Blob::from(vec![7; 20]),
         };
-        let hard = HardState { term: Term(1), ..HardState::default() };
-        store.write(&[Write::Snapshot { snapshot, hard, entries: Vec::new() }]).expect("there is room");
+        let hard_state = HardState { term: Term(1), ..HardState::default() };
+        store.write(&[Write::Snapshot { snapshot, hard_state, entries: Vec::new() }]).expect("there is room");
     }
     let first = if generation == 2 { 10 } else { 1 };
     let entry =
@@ -80,7 +80,7 @@
     let before = contents(folder);
     let opened = Store::open(folder);
     assert!(
-        matches!(opened, Err(StoreError::NewerForm { .. })),
+        matches!(opened, Err(StoreError::NewerFormat { .. })),
         "{:?}",
         opened.map(|(_, restored)| restored)
     );
@@ -140,6 +140,6 @@
     let before = contents(folder.path());
     // when it is read, then no other identity takes its place.
     let read = Identity::load_or_create(folder.path(), 43);
-    assert!(matches!(read, Err(StoreError::NewerForm { .. })), "{read:?}");
+    assert!(matches!(read, Err(StoreError::NewerFormat { .. })), "{read:?}");
     assert_eq!(contents(folder.path()), before);
 }
--- a/crates/quorum/tests/elections.rs
+++ b/crates/quorum/tests/elections.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use grebeusher_quorum::{FoundError, Group, HandOverError, ReplicaId, Restored};
+use grebeusher_quorum::{BootstrapError, Group, ReplicaId, RestoredState, TransferLeadershipError};
 use grebeusher_quorum::{Message, ProposeError, Replica};
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
@@ -47,12 +47,12 @@
     // Given an empty replica
     let id = ReplicaId(5);
     let group = Group::of([id, ReplicaId(6), ReplicaId(7)]);
-    let mut replica = Replica::new(id, Restored::default(), TIMING, 1, Instant(0));
+    let mut replica = Replica::new(id, RestoredState::default(), TIMING, 1, Instant(0));
     // When it is founded, the same again is fine, and anything else is refused
-    assert_eq!(replica.found(Group::of([ReplicaId(6)])), Err(FoundError::Invalid));
-    assert_eq!(replica.found(group.clone()), Ok(()));
-    assert_eq!(replica.found(group.clone()), Ok(()));
-    assert_eq!(replica.found(Group::of([id])), Err(FoundError::Founded));
+    assert_eq!(replica.bootstrap(Group::of([ReplicaId(6)])), Err(BootstrapError::Invalid));
+    assert_eq!(replica.bootstrap(group.clone()), Ok(()));
+    assert_eq!(replica.bootstrap(group.clone()), Ok(()));
+    assert_eq!(replica.bootstrap(Group::of([id])), Err(BootstrapError::AlreadyBootstrapped));
     // Then its log starts with the group
     assert_eq!(replica.group(), &group);
     assert_eq!(replica.last().index.0, 1);
@@ -63,16 +63,16 @@
     // Given a disk that kept the promises of a founding, and not the entry
     let id = ReplicaId(5);
     let group = Group::of([id]);
-    let mut replica = Replica::new(id, Restored::default(), TIMING, 1, Instant(0));
-    replica.found(group.clone()).expect("it is empty");
+    let mut replica = Replica::new(id, RestoredState::default(), TIMING, 1, Instant(0));
+    replica.bootstrap(group.clone()).expect("it is empty");
     let ready = replica.take_ready();
-    let Some(grebeusher_quorum::Write::Hard(hard)) = ready.writes.first() else {
+    let Some(grebeusher_quorum::Write::HardState(hard_state)) = ready.writes.first() else {
         panic!("promises come first")
     };
-    let restored = Restored { hard: *hard, ..Restored::default() };
+    let restored = RestoredState { hard_state: *hard_state, ..RestoredState::default() };
     // When it is founded anew
     let mut replica = Replica::new(id, restored, TIMING, 1, Instant(0));
-    replica.found(group.clone()).expect("it is the same");
+    replica.bootstrap(group.clone()).expect("it is the same");
     // Then it has the entry
     assert_eq!(replica.group(), &group);
 }
@@ -130,11 +130,11 @@
     world.lose_power(leader);
     world.run_until(A_WHILE, "a new leader", |world| world.leader().is_some());
     // Then another one has all that was decided, and decides more
-    let heir = world.leader().expect("just seen");
-    assert!(others.contains(&heir));
-    world.propose(heir);
+    let successor = world.leader().expect("just seen");
+    assert!(others.contains(&successor));
+    world.propose(successor);
     world.run(Duration::from_millis(100));
-    assert_eq!(world.machines[heir.0].application.state.commands, 2);
+    assert_eq!(world.machines[successor.0].application.state.commands, 2);
 }
 
 #[test]
@@ -162,8 +162,8 @@
     // When the leader freezes until the others have another one, which decides something
     world.freeze(leader);
     world.run(A_WHILE);
-    let heir = world.elect();
-    world.propose(heir);
+    let successor = world.elect();
+    world.propose(successor);
     world.run(Duration::from_millis(100));
     // Then it answers no read when it wakes, not even before it has heard of anybody
     assert!(!world.machines[leader.0].lease_holds(world.now));
@@ -172,7 +172,7 @@
     assert!(!world.replica(leader).is_leader());
     // And it follows
     world.run(A_WHILE);
-    assert_eq!(world.replica(leader).leader_hint(), Some(world.identity(heir)));
+    assert_eq!(world.replica(leader).leader_hint(), Some(world.identity(successor)));
     assert_eq!(world.machines[leader.0].application.state.commands, 2);
 }
 
@@ -185,11 +185,11 @@
         world.propose(leader);
     }
     world.run(A_WHILE);
-    let heir = world.elect();
-    assert_ne!(heir, leader);
+    let successor = world.elect();
+    assert_ne!(successor, leader);
     assert_eq!(world.read(leader), None);
     assert!(!world.replica(leader).is_leader(), "it stepped down by itself");
-    world.propose(heir);
+    world.propose(successor);
     // When the cut is over
     world.heal();
     world.run(A_WHILE);
@@ -249,10 +249,10 @@
     // Given a leader of a term far ahead, in a partition that was founded otherwise
     let (mut world, leader, others) = three(19);
     let before = world.replica(leader).term();
-    let heartbeat = |from, to, founding| Message {
+    let heartbeat = |from, to, cluster_id| Message {
         from,
         to,
-        founding,
+        cluster_id,
         term: grebeusher_quorum::Term(99),
         body: grebeusher_quorum::Body::Append(grebeusher_quorum::Append {
             previous: Default::default(),
@@ -262,8 +262,8 @@
         }),
     };
     let (from, to) = (world.identity(others[0]), world.identity(leader));
-    let own = world.replica(leader).founding().expect("it was founded");
-    let foreign = Group::of([ReplicaId(1)]).founding();
+    let own = world.replica(leader).cluster_id().expect("it was founded");
+    let foreign = Group::of([ReplicaId(1)]).cluster_id();
     // When its message arrives, one for another identity, and one that was not sent by whom it names
     for (message, claimed) in [
         (heartbeat(from, to, foreign), from),
@@ -282,12 +282,13 @@
 fn a_leadership_is_handed_over_without_a_pause() {
     let (mut world, leader, others) = three(20);
     // When the leader hands over, say because it is to end
-    let target =
-        world.call(leader, |replica, now| replica.hand_over(now, None)).expect("somebody can take over");
+    let target = world
+        .call(leader, |replica, now| replica.transfer_leadership(now, None))
+        .expect("somebody can take over");
     // Then it takes no more commands, and says who will
-    let refused = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
+    let rejected = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
     assert!(
-        matches!(refused, Err(ProposeError::NotLeader { hint }) if hint == Some(target) || hint.is_none())
+        matches!(rejected, Err(ProposeError::NotLeader { hint }) if hint == Some(target) || hint.is_none())
     );
     // And the other one leads the partition far earlier than by an election
     world.run_until(Duration::from_millis(60), "a new leader", |world| {
@@ -301,7 +302,7 @@
     let (mut world, leader, others) = three(21);
     // Given a target that dies just when it is told to take over
     let target = world.identity(others[0]);
-    world.call(leader, |replica, now| replica.hand_over(now, Some(target))).expect("it is a voter");
+    world.call(leader, |replica, now| replica.transfer_leadership(now, Some(target))).expect("it is a voter");
     world.lose_power(others[0]);
     // Then reads are over for the rest of the term
     assert_eq!(world.read(leader), None);
@@ -320,12 +321,12 @@
     world.lose_power(others[0]);
     world.propose(leader);
     let target = world.identity(others[0]);
-    world.call(leader, |replica, now| replica.hand_over(now, Some(target))).expect("it is a voter");
-    let refused = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
-    assert_eq!(refused, Err(ProposeError::NotLeader { hint: Some(target) }));
+    world.call(leader, |replica, now| replica.transfer_leadership(now, Some(target))).expect("it is a voter");
+    let rejected = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
+    assert_eq!(rejected, Err(ProposeError::NotLeader { hint: Some(target) }));
     let other = world.identity(others[1]);
-    let again = world.call(leader, |replica, now| replica.hand_over(now, Some(other)));
-    assert_eq!(again, Err(HandOverError::UnderWay));
+    let again = world.call(leader, |replica, now| replica.transfer_leadership(now, Some(other)));
+    assert_eq!(again, Err(TransferLeadershipError::InProgress));
     // When the time for it is over
     world.run(Duration::from_millis(500));
     // Then the leader goes on as before: the lease was never given up
@@ -336,12 +337,13 @@
 #[test]
 fn a_leadership_is_handed_to_voters_only() {
     let (mut world, leader, others) = three(22);
-    let refuse = |world: &mut World, site, to| world.call(site, |replica, now| replica.hand_over(now, to));
-    assert_eq!(refuse(&mut world, leader, Some(ReplicaId(1))), Err(HandOverError::NoTarget));
+    let refuse =
+        |world: &mut World, site, to| world.call(site, |replica, now| replica.transfer_leadership(now, to));
+    assert_eq!(refuse(&mut world, leader, Some(ReplicaId(1))), Err(TransferLeadershipError::NoTarget));
     let myself = world.identity(leader);
-    assert_eq!(refuse(&mut world, leader, Some(myself)), Err(HandOverError::NoTarget));
+    assert_eq!(refuse(&mut world, leader, Some(myself)), Err(TransferLeadershipError::NoTarget));
     let hint = Some(myself);
-    assert_eq!(refuse(&mut world, others[0], None), Err(HandOverError::NotLeader { hint }));
+    assert_eq!(refuse(&mut world, others[0], None), Err(TransferLeadershipError::NotLeader { hint }));
 }
 
 #[test]
@@ -364,13 +366,13 @@
     let (mut world, leader, _) = three(24);
     world.isolate(leader);
     // When it is given more and more
-    let refused = world.call(leader, |replica, now| {
+    let rejected = world.call(leader, |replica, now| {
         (0..100).map(|_| replica.propose(now, vec![7; 1024 * 1024])).find_map(Result::err)
     });
     // Then it refuses before its memory is full
-    assert_eq!(refused, Some(ProposeError::Busy));
-    let refused = world.call(leader, |replica, now| replica.propose(now, vec![7; 5 * 1024 * 1024]));
-    assert_eq!(refused, Err(ProposeError::TooLarge { size: 5 * 1024 * 1024 }));
+    assert_eq!(rejected, Some(ProposeError::Busy));
+    let rejected = world.call(leader, |replica, now| replica.propose(now, vec![7; 5 * 1024 * 1024]));
+    assert_eq!(rejected, Err(ProposeError::TooLarge { size: 5 * 1024 * 1024 }));
 }
 
 #[test]
--- a/crates/quorum/tests/groups.rs
+++ b/crates/quorum/tests/groups.rs
@@ -34,8 +34,8 @@
     world.change_to(&keep, Duration::from_millis(500));
     // Then the spare has everything and its vote counts: another loss is borne
     world.lose_power(leader);
-    let heir = world.elect();
-    assert_eq!(world.machines[heir.0].application.state.commands, 20);
+    let successor = world.elect();
+    assert_eq!(world.machines[successor.0].application.state.commands, 20);
 }
 
 #[test]
@@ -79,8 +79,8 @@
         });
         // And the one that died follows when it is back
         world.start(leader);
-        let heir = world.elect();
-        world.propose(heir);
+        let successor = world.elect();
+        world.propose(successor);
         world.run(BOUND);
         assert_eq!(world.oracle.commands(), 21);
     }
@@ -133,8 +133,8 @@
     assert_eq!(world.leader(), Some(leader));
     // And also when the leader is lost, a member of the group wins
     world.lose_power(leader);
-    let heir = world.elect();
-    assert!(heir != removed && heir != leader);
+    let successor = world.elect();
+    assert!(successor != removed && successor != leader);
 }
 
 #[test]
@@ -167,7 +167,7 @@
     assert!(world.replica(leader).pending_change().is_some());
     let group = world.replica(leader).group().clone();
     // Then nothing else can begin
-    assert_eq!(change(&mut world, leader, &[leader]), Err(ChangeError::UnderWay));
+    assert_eq!(change(&mut world, leader, &[leader]), Err(ChangeError::InProgress));
     // When some time has passed
     world.run(Duration::from_millis(1_500));
     // Then the group is as it was, still decides, and the next change is taken
@@ -182,25 +182,25 @@
 fn those_who_leave_bring_the_change_to_its_end_when_nobody_else_can() {
     // Given a change to a single new voter, cut off just before it gets the last entry, which all others have
     let (mut world, leader) = start(10, 3, 1);
-    let heir = Site(3);
-    change(&mut world, leader, &[heir]).expect("nothing is under way");
+    let successor = Site(3);
+    change(&mut world, leader, &[successor]).expect("nothing is under way");
     world.run_until(BOUND, "the last entry of the change", |world| {
         let replica = world.replica(leader);
         replica.group().voters.len() == 1 && !replica.group().is_joint()
     });
-    world.isolate(heir);
+    world.isolate(successor);
     let last = world.replica(leader).last();
-    let others = world.others(&[leader, heir]);
+    let others = world.others(&[leader, successor]);
     world.run_until(BOUND, "all others have it", |world| {
         others.iter().all(|other| world.replica(*other).last() == last)
     });
-    assert!(world.replica(heir).group().is_joint());
+    assert!(world.replica(successor).group().is_joint());
     // When the leader dies, and the new voter, whose log is too short to win, is back
     world.lose_power(leader);
     world.run(Duration::from_millis(20));
     world.heal();
     // Then it leads the partition soon
-    world.run_until(BOUND, "a leader", |world| world.leader() == Some(heir));
+    world.run_until(BOUND, "a leader", |world| world.leader() == Some(successor));
 }
 
 #[test]
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -6,7 +6,7 @@
 use std::hash::{Hash, Hasher};
 
 use grebeusher_quorum::{
-    Body, Entry, Group, HardState, Index, Message, Payload, Replica, ReplicaId, Restored, Term, Timing,
+    Body, Entry, Group, HardState, Index, Message, Payload, Replica, ReplicaId, RestoredState, Term, Timing,
     Write, decode, encode,
 };
 use grebeusher_time::{Duration, Instant};
@@ -22,10 +22,10 @@
 const CHANGED: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(4)];
 
 const TIMING: Timing = Timing {
-    heartbeat: Duration::from_millis(20),
-    election_min: Duration::from_millis(200),
-    election_max: Duration::from_millis(400),
-    lease: Duration::from_millis(150),
+    heartbeat_interval: Duration::from_millis(20),
+    election_timeout_min: Duration::from_millis(200),
+    election_timeout_max: Duration::from_millis(400),
+    lease_duration: Duration::from_millis(150),
 };
 
 /// What is deliberately broken.
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 struct Voter {
     replica: Replica,
-    disk: Restored,
+    disk: RestoredState,
     now: Instant,
 }
 
@@ -74,7 +74,7 @@
     fn hash<H: Hasher>(&self, state: &mut H) {
         for voter in &self.voters {
             voter.replica.digest().hash(state);
-            (voter.disk.hard, &voter.disk.entries).hash(state);
+            (voter.disk.hard_state, &voter.disk.entries).hash(state);
         }
         (&self.network, &self.decided, &self.leaders).hash(state);
         (self.elections, self.commands, self.losses, self.changes, self.wiped, self.wrong).hash(state);
@@ -108,9 +108,9 @@
     MACHINES.iter().position(|machine| *machine == id).expect("it is one of the four")
 }
 
-fn apply(disk: &mut Restored, write: Write) {
+fn apply(disk: &mut RestoredState, write: Write) {
     match write {
-        Write::Hard(hard) => disk.hard = hard,
+        Write::HardState(hard_state) => disk.hard_state = hard_state,
         Write::Entries(entries) => {
             let Some(first) = entries.first().map(|entry| entry.index) else { return };
             disk.entries.retain(|entry| entry.index < first);
@@ -125,10 +125,11 @@
     fn start(with_spare: bool) -> World {
         let group = Group::of(VOTERS);
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(group.clone()) };
-        let hard = HardState { term: Term(1), founding: Some(group.founding()), ..HardState::default() };
-        let disk = Restored { hard, snapshot: None, entries: vec![entry] };
+        let hard_state =
+            HardState { term: Term(1), cluster_id: Some(group.cluster_id()), ..HardState::default() };
+        let disk = RestoredState { hard_state, snapshot: None, entries: vec![entry] };
         let machine = |id: ReplicaId| {
-            let disk = if VOTERS.contains(&id) { disk.clone() } else { Restored::default() };
+            let disk = if VOTERS.contains(&id) { disk.clone() } else { RestoredState::default() };
             let replica = Replica::new(id, disk.clone(), TIMING, id.0, Instant(0));
             Voter { replica, disk, now: Instant(0) }
         };
@@ -172,8 +173,8 @@
     /// Clocks may run as they like, so a candidate finds everybody ready to vote. The lease is checked elsewhere.
     fn take_in(&mut self, voter: usize, mut message: Message, fault: Fault) {
         let voter = &mut self.voters[voter];
-        if matches!(message.body, Body::PreVote(_) | Body::Vote(_)) {
-            voter.now = voter.now + TIMING.election_min;
+        if matches!(message.body, Body::RequestPreVote(_) | Body::RequestVote(_)) {
+            voter.now = voter.now + TIMING.election_timeout_min;
         }
         if fault == Fault::TermsNotChecked {
             message.term = message.term.max(voter.replica.term());
@@ -189,7 +190,7 @@
             let ready = node.replica.take_ready();
             ready.writes.into_iter().for_each(|write| apply(&mut node.disk, write));
             node.replica.synced();
-            let messages = ready.ahead.into_iter().chain(ready.messages);
+            let messages = ready.immediate_messages.into_iter().chain(ready.messages);
             self.network.extend(messages.map(|(_, message)| message));
         }
         self.watch(voter);
@@ -198,7 +199,7 @@
     fn lose_power(&mut self, voter: usize, answers: bool) {
         self.losses += 1;
         let ready = self.voters[voter].replica.take_ready();
-        self.network.extend(ready.ahead.into_iter().map(|(_, message)| message));
+        self.network.extend(ready.immediate_messages.into_iter().map(|(_, message)| message));
         if answers {
             self.network.extend(ready.messages.into_iter().map(|(_, message)| message));
         }
@@ -216,11 +217,11 @@
         // With the guard, the disk comes back under an identity that is none of the three, so it is just gone.
         let node = &mut self.voters[voter];
         node.disk.entries.truncate(1);
-        node.disk.hard.term = Term(1);
-        node.disk.hard.voted = None;
-        node.disk.hard.commit = Index(0);
+        node.disk.hard_state.term = Term(1);
+        node.disk.hard_state.vote = None;
+        node.disk.hard_state.commit = Index(0);
         if fault != Fault::WipedDiskVotes {
-            node.disk = Restored::default();
+            node.disk = RestoredState::default();
         }
         self.restart(voter);
         if fault != Fault::WipedDiskVotes {
@@ -259,7 +260,7 @@
     }
 
     fn is_gone(&self, voter: usize) -> bool {
-        self.voters[voter].disk == Restored::default() && VOTERS.contains(&MACHINES[voter])
+        self.voters[voter].disk == RestoredState::default() && VOTERS.contains(&MACHINES[voter])
     }
 }
 
@@ -274,7 +275,7 @@
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
         for message in world.network.iter().filter(|message| !world.is_gone(at(message.to))) {
             actions.push(Action::Deliver(message.clone()));
-            let asks_for_a_promise = matches!(message.body, Body::Append(_) | Body::Vote(_));
+            let asks_for_a_promise = matches!(message.body, Body::Append(_) | Body::RequestVote(_));
             if asks_for_a_promise && world.losses < self.losses {
                 actions.push(Action::DeliverAndLosePower(message.clone()));
             }
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -1,8 +1,9 @@
 //! Single rules of a replica, message by message: what it promises, and what it must not.
 
 use grebeusher_quorum::{
-    Append, AppendReply, Blob, Body, Candidacy, Entry, Group, HardState, Index, Message, Outcome, Payload,
-    Position, Replica, ReplicaId, Restored, Stamp, Term, Timing, VoteReply, Write,
+    Append, AppendOutcome, AppendResponse, Blob, Body, Entry, Group, HardState, Index, LeaderTimestamp,
+    Message, Payload, Position, Replica, ReplicaId, RestoredState, Term, Timing, VoteRequest, VoteResponse,
+    Write,
 };
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
@@ -12,10 +13,10 @@
 const THIRD: ReplicaId = ReplicaId(3);
 
 const TIMING: Timing = Timing {
-    heartbeat: Duration::from_millis(20),
-    election_min: Duration::from_millis(200),
-    election_max: Duration::from_millis(400),
-    lease: Duration::from_millis(150),
+    heartbeat_interval: Duration::from_millis(20),
+    election_timeout_min: Duration::from_millis(200),
+    election_timeout_max: Duration::from_millis(400),
+    lease_duration: Duration::from_millis(150),
 };
 
 fn group() -> Group {
@@ -37,7 +38,7 @@
 /// A replica, its disk as the program would keep it, and the time.
 struct Bench {
     replica: Replica,
-    disk: Restored,
+    disk: RestoredState,
     now: Instant,
 }
 
@@ -45,17 +46,17 @@
     /// A replica in `term` whose log has entries of these terms; it was started long ago.
     fn new(term: u64, terms: &[u64]) -> Bench {
         let entries = (1..).zip(terms).map(|(index, term)| entry(index, *term)).collect();
-        let founding = Some(group().founding());
-        let hard = HardState { term: Term(term), voted: None, founding, commit: Index(0) };
-        let disk = Restored { hard, snapshot: None, entries };
+        let cluster_id = Some(group().cluster_id());
+        let hard_state = HardState { term: Term(term), vote: None, cluster_id, commit: Index(0) };
+        let disk = RestoredState { hard_state, snapshot: None, entries };
         let replica = Replica::new(ME, disk.clone(), TIMING, 1, Instant(0));
         Bench { replica, disk, now: Instant(1_000_000_000) }
     }
 
     /// A message arrives; all that comes of it is synced. What the replica sends.
     fn receive(&mut self, from: ReplicaId, term: u64, body: Body) -> Vec<Message> {
-        let founding = group().founding();
-        let message = Message { from, to: ME, founding, term: Term(term), body };
+        let cluster_id = group().cluster_id();
+        let message = Message { from, to: ME, cluster_id, term: Term(term), body };
         self.replica.receive(self.now, from, message);
         self.work()
     }
@@ -65,7 +66,7 @@
         while self.replica.has_ready() {
             let ready = self.replica.take_ready();
             ready.writes.into_iter().for_each(|write| match write {
-                Write::Hard(hard) => self.disk.hard = hard,
+                Write::HardState(hard_state) => self.disk.hard_state = hard_state,
                 Write::Entries(entries) => {
                     self.disk.entries.retain(|entry| entry.index < entries[0].index);
                     self.disk.entries.extend(entries);
@@ -73,7 +74,9 @@
                 Write::Snapshot { .. } => unreachable!("there are none here"),
             });
             self.replica.synced();
-            sent.extend(ready.ahead.into_iter().chain(ready.messages).map(|(_, message)| message));
+            sent.extend(
+                ready.immediate_messages.into_iter().chain(ready.messages).map(|(_, message)| message),
+            );
         }
         sent
     }
@@ -96,17 +99,28 @@
         commit: u64,
         entries: Vec<Entry>,
     ) -> Vec<Message> {
-        let append = Append { previous, commit: Index(commit), sent: Stamp(7), entries };
+        let append = Append { previous, commit: Index(commit), sent: LeaderTimestamp(7), entries };
         self.receive(leader, term, Body::Append(append))
     }
 
-    fn vote(&mut self, candidate: ReplicaId, term: u64, last: Position, handed_over: bool) -> Option<bool> {
-        let sent = self.receive(candidate, term, Body::Vote(Candidacy { last, handed_over }));
+    fn vote(
+        &mut self,
+        candidate: ReplicaId,
+        term: u64,
+        last: Position,
+        leadership_transfer: bool,
+    ) -> Option<bool> {
+        let sent =
+            self.receive(candidate, term, Body::RequestVote(VoteRequest { last, leadership_transfer }));
         granted(&sent)
     }
 
     fn pre_vote(&mut self, candidate: ReplicaId, term: u64, last: Position) -> Option<bool> {
-        let sent = self.receive(candidate, term, Body::PreVote(Candidacy { last, handed_over: false }));
+        let sent = self.receive(
+            candidate,
+            term,
+            Body::RequestPreVote(VoteRequest { last, leadership_transfer: false }),
+        );
         granted(&sent)
     }
 
@@ -116,29 +130,29 @@
         self.replica.tick(self.now);
         self.work();
         let term = self.replica.term().0 + 1;
-        self.receive(SECOND, term, Body::PreVoteReply(VoteReply { granted: true }));
-        self.receive(SECOND, term, Body::VoteReply(VoteReply { granted: true }));
+        self.receive(SECOND, term, Body::PreVoteResponse(VoteResponse { granted: true }));
+        self.receive(SECOND, term, Body::VoteResponse(VoteResponse { granted: true }));
         assert!(self.replica.is_leader());
         term
     }
 
     fn matched(&mut self, from: ReplicaId, term: u64, index: u64) {
-        let outcome = Outcome::Matched(Index(index));
-        let sent = Stamp(self.now.0);
-        self.receive(from, term, Body::AppendReply(AppendReply { outcome, sent }));
+        let outcome = AppendOutcome::Matched(Index(index));
+        let sent = LeaderTimestamp(self.now.0);
+        self.receive(from, term, Body::AppendResponse(AppendResponse { outcome, sent }));
     }
 }
 
 fn granted(sent: &[Message]) -> Option<bool> {
     sent.iter().find_map(|message| match &message.body {
-        Body::VoteReply(reply) | Body::PreVoteReply(reply) => Some(reply.granted),
+        Body::VoteResponse(response) | Body::PreVoteResponse(response) => Some(response.granted),
         _ => None,
     })
 }
 
-fn outcome(sent: &[Message]) -> Option<Outcome> {
+fn outcome(sent: &[Message]) -> Option<AppendOutcome> {
     sent.iter().find_map(|message| match &message.body {
-        Body::AppendReply(reply) => Some(reply.outcome),
+        Body::AppendResponse(response) => Some(response.outcome),
         _ => None,
     })
 }
@@ -191,7 +205,7 @@
     bench.restart();
     // Then a leader of an older term is refused after the restart too
     let sent = bench.hear_leader(THIRD, 8);
-    assert_eq!(outcome(&sent), Some(Outcome::Outdated));
+    assert_eq!(outcome(&sent), Some(AppendOutcome::StaleTerm));
     assert_eq!(bench.replica.term(), Term(9));
 }
 
@@ -268,11 +282,11 @@
     bench.matched(SECOND, term, 2);
     bench.replica.propose(bench.now, vec![1]).expect("it is the leader");
     let ready = bench.replica.take_ready();
-    assert!(ready.must_sync && ready.ahead.iter().any(|(to, _)| *to == SECOND));
-    let founding = group().founding();
-    let reply = AppendReply { outcome: Outcome::Matched(Index(3)), sent: Stamp(0) };
+    assert!(ready.must_sync && ready.immediate_messages.iter().any(|(to, _)| *to == SECOND));
+    let cluster_id = group().cluster_id();
+    let response = AppendResponse { outcome: AppendOutcome::Matched(Index(3)), sent: LeaderTimestamp(0) };
     let message =
-        Message { from: SECOND, to: ME, founding, term: Term(term), body: Body::AppendReply(reply) };
+        Message { from: SECOND, to: ME, cluster_id, term: Term(term), body: Body::AppendResponse(response) };
     bench.replica.receive(bench.now, SECOND, message);
     // Then it is not decided before the leader's own sync
     assert_eq!(bench.replica.commit_index(), Index(2));
@@ -285,13 +299,13 @@
     let mut bench = Bench::new(3, &[1, 2, 2]);
     // Given an append after an entry of another term, or after one that is missing: it is refused with a hint
     let sent = bench.append(SECOND, 4, position(3, 3), 0, vec![entry(4, 4)]);
-    assert_eq!(outcome(&sent), Some(Outcome::Conflict { refused: Index(3), hint: Index(2) }));
+    assert_eq!(outcome(&sent), Some(AppendOutcome::Conflict { rejected: Index(3), hint: Index(2) }));
     let sent = bench.append(SECOND, 4, position(7, 1), 0, vec![entry(8, 4)]);
-    assert_eq!(outcome(&sent), Some(Outcome::Conflict { refused: Index(7), hint: Index(1) }));
+    assert_eq!(outcome(&sent), Some(AppendOutcome::Conflict { rejected: Index(7), hint: Index(1) }));
     assert_eq!(bench.replica.last(), position(3, 2));
     // When it fits, it replaces what differs
     let sent = bench.append(SECOND, 4, position(1, 1), 0, vec![entry(2, 3), entry(3, 4)]);
-    assert_eq!(outcome(&sent), Some(Outcome::Matched(Index(3))));
+    assert_eq!(outcome(&sent), Some(AppendOutcome::Matched(Index(3))));
     assert_eq!(bench.disk.entries, [entry(1, 1), entry(2, 3), entry(3, 4)]);
     // And an old one that arrives late takes nothing away
     bench.append(SECOND, 4, position(1, 1), 0, vec![entry(2, 3)]);
@@ -367,8 +381,12 @@
     let term = bench.become_leader();
     bench.matched(SECOND, term, 4);
     // When a refusal arrives late, or a second time
-    let outcome = Outcome::Conflict { refused: Index(3), hint: Index(1) };
-    let sent = bench.receive(SECOND, term, Body::AppendReply(AppendReply { outcome, sent: Stamp(0) }));
+    let outcome = AppendOutcome::Conflict { rejected: Index(3), hint: Index(1) };
+    let sent = bench.receive(
+        SECOND,
+        term,
+        Body::AppendResponse(AppendResponse { outcome, sent: LeaderTimestamp(0) }),
+    );
     // Then nothing is sent anew
     assert!(sent.is_empty(), "{sent:?}");
     // And commands go on without waiting for an answer to each
@@ -383,22 +401,23 @@
 fn a_snapshot_stands_for_what_it_contains() {
     // Given a follower with entries that are not known to be decided
     let mut bench = Bench::new(3, &[1, 2, 2]);
-    let founding = group().founding();
+    let cluster_id = group().cluster_id();
     // When it gets a snapshot that contains the second one, and hears that the third one is decided
-    let chunk = grebeusher_quorum::Chunk {
+    let chunk = grebeusher_quorum::SnapshotChunk {
         last: position(2, 2),
         group: group(),
         total: 3,
         offset: 0,
         bytes: Blob::from(vec![1, 2, 3]),
-        sent: Stamp(0),
+        sent: LeaderTimestamp(0),
     };
-    let append = Append { previous: position(3, 2), commit: Index(3), sent: Stamp(0), entries: Vec::new() };
-    for body in [Body::Chunk(chunk), Body::Append(append)] {
+    let append =
+        Append { previous: position(3, 2), commit: Index(3), sent: LeaderTimestamp(0), entries: Vec::new() };
+    for body in [Body::SnapshotChunk(chunk), Body::Append(append)] {
         bench.replica.receive(
             bench.now,
             SECOND,
-            Message { from: SECOND, to: ME, founding, term: Term(4), body },
+            Message { from: SECOND, to: ME, cluster_id, term: Term(4), body },
         );
     }
     // Then the application loads the snapshot, and applies what follows it only
@@ -416,18 +435,18 @@
 fn pieces_of_different_snapshots_are_not_put_together() {
     let mut bench = Bench::new(3, &[1]);
     let piece = |index, offset, total| {
-        Body::Chunk(grebeusher_quorum::Chunk {
+        Body::SnapshotChunk(grebeusher_quorum::SnapshotChunk {
             last: position(index, 3),
             group: group(),
             total,
             offset,
             bytes: Blob::from(vec![index as u8; 3]),
-            sent: Stamp(0),
+            sent: LeaderTimestamp(0),
         })
     };
     let received = |sent: &[Message]| {
         sent.iter().find_map(|message| match &message.body {
-            Body::ChunkReply(reply) => Some(reply.received),
+            Body::SnapshotChunkResponse(response) => Some(response.received),
             _ => None,
         })
     };
@@ -442,8 +461,8 @@
     assert_eq!(received(&bench.receive(THIRD, 4, piece(6, 0, 6))), Some(3));
     assert_eq!(bench.replica.snapshot_index(), Index(0));
     bench.replica.receive(bench.now, THIRD, {
-        let founding = group().founding();
-        Message { from: THIRD, to: ME, founding, term: Term(4), body: piece(6, 3, 6) }
+        let cluster_id = group().cluster_id();
+        Message { from: THIRD, to: ME, cluster_id, term: Term(4), body: piece(6, 3, 6) }
     });
     let restore = bench.replica.take_ready().restore.expect("it is whole");
     assert_eq!((restore.index, restore.bytes.len()), (Index(6), 6));
@@ -483,16 +502,16 @@
     let append = Append {
         previous: position(1, 1),
         commit: Index(3),
-        sent: Stamp(7),
+        sent: LeaderTimestamp(7),
         entries: vec![entry(2, 4), entry(3, 4)],
     };
-    let founding = group().founding();
-    let message = Message { from: SECOND, to: ME, founding, term: Term(4), body: Body::Append(append) };
+    let cluster_id = group().cluster_id();
+    let message = Message { from: SECOND, to: ME, cluster_id, term: Term(4), body: Body::Append(append) };
     bench.replica.receive(bench.now, SECOND, message);
     let ready = bench.replica.take_ready();
     // Then the promises, which come first, don't call the old entries decided if power goes in between
-    let Some(Write::Hard(hard)) = ready.writes.first() else { panic!("{:?}", ready.writes) };
-    assert!(hard.commit <= Index(1), "{hard:?}");
+    let Some(Write::HardState(hard_state)) = ready.writes.first() else { panic!("{:?}", ready.writes) };
+    assert!(hard_state.commit <= Index(1), "{hard_state:?}");
 }
 
 #[test]
@@ -500,15 +519,16 @@
     let mut bench = Bench::new(3, &[1]);
     bench.hear_leader(SECOND, 3);
     // Given a call to take over from somebody else, or of an older term
-    assert!(bench.receive(THIRD, 3, Body::TakeOver).is_empty());
-    assert!(bench.receive(SECOND, 2, Body::TakeOver).is_empty());
+    assert!(bench.receive(THIRD, 3, Body::TimeoutNow).is_empty());
+    assert!(bench.receive(SECOND, 2, Body::TimeoutNow).is_empty());
     assert_eq!(bench.replica.term(), Term(3));
     // When the leader calls, it stands at once, and says why
-    let sent = bench.receive(SECOND, 3, Body::TakeOver);
-    let handed_over =
-        |message: &Message| matches!(message.body, Body::Vote(Candidacy { handed_over: true, .. }));
-    assert!(sent.iter().all(handed_over) && sent.len() == 2);
-    assert_eq!(bench.disk.hard.voted, Some(ME));
+    let sent = bench.receive(SECOND, 3, Body::TimeoutNow);
+    let leadership_transfer = |message: &Message| {
+        matches!(message.body, Body::RequestVote(VoteRequest { leadership_transfer: true, .. }))
+    };
+    assert!(sent.iter().all(leadership_transfer) && sent.len() == 2);
+    assert_eq!(bench.disk.hard_state.vote, Some(ME));
 }
 
 #[test]
@@ -517,35 +537,41 @@
     let mut bench = Bench::new(3, &[1]);
     bench.replica.tick(bench.now);
     let asked = bench.work();
-    assert!(asked.iter().all(|message| matches!(message.body, Body::PreVote(_))) && asked.len() == 2);
+    assert!(asked.iter().all(|message| matches!(message.body, Body::RequestPreVote(_))) && asked.len() == 2);
     // When one more would vote for it
-    let sent = bench.receive(SECOND, 4, Body::PreVoteReply(VoteReply { granted: true }));
+    let sent = bench.receive(SECOND, 4, Body::PreVoteResponse(VoteResponse { granted: true }));
     // Then it stands as one who has to wait for leases
-    let waits = |message: &Message| matches!(message.body, Body::Vote(Candidacy { handed_over: false, .. }));
+    let waits = |message: &Message| {
+        matches!(message.body, Body::RequestVote(VoteRequest { leadership_transfer: false, .. }))
+    };
     assert!(sent.iter().all(waits) && sent.len() == 2);
 }
 
 #[test]
 fn an_empty_replica_listens_to_leaders_only() {
     // Given a replica with nothing on disk
-    let mut replica = Replica::new(ME, Restored::default(), TIMING, 1, Instant(0));
+    let mut replica = Replica::new(ME, RestoredState::default(), TIMING, 1, Instant(0));
     let now = Instant(1_000_000_000);
-    let founding = group().founding();
+    let cluster_id = group().cluster_id();
     let last = position(9, 3);
-    let candidacy = Candidacy { last, handed_over: true };
+    let request = VoteRequest { last, leadership_transfer: true };
     // When it is asked for its vote
-    for body in [Body::Vote(candidacy), Body::PreVote(candidacy), Body::TakeOver] {
-        replica.receive(now, SECOND, Message { from: SECOND, to: ME, founding, term: Term(4), body });
+    for body in [Body::RequestVote(request), Body::RequestPreVote(request), Body::TimeoutNow] {
+        replica.receive(now, SECOND, Message { from: SECOND, to: ME, cluster_id, term: Term(4), body });
     }
     // Then it says nothing and writes nothing
     assert!(!replica.has_ready());
     // And a leader's message tells it where it belongs
-    let append =
-        Append { previous: position(0, 0), commit: Index(1), sent: Stamp(0), entries: vec![entry(1, 1)] };
+    let append = Append {
+        previous: position(0, 0),
+        commit: Index(1),
+        sent: LeaderTimestamp(0),
+        entries: vec![entry(1, 1)],
+    };
     replica.receive(
         now,
         SECOND,
-        Message { from: SECOND, to: ME, founding, term: Term(4), body: Body::Append(append) },
+        Message { from: SECOND, to: ME, cluster_id, term: Term(4), body: Body::Append(append) },
     );
-    assert_eq!((replica.founding(), replica.last()), (Some(founding), position(1, 1)));
+    assert_eq!((replica.cluster_id(), replica.last()), (Some(cluster_id), position(1, 1)));
 }
--- a/crates/quorum/tests/stable_bytes.rs
+++ b/crates/quorum/tests/stable_bytes.rs
@@ -9,9 +9,9 @@
 
 use grebeusher_quorum::disk::{Identity, Store};
 use grebeusher_quorum::{
-    Append, AppendReply, Blob, Body, Candidacy, Chunk, ChunkReply, Entry, Founding, Group, HardState, Index,
-    Message, Outcome, Payload, Position, ReplicaId, Restored, Snapshot, Stamp, Term, VoteReply, Write,
-    decode, encode,
+    Append, AppendOutcome, AppendResponse, Blob, Body, ClusterId, Entry, Group, HardState, Index,
+    LeaderTimestamp, Message, Payload, Position, ReplicaId, RestoredState, Snapshot, SnapshotChunk,
+    SnapshotChunkResponse, Term, VoteRequest, VoteResponse, Write, decode, encode,
 };
 use rstest::rstest;
 
@@ -63,7 +63,7 @@
     ids.into_iter().map(ReplicaId).collect()
 }
 
-fn settled_group() -> Group {
+fn simple_group() -> Group {
     Group { voters: ids([IDENTITY, 0x2122_2324_2526_2728]), outgoing: Vec::new() }
 }
 
@@ -93,36 +93,36 @@
 /// What a disk is made of: the writes to an empty one, and what it holds after them.
 struct Disk {
     writes: Vec<Write>,
-    holds: Restored,
+    holds: RestoredState,
 }
 
 /// A disk that never had a snapshot: a slot without one, and a log that began empty.
 fn first_generation() -> Disk {
     const LARGE: u64 = 0x0102_0304_0506_0708;
     let kept = [
-        entry(1, 1, Payload::Opening),
-        entry(2, 1, Payload::Group(settled_group())),
+        entry(1, 1, Payload::Noop),
+        entry(2, 1, Payload::Group(simple_group())),
         entry(3, 1, command(b"first")),
     ];
     let replaced = entry(4, 1, command(b"replaced"));
     let newer = [
-        entry(4, LARGE, Payload::Opening),
+        entry(4, LARGE, Payload::Noop),
         entry(5, LARGE, Payload::Group(joint_group())),
         entry(6, LARGE, command(b"")),
         entry(7, LARGE, command(&[0x00, 0x7f, 0x80, 0xff])),
     ];
-    let voted =
-        HardState { term: Term(1), voted: Some(ReplicaId(IDENTITY)), founding: None, commit: Index(0) };
-    let founding = Some(Founding(0x4142_4344_4546_4748));
-    let last = HardState { term: Term(LARGE), voted: None, founding, commit: Index(3) };
+    let vote =
+        HardState { term: Term(1), vote: Some(ReplicaId(IDENTITY)), cluster_id: None, commit: Index(0) };
+    let cluster_id = Some(ClusterId(0x4142_4344_4546_4748));
+    let last = HardState { term: Term(LARGE), vote: None, cluster_id, commit: Index(3) };
     let writes = vec![
-        Write::Hard(voted),
+        Write::HardState(vote),
         Write::Entries([kept.to_vec(), vec![replaced]].concat()),
         Write::Entries(newer.to_vec()),
-        Write::Hard(last),
+        Write::HardState(last),
     ];
     let entries = [kept.to_vec(), newer.to_vec()].concat();
-    Disk { writes, holds: Restored { hard: last, snapshot: None, entries } }
+    Disk { writes, holds: RestoredState { hard_state: last, snapshot: None, entries } }
 }
 
 /// A disk with a snapshot in the midst of a change of the group, and a log that began with all kinds of entries.
@@ -135,29 +135,30 @@
         bytes: Blob::from(&b"the state of the application"[..]),
     };
     let first = [
-        entry(BEFORE + 1, TERM, Payload::Opening),
-        entry(BEFORE + 2, TERM, Payload::Group(settled_group())),
+        entry(BEFORE + 1, TERM, Payload::Noop),
+        entry(BEFORE + 2, TERM, Payload::Group(simple_group())),
         entry(BEFORE + 3, TERM, command(b"in the base")),
     ];
     let later = [
-        entry(BEFORE + 4, TERM + 1, Payload::Opening),
+        entry(BEFORE + 4, TERM + 1, Payload::Noop),
         entry(BEFORE + 5, TERM + 1, Payload::Group(joint_group())),
         entry(BEFORE + 6, TERM + 1, command(b"in a record")),
     ];
-    let hard = HardState {
+    let hard_state = HardState {
         term: Term(TERM),
-        voted: Some(ReplicaId(0x2122_2324_2526_2728)),
-        founding: Some(Founding(0x4142_4344_4546_4748)),
+        vote: Some(ReplicaId(0x2122_2324_2526_2728)),
+        cluster_id: Some(ClusterId(0x4142_4344_4546_4748)),
         commit: Index(BEFORE + 1),
     };
-    let last = HardState { term: Term(TERM + 1), voted: None, commit: Index(BEFORE + 4), ..hard };
+    let last = HardState { term: Term(TERM + 1), vote: None, commit: Index(BEFORE + 4), ..hard_state };
     let writes = vec![
-        Write::Hard(HardState::default()),
-        Write::Snapshot { snapshot: snapshot.clone(), hard, entries: first.to_vec() },
-        Write::Hard(last),
+        Write::HardState(HardState::default()),
+        Write::Snapshot { snapshot: snapshot.clone(), hard_state, entries: first.to_vec() },
+        Write::HardState(last),
         Write::Entries(later.to_vec()),
     ];
-    let holds = Restored { hard: last, snapshot: Some(snapshot), entries: [first, later].concat() };
+    let holds =
+        RestoredState { hard_state: last, snapshot: Some(snapshot), entries: [first, later].concat() };
     Disk { writes, holds }
 }
 
@@ -171,8 +172,8 @@
     // then they hold what was written, nothing is cut off, and they stay as they are.
     assert_eq!(restored, disk.holds);
     assert_eq!(contents(folder.path()), contents(&data(name)));
-    let in_force = contents(folder.path()).into_iter().filter(|(file, _)| file.starts_with("log-"));
-    assert_eq!(store.log_bytes(), in_force.map(|(_, hex)| hex.len() as u64 / 2).sum::<u64>());
+    let active = contents(folder.path()).into_iter().filter(|(file, _)| file.starts_with("log-"));
+    assert_eq!(store.log_bytes(), active.map(|(_, hex)| hex.len() as u64 / 2).sum::<u64>());
 }
 
 #[rstest]
@@ -215,10 +216,10 @@
 #[test]
 fn the_disks_have_every_kind_of_write_and_entry() {
     let writes = [first_generation().writes, second_generation().writes].concat();
-    assert_every_kind!(&writes, [Write::Hard(_), Write::Entries(_), Write::Snapshot { .. }]);
+    assert_every_kind!(&writes, [Write::HardState(_), Write::Entries(_), Write::Snapshot { .. }]);
     for disk in [first_generation(), second_generation()] {
         let payloads = disk.holds.entries.iter().map(|entry| &entry.payload);
-        assert_every_kind!(payloads, [Payload::Opening, Payload::Group(_), Payload::Command(_)]);
+        assert_every_kind!(payloads, [Payload::Noop, Payload::Group(_), Payload::Command(_)]);
     }
 }
 
@@ -239,11 +240,11 @@
 #[test]
 fn the_fingerprint_of_a_founding_is_the_same_in_all_versions() {
     // Replicas that compute different ones never talk to each other.
-    assert_eq!(settled_group().founding(), Founding(0x66da_3ec1_4ae2_84a5));
-    assert_eq!(joint_group().founding(), Founding(0xb89f_0330_958b_7b75));
+    assert_eq!(simple_group().cluster_id(), ClusterId(0x66da_3ec1_4ae2_84a5));
+    assert_eq!(joint_group().cluster_id(), ClusterId(0xb89f_0330_958b_7b75));
     assert_eq!(
-        Group::of([ReplicaId(3), ReplicaId(1), ReplicaId(2)]).founding(),
-        Founding(0xda2b_fb22_5e0d_1f05)
+        Group::of([ReplicaId(3), ReplicaId(1), ReplicaId(2)]).cluster_id(),
+        ClusterId(0xda2b_fb22_5e0d_1f05)
     );
 }
 
@@ -254,13 +255,13 @@
     Message {
         from: ReplicaId(0x0102_0304_0506_0708),
         to: ReplicaId(0x1112_1314_1516_1718),
-        founding: Founding(0x2122_2324_2526_2728),
+        cluster_id: ClusterId(0x2122_2324_2526_2728),
         term: Term(0x3132_3334_3536_3738),
         body,
     }
 }
 
-const SENT: Stamp = Stamp(0xe1e2_e3e4_e5e6_e7e8);
+const SENT: LeaderTimestamp = LeaderTimestamp(0xe1e2_e3e4_e5e6_e7e8);
 
 fn position() -> Position {
     Position { term: Term(0x1a1b_1c1d_1e1f_1011), index: Index(0x2a2b_2c2d_2e2f_2021) }
@@ -274,8 +275,8 @@
 fn append() -> Body {
     let (Index(before), Term(term)) = (position().index, position().term);
     let payloads = [
-        Payload::Opening,
-        Payload::Group(settled_group()),
+        Payload::Noop,
+        Payload::Group(simple_group()),
         Payload::Group(joint_group()),
         command(b""),
         command(b"a command"),
@@ -286,27 +287,38 @@
 
 fn chunk(group: Group, bytes: &[u8]) -> Body {
     let (total, offset) = (0x0301_0203, 0x0200_0102);
-    Body::Chunk(Chunk { last: position(), group, total, offset, bytes: Blob::from(bytes), sent: SENT })
+    Body::SnapshotChunk(SnapshotChunk {
+        last: position(),
+        group,
+        total,
+        offset,
+        bytes: Blob::from(bytes),
+        sent: SENT,
+    })
 }
 
 /// Each kind of message, and what follows the head in its binary form.
 fn messages() -> Vec<(&'static str, Body, &'static str)> {
-    let candidacy = |handed_over| Candidacy { last: position(), handed_over };
-    let reply = |outcome| Body::AppendReply(AppendReply { outcome, sent: SENT });
+    let request = |leadership_transfer| VoteRequest { last: position(), leadership_transfer };
+    let response = |outcome| Body::AppendResponse(AppendResponse { outcome, sent: SENT });
     let received = 0x0200_0102;
     vec![
-        ("pre-vote", Body::PreVote(candidacy(false)), "0000 11101f1e1d1c1b1a 21202f2e2d2c2b2a 00"),
+        ("pre-vote", Body::RequestPreVote(request(false)), "0000 11101f1e1d1c1b1a 21202f2e2d2c2b2a 00"),
         (
             "pre-vote after a hand-over",
-            Body::PreVote(candidacy(true)),
+            Body::RequestPreVote(request(true)),
             "0000 11101f1e1d1c1b1a 21202f2e2d2c2b2a 01",
         ),
-        ("pre-vote refused", Body::PreVoteReply(VoteReply { granted: false }), "0100 00"),
-        ("pre-vote granted", Body::PreVoteReply(VoteReply { granted: true }), "0100 01"),
-        ("vote", Body::Vote(candidacy(false)), "0200 11101f1e1d1c1b1a 21202f2e2d2c2b2a 00"),
-        ("vote after a hand-over", Body::Vote(candidacy(true)), "0200 11101f1e1d1c1b1a 21202f2e2d2c2b2a 01"),
-        ("vote refused", Body::VoteReply(VoteReply { granted: false }), "0300 00"),
-        ("vote granted", Body::VoteReply(VoteReply { granted: true }), "0300 01"),
+        ("pre-vote refused", Body::PreVoteResponse(VoteResponse { granted: false }), "0100 00"),
+        ("pre-vote granted", Body::PreVoteResponse(VoteResponse { granted: true }), "0100 01"),
+        ("vote", Body::RequestVote(request(false)), "0200 11101f1e1d1c1b1a 21202f2e2d2c2b2a 00"),
+        (
+            "vote after a hand-over",
+            Body::RequestVote(request(true)),
+            "0200 11101f1e1d1c1b1a 21202f2e2d2c2b2a 01",
+        ),
+        ("vote refused", Body::VoteResponse(VoteResponse { granted: false }), "0300 00"),
+        ("vote granted", Body::VoteResponse(VoteResponse { granted: true }), "0300 01"),
         (
             "heartbeat",
             heartbeat(),
@@ -327,18 +339,21 @@
         ),
         (
             "append matched",
-            reply(Outcome::Matched(position().index)),
+            response(AppendOutcome::Matched(position().index)),
             "0500 0000 21202f2e2d2c2b2a e8e7e6e5e4e3e2e1",
         ),
         (
             "append in conflict",
-            reply(Outcome::Conflict { refused: position().index, hint: Index(0x0a0b_0c0d_0e0f_0001) }),
+            response(AppendOutcome::Conflict {
+                rejected: position().index,
+                hint: Index(0x0a0b_0c0d_0e0f_0001),
+            }),
             "0500 0100 21202f2e2d2c2b2a 01000f0e0d0c0b0a e8e7e6e5e4e3e2e1",
         ),
-        ("append outdated", reply(Outcome::Outdated), "0500 0200 e8e7e6e5e4e3e2e1"),
+        ("append outdated", response(AppendOutcome::StaleTerm), "0500 0200 e8e7e6e5e4e3e2e1"),
         (
             "chunk of a settled group",
-            chunk(settled_group(), b""),
+            chunk(simple_group(), b""),
             "0600 11101f1e1d1c1b1a 21202f2e2d2c2b2a \
              02000000 1817161514131211 2827262524232221 00000000 \
              0302010300000000 0201000200000000 00000000 e8e7e6e5e4e3e2e1",
@@ -353,10 +368,10 @@
         ),
         (
             "chunk received",
-            Body::ChunkReply(ChunkReply { last: position(), received, sent: SENT }),
+            Body::SnapshotChunkResponse(SnapshotChunkResponse { last: position(), received, sent: SENT }),
             "0700 11101f1e1d1c1b1a 21202f2e2d2c2b2a 0201000200000000 e8e7e6e5e4e3e2e1",
         ),
-        ("take over", Body::TakeOver, "0800"),
+        ("take over", Body::TimeoutNow, "0800"),
     ]
 }
 
@@ -376,26 +391,29 @@
     assert_every_kind!(
         &bodies,
         [
-            Body::PreVote(_),
-            Body::PreVoteReply(_),
-            Body::Vote(_),
-            Body::VoteReply(_),
+            Body::RequestPreVote(_),
+            Body::PreVoteResponse(_),
+            Body::RequestVote(_),
+            Body::VoteResponse(_),
             Body::Append(_),
-            Body::AppendReply(_),
-            Body::Chunk(_),
-            Body::ChunkReply(_),
-            Body::TakeOver,
+            Body::AppendResponse(_),
+            Body::SnapshotChunk(_),
+            Body::SnapshotChunkResponse(_),
+            Body::TimeoutNow,
         ]
     );
     let outcomes = bodies.iter().filter_map(|body| match body {
-        Body::AppendReply(reply) => Some(reply.outcome),
+        Body::AppendResponse(response) => Some(response.outcome),
         _ => None,
     });
-    assert_every_kind!(outcomes, [Outcome::Matched(_), Outcome::Conflict { .. }, Outcome::Outdated]);
+    assert_every_kind!(
+        outcomes,
+        [AppendOutcome::Matched(_), AppendOutcome::Conflict { .. }, AppendOutcome::StaleTerm]
+    );
     let entries = bodies.iter().filter_map(|body| match body {
         Body::Append(append) => Some(&append.entries),
         _ => None,
     });
     let payloads = entries.flatten().map(|entry| &entry.payload);
-    assert_every_kind!(payloads, [Payload::Opening, Payload::Group(_), Payload::Command(_)]);
+    assert_every_kind!(payloads, [Payload::Noop, Payload::Group(_), Payload::Command(_)]);
 }
--- a/crates/quorum/tests/world/disk.rs
+++ b/crates/quorum/tests/world/disk.rs
@@ -1,22 +1,25 @@
 //! A disk that knows what is synced. The forms on real files are tested in `disk.rs` beside.
 
-use grebeusher_quorum::{Entry, Group, HardState, Index, Payload, Restored, Term, Write};
+use grebeusher_quorum::{Entry, Group, HardState, Index, Payload, RestoredState, Term, Write};
 use rand::Rng;
 use rand::rngs::SmallRng;
 
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
-    synced: Restored,
+    synced: RestoredState,
     unsynced: Vec<Write>,
 }
 
 impl Disk {
     /// A disk that knows how the partition was founded, and nothing since.
     pub fn forgetful(group: Group) -> Disk {
-        let founding = Some(group.founding());
+        let cluster_id = Some(group.cluster_id());
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(group) };
-        let hard = HardState { term: Term(1), voted: None, founding, commit: Index(0) };
-        Disk { synced: Restored { hard, snapshot: None, entries: vec![entry] }, unsynced: Vec::new() }
+        let hard_state = HardState { term: Term(1), vote: None, cluster_id, commit: Index(0) };
+        Disk {
+            synced: RestoredState { hard_state, snapshot: None, entries: vec![entry] },
+            unsynced: Vec::new(),
+        }
     }
 
     pub fn write(&mut self, writes: Vec<Write>) {
@@ -36,14 +39,14 @@
         self.sync();
     }
 
-    pub fn restored(&self) -> Restored {
+    pub fn restored(&self) -> RestoredState {
         self.synced.clone()
     }
 }
 
-fn apply(state: &mut Restored, write: Write) {
+fn apply(state: &mut RestoredState, write: Write) {
     match write {
-        Write::Hard(hard) => state.hard = hard,
+        Write::HardState(hard_state) => state.hard_state = hard_state,
         Write::Entries(entries) => {
             let Some(first) = entries.first().map(|entry| entry.index) else { return };
             state.entries.retain(|entry| entry.index < first);
@@ -52,8 +55,8 @@
             assert_eq!(last.next(), first, "entries are written without gaps");
             state.entries.extend(entries);
         }
-        Write::Snapshot { snapshot, hard, entries } => {
-            *state = Restored { hard, snapshot: Some(snapshot), entries };
+        Write::Snapshot { snapshot, hard_state, entries } => {
+            *state = RestoredState { hard_state, snapshot: Some(snapshot), entries };
         }
     }
 }
--- a/crates/quorum/tests/world/machine.rs
+++ b/crates/quorum/tests/world/machine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use grebeusher_quorum::{Body, Index, Message, Ready, Replica, ReplicaId, Restore, Stamp, Timing};
+use grebeusher_quorum::{Body, Index, LeaderTimestamp, Message, Ready, Replica, ReplicaId, Restore, Timing};
 use grebeusher_time::Instant;
 use rand::rngs::SmallRng;
 
@@ -65,7 +65,7 @@
     pub inbox: VecDeque<Message>,
     /// Commands of clients that wait; they are lost if the machine is not the leader.
     pub commands: VecDeque<Vec<u8>>,
-    pub refused: u64,
+    pub rejected: u64,
     pub frozen: bool,
     pub syncing: Option<Syncing>,
     /// Counts the starts, so that events of an earlier life are void.
@@ -90,7 +90,7 @@
             disk: Disk::default(),
             inbox: VecDeque::new(),
             commands: VecDeque::new(),
-            refused: 0,
+            rejected: 0,
             frozen: false,
             syncing: None,
             life: 0,
@@ -116,7 +116,7 @@
     pub fn start(&mut self, now: Instant, seed: u64, timing: Timing, fault: Fault) {
         let local = self.local(now);
         let local = match fault {
-            Fault::RestartedVotesAtOnce => local - timing.election_min,
+            Fault::RestartedVotesAtOnce => local - timing.election_timeout_min,
             _ => local,
         };
         self.replica = Some(Replica::new(self.identity, self.disk.restored(), timing, seed, local));
@@ -152,7 +152,7 @@
         replica.tick(now);
         for command in self.commands.drain(..) {
             if replica.propose(now, command).is_err() {
-                self.refused += 1;
+                self.rejected += 1;
             }
         }
     }
@@ -170,7 +170,7 @@
         let mut ready = replica.take_ready();
         assert!(ready.must_sync || ready.writes.is_empty(), "what is written is synced");
         self.disk.write(std::mem::take(&mut ready.writes));
-        let mut messages = std::mem::take(&mut ready.ahead);
+        let mut messages = std::mem::take(&mut ready.immediate_messages);
         if fault == Fault::AnswersBeforeSync {
             messages.append(&mut ready.messages);
         }
@@ -260,8 +260,8 @@
     match fault {
         Fault::TermsNotChecked => message.term = message.term.max(replica.term()),
         Fault::LeaseFromArrival => match &mut message.body {
-            Body::AppendReply(reply) => reply.sent = Stamp(now.0),
-            Body::ChunkReply(reply) => reply.sent = Stamp(now.0),
+            Body::AppendResponse(response) => response.sent = LeaderTimestamp(now.0),
+            Body::SnapshotChunkResponse(response) => response.sent = LeaderTimestamp(now.0),
             _ => {}
         },
         _ => {}
--- a/crates/quorum/tests/world/mod.rs
+++ b/crates/quorum/tests/world/mod.rs
@@ -27,10 +27,10 @@
 pub struct Site(pub usize);
 
 pub const TIMING: Timing = Timing {
-    heartbeat: Duration::from_millis(20),
-    election_min: Duration::from_millis(200),
-    election_max: Duration::from_millis(400),
-    lease: Duration::from_millis(170),
+    heartbeat_interval: Duration::from_millis(20),
+    election_timeout_min: Duration::from_millis(200),
+    election_timeout_max: Duration::from_millis(400),
+    lease_duration: Duration::from_millis(170),
 };
 
 /// What is deliberately broken, to see that it is noticed.
@@ -106,15 +106,15 @@
         for site in world.sites() {
             world.start(site);
             if site.0 < founders {
-                world.found(site, group.clone());
+                world.bootstrap(site, group.clone());
             }
         }
         world
     }
 
-    pub fn found(&mut self, site: Site, group: Group) {
+    pub fn bootstrap(&mut self, site: Site, group: Group) {
         let replica = self.machines[site.0].replica.as_mut().expect("it runs");
-        replica.found(group).expect("an empty replica takes a founding");
+        replica.bootstrap(group).expect("an empty replica takes a founding");
         self.work(site);
     }
 
@@ -175,11 +175,11 @@
     /// The disk is lost. The machine comes back under a new identity (or the old one, where that is the fault).
     pub fn wipe(&mut self, site: Site) {
         self.lose_power(site);
-        let founding = self.oracle.founding_group();
+        let cluster_id = self.oracle.founding_group();
         let machine = &mut self.machines[site.0];
         machine.disk = Disk::default();
         if self.fault == Fault::WipedDiskVotes {
-            machine.disk = Disk::forgetful(founding);
+            machine.disk = Disk::forgetful(cluster_id);
             return;
         }
         let identity = self.fresh_identity();
--- a/crates/quorum/tests/world/oracle.rs
+++ b/crates/quorum/tests/world/oracle.rs
@@ -16,7 +16,7 @@
     /// How far the entries of each replica were checked since its start.
     checked: BTreeMap<ReplicaId, Index>,
     states: BTreeMap<Index, State>,
-    founding: Option<Group>,
+    cluster_id: Option<Group>,
     decided: Option<(Index, Group)>,
     /// What a leader has told clients, or a read has shown.
     shown: Index,
@@ -35,10 +35,10 @@
     }
 
     pub fn see(&mut self, replica: &Replica) {
-        if self.founding.is_none()
+        if self.cluster_id.is_none()
             && let Some(Payload::Group(group)) = replica.entry(Index(1)).map(|entry| entry.payload.clone())
         {
-            self.founding = Some(group);
+            self.cluster_id = Some(group);
         }
         self.check_entries(replica);
         let is_decided = replica.commit_index() >= replica.group_index();
@@ -88,13 +88,13 @@
     }
 
     pub fn founding_group(&self) -> Group {
-        self.founding.clone().expect("the part was founded")
+        self.cluster_id.clone().expect("the part was founded")
     }
 
     pub fn check_committed(&mut self, committed: &Committed, site: Site) {
-        let told = (committed.term, committed.payload.clone());
-        let known = self.committed.entry(committed.index).or_insert_with(|| told.clone());
-        if *known != told {
+        let timeout_now_sent = (committed.term, committed.payload.clone());
+        let known = self.committed.entry(committed.index).or_insert_with(|| timeout_now_sent.clone());
+        if *known != timeout_now_sent {
             let what = format!("{site:?} decides {committed:?}, but {known:?} was decided before");
             self.complain(what);
         }
--- a/crates/quorum/tests/world/storm.rs
+++ b/crates/quorum/tests/world/storm.rs
@@ -80,7 +80,7 @@
         8 => world.network.cut(site, other),
         9 | 10 => world.heal(),
         11 => all_lose_power(world, site, weather),
-        12 => hand_over(world, site),
+        12 => transfer_leadership(world, site),
         _ => change(world, weather),
     }
 }
@@ -105,15 +105,15 @@
     for site in world.sites() {
         world.lose_power(site);
     }
-    if weather == Weather::Wiping && is_whole(world) {
+    if weather == Weather::Wiping && is_complete(world) {
         world.wipe(wiped);
     }
     start_all(world);
 }
 
-fn hand_over(world: &mut World, site: Site) {
+fn transfer_leadership(world: &mut World, site: Site) {
     if world.machines[site.0].is_free() {
-        let _ = world.call(site, |replica, now| replica.hand_over(now, None));
+        let _ = world.call(site, |replica, now| replica.transfer_leadership(now, None));
     }
 }
 
@@ -122,7 +122,7 @@
         Weather::Rough => {}
         Weather::Wiping => {
             let site = any_site(world);
-            if is_whole(world) {
+            if is_complete(world) {
                 world.wipe(site);
                 world.start(site);
             }
@@ -141,7 +141,7 @@
 }
 
 /// Whether the decided group is made of disks that exist, so that it can bear the loss of one.
-fn is_whole(world: &World) -> bool {
+fn is_complete(world: &World) -> bool {
     let group = world.oracle.decided_group();
     !group.is_joint() && group.voters.iter().all(|voter| world.site_of(*voter).is_some())
 }
@@ -158,7 +158,7 @@
     }
     let mut voters: Vec<ReplicaId> = group.voters.iter().copied().filter(|voter| !is_lost(voter)).collect();
     let spares = world.machines.iter().map(|machine| machine.identity);
-    let spare = spares.filter(|spare| !group.names(*spare)).nth(world.now.0 as usize % 2);
+    let spare = spares.filter(|spare| !group.contains(*spare)).nth(world.now.0 as usize % 2);
     voters.extend(spare);
     let _ = world.call(leader, |replica, now| replica.change_group(now, voters));
 }
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -4,7 +4,7 @@
 //! leaves of the later writes, present, missing or torn, what is read back of them is a beginning of the chain. The tests
 //! of the store itself check that on bytes; here a loss keeps a drawn beginning.
 
-use grebeusher_quorum::{Entry, HardState, Restored, Snapshot, Write};
+use grebeusher_quorum::{Entry, HardState, RestoredState, Snapshot, Write};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rand::Rng;
 use rand_pcg::Pcg64;
@@ -33,7 +33,7 @@
 
 #[derive(Debug, Default)]
 struct Store {
-    base: Restored,
+    base: RestoredState,
     later: Vec<Written<Write>>,
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// What a folder holds; from here on it lasts.
-    pub fn open(&mut self, now: Instant, folder: &Path) -> Restored {
+    pub fn open(&mut self, now: Instant, folder: &Path) -> RestoredState {
         let safe = now + self.sync_takes.scaled(2.0);
         let store = self.stores.entry(folder.to_owned()).or_default();
         for written in &mut store.later {
@@ -122,7 +122,7 @@
 }
 
 impl Store {
-    fn all(&self) -> Restored {
+    fn all(&self) -> RestoredState {
         let mut all = self.base.clone();
         for written in &self.later {
             apply(&mut all, &written.what);
@@ -140,11 +140,11 @@
     }
 }
 
-fn apply(state: &mut Restored, write: &Write) {
+fn apply(state: &mut RestoredState, write: &Write) {
     match write {
-        Write::Hard(hard) => state.hard = *hard,
+        Write::HardState(hard_state) => state.hard_state = *hard_state,
         Write::Entries(entries) => append(&mut state.entries, entries),
-        Write::Snapshot { snapshot, hard, entries } => replace(state, snapshot, hard, entries),
+        Write::Snapshot { snapshot, hard_state, entries } => replace(state, snapshot, hard_state, entries),
     }
 }
 
@@ -154,8 +154,8 @@
     log.extend_from_slice(entries);
 }
 
-fn replace(state: &mut Restored, snapshot: &Snapshot, hard: &HardState, entries: &[Entry]) {
+fn replace(state: &mut RestoredState, snapshot: &Snapshot, hard_state: &HardState, entries: &[Entry]) {
     state.snapshot = Some(snapshot.clone());
-    state.hard = *hard;
+    state.hard_state = *hard_state;
     state.entries = entries.to_vec();
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -3,7 +3,7 @@
 use crate::disk::Disk;
 use crate::hub::{End, Owner, SharedHub};
 use grebeusher_quorum::disk::{Identity, StoreError};
-use grebeusher_quorum::{ReplicaId, Restored, Write};
+use grebeusher_quorum::{ReplicaId, RestoredState, Write};
 use grebeusher_tier::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::poller::{Event, Interest};
@@ -95,7 +95,7 @@
         Ok(Identity { id: ReplicaId(id), existed })
     }
 
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError> {
         let mut hub = self.hub.borrow_mut();
         let restored = self.disk.borrow_mut().open(hub.local_now(), folder);
         hub.turn_spent += self.disk.borrow().sync_takes.scaled(2.0);
--- a/crates/simulation/tests/world.rs
+++ b/crates/simulation/tests/world.rs
@@ -125,11 +125,11 @@
 }
 
 fn entry(index: u64) -> Write {
-    Write::Entries(vec![Entry { index: Index(index), term: Term(1), payload: Payload::Opening }])
+    Write::Entries(vec![Entry { index: Index(index), term: Term(1), payload: Payload::Noop }])
 }
 
 fn hard(term: u64) -> Write {
-    Write::Hard(HardState { term: Term(term), ..HardState::default() })
+    Write::HardState(HardState { term: Term(term), ..HardState::default() })
 }
 
 #[rstest]
@@ -146,7 +146,7 @@
     // The power goes while the last sync is under way.
     disk.power_lost(ms(30), &mut Pcg64::seed_from_u64(seed));
     let restored = disk.open(ms(40), folder);
-    assert_eq!(restored.hard.term, Term(1));
+    assert_eq!(restored.hard_state.term, Term(1));
     assert!(!restored.entries.is_empty() && restored.entries.len() <= 3);
     // What was read back lasts.
     disk.power_lost(ms(50), &mut Pcg64::seed_from_u64(seed));
--- a/crates/tier/src/copies.rs
+++ b/crates/tier/src/copies.rs
@@ -58,7 +58,7 @@
     pub(crate) fn copies(&self, place: usize) -> Vec<PartitionCopy> {
         let lives =
             |voter: ReplicaId| self.registry.member_by_replica(voter.0).is_some_and(|member| member.serves());
-        let copies = self.partitions[place].replica.copies().into_iter();
+        let copies = self.partitions[place].replica.match_indexes().into_iter();
         copies.map(|(voter, synced)| PartitionCopy { voter, synced, lives: lives(voter) }).collect()
     }
 
--- a/crates/tier/src/dispatch.rs
+++ b/crates/tier/src/dispatch.rs
@@ -64,7 +64,7 @@
         let group = Group::of(voters.iter().copied().map(ReplicaId));
         let bootstrap = self.settings.bootstrap;
         let founded = match self.partitions.iter_mut().find(|host| host.partition == partition) {
-            Some(host) if bootstrap => host.replica.found(group).is_ok(),
+            Some(host) if bootstrap => host.replica.bootstrap(group).is_ok(),
             _ => false,
         };
         let reply = if founded { Reply::Done } else { Reply::Unavailable };
--- a/crates/tier/src/io.rs
+++ b/crates/tier/src/io.rs
@@ -4,7 +4,7 @@
 //! simulated world. Calls go through a table of functions once for a read or a write, not once for a byte.
 
 use grebeusher_quorum::disk::{Identity, StoreError};
-use grebeusher_quorum::{Restored, Write};
+use grebeusher_quorum::{RestoredState, Write};
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use std::io;
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// The disk refuses or is damaged.
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError>;
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError>;
 }
 
 /// The signals that came.
--- a/crates/tier/src/leader_balance.rs
+++ b/crates/tier/src/leader_balance.rs
@@ -67,7 +67,7 @@
     fn may_hand_over(&self, place: usize, now: Instant) -> bool {
         let host = &self.partitions[place];
         let since = host.leader_since().is_some_and(|since| now.since(since) >= STABILITY_DURATION);
-        since && host.replica.is_settled() && !host.replica.is_handing_over()
+        since && host.replica.is_group_stable() && !host.replica.is_transferring_leadership()
     }
 
     /// The living voters of a partition whose nodes are not to be emptied, the one that is furthest first.
@@ -79,14 +79,14 @@
             let stays = member.state == MemberState::Alive && !retiring.contains(&member.name);
             stays.then_some(Heir { replica, led })
         };
-        self.partitions[place].replica.heirs().into_iter().filter_map(heir).collect()
+        self.partitions[place].replica.transfer_candidates().into_iter().filter_map(heir).collect()
     }
 
     fn relieve(&mut self, place: usize, heir: ReplicaId) {
         let partition = self.partitions[place].partition;
         info!("part {partition}: handed to another voter, as this node owns others too");
         self.checkpoint_batch(place);
-        if let Err(error) = self.partitions[place].replica.hand_over(self.now, Some(heir)) {
+        if let Err(error) = self.partitions[place].replica.transfer_leadership(self.now, Some(heir)) {
             warn!("part {partition}: not handed over: {error}");
         }
     }
--- a/crates/tier/src/partitions.rs
+++ b/crates/tier/src/partitions.rs
@@ -142,7 +142,7 @@
     }
 }
 
-/// The spans of a partition's leadership. Reads need the lease, and the loss of a leader is noticed within `election_max`.
+/// The spans of a partition's leadership. Reads need the lease, and the loss of a leader is noticed within `election_timeout_max`.
 fn timing(partition: u8, link_mbps: f64) -> Timing {
     let configuration = partition == crate::control::CONFIGURATION_PARTITION;
     let (heartbeat, min, max) = if configuration {
@@ -154,10 +154,10 @@
         (80, 400, 750)
     };
     Timing {
-        heartbeat: Duration::from_millis(heartbeat),
-        election_min: Duration::from_millis(min),
-        election_max: Duration::from_millis(max),
-        lease: Duration::from_millis(min * 85 / 100),
+        heartbeat_interval: Duration::from_millis(heartbeat),
+        election_timeout_min: Duration::from_millis(min),
+        election_timeout_max: Duration::from_millis(max),
+        lease_duration: Duration::from_millis(min * 85 / 100),
     }
 }
 
@@ -179,7 +179,7 @@
         while self.partitions[place].replica.has_ready() {
             let partition = self.partitions[place].partition;
             let ready = self.partitions[place].replica.take_ready();
-            for (to, message) in ready.ahead {
+            for (to, message) in ready.immediate_messages {
                 self.send_quorum(partition, to, &message);
             }
             let host = &mut self.partitions[place];
@@ -344,7 +344,7 @@
     /// The voters of a partition that this node leads, if their group is decided and no other one is on its way.
     pub fn settled_voters(&self, partition: u8) -> Option<&[ReplicaId]> {
         let host = self.partitions.iter().find(|host| host.partition == partition && host.leads())?;
-        host.replica.is_settled().then(|| host.replica.group().voters.as_slice())
+        host.replica.is_group_stable().then(|| host.replica.group().voters.as_slice())
     }
 
     /// The identity of this node's disk.
@@ -374,7 +374,8 @@
     pub fn hand_over_partitions(&mut self, at_the_start: bool) {
         let now = self.now;
         for place in 0..self.partitions.len() {
-            if !self.partitions[place].leads() || self.partitions[place].replica.is_handing_over() {
+            if !self.partitions[place].leads() || self.partitions[place].replica.is_transferring_leadership()
+            {
                 continue;
             }
             let heir = self.staying_heir(place);
@@ -383,7 +384,7 @@
                 continue;
             }
             self.checkpoint_batch(place);
-            if let Err(error) = self.partitions[place].replica.hand_over(now, heir) {
+            if let Err(error) = self.partitions[place].replica.transfer_leadership(now, heir) {
                 warn!("part {}: not handed over: {error}", self.partitions[place].partition);
             }
         }
@@ -395,7 +396,7 @@
             let member = self.registry.member_by_replica(heir.0);
             member.is_some_and(|member| member.state == MemberState::Alive)
         };
-        self.partitions[place].replica.heirs().into_iter().find(stays)
+        self.partitions[place].replica.transfer_candidates().into_iter().find(stays)
     }
 
     /// The internal address of the node with a disk identity.
--- a/crates/tier/src/retire.rs
+++ b/crates/tier/src/retire.rs
@@ -240,7 +240,7 @@
             let member = self.registry.member_by_replica(voter.0);
             member.is_some_and(|member| member.serves() && member.name != node)
         };
-        replica.is_settled()
+        replica.is_group_stable()
             && replica.group().voters.len() >= self.group_size()
             && replica.group().voters.iter().all(lives_elsewhere)
     }
--- a/crates/tier/src/system.rs
+++ b/crates/tier/src/system.rs
@@ -3,7 +3,7 @@
 use crate::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use crate::node::keys;
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
-use grebeusher_quorum::{Restored, Write};
+use grebeusher_quorum::{RestoredState, Write};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::listen::listen;
 use grebeusher_transport::poller::{Event, Interest, Poller, Registered};
@@ -105,7 +105,7 @@
         File::open(folder)?.sync_all()
     }
 
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError> {
         let (store, restored) = Store::open(folder)?;
         Ok((Box::new(store), restored))
     }
--- a/crates/tier/tests/single_node/network.rs
+++ b/crates/tier/tests/single_node/network.rs
@@ -1,6 +1,6 @@
 //! A world for one node whose peers are the test itself: every byte and every moment is the test's choice.
 
-use grebeusher_quorum::Restored;
+use grebeusher_quorum::RestoredState;
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_tier::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_tier::node::keys;
@@ -209,7 +209,7 @@
         unreachable!("the node has no disk")
     }
 
-    fn open_store(&self, _: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
+    fn open_store(&self, _: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError> {
         unreachable!("the node has no disk")
     }
 }
--- a/crates/tier/tests/stable_hints.rs
+++ b/crates/tier/tests/stable_hints.rs
@@ -4,7 +4,7 @@
 mod single_node;
 
 use grebeusher_configuration::settings::Settings;
-use grebeusher_quorum::Restored;
+use grebeusher_quorum::RestoredState;
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_tier::io::{Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_tier::node::Node;
@@ -101,7 +101,7 @@
         self.files.keep_hint(folder, name, bytes)
     }
 
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError> {
         self.network.open_store(folder)
     }
 }
