--- a/crates/tier/tests/stable_log.rs
+++ b/crates/tier/tests/stable_log.rs
@@ -5,7 +5,7 @@
 use grebeusher_configuration::settings::Settings;
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_quorum::{
-    Blob, Entry, Group, HardState, Index, Payload, Position, ReplicaId, Restored, Snapshot, Term, Write,
+    Blob, Entry, Group, HardState, Index, Payload, Position, ReplicaId, RestoredState, Snapshot, Term, Write,
 };
 use grebeusher_tier::io::{Listener, PartitionStore, Signalled, Stream, World};
 use grebeusher_tier::messages::{Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope, SubmitJob};
@@ -57,7 +57,7 @@
             let (Some(commands), Write::Entries(entries)) = (&self.0, write) else { continue };
             let of_entry = |entry: &Entry| match &entry.payload {
                 Payload::Command(bytes) => Some(bytes.as_slice().to_vec()),
-                Payload::Opening | Payload::Group(_) => None,
+                Payload::Noop | Payload::Group(_) => None,
             };
             commands.borrow_mut().extend(entries.iter().filter_map(of_entry));
         }
@@ -110,25 +110,25 @@
         Ok(Identity { id: DISK, existed: true })
     }
 
-    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, Restored), StoreError> {
+    fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError> {
         if folder.ends_with("part-1") {
             Ok((Box::new(Disk(Some(self.commands.clone()))), kept()))
         } else {
-            Ok((Box::new(Disk(None)), Restored::default()))
+            Ok((Box::new(Disk(None)), RestoredState::default()))
         }
     }
 }
 
 /// What the disk holds of partition 1, of which this node has the only replica.
-fn kept() -> Restored {
+fn kept() -> RestoredState {
     let command = |index, bytes: &[u8]| Entry {
         index: Index(index),
         term: Term(1),
         payload: Payload::Command(Blob::from(bytes)),
     };
     let last = Position { term: Term(1), index: Index(1) };
-    Restored {
-        hard: HardState { term: Term(1), voted: None, founding: None, commit: Index(1) },
+    RestoredState {
+        hard_state: HardState { term: Term(1), vote: None, cluster_id: None, commit: Index(1) },
         snapshot: Some(Snapshot { last, group: Group::of([DISK]), bytes: Blob::from(SNAPSHOT) }),
         entries: vec![command(2, RETIRE), command(3, SUBMIT)],
     }
