--- a/crates/quorum/src/blob.rs
+++ b/crates/quorum/src/blob.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// Reads a list whose items take at least `min_item_bytes` bytes each; a count that the input can't hold is refused before any
-/// room is made for it.
+/// Reads a list whose items take at least `min_item_bytes` bytes each; a count that the input can't hold is rejected before memory is
+/// allocated for it.
 pub(crate) fn read_list<T: DeBin>(
     min_item_bytes: usize,
     offset: &mut usize,
--- a/crates/quorum/src/disk/error.rs
+++ b/crates/quorum/src/disk/error.rs
@@ -11,14 +11,31 @@
 pub enum StoreError {
     /// The system refused to do something with a file or folder.
     #[snafu(display("can't {action} {}: {source}", path.display()))]
-    Io { action: &'static str, path: PathBuf, source: io::Error },
-    /// What was synced can't be read any more. The disk has lost promises, so the replica must not go on under its
-    /// identity: wipe the folder.
+    Io {
+        /// What was tried, as a verb.
+        action: &'static str,
+        /// The file or folder.
+        path: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// What was synced can't be read any more. The disk may have lost a vote or a term, so the replica must not continue
+    /// under its identity: wipe the folder.
     #[snafu(display("{} is damaged: {what}", path.display()))]
-    Damaged { what: &'static str, path: PathBuf },
-    /// A newer version of this program has written what this one can't read. Nothing is lost: go on with the newer one.
+    Damaged {
+        /// What is damaged.
+        what: &'static str,
+        /// The file or folder.
+        path: PathBuf,
+    },
+    /// A newer version of this program has written what this one can't read. Nothing is lost: start the newer one.
     #[snafu(display("{} was written by a newer version of this program: {what}", path.display()))]
-    NewerFormat { what: &'static str, path: PathBuf },
+    NewerFormat {
+        /// What has the newer format.
+        what: &'static str,
+        /// The file.
+        path: PathBuf,
+    },
     /// An earlier write or sync failed so that the state of the file is unknown: open the store anew.
     #[snafu(display("the store failed before and must be opened anew"))]
     Poisoned,
--- a/crates/quorum/src/disk/identity.rs
+++ b/crates/quorum/src/disk/identity.rs
@@ -12,18 +12,19 @@
 /// The identity of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
+    /// The replica id under which this disk takes part.
     pub id: ReplicaId,
-    /// Whether the disk had it before.
+    /// Whether the disk had it before; otherwise it was created now.
     pub existed: bool,
 }
 
-/// "GQI1" marks an identity. In every form the last four bytes are the checksum of all before.
+/// "GQI1" starts an identity file. In every format the last four bytes are the checksum of all before.
 const FORMAT: FileFormat = FileFormat { magic: *b"GQI", version: b'1' };
 
 /// The checksum.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Mark, identity and checksum.
+/// Header, identity and checksum.
 const BYTES: usize = HEADER_BYTES + 8 + CHECKSUM_BYTES;
 
 impl Identity {
@@ -32,7 +33,7 @@
     /// # Errors
     ///
     /// When the disk refuses, when a newer version of this program has written the identity, or when both copies are
-    /// damaged though one was whole once: such a disk is to be wiped.
+    /// damaged though one was complete once: such a disk is to be wiped.
     pub fn load_or_create(folder: &Path, random: u64) -> Result<Identity, StoreError> {
         files::create_folder(folder)?;
         let copies = [folder.join("identity-0"), folder.join("identity-1")];
--- a/crates/quorum/src/disk/records.rs
+++ b/crates/quorum/src/disk/records.rs
@@ -9,11 +9,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Record {
     /// The first record: the log holds all that the generation began with.
-    Base {
-        generation: u64,
-        hard_state: HardState,
-        entries: Vec<Entry>,
-    },
+    Base { generation: u64, hard_state: HardState, entries: Vec<Entry> },
+    /// The hard state, in place of all earlier ones.
     HardState(HardState),
     /// Entries that replace everything from the first one's index on.
     Entries(Vec<Entry>),
@@ -65,10 +62,20 @@
     }
 }
 
-/// A record that is whole but that this program can't read.
+/// A record whose checksum holds but that this program can't read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UnknownRecord;
 
+/// A record that was read back.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) struct VerifiedRecord {
+    pub(super) record: Record,
+    /// The checksum chain after it.
+    pub(super) chain: ChecksumChain,
+    /// Its size in the file, in bytes.
+    pub(super) size: usize,
+}
+
 /// The running checksum of a generation's records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ChecksumChain(u32);
@@ -84,7 +91,7 @@
         ChecksumChain(hasher.finalize())
     }
 
-    /// Adds a record in its form on disk; the chain after it.
+    /// Appends a record in its binary form and returns the chain after it.
     pub(super) fn write(self, record: &Record, output: &mut Vec<u8>) -> ChecksumChain {
         let content = record.serialize_bin();
         let next = self.extend(&content);
@@ -94,30 +101,31 @@
         next
     }
 
-    /// Reads the record at the start of `bytes`: the record, the chain after it and its size. None if it is torn, or
-    /// left over from something else.
+    /// Reads the record at the start of `bytes`. None if it is torn, or left over from something else.
     ///
     /// # Errors
     ///
-    /// The record is whole and of no kind that this program knows: a newer one has written it, and it must not be
-    /// taken for a torn end.
-    pub(super) fn read(self, bytes: &[u8]) -> Result<Option<(Record, ChecksumChain, usize)>, UnknownRecord> {
-        let Some((content, next, end)) = self.whole(bytes) else { return Ok(None) };
+    /// The record's checksum holds, but its kind is unknown: a newer program has written it, and it must not be taken
+    /// for a torn end.
+    pub(super) fn read(self, bytes: &[u8]) -> Result<Option<VerifiedRecord>, UnknownRecord> {
+        let Some(content) = self.verified_content(bytes) else { return Ok(None) };
         let mut offset = 0;
         match Record::de_bin(&mut offset, content) {
-            Ok(record) if offset == content.len() => Ok(Some((record, next, end))),
+            Ok(record) if offset == content.len() => {
+                let chain = self.extend(content);
+                Ok(Some(VerifiedRecord { record, chain, size: PREFIX_BYTES + content.len() }))
+            }
             _ => Err(UnknownRecord),
         }
     }
 
-    /// The content of the record at the start of `bytes` if its checksum holds, the chain after it, and its size.
-    fn whole(self, bytes: &[u8]) -> Option<(&[u8], ChecksumChain, usize)> {
+    /// The content of the record at the start of `bytes`, if its checksum holds.
+    fn verified_content(self, bytes: &[u8]) -> Option<&[u8]> {
         let mut offset = 0;
         let length = u32::de_bin(&mut offset, bytes).ok()? as usize;
         let checksum = u32::de_bin(&mut offset, bytes).ok()?;
         let end = PREFIX_BYTES.checked_add(length)?;
         let content = bytes.get(PREFIX_BYTES..end)?;
-        let next = self.extend(content);
-        (next.0 == checksum).then_some((content, next, end))
+        (self.extend(content).0 == checksum).then_some(content)
     }
 }
--- a/crates/quorum/src/disk/slot.rs
+++ b/crates/quorum/src/disk/slot.rs
@@ -1,29 +1,29 @@
-//! A slot: a generation, perhaps with a snapshot, under a checksum.
+//! A slot file: the number of a generation and its snapshot, if it has one, under a checksum.
 
 use nanoserde::{DeBin, SerBin};
 
 use super::format::{FileFormat, HEADER_BYTES};
 use crate::entry::Snapshot;
 
-/// What a slot holds.
+/// The content of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Slot {
     pub generation: u64,
     pub snapshot: Option<Snapshot>,
 }
 
-/// "GQS1" marks a slot and the form of its content. In every form the checksum of the rest follows, so that a newer one
-/// can be told from a torn one. The log of a slot's generation has the slot's form.
+/// "GQS1" starts a slot and names the format of its content. In every format the checksum of the rest follows, so that a
+/// newer format can be told from a torn write. The log of a slot's generation has the slot's format.
 const FORMAT: FileFormat = FileFormat { magic: *b"GQS", version: b'1' };
 
-/// Mark and checksum.
+/// Header and checksum.
 const PREFIX_BYTES: usize = 8;
 
-/// Room for all but the application's bytes, so that those are copied once.
+/// Initial capacity beyond the snapshot's bytes, so that those are copied only once.
 const PREFIX_CAPACITY: usize = 1024;
 
 impl Slot {
-    /// The content of a slot's file: mark, checksum, then the rest.
+    /// The content of a slot's file: header, checksum, then the rest.
     pub(super) fn to_bytes(&self) -> Vec<u8> {
         let size = self.snapshot.as_ref().map_or(0, |snapshot| snapshot.bytes.len());
         let mut bytes = Vec::with_capacity(size + PREFIX_CAPACITY);
@@ -35,7 +35,7 @@
         bytes
     }
 
-    /// Whether a slot's file is whole and of a newer form.
+    /// Whether a slot's file is complete and of a newer format.
     pub(super) fn is_newer(bytes: &[u8]) -> bool {
         FORMAT.is_newer(bytes) && verified_content(bytes).is_some()
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// What follows the mark and the checksum, if the checksum holds.
+/// What follows the header and the checksum, if the checksum holds.
 fn verified_content(bytes: &[u8]) -> Option<&[u8]> {
     let mut offset = HEADER_BYTES;
     let checksum = u32::de_bin(&mut offset, bytes).ok()?;
--- a/crates/quorum/src/disk/store.rs
+++ b/crates/quorum/src/disk/store.rs
@@ -1,4 +1,4 @@
-//! The store of one partition: opening, appending, and going on to a new generation.
+//! The store of one partition: opening, appending, and starting a new generation.
 
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -8,7 +8,7 @@
 
 use super::error::{DamagedSnafu, IoSnafu, NewerFormatSnafu, PoisonedSnafu, StoreError};
 use super::files;
-use super::records::{ChecksumChain, Record, UnknownRecord};
+use super::records::{ChecksumChain, Record, UnknownRecord, VerifiedRecord};
 use super::slot::Slot;
 use crate::entry::{Entry, HardState, RestoredState, Snapshot, Write};
 
@@ -24,12 +24,12 @@
     poisoned: bool,
 }
 
-/// The log's file of the generation in force.
+/// The log's file of the active generation.
 #[derive(Debug)]
 struct LogFile {
     path: PathBuf,
     file: File,
-    /// The whole records, in bytes.
+    /// The complete records, in bytes.
     length: u64,
     chain: ChecksumChain,
     /// Something was written since the last sync.
@@ -44,7 +44,7 @@
     entries: Vec<Entry>,
     length: u64,
     chain: ChecksumChain,
-    /// There is more than the first record, so the generation has been in force.
+    /// There is more than the first record, so the generation has been active.
     was_active: bool,
 }
 
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// When the disk refuses, what was synced once can't be read, or a newer version of this program has written it.
+    /// When the disk returns an error, what was synced once can't be read, or a newer version of this program has written it.
     pub fn open(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         files::create_folder(folder)?;
         let slots = [read_slot(folder, 0)?, read_slot(folder, 1)?];
@@ -63,17 +63,16 @@
             .filter(|&parity| is_complete(&slots[parity], &logs[parity]))
             .max_by_key(|&parity| slots[parity].as_ref().map(|slot| slot.generation));
         let generation = newest.and_then(|parity| slots[parity].as_ref()).map(|slot| slot.generation);
-        ensure_nothing_lost(folder, generation, &slots, &logs)?;
-        let [slot, log] = match newest {
-            None => return Store::create(folder),
-            Some(parity) => [parity, parity],
-        };
-        let (Some(slot), Some(log)) =
-            (slots.into_iter().nth(slot).flatten(), logs.into_iter().nth(log).flatten())
-        else {
-            return Store::create(folder);
-        };
-        Store::resume(folder, slot, log)
+        ensure_no_synced_file_lost(folder, generation, &slots, &logs)?;
+        let newest_files = newest.and_then(|parity| {
+            let slot = slots.into_iter().nth(parity).flatten()?;
+            let log = logs.into_iter().nth(parity).flatten()?;
+            Some((slot, log))
+        });
+        match newest_files {
+            Some((slot, log)) => Store::resume(folder, slot, log),
+            None => Store::create(folder),
+        }
     }
 
     /// Opens the files after a write or sync has failed in this process, and writes all of them anew: the system may
@@ -81,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Store::open`], and when the disk still refuses.
+    /// As [`Store::open`], and when the disk still fails.
     pub fn open_after_failure(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         let (mut store, restored) = Store::open(folder)?;
         store.begin_generation(restored.snapshot.clone(), restored.hard_state, restored.entries.clone())?;
@@ -95,7 +94,7 @@
         Ok((store, RestoredState::default()))
     }
 
-    /// Goes on with a generation that was found whole. A process that ended between write and sync leaves files that
+    /// Opens a generation that was found complete. A process that ended between write and sync leaves files that
     /// are readable but not yet safe, so they are synced first.
     fn resume(folder: &Path, slot: Slot, content: LogContent) -> Result<(Store, RestoredState), StoreError> {
         let generation = slot.generation;
@@ -116,7 +115,7 @@
         Ok((Store { folder: folder.to_owned(), generation, log, poisoned: false }, restored))
     }
 
-    /// Writes a batch, the records of which go out in one piece; they last once [`Store::sync`] has returned. A
+    /// Writes a batch, in one write of the file; the records are durable once [`Store::sync`] has returned. A
     /// snapshot is synced right here.
     ///
     /// # Errors
@@ -142,11 +141,11 @@
         self.append(&bytes, chain)
     }
 
-    /// Makes everything that was written last.
+    /// Makes everything that was written durable.
     ///
     /// # Errors
     ///
-    /// When the disk fails. What the file holds is unknown then, and the store takes nothing more.
+    /// When the disk fails. What the file holds is unknown then, and the store accepts no more writes.
     pub fn sync(&mut self) -> Result<(), StoreError> {
         ensure!(!self.poisoned, PoisonedSnafu);
         if !self.log.dirty {
@@ -167,7 +166,7 @@
         let log = &mut self.log;
         log.dirty = true;
         if let Err(error) = log.file.write_all_at(bytes, log.length) {
-            // Nothing half may stay behind. If that fails too, nothing may follow it.
+            // No partial record may stay: a later one would follow it. If the cut fails too, the store accepts no more writes.
             self.poisoned = log.file.set_len(log.length).is_err();
             return Err(error).context(IoSnafu { action: "write", path: &log.path });
         }
@@ -176,7 +175,7 @@
         Ok(())
     }
 
-    /// Writes the whole state anew beside the generation in force. Its log comes first: the slot puts it in force.
+    /// Writes the complete state as a new generation. Its log comes first: writing the slot activates the generation.
     fn begin_generation(
         &mut self,
         snapshot: Option<Snapshot>,
@@ -185,7 +184,7 @@
     ) -> Result<(), StoreError> {
         let generation = self.generation + 1;
         let log = begin_log(&self.folder, generation, hard_state, entries)?;
-        // When this fails, the slot may be in force or not; only opening anew can tell.
+        // When this fails, the generation may be active or not; only opening anew can tell.
         self.poisoned = true;
         write_slot(&self.folder, Slot { generation, snapshot })?;
         self.poisoned = false;
@@ -195,8 +194,8 @@
     }
 }
 
-/// Gives back the room of the generation beside the one in force, which is whole and synced: nothing goes back to it, and
-/// a disk need not hold each state twice but while one is written. Whether that lasts does not matter.
+/// Frees the space of the generation before the active one, which is complete and synced. Nothing reads it again, so this
+/// need not be durable.
 fn truncate_other_generation(folder: &Path, active: u64) -> Result<(), StoreError> {
     let other = active + 1;
     files::truncate(&slot_path(folder, other))?;
@@ -253,7 +252,9 @@
     let Some(mut log) = base.filter(|log| log.generation % 2 == parity) else {
         return Ok(None);
     };
-    while let Some((record, chain, size)) = log.chain.read(&content[log.length as usize..]).map_err(newer)? {
+    while let Some(VerifiedRecord { record, chain, size }) =
+        log.chain.read(&content[log.length as usize..]).map_err(newer)?
+    {
         match record {
             Record::Base { .. } => break,
             Record::HardState(hard_state) => log.hard_state = hard_state,
@@ -272,19 +273,21 @@
 /// The first record.
 fn read_base(content: &[u8]) -> Result<Option<LogContent>, UnknownRecord> {
     Ok(match ChecksumChain::START.read(content)? {
-        Some((Record::Base { generation, hard_state, entries }, chain, size)) => Some(LogContent {
-            generation,
-            hard_state,
-            entries,
-            length: size as u64,
-            chain,
-            was_active: false,
-        }),
+        Some(VerifiedRecord { record: Record::Base { generation, hard_state, entries }, chain, size }) => {
+            Some(LogContent {
+                generation,
+                hard_state,
+                entries,
+                length: size as u64,
+                chain,
+                was_active: false,
+            })
+        }
         _ => None,
     })
 }
 
-/// Puts entries in the stead of everything from the first one's index on. Tells whether they follow on the rest.
+/// Replaces everything from the first new entry's index on. Returns whether the result has no gap.
 fn replace_tail(entries: &mut Vec<Entry>, newer: Vec<Entry>) -> bool {
     let Some(first) = newer.first().map(|entry| entry.index) else { return true };
     entries.truncate(entries.partition_point(|entry| entry.index < first));
@@ -297,9 +300,9 @@
     matches!((slot, log), (Some(slot), Some(log)) if slot.generation == log.generation)
 }
 
-/// Refuses a disk that has lost what it had synced: a slot is written when its log is whole, and a log goes on when its
-/// slot is, and the first generation alone has none before it.
-fn ensure_nothing_lost(
+/// Rejects a disk that has lost what it had synced. A slot is written only after its log, a log is appended to only after
+/// its slot, and only the first generation has none before it.
+fn ensure_no_synced_file_lost(
     folder: &Path,
     active: Option<u64>,
     slots: &[Option<Slot>; 2],
--- a/crates/quorum/src/entry.rs
+++ b/crates/quorum/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the log is made of, and what of it is kept on disk.
+//! Entries of the log, and the state that a replica keeps on disk.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -6,12 +6,12 @@
 use crate::group::Group;
 use crate::ids::{ClusterId, Index, Position, ReplicaId, Term};
 
-/// What an entry says.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum Payload {
-    /// The first entry of a leadership; it carries nothing.
+    /// The empty entry that a leader appends at the start of its term: it can only commit entries of its own term.
     Noop,
-    /// The group from this entry on.
+    /// The group that is in force from this entry on.
     Group(Group),
     /// A command of the application.
     Command(Blob),
@@ -33,26 +33,29 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Entry {
+    /// Its index in the log.
     pub index: Index,
+    /// The term of the leader that appended it.
     pub term: Term,
+    /// Its content.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Where the entry stands.
+    /// The entry's index and term.
     pub fn position(&self) -> Position {
         Position { term: self.term, index: self.index }
     }
 }
 
-/// The promises of a replica; all of them are synced before any message tells of them.
+/// What a replica must not forget; it is synced before any message that depends on it is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct HardState {
     /// The newest term that was seen.
     pub term: Term,
-    /// Who got the vote in that term.
+    /// The candidate that got this replica's vote in that term.
     pub vote: Option<ReplicaId>,
-    /// The founding that the replica belongs to; none before it was founded or first written to.
+    /// The cluster that the replica belongs to; none until it was bootstrapped or has heard of a leader.
     pub cluster_id: Option<ClusterId>,
     /// An index up to which the log was known to be committed when this was written; may lag.
     pub commit: Index,
@@ -72,7 +75,9 @@
 /// What was found on disk at the start; the default is an empty disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestoredState {
+    /// The newest hard state.
     pub hard_state: HardState,
+    /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries after the snapshot, without gaps.
     pub entries: Vec<Entry>,
@@ -81,10 +86,17 @@
 /// One thing to put on disk; a batch of them is written in order and synced once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// The promises, in the stead of all earlier ones.
+    /// The hard state, in place of all earlier ones.
     HardState(HardState),
     /// Entries without gaps. They replace everything from the first one's index on.
     Entries(Vec<Entry>),
-    /// The whole state anew: after it nothing that was written before counts.
-    Snapshot { snapshot: Snapshot, hard_state: HardState, entries: Vec<Entry> },
+    /// The complete state: it replaces everything that was written before.
+    Snapshot {
+        /// The newest snapshot.
+        snapshot: Snapshot,
+        /// The hard state.
+        hard_state: HardState,
+        /// The entries after the snapshot.
+        entries: Vec<Entry>,
+    },
 }
--- a/crates/quorum/src/group.rs
+++ b/crates/quorum/src/group.rs
@@ -1,4 +1,4 @@
-//! The group of replicas that decide, and what counts as their quorum.
+//! The voters of a partition, and what counts as their quorum.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
@@ -8,17 +8,17 @@
 /// The most voters of one group.
 pub const MAX_VOTERS: usize = 31;
 
-/// Who decides. While `outgoing` is not empty the group is joint: decisions need a majority of both lists.
+/// The voters of a partition. While `outgoing` is not empty the group is joint, and a quorum is a majority of each list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Group {
     /// The voters, in ascending order.
     pub voters: Vec<ReplicaId>,
-    /// The voters of the group before, in ascending order, while the group changes.
+    /// The voters of the group before, in ascending order, during a change; otherwise empty.
     pub outgoing: Vec<ReplicaId>,
 }
 
 impl Group {
-    /// A settled group of these voters, ordered and each once.
+    /// A group of these voters that is not joint. They are sorted, and duplicates removed.
     pub fn of(voters: impl IntoIterator<Item = ReplicaId>) -> Group {
         let mut voters: Vec<ReplicaId> = voters.into_iter().collect();
         voters.sort_unstable();
@@ -26,38 +26,38 @@
         Group { voters, outgoing: Vec::new() }
     }
 
-    /// The joint group on the way from this one to `voters`.
+    /// The joint group of this one and `voters`: the first step of a change.
     pub(crate) fn enter_joint(&self, voters: Vec<ReplicaId>) -> Group {
         Group { voters, outgoing: self.voters.clone() }
     }
 
-    /// The group after a joint one.
+    /// The group without the outgoing voters: the last step of a change.
     pub(crate) fn leave_joint(&self) -> Group {
         Group { voters: self.voters.clone(), outgoing: Vec::new() }
     }
 
-    /// Whether a change is under way.
+    /// Whether quorums need a majority of both lists.
     pub fn is_joint(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// Whether the replica decides, in either list.
+    /// Whether the replica is in either list.
     pub fn contains(&self, replica: ReplicaId) -> bool {
         self.voters.contains(&replica) || self.outgoing.contains(&replica)
     }
 
-    /// All who decide, each once.
+    /// The voters of both lists, each once.
     pub fn members(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         let others = self.outgoing.iter().filter(|replica| !self.voters.contains(replica));
         self.voters.iter().chain(others).copied()
     }
 
-    /// Whether those for whom `says_yes` holds are a quorum.
+    /// Whether the voters for which `says_yes` holds are a quorum.
     pub fn has_quorum(&self, says_yes: impl Fn(ReplicaId) -> bool) -> bool {
         self.reached_by_quorum(says_yes)
     }
 
-    /// The largest value that a quorum has reached.
+    /// The largest value that a quorum has reached, as for the commit index.
     pub fn reached_by_quorum<T: Ord + Default>(&self, value: impl Fn(ReplicaId) -> T) -> T {
         let incoming = reached_by_majority(&self.voters, &value);
         if !self.is_joint() {
@@ -66,9 +66,9 @@
         incoming.min(reached_by_majority(&self.outgoing, &value))
     }
 
-    /// The fingerprint of a founding with this group.
+    /// The id of a cluster that is bootstrapped with this group.
     pub fn cluster_id(&self) -> ClusterId {
-        // The identities are random themselves.
+        // The ids are random, so that a hash without a key is enough.
         let bytes: Vec<u8> = self.voters.iter().flat_map(|voter| voter.0.to_le_bytes()).collect();
         ClusterId(grebeusher_hash::fixed_hash_of(&bytes))
     }
--- a/crates/quorum/src/ids.rs
+++ b/crates/quorum/src/ids.rs
@@ -1,13 +1,13 @@
-//! Names and numbers of the log: replicas, terms, indices, and the fingerprint of a founding.
+//! Identifiers and numbers: replicas, terms, indexes, and the cluster.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-/// The identity of a disk: random, made at its first start and synced before it is said. A wiped disk comes back under
-/// another one.
+/// The identity of a disk: random, made at its first start and synced before any message carries it. A wiped disk comes back under another one, so
+/// that it can never vote twice in a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct ReplicaId(pub u64);
 
-/// The number of a leadership; each has at most one leader.
+/// A period with at most one leader, by its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Term(pub u64);
 
@@ -42,15 +42,17 @@
 /// A position together with the term of the entry there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Position {
+    /// The term of the entry. First, so that positions compare as Raft compares logs.
     pub term: Term,
+    /// The index of the entry.
     pub index: Index,
 }
 
-/// A fingerprint of the group that a partition was founded with. Replicas of two foundings never talk to each other.
+/// A fingerprint of the group that a partition was bootstrapped with. Replicas ignore messages of another cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct ClusterId(pub u64);
 
-/// Numbers above this are refused when they come from outside, so that counting on can't run over.
+/// Numbers above this are refused when they come from outside, so that arithmetic on them can't overflow.
 const MAX_NUMBER: u64 = u64::MAX / 4;
 
 impl Term {
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,8 +1,12 @@
-//! A replicated log for one partition of the control state: terms and elections, a leader's lease, change of the group,
-//! snapshots, and the files of all that.
+//! Raft with disk storage for one partition of the control state: elections with pre-vote, a leader's lease, joint
+//! consensus, transfer of leadership, snapshots, and the files of a replica.
 //!
-//! [`Replica`] is a state machine: messages, time and proposals go in, and a [`Ready`] comes out that says what to
-//! write, to send and to apply. It does no I/O and reads no clock. [`disk::Store`] keeps what it writes.
+//! The tier (`grebeusher-tier`) runs one [`Replica`] for each partition and applies its commands; the simulation runs the
+//! same replicas on simulated links and disks. `grebeusher-volatile-raft` is the Raft without disks.
+//!
+//! [`Replica`] is a state machine without I/O or a clock: messages, time and proposals go in, and a [`Ready`] comes out
+//! with what to write, to send and to apply. [`disk::Store`] is its storage. The invariants that the code relies on are
+//! in `replica/mod.rs`.
 //!
 //! The loop of the program, for one partition:
 //!
@@ -27,7 +31,7 @@
 //!     lease_duration: Duration::from_millis(400),
 //! };
 //! let mut replica = Replica::new(identity.id, restored, timing, random(), now());
-//! // Only where the system starts for the first time, on each replica that the group names:
+//! // Only at the first start of the system, on each replica of the group:
 //! replica.bootstrap(Group::of([identity.id, ReplicaId(2), ReplicaId(3)]))?;
 //! loop {
 //!     while replica.has_ready() {
@@ -49,7 +53,7 @@
 //!             replica.compact(ready.applied, snapshot_of_application())?;
 //!         }
 //!     }
-//!     // Take in all that waits before the next batch: one sync then serves it all.
+//!     // Process all messages that wait before the next batch, so that they share one sync.
 //!     match next_message(replica.next_wake()) {
 //!         Some(message) => replica.receive(now(), message.from, message),
 //!         None => replica.tick(now()),
@@ -59,8 +63,8 @@
 //! # }
 //! ```
 //!
-//! A failed write or sync is an error upward: the program drops replica and store, and ends or opens them anew by
-//! [`disk::Store::open_after_failure`]. A replica that was not told that something is synced must not go on.
+//! After a failed write or sync the program must drop the replica and its store, and may open them anew by
+//! [`disk::Store::open_after_failure`].
 
 #![warn(missing_docs)]
 
@@ -100,5 +104,5 @@
 /// The entries of one message, in bytes; a single larger entry goes alone.
 pub const MAX_APPEND: usize = 96 * 1024;
 
-/// The largest piece of a snapshot in one message, in bytes.
+/// The largest chunk of a snapshot in one message, in bytes.
 pub const MAX_CHUNK: usize = 96 * 1024;
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -15,50 +15,58 @@
 /// A message from one replica to another. It is dropped by every other one than `to`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Message {
+    /// The sender.
     pub from: ReplicaId,
+    /// The receiver.
     pub to: ReplicaId,
-    /// The founding that the sender belongs to.
+    /// The cluster that the sender belongs to.
     pub cluster_id: ClusterId,
-    /// The sender's term; for a pre-vote, and a pre-vote that was granted, the one that it is about.
+    /// The sender's term; for a pre-vote, and a pre-vote that was granted, the term of the election that may follow.
     pub term: Term,
+    /// The content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum Body {
-    /// Would you vote for me in this term? Promises nothing.
+    /// Asks whether the receiver would vote for the sender in this term. Neither side records anything.
     RequestPreVote(VoteRequest),
+    /// The answer to a pre-vote.
     PreVoteResponse(VoteResponse),
-    /// Vote for me in this term.
+    /// Asks for the receiver's vote in this term.
     RequestVote(VoteRequest),
+    /// The answer to a request for a vote.
     VoteResponse(VoteResponse),
     /// Entries of the leader; without any it is a heartbeat.
     Append(Append),
+    /// The answer to an append or to a complete snapshot.
     AppendResponse(AppendResponse),
-    /// A piece of the leader's snapshot.
+    /// A chunk of the leader's snapshot.
     SnapshotChunk(SnapshotChunk),
+    /// How much of the snapshot has arrived.
     SnapshotChunkResponse(SnapshotChunkResponse),
-    /// The leader gave up its lease: start an election at once.
+    /// The leader gave up its lease: the receiver starts an election at once.
     TimeoutNow,
 }
 
-/// What a candidate says of itself.
+/// A candidate's request for a vote or a pre-vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct VoteRequest {
     /// The end of its log.
     pub last: Position,
-    /// The leader of the term before gave up its lease for this election, so that nobody has to wait for its end.
+    /// The leader of the term before gave up its lease for this election, so voters need not wait for its end.
     pub leadership_transfer: bool,
 }
 
 /// The answer to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct VoteResponse {
+    /// Whether the vote was given.
     pub granted: bool,
 }
 
-/// A point of the leader's clock, echoed by the reply: the lease counts from it.
+/// The leader's clock when it sent a message, echoed by the response: the lease counts from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct LeaderTimestamp(pub u64);
 
@@ -75,17 +83,22 @@
 /// Entries after a position that the receiver must have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Append {
+    /// The entry before `entries`.
     pub previous: Position,
     /// What the leader knows to be committed.
     pub commit: Index,
+    /// When the leader sent it.
     pub sent: LeaderTimestamp,
+    /// The entries, without gaps.
     pub entries: Vec<Entry>,
 }
 
 /// The answer to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct AppendResponse {
+    /// What became of the append.
     pub outcome: AppendOutcome,
+    /// When the leader sent what this answers.
     pub sent: LeaderTimestamp,
 }
 
@@ -94,29 +107,42 @@
 pub enum AppendOutcome {
     /// The log is the leader's up to here, synced.
     Matched(Index),
-    /// The entry before `rejected` differs or is missing; the logs may agree at `hint` at best.
-    Conflict { rejected: Index, hint: Index },
-    /// The sender's term is over.
+    /// The receiver's entry at `rejected` differs or is missing.
+    Conflict {
+        /// The index before the first entry of the append.
+        rejected: Index,
+        /// The highest index at which the logs may agree.
+        hint: Index,
+    },
+    /// The receiver knows a newer term than the sender's.
     StaleTerm,
 }
 
-/// A piece of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct SnapshotChunk {
+    /// The last entry that the snapshot contains.
     pub last: Position,
+    /// The group at that entry.
     pub group: Group,
-    /// The size of the whole snapshot, in bytes.
+    /// The size of the complete snapshot, in bytes.
     pub total: u64,
+    /// Where the chunk starts in the snapshot, in bytes.
     pub offset: u64,
+    /// The bytes of the chunk.
     pub bytes: Blob,
+    /// When the leader sent it.
     pub sent: LeaderTimestamp,
 }
 
 /// How much of a snapshot has arrived without gaps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct SnapshotChunkResponse {
+    /// The last entry that the snapshot contains.
     pub last: Position,
+    /// The bytes that have arrived, from the start without gaps.
     pub received: u64,
+    /// When the leader sent what this answers.
     pub sent: LeaderTimestamp,
 }
 
@@ -145,12 +171,25 @@
 /// Why bytes are not a message.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
+    /// The input is larger than [`MAX_MESSAGE`].
     #[snafu(display("a message of {size} bytes; the most is {MAX_MESSAGE}"))]
-    TooLarge { size: usize },
+    TooLarge {
+        /// Its size, in bytes.
+        size: usize,
+    },
+    /// The input is not the binary form of a message.
     #[snafu(display("not a message: {source}"))]
-    Malformed { source: DeBinErr },
+    Malformed {
+        /// What the decoder found.
+        source: DeBinErr,
+    },
+    /// The input goes on after the message.
     #[snafu(display("{extra} bytes after the message"))]
-    Trailing { extra: usize },
+    Trailing {
+        /// The bytes after the message.
+        extra: usize,
+    },
+    /// The message is well formed, but no replica sends such numbers or lists.
     #[snafu(display("numbers or lists that no replica sends"))]
     Implausible,
 }
--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress.rs
@@ -1,4 +1,7 @@
-//! What a leader knows of one follower or learner, and how much it may send it.
+//! What a leader knows of one follower or learner, and how much it may send it: the `Progress` of raft-rs.
+//!
+//! Invariant: `matched < next`. A follower starts in `Probe`, goes to `Replicate` when its log is known to agree, and to
+//! `Snapshot` when it needs entries that the log no longer has.
 
 use std::collections::VecDeque;
 
@@ -16,13 +19,13 @@
 /// A snapshot's bytes under way to one follower, at most.
 const SNAPSHOT_WINDOW: u64 = 2 * crate::MAX_CHUNK as u64;
 
-/// After so many heartbeats without a piece of the snapshot arriving, pieces are taken for lost.
+/// After so many heartbeats without a chunk arriving, the chunks in flight are taken for lost.
 const STALLED_HEARTBEATS: u32 = 10;
 
-/// How entries go to a follower.
+/// How entries are sent to a follower.
 #[derive(Clone, Debug, Hash)]
 pub(crate) enum ProgressState {
-    /// Where its log ends is not known: one message at a time, and without entries while it is silent.
+    /// It is not known up to where its log agrees: one message at a time, and without entries while it does not respond.
     Probe { waiting: bool, silent: bool },
     /// Its log is known to agree: several messages at a time.
     Replicate { inflights: VecDeque<Inflight>, bytes: usize },
@@ -37,7 +40,7 @@
     bytes: usize,
 }
 
-/// A snapshot under way.
+/// A snapshot that is being sent.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct SnapshotTransfer {
     pub(crate) snapshot: Snapshot,
@@ -48,7 +51,7 @@
 }
 
 impl SnapshotTransfer {
-    /// Goes on from what is known to have arrived.
+    /// Continues from what is known to have arrived.
     fn resume(&mut self) {
         self.sent = self.received;
         self.finished = false;
@@ -86,8 +89,8 @@
         }
     }
 
-    /// Notes that a message sent at `sent` was answered. If pieces of a snapshot were lost, they are sent anew now that
-    /// somebody is there to take them.
+    /// Records that a message sent at `sent` was answered. Chunks of a snapshot that were lost are sent anew now that the
+    /// follower is reachable.
     pub(crate) fn record_response(&mut self, sent: Instant) {
         self.last_response = self.last_response.max(Some(sent));
         match &mut self.state {
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Notes that entries up to `last` were sent, or an empty probe.
+    /// Records that entries up to `last`, or an empty probe, were sent.
     pub(crate) fn record_sent(&mut self, last: Index, bytes: usize) {
         match &mut self.state {
             ProgressState::Probe { waiting, .. } => *waiting = true,
@@ -136,9 +139,9 @@
         }
     }
 
-    /// Its log agrees up to `index`. Tells whether that is news.
+    /// Its log agrees up to `index`. Returns whether that was not known before.
     pub(crate) fn record_match(&mut self, index: Index) -> bool {
-        let news = index > self.matched;
+        let advanced = index > self.matched;
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched.next());
         let matched = self.matched;
@@ -155,7 +158,7 @@
             }
             ProgressState::Snapshot(_) => {}
         }
-        news
+        advanced
     }
 
     fn become_replicate(&mut self) {
@@ -163,8 +166,8 @@
         self.state = ProgressState::Replicate { inflights: VecDeque::new(), bytes: 0 };
     }
 
-    /// An append after `rejected` did not fit; the logs may agree at `hint` at best. Replies to older messages than the
-    /// newest probe change nothing.
+    /// An append after `rejected` did not fit; the logs may agree at `hint` at best. Responses to messages before the newest
+    /// probe change nothing.
     pub(crate) fn record_rejection(&mut self, rejected: Index, hint: Index) {
         let concerns_probe = match &self.state {
             ProgressState::Probe { .. } => rejected == self.next.previous(),
@@ -197,13 +200,13 @@
         if received > transfer.received {
             transfer.heartbeats_without_progress = 0;
         }
-        // Less than before: it started anew and has lost what it had, or this is an old reply. Either way the pieces
-        // from there on go again once nothing else is heard.
+        // Less than before: the follower restarted and lost its chunks, or this is a delayed response. Either way the chunks
+        // from there on are sent again if no other response comes.
         transfer.received = received;
         transfer.sent = transfer.sent.max(received);
     }
 
-    /// The log up to which a snapshot is under way, if one is.
+    /// The last index of the snapshot that is being sent, if one is.
     pub(crate) fn pending_snapshot(&self) -> Option<Index> {
         match &self.state {
             ProgressState::Snapshot(transfer) => Some(transfer.snapshot.last.index),
@@ -211,19 +214,19 @@
         }
     }
 
-    /// Whether its log is known to agree, and nothing is under way to it.
+    /// Whether its log is known to agree, and no entries are in flight.
     pub(crate) fn is_idle(&self) -> bool {
         matches!(&self.state, ProgressState::Replicate { inflights, .. } if inflights.is_empty())
     }
 
-    /// Whether entries go to it as they come.
+    /// Whether entries are sent to it as they are appended.
     pub(crate) fn is_replicating(&self) -> bool {
         matches!(self.state, ProgressState::Replicate { .. })
     }
 }
 
 impl SnapshotTransfer {
-    /// The bounds of the next piece; notes it as sent.
+    /// The byte range of the next chunk, which counts as sent from now on.
     pub(crate) fn next_chunk(&mut self) -> std::ops::Range<usize> {
         let start = self.sent;
         let end = (start + crate::MAX_CHUNK as u64).min(self.total());
--- a/crates/quorum/src/raft_log.rs
+++ b/crates/quorum/src/raft_log.rs
@@ -1,5 +1,8 @@
-//! The log in memory: a snapshot, the entries after it, some before it for those who are a little behind, and the
-//! groups that the entries name.
+//! The log in memory: the newest snapshot, the entries after it, some entries before it for followers that lag a little,
+//! and the groups that the entries carry.
+//!
+//! Invariants: the entries have no gap; `before` is the position just before the first one and is never after the
+//! snapshot; `groups` is ascending and never empty.
 
 use std::collections::VecDeque;
 
@@ -10,7 +13,7 @@
 /// Entries that a snapshot contains stay in memory up to so many bytes, for followers that are a little behind.
 const MAX_RETAINED_BYTES: usize = 8 * 1024 * 1024;
 
-/// Where a group came into force.
+/// A group and the entry that carries it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct GroupAt {
     index: Index,
@@ -26,14 +29,14 @@
     entries: VecDeque<Entry>,
     /// The bytes of the entries in memory.
     bytes: usize,
-    /// The bytes of the entries after the snapshot.
+    /// The bytes of the entries that no snapshot contains.
     uncompacted_bytes: usize,
-    /// The group at the snapshot and those after it, ascending; the first one always stands.
+    /// The group at the snapshot and those after it, ascending; the first one is never removed.
     groups: Vec<GroupAt>,
 }
 
 impl RaftLog {
-    /// The log that was found on disk; entries that don't follow on are left out.
+    /// The log that was found on disk, up to the first gap.
     pub(crate) fn restored(restored: RestoredState) -> RaftLog {
         let (before, group) = match &restored.snapshot {
             Some(snapshot) => (snapshot.last, snapshot.group.clone()),
@@ -126,7 +129,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Takes off everything from an index on. The index lies after the snapshot.
+    /// Removes everything from an index on, which must be after the snapshot.
     pub(crate) fn truncate(&mut self, from: Index) {
         while self.entries.back().is_some_and(|entry| entry.index >= from) {
             let Some(entry) = self.entries.pop_back() else { break };
@@ -143,12 +146,12 @@
         &self.newest_group().group
     }
 
-    /// Whether the group before the newest one names a replica.
+    /// Whether the group before the newest one contains a replica.
     pub(crate) fn previous_group_contains(&self, replica: ReplicaId) -> bool {
         self.groups.iter().nth_back(1).is_some_and(|known| known.group.contains(replica))
     }
 
-    /// The entry that brought the newest group.
+    /// The index of the newest group.
     pub(crate) fn group_index(&self) -> Index {
         self.newest_group().index
     }
@@ -163,8 +166,8 @@
         &known.unwrap_or(&self.groups[0]).group
     }
 
-    /// Puts a snapshot of the application in the stead of the entries up to it, keeping some in memory: those after
-    /// `floor` where the bound allows.
+    /// Takes a snapshot of the application and drops entries up to it, but keeps some in memory; more of them when a
+    /// follower is receiving an older snapshot, which ends at `floor`.
     pub(crate) fn compact(&mut self, snapshot: Snapshot, floor: Index) {
         let last = snapshot.last;
         self.groups.retain(|known| known.index > last.index);
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Takes a snapshot that came from the leader. Entries after it stay if the log agrees with it.
+    /// Takes a snapshot of the leader. Entries after it stay if the log agrees with it.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         let last = snapshot.last;
         if self.term_at(last.index) == Some(last.term) {
--- a/crates/quorum/src/ready.rs
+++ b/crates/quorum/src/ready.rs
@@ -1,15 +1,18 @@
-//! What a replica wants done: the writes, the messages, and what the application learns.
+//! The output of a replica: what to write, to send and to apply.
 
 use crate::blob::Blob;
 use crate::entry::Write;
 use crate::ids::{Index, ReplicaId, Term};
 use crate::message::Message;
 
-/// A command of the application that is decided for good.
+/// A committed command of the application.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Committed {
+    /// Its index in the log.
     pub index: Index,
+    /// The term of the leader that appended it.
     pub term: Term,
+    /// The bytes that were proposed.
     pub payload: Blob,
 }
 
@@ -18,27 +21,28 @@
 /// is applied. The next batch is taken only after that; messages and proposals may come in between.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// Messages that promise nothing about this replica's disk: a leader's entries go out while it writes them itself.
+    /// Messages that do not depend on this replica's disk: a leader sends entries while it writes them itself.
     pub immediate_messages: Vec<(ReplicaId, Message)>,
-    /// What goes to disk, in order.
+    /// What has to be written, in order.
     pub writes: Vec<Write>,
     /// Whether `writes` must be synced before `messages` are sent; if not, there are none.
     pub must_sync: bool,
-    /// Messages that may leave only after the sync.
+    /// Messages that may be sent only after the sync.
     pub messages: Vec<(ReplicaId, Message)>,
     /// A snapshot that replaces the application's state, to be loaded before `committed` is applied.
     pub restore: Option<Restore>,
     /// Commands to apply, in order.
     pub committed: Vec<Committed>,
-    /// Everything up to here has now been handed to the application, also entries that carry no command;
+    /// Everything up to here has now been given to the application, also entries that carry no command;
     /// [`Replica::compact`](crate::Replica::compact) takes any index up to it.
     pub applied: Index,
 }
 
-/// A state that the application takes over as its own.
+/// A snapshot that replaces the application's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Restore {
     /// The last entry that it contains.
     pub index: Index,
+    /// The application's bytes.
     pub bytes: Blob,
 }
--- a/crates/quorum/src/replica/batch.rs
+++ b/crates/quorum/src/replica/batch.rs
@@ -18,7 +18,7 @@
             || self.has_entries_to_send()
     }
 
-    /// The work since the last call, as one batch; see [`Ready`] for the order in which it is to be done.
+    /// Takes the output since the last call; see [`Ready`] for the order in which it has to be processed.
     pub fn take_ready(&mut self) -> Ready {
         let immediate_messages = self.entries_to_send();
         let restore = self.output.restore.take();
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The writes of the batch that was taken last are on disk.
+    /// Notifies the replica that the writes of the batch that was taken last are on disk.
     pub fn synced(&mut self) {
         self.output.synced = self.output.writing;
         self.advance_commit();
--- a/crates/quorum/src/replica/digest.rs
+++ b/crates/quorum/src/replica/digest.rs
@@ -7,7 +7,7 @@
 use crate::progress::Progress;
 
 impl Replica {
-    /// A digest of all that decides what this replica does next, but for clocks and chance.
+    /// A digest of everything that determines what this replica does next, except time and randomness.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.identity, self.hard_state, self.commit, self.applied).hash(&mut hasher);
--- a/crates/quorum/src/replica/election.rs
+++ b/crates/quorum/src/replica/election.rs
@@ -21,7 +21,7 @@
 }
 
 impl Replica {
-    /// Asks whether an election has a chance, which promises nothing and disturbs nobody.
+    /// Starts a pre-vote: no term is advanced and no vote recorded, so that a replica that can't win disturbs no leader.
     pub(super) fn pre_campaign(&mut self) {
         let granted = BTreeSet::from([self.identity]);
         let won = self.group().has_quorum(|voter| granted.contains(&voter));
@@ -35,7 +35,7 @@
         self.send_to_peers(self.hard_state.term.next(), Body::RequestPreVote(request));
     }
 
-    /// Stands in the next term.
+    /// Starts an election in the next term.
     pub(super) fn campaign(&mut self, kind: CampaignKind) {
         self.advance_term(self.hard_state.term.next());
         self.hard_state.vote = Some(self.identity);
@@ -52,7 +52,8 @@
         self.send_to_peers(self.hard_state.term, Body::RequestVote(request));
     }
 
-    /// A question that some refuse because they heard of the leader a little later is put again soon.
+    /// A pre-vote is retried sooner than an election: voters may have rejected it only because they heard of the leader a
+    /// little later.
     fn reset_pre_vote_timeout(&mut self) {
         let election_timeout_min = self.timing.election_timeout_min;
         let wait = self.rng.random_range(election_timeout_min.nanos() / 2..=election_timeout_min.nanos());
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Whether it must not help anybody against a leader that may hold a lease, or may have one itself.
+    /// Whether a leader, possibly this replica, may still hold a lease, so that no other candidate may be helped.
     fn is_within_leader_lease(&self) -> bool {
         let contact = match self.leader_state() {
             Some(_) => self.quorum_contact(),
@@ -145,25 +146,25 @@
         contact.is_some_and(|contact| self.now < contact + self.timing.election_timeout_min)
     }
 
-    /// Whether the candidate's log may hold everything that is committed. A replica without any entry has nothing to
-    /// compare, so it only learns.
+    /// Whether the candidate's log may hold everything that is committed. A replica without any entry has
+    /// nothing to compare, so it never votes.
     fn can_vote_for(&self, candidate: ReplicaId, last: Position) -> bool {
         let own = self.log.last();
         own.index > Index(0) && last >= own && !(last == own && self.was_removed(candidate))
     }
 
-    /// Whether it is decided that a replica does not belong to the group, as far as the own log goes.
+    /// Whether the committed group does not contain a replica, as far as this log goes.
     fn was_removed(&self, replica: ReplicaId) -> bool {
         self.commit >= self.log.group_index() && !self.group().contains(replica)
     }
 
-    /// Notes a sign of a living leader.
+    /// Follows a leader that was just heard of.
     pub(super) fn become_follower_of(&mut self, term: Term, leader: ReplicaId) {
         self.last_leader_contact = self.now;
         self.become_follower(term, Some(leader));
     }
 
-    /// When a quorum was last asked something that it has answered since.
+    /// The latest time by which this leader had sent messages that a quorum has answered since.
     pub(super) fn quorum_contact(&self) -> Option<Instant> {
         let leader_state = self.leader_state()?;
         self.group().reached_by_quorum(|voter| {
@@ -174,8 +175,8 @@
         })
     }
 
-    /// Whether it may become leader: when the newest group names it, or when it only may have been removed. In the latter
-    /// case it may be the only one left with the entry that says so, and has to get that decided before it goes.
+    /// Whether this replica may become leader: it is in the newest group, or its removal is not committed yet. In the latter
+    /// case it may be the only replica with the entry that removes it, and has to commit that first.
     pub(super) fn is_promotable(&self) -> bool {
         let is_undecided = self.log.group_index() > self.commit;
         self.group().contains(self.identity)
@@ -189,7 +190,7 @@
         self.election_deadline = self.now + election_timeout_min + Duration::from_nanos(extra);
     }
 
-    /// Takes over a newer term.
+    /// Enters a newer term, in which this replica has not voted.
     pub(super) fn advance_term(&mut self, term: Term) {
         if term > self.hard_state.term {
             self.hard_state.term = term;
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Follows somebody, or nobody yet.
+    /// Becomes a follower of a leader, or of none that is known yet.
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
         self.advance_term(term);
         self.role = Role::Follower { leader };
--- a/crates/quorum/src/replica/follower.rs
+++ b/crates/quorum/src/replica/follower.rs
@@ -1,4 +1,4 @@
-//! The follower's side: entries and snapshots of a leader.
+//! A follower: it takes entries and snapshots of a leader, and truncates uncommitted entries that conflict.
 
 use super::Replica;
 use crate::blob::Blob;
@@ -31,8 +31,7 @@
         self.send(to, self.hard_state.term, Body::AppendResponse(AppendResponse { outcome, sent }));
     }
 
-    /// Follows the sender, unless its term is over, which it is told. A term has one leader: who claims to be a second
-    /// one is not believed.
+    /// Follows the sender and returns true, unless its term is stale or it claims to be a second leader of the term.
     fn accept_leader(&mut self, from: ReplicaId, term: Term, sent: LeaderTimestamp) -> bool {
         if term < self.hard_state.term {
             self.respond_to_append(from, AppendOutcome::StaleTerm, sent);
@@ -46,20 +45,20 @@
         true
     }
 
-    /// Takes the entries that follow on the own log. What is committed here is in every later leader's log, so it is
-    /// never compared, let alone taken back.
+    /// Appends the entries that match this log. What is committed here is in every later leader's log, so it is neither
+    /// compared nor truncated.
     fn take_entries(&mut self, append: Append) -> AppendOutcome {
         let Append { previous, commit, entries, .. } = append;
         if previous.index > self.commit && self.log.term_at(previous.index) != Some(previous.term) {
             return self.conflict(previous);
         }
         let end = previous.index.plus(entries.len() as u64);
-        let decided = self.commit;
-        for entry in entries.into_iter().filter(|entry| entry.index > decided) {
+        let committed = self.commit;
+        for entry in entries.into_iter().filter(|entry| entry.index > committed) {
             self.take_entry(entry);
         }
         self.commit = self.commit.max(commit.min(end).min(self.log.last().index));
-        AppendOutcome::Matched(end.max(decided))
+        AppendOutcome::Matched(end.max(committed))
     }
 
     fn take_entry(&mut self, entry: Entry) {
@@ -105,7 +104,7 @@
         self.respond_to_append(from, AppendOutcome::Matched(last.index), sent);
     }
 
-    /// Adds a piece to the snapshot that it belongs to. The bytes, once they are whole.
+    /// Adds a chunk to the snapshot that it belongs to. Returns the bytes once they are complete.
     fn collect_chunk(&mut self, leader: ReplicaId, chunk: &SnapshotChunk) -> Option<Blob> {
         let last = chunk.last;
         let goes_on = |incoming_snapshot: &IncomingSnapshot| {
@@ -135,7 +134,7 @@
         self.applied = index;
     }
 
-    /// The first sign of a leader tells an empty replica which founding it belongs to.
+    /// An empty replica belongs to the cluster of the first leader that it hears of.
     pub(super) fn adopt_cluster_id(&mut self, cluster_id: ClusterId) {
         if self.hard_state.cluster_id.is_none() {
             self.hard_state.cluster_id = Some(cluster_id);
--- a/crates/quorum/src/replica/group_change.rs
+++ b/crates/quorum/src/replica/group_change.rs
@@ -12,29 +12,25 @@
 use crate::ids::ReplicaId;
 use crate::message::Body;
 use crate::progress::Progress;
-use grebeusher_time::DurationExt;
+use grebeusher_time::{DurationExt, Instant};
 
 /// How many entries a learner may be behind when it becomes a voter.
 const MAX_PROMOTION_LAG: u64 = 32;
 
-/// A learner that has not answered for so many times `election_timeout_max` is given up.
+/// A learner that has not answered for so many times `election_timeout_max` is aborted.
 const LEARNER_RESPONSE_TIMEOUT_FACTOR: f64 = 3.0;
 
-/// A change whose learners have not caught up within so many times `election_timeout_max` is given up.
+/// A change whose learners have not caught up within so many times `election_timeout_max` is aborted.
 const CATCH_UP_TIMEOUT_FACTOR: f64 = 20.0;
 
 impl Replica {
-    /// Changes the group to these voters. New ones are caught up as learners first; then a joint group is in force until
-    /// a quorum of both has it, and the change finishes by itself. The same group again is fine.
+    /// Changes the group to these voters. New voters catch up as learners first, then the joint group is committed, and
+    /// then the final one. A change to the present group has no effect.
     ///
     /// # Errors
     ///
-    /// When this replica is not the leader, or something else is under way.
-    pub fn change_group(
-        &mut self,
-        now: grebeusher_time::Instant,
-        voters: Vec<ReplicaId>,
-    ) -> Result<(), ChangeError> {
+    /// When this replica is not the leader, another change is in progress, or the group is not valid.
+    pub fn change_group(&mut self, now: Instant, voters: Vec<ReplicaId>) -> Result<(), ChangeError> {
         self.advance(now);
         let hint = self.leader_hint();
         let Some(leader_state) = self.leader_state() else { return Err(ChangeError::NotLeader { hint }) };
@@ -69,12 +65,12 @@
         Some(&change.voters)
     }
 
-    /// Whether the newest group is a plain one that is decided, and no other is on its way.
+    /// Whether the newest group is committed and not joint, and no change is pending.
     pub fn is_group_stable(&self) -> bool {
         !self.group().is_joint() && self.pending_change().is_none() && self.commit >= self.log.group_index()
     }
 
-    /// Puts the joint group in force once all learners are nearly where the leader is.
+    /// Appends the joint group once all learners have nearly caught up.
     pub(super) fn check_change(&mut self) {
         let Some(leader_state) = self.leader_state() else { return };
         let Some(change) = &leader_state.change else { return };
@@ -98,7 +94,7 @@
         self.advance_commit();
     }
 
-    /// Gives a change up whose learners are silent or too slow.
+    /// Aborts a change whose learners do not respond or are too slow.
     pub(super) fn tick_change(&mut self) {
         let now = self.now;
         let response_timeout = self.timing.election_timeout_max.scaled(LEARNER_RESPONSE_TIMEOUT_FACTOR);
@@ -117,25 +113,25 @@
         }
     }
 
-    /// Goes on with a change when its last entry is committed: from the joint group to the new one, and from there to
-    /// the end of what the new one does not name.
+    /// The next step of a change when the newest group is committed: from the joint group to the final one, and from there to
+    /// the replicas that were removed.
     pub(super) fn advance_group_change(&mut self) {
         if self.commit < self.log.group_index() {
             return;
         }
         if self.group().is_joint() {
-            let settled = self.group().leave_joint();
-            self.append(self.hard_state.term, Payload::Group(settled));
+            let incoming = self.group().leave_joint();
+            self.append(self.hard_state.term, Payload::Group(incoming));
             self.advance_commit();
             return;
         }
         self.remove_outgoing();
         if !self.group().contains(self.identity) {
-            self.leave();
+            self.step_down_after_removal();
         }
     }
 
-    /// Stops sending to those who left, after a last word by which they learn that they did.
+    /// Stops sending to replicas that were removed, after a last append by which they learn it.
     fn remove_outgoing(&mut self) {
         let Some(leader_state) = self.leader_state() else { return };
         let learners = leader_state.change.as_ref().map_or(&[][..], |change| &change.voters);
@@ -152,8 +148,8 @@
         }
     }
 
-    /// A leader that the new group does not name ends its leadership in favour of a voter that has everything.
-    fn leave(&mut self) {
+    /// A leader that was removed asks the most advanced voter to start an election, and steps down.
+    fn step_down_after_removal(&mut self) {
         if let Some(successor) = self.best_transfer_candidate() {
             self.send(successor, self.hard_state.term, Body::TimeoutNow);
         }
--- a/crates/quorum/src/replica/leader.rs
+++ b/crates/quorum/src/replica/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's side: its followers' answers, what is decided by them, its lease, and its end.
+//! A leader: the responses of its followers, the commit index that follows from them, its lease, and stepping down.
 
 use std::collections::BTreeMap;
 
@@ -28,13 +28,13 @@
         self.append(self.hard_state.term, Payload::Noop);
     }
 
-    /// Starts to follow the progress of all that the group names.
+    /// Tracks the progress of all members of the group.
     pub(super) fn track_members(&mut self) {
         let members: Vec<ReplicaId> = self.group().members().collect();
         self.track_progress(&members);
     }
 
-    /// Starts to follow the progress of these replicas.
+    /// Tracks the progress of these replicas, too.
     pub(super) fn track_progress(&mut self, replicas: &[ReplicaId]) {
         let last = self.log.last().index;
         let identity = self.identity;
@@ -48,14 +48,15 @@
     /// of its own term, and a quorum has answered what was sent within the lease.
     pub fn lease_holds(&self, now: Instant) -> bool {
         let Some(leader_state) = self.leader_state() else { return false };
-        let settled = self.commit >= leader_state.term_start && !leader_state.lease_revoked;
+        let can_read = self.commit >= leader_state.term_start && !leader_state.lease_revoked;
         let now = now.max(self.now);
-        let alone = self.group().members().all(|member| member == self.identity);
+        let is_sole_member = self.group().members().all(|member| member == self.identity);
         let contact = self.quorum_contact();
-        settled && (alone || contact.is_some_and(|contact| now < contact + self.timing.lease_duration))
+        can_read
+            && (is_sole_member || contact.is_some_and(|contact| now < contact + self.timing.lease_duration))
     }
 
-    /// Up to where each voter has the log on its disk, as far as this leader knows; nothing where it is none.
+    /// Up to where each voter has the log on its disk, as far as this leader knows; empty on other replicas.
     pub fn match_indexes(&self) -> Vec<(ReplicaId, Index)> {
         let Some(leader_state) = self.leader_state() else { return Vec::new() };
         let synced = |voter: ReplicaId| match leader_state.followers.get(&voter) {
@@ -82,7 +83,7 @@
         leader_state.followers.values_mut().for_each(Progress::tick_heartbeat);
     }
 
-    /// Whether no quorum has answered for so long that the others may have a new leader.
+    /// Whether no quorum has answered for so long that another leader may have been elected.
     fn lost_quorum(&self) -> bool {
         let Some(leader_state) = self.leader_state() else { return false };
         let contact =
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Notes that a message of this term was answered; a reply of a newer term ends the leadership.
+    /// Records that a message of this term was answered. A response of a newer term makes this replica a follower.
     fn accept_response(&mut self, from: ReplicaId, term: Term, sent: LeaderTimestamp) -> bool {
         self.step_down_if_newer(term);
         if term != self.hard_state.term {
@@ -141,21 +142,21 @@
         self.leader_state_mut()?.followers.get_mut(&replica)
     }
 
-    /// Decides what a quorum has synced, if the leader's term wrote it: an entry of an older term may still be replaced
-    /// even when a quorum has it.
+    /// Commits what a quorum has synced, once that includes an entry of the leader's own term: an entry of an older term may
+    /// still be replaced even when a quorum has it.
     pub(super) fn advance_commit(&mut self) {
         let Some(leader_state) = self.leader_state() else { return };
-        let reached_by_quorum = self.group().reached_by_quorum(|voter| {
+        let quorum_index = self.group().reached_by_quorum(|voter| {
             if voter == self.identity {
                 return self.output.synced;
             }
             leader_state.followers.get(&voter).map_or(Index(0), |follower| follower.matched)
         });
-        if reached_by_quorum > self.commit && reached_by_quorum >= leader_state.term_start {
-            let decided = self.log.bytes_between(self.commit, reached_by_quorum);
-            self.commit = reached_by_quorum;
+        if quorum_index > self.commit && quorum_index >= leader_state.term_start {
+            let committed_bytes = self.log.bytes_between(self.commit, quorum_index);
+            self.commit = quorum_index;
             if let Some(leader_state) = self.leader_state_mut() {
-                leader_state.uncommitted = leader_state.uncommitted.saturating_sub(decided);
+                leader_state.uncommitted = leader_state.uncommitted.saturating_sub(committed_bytes);
             }
             self.advance_group_change();
         }
--- a/crates/quorum/src/replica/leadership_transfer.rs
+++ b/crates/quorum/src/replica/leadership_transfer.rs
@@ -16,12 +16,13 @@
 use crate::message::Body;
 
 impl Replica {
-    /// Hands the leadership to a voter, or to the one that is furthest: proposals are refused from now on, and reads end
-    /// once it has everything and is told to take over. Fails silently, by a new election, when it does not.
+    /// Transfers the leadership to a voter, by default to the most advanced one. Proposals are rejected from now on, and
+    /// reads end when the target has the whole log and is asked to start its election. If it does not respond, the
+    /// transfer is aborted, or ends in a new election. Returns the target.
     ///
     /// # Errors
     ///
-    /// When this replica is not the leader, is handing over already, or nobody can take over.
+    /// When this replica is not the leader, a transfer to another target is in progress, or there is no such voter.
     pub fn transfer_leadership(
         &mut self,
         now: Instant,
@@ -33,18 +34,18 @@
             return Err(TransferLeadershipError::NotLeader { hint });
         };
         if let Some(leadership_transfer) = leader_state.leadership_transfer {
-            let same = to.is_none_or(|to| to == leadership_transfer.target);
-            return if same {
+            let is_same_target = to.is_none_or(|to| to == leadership_transfer.target);
+            return if is_same_target {
                 Ok(leadership_transfer.target)
             } else {
                 Err(TransferLeadershipError::InProgress)
             };
         }
-        let may_own =
+        let is_valid_target =
             |replica: &ReplicaId| *replica != self.identity && self.group().voters.contains(replica);
         let target = to
             .or_else(|| self.best_transfer_candidate())
-            .filter(may_own)
+            .filter(is_valid_target)
             .ok_or(TransferLeadershipError::NoTarget)?;
         let deadline = self.now + self.timing.election_timeout_max;
         if let Some(leader_state) = self.leader_state_mut() {
@@ -55,13 +56,13 @@
         Ok(target)
     }
 
-    /// Whether the leadership is being handed over.
+    /// Whether a transfer of leadership is in progress.
     pub fn is_transferring_leadership(&self) -> bool {
         self.leader_state().is_some_and(|leader_state| leader_state.leadership_transfer.is_some())
     }
 
-    /// The voters that could take the leadership over, the one that is furthest first, of equals the one that answered last;
-    /// none where this replica is not the leader.
+    /// The voters that could become leader, the most advanced first, and of equals the one that responded last; empty on
+    /// replicas that are not the leader.
     pub fn transfer_candidates(&self) -> Vec<ReplicaId> {
         let Some(leader_state) = self.leader_state() else { return Vec::new() };
         let rank = |voter: &ReplicaId| {
@@ -69,24 +70,24 @@
             follower.map_or((Index(0), None), |follower| (follower.matched, follower.last_response))
         };
         let others = self.group().voters.iter().filter(|voter| **voter != self.identity);
-        let mut transfer_candidates: Vec<ReplicaId> = others.copied().collect();
-        transfer_candidates.sort_by_key(|voter| Reverse(rank(voter)));
-        transfer_candidates
+        let mut candidates: Vec<ReplicaId> = others.copied().collect();
+        candidates.sort_by_key(|voter| Reverse(rank(voter)));
+        candidates
     }
 
     pub(super) fn best_transfer_candidate(&self) -> Option<ReplicaId> {
         self.transfer_candidates().first().copied()
     }
 
-    /// Tells the target to take over once it has everything. From then on the lease is over for the rest of the term.
+    /// Asks the target to start its election once it has the whole log, and revokes the lease for the rest of the term.
     pub(super) fn maybe_send_timeout_now(&mut self) {
         let last = self.log.last().index;
         let deadline = self.now + self.timing.election_timeout_max;
         let Some(leader_state) = self.leader_state_mut() else { return };
         let Some(leadership_transfer) = &mut leader_state.leadership_transfer else { return };
         let target = leadership_transfer.target;
-        let has_all = leader_state.followers.get(&target).is_some_and(|follower| follower.matched == last);
-        if leadership_transfer.timeout_now_sent || !has_all {
+        let caught_up = leader_state.followers.get(&target).is_some_and(|follower| follower.matched == last);
+        if leadership_transfer.timeout_now_sent || !caught_up {
             return;
         }
         leadership_transfer.timeout_now_sent = true;
@@ -95,7 +96,8 @@
         self.send(target, self.hard_state.term, Body::TimeoutNow);
     }
 
-    /// A target that is silent: before it was told, all is as it was; after that only a new term can have a lease.
+    /// Ends a transfer whose target did not respond in time. Before `TimeoutNow` the leader just continues; after it only a
+    /// new term can have a lease, so it starts an election itself.
     pub(super) fn tick_leadership_transfer(&mut self) {
         let now = self.now;
         let Some(leader_state) = self.leader_state_mut() else { return };
--- a/crates/quorum/src/replica/output.rs
+++ b/crates/quorum/src/replica/output.rs
@@ -7,24 +7,24 @@
 use crate::message::Message;
 use crate::ready::Restore;
 
-/// What waits to be handed out, and how far that got.
+/// The output since the last batch.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingOutput {
     pub(super) hard_state_changed: bool,
-    /// Everything is to be written anew.
+    /// The snapshot changed, so that the complete state has to be written.
     pub(super) snapshot_changed: bool,
     /// The log changed from here on.
     pub(super) entries_from: Option<Index>,
     pub(super) messages: Vec<(ReplicaId, Message)>,
     pub(super) restore: Option<Restore>,
-    /// Handed out to be written up to here.
+    /// The log was given out to be written up to here.
     pub(super) writing: Index,
-    /// On disk up to here.
+    /// The log is on disk up to here.
     pub(super) synced: Index,
 }
 
 impl PendingOutput {
-    /// The log changes from an index on.
+    /// Records that the log changes from an index on.
     pub(super) fn record_change(&mut self, from: Index) {
         self.entries_from = Some(self.entries_from.map_or(from, |earlier| earlier.min(from)));
         self.writing = self.writing.min(from.previous());
--- a/crates/quorum/src/replica/proposal.rs
+++ b/crates/quorum/src/replica/proposal.rs
@@ -9,16 +9,16 @@
 use crate::error::{CompactError, ProposeError};
 use crate::ids::{Index, Position, Term};
 
-/// The bytes of entries that may wait for a quorum.
+/// The bytes of uncommitted entries above which a leader takes no proposals.
 const MAX_UNCOMMITTED: usize = 6 * 1024 * 1024;
 
 impl Replica {
-    /// Proposes a command. It is decided when it comes out of [`Ready::committed`] under the same index and term;
-    /// another term there, or a later index first, means that it was lost.
+    /// Proposes a command. It is committed when [`Ready::committed`](crate::Ready::committed) has it under the same index
+    /// and term; another term there, or a later index first, means that it was lost.
     ///
     /// # Errors
     ///
-    /// When this replica is not the leader, or can't take more at the moment.
+    /// When this replica is not the leader, too much is uncommitted, or the command is too large.
     pub fn propose(&mut self, now: Instant, command: Vec<u8>) -> Result<Index, ProposeError> {
         self.advance(now);
         if command.len() > crate::MAX_COMMAND {
@@ -35,11 +35,11 @@
         Ok(self.append(self.hard_state.term, Payload::Command(Blob::from(command))))
     }
 
-    /// Takes a snapshot of the application with everything up to `index` in it, in the stead of the log up to there.
+    /// Replaces the log up to `index` by a snapshot of the application, which contains everything up to there.
     ///
     /// # Errors
     ///
-    /// When the application has not been handed everything up to there, or a snapshot of as much exists.
+    /// When the application has not been given everything up to there, a snapshot of as much exists, or it is too large.
     pub fn compact(&mut self, index: Index, bytes: Vec<u8>) -> Result<(), CompactError> {
         let snapshot = self.log.snapshot_last().index;
         if bytes.len() > crate::MAX_SNAPSHOT {
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Adds an entry to the own log.
+    /// Appends an entry to the replica's own log.
     pub(super) fn append(&mut self, term: Term, payload: Payload) -> Index {
         let index = self.log.last().index.next();
         self.output.record_change(index);
--- a/crates/quorum/src/replica/replication.rs
+++ b/crates/quorum/src/replica/replication.rs
@@ -1,4 +1,4 @@
-//! What a leader sends to each follower: entries, heartbeats, pieces of the snapshot.
+//! What a leader sends to each follower: entries, heartbeats, chunks of a snapshot.
 
 use super::Replica;
 use crate::blob::Blob;
@@ -6,8 +6,8 @@
 use crate::message::{Append, Body, LeaderTimestamp, Message, SnapshotChunk};
 use crate::progress::{Progress, ProgressState};
 
-/// Entries arrive one after the other and stay, while a snapshot that was not whole when its leader changed begins anew. So
-/// only one that takes a moment on any link goes in the place of entries, in bytes.
+/// The largest snapshot that is sent in place of entries that the log still has, in bytes. Entries that have arrived stay,
+/// while an incomplete snapshot starts anew when the leader changes, so it has to be short on any link.
 const MAX_RESTART_BYTES: usize = 512 * 1024;
 
 impl Replica {
@@ -21,8 +21,8 @@
         self.leader_state().is_some_and(|leader_state| leader_state.followers.values().any(waits))
     }
 
-    /// Everything that may be sent to the followers now. It promises nothing of the own disk: what the leader itself has
-    /// counts for a quorum only once it is synced.
+    /// Everything that may be sent to the followers now. It does not depend on this replica's disk: the leader counts
+    /// itself for a quorum only up to what it has synced.
     pub(super) fn entries_to_send(&mut self) -> Vec<(ReplicaId, Message)> {
         let Some(leader_state) = self.leader_state_mut() else { return Vec::new() };
         let mut followers = std::mem::take(&mut leader_state.followers);
@@ -39,7 +39,7 @@
         messages
     }
 
-    /// The next thing for one follower, if anything is due.
+    /// The next message for one follower, if anything is due.
     fn next_body(&self, follower: &mut Progress) -> Option<Body> {
         let last = self.log.last().index;
         let has_entries = follower.next <= last;
@@ -83,7 +83,7 @@
             > snapshot.bytes.len() + crate::MAX_APPEND
     }
 
-    /// The follower needs what the log no longer has, or gets it sooner so.
+    /// The follower needs entries that the log no longer has, or gets there sooner by the snapshot.
     fn start_snapshot_transfer(&self, follower: &mut Progress) -> Option<Body> {
         follower.become_snapshot(self.log.snapshot()?.clone());
         let ProgressState::Snapshot(transfer) = &mut follower.state else { return None };
@@ -96,7 +96,7 @@
         Some(Position { term, index })
     }
 
-    /// A heartbeat also tells a follower that it missed something: it has no entry at `previous` then.
+    /// A heartbeat also shows a follower that it missed entries: it has none at `previous` then.
     fn heartbeat(&self, previous: Position) -> Body {
         self.append_body(previous, Vec::new())
     }
@@ -111,19 +111,19 @@
     }
 
     fn chunk(&self, transfer: &mut crate::progress::SnapshotTransfer) -> Body {
-        let piece = transfer.next_chunk();
+        let chunk_range = transfer.next_chunk();
         let snapshot = &transfer.snapshot;
         Body::SnapshotChunk(SnapshotChunk {
             last: snapshot.last,
             group: snapshot.group.clone(),
             total: snapshot.bytes.len() as u64,
-            offset: piece.start as u64,
-            bytes: Blob::from(&snapshot.bytes.as_slice()[piece]),
+            offset: chunk_range.start as u64,
+            bytes: Blob::from(&snapshot.bytes.as_slice()[chunk_range]),
             sent: LeaderTimestamp::from_instant(self.now),
         })
     }
 
-    /// The last message to a replica that leaves the group: the entries that it still needs, if they fit one.
+    /// The last message to a replica that was removed: the entries that it still lacks, as far as one message holds them.
     pub(super) fn final_append(&self, replica: ReplicaId) -> Option<Body> {
         let follower = self.leader_state()?.followers.get(&replica)?;
         let first = follower.matched.next();
@@ -132,7 +132,7 @@
         Some(self.append_body(previous, entries))
     }
 
-    /// The oldest snapshot that is still being sent.
+    /// The last index of the oldest snapshot that is still being sent.
     pub(super) fn oldest_pending_snapshot(&self) -> Option<Index> {
         self.leader_state()?.followers.values().filter_map(Progress::pending_snapshot).min()
     }
--- a/crates/quorum/src/replica/role.rs
+++ b/crates/quorum/src/replica/role.rs
@@ -1,4 +1,4 @@
-//! What a replica is at a time, with what belongs to that only.
+//! The role of a replica, with the state that belongs to it alone and is dropped with it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,24 +7,25 @@
 use crate::ids::{Index, ReplicaId};
 use crate::progress::Progress;
 
-/// What a replica is.
+/// The role of a replica.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
-    /// It takes the entries of a leader, or waits for one.
+    /// Takes entries of a leader, or waits for one.
     Follower { leader: Option<ReplicaId> },
-    /// It asks whether an election has a chance.
+    /// Asks whether it would win an election, before it starts a new term.
     PreCandidate { granted: BTreeSet<ReplicaId> },
-    /// It asks for votes in its term.
+    /// Asks for votes in its term.
     Candidate { granted: BTreeSet<ReplicaId> },
-    /// It won its term.
+    /// Won the election of its term.
     Leader(Box<LeaderState>),
 }
 
-/// What a leader keeps.
+/// The volatile state of a leader.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderState {
+    /// When it won the election.
     pub(crate) since: Instant,
-    /// The first entry of its own term.
+    /// The index of the first entry of its own term.
     pub(crate) term_start: Index,
     pub(crate) followers: BTreeMap<ReplicaId, Progress>,
     pub(crate) next_heartbeat: Instant,
@@ -32,8 +33,8 @@
     pub(crate) uncommitted: usize,
     pub(crate) change: Option<PendingChange>,
     pub(crate) leadership_transfer: Option<LeadershipTransfer>,
-    /// Once somebody was told to take over, reads are over for the rest of the term: the votes that it may win wait
-    /// for no lease.
+    /// Whether `TimeoutNow` was sent. From then on reads are over for the rest of the term: the election of the target
+    /// does not wait for the lease.
     pub(crate) lease_revoked: bool,
 }
 
@@ -44,11 +45,11 @@
     pub(crate) since: Instant,
 }
 
-/// The leadership on its way to another voter.
+/// A transfer of leadership in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LeadershipTransfer {
     pub(crate) target: ReplicaId,
     pub(crate) deadline: Instant,
-    /// Whether the target was told.
+    /// Whether the target was asked to start its election.
     pub(crate) timeout_now_sent: bool,
 }
--- a/crates/quorum/src/replica/status.rs
+++ b/crates/quorum/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! What a replica says of itself. Nothing here changes its state.
+//! Read-only accessors, and the access of the other modules to the leader's state.
 
 use super::Replica;
 use super::role::{LeaderState, Role};
@@ -17,12 +17,12 @@
         self.hard_state.term
     }
 
-    /// Whether it won its term. That does not mean that it still leads the partition: see [`Replica::lease_holds`].
+    /// Whether it won the election of its term. That does not mean that it still leads the partition: see [`Replica::lease_holds`].
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Who leads the partition, as far as it knows.
+    /// The leader of the partition, as far as it knows.
     pub fn leader_hint(&self) -> Option<ReplicaId> {
         match &self.role {
             Role::Leader(_) => Some(self.identity),
@@ -36,17 +36,17 @@
         self.log.group()
     }
 
-    /// The entry that brought [`Replica::group`]; the group is decided once this is committed.
+    /// The index of the entry that carries [`Replica::group`].
     pub fn group_index(&self) -> Index {
         self.log.group_index()
     }
 
-    /// The founding that it belongs to.
+    /// The cluster that it belongs to, if any yet.
     pub fn cluster_id(&self) -> Option<ClusterId> {
         self.hard_state.cluster_id
     }
 
-    /// What it knows to be decided.
+    /// The highest index that it knows to be committed.
     pub fn commit_index(&self) -> Index {
         self.commit
     }
@@ -66,7 +66,7 @@
         self.log.uncompacted_bytes()
     }
 
-    /// An entry of the log, decided or not, while it is in memory.
+    /// An entry of the log, committed or not, while it is in memory.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         self.log.get(index)
     }
--- a/crates/quorum/src/replica/step.rs
+++ b/crates/quorum/src/replica/step.rs
@@ -7,11 +7,11 @@
 use crate::ids::{ReplicaId, Term};
 use crate::message::{Body, Message};
 
-/// "Never", for a replica that waits for nothing but messages.
+/// The wake-up time of a replica that waits for messages only.
 const NEVER: Instant = Instant(u64::MAX);
 
 impl Replica {
-    /// Takes a message in. One that is not for this replica, of another founding or out of bounds is dropped.
+    /// Processes a message. One that is for another replica, of another cluster or out of bounds is dropped.
     pub fn receive(&mut self, now: Instant, from: ReplicaId, message: Message) {
         self.advance(now);
         let addressed = message.to == self.identity && message.from == from && from != self.identity;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Does what is due: heartbeats, elections, the end of a leadership without a quorum.
+    /// Does what is due: heartbeats, elections, stepping down without a quorum.
     pub fn tick(&mut self, now: Instant) {
         self.advance(now);
         match &self.role {
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Time only goes forward, also if the caller's does not.
+    /// Advances the replica's time, which never goes back even if the caller's does.
     pub(super) fn advance(&mut self, now: Instant) {
         self.now = self.now.max(now);
     }
 
-    /// A replica that knows no founding learns only, so it listens to leaders only.
+    /// A replica that belongs to no cluster yet takes messages of leaders only.
     fn shares_cluster_id(&self, message: &Message) -> bool {
         match self.hard_state.cluster_id {
             Some(cluster_id) => message.cluster_id == cluster_id,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Queues a message that leaves after the sync.
+    /// Queues a message that is sent after the next sync.
     pub(super) fn send(&mut self, to: ReplicaId, term: Term, body: Body) {
         let message = self.message(to, term, body);
         self.output.messages.push((to, message));
--- a/crates/quorum/tests/codec.rs
+++ b/crates/quorum/tests/codec.rs
@@ -134,7 +134,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(1_000) })]
 
     #[test]
-    fn a_message_is_read_as_it_was_written(message in message()) {
+    fn message_round_trips(message in message()) {
         let bytes = encode(&message);
         // Made-up terms may lie below those of the entries; such a message is refused as a whole.
         match decode(&bytes) {
@@ -144,12 +144,12 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_refused_or_read_without_a_panic(bytes in vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_are_decoded_or_rejected_without_panic(bytes in vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
     }
 
     #[test]
-    fn a_bent_message_does_no_harm(message in message(), bends in vec((any::<prop::sample::Index>(), any::<u8>()), 1..4), cut in any::<prop::sample::Index>()) {
+    fn a_corrupted_message_does_not_panic(message in message(), bends in vec((any::<prop::sample::Index>(), any::<u8>()), 1..4), cut in any::<prop::sample::Index>()) {
         let mut bytes = encode(&message);
         for (at, value) in bends {
             let at = at.index(bytes.len());
@@ -162,7 +162,7 @@
 
     /// Whatever arrives, in whatever order: no panic, and what a replica takes for decided only grows.
     #[test]
-    fn no_message_brings_a_replica_down(steps in vec(step(), 1..60), seed in any::<u64>()) {
+    fn no_message_panics_a_replica(steps in vec(step(), 1..60), seed in any::<u64>()) {
         let hard_state = grebeusher_quorum::HardState { term: Term(1), cluster_id: Some(FOUNDING), ..Default::default() };
         let voters = Group::of((1..4).map(ReplicaId));
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(voters) };
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_list_that_claims_more_than_the_message_holds_is_refused_before_room_is_made() {
+fn list_count_beyond_the_input_is_rejected_before_allocation() {
     // Given an append whose count of entries is bent to the most that fits its field
     let append = Append {
         previous: Position::default(),
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn too_long_and_trailing_bytes_are_refused() {
+fn oversized_and_trailing_bytes_are_rejected() {
     let message = Message {
         from: ReplicaId(2),
         to: ReplicaId(1),
@@ -239,7 +239,7 @@
 
 /// Memory: the application keeps the bytes of an entry as they are, and not a copy.
 #[test]
-fn a_blob_and_its_shared_bytes_are_one() {
+fn blob_shares_its_bytes() {
     let bytes: std::sync::Arc<[u8]> = vec![1, 2, 3].into();
     let blob = Blob::from(bytes.clone());
     assert_eq!(std::sync::Arc::strong_count(&bytes), 2);
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -1,8 +1,11 @@
 //! The files on disk: restarts, torn ends, unfinished generations, full disks and damage.
 
+mod folder;
+
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
+use folder::new_folder;
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
 use grebeusher_quorum::{
     Blob, ClusterId, Entry, Group, HardState, Index, Payload, Position, Replica, ReplicaId, RestoredState,
@@ -15,10 +18,6 @@
 
 /// An empty folder, in memory where the system has such, because thousands are synced. What a sync is worth is not
 /// tested here: the tests bend the files themselves.
-fn new_folder() -> tempfile::TempDir {
-    tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a folder")
-}
-
 fn hard_state(term: u64) -> HardState {
     HardState {
         term: Term(term),
@@ -94,7 +93,7 @@
 }
 
 #[test]
-fn what_was_written_is_there_after_a_restart() {
+fn writes_survive_a_restart() {
     // Given a store that was written to, also over entries that were there
     let folder = new_folder();
     let (mut store, restored) = Store::open(folder.path()).expect("it is empty");
@@ -173,7 +172,7 @@
 }
 
 #[test]
-fn a_log_that_ends_anywhere_is_cut_to_whole_records() {
+fn truncated_log_is_cut_to_complete_records() {
     let folder = new_folder();
     let (synced, unsynced, size) = with_unsynced_tail(folder.path());
     let log = read(folder.path(), "log-1");
@@ -185,7 +184,7 @@
 }
 
 #[test]
-fn a_log_with_a_hole_ends_before_it() {
+fn log_with_a_hole_ends_before_it() {
     let folder = new_folder();
     let (synced, unsynced, size) = with_unsynced_tail(folder.path());
     let log = read(folder.path(), "log-1");
@@ -203,7 +202,7 @@
 }
 
 #[test]
-fn what_an_earlier_log_left_behind_is_not_taken_for_records() {
+fn leftovers_of_an_earlier_log_are_not_read() {
     // Given a log of generation 3 in the file of generation 1, whose cut was lost, so that old records follow it
     let folder = new_folder();
     let (synced, unsynced, _) = with_unsynced_tail(folder.path());
@@ -230,7 +229,7 @@
 /// The next generation's log or slot, as a loss of power may leave it; that those before it were emptied may have lasted
 /// or not.
 #[rstest]
-fn an_unfinished_generation_leaves_the_one_before(
+fn unfinished_generation_leaves_the_previous_one_active(
     #[values(0, 1, 2)] rounds_before: u64,
     #[values(false, true)] emptying_lasted: bool,
 ) {
@@ -285,7 +284,7 @@
 }
 
 #[test]
-fn a_generation_gives_back_the_room_of_the_one_before() {
+fn new_generation_frees_the_previous_one() {
     // Given a store some generations on
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("it is empty");
@@ -313,7 +312,7 @@
 }
 
 #[test]
-fn a_first_start_that_lost_power_is_a_first_start_again() {
+fn interrupted_first_start_is_repeated() {
     let folder = new_folder();
     drop(Store::open(folder.path()).expect("it is empty"));
     let (log, slot) = (read(folder.path(), "log-1"), read(folder.path(), "slot-1"));
@@ -346,7 +345,7 @@
 #[rstest]
 #[case::slot("slot-0")]
 #[case::log("log-0")]
-fn lost_promises_are_an_error(#[case] name: &str) {
+fn loss_of_synced_files_is_an_error(#[case] name: &str) {
     // Given a disk on which something is damaged that was in force
     let folder = second_generation();
     let mut bytes = read(folder.path(), name);
@@ -357,7 +356,7 @@
 }
 
 #[test]
-fn a_disk_that_refuses_is_an_error() {
+fn failing_disk_is_an_error() {
     let folder = new_folder();
     put(folder.path(), "part", b"not a folder");
     assert!(matches!(Store::open(&folder.path().join("part")), Err(StoreError::Io { .. })));
@@ -369,7 +368,7 @@
 const FULL_DISK: &str = "QUORUM_TEST_FULL_DISK";
 
 #[test]
-fn a_full_disk_is_an_error_and_leaves_no_half_record() {
+fn full_disk_is_an_error_and_leaves_no_partial_record() {
     if let Ok(folder) = std::env::var(FULL_DISK) {
         fill_disk(Path::new(&folder));
         return;
@@ -380,7 +379,7 @@
     // Its output goes through a pipe: where this test's own output is a file, the limit would be that of the file too.
     let output = Command::new("sh")
         .arg("-c")
-        .arg("trap '' XFSZ; ulimit -f 40; exec \"$0\" a_full_disk_is_an_error --exact --nocapture a_full_disk_is_an_error_and_leaves_no_half_record")
+        .arg("trap '' XFSZ; ulimit -f 40; exec \"$0\" --exact --nocapture full_disk_is_an_error_and_leaves_no_partial_record")
         .arg(program)
         .env(FULL_DISK, folder.path())
         .output()
@@ -416,7 +415,7 @@
 }
 
 #[test]
-fn after_a_failure_all_is_written_anew() {
+fn reopening_after_a_failure_rewrites_everything() {
     for had_snapshot in [false, true] {
         // Given a store with records after its snapshot, or without one
         let folder = new_folder();
@@ -444,7 +443,7 @@
 }
 
 #[test]
-fn an_identity_is_made_once() {
+fn identity_is_created_once() {
     let folder = new_folder();
     let first = Identity::load_or_create(folder.path(), 42).expect("it is empty");
     assert_eq!(first, Identity { id: ReplicaId(42), existed: false });
@@ -453,7 +452,7 @@
 }
 
 #[test]
-fn an_identity_outlives_the_damage_of_one_copy() {
+fn identity_survives_damage_to_one_copy() {
     for name in ["identity-0", "identity-1"] {
         for end in 0..16 {
             // Given a disk on which one copy is torn
@@ -470,7 +469,7 @@
 }
 
 #[test]
-fn a_first_identity_that_was_not_finished_is_made_anew() {
+fn unfinished_first_identity_is_created_again() {
     let folder = new_folder();
     Identity::load_or_create(folder.path(), 42).expect("it is empty");
     let whole = read(folder.path(), "identity-0");
@@ -483,7 +482,7 @@
 }
 
 #[test]
-fn an_identity_that_is_lost_is_an_error() {
+fn loss_of_both_identity_copies_is_an_error() {
     let folder = new_folder();
     Identity::load_or_create(folder.path(), 42).expect("it is empty");
     put(folder.path(), "identity-0", b"nonsense");
@@ -493,7 +492,7 @@
 }
 
 #[test]
-fn a_replica_lives_on_its_files() {
+fn replica_runs_on_its_files() {
     let folder = new_folder();
     let partition: PathBuf = folder.path().join("part-0");
     let timing = Timing {
@@ -574,10 +573,10 @@
 
     /// Batches, some of them synced, then a loss of power that leaves any part of the rest.
     #[test]
-    fn a_loss_of_power_leaves_what_was_synced(
+    fn power_loss_keeps_what_was_synced(
         batches in vec((batch(), any::<bool>()), 1..12),
         cut in any::<prop::sample::Index>(),
-        bend in any::<Option<(prop::sample::Index, u8)>>(),
+        corrupt in any::<Option<(prop::sample::Index, u8)>>(),
     ) {
         let folder = new_folder();
         let (mut store, _) = Store::open(folder.path()).expect("it is empty");
@@ -615,7 +614,7 @@
         let first = 8 + u32::from_le_bytes(log[..4].try_into().expect("four bytes")) as usize;
         let safe = (safe_size as usize).max(first);
         let mut left = log[..safe + cut.index(log.len() - safe + 1)].to_vec();
-        if let Some((at, value)) = bend
+        if let Some((at, value)) = corrupt
             && left.len() > safe
         {
             let at = safe + at.index(left.len() - safe);
--- a/crates/quorum/tests/disk_forms.rs
+++ b/crates/quorum/tests/disk_formats.rs
@@ -1,9 +1,12 @@
 //! Versions of the files on disk: given a disk that a newer program has written, when this one opens it, then it refuses and
 //! changes nothing, as an older program must neither forget what was promised nor make a new identity over the old one.
 
+mod folder;
+
 use std::collections::BTreeMap;
 use std::path::Path;
 
+use folder::new_folder;
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
 use grebeusher_quorum::{
     Blob, Entry, Group, HardState, Index, Payload, Position, ReplicaId, Snapshot, Term, Write,
@@ -17,10 +20,6 @@
 /// A kind of record that this program does not know.
 const UNKNOWN_KIND: u8 = 9;
 
-fn new_folder() -> tempfile::TempDir {
-    tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a folder")
-}
-
 /// A store in its first or second generation, with records after its snapshot.
 fn store_in(generation: u64) -> tempfile::TempDir {
     let folder = new_folder();
@@ -52,7 +51,7 @@
         .collect()
 }
 
-fn bend(folder: &Path, name: &str, act: impl FnOnce(&mut Vec<u8>)) {
+fn corrupt(folder: &Path, name: &str, act: impl FnOnce(&mut Vec<u8>)) {
     let path = folder.join(name);
     let mut bytes = std::fs::read(&path).expect("it can be read");
     act(&mut bytes);
@@ -76,7 +75,7 @@
     log.extend_from_slice(&content);
 }
 
-fn assert_refused_untouched(folder: &Path) {
+fn assert_rejected_untouched(folder: &Path) {
     let before = contents(folder);
     let opened = Store::open(folder);
     assert!(
@@ -90,30 +89,30 @@
 #[rstest]
 #[case::first_generation(1, "slot-1")]
 #[case::second_generation(2, "slot-0")]
-fn a_slot_of_a_newer_form_is_refused(#[case] generation: u64, #[case] name: &str) {
+fn slot_of_a_newer_format_is_rejected(#[case] generation: u64, #[case] name: &str) {
     // Given a slot in force that a newer program has written,
     let folder = store_in(generation);
-    bend(folder.path(), name, |bytes| bytes[FORM_AT] += 1);
+    corrupt(folder.path(), name, |bytes| bytes[FORM_AT] += 1);
     // when it is opened, then it is not taken for torn or damaged, and stays as it is.
-    assert_refused_untouched(folder.path());
+    assert_rejected_untouched(folder.path());
 }
 
 #[rstest]
 #[case::first_generation(1, "log-1")]
 #[case::second_generation(2, "log-0")]
-fn a_whole_record_of_an_unknown_kind_is_no_torn_end(#[case] generation: u64, #[case] name: &str) {
+fn complete_record_of_unknown_kind_is_not_a_torn_end(#[case] generation: u64, #[case] name: &str) {
     // Given a log that a newer program went on with,
     let folder = store_in(generation);
-    bend(folder.path(), name, add_unknown_record);
+    corrupt(folder.path(), name, add_unknown_record);
     // when it is opened, then the record, which may hold what was acknowledged, is not cut off.
-    assert_refused_untouched(folder.path());
+    assert_rejected_untouched(folder.path());
 }
 
 #[test]
-fn a_torn_slot_is_not_taken_for_a_newer_one() {
+fn torn_slot_is_not_taken_for_a_newer_format() {
     // Given a slot in force that is damaged in its mark and in its content,
     let folder = store_in(2);
-    bend(folder.path(), "slot-0", |bytes| {
+    corrupt(folder.path(), "slot-0", |bytes| {
         bytes[FORM_AT] += 1;
         bytes[20] ^= 1;
     });
@@ -125,12 +124,12 @@
 #[case::first_copy(&["identity-0"])]
 #[case::second_copy(&["identity-1"])]
 #[case::both(&["identity-0", "identity-1"])]
-fn an_identity_of_a_newer_form_is_refused(#[case] names: &[&str]) {
+fn identity_of_a_newer_format_is_rejected(#[case] names: &[&str]) {
     // Given an identity that a newer program has written,
     let folder = new_folder();
     Identity::load_or_create(folder.path(), 42).expect("it is empty");
     for name in names {
-        bend(folder.path(), name, |bytes| {
+        corrupt(folder.path(), name, |bytes| {
             bytes[FORM_AT] += 1;
             let end = bytes.len() - 4;
             let checksum = crc32fast::hash(&bytes[..end]);
--- a/crates/quorum/tests/elections.rs
+++ b/crates/quorum/tests/elections.rs
@@ -26,7 +26,7 @@
 #[case(2)]
 #[case(3)]
 #[case(5)]
-fn a_founded_partition_gets_a_leader_and_decides(#[case] voters: usize) {
+fn bootstrapped_partition_elects_a_leader_and_commits(#[case] voters: usize) {
     // Given a partition that was just founded
     let mut world = World::new(7, voters, 0);
     // When it has a leader, and that one is given commands
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_founding_is_taken_once() {
+fn bootstrap_is_accepted_once() {
     // Given an empty replica
     let id = ReplicaId(5);
     let group = Group::of([id, ReplicaId(6), ReplicaId(7)]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_founding_that_lost_power_halfway_can_be_repeated() {
+fn interrupted_bootstrap_can_be_repeated() {
     // Given a disk that kept the promises of a founding, and not the entry
     let id = ReplicaId(5);
     let group = Group::of([id]);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_empty_replica_waits_and_says_nothing() {
+fn empty_replica_waits_and_sends_nothing() {
     // Given a machine that no group names
     let mut world = World::new(3, 3, 1);
     let empty = Site(3);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn heartbeats_without_news_cost_no_sync_and_two_messages_a_follower() {
+fn idle_heartbeats_cost_no_sync_and_two_messages_a_follower() {
     // Given a partition that is quiet
     let (mut world, leader, others) = three(11);
     world.run(Duration::from_millis(200));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn commands_that_wait_for_a_sync_share_the_next_one() {
+fn commands_waiting_for_a_sync_share_the_next_one() {
     // Given a leader whose disk is slow
     let (mut world, leader, _) = three(12);
     world.sync = Duration::from_millis(30);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_leader_is_lost_and_another_goes_on() {
+fn another_leader_takes_over_when_the_leader_is_lost() {
     let (mut world, leader, others) = three(13);
     // When the leader loses power for good
     world.lose_power(leader);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn all_lose_power_and_nothing_decided_is_lost() {
+fn committed_entries_survive_power_loss_of_all_replicas() {
     let (mut world, leader, _) = three(14);
     for _ in 0..50 {
         world.propose(leader);
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_frozen_leader_wakes_without_a_lease() {
+fn frozen_leader_resumes_without_a_lease() {
     let (mut world, leader, _) = three(15);
     // When the leader freezes until the others have another one, which decides something
     world.freeze(leader);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_stale_leader_after_a_cut_loses_what_it_alone_took() {
+fn partitioned_leader_loses_its_uncommitted_entries() {
     let (mut world, leader, _) = three(16);
     // Given a leader that is cut off and still takes commands
     world.isolate(leader);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_leader_that_hears_nobody_gives_way() {
+fn leader_without_responses_steps_down() {
     let (mut world, leader, others) = three(17);
     // When the leader is heard, and hears nobody
     others.iter().for_each(|other| world.network.cut(*other, leader));
@@ -214,7 +214,7 @@
 #[rstest]
 #[case::both_ways(true)]
 #[case::one_way(false)]
-fn a_follower_that_was_cut_off_does_not_disturb(#[case] both_ways: bool) {
+fn partitioned_follower_does_not_disturb_the_leader(#[case] both_ways: bool) {
     let (mut world, leader, others) = three(18);
     let term = world.newest_term();
     // When a follower hears nobody for long, and comes back
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_follower_that_only_the_leader_cannot_reach_does_not_disturb() {
+fn follower_that_only_the_leader_cannot_reach_does_not_disturb_it() {
     let (mut world, leader, others) = three(26);
     let term = world.newest_term();
     // When a follower and the leader hear nothing of each other, while the third one hears both
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn messages_of_others_are_dropped() {
+fn messages_for_others_are_dropped() {
     // Given a leader of a term far ahead, in a partition that was founded otherwise
     let (mut world, leader, others) = three(19);
     let before = world.replica(leader).term();
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_leadership_is_handed_over_without_a_pause() {
+fn leadership_transfer_causes_no_outage() {
     let (mut world, leader, others) = three(20);
     // When the leader hands over, say because it is to end
     let target = world
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_hand_over_to_a_voter_that_is_gone_ends_with_a_leader_again() {
+fn transfer_to_an_unreachable_voter_ends_with_a_leader() {
     let (mut world, leader, others) = three(21);
     // Given a target that dies just when it is told to take over
     let target = world.identity(others[0]);
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_hand_over_to_a_voter_that_does_not_catch_up_is_called_off() {
+fn transfer_to_a_voter_that_does_not_catch_up_is_aborted() {
     let (mut world, leader, others) = three(27);
     // Given a target that is off, and has not got all
     world.lose_power(others[0]);
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_leadership_is_handed_to_voters_only() {
+fn leadership_is_transferred_to_voters_only() {
     let (mut world, leader, others) = three(22);
     let refuse =
         |world: &mut World, site, to| world.call(site, |replica, now| replica.transfer_leadership(now, to));
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn a_slow_disk_of_one_voter_is_not_waited_for() {
+fn slow_disk_of_one_voter_does_not_delay_commits() {
     // Given a follower that is frozen, as one whose disk takes very long
     let (mut world, leader, others) = three(23);
     world.freeze(others[0]);
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn a_leader_bounds_what_waits_for_a_quorum() {
+fn leader_bounds_its_uncommitted_entries() {
     // Given a leader without a quorum
     let (mut world, leader, _) = three(24);
     world.isolate(leader);
@@ -376,7 +376,7 @@
 }
 
 #[test]
-fn links_that_lose_double_and_reorder_only_cost_time() {
+fn lossy_duplicating_and_reordering_links_only_cost_time() {
     // Given bad links
     let mut world = World::new(25, 5, 0);
     world.network.loss = 0.2;
--- a/crates/quorum/tests/groups.rs
+++ b/crates/quorum/tests/groups.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_lost_disk_is_replaced_by_a_spare_within_a_blink() {
+fn lost_disk_is_replaced_by_a_spare_quickly() {
     let (mut world, leader) = start(1, 3, 1);
     let lost = world.others(&[leader, Site(3)])[0];
     // When a disk is lost for good and the spare takes its place
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn disks_are_lost_again_and_again() {
+fn repeated_disk_losses_are_repaired() {
     let (mut world, _) = start(2, 3, 0);
     let founders: Vec<ReplicaId> = world.sites().into_iter().map(|site| world.identity(site)).collect();
     // When one machine after the other loses its disk, comes back empty and is taken in anew, many times
@@ -60,7 +60,7 @@
 }
 
 #[rstest]
-fn the_leader_dies_in_the_middle_of_a_change(#[values(0, 1, 2, 3, 5, 8, 13)] after_ms: u64) {
+fn leader_fails_during_a_group_change(#[values(0, 1, 2, 3, 5, 8, 13)] after_ms: u64) {
     for seed in 1..=10 {
         // Given a leader that begins to replace two voters at once
         let (mut world, leader) = start(seed, 3, 2);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_group_grows_and_shrinks() {
+fn group_grows_and_shrinks() {
     let (mut world, _) = start(4, 1, 4);
     for sites in [&[0, 1, 2][..], &[0, 1, 2, 3, 4], &[2, 3, 4], &[3], &[0, 3]] {
         let sites: Vec<Site> = sites.iter().map(|site| Site(*site)).collect();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_leader_that_retires_hands_on() {
+fn removed_leader_transfers_its_leadership() {
     let (mut world, leader) = start(5, 3, 1);
     let others = world.others(&[leader]);
     // When the leader takes itself out of the group
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_removed_replica_that_missed_it_never_wins_nor_disturbs() {
+fn removed_replica_that_missed_its_removal_neither_wins_nor_disturbs() {
     let (mut world, leader) = start(6, 3, 1);
     let removed = world.others(&[leader, Site(3)])[0];
     // Given a voter that was removed while it was cut off
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn one_that_left_is_told_so_and_then_left_alone() {
+fn removed_replica_learns_its_removal_and_gets_no_more_messages() {
     let (mut world, leader) = start(11, 3, 1);
     let left = world.others(&[leader, Site(3)])[0];
     // When a voter is taken out of the group
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_learner_that_is_silent_is_given_up() {
+fn change_with_an_unresponsive_learner_is_aborted() {
     let (mut world, leader) = start(7, 3, 2);
     world.lose_power(Site(3));
     let mut wanted = world.others(&[Site(3), Site(4)]);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn those_who_leave_bring_the_change_to_its_end_when_nobody_else_can() {
+fn outgoing_voters_complete_a_change_when_nobody_else_can() {
     // Given a change to a single new voter, cut off just before it gets the last entry, which all others have
     let (mut world, leader) = start(10, 3, 1);
     let successor = Site(3);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn changes_that_make_no_sense_are_refused() {
+fn invalid_group_changes_are_rejected() {
     let (mut world, leader) = start(8, 3, 0);
     let others = world.others(&[leader]);
     let hint = Some(world.identity(leader));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_learner_does_not_slow_the_group_down_nor_count() {
+fn learner_neither_delays_commits_nor_counts_for_the_quorum() {
     let (mut world, leader) = start(9, 3, 1);
     // Given a change to a learner that answers nothing, and one voter of three that is lost
     let others = world.others(&[leader, Site(3)]);
@@ -240,7 +240,7 @@
 
 /// The machines of the group whose disks have lasted longest.
 fn oldest(world: &World, ages: &[usize], count: usize) -> Vec<Site> {
-    let group = world.oracle.decided_group();
+    let group = world.oracle.committed_group();
     let mut sites: Vec<Site> = group.voters.iter().filter_map(|voter| world.site_of(*voter)).collect();
     sites.sort_by_key(|site| ages[site.0]);
     sites.truncate(count);
@@ -252,7 +252,7 @@
 #[case::three_voters_and_a_spare(3, 1, 1)]
 #[case::five_voters(5, 0, 2)]
 #[case::five_voters_and_three_spares(5, 3, 2)]
-fn the_oldest_disks_are_lost_while_all_others_lose_power_again_and_again(
+fn loss_of_the_oldest_disks_amid_repeated_power_losses(
     #[case] voters: usize,
     #[case] spares: usize,
     #[case] losses: usize,
@@ -286,7 +286,7 @@
 }
 
 #[rstest]
-fn the_next_disk_is_lost_in_each_moment_of_a_repair(
+fn loss_of_another_disk_at_each_moment_of_a_repair(
     #[values(0, 1, 2, 4, 8, 16, 32, 64)] after_ms: u64,
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
 ) {
--- a/crates/quorum/tests/guards.rs
+++ b/crates/quorum/tests/guards.rs
@@ -22,7 +22,7 @@
 }
 
 /// An answer tells of something that is not on disk yet, and then power goes.
-fn power_goes_after_the_answer(seed: u64, fault: Fault) -> World {
+fn power_loss_right_after_a_response(seed: u64, fault: Fault) -> World {
     // Given a leader whose command only the first of the others gets
     let (mut world, [leader, first, second]) = start(seed, fault);
     world.partition(leader, second);
@@ -50,7 +50,7 @@
 }
 
 /// A message of an old leader arrives when its receiver has promised more to a new one.
-fn an_old_append_arrives_late(seed: u64, fault: Fault) -> World {
+fn delayed_append_of_an_old_term(seed: u64, fault: Fault) -> World {
     // Given a leader whose messages to the second one take long, and that is otherwise cut off
     let (mut world, [leader, first, second]) = start(seed, fault);
     world.network.slow.insert((leader, second), Duration::from_millis(1_500));
@@ -76,7 +76,7 @@
 }
 
 /// A disk that held a copy is lost, and the one that had missed it comes back.
-fn a_copy_is_wiped(seed: u64, fault: Fault) -> World {
+fn wiped_replica(seed: u64, fault: Fault) -> World {
     // Given a command that the leader and the first one have decided, and the second one has missed
     let (mut world, [leader, first, second]) = start(seed, fault);
     world.partition(leader, second);
@@ -97,7 +97,7 @@
 }
 
 /// A voter has just answered a leader, is restarted, and is asked for its vote.
-fn a_voter_is_restarted_within_a_lease(seed: u64, fault: Fault) -> World {
+fn voter_restarts_within_a_lease(seed: u64, fault: Fault) -> World {
     // Given a leader that holds its lease by the first one, while the second one would like to take over
     let (mut world, [leader, first, second]) = start(seed, fault);
     world.partition(leader, second);
@@ -111,7 +111,7 @@
 }
 
 /// Answers to a leader take long, and it is cut off meanwhile.
-fn answers_arrive_late(seed: u64, fault: Fault) -> World {
+fn delayed_responses(seed: u64, fault: Fault) -> World {
     // Given a leader that the first one answers slowly, and the second one not at all
     let (mut world, [leader, first, second]) = start(seed, fault);
     world.network.slow.insert((first, leader), Duration::from_millis(350));
@@ -126,17 +126,17 @@
 }
 
 #[rstest]
-#[case(Fault::AnswersBeforeSync, power_goes_after_the_answer)]
-#[case(Fault::TermsNotChecked, an_old_append_arrives_late)]
-#[case(Fault::WipedDiskVotes, a_copy_is_wiped)]
-#[case(Fault::RestartedVotesAtOnce, a_voter_is_restarted_within_a_lease)]
-#[case(Fault::LeaseFromArrival, answers_arrive_late)]
-fn the_guard_is_needed_and_holds(#[case] fault: Fault, #[case] trouble: fn(u64, Fault) -> World) {
+#[case(Fault::AnswersBeforeSync, power_loss_right_after_a_response)]
+#[case(Fault::TermsNotChecked, delayed_append_of_an_old_term)]
+#[case(Fault::WipedDiskVotes, wiped_replica)]
+#[case(Fault::RestartedVotesAtOnce, voter_restarts_within_a_lease)]
+#[case(Fault::LeaseFromArrival, delayed_responses)]
+fn each_guard_is_needed_and_holds(#[case] fault: Fault, #[case] inject_fault: fn(u64, Fault) -> World) {
     for seed in SEEDS {
-        let world = trouble(seed, Fault::None);
+        let world = inject_fault(seed, Fault::None);
         assert_eq!(world.oracle.violations, Vec::<String>::new(), "with the guard, seed {seed}");
     }
-    let noticed = SEEDS.filter(|seed| !trouble(*seed, fault).oracle.violations.is_empty()).count();
+    let noticed = SEEDS.filter(|seed| !inject_fault(*seed, fault).oracle.violations.is_empty()).count();
     println!("{fault:?}: noticed with {noticed} of {} seeds", SEEDS.count());
     assert!(noticed > 0, "{fault:?} is never noticed");
 }
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn three_voters_keep_their_promises() {
+fn three_voters_are_safe() {
     let model = ThreeVoters { fault: Fault::None, elections: 2, commands: 1, losses: 1, changes: 0 };
     let checker = model.checker().threads(2).target_max_depth(depth()).spawn_bfs().join();
     println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
@@ -368,7 +368,7 @@
 const CHANGE_DEPTH: usize = 15;
 
 #[test]
-fn three_voters_and_a_spare_keep_their_promises_through_a_change() {
+fn three_voters_and_a_spare_are_safe_through_a_group_change() {
     let model = ThreeVoters { fault: Fault::None, elections: 1, commands: 1, losses: 0, changes: 1 };
     let checker = model.checker().threads(2).target_max_depth(CHANGE_DEPTH).spawn_bfs().join();
     println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
@@ -379,7 +379,7 @@
 #[case(Fault::AnswersBeforeSync)]
 #[case(Fault::TermsNotChecked)]
 #[case(Fault::WipedDiskVotes)]
-fn a_broken_promise_is_found(#[case] fault: Fault) {
+fn broken_guarantee_is_detected(#[case] fault: Fault) {
     let model = ThreeVoters { fault, elections: 1, commands: 1, losses: 1, changes: 0 };
     let checker = model.checker().threads(2).target_max_depth(DEPTH + 5).spawn_bfs().join();
     println!("{fault:?}: {} states, depth {}", checker.unique_state_count(), checker.max_depth());
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -163,13 +163,13 @@
 #[case::a_later_term(position(2, 3), true)]
 #[case::a_shorter_log(position(2, 2), false)]
 #[case::an_earlier_term(position(9, 1), false)]
-fn a_vote_goes_to_a_log_that_has_at_least_as_much(#[case] last: Position, #[case] expected: bool) {
+fn vote_requires_a_log_at_least_as_recent(#[case] last: Position, #[case] expected: bool) {
     assert_eq!(Bench::new(3, &[1, 2, 2]).vote(SECOND, 4, last, false), Some(expected));
     assert_eq!(Bench::new(3, &[1, 2, 2]).pre_vote(SECOND, 4, last), Some(expected));
 }
 
 #[test]
-fn a_term_has_one_vote_also_after_a_restart() {
+fn one_vote_per_term_also_after_a_restart() {
     // Given a vote in term 4
     let mut bench = Bench::new(3, &[1]);
     assert_eq!(bench.vote(SECOND, 4, position(1, 1), false), Some(true));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_vote_in_a_term_that_is_known_already_is_kept_over_a_restart() {
+fn vote_in_a_known_term_survives_a_restart() {
     // Given a replica that knows of term 4 by a candidate that got no vote
     let mut bench = Bench::new(3, &[1, 3]);
     assert_eq!(bench.vote(SECOND, 4, position(1, 1), false), Some(false));
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_term_that_was_adopted_is_kept_over_a_restart() {
+fn newer_term_survives_a_restart() {
     // Given a replica that refused a vote in term 9, and so knows of it
     let mut bench = Bench::new(3, &[1, 3]);
     assert_eq!(bench.vote(SECOND, 9, position(1, 1), false), Some(false));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_voter_that_hears_a_leader_helps_nobody_else() {
+fn voter_that_hears_a_leader_votes_for_nobody_else() {
     // Given a voter that has just heard of a leader
     let mut bench = Bench::new(3, &[1]);
     bench.hear_leader(SECOND, 3);
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_voter_that_was_just_started_helps_nobody() {
+fn just_started_voter_grants_no_vote() {
     let mut bench = Bench::new(3, &[1]);
     bench.restart();
     bench.now = bench.now - Duration::from_millis(801);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn an_empty_replica_that_knows_its_founding_votes_for_nobody() {
+fn empty_replica_that_knows_its_cluster_grants_no_vote() {
     // Given a replica whose disk was lost, and that has heard a leader since
     let mut bench = Bench::new(2, &[]);
     bench.hear_leader(SECOND, 2);
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn a_pre_vote_promises_nothing() {
+fn pre_vote_records_nothing() {
     let mut bench = Bench::new(3, &[1]);
     let before = bench.disk.clone();
     assert_eq!(bench.pre_vote(SECOND, 4, position(1, 1)), Some(true));
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn an_entry_of_an_older_term_is_decided_by_one_of_the_leaders_own() {
+fn entry_of_an_older_term_is_committed_by_one_of_the_leaders_own_term() {
     // Given a leader of a later term with an old entry that no quorum had
     let mut bench = Bench::new(3, &[1, 2]);
     let term = bench.become_leader();
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn what_the_leader_has_not_synced_does_not_count() {
+fn unsynced_entries_of_the_leader_do_not_count() {
     // Given a leader that writes a command, and a follower that already has it
     let mut bench = Bench::new(3, &[1]);
     let term = bench.become_leader();
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn entries_follow_on_what_is_the_same_only() {
+fn append_requires_a_matching_previous_entry() {
     let mut bench = Bench::new(3, &[1, 2, 2]);
     // Given an append after an entry of another term, or after one that is missing: it is refused with a hint
     let sent = bench.append(SECOND, 4, position(3, 3), 0, vec![entry(4, 4)]);
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn what_is_decided_is_never_taken_back() {
+fn committed_entries_are_never_truncated() {
     // Given a follower that knows three entries to be decided
     let mut bench = Bench::new(3, &[1, 2, 2]);
     bench.append(SECOND, 3, position(3, 2), 3, Vec::new());
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn a_group_that_is_taken_back_is_the_one_before_again() {
+fn truncating_a_group_entry_restores_the_previous_group() {
     // Given a follower with a joint group that is not decided
     let mut bench = Bench::new(3, &[1]);
     let joint = Group { voters: vec![ReplicaId(7)], outgoing: group().voters };
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn a_change_goes_on_when_its_joint_group_is_decided() {
+fn change_proceeds_when_its_joint_group_is_committed() {
     // Given a leader that begins to remove the third one behind a command that is not decided
     let mut bench = Bench::new(3, &[1]);
     let term = bench.become_leader();
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn one_that_was_removed_gets_no_vote_from_who_knows_it() {
+fn removed_replica_gets_no_vote_from_voters_that_know_it() {
     // Given a voter that knows a group without the third one to be decided
     let mut bench = Bench::new(3, &[1]);
     let smaller = Group::of([ME, SECOND]);
@@ -375,7 +375,7 @@
 }
 
 #[test]
-fn a_refusal_of_what_was_sent_long_ago_changes_nothing() {
+fn delayed_rejection_changes_nothing() {
     // Given a leader whose follower has all of its log
     let mut bench = Bench::new(3, &[1, 2, 2]);
     let term = bench.become_leader();
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn a_snapshot_stands_for_what_it_contains() {
+fn snapshot_replaces_the_entries_it_contains() {
     // Given a follower with entries that are not known to be decided
     let mut bench = Bench::new(3, &[1, 2, 2]);
     let cluster_id = group().cluster_id();
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn pieces_of_different_snapshots_are_not_put_together() {
+fn chunks_of_different_snapshots_are_not_mixed() {
     let mut bench = Bench::new(3, &[1]);
     let piece = |index, offset, total| {
         Body::SnapshotChunk(grebeusher_quorum::SnapshotChunk {
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn only_what_is_known_to_be_the_same_is_decided() {
+fn follower_commits_only_what_is_known_to_match() {
     // Given a follower with entries beyond those that the leader has compared
     let mut bench = Bench::new(3, &[1, 2, 2]);
     // When the leader, which has decided more, sends a heartbeat after the first
@@ -479,7 +479,7 @@
 }
 
 #[test]
-fn a_term_has_one_leader() {
+fn one_leader_per_term() {
     // Given a follower that knows the leader of its term
     let mut bench = Bench::new(3, &[1]);
     bench.hear_leader(SECOND, 4);
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn promises_on_disk_count_on_nothing_that_follows_them() {
+fn hard_state_on_disk_does_not_depend_on_later_writes() {
     // Given a follower that has entries that are not decided
     let mut bench = Bench::new(3, &[1, 2, 2]);
     // When a new leader replaces them and tells in the same message that it has decided them
@@ -515,7 +515,7 @@
 }
 
 #[test]
-fn only_the_leader_tells_a_voter_to_take_over() {
+fn timeout_now_is_accepted_from_the_leader_only() {
     let mut bench = Bench::new(3, &[1]);
     bench.hear_leader(SECOND, 3);
     // Given a call to take over from somebody else, or of an older term
@@ -532,7 +532,7 @@
 }
 
 #[test]
-fn an_election_by_time_is_not_one_by_handing_over() {
+fn timeout_election_is_not_a_leadership_transfer() {
     // Given a voter whose leader is silent
     let mut bench = Bench::new(3, &[1]);
     bench.replica.tick(bench.now);
@@ -548,7 +548,7 @@
 }
 
 #[test]
-fn an_empty_replica_listens_to_leaders_only() {
+fn empty_replica_accepts_messages_of_leaders_only() {
     // Given a replica with nothing on disk
     let mut replica = Replica::new(ME, RestoredState::default(), TIMING, 1, Instant(0));
     let now = Instant(1_000_000_000);
--- a/crates/quorum/tests/snapshots.rs
+++ b/crates/quorum/tests/snapshots.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_follower_far_behind_gets_the_snapshot_in_pieces() {
+fn follower_far_behind_gets_the_snapshot_in_chunks() {
     let (mut world, behind) = one_far_behind(1);
     // When it is back
     world.start(behind);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_snapshot_gets_through_links_that_lose() {
+fn snapshot_arrives_over_lossy_links() {
     let (mut world, behind) = one_far_behind(2);
     // When it is back behind links that lose, double and reorder
     world.network.loss = 0.3;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_snapshot_goes_on_under_another_leader() {
+fn snapshot_transfer_restarts_under_another_leader() {
     let (mut world, behind) = one_far_behind(3);
     // Given a snapshot that is on its way
     let leader = world.elect();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_receiver_restarts_in_the_middle_of_a_snapshot() {
+fn receiver_restarts_during_a_snapshot() {
     let (mut world, behind) = one_far_behind(4);
     let leader = world.elect();
     world.network.slow.insert((leader, behind), Duration::from_millis(40));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_follower_a_little_behind_gets_entries() {
+fn follower_slightly_behind_gets_entries() {
     let mut world = World::new(5, 3, 0);
     world.compact_every = 5;
     let leader = world.elect();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_dead_follower_is_not_sent_much() {
+fn dead_follower_gets_few_messages() {
     let (mut world, behind) = one_far_behind(6);
     world.run(Duration::from_millis(1_000));
     let before = world.sent_to(behind);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_follower_that_answers_nothing_is_sent_a_window_and_no_more() {
+fn unresponsive_follower_gets_at_most_one_window() {
     let mut world = World::new(9, 3, 0);
     let leader = world.elect();
     world.run(Duration::from_millis(200));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_follower_that_was_never_there_is_not_sent_entries_again_and_again() {
+fn follower_that_never_responded_gets_no_repeated_entries() {
     let mut world = World::new(10, 3, 0);
     let dead = Site(2);
     world.lose_power(dead);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn commands_in_great_number_go_out_in_bounded_messages() {
+fn many_commands_are_sent_in_bounded_messages() {
     let mut world = World::new(7, 3, 0);
     let leader = world.elect();
     // When a leader is given megabytes at once
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_snapshot_of_what_is_not_applied_is_refused() {
+fn snapshot_of_unapplied_entries_is_rejected() {
     let mut world = World::new(8, 3, 0);
     let leader = world.elect();
     world.propose(leader);
@@ -210,7 +210,7 @@
 #[case(100)]
 #[case(1_000)]
 #[case(5_000)]
-fn catching_up_takes_as_long_after_many_changes_as_after_few(#[case] changes: u64) {
+fn catching_up_takes_equally_long_after_many_changes(#[case] changes: u64) {
     // Given a member that was away while so many small changes were made, which snapshots have taken the place of
     let mut world = World::new(9, 3, 0);
     world.compact_every = 50;
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_receiver_that_restarts_again_and_again_gets_there_while_changes_go_on() {
+fn restarting_receiver_catches_up_while_changes_continue() {
     let (mut world, behind) = one_far_behind(10);
     let leader = world.elect();
     world.network.slow.insert((leader, behind), Duration::from_millis(20));
@@ -254,9 +254,7 @@
 }
 
 #[rstest]
-fn a_member_that_was_restored_by_a_snapshot_leads_with_all_that_is_committed(
-    #[values(1, 2, 3, 4, 5)] seed: u64,
-) {
+fn member_restored_by_a_snapshot_leads_with_all_committed_entries(#[values(1, 2, 3, 4, 5)] seed: u64) {
     // Given a member that has just been restored by a snapshot of the leader's
     let (mut world, behind) = one_far_behind(seed);
     world.start(behind);
@@ -277,7 +275,7 @@
 }
 
 #[test]
-fn a_large_snapshot_does_not_go_in_the_place_of_entries_that_are_still_there() {
+fn large_snapshot_does_not_replace_available_entries() {
     // Given a member that is behind by 4.8 MB of entries, and a state of 3 MB
     let (mut world, behind) = one_far_behind(11);
     // When it is back
--- a/crates/quorum/tests/stable_bytes.rs
+++ b/crates/quorum/tests/stable_bytes.rs
@@ -4,9 +4,12 @@
 //! The files are in `tests/data`, the messages are given here as hex digits. A test that fails here says that a disk, or
 //! a replica of another version, is not understood any more: then the form needs a new number, and not a new sample.
 
+mod folder;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
+use folder::new_folder;
 use grebeusher_quorum::disk::{Identity, Store};
 use grebeusher_quorum::{
     Append, AppendOutcome, AppendResponse, Blob, Body, ClusterId, Entry, Group, HardState, Index,
@@ -22,10 +25,6 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
 }
 
-fn new_folder() -> tempfile::TempDir {
-    tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a folder")
-}
-
 /// Each file of a folder by its name, in hex digits.
 fn contents(folder: &Path) -> BTreeMap<String, String> {
     let files = std::fs::read_dir(folder).expect("it can be listed").map(|file| file.expect("it is there"));
@@ -165,7 +164,7 @@
 #[rstest]
 #[case::without_a_snapshot("generation-1", first_generation())]
 #[case::with_a_snapshot("generation-2", second_generation())]
-fn a_disk_of_an_earlier_version_is_read_as_it_was_meant(#[case] name: &str, #[case] disk: Disk) {
+fn disk_of_an_earlier_version_is_read(#[case] name: &str, #[case] disk: Disk) {
     // Given files as an earlier version left them, when they are opened,
     let folder = copy_of(name);
     let (store, restored) = Store::open(folder.path()).expect("it is whole");
@@ -179,7 +178,7 @@
 #[rstest]
 #[case::without_a_snapshot("generation-1", first_generation())]
 #[case::with_a_snapshot("generation-2", second_generation())]
-fn a_disk_is_written_as_an_earlier_version_wrote_it(#[case] name: &str, #[case] disk: Disk) {
+fn disk_is_written_as_by_an_earlier_version(#[case] name: &str, #[case] disk: Disk) {
     // Given an empty folder, when the same is written to it, each write for itself,
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("it is empty");
@@ -194,7 +193,7 @@
 #[rstest]
 #[case::without_a_snapshot("generation-1", first_generation())]
 #[case::with_a_snapshot("generation-2", second_generation())]
-fn a_disk_of_an_earlier_version_is_gone_on_with_as_one_of_this(#[case] name: &str, #[case] disk: Disk) {
+fn disk_of_an_earlier_version_is_continued(#[case] name: &str, #[case] disk: Disk) {
     // Given a disk of an earlier version and one of this, when both are written to after a restart,
     let old = copy_of(name);
     let new = new_folder();
@@ -214,7 +213,7 @@
 }
 
 #[test]
-fn the_disks_have_every_kind_of_write_and_entry() {
+fn disk_samples_cover_every_kind_of_write_and_entry() {
     let writes = [first_generation().writes, second_generation().writes].concat();
     assert_every_kind!(&writes, [Write::HardState(_), Write::Entries(_), Write::Snapshot { .. }]);
     for disk in [first_generation(), second_generation()] {
@@ -224,7 +223,7 @@
 }
 
 #[test]
-fn an_identity_of_an_earlier_version_is_kept() {
+fn identity_of_an_earlier_version_is_kept() {
     // Given the identity as an earlier version left it, when it is read, then it is the same, and stays as it is;
     let folder = copy_of("identity");
     let read = Identity::load_or_create(folder.path(), 1).expect("it is whole");
@@ -238,7 +237,7 @@
 }
 
 #[test]
-fn the_fingerprint_of_a_founding_is_the_same_in_all_versions() {
+fn cluster_id_is_the_same_in_all_versions() {
     // Replicas that compute different ones never talk to each other.
     assert_eq!(simple_group().cluster_id(), ClusterId(0x66da_3ec1_4ae2_84a5));
     assert_eq!(joint_group().cluster_id(), ClusterId(0xb89f_0330_958b_7b75));
@@ -376,7 +375,7 @@
 }
 
 #[test]
-fn a_message_is_written_and_read_as_in_earlier_versions() {
+fn message_is_encoded_and_decoded_as_in_earlier_versions() {
     for (name, body, hex_of_body) in messages() {
         let message = message(body);
         let bytes = bytes_of(&format!("{HEAD}{hex_of_body}"));
@@ -386,7 +385,7 @@
 }
 
 #[test]
-fn the_messages_have_every_kind_of_body_outcome_and_entry() {
+fn message_samples_cover_every_kind_of_body_outcome_and_entry() {
     let bodies: Vec<Body> = messages().into_iter().map(|(_, body, _)| body).collect();
     assert_every_kind!(
         &bodies,
--- a/crates/quorum/tests/storms.rs
+++ b/crates/quorum/tests/storms.rs
@@ -17,7 +17,7 @@
 }
 
 #[rstest]
-fn what_is_decided_stays_and_reads_are_never_stale(
+fn committed_entries_last_and_reads_are_never_stale(
     #[values(Weather::Rough, Weather::Wiping, Weather::Changing)] weather: Weather,
 ) {
     let (mut acknowledged, mut reads) = (0, 0);
--- a/crates/quorum/tests/world/mod.rs
+++ b/crates/quorum/tests/world/mod.rs
@@ -175,7 +175,7 @@
     /// The disk is lost. The machine comes back under a new identity (or the old one, where that is the fault).
     pub fn wipe(&mut self, site: Site) {
         self.lose_power(site);
-        let cluster_id = self.oracle.founding_group();
+        let cluster_id = self.oracle.bootstrap_group();
         let machine = &mut self.machines[site.0];
         machine.disk = Disk::default();
         if self.fault == Fault::WipedDiskVotes {
@@ -212,8 +212,8 @@
 
     /// Mends a link both ways.
     pub fn join(&mut self, one: Site, other: Site) {
-        self.network.mend(one, other);
-        self.network.mend(other, one);
+        self.network.reconnect(one, other);
+        self.network.reconnect(other, one);
     }
 
     /// Everybody but these.
--- a/crates/quorum/tests/world/network.rs
+++ b/crates/quorum/tests/world/network.rs
@@ -52,7 +52,7 @@
     }
 
     /// Mends one direction of a link.
-    pub fn mend(&mut self, from: Site, to: Site) {
+    pub fn reconnect(&mut self, from: Site, to: Site) {
         self.cuts.remove(&(from, to));
     }
 
--- a/crates/quorum/tests/world/oracle.rs
+++ b/crates/quorum/tests/world/oracle.rs
@@ -29,7 +29,7 @@
 }
 
 impl Oracle {
-    fn complain(&mut self, what: String) {
+    fn report_violation(&mut self, what: String) {
         assert!(self.lenient, "{what}");
         self.violations.push(what);
     }
@@ -51,7 +51,7 @@
         }
         let leader = *self.leaders.entry(replica.term()).or_insert(replica.identity());
         if leader != replica.identity() {
-            self.complain(format!(
+            self.report_violation(format!(
                 "two leaders of {:?}: {leader:?} and {:?}",
                 replica.term(),
                 replica.identity()
@@ -69,7 +69,7 @@
             if let Some(term) = replica.entry(index).map(|entry| entry.term) {
                 let known = *self.terms.entry(index).or_insert(term);
                 if known != term {
-                    self.complain(format!("{index:?} was decided in {known:?} and in {term:?}"));
+                    self.report_violation(format!("{index:?} was decided in {known:?} and in {term:?}"));
                 }
             }
             index = index.next();
@@ -83,11 +83,11 @@
     }
 
     /// The newest group that is known to be decided.
-    pub fn decided_group(&self) -> Group {
-        self.decided.as_ref().map_or_else(|| self.founding_group(), |(_, group)| group.clone())
+    pub fn committed_group(&self) -> Group {
+        self.decided.as_ref().map_or_else(|| self.bootstrap_group(), |(_, group)| group.clone())
     }
 
-    pub fn founding_group(&self) -> Group {
+    pub fn bootstrap_group(&self) -> Group {
         self.cluster_id.clone().expect("the part was founded")
     }
 
@@ -96,14 +96,14 @@
         let known = self.committed.entry(committed.index).or_insert_with(|| timeout_now_sent.clone());
         if *known != timeout_now_sent {
             let what = format!("{site:?} decides {committed:?}, but {known:?} was decided before");
-            self.complain(what);
+            self.report_violation(what);
         }
     }
 
     pub fn check_state(&mut self, index: Index, state: State, site: Site) {
         let known = *self.states.entry(index).or_insert(state);
         if known != state {
-            self.complain(format!("{site:?} has {state:?} at {index:?}, others {known:?}"));
+            self.report_violation(format!("{site:?} has {state:?} at {index:?}, others {known:?}"));
         }
     }
 
@@ -115,7 +115,10 @@
     pub fn check_read(&mut self, shown: Index, site: Site) {
         self.reads += 1;
         if shown < self.shown {
-            self.complain(format!("stale read at {site:?}: {shown:?} after {:?} was shown", self.shown));
+            self.report_violation(format!(
+                "stale read at {site:?}: {shown:?} after {:?} was shown",
+                self.shown
+            ));
         }
         self.shown = self.shown.max(shown);
     }
--- a/crates/quorum/tests/world/storm.rs
+++ b/crates/quorum/tests/world/storm.rs
@@ -30,11 +30,11 @@
     world.machines.iter_mut().for_each(|machine| machine.filler = filler);
     let end = world.now + Duration::from_millis(3_000);
     while world.now < end {
-        trouble(&mut world, weather);
+        inject_fault(&mut world, weather);
         let span = Duration::from_millis(world.rng.random_range(1..120));
         pass(&mut world, span, weather);
     }
-    calm(&mut world, weather);
+    end_all_faults(&mut world, weather);
     world
 }
 
@@ -67,7 +67,7 @@
     Site(world.rng.random_range(0..world.machines.len()))
 }
 
-fn trouble(world: &mut World, weather: Weather) {
+fn inject_fault(world: &mut World, weather: Weather) {
     let site = any_site(world);
     let other = any_site(world);
     match world.rng.random_range(0..14) {
@@ -142,7 +142,7 @@
 
 /// Whether the decided group is made of disks that exist, so that it can bear the loss of one.
 fn is_complete(world: &World) -> bool {
-    let group = world.oracle.decided_group();
+    let group = world.oracle.committed_group();
     !group.is_joint() && group.voters.iter().all(|voter| world.site_of(*voter).is_some())
 }
 
@@ -164,7 +164,7 @@
 }
 
 /// All troubles end; then the partition must have a leader, a whole group, and decide.
-fn calm(world: &mut World, weather: Weather) {
+fn end_all_faults(world: &mut World, weather: Weather) {
     world.heal();
     world.network.loss = 0.0;
     world.network.straggling = 0.0;
