--- a/crates/node/src/memory/settlement.rs
+++ b/crates/node/src/memory/settlement.rs
@@ -4,7 +4,7 @@
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_maintenance::{self as maintenance, Moved, Permit, Works};
-use grebeusher_volatile_raft::Machine;
+use grebeusher_volatile_raft::StateMachine;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -52,12 +52,12 @@
     }
 }
 
-impl Machine for Settlement {
-    type Step = Step;
+impl StateMachine for Settlement {
+    type Command = Step;
     type Outcome = Outcome;
 
-    fn settles(&mut self, passed: Duration, steps: Vec<Step>) -> Vec<Outcome> {
-        let us = self.rest_us + passed.nanos() / 1000;
+    fn apply(&mut self, elapsed: Duration, steps: Vec<Step>) -> Vec<Outcome> {
+        let us = self.rest_us + elapsed.nanos() / 1000;
         self.rest_us = us % 1000;
         let passed_ms = us / 1000;
         let (mut asks, mut works, mut wholes) = (Vec::new(), Vec::new(), None);
@@ -78,11 +78,11 @@
         grants.into_iter().map(Outcome::Part).chain(moves).collect()
     }
 
-    fn waits(&self) -> bool {
+    fn depends_on_time(&self) -> bool {
         self.works.waits() || self.division.waits()
     }
 
-    fn founded(&mut self, at: Instant) {
+    fn bootstrapped(&mut self, at: Instant) {
         self.division.numbers_beyond(at.0 / 1000);
     }
 }
--- a/crates/node/src/wire/settling.rs
+++ b/crates/node/src/wire/settling.rs
@@ -5,7 +5,7 @@
 use crate::wire::fellows::{KEEPER, OUTCOME, Post, STEP};
 use grebeusher_budgets::{Ask, Grant};
 use grebeusher_dispatch::time::Instant;
-use grebeusher_volatile_raft::{Host, Keeper};
+use grebeusher_volatile_raft::{GroupOrigin, Host, Voter};
 use std::mem;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -31,7 +31,7 @@
         self.post.say_bytes(self.keepers[place], KEEPER, datagram);
     }
 
-    fn settled(&mut self, outcome: Outcome) {
+    fn applied(&mut self, outcome: Outcome) {
         match (outcome.node(), &outcome) {
             (_, Outcome::Moved(moved)) => {
                 info!(decision = moved.number, "plan: decision {}: {}", moved.number, moved.what);
@@ -44,14 +44,16 @@
         }
     }
 
-    fn belongs(&mut self, group: u64, founds: bool) {
-        match founds {
-            true => warn!(group, "keepers: group {group:016x} is founded here, as most keepers had nothing"),
-            false => info!(group, "keepers: this one belongs to group {group:016x}"),
+    fn joined_group(&mut self, group: u64, origin: GroupOrigin) {
+        match origin {
+            GroupOrigin::Bootstrapped => {
+                warn!(group, "keepers: group {group:016x} is founded here, as most keepers had nothing")
+            }
+            GroupOrigin::Joined => info!(group, "keepers: this one belongs to group {group:016x}"),
         }
     }
 
-    fn leads(&mut self, place: usize, term: u64) {
+    fn leader_changed(&mut self, place: usize, term: u64) {
         let leader = self.keepers[place];
         info!(leader, term, "keepers: node {leader} leads, term {term}");
         self.post.counters.leaders.up();
@@ -61,7 +63,7 @@
 pub struct Settling {
     post: Rc<Post>,
     keepers: Rc<[u32]>,
-    keeper: Option<Keeper<Settlement, Hand>>,
+    keeper: Option<Voter<Settlement, Hand>>,
     /// The keeper that is asked, by its place, and how often since it answered.
     asked: usize,
     unanswered: u32,
@@ -89,7 +91,7 @@
                 outcomes: Vec::new(),
                 moved: false,
             };
-            Keeper::new(now, place, keepers.len(), seed, empty, hand)
+            Voter::new(now, place, keepers.len(), seed, empty, hand)
         });
         // Those who ask begin with one each.
         let asked = own as usize % keepers.len();
@@ -100,17 +102,17 @@
     pub fn figures(&self) -> (Option<u32>, Option<u64>) {
         let own = self.keeper.as_ref();
         let leader = own.map_or(Some(self.asked), |keeper| keeper.leader());
-        let settled = own.and_then(|keeper| keeper.settled()).map(|(_, entries)| entries);
+        let settled = own.and_then(|keeper| keeper.applied()).map(|(_, entries)| entries);
         (leader.map(|place| self.keepers[place]), settled)
     }
 
     pub fn next_due(&self) -> Option<Instant> {
-        self.keeper.as_ref().map(Keeper::next_due)
+        self.keeper.as_ref().map(Voter::next_wake)
     }
 
     pub fn due(&mut self, now: Instant) {
         if let Some(keeper) = &mut self.keeper {
-            keeper.due(now);
+            keeper.tick(now);
         }
     }
 
@@ -133,8 +135,9 @@
     /// To whoever leads. What another keeper has handed on goes no further: the two may be of different minds.
     fn hands_on(&mut self, now: Instant, from: (u32, SocketAddr), step: Step, further: bool) {
         let Some(keeper) = &mut self.keeper else { return };
-        if keeper.leads() {
-            keeper.propose(now, step);
+        if keeper.is_leader() {
+            // A step that is rejected is lost like any other; who asked asks again.
+            let _ = keeper.propose(now, step);
         } else if let Some(leader) = keeper.leader().filter(|_| further) {
             self.post.say_to(self.keepers[leader], STEP, &(false, from, step));
         }
@@ -143,7 +146,7 @@
     /// What others said; `false` if nothing can be made of it.
     pub fn heard(&mut self, now: Instant, kind: u8, body: &[u8]) -> bool {
         match kind {
-            KEEPER => self.keeper.as_mut().is_some_and(|keeper| keeper.heard(now, body)),
+            KEEPER => self.keeper.as_mut().is_some_and(|keeper| keeper.receive(now, body).is_ok()),
             STEP => {
                 let Ok((further, from, step)) = postcard::from_bytes(body) else { return false };
                 self.post.asked_by(from);
@@ -167,7 +170,7 @@
 
     /// The state as it is settled here, if this node leads.
     pub fn where_it_leads<R>(&self, reads: impl FnOnce(&Settlement) -> R) -> Option<R> {
-        self.keeper.as_ref().filter(|keeper| keeper.leads())?.with_state(reads)
+        self.keeper.as_ref().filter(|keeper| keeper.is_leader())?.with_state(reads)
     }
 
     /// Whether the plan has moved on here since this was asked last.
--- /dev/null
+++ b/crates/volatile-raft/src/voter/membership.rs
@@ -0,0 +1,45 @@
+//! The leader replaces incarnations of voters that have restarted.
+
+use grebeusher_dispatch::time::{Duration, Instant};
+use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
+
+use super::Voter;
+use crate::incarnation::Incarnation;
+use crate::{Host, StateMachine};
+
+/// A leader proposes membership changes at most at this interval.
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(200);
+
+impl<M: StateMachine, H: Host<M>> Voter<M, H> {
+    /// Where this voter leads, proposes to replace the former incarnations of a voter by this one, which belongs to no
+    /// group yet.
+    pub(super) fn replace_incarnation(&mut self, now: Instant, incarnation: Incarnation) {
+        let Some(group) = self.group.as_mut().filter(|group| group.is_leader()) else { return };
+        let members = group.node.store().members();
+        let is_too_soon = now.since(group.last_membership_change) < MIN_CHANGE_INTERVAL;
+        if members.contains(&incarnation.0) || is_too_soon {
+            return;
+        }
+        group.last_membership_change = now;
+        // `raft` rejects it while another change is in progress; the next hello retries.
+        let _ = group.node.propose_conf_change(Vec::new(), replacement(&members, incarnation));
+        self.process_ready(now);
+    }
+}
+
+fn replacement(members: &[u64], incarnation: Incarnation) -> ConfChangeV2 {
+    let former = members.iter().filter(|member| Incarnation(**member).voter() == incarnation.voter());
+    let mut changes: Vec<ConfChangeSingle> =
+        former.map(|member| single_change(ConfChangeType::RemoveNode, *member)).collect();
+    changes.push(single_change(ConfChangeType::AddNode, incarnation.0));
+    let mut change = ConfChangeV2::default();
+    change.set_changes(changes.into());
+    change
+}
+
+fn single_change(kind: ConfChangeType, member: u64) -> ConfChangeSingle {
+    let mut change = ConfChangeSingle::default();
+    change.set_change_type(kind);
+    change.node_id = member;
+    change
+}
