--- a/crates/quorum/src/disk/mod.rs
+++ b/crates/quorum/src/disk/mod.rs
@@ -10,7 +10,9 @@
 mod files;
 mod format;
 mod identity;
+mod layout;
 mod records;
+mod recovery;
 mod slot;
 mod store;
 
--- a/crates/quorum/src/disk/store.rs
+++ b/crates/quorum/src/disk/store.rs
@@ -6,9 +6,11 @@
 
 use snafu::{ResultExt, ensure};
 
-use super::error::{DamagedSnafu, IoSnafu, NewerFormatSnafu, PoisonedSnafu, StoreError};
+use super::error::{IoSnafu, PoisonedSnafu, StoreError};
 use super::files;
-use super::records::{ChecksumChain, Record, UnknownRecord, VerifiedRecord};
+use super::layout::{log_path, slot_path};
+use super::records::{ChecksumChain, Record};
+use super::recovery::{self, Generation};
 use super::slot::Slot;
 use crate::entry::{Entry, HardState, RestoredState, Snapshot, Write};
 
@@ -36,18 +38,6 @@
     dirty: bool,
 }
 
-/// What a log's file holds.
-#[derive(Debug)]
-struct LogContent {
-    generation: u64,
-    hard_state: HardState,
-    entries: Vec<Entry>,
-    length: u64,
-    chain: ChecksumChain,
-    /// There is more than the first record, so the generation has been active.
-    was_active: bool,
-}
-
 impl Store {
     /// Opens the files in `folder`, which belongs to this store alone, and creates them if there are none. What is
     /// returned is synced: a torn end of the log has been cut off, and a generation that was not finished is left out.
@@ -57,20 +47,8 @@
     /// When the disk returns an error, what was synced once can't be read, or a newer version of this program has written it.
     pub fn open(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         files::create_folder(folder)?;
-        let slots = [read_slot(folder, 0)?, read_slot(folder, 1)?];
-        let logs = [read_log(folder, 0)?, read_log(folder, 1)?];
-        let newest = (0..2)
-            .filter(|&parity| is_complete(&slots[parity], &logs[parity]))
-            .max_by_key(|&parity| slots[parity].as_ref().map(|slot| slot.generation));
-        let generation = newest.and_then(|parity| slots[parity].as_ref()).map(|slot| slot.generation);
-        ensure_no_synced_file_lost(folder, generation, &slots, &logs)?;
-        let newest_files = newest.and_then(|parity| {
-            let slot = slots.into_iter().nth(parity).flatten()?;
-            let log = logs.into_iter().nth(parity).flatten()?;
-            Some((slot, log))
-        });
-        match newest_files {
-            Some((slot, log)) => Store::resume(folder, slot, log),
+        match recovery::newest_generation(folder)? {
+            Some(generation) => Store::resume(folder, generation),
             None => Store::create(folder),
         }
     }
@@ -96,7 +74,8 @@
 
     /// Opens a generation that was found complete. A process that ended between write and sync leaves files that
     /// are readable but not yet safe, so they are synced first.
-    fn resume(folder: &Path, slot: Slot, content: LogContent) -> Result<(Store, RestoredState), StoreError> {
+    fn resume(folder: &Path, found: Generation) -> Result<(Store, RestoredState), StoreError> {
+        let Generation { slot, log: content } = found;
         let generation = slot.generation;
         let path = log_path(folder, generation);
         let file =
@@ -210,14 +189,6 @@
     }
 }
 
-fn slot_path(folder: &Path, generation: u64) -> PathBuf {
-    folder.join(format!("slot-{}", generation % 2))
-}
-
-fn log_path(folder: &Path, generation: u64) -> PathBuf {
-    folder.join(format!("log-{}", generation % 2))
-}
-
 fn write_slot(folder: &Path, slot: Slot) -> Result<(), StoreError> {
     files::replace(&slot_path(folder, slot.generation), &slot.to_bytes())?;
     files::sync_folder(folder)
@@ -236,83 +207,3 @@
     files::sync_folder(folder)?;
     Ok(LogFile { path, file, length: bytes.len() as u64, chain, dirty: false })
 }
-
-fn read_slot(folder: &Path, parity: u64) -> Result<Option<Slot>, StoreError> {
-    let path = slot_path(folder, parity);
-    let content = files::read(&path)?;
-    ensure!(!Slot::is_newer(&content), NewerFormatSnafu { what: "the slot", path });
-    Ok(Slot::from_bytes(&content).filter(|slot| slot.generation % 2 == parity))
-}
-
-fn read_log(folder: &Path, parity: u64) -> Result<Option<LogContent>, StoreError> {
-    let path = log_path(folder, parity);
-    let content = files::read(&path)?;
-    let newer = |_: UnknownRecord| NewerFormatSnafu { what: "a record of the log", path: &path }.build();
-    let base = read_base(&content).map_err(newer)?;
-    let Some(mut log) = base.filter(|log| log.generation % 2 == parity) else {
-        return Ok(None);
-    };
-    while let Some(VerifiedRecord { record, chain, size }) =
-        log.chain.read(&content[log.length as usize..]).map_err(newer)?
-    {
-        match record {
-            Record::Base { .. } => break,
-            Record::HardState(hard_state) => log.hard_state = hard_state,
-            Record::Entries(entries) => {
-                let follows = replace_tail(&mut log.entries, entries);
-                ensure!(follows, DamagedSnafu { what: "the entries have a gap", path });
-            }
-        }
-        log.chain = chain;
-        log.length += size as u64;
-        log.was_active = true;
-    }
-    Ok(Some(log))
-}
-
-/// The first record.
-fn read_base(content: &[u8]) -> Result<Option<LogContent>, UnknownRecord> {
-    Ok(match ChecksumChain::START.read(content)? {
-        Some(VerifiedRecord { record: Record::Base { generation, hard_state, entries }, chain, size }) => {
-            Some(LogContent {
-                generation,
-                hard_state,
-                entries,
-                length: size as u64,
-                chain,
-                was_active: false,
-            })
-        }
-        _ => None,
-    })
-}
-
-/// Replaces everything from the first new entry's index on. Returns whether the result has no gap.
-fn replace_tail(entries: &mut Vec<Entry>, newer: Vec<Entry>) -> bool {
-    let Some(first) = newer.first().map(|entry| entry.index) else { return true };
-    entries.truncate(entries.partition_point(|entry| entry.index < first));
-    let follows = entries.last().is_none_or(|last| last.index.next() == first);
-    entries.extend(newer);
-    follows
-}
-
-fn is_complete(slot: &Option<Slot>, log: &Option<LogContent>) -> bool {
-    matches!((slot, log), (Some(slot), Some(log)) if slot.generation == log.generation)
-}
-
-/// Rejects a disk that has lost what it had synced. A slot is written only after its log, a log is appended to only after
-/// its slot, and only the first generation has none before it.
-fn ensure_no_synced_file_lost(
-    folder: &Path,
-    active: Option<u64>,
-    slots: &[Option<Slot>; 2],
-    logs: &[Option<LogContent>; 2],
-) -> Result<(), StoreError> {
-    let newest = active.unwrap_or(0);
-    let slot_without_log = slots.iter().flatten().any(|slot| slot.generation > newest);
-    ensure!(!slot_without_log, DamagedSnafu { what: "the log of a slot is not whole", path: folder });
-    let is_ahead = |log: &LogContent| log.was_active || log.generation > newest + 1;
-    let log_without_slot = logs.iter().flatten().any(|log| log.generation > newest && is_ahead(log));
-    ensure!(!log_without_slot, DamagedSnafu { what: "the slot of a log is not whole", path: folder });
-    Ok(())
-}
--- a/crates/quorum/tests/codec.rs
+++ b/crates/quorum/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The binary form of messages: whole, cut, bent and made up.
+//! The binary form of messages: intact, truncated, corrupted and made up.
 
 use grebeusher_quorum::{
     Append, AppendOutcome, AppendResponse, Blob, Body, ClusterId, DecodeError, Entry, Group, Index,
@@ -136,7 +136,7 @@
     #[test]
     fn message_round_trips(message in message()) {
         let bytes = encode(&message);
-        // Made-up terms may lie below those of the entries; such a message is refused as a whole.
+        // Made-up terms may lie below those of the entries; such a message is rejected.
         match decode(&bytes) {
             Ok(read) => prop_assert_eq!(read, message),
             Err(error) => prop_assert!(matches!(error, DecodeError::Implausible)),
@@ -160,7 +160,7 @@
         let _ = decode(&bytes);
     }
 
-    /// Whatever arrives, in whatever order: no panic, and what a replica takes for decided only grows.
+    /// Whatever arrives, in whatever order: no panic, and what a replica takes for committed only grows.
     #[test]
     fn no_message_panics_a_replica(steps in vec(step(), 1..60), seed in any::<u64>()) {
         let hard_state = grebeusher_quorum::HardState { term: Term(1), cluster_id: Some(FOUNDING), ..Default::default() };
@@ -215,7 +215,7 @@
     let mut bytes = encode(&message);
     let count = bytes.len() - 4;
     bytes[count..].copy_from_slice(&u32::MAX.to_le_bytes());
-    // Then it is refused; room for the entries would be hundreds of gigabytes, and the test would not end
+    // Then it is rejected; room for the entries would be hundreds of gigabytes, and the test would not end
     assert!(matches!(decode(&bytes), Err(DecodeError::Malformed { .. })));
 }
 
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -276,7 +276,7 @@
         put(copy.path(), &slot, &new_slot[..end]);
         assert_eq!(reopened(copy.path()), state_before);
     }
-    // Then only the whole slot puts the new generation in force
+    // Then only the complete slot activates the new generation
     let copy = copy_of(before.path());
     put(copy.path(), &log, &new_log);
     put(copy.path(), &slot, &new_slot);
@@ -392,7 +392,7 @@
 fn fill_disk(folder: &Path) {
     let (mut store, _) = Store::open(folder).expect("it is empty");
     store.write(&[Write::Entries(vec![entry(1, 1, 100)])]).expect("there is room");
-    // When a record does not fit, nor a generation, they are refused, again and again
+    // When a record does not fit, nor a generation, they are rejected, again and again
     let long = Write::Entries(vec![entry(2, 1, 100_000)]);
     let state = Write::Snapshot {
         snapshot: snapshot(1, 1, 1),
@@ -460,7 +460,7 @@
             Identity::load_or_create(folder.path(), 42).expect("it is empty");
             let whole = read(folder.path(), name);
             put(folder.path(), name, &whole[..end]);
-            // Then it is the same, and both copies are whole again
+            // Then it is the same, and both copies are intact again
             let identity = Identity::load_or_create(folder.path(), 43).expect("one copy is whole");
             assert_eq!(identity, Identity { id: ReplicaId(42), existed: true });
             assert_eq!(read(folder.path(), name), whole);
@@ -504,7 +504,7 @@
     let mut now = Instant(0);
     let mut sum = 0;
     for life in 0..6u64 {
-        // Given a replica that is alone, with what it left on disk in its life before
+        // Given a replica that is alone, with what it left on disk in its incarnation before
         let identity = Identity::load_or_create(folder.path(), 7 + life).expect("the disk works");
         let (mut store, restored) = Store::open(&partition).expect("the disk works");
         let mut replica = Replica::new(identity.id, restored, timing, life, now);
@@ -534,7 +534,7 @@
                 }
             }
         }
-        // Then all commands of all lives are there
+        // Then all commands of all incarnations are there
         assert!(replica.lease_holds(now));
         assert_eq!(state, sum);
     }
--- a/crates/quorum/tests/elections.rs
+++ b/crates/quorum/tests/elections.rs
@@ -11,7 +11,7 @@
 /// Long enough for an election and some more.
 const A_WHILE: Duration = Duration::from_millis(1_500);
 
-/// A world of three with a leader that has decided something; the leader and the others.
+/// A world of three with a leader that has committed something; the leader and the others.
 fn three(seed: u64) -> (World, Site, Vec<Site>) {
     let mut world = World::new(seed, 3, 0);
     let leader = world.elect();
@@ -27,7 +27,7 @@
 #[case(3)]
 #[case(5)]
 fn bootstrapped_partition_elects_a_leader_and_commits(#[case] voters: usize) {
-    // Given a partition that was just founded
+    // Given a partition that was just bootstrapped
     let mut world = World::new(7, voters, 0);
     // When it has a leader, and that one is given commands
     let leader = world.elect();
@@ -48,7 +48,7 @@
     let id = ReplicaId(5);
     let group = Group::of([id, ReplicaId(6), ReplicaId(7)]);
     let mut replica = Replica::new(id, RestoredState::default(), TIMING, 1, Instant(0));
-    // When it is founded, the same again is fine, and anything else is refused
+    // When it is bootstrapped, the same again is fine, and anything else is rejected
     assert_eq!(replica.bootstrap(Group::of([ReplicaId(6)])), Err(BootstrapError::Invalid));
     assert_eq!(replica.bootstrap(group.clone()), Ok(()));
     assert_eq!(replica.bootstrap(group.clone()), Ok(()));
@@ -60,7 +60,7 @@
 
 #[test]
 fn interrupted_bootstrap_can_be_repeated() {
-    // Given a disk that kept the promises of a founding, and not the entry
+    // Given a disk that kept the cluster id of a bootstrap, and not the entry
     let id = ReplicaId(5);
     let group = Group::of([id]);
     let mut replica = Replica::new(id, RestoredState::default(), TIMING, 1, Instant(0));
@@ -70,7 +70,7 @@
         panic!("promises come first")
     };
     let restored = RestoredState { hard_state: *hard_state, ..RestoredState::default() };
-    // When it is founded anew
+    // When it is bootstrapped again
     let mut replica = Replica::new(id, restored, TIMING, 1, Instant(0));
     replica.bootstrap(group.clone()).expect("it is the same");
     // Then it has the entry
@@ -129,7 +129,7 @@
     // When the leader loses power for good
     world.lose_power(leader);
     world.run_until(A_WHILE, "a new leader", |world| world.leader().is_some());
-    // Then another one has all that was decided, and decides more
+    // Then another one has all that was committed, and commits more
     let successor = world.leader().expect("just seen");
     assert!(others.contains(&successor));
     world.propose(successor);
@@ -246,7 +246,7 @@
 
 #[test]
 fn messages_for_others_are_dropped() {
-    // Given a leader of a term far ahead, in a partition that was founded otherwise
+    // Given a leader of a term far ahead, in a partition that was bootstrapped with another group
     let (mut world, leader, others) = three(19);
     let before = world.replica(leader).term();
     let heartbeat = |from, to, cluster_id| Message {
@@ -300,7 +300,7 @@
 #[test]
 fn transfer_to_an_unreachable_voter_ends_with_a_leader() {
     let (mut world, leader, others) = three(21);
-    // Given a target that dies just when it is told to take over
+    // Given a target that dies just when it is sent TimeoutNow
     let target = world.identity(others[0]);
     world.call(leader, |replica, now| replica.transfer_leadership(now, Some(target))).expect("it is a voter");
     world.lose_power(others[0]);
@@ -356,7 +356,7 @@
         world.propose(leader);
         world.run(Duration::from_millis(10));
     }
-    // Then they are decided by the rest
+    // Then they are committed by the rest
     assert_eq!(world.machines[leader.0].application.state.commands, 21);
 }
 
--- a/crates/quorum/tests/groups.rs
+++ b/crates/quorum/tests/groups.rs
@@ -229,7 +229,7 @@
     world.run(Duration::from_millis(30));
     // Then the old group decides it
     assert_eq!(world.oracle.commands(), before + 1);
-    // And without the other voter nothing is decided, whatever the learner does
+    // And without the other voter nothing is committed, whatever the learner does
     world.lose_power(others[0]);
     world.heal();
     let before = world.oracle.commands();
@@ -261,7 +261,7 @@
     let mut ages: Vec<usize> = vec![0; voters + spares];
     let mut commands = 20;
     for round in 1..=8 {
-        // Given a group that is whole, and a command that was just acknowledged
+        // Given a group that is complete, and a command that was just acknowledged
         let leader = world.elect();
         world.propose(leader);
         world.run(Duration::from_millis(60));
@@ -302,7 +302,7 @@
     let lost = if seed.is_multiple_of(2) { leader } else { second };
     world.lose_power(lost);
     world.wipe(lost);
-    // Then the others decide on, and the group gets whole without both
+    // Then the others go on committing, and the group gets complete without both
     world.start(lost);
     let members: Vec<Site> =
         world.sites().into_iter().filter(|site| *site != first || *site == spare).collect();
--- a/crates/quorum/tests/guards.rs
+++ b/crates/quorum/tests/guards.rs
@@ -30,7 +30,7 @@
     let before = world.oracle.last_committed();
     world.sync = Duration::from_millis(40);
     world.propose(leader);
-    // When power goes as soon as the command is decided, or soon
+    // When power goes as soon as the command is committed, or soon
     for _ in 0..100 {
         world.run(Duration::from_millis(1));
         if world.oracle.last_committed() > before {
@@ -66,7 +66,7 @@
     world.restart(second);
     world.partition(first, second);
     world.run(Duration::from_millis(400));
-    // Then what the first one decided is still there when the first one is lost
+    // Then what the first one committed is still there when the first one is lost
     world.lose_power(first);
     world.network.slow.clear();
     world.heal();
@@ -77,7 +77,7 @@
 
 /// A disk that held a copy is lost, and the one that had missed it comes back.
 fn wiped_replica(seed: u64, fault: Fault) -> World {
-    // Given a command that the leader and the first one have decided, and the second one has missed
+    // Given a command that the leader and the first one have committed, and the second one has missed
     let (mut world, [leader, first, second]) = start(seed, fault);
     world.partition(leader, second);
     world.partition(first, second);
@@ -89,7 +89,7 @@
     world.restart(second);
     world.start(first);
     world.heal();
-    // Then nothing is decided without the leader that still has it
+    // Then nothing is committed without the leader that still has it
     world.propose_for(Duration::from_millis(2_000), Duration::from_millis(20));
     world.start(leader);
     world.propose_for(Duration::from_millis(1_000), Duration::from_millis(20));
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -121,7 +121,7 @@
 }
 
 impl World {
-    /// All three are founded, and the first one leads the partition in term 2 and has decided its opening.
+    /// All three are bootstrapped, and the first one leads the partition in term 2 and has committed its no-op entry.
     fn start(with_spare: bool) -> World {
         let group = Group::of(VOTERS);
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(group.clone()) };
--- a/crates/quorum/tests/rules.rs
+++ b/crates/quorum/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of a replica, message by message: what it promises, and what it must not.
+//! Single rules of a replica, message by message: what it must do, and what it must not.
 
 use grebeusher_quorum::{
     Append, AppendOutcome, AppendResponse, Blob, Body, Entry, Group, HardState, Index, LeaderTimestamp,
@@ -199,11 +199,11 @@
 
 #[test]
 fn newer_term_survives_a_restart() {
-    // Given a replica that refused a vote in term 9, and so knows of it
+    // Given a replica that rejected a vote in term 9, and so knows of it
     let mut bench = Bench::new(3, &[1, 3]);
     assert_eq!(bench.vote(SECOND, 9, position(1, 1), false), Some(false));
     bench.restart();
-    // Then a leader of an older term is refused after the restart too
+    // Then a leader of an older term is rejected after the restart too
     let sent = bench.hear_leader(THIRD, 8);
     assert_eq!(outcome(&sent), Some(AppendOutcome::StaleTerm));
     assert_eq!(bench.replica.term(), Term(9));
@@ -214,7 +214,7 @@
     // Given a voter that has just heard of a leader
     let mut bench = Bench::new(3, &[1]);
     bench.hear_leader(SECOND, 3);
-    // Then it votes for nobody, not even for a later term, and adopts no term, for the whole span
+    // Then it votes for nobody, not even for a later term, and enters no term, for the whole span
     for _ in 0..2 {
         assert_eq!(bench.pre_vote(THIRD, 4, position(9, 3)), Some(false));
         assert_eq!(bench.vote(THIRD, 4, position(9, 3), false), None);
@@ -264,11 +264,11 @@
     // Given a leader of a later term with an old entry that no quorum had
     let mut bench = Bench::new(3, &[1, 2]);
     let term = bench.become_leader();
-    // When a quorum has the old entry, it is not decided: another leader may still replace it
+    // When a quorum has the old entry, it is not committed: another leader may still replace it
     bench.matched(SECOND, term, 2);
     assert_eq!(bench.replica.commit_index(), Index(0));
     assert!(!bench.replica.lease_holds(bench.now), "what it does not know to be decided can't be read");
-    // Then it is decided with the leader's first entry
+    // Then it is committed with the leader's first entry
     bench.matched(SECOND, term, 3);
     assert_eq!(bench.replica.commit_index(), Index(3));
     assert!(bench.replica.lease_holds(bench.now));
@@ -288,7 +288,7 @@
     let message =
         Message { from: SECOND, to: ME, cluster_id, term: Term(term), body: Body::AppendResponse(response) };
     bench.replica.receive(bench.now, SECOND, message);
-    // Then it is not decided before the leader's own sync
+    // Then it is not committed before the leader's own sync
     assert_eq!(bench.replica.commit_index(), Index(2));
     bench.replica.synced();
     assert_eq!(bench.replica.commit_index(), Index(3));
@@ -297,7 +297,7 @@
 #[test]
 fn append_requires_a_matching_previous_entry() {
     let mut bench = Bench::new(3, &[1, 2, 2]);
-    // Given an append after an entry of another term, or after one that is missing: it is refused with a hint
+    // Given an append after an entry of another term, or after one that is missing: it is rejected with a hint
     let sent = bench.append(SECOND, 4, position(3, 3), 0, vec![entry(4, 4)]);
     assert_eq!(outcome(&sent), Some(AppendOutcome::Conflict { rejected: Index(3), hint: Index(2) }));
     let sent = bench.append(SECOND, 4, position(7, 1), 0, vec![entry(8, 4)]);
@@ -314,7 +314,7 @@
 
 #[test]
 fn committed_entries_are_never_truncated() {
-    // Given a follower that knows three entries to be decided
+    // Given a follower that knows three entries to be committed
     let mut bench = Bench::new(3, &[1, 2, 2]);
     bench.append(SECOND, 3, position(3, 2), 3, Vec::new());
     assert_eq!(bench.replica.commit_index(), Index(3));
@@ -330,7 +330,7 @@
 
 #[test]
 fn truncating_a_group_entry_restores_the_previous_group() {
-    // Given a follower with a joint group that is not decided
+    // Given a follower with a joint group that is not committed
     let mut bench = Bench::new(3, &[1]);
     let joint = Group { voters: vec![ReplicaId(7)], outgoing: group().voters };
     bench.append(SECOND, 3, position(1, 1), 1, vec![group_entry(2, 3, joint.clone())]);
@@ -343,7 +343,7 @@
 
 #[test]
 fn change_proceeds_when_its_joint_group_is_committed() {
-    // Given a leader that begins to remove the third one behind a command that is not decided
+    // Given a leader that begins to remove the third one behind a command that is not committed
     let mut bench = Bench::new(3, &[1]);
     let term = bench.become_leader();
     bench.matched(SECOND, term, 2);
@@ -351,10 +351,10 @@
     bench.replica.change_group(bench.now, vec![ME, SECOND]).expect("nothing is under way");
     bench.work();
     assert!(bench.replica.group().is_joint());
-    // When the command is decided, the group is still joint
+    // When the command is committed, the group is still joint
     bench.matched(SECOND, term, 3);
     assert_eq!((bench.replica.commit_index(), bench.replica.last()), (Index(3), position(4, term)));
-    // Then it is the new one after the joint one is decided
+    // Then it is the new one after the joint one is committed
     bench.matched(SECOND, term, 4);
     assert_eq!(bench.replica.group(), &Group::of([ME, SECOND]));
     assert_eq!(bench.replica.last(), position(5, term));
@@ -362,12 +362,12 @@
 
 #[test]
 fn removed_replica_gets_no_vote_from_voters_that_know_it() {
-    // Given a voter that knows a group without the third one to be decided
+    // Given a voter that knows a group without the third one to be committed
     let mut bench = Bench::new(3, &[1]);
     let smaller = Group::of([ME, SECOND]);
     bench.append(SECOND, 3, position(1, 1), 2, vec![group_entry(2, 3, smaller)]);
     bench.now = bench.now + Duration::from_millis(1_000);
-    // When the third one, which has the entry and does not know that it is decided, would like to own the partition
+    // When the third one, which has the entry and does not know that it is committed, asks for votes
     assert_eq!(bench.pre_vote(THIRD, 4, position(2, 3)), Some(false));
     assert_eq!(bench.vote(THIRD, 4, position(2, 3), false), Some(false));
     // Then only one that may know of a later group could
@@ -399,10 +399,10 @@
 
 #[test]
 fn snapshot_replaces_the_entries_it_contains() {
-    // Given a follower with entries that are not known to be decided
+    // Given a follower with entries that are not known to be committed
     let mut bench = Bench::new(3, &[1, 2, 2]);
     let cluster_id = group().cluster_id();
-    // When it gets a snapshot that contains the second one, and hears that the third one is decided
+    // When it gets a snapshot that contains the second one, and hears that the third one is committed
     let chunk = grebeusher_quorum::SnapshotChunk {
         last: position(2, 2),
         group: group(),
@@ -456,7 +456,7 @@
     assert_eq!(received(&bench.receive(SECOND, 3, piece(6, 3, 6))), Some(0));
     assert_eq!(received(&bench.receive(SECOND, 3, piece(6, 0, 6))), Some(3));
     assert_eq!(received(&bench.receive(THIRD, 4, piece(6, 3, 6))), Some(0));
-    // Then it waits for the rest of the same one, and a piece that is there already adds nothing
+    // Then it waits for the rest of the same one, and a chunk that is there already adds nothing
     assert_eq!(received(&bench.receive(THIRD, 4, piece(6, 0, 6))), Some(3));
     assert_eq!(received(&bench.receive(THIRD, 4, piece(6, 0, 6))), Some(3));
     assert_eq!(bench.replica.snapshot_index(), Index(0));
@@ -472,7 +472,7 @@
 fn follower_commits_only_what_is_known_to_match() {
     // Given a follower with entries beyond those that the leader has compared
     let mut bench = Bench::new(3, &[1, 2, 2]);
-    // When the leader, which has decided more, sends a heartbeat after the first
+    // When the leader, which has committed more, sends a heartbeat after the first
     bench.append(SECOND, 4, position(1, 1), 9, Vec::new());
     // Then only that one is
     assert_eq!(bench.replica.commit_index(), Index(1));
@@ -496,9 +496,9 @@
 
 #[test]
 fn hard_state_on_disk_does_not_depend_on_later_writes() {
-    // Given a follower that has entries that are not decided
+    // Given a follower that has entries that are not committed
     let mut bench = Bench::new(3, &[1, 2, 2]);
-    // When a new leader replaces them and tells in the same message that it has decided them
+    // When a new leader replaces them and tells in the same message that it has committed them
     let append = Append {
         previous: position(1, 1),
         commit: Index(3),
@@ -509,7 +509,7 @@
     let message = Message { from: SECOND, to: ME, cluster_id, term: Term(4), body: Body::Append(append) };
     bench.replica.receive(bench.now, SECOND, message);
     let ready = bench.replica.take_ready();
-    // Then the promises, which come first, don't call the old entries decided if power goes in between
+    // Then the hard state, which come first, don't call the old entries committed if power goes in between
     let Some(Write::HardState(hard_state)) = ready.writes.first() else { panic!("{:?}", ready.writes) };
     assert!(hard_state.commit <= Index(1), "{hard_state:?}");
 }
--- a/crates/quorum/tests/snapshots.rs
+++ b/crates/quorum/tests/snapshots.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Three voters whose snapshots take several pieces, one of them off while the others have gone far ahead.
+/// Three voters whose snapshots take several chunks, one of them off while the others have gone far ahead.
 fn one_far_behind(seed: u64) -> (World, Site) {
     let mut world = World::new(seed, 3, 0);
     world.compact_every = 10;
@@ -41,7 +41,7 @@
     // When it is back
     world.start(behind);
     world.settle(&[behind], BOUND);
-    // Then it went by the snapshot, and no message was larger than a piece and its surroundings
+    // Then it went by the snapshot, and no message was larger than a chunk and its surroundings
     assert!(world.replica(behind).snapshot_index() > Index(10));
     assert_eq!(world.machines[behind.0].application.state.commands, 40);
     assert!(world.sent_to(behind).largest < 300 * 1024, "{:?}", world.sent_to(behind));
@@ -84,7 +84,7 @@
     let leader = world.elect();
     world.network.slow.insert((leader, behind), Duration::from_millis(40));
     world.start(behind);
-    // When it restarts with some pieces, which are only in memory
+    // When it restarts with some chunks, which are only in memory
     world.run(Duration::from_millis(150));
     world.restart(behind);
     // Then it starts anew and gets there
--- a/crates/quorum/tests/stable_bytes.rs
+++ b/crates/quorum/tests/stable_bytes.rs
@@ -206,7 +206,7 @@
             .expect("there is room");
         store.sync().expect("the disk works");
     }
-    // then they are one and the same, and whole.
+    // then they are one and the same, and intact.
     assert_eq!(contents(old.path()), contents(new.path()));
     let entries = Store::open(old.path()).expect("it is whole").1.entries;
     assert_eq!(entries.len(), disk.holds.entries.len() + 1);
--- a/crates/quorum/tests/world/disk.rs
+++ b/crates/quorum/tests/world/disk.rs
@@ -11,7 +11,7 @@
 }
 
 impl Disk {
-    /// A disk that knows how the partition was founded, and nothing since.
+    /// A disk that knows how the partition was bootstrapped, and nothing since.
     pub fn forgetful(group: Group) -> Disk {
         let cluster_id = Some(group.cluster_id());
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(group) };
--- a/crates/quorum/tests/world/machine.rs
+++ b/crates/quorum/tests/world/machine.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// A snapshot, filled up so that it takes several pieces.
+    /// A snapshot, filled up so that it takes several chunks.
     fn snapshot(&self, filler: usize) -> Vec<u8> {
         let mut bytes = self.state.commands.to_le_bytes().to_vec();
         bytes.extend(self.state.digest.to_le_bytes());
@@ -68,12 +68,12 @@
     pub rejected: u64,
     pub frozen: bool,
     pub syncing: Option<Syncing>,
-    /// Counts the starts, so that events of an earlier life are void.
+    /// Counts the starts, so that events of an earlier incarnation are void.
     pub life: u64,
     pub wake_scheduled: Instant,
     /// The size of snapshots beyond their content.
     pub filler: usize,
-    /// States loaded from a leader or the own disk in this life.
+    /// States loaded from a leader or the own disk in this incarnation.
     pub loads: u64,
     /// Syncs so far.
     pub syncs: u64,
--- a/crates/quorum/tests/world/oracle.rs
+++ b/crates/quorum/tests/world/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens: one leader a term, a decided entry stays, states agree, reads are never stale.
+//! What must hold whatever happens: one leader a term, a committed entry stays, states agree, reads are never stale.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
 pub struct Oracle {
     leaders: BTreeMap<Term, ReplicaId>,
     committed: BTreeMap<Index, (Term, Blob)>,
-    /// The terms of all decided entries.
+    /// The terms of all committed entries.
     terms: BTreeMap<Index, Term>,
     /// How far the entries of each replica were checked since its start.
     checked: BTreeMap<ReplicaId, Index>,
     states: BTreeMap<Index, State>,
     cluster_id: Option<Group>,
     decided: Option<(Index, Group)>,
-    /// What a leader has told clients, or a read has shown.
+    /// What a leader has acknowledged to clients, or a read has shown.
     shown: Index,
     pub acknowledged: u64,
     pub reads: u64,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// All that a replica takes for decided and no check has seen yet, and the end of it again.
+    /// All that a replica takes for committed and no check has seen yet, and the end of it again.
     fn check_entries(&mut self, replica: &Replica) {
         let (identity, commit) = (replica.identity(), replica.commit_index());
         let checked = self.checked.get(&identity).copied().unwrap_or_default();
@@ -82,7 +82,7 @@
         self.checked.remove(&replica);
     }
 
-    /// The newest group that is known to be decided.
+    /// The newest group that is known to be committed.
     pub fn committed_group(&self) -> Group {
         self.decided.as_ref().map_or_else(|| self.bootstrap_group(), |(_, group)| group.clone())
     }
--- a/crates/quorum/tests/world/storm.rs
+++ b/crates/quorum/tests/world/storm.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// Whether the decided group is made of disks that exist, so that it can bear the loss of one.
+/// Whether the committed group is made of disks that exist, so that it can bear the loss of one.
 fn is_complete(world: &World) -> bool {
     let group = world.oracle.committed_group();
     !group.is_joint() && group.voters.iter().all(|voter| world.site_of(*voter).is_some())
@@ -163,7 +163,7 @@
     let _ = world.call(leader, |replica, now| replica.change_group(now, voters));
 }
 
-/// All troubles end; then the partition must have a leader, a whole group, and decide.
+/// All faults end; then the partition must have a leader, a complete group, and commit.
 fn end_all_faults(world: &mut World, weather: Weather) {
     world.heal();
     world.network.loss = 0.0;
