--- a/crates/quorum/src/progress.rs
+++ b/crates/quorum/src/progress/mod.rs
@@ -3,24 +3,15 @@
 //! Invariant: `matched < next`. A follower starts in `Probe`, goes to `Replicate` when its log is known to agree, and to
 //! `Snapshot` when it needs entries that the log no longer has.
 
-use std::collections::VecDeque;
+mod inflights;
+mod snapshot_transfer;
 
 use grebeusher_time::Instant;
 
 use crate::entry::Snapshot;
 use crate::ids::Index;
-
-/// Entries under way to one follower, in bytes, at most (one message beyond it may start).
-const WINDOW_BYTES: usize = 192 * 1024;
-
-/// Messages with entries under way to one follower, at most.
-const WINDOW_MESSAGES: usize = 64;
-
-/// A snapshot's bytes under way to one follower, at most.
-const SNAPSHOT_WINDOW: u64 = 2 * crate::MAX_CHUNK as u64;
-
-/// After so many heartbeats without a chunk arriving, the chunks in flight are taken for lost.
-const STALLED_HEARTBEATS: u32 = 10;
+use inflights::Inflights;
+pub(crate) use snapshot_transfer::SnapshotTransfer;
 
 /// How entries are sent to a follower.
 #[derive(Clone, Debug, Hash)]
@@ -28,41 +19,11 @@
     /// It is not known up to where its log agrees: one message at a time, and without entries while it does not respond.
     Probe { waiting: bool, silent: bool },
     /// Its log is known to agree: several messages at a time.
-    Replicate { inflights: VecDeque<Inflight>, bytes: usize },
+    Replicate(Inflights),
     /// It needs entries that only the snapshot still has.
     Snapshot(SnapshotTransfer),
 }
 
-/// A message with entries that has not been answered.
-#[derive(Clone, Copy, Debug, Hash)]
-pub(crate) struct Inflight {
-    last: Index,
-    bytes: usize,
-}
-
-/// A snapshot that is being sent.
-#[derive(Clone, Debug, Hash)]
-pub(crate) struct SnapshotTransfer {
-    pub(crate) snapshot: Snapshot,
-    pub(crate) sent: u64,
-    received: u64,
-    heartbeats_without_progress: u32,
-    finished: bool,
-}
-
-impl SnapshotTransfer {
-    /// Continues from what is known to have arrived.
-    fn resume(&mut self) {
-        self.sent = self.received;
-        self.finished = false;
-        self.heartbeats_without_progress = 0;
-    }
-
-    fn total(&self) -> u64 {
-        self.snapshot.bytes.len() as u64
-    }
-}
-
 /// One follower or learner.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
@@ -93,13 +54,8 @@
     /// follower is reachable.
     pub(crate) fn record_response(&mut self, sent: Instant) {
         self.last_response = self.last_response.max(Some(sent));
-        match &mut self.state {
-            ProgressState::Snapshot(transfer)
-                if transfer.heartbeats_without_progress >= STALLED_HEARTBEATS =>
-            {
-                transfer.resume()
-            }
-            _ => {}
+        if let ProgressState::Snapshot(transfer) = &mut self.state {
+            transfer.resume_if_stalled();
         }
     }
 
@@ -108,8 +64,8 @@
         self.heartbeat_due = true;
         match &mut self.state {
             ProgressState::Probe { waiting, silent } => *silent |= *waiting,
-            ProgressState::Replicate { .. } => {}
-            ProgressState::Snapshot(transfer) => transfer.heartbeats_without_progress += 1,
+            ProgressState::Replicate(_) => {}
+            ProgressState::Snapshot(transfer) => transfer.tick_heartbeat(),
         }
     }
 
@@ -117,12 +73,8 @@
     pub(crate) fn can_send(&self) -> bool {
         match &self.state {
             ProgressState::Probe { waiting, silent } => !waiting && !silent,
-            ProgressState::Replicate { inflights, bytes } => {
-                *bytes < WINDOW_BYTES && inflights.len() < WINDOW_MESSAGES
-            }
-            ProgressState::Snapshot(transfer) => {
-                !transfer.finished && transfer.sent - transfer.received < SNAPSHOT_WINDOW
-            }
+            ProgressState::Replicate(inflights) => !inflights.is_full(),
+            ProgressState::Snapshot(transfer) => transfer.can_send(),
         }
     }
 
@@ -130,9 +82,8 @@
     pub(crate) fn record_sent(&mut self, last: Index, bytes: usize) {
         match &mut self.state {
             ProgressState::Probe { waiting, .. } => *waiting = true,
-            ProgressState::Replicate { inflights, bytes: in_flight } => {
-                inflights.push_back(Inflight { last, bytes });
-                *in_flight += bytes;
+            ProgressState::Replicate(inflights) => {
+                inflights.push(last, bytes);
                 self.next = last.next();
             }
             ProgressState::Snapshot(_) => {}
@@ -144,16 +95,10 @@
         let advanced = index > self.matched;
         self.matched = self.matched.max(index);
         self.next = self.next.max(self.matched.next());
-        let matched = self.matched;
         match &mut self.state {
             ProgressState::Probe { .. } => self.become_replicate(),
-            ProgressState::Replicate { inflights, bytes } => {
-                while inflights.front().is_some_and(|inflight| inflight.last <= matched) {
-                    let Some(inflight) = inflights.pop_front() else { break };
-                    *bytes -= inflight.bytes;
-                }
-            }
-            ProgressState::Snapshot(transfer) if matched >= transfer.snapshot.last.index => {
+            ProgressState::Replicate(inflights) => inflights.free_to(self.matched),
+            ProgressState::Snapshot(transfer) if self.matched >= transfer.last_index() => {
                 self.become_replicate()
             }
             ProgressState::Snapshot(_) => {}
@@ -163,7 +108,7 @@
 
     fn become_replicate(&mut self) {
         self.next = self.matched.next();
-        self.state = ProgressState::Replicate { inflights: VecDeque::new(), bytes: 0 };
+        self.state = ProgressState::Replicate(Inflights::default());
     }
 
     /// An append after `rejected` did not fit; the logs may agree at `hint` at best. Responses to messages before the newest
@@ -171,7 +116,7 @@
     pub(crate) fn record_rejection(&mut self, rejected: Index, hint: Index) {
         let concerns_probe = match &self.state {
             ProgressState::Probe { .. } => rejected == self.next.previous(),
-            ProgressState::Replicate { .. } => rejected > self.matched && rejected < self.next,
+            ProgressState::Replicate(_) => rejected > self.matched && rejected < self.next,
             ProgressState::Snapshot(_) => false,
         };
         if concerns_probe {
@@ -182,56 +127,34 @@
 
     /// Starts sending a snapshot.
     pub(crate) fn become_snapshot(&mut self, snapshot: Snapshot) {
-        self.state = ProgressState::Snapshot(SnapshotTransfer {
-            snapshot,
-            sent: 0,
-            received: 0,
-            heartbeats_without_progress: 0,
-            finished: false,
-        });
+        self.state = ProgressState::Snapshot(SnapshotTransfer::new(snapshot));
     }
 
     /// The follower has this much of the snapshot that ends at `last`.
     pub(crate) fn record_snapshot_received(&mut self, last: Index, received: u64) {
-        let ProgressState::Snapshot(transfer) = &mut self.state else { return };
-        if transfer.snapshot.last.index != last || received > transfer.total() {
-            return;
-        }
-        if received > transfer.received {
-            transfer.heartbeats_without_progress = 0;
+        match &mut self.state {
+            ProgressState::Snapshot(transfer) if transfer.last_index() == last => {
+                transfer.record_received(received);
+            }
+            _ => {}
         }
-        // Less than before: the follower restarted and lost its chunks, or this is a delayed response. Either way the chunks
-        // from there on are sent again if no other response comes.
-        transfer.received = received;
-        transfer.sent = transfer.sent.max(received);
     }
 
     /// The last index of the snapshot that is being sent, if one is.
     pub(crate) fn pending_snapshot(&self) -> Option<Index> {
         match &self.state {
-            ProgressState::Snapshot(transfer) => Some(transfer.snapshot.last.index),
+            ProgressState::Snapshot(transfer) => Some(transfer.last_index()),
             _ => None,
         }
     }
 
     /// Whether its log is known to agree, and no entries are in flight.
     pub(crate) fn is_idle(&self) -> bool {
-        matches!(&self.state, ProgressState::Replicate { inflights, .. } if inflights.is_empty())
+        matches!(&self.state, ProgressState::Replicate(inflights) if inflights.is_empty())
     }
 
     /// Whether entries are sent to it as they are appended.
     pub(crate) fn is_replicating(&self) -> bool {
-        matches!(self.state, ProgressState::Replicate { .. })
-    }
-}
-
-impl SnapshotTransfer {
-    /// The byte range of the next chunk, which counts as sent from now on.
-    pub(crate) fn next_chunk(&mut self) -> std::ops::Range<usize> {
-        let start = self.sent;
-        let end = (start + crate::MAX_CHUNK as u64).min(self.total());
-        self.sent = end;
-        self.finished = end == self.total();
-        start as usize..end as usize
+        matches!(self.state, ProgressState::Replicate(_))
     }
 }
