--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,8 +1,12 @@
-//! A replicated log for one partition of the control state: terms and elections, a leader's lease, change of the group,
-//! snapshots, and the files of all that.
+//! Raft with disk storage for one partition of the control state: elections with pre-vote, a leader's lease, joint
+//! consensus, transfer of leadership, snapshots, and the files of a replica.
 //!
-//! [`Replica`] is a state machine: messages, time and proposals go in, and a [`Ready`] comes out that says what to
-//! write, to send and to apply. It does no I/O and reads no clock. [`disk::Store`] keeps what it writes.
+//! The tier (`grebeusher-tier`) runs one [`Replica`] for each partition and applies its commands; the simulation runs the
+//! same replicas on simulated links and disks. `grebeusher-volatile-raft` is the Raft without disks.
+//!
+//! [`Replica`] is a state machine without I/O or a clock: messages, time and proposals go in, and a [`Ready`] comes out
+//! with what to write, to send and to apply. [`disk::Store`] is its storage. The invariants that the code relies on are
+//! in `replica/mod.rs`.
 //!
 //! The loop of the program, for one partition:
 //!
@@ -19,20 +23,20 @@
 //! # fn snapshot_of_application() -> Vec<u8> { Vec::new() }
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
 //! let identity = Identity::load_or_create("data".as_ref(), random())?;
-//! let (mut store, restored) = Store::open("data/part-0".as_ref())?;
+//! let (mut store, restored) = Store::open("data/partition-0".as_ref())?;
 //! let timing = Timing {
-//!     heartbeat: Duration::from_millis(50),
-//!     election_min: Duration::from_millis(500),
-//!     election_max: Duration::from_millis(900),
-//!     lease: Duration::from_millis(400),
+//!     heartbeat_interval: Duration::from_millis(50),
+//!     election_timeout_min: Duration::from_millis(500),
+//!     election_timeout_max: Duration::from_millis(900),
+//!     lease_duration: Duration::from_millis(400),
 //! };
 //! let mut replica = Replica::new(identity.id, restored, timing, random(), now());
-//! // Only where the system starts for the first time, on each replica that the group names:
-//! replica.found(Group::of([identity.id, ReplicaId(2), ReplicaId(3)]))?;
+//! // Only at the first start of the system, on each replica of the group:
+//! replica.bootstrap(Group::of([identity.id, ReplicaId(2), ReplicaId(3)]))?;
 //! loop {
 //!     while replica.has_ready() {
 //!         let ready = replica.take_ready();
-//!         ready.ahead.into_iter().for_each(|(to, message)| send(to, message));
+//!         ready.immediate_messages.into_iter().for_each(|(to, message)| send(to, message));
 //!         store.write(&ready.writes)?;
 //!         if ready.must_sync {
 //!             store.sync()?;
@@ -49,7 +53,7 @@
 //!             replica.compact(ready.applied, snapshot_of_application())?;
 //!         }
 //!     }
-//!     // Take in all that waits before the next batch: one sync then serves it all.
+//!     // Process all messages that wait before the next batch, so that they share one sync.
 //!     match next_message(replica.next_wake()) {
 //!         Some(message) => replica.receive(now(), message.from, message),
 //!         None => replica.tick(now()),
@@ -59,8 +63,10 @@
 //! # }
 //! ```
 //!
-//! A failed write or sync is an error upward: the program drops replica and store, and ends or opens them anew by
-//! [`disk::Store::open_after_failure`]. A replica that was not told that something is synced must not go on.
+//! After a failed write or sync the program must drop the replica and its store, and may open them anew by
+//! [`disk::Store::open_after_failure`].
+
+#![warn(missing_docs)]
 
 pub mod disk;
 
@@ -69,22 +75,21 @@
 mod error;
 mod group;
 mod ids;
-mod log;
 mod message;
 mod progress;
+mod raft_log;
 mod ready;
 mod replica;
-mod role;
 mod timing;
 
 pub use blob::Blob;
-pub use entry::{Entry, HardState, Payload, Restored, Snapshot, Write};
-pub use error::{ChangeError, CompactError, FoundError, HandOverError, ProposeError};
+pub use entry::{Entry, HardState, Payload, RestoredState, Snapshot, Write};
+pub use error::{BootstrapError, ChangeError, CompactError, ProposeError, TransferLeadershipError};
 pub use group::{Group, MAX_VOTERS};
-pub use ids::{Founding, Index, Position, ReplicaId, Term};
+pub use ids::{ClusterId, Index, Position, ReplicaId, Term};
 pub use message::{
-    Append, AppendReply, Body, Candidacy, Chunk, ChunkReply, DecodeError, MAX_MESSAGE, Message, Outcome,
-    Stamp, VoteReply, decode, encode,
+    Append, AppendOutcome, AppendResponse, Body, DecodeError, LeaderTimestamp, MAX_MESSAGE, Message,
+    SnapshotChunk, SnapshotChunkResponse, VoteRequest, VoteResponse, decode, encode,
 };
 pub use ready::{Committed, Ready, Restore};
 pub use replica::Replica;
@@ -99,5 +104,5 @@
 /// The entries of one message, in bytes; a single larger entry goes alone.
 pub const MAX_APPEND: usize = 96 * 1024;
 
-/// The largest piece of a snapshot in one message, in bytes.
+/// The largest chunk of a snapshot in one message, in bytes.
 pub const MAX_CHUNK: usize = 96 * 1024;
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -7,7 +7,7 @@
 use crate::blob::{Blob, read_list, write_list};
 use crate::entry::Entry;
 use crate::group::Group;
-use crate::ids::{Founding, Index, Position, ReplicaId, Term};
+use crate::ids::{ClusterId, Index, Position, ReplicaId, Term};
 
 /// The largest message in its binary form, in bytes: the largest command and its surroundings.
 pub const MAX_MESSAGE: usize = crate::MAX_COMMAND + 64 * 1024;
@@ -15,59 +15,67 @@
 /// A message from one replica to another. It is dropped by every other one than `to`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Message {
+    /// The sender.
     pub from: ReplicaId,
+    /// The receiver.
     pub to: ReplicaId,
-    /// The founding that the sender belongs to.
-    pub founding: Founding,
-    /// The sender's term; for a pre-vote, and a pre-vote that was granted, the one that it is about.
+    /// The cluster that the sender belongs to.
+    pub cluster_id: ClusterId,
+    /// The sender's term; for a pre-vote, and a pre-vote that was granted, the term of the election that may follow.
     pub term: Term,
+    /// The content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum Body {
-    /// Would you vote for me in this term? Promises nothing.
-    PreVote(Candidacy),
-    PreVoteReply(VoteReply),
-    /// Vote for me in this term.
-    Vote(Candidacy),
-    VoteReply(VoteReply),
+    /// Asks whether the receiver would vote for the sender in this term. Neither side records anything.
+    RequestPreVote(VoteRequest),
+    /// The answer to a pre-vote.
+    PreVoteResponse(VoteResponse),
+    /// Asks for the receiver's vote in this term.
+    RequestVote(VoteRequest),
+    /// The answer to a request for a vote.
+    VoteResponse(VoteResponse),
     /// Entries of the leader; without any it is a heartbeat.
     Append(Append),
-    AppendReply(AppendReply),
-    /// A piece of the leader's snapshot.
-    Chunk(Chunk),
-    ChunkReply(ChunkReply),
-    /// The leader gave up its lease: start an election at once.
-    TakeOver,
+    /// The answer to an append or to a complete snapshot.
+    AppendResponse(AppendResponse),
+    /// A chunk of the leader's snapshot.
+    SnapshotChunk(SnapshotChunk),
+    /// How much of the snapshot has arrived.
+    SnapshotChunkResponse(SnapshotChunkResponse),
+    /// The leader gave up its lease: the receiver starts an election at once.
+    TimeoutNow,
 }
 
-/// What a candidate says of itself.
+/// A candidate's request for a vote or a pre-vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct Candidacy {
+pub struct VoteRequest {
     /// The end of its log.
     pub last: Position,
-    /// The leader of the term before gave up its lease for this election, so that nobody has to wait for its end.
-    pub handed_over: bool,
+    /// The leader of the term before gave up its lease for this election, so voters need not wait for its end.
+    pub leadership_transfer: bool,
 }
 
 /// The answer to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct VoteReply {
+pub struct VoteResponse {
+    /// Whether the vote was given.
     pub granted: bool,
 }
 
-/// A point of the leader's clock, echoed by the reply: the lease counts from it.
+/// The leader's clock when it sent a message, echoed by the response: the lease counts from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct Stamp(pub u64);
+pub struct LeaderTimestamp(pub u64);
 
-impl Stamp {
-    pub(crate) fn at(moment: Instant) -> Stamp {
-        Stamp(moment.0)
+impl LeaderTimestamp {
+    pub(crate) fn from_instant(instant: Instant) -> LeaderTimestamp {
+        LeaderTimestamp(instant.0)
     }
 
-    pub(crate) fn moment(self) -> Instant {
+    pub(crate) fn instant(self) -> Instant {
         Instant(self.0)
     }
 }
@@ -75,49 +83,67 @@
 /// Entries after a position that the receiver must have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Append {
+    /// The entry before `entries`.
     pub previous: Position,
     /// What the leader knows to be committed.
     pub commit: Index,
-    pub sent: Stamp,
+    /// When the leader sent it.
+    pub sent: LeaderTimestamp,
+    /// The entries, without gaps.
     pub entries: Vec<Entry>,
 }
 
 /// The answer to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct AppendReply {
-    pub outcome: Outcome,
-    pub sent: Stamp,
+pub struct AppendResponse {
+    /// What became of the append.
+    pub outcome: AppendOutcome,
+    /// When the leader sent what this answers.
+    pub sent: LeaderTimestamp,
 }
 
 /// What became of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub enum Outcome {
+pub enum AppendOutcome {
     /// The log is the leader's up to here, synced.
     Matched(Index),
-    /// The entry before `refused` differs or is missing; the logs may agree at `hint` at best.
-    Conflict { refused: Index, hint: Index },
-    /// The sender's term is over.
-    Outdated,
+    /// The receiver's entry at `rejected` differs or is missing.
+    Conflict {
+        /// The index before the first entry of the append.
+        rejected: Index,
+        /// The highest index at which the logs may agree.
+        hint: Index,
+    },
+    /// The receiver knows a newer term than the sender's.
+    StaleTerm,
 }
 
-/// A piece of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct Chunk {
+pub struct SnapshotChunk {
+    /// The last entry that the snapshot contains.
     pub last: Position,
+    /// The group at that entry.
     pub group: Group,
-    /// The size of the whole snapshot, in bytes.
+    /// The size of the complete snapshot, in bytes.
     pub total: u64,
+    /// Where the chunk starts in the snapshot, in bytes.
     pub offset: u64,
+    /// The bytes of the chunk.
     pub bytes: Blob,
-    pub sent: Stamp,
+    /// When the leader sent it.
+    pub sent: LeaderTimestamp,
 }
 
 /// How much of a snapshot has arrived without gaps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
-pub struct ChunkReply {
+pub struct SnapshotChunkResponse {
+    /// The last entry that the snapshot contains.
     pub last: Position,
+    /// The bytes that have arrived, from the start without gaps.
     pub received: u64,
-    pub sent: Stamp,
+    /// When the leader sent what this answers.
+    pub sent: LeaderTimestamp,
 }
 
 impl SerBin for Append {
@@ -132,12 +158,12 @@
 impl DeBin for Append {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Append, DeBinErr> {
         // Index, term and the payload's kind.
-        const MIN_ENTRY: usize = 8 + 8 + 1;
+        const MIN_ENTRY_BYTES: usize = 8 + 8 + 1;
         Ok(Append {
             previous: Position::de_bin(offset, bytes)?,
             commit: Index::de_bin(offset, bytes)?,
-            sent: Stamp::de_bin(offset, bytes)?,
-            entries: read_list(MIN_ENTRY, offset, bytes)?,
+            sent: LeaderTimestamp::de_bin(offset, bytes)?,
+            entries: read_list(MIN_ENTRY_BYTES, offset, bytes)?,
         })
     }
 }
@@ -145,12 +171,25 @@
 /// Why bytes are not a message.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
+    /// The input is larger than [`MAX_MESSAGE`].
     #[snafu(display("a message of {size} bytes; the most is {MAX_MESSAGE}"))]
-    TooLarge { size: usize },
+    TooLarge {
+        /// Its size, in bytes.
+        size: usize,
+    },
+    /// The input is not the binary form of a message.
     #[snafu(display("not a message: {source}"))]
-    Malformed { source: DeBinErr },
+    Malformed {
+        /// What the decoder found.
+        source: DeBinErr,
+    },
+    /// The input goes on after the message.
     #[snafu(display("{extra} bytes after the message"))]
-    Trailing { extra: usize },
+    Trailing {
+        /// The bytes after the message.
+        extra: usize,
+    },
+    /// The message is well formed, but no replica sends such numbers or lists.
     #[snafu(display("numbers or lists that no replica sends"))]
     Implausible,
 }
@@ -176,7 +215,7 @@
         self.term.is_plausible()
             && match &self.body {
                 Body::Append(append) => append.is_plausible(self.term),
-                Body::Chunk(chunk) => chunk.is_plausible(self.term),
+                Body::SnapshotChunk(chunk) => chunk.is_plausible(self.term),
                 _ => true,
             }
     }
@@ -205,7 +244,7 @@
     }
 }
 
-impl Chunk {
+impl SnapshotChunk {
     fn is_plausible(&self, term: Term) -> bool {
         self.last.index.is_plausible()
             && self.last.index > Index(0)
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -1,11 +1,14 @@
 //! The files on disk: restarts, torn ends, unfinished generations, full disks and damage.
 
+mod folder;
+
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
+use folder::new_folder;
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
 use grebeusher_quorum::{
-    Blob, Entry, Founding, Group, HardState, Index, Payload, Position, Replica, ReplicaId, Restored,
+    Blob, ClusterId, Entry, Group, HardState, Index, Payload, Position, Replica, ReplicaId, RestoredState,
     Snapshot, Term, Timing, Write,
 };
 use grebeusher_time::{Duration, Instant};
@@ -15,15 +18,11 @@
 
 /// An empty folder, in memory where the system has such, because thousands are synced. What a sync is worth is not
 /// tested here: the tests bend the files themselves.
-fn new_folder() -> tempfile::TempDir {
-    tempfile::tempdir_in("/dev/shm").or_else(|_| tempfile::tempdir()).expect("a folder")
-}
-
-fn hard(term: u64) -> HardState {
+fn hard_state(term: u64) -> HardState {
     HardState {
         term: Term(term),
-        voted: Some(ReplicaId(term)),
-        founding: Some(Founding(9)),
+        vote: Some(ReplicaId(term)),
+        cluster_id: Some(ClusterId(9)),
         commit: Index(0),
     }
 }
@@ -42,27 +41,31 @@
 }
 
 /// What the writes should have come to.
-fn fold(state: &mut Restored, write: &Write) {
+fn fold(state: &mut RestoredState, write: &Write) {
     match write {
-        Write::Hard(hard) => state.hard = *hard,
+        Write::HardState(hard_state) => state.hard_state = *hard_state,
         Write::Entries(entries) => {
             let Some(first) = entries.first() else { return };
             state.entries.retain(|entry| entry.index < first.index);
             state.entries.extend(entries.clone());
         }
-        Write::Snapshot { snapshot, hard, entries } => {
-            *state = Restored { hard: *hard, snapshot: Some(snapshot.clone()), entries: entries.clone() };
+        Write::Snapshot { snapshot, hard_state, entries } => {
+            *state = RestoredState {
+                hard_state: *hard_state,
+                snapshot: Some(snapshot.clone()),
+                entries: entries.clone(),
+            };
         }
     }
 }
 
-fn folded(writes: &[Write]) -> Restored {
-    let mut state = Restored::default();
+fn folded(writes: &[Write]) -> RestoredState {
+    let mut state = RestoredState::default();
     writes.iter().for_each(|write| fold(&mut state, write));
     state
 }
 
-fn reopened(folder: &Path) -> Restored {
+fn reopened(folder: &Path) -> RestoredState {
     Store::open(folder).expect("it can be read").1
 }
 
@@ -90,16 +93,16 @@
 }
 
 #[test]
-fn what_was_written_is_there_after_a_restart() {
+fn writes_survive_a_restart() {
     // Given a store that was written to, also over entries that were there
     let folder = new_folder();
     let (mut store, restored) = Store::open(folder.path()).expect("it is empty");
-    assert_eq!(restored, Restored::default());
+    assert_eq!(restored, RestoredState::default());
     let writes = [
-        Write::Hard(hard(1)),
+        Write::HardState(hard_state(1)),
         Write::Entries(vec![entry(1, 1, 10), entry(2, 1, 0), entry(3, 1, 300_000)]),
         Write::Entries(vec![entry(2, 2, 7)]),
-        Write::Hard(hard(2)),
+        Write::HardState(hard_state(2)),
     ];
     store.write(&writes).expect("there is room");
     store.sync().expect("the disk works");
@@ -121,7 +124,7 @@
             Write::Entries(vec![entry(round * 10, 1, 3)]),
             Write::Snapshot {
                 snapshot: snapshot(round * 10, round, 5_000),
-                hard: hard(round),
+                hard_state: hard_state(round),
                 entries: vec![entry(round * 10 + 1, round, 9)],
             },
             Write::Entries(vec![entry(round * 10 + 2, round, 9)]),
@@ -140,12 +143,13 @@
 /// A store with something synced, and two batches after it that are not. The synced size of its log.
 fn with_unsynced_tail(folder: &Path) -> (Vec<Write>, Vec<Write>, usize) {
     let (mut store, _) = Store::open(folder).expect("it is empty");
-    let synced = vec![Write::Hard(hard(1)), Write::Entries(vec![entry(1, 1, 20), entry(2, 1, 20)])];
+    let synced =
+        vec![Write::HardState(hard_state(1)), Write::Entries(vec![entry(1, 1, 20), entry(2, 1, 20)])];
     store.write(&synced).expect("there is room");
     store.sync().expect("the disk works");
     let size = read(folder, "log-1").len();
-    let first = vec![Write::Hard(hard(2)), Write::Entries(vec![entry(2, 2, 30)])];
-    let second = vec![Write::Entries(vec![entry(3, 2, 30)]), Write::Hard(hard(3))];
+    let first = vec![Write::HardState(hard_state(2)), Write::Entries(vec![entry(2, 2, 30)])];
+    let second = vec![Write::Entries(vec![entry(3, 2, 30)]), Write::HardState(hard_state(3))];
     store.write(&first).expect("there is room");
     store.write(&second).expect("there is room");
     (synced, [first, second].concat(), size)
@@ -168,7 +172,7 @@
 }
 
 #[test]
-fn a_log_that_ends_anywhere_is_cut_to_whole_records() {
+fn truncated_log_is_cut_to_complete_records() {
     let folder = new_folder();
     let (synced, unsynced, size) = with_unsynced_tail(folder.path());
     let log = read(folder.path(), "log-1");
@@ -180,7 +184,7 @@
 }
 
 #[test]
-fn a_log_with_a_hole_ends_before_it() {
+fn log_with_a_hole_ends_before_it() {
     let folder = new_folder();
     let (synced, unsynced, size) = with_unsynced_tail(folder.path());
     let log = read(folder.path(), "log-1");
@@ -198,14 +202,18 @@
 }
 
 #[test]
-fn what_an_earlier_log_left_behind_is_not_taken_for_records() {
+fn leftovers_of_an_earlier_log_are_not_read() {
     // Given a log of generation 3 in the file of generation 1, whose cut was lost, so that old records follow it
     let folder = new_folder();
     let (synced, unsynced, _) = with_unsynced_tail(folder.path());
     let old = read(folder.path(), "log-1");
     let (mut store, _) = Store::open(folder.path()).expect("it is whole");
     for round in 1..=2 {
-        let state = Write::Snapshot { snapshot: snapshot(9, 9, 9), hard: hard(round), entries: Vec::new() };
+        let state = Write::Snapshot {
+            snapshot: snapshot(9, 9, 9),
+            hard_state: hard_state(round),
+            entries: Vec::new(),
+        };
         store.write(&[state]).expect("there is room");
     }
     let new = read(folder.path(), "log-1");
@@ -221,7 +229,7 @@
 /// The next generation's log or slot, as a loss of power may leave it; that those before it were emptied may have lasted
 /// or not.
 #[rstest]
-fn an_unfinished_generation_leaves_the_one_before(
+fn unfinished_generation_leaves_the_previous_one_active(
     #[values(0, 1, 2)] rounds_before: u64,
     #[values(false, true)] emptying_lasted: bool,
 ) {
@@ -230,7 +238,7 @@
     let (mut store, _) = Store::open(folder.path()).expect("it is empty");
     let generation = |round: u64| Write::Snapshot {
         snapshot: snapshot(round * 10, round, 100),
-        hard: hard(round),
+        hard_state: hard_state(round),
         entries: vec![entry(round * 10 + 1, round, 9)],
     };
     let mut former = new_folder();
@@ -268,7 +276,7 @@
         put(copy.path(), &slot, &new_slot[..end]);
         assert_eq!(reopened(copy.path()), state_before);
     }
-    // Then only the whole slot puts the new generation in force
+    // Then only the complete slot activates the new generation
     let copy = copy_of(before.path());
     put(copy.path(), &log, &new_log);
     put(copy.path(), &slot, &new_slot);
@@ -276,14 +284,14 @@
 }
 
 #[test]
-fn a_generation_gives_back_the_room_of_the_one_before() {
+fn new_generation_frees_the_previous_one() {
     // Given a store some generations on
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("it is empty");
     for round in 1..=4 {
         let state = Write::Snapshot {
             snapshot: snapshot(round, round, 5_000),
-            hard: hard(round),
+            hard_state: hard_state(round),
             entries: Vec::new(),
         };
         store.write(&[state]).expect("there is room");
@@ -293,7 +301,8 @@
     }
     // And also after a restart that finds the one before still there
     let former = copy_of(folder.path());
-    let state = Write::Snapshot { snapshot: snapshot(9, 9, 5_000), hard: hard(9), entries: Vec::new() };
+    let state =
+        Write::Snapshot { snapshot: snapshot(9, 9, 5_000), hard_state: hard_state(9), entries: Vec::new() };
     store.write(&[state]).expect("there is room");
     let expected = reopened(copy_of(folder.path()).path());
     let [old] = with_content(former.path(), ["slot-0", "slot-1"])[..] else { panic!("one slot") };
@@ -303,20 +312,20 @@
 }
 
 #[test]
-fn a_first_start_that_lost_power_is_a_first_start_again() {
+fn interrupted_first_start_is_repeated() {
     let folder = new_folder();
     drop(Store::open(folder.path()).expect("it is empty"));
     let (log, slot) = (read(folder.path(), "log-1"), read(folder.path(), "slot-1"));
     for end in 0..log.len() {
         let copy = new_folder();
         put(copy.path(), "log-1", &log[..end]);
-        assert_eq!(reopened(copy.path()), Restored::default());
+        assert_eq!(reopened(copy.path()), RestoredState::default());
     }
     for end in 0..slot.len() {
         let copy = new_folder();
         put(copy.path(), "log-1", &log);
         put(copy.path(), "slot-1", &slot[..end]);
-        assert_eq!(reopened(copy.path()), Restored::default());
+        assert_eq!(reopened(copy.path()), RestoredState::default());
     }
 }
 
@@ -324,10 +333,11 @@
 fn second_generation() -> tempfile::TempDir {
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("it is empty");
-    let state = Write::Snapshot { snapshot: snapshot(9, 9, 9), hard: hard(9), entries: Vec::new() };
-    store.write(&[Write::Hard(hard(1))]).expect("there is room");
+    let state =
+        Write::Snapshot { snapshot: snapshot(9, 9, 9), hard_state: hard_state(9), entries: Vec::new() };
+    store.write(&[Write::HardState(hard_state(1))]).expect("there is room");
     store.write(&[state]).expect("there is room");
-    store.write(&[Write::Hard(hard(10))]).expect("there is room");
+    store.write(&[Write::HardState(hard_state(10))]).expect("there is room");
     store.sync().expect("the disk works");
     folder
 }
@@ -335,7 +345,7 @@
 #[rstest]
 #[case::slot("slot-0")]
 #[case::log("log-0")]
-fn lost_promises_are_an_error(#[case] name: &str) {
+fn loss_of_synced_files_is_an_error(#[case] name: &str) {
     // Given a disk on which something is damaged that was in force
     let folder = second_generation();
     let mut bytes = read(folder.path(), name);
@@ -346,7 +356,7 @@
 }
 
 #[test]
-fn a_disk_that_refuses_is_an_error() {
+fn failing_disk_is_an_error() {
     let folder = new_folder();
     put(folder.path(), "part", b"not a folder");
     assert!(matches!(Store::open(&folder.path().join("part")), Err(StoreError::Io { .. })));
@@ -358,7 +368,7 @@
 const FULL_DISK: &str = "QUORUM_TEST_FULL_DISK";
 
 #[test]
-fn a_full_disk_is_an_error_and_leaves_no_half_record() {
+fn full_disk_is_an_error_and_leaves_no_partial_record() {
     if let Ok(folder) = std::env::var(FULL_DISK) {
         fill_disk(Path::new(&folder));
         return;
@@ -369,7 +379,7 @@
     // Its output goes through a pipe: where this test's own output is a file, the limit would be that of the file too.
     let output = Command::new("sh")
         .arg("-c")
-        .arg("trap '' XFSZ; ulimit -f 40; exec \"$0\" a_full_disk_is_an_error --exact --nocapture a_full_disk_is_an_error_and_leaves_no_half_record")
+        .arg("trap '' XFSZ; ulimit -f 40; exec \"$0\" --exact --nocapture full_disk_is_an_error_and_leaves_no_partial_record")
         .arg(program)
         .env(FULL_DISK, folder.path())
         .output()
@@ -382,10 +392,13 @@
 fn fill_disk(folder: &Path) {
     let (mut store, _) = Store::open(folder).expect("it is empty");
     store.write(&[Write::Entries(vec![entry(1, 1, 100)])]).expect("there is room");
-    // When a record does not fit, nor a generation, they are refused, again and again
+    // When a record does not fit, nor a generation, they are rejected, again and again
     let long = Write::Entries(vec![entry(2, 1, 100_000)]);
-    let state =
-        Write::Snapshot { snapshot: snapshot(1, 1, 1), hard: hard(9), entries: vec![entry(2, 1, 100_000)] };
+    let state = Write::Snapshot {
+        snapshot: snapshot(1, 1, 1),
+        hard_state: hard_state(9),
+        entries: vec![entry(2, 1, 100_000)],
+    };
     for _ in 0..3 {
         assert!(matches!(store.write(std::slice::from_ref(&long)), Err(StoreError::Io { .. })));
         assert!(matches!(store.write(std::slice::from_ref(&state)), Err(StoreError::Io { .. })));
@@ -394,23 +407,27 @@
     store.write(&[Write::Entries(vec![entry(2, 1, 100)])]).expect("there is room");
     store.sync().expect("the disk works");
     // But when a slot does not fit, nobody knows which generation is in force, until it is opened anew
-    let state = Write::Snapshot { snapshot: snapshot(2, 1, 100_000), hard: hard(9), entries: Vec::new() };
+    let state =
+        Write::Snapshot { snapshot: snapshot(2, 1, 100_000), hard_state: hard_state(9), entries: Vec::new() };
     assert!(matches!(store.write(std::slice::from_ref(&state)), Err(StoreError::Io { .. })));
-    assert!(matches!(store.write(&[Write::Hard(hard(9))]), Err(StoreError::Poisoned)));
+    assert!(matches!(store.write(&[Write::HardState(hard_state(9))]), Err(StoreError::Poisoned)));
     assert!(matches!(store.sync(), Err(StoreError::Poisoned)));
 }
 
 #[test]
-fn after_a_failure_all_is_written_anew() {
+fn reopening_after_a_failure_rewrites_everything() {
     for had_snapshot in [false, true] {
         // Given a store with records after its snapshot, or without one
         let folder = new_folder();
         let (mut store, _) = Store::open(folder.path()).expect("it is empty");
-        let state = Write::Snapshot { snapshot: snapshot(1, 1, 50), hard: hard(2), entries: Vec::new() };
+        let state =
+            Write::Snapshot { snapshot: snapshot(1, 1, 50), hard_state: hard_state(2), entries: Vec::new() };
         if had_snapshot {
             store.write(&[state]).expect("there is room");
         }
-        store.write(&[Write::Hard(hard(3)), Write::Entries(vec![entry(2, 1, 9)])]).expect("there is room");
+        store
+            .write(&[Write::HardState(hard_state(3)), Write::Entries(vec![entry(2, 1, 9)])])
+            .expect("there is room");
         let before = reopened(copy_of(folder.path()).path());
         let old = copy_of(folder.path());
         // When it is opened after a failure
@@ -419,14 +436,14 @@
         assert_eq!(restored, before);
         assert_eq!(reopened(folder.path()), before);
         for files in [["log-0", "log-1"], ["slot-0", "slot-1"]] {
-            let [in_force] = with_content(folder.path(), files)[..] else { panic!("one of {files:?}") };
-            assert_ne!(read(folder.path(), in_force), read(old.path(), in_force));
+            let [active] = with_content(folder.path(), files)[..] else { panic!("one of {files:?}") };
+            assert_ne!(read(folder.path(), active), read(old.path(), active));
         }
     }
 }
 
 #[test]
-fn an_identity_is_made_once() {
+fn identity_is_created_once() {
     let folder = new_folder();
     let first = Identity::load_or_create(folder.path(), 42).expect("it is empty");
     assert_eq!(first, Identity { id: ReplicaId(42), existed: false });
@@ -435,7 +452,7 @@
 }
 
 #[test]
-fn an_identity_outlives_the_damage_of_one_copy() {
+fn identity_survives_damage_to_one_copy() {
     for name in ["identity-0", "identity-1"] {
         for end in 0..16 {
             // Given a disk on which one copy is torn
@@ -443,7 +460,7 @@
             Identity::load_or_create(folder.path(), 42).expect("it is empty");
             let whole = read(folder.path(), name);
             put(folder.path(), name, &whole[..end]);
-            // Then it is the same, and both copies are whole again
+            // Then it is the same, and both copies are intact again
             let identity = Identity::load_or_create(folder.path(), 43).expect("one copy is whole");
             assert_eq!(identity, Identity { id: ReplicaId(42), existed: true });
             assert_eq!(read(folder.path(), name), whole);
@@ -452,7 +469,7 @@
 }
 
 #[test]
-fn a_first_identity_that_was_not_finished_is_made_anew() {
+fn unfinished_first_identity_is_created_again() {
     let folder = new_folder();
     Identity::load_or_create(folder.path(), 42).expect("it is empty");
     let whole = read(folder.path(), "identity-0");
@@ -465,7 +482,7 @@
 }
 
 #[test]
-fn an_identity_that_is_lost_is_an_error() {
+fn loss_of_both_identity_copies_is_an_error() {
     let folder = new_folder();
     Identity::load_or_create(folder.path(), 42).expect("it is empty");
     put(folder.path(), "identity-0", b"nonsense");
@@ -475,23 +492,23 @@
 }
 
 #[test]
-fn a_replica_lives_on_its_files() {
+fn replica_runs_on_its_files() {
     let folder = new_folder();
     let partition: PathBuf = folder.path().join("part-0");
     let timing = Timing {
-        heartbeat: Duration::from_millis(20),
-        election_min: Duration::from_millis(200),
-        election_max: Duration::from_millis(400),
-        lease: Duration::from_millis(150),
+        heartbeat_interval: Duration::from_millis(20),
+        election_timeout_min: Duration::from_millis(200),
+        election_timeout_max: Duration::from_millis(400),
+        lease_duration: Duration::from_millis(150),
     };
     let mut now = Instant(0);
     let mut sum = 0;
     for life in 0..6u64 {
-        // Given a replica that is alone, with what it left on disk in its life before
+        // Given a replica that is alone, with what it left on disk in its incarnation before
         let identity = Identity::load_or_create(folder.path(), 7 + life).expect("the disk works");
         let (mut store, restored) = Store::open(&partition).expect("the disk works");
         let mut replica = Replica::new(identity.id, restored, timing, life, now);
-        replica.found(Group::of([identity.id])).expect("it is the same each time");
+        replica.bootstrap(Group::of([identity.id])).expect("it is the same each time");
         let mut state = 0u64;
         for round in 0..60 {
             // When it leads the partition, and takes commands
@@ -517,7 +534,7 @@
                 }
             }
         }
-        // Then all commands of all lives are there
+        // Then all commands of all incarnations are there
         assert!(replica.lease_holds(now));
         assert_eq!(state, sum);
     }
@@ -528,15 +545,19 @@
     vec((0..10u8, 1..4u8, 0..300u16), 1..4)
 }
 
-fn to_write(state: &Restored, (kind, count, size): (u8, u8, u16)) -> Write {
+fn to_write(state: &RestoredState, (kind, count, size): (u8, u8, u16)) -> Write {
     let base = state.snapshot.as_ref().map_or(0, |snapshot| snapshot.last.index.0);
     let last = state.entries.last().map_or(base, |entry| entry.index.0);
-    let term = state.hard.term.0 + 1;
+    let term = state.hard_state.term.0 + 1;
     match kind {
-        0..=2 => Write::Hard(hard(term)),
+        0..=2 => Write::HardState(hard_state(term)),
         3 => {
             let snapshot = snapshot(last, term, usize::from(size));
-            Write::Snapshot { snapshot, hard: hard(term), entries: vec![entry(last + 1, term, 3)] }
+            Write::Snapshot {
+                snapshot,
+                hard_state: hard_state(term),
+                entries: vec![entry(last + 1, term, 3)],
+            }
         }
         _ => {
             let first = last.saturating_sub(u64::from(kind == 4)).max(base) + 1;
@@ -552,14 +573,14 @@
 
     /// Batches, some of them synced, then a loss of power that leaves any part of the rest.
     #[test]
-    fn a_loss_of_power_leaves_what_was_synced(
+    fn power_loss_keeps_what_was_synced(
         batches in vec((batch(), any::<bool>()), 1..12),
         cut in any::<prop::sample::Index>(),
-        bend in any::<Option<(prop::sample::Index, u8)>>(),
+        corrupt in any::<Option<(prop::sample::Index, u8)>>(),
     ) {
         let folder = new_folder();
         let (mut store, _) = Store::open(folder.path()).expect("it is empty");
-        let mut state = Restored::default();
+        let mut state = RestoredState::default();
         let mut safe_size = store.log_bytes();
         let mut possible = vec![state.clone()];
         let mut generation = 1;
@@ -593,7 +614,7 @@
         let first = 8 + u32::from_le_bytes(log[..4].try_into().expect("four bytes")) as usize;
         let safe = (safe_size as usize).max(first);
         let mut left = log[..safe + cut.index(log.len() - safe + 1)].to_vec();
-        if let Some((at, value)) = bend
+        if let Some((at, value)) = corrupt
             && left.len() > safe
         {
             let at = safe + at.index(left.len() - safe);
--- a/crates/quorum/tests/elections.rs
+++ b/crates/quorum/tests/elections.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use grebeusher_quorum::{FoundError, Group, HandOverError, ReplicaId, Restored};
+use grebeusher_quorum::{BootstrapError, Group, ReplicaId, RestoredState, TransferLeadershipError};
 use grebeusher_quorum::{Message, ProposeError, Replica};
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
@@ -11,7 +11,7 @@
 /// Long enough for an election and some more.
 const A_WHILE: Duration = Duration::from_millis(1_500);
 
-/// A world of three with a leader that has decided something; the leader and the others.
+/// A world of three with a leader that has committed something; the leader and the others.
 fn three(seed: u64) -> (World, Site, Vec<Site>) {
     let mut world = World::new(seed, 3, 0);
     let leader = world.elect();
@@ -26,8 +26,8 @@
 #[case(2)]
 #[case(3)]
 #[case(5)]
-fn a_founded_partition_gets_a_leader_and_decides(#[case] voters: usize) {
-    // Given a partition that was just founded
+fn bootstrapped_partition_elects_a_leader_and_commits(#[case] voters: usize) {
+    // Given a partition that was just bootstrapped
     let mut world = World::new(7, voters, 0);
     // When it has a leader, and that one is given commands
     let leader = world.elect();
@@ -43,42 +43,42 @@
 }
 
 #[test]
-fn a_founding_is_taken_once() {
+fn bootstrap_is_accepted_once() {
     // Given an empty replica
     let id = ReplicaId(5);
     let group = Group::of([id, ReplicaId(6), ReplicaId(7)]);
-    let mut replica = Replica::new(id, Restored::default(), TIMING, 1, Instant(0));
-    // When it is founded, the same again is fine, and anything else is refused
-    assert_eq!(replica.found(Group::of([ReplicaId(6)])), Err(FoundError::Invalid));
-    assert_eq!(replica.found(group.clone()), Ok(()));
-    assert_eq!(replica.found(group.clone()), Ok(()));
-    assert_eq!(replica.found(Group::of([id])), Err(FoundError::Founded));
+    let mut replica = Replica::new(id, RestoredState::default(), TIMING, 1, Instant(0));
+    // When it is bootstrapped, the same again is fine, and anything else is rejected
+    assert_eq!(replica.bootstrap(Group::of([ReplicaId(6)])), Err(BootstrapError::Invalid));
+    assert_eq!(replica.bootstrap(group.clone()), Ok(()));
+    assert_eq!(replica.bootstrap(group.clone()), Ok(()));
+    assert_eq!(replica.bootstrap(Group::of([id])), Err(BootstrapError::AlreadyBootstrapped));
     // Then its log starts with the group
     assert_eq!(replica.group(), &group);
     assert_eq!(replica.last().index.0, 1);
 }
 
 #[test]
-fn a_founding_that_lost_power_halfway_can_be_repeated() {
-    // Given a disk that kept the promises of a founding, and not the entry
+fn interrupted_bootstrap_can_be_repeated() {
+    // Given a disk that kept the cluster id of a bootstrap, and not the entry
     let id = ReplicaId(5);
     let group = Group::of([id]);
-    let mut replica = Replica::new(id, Restored::default(), TIMING, 1, Instant(0));
-    replica.found(group.clone()).expect("it is empty");
+    let mut replica = Replica::new(id, RestoredState::default(), TIMING, 1, Instant(0));
+    replica.bootstrap(group.clone()).expect("it is empty");
     let ready = replica.take_ready();
-    let Some(grebeusher_quorum::Write::Hard(hard)) = ready.writes.first() else {
+    let Some(grebeusher_quorum::Write::HardState(hard_state)) = ready.writes.first() else {
         panic!("promises come first")
     };
-    let restored = Restored { hard: *hard, ..Restored::default() };
-    // When it is founded anew
+    let restored = RestoredState { hard_state: *hard_state, ..RestoredState::default() };
+    // When it is bootstrapped again
     let mut replica = Replica::new(id, restored, TIMING, 1, Instant(0));
-    replica.found(group.clone()).expect("it is the same");
+    replica.bootstrap(group.clone()).expect("it is the same");
     // Then it has the entry
     assert_eq!(replica.group(), &group);
 }
 
 #[test]
-fn an_empty_replica_waits_and_says_nothing() {
+fn empty_replica_waits_and_sends_nothing() {
     // Given a machine that no group names
     let mut world = World::new(3, 3, 1);
     let empty = Site(3);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn heartbeats_without_news_cost_no_sync_and_two_messages_a_follower() {
+fn idle_heartbeats_cost_no_sync_and_two_messages_a_follower() {
     // Given a partition that is quiet
     let (mut world, leader, others) = three(11);
     world.run(Duration::from_millis(200));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn commands_that_wait_for_a_sync_share_the_next_one() {
+fn commands_waiting_for_a_sync_share_the_next_one() {
     // Given a leader whose disk is slow
     let (mut world, leader, _) = three(12);
     world.sync = Duration::from_millis(30);
@@ -124,21 +124,21 @@
 }
 
 #[test]
-fn the_leader_is_lost_and_another_goes_on() {
+fn another_leader_takes_over_when_the_leader_is_lost() {
     let (mut world, leader, others) = three(13);
     // When the leader loses power for good
     world.lose_power(leader);
     world.run_until(A_WHILE, "a new leader", |world| world.leader().is_some());
-    // Then another one has all that was decided, and decides more
-    let heir = world.leader().expect("just seen");
-    assert!(others.contains(&heir));
-    world.propose(heir);
+    // Then another one has all that was committed, and commits more
+    let successor = world.leader().expect("just seen");
+    assert!(others.contains(&successor));
+    world.propose(successor);
     world.run(Duration::from_millis(100));
-    assert_eq!(world.machines[heir.0].application.state.commands, 2);
+    assert_eq!(world.machines[successor.0].application.state.commands, 2);
 }
 
 #[test]
-fn all_lose_power_and_nothing_decided_is_lost() {
+fn committed_entries_survive_power_loss_of_all_replicas() {
     let (mut world, leader, _) = three(14);
     for _ in 0..50 {
         world.propose(leader);
@@ -157,13 +157,13 @@
 }
 
 #[test]
-fn a_frozen_leader_wakes_without_a_lease() {
+fn frozen_leader_resumes_without_a_lease() {
     let (mut world, leader, _) = three(15);
     // When the leader freezes until the others have another one, which decides something
     world.freeze(leader);
     world.run(A_WHILE);
-    let heir = world.elect();
-    world.propose(heir);
+    let successor = world.elect();
+    world.propose(successor);
     world.run(Duration::from_millis(100));
     // Then it answers no read when it wakes, not even before it has heard of anybody
     assert!(!world.machines[leader.0].lease_holds(world.now));
@@ -172,12 +172,12 @@
     assert!(!world.replica(leader).is_leader());
     // And it follows
     world.run(A_WHILE);
-    assert_eq!(world.replica(leader).leader_hint(), Some(world.identity(heir)));
+    assert_eq!(world.replica(leader).leader_hint(), Some(world.identity(successor)));
     assert_eq!(world.machines[leader.0].application.state.commands, 2);
 }
 
 #[test]
-fn a_stale_leader_after_a_cut_loses_what_it_alone_took() {
+fn partitioned_leader_loses_its_uncommitted_entries() {
     let (mut world, leader, _) = three(16);
     // Given a leader that is cut off and still takes commands
     world.isolate(leader);
@@ -185,11 +185,11 @@
         world.propose(leader);
     }
     world.run(A_WHILE);
-    let heir = world.elect();
-    assert_ne!(heir, leader);
+    let successor = world.elect();
+    assert_ne!(successor, leader);
     assert_eq!(world.read(leader), None);
     assert!(!world.replica(leader).is_leader(), "it stepped down by itself");
-    world.propose(heir);
+    world.propose(successor);
     // When the cut is over
     world.heal();
     world.run(A_WHILE);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_leader_that_hears_nobody_gives_way() {
+fn leader_without_responses_steps_down() {
     let (mut world, leader, others) = three(17);
     // When the leader is heard, and hears nobody
     others.iter().for_each(|other| world.network.cut(*other, leader));
@@ -214,7 +214,7 @@
 #[rstest]
 #[case::both_ways(true)]
 #[case::one_way(false)]
-fn a_follower_that_was_cut_off_does_not_disturb(#[case] both_ways: bool) {
+fn partitioned_follower_does_not_disturb_the_leader(#[case] both_ways: bool) {
     let (mut world, leader, others) = three(18);
     let term = world.newest_term();
     // When a follower hears nobody for long, and comes back
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_follower_that_only_the_leader_cannot_reach_does_not_disturb() {
+fn follower_that_only_the_leader_cannot_reach_does_not_disturb_it() {
     let (mut world, leader, others) = three(26);
     let term = world.newest_term();
     // When a follower and the leader hear nothing of each other, while the third one hears both
@@ -245,14 +245,14 @@
 }
 
 #[test]
-fn messages_of_others_are_dropped() {
-    // Given a leader of a term far ahead, in a partition that was founded otherwise
+fn messages_for_others_are_dropped() {
+    // Given a leader of a term far ahead, in a partition that was bootstrapped with another group
     let (mut world, leader, others) = three(19);
     let before = world.replica(leader).term();
-    let heartbeat = |from, to, founding| Message {
+    let heartbeat = |from, to, cluster_id| Message {
         from,
         to,
-        founding,
+        cluster_id,
         term: grebeusher_quorum::Term(99),
         body: grebeusher_quorum::Body::Append(grebeusher_quorum::Append {
             previous: Default::default(),
@@ -262,8 +262,8 @@
         }),
     };
     let (from, to) = (world.identity(others[0]), world.identity(leader));
-    let own = world.replica(leader).founding().expect("it was founded");
-    let foreign = Group::of([ReplicaId(1)]).founding();
+    let own = world.replica(leader).cluster_id().expect("it was founded");
+    let foreign = Group::of([ReplicaId(1)]).cluster_id();
     // When its message arrives, one for another identity, and one that was not sent by whom it names
     for (message, claimed) in [
         (heartbeat(from, to, foreign), from),
@@ -279,15 +279,16 @@
 }
 
 #[test]
-fn a_leadership_is_handed_over_without_a_pause() {
+fn leadership_transfer_causes_no_outage() {
     let (mut world, leader, others) = three(20);
     // When the leader hands over, say because it is to end
-    let target =
-        world.call(leader, |replica, now| replica.hand_over(now, None)).expect("somebody can take over");
+    let target = world
+        .call(leader, |replica, now| replica.transfer_leadership(now, None))
+        .expect("somebody can take over");
     // Then it takes no more commands, and says who will
-    let refused = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
+    let rejected = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
     assert!(
-        matches!(refused, Err(ProposeError::NotLeader { hint }) if hint == Some(target) || hint.is_none())
+        matches!(rejected, Err(ProposeError::NotLeader { hint }) if hint == Some(target) || hint.is_none())
     );
     // And the other one leads the partition far earlier than by an election
     world.run_until(Duration::from_millis(60), "a new leader", |world| {
@@ -297,11 +298,11 @@
 }
 
 #[test]
-fn a_hand_over_to_a_voter_that_is_gone_ends_with_a_leader_again() {
+fn transfer_to_an_unreachable_voter_ends_with_a_leader() {
     let (mut world, leader, others) = three(21);
-    // Given a target that dies just when it is told to take over
+    // Given a target that dies just when it is sent TimeoutNow
     let target = world.identity(others[0]);
-    world.call(leader, |replica, now| replica.hand_over(now, Some(target))).expect("it is a voter");
+    world.call(leader, |replica, now| replica.transfer_leadership(now, Some(target))).expect("it is a voter");
     world.lose_power(others[0]);
     // Then reads are over for the rest of the term
     assert_eq!(world.read(leader), None);
@@ -314,18 +315,18 @@
 }
 
 #[test]
-fn a_hand_over_to_a_voter_that_does_not_catch_up_is_called_off() {
+fn transfer_to_a_voter_that_does_not_catch_up_is_aborted() {
     let (mut world, leader, others) = three(27);
     // Given a target that is off, and has not got all
     world.lose_power(others[0]);
     world.propose(leader);
     let target = world.identity(others[0]);
-    world.call(leader, |replica, now| replica.hand_over(now, Some(target))).expect("it is a voter");
-    let refused = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
-    assert_eq!(refused, Err(ProposeError::NotLeader { hint: Some(target) }));
+    world.call(leader, |replica, now| replica.transfer_leadership(now, Some(target))).expect("it is a voter");
+    let rejected = world.call(leader, |replica, now| replica.propose(now, vec![1; 9]));
+    assert_eq!(rejected, Err(ProposeError::NotLeader { hint: Some(target) }));
     let other = world.identity(others[1]);
-    let again = world.call(leader, |replica, now| replica.hand_over(now, Some(other)));
-    assert_eq!(again, Err(HandOverError::UnderWay));
+    let again = world.call(leader, |replica, now| replica.transfer_leadership(now, Some(other)));
+    assert_eq!(again, Err(TransferLeadershipError::InProgress));
     // When the time for it is over
     world.run(Duration::from_millis(500));
     // Then the leader goes on as before: the lease was never given up
@@ -334,18 +335,19 @@
 }
 
 #[test]
-fn a_leadership_is_handed_to_voters_only() {
+fn leadership_is_transferred_to_voters_only() {
     let (mut world, leader, others) = three(22);
-    let refuse = |world: &mut World, site, to| world.call(site, |replica, now| replica.hand_over(now, to));
-    assert_eq!(refuse(&mut world, leader, Some(ReplicaId(1))), Err(HandOverError::NoTarget));
+    let refuse =
+        |world: &mut World, site, to| world.call(site, |replica, now| replica.transfer_leadership(now, to));
+    assert_eq!(refuse(&mut world, leader, Some(ReplicaId(1))), Err(TransferLeadershipError::NoTarget));
     let myself = world.identity(leader);
-    assert_eq!(refuse(&mut world, leader, Some(myself)), Err(HandOverError::NoTarget));
+    assert_eq!(refuse(&mut world, leader, Some(myself)), Err(TransferLeadershipError::NoTarget));
     let hint = Some(myself);
-    assert_eq!(refuse(&mut world, others[0], None), Err(HandOverError::NotLeader { hint }));
+    assert_eq!(refuse(&mut world, others[0], None), Err(TransferLeadershipError::NotLeader { hint }));
 }
 
 #[test]
-fn a_slow_disk_of_one_voter_is_not_waited_for() {
+fn slow_disk_of_one_voter_does_not_delay_commits() {
     // Given a follower that is frozen, as one whose disk takes very long
     let (mut world, leader, others) = three(23);
     world.freeze(others[0]);
@@ -354,27 +356,27 @@
         world.propose(leader);
         world.run(Duration::from_millis(10));
     }
-    // Then they are decided by the rest
+    // Then they are committed by the rest
     assert_eq!(world.machines[leader.0].application.state.commands, 21);
 }
 
 #[test]
-fn a_leader_bounds_what_waits_for_a_quorum() {
+fn leader_bounds_its_uncommitted_entries() {
     // Given a leader without a quorum
     let (mut world, leader, _) = three(24);
     world.isolate(leader);
     // When it is given more and more
-    let refused = world.call(leader, |replica, now| {
+    let rejected = world.call(leader, |replica, now| {
         (0..100).map(|_| replica.propose(now, vec![7; 1024 * 1024])).find_map(Result::err)
     });
     // Then it refuses before its memory is full
-    assert_eq!(refused, Some(ProposeError::Busy));
-    let refused = world.call(leader, |replica, now| replica.propose(now, vec![7; 5 * 1024 * 1024]));
-    assert_eq!(refused, Err(ProposeError::TooLarge { size: 5 * 1024 * 1024 }));
+    assert_eq!(rejected, Some(ProposeError::Busy));
+    let rejected = world.call(leader, |replica, now| replica.propose(now, vec![7; 5 * 1024 * 1024]));
+    assert_eq!(rejected, Err(ProposeError::TooLarge { size: 5 * 1024 * 1024 }));
 }
 
 #[test]
-fn links_that_lose_double_and_reorder_only_cost_time() {
+fn lossy_duplicating_and_reordering_links_only_cost_time() {
     // Given bad links
     let mut world = World::new(25, 5, 0);
     world.network.loss = 0.2;
--- a/crates/quorum/tests/world/oracle.rs
+++ b/crates/quorum/tests/world/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens: one leader a term, a decided entry stays, states agree, reads are never stale.
+//! What must hold whatever happens: one leader a term, a committed entry stays, states agree, reads are never stale.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +11,14 @@
 pub struct Oracle {
     leaders: BTreeMap<Term, ReplicaId>,
     committed: BTreeMap<Index, (Term, Blob)>,
-    /// The terms of all decided entries.
+    /// The terms of all committed entries.
     terms: BTreeMap<Index, Term>,
     /// How far the entries of each replica were checked since its start.
     checked: BTreeMap<ReplicaId, Index>,
     states: BTreeMap<Index, State>,
-    founding: Option<Group>,
+    cluster_id: Option<Group>,
     decided: Option<(Index, Group)>,
-    /// What a leader has told clients, or a read has shown.
+    /// What a leader has acknowledged to clients, or a read has shown.
     shown: Index,
     pub acknowledged: u64,
     pub reads: u64,
@@ -29,16 +29,16 @@
 }
 
 impl Oracle {
-    fn complain(&mut self, what: String) {
+    fn report_violation(&mut self, what: String) {
         assert!(self.lenient, "{what}");
         self.violations.push(what);
     }
 
     pub fn see(&mut self, replica: &Replica) {
-        if self.founding.is_none()
+        if self.cluster_id.is_none()
             && let Some(Payload::Group(group)) = replica.entry(Index(1)).map(|entry| entry.payload.clone())
         {
-            self.founding = Some(group);
+            self.cluster_id = Some(group);
         }
         self.check_entries(replica);
         let is_decided = replica.commit_index() >= replica.group_index();
@@ -51,7 +51,7 @@
         }
         let leader = *self.leaders.entry(replica.term()).or_insert(replica.identity());
         if leader != replica.identity() {
-            self.complain(format!(
+            self.report_violation(format!(
                 "two leaders of {:?}: {leader:?} and {:?}",
                 replica.term(),
                 replica.identity()
@@ -59,7 +59,7 @@
         }
     }
 
-    /// All that a replica takes for decided and no check has seen yet, and the end of it again.
+    /// All that a replica takes for committed and no check has seen yet, and the end of it again.
     fn check_entries(&mut self, replica: &Replica) {
         let (identity, commit) = (replica.identity(), replica.commit_index());
         let checked = self.checked.get(&identity).copied().unwrap_or_default();
@@ -69,7 +69,7 @@
             if let Some(term) = replica.entry(index).map(|entry| entry.term) {
                 let known = *self.terms.entry(index).or_insert(term);
                 if known != term {
-                    self.complain(format!("{index:?} was decided in {known:?} and in {term:?}"));
+                    self.report_violation(format!("{index:?} was decided in {known:?} and in {term:?}"));
                 }
             }
             index = index.next();
@@ -82,28 +82,28 @@
         self.checked.remove(&replica);
     }
 
-    /// The newest group that is known to be decided.
-    pub fn decided_group(&self) -> Group {
-        self.decided.as_ref().map_or_else(|| self.founding_group(), |(_, group)| group.clone())
+    /// The newest group that is known to be committed.
+    pub fn committed_group(&self) -> Group {
+        self.decided.as_ref().map_or_else(|| self.bootstrap_group(), |(_, group)| group.clone())
     }
 
-    pub fn founding_group(&self) -> Group {
-        self.founding.clone().expect("the part was founded")
+    pub fn bootstrap_group(&self) -> Group {
+        self.cluster_id.clone().expect("the part was founded")
     }
 
     pub fn check_committed(&mut self, committed: &Committed, site: Site) {
-        let told = (committed.term, committed.payload.clone());
-        let known = self.committed.entry(committed.index).or_insert_with(|| told.clone());
-        if *known != told {
+        let timeout_now_sent = (committed.term, committed.payload.clone());
+        let known = self.committed.entry(committed.index).or_insert_with(|| timeout_now_sent.clone());
+        if *known != timeout_now_sent {
             let what = format!("{site:?} decides {committed:?}, but {known:?} was decided before");
-            self.complain(what);
+            self.report_violation(what);
         }
     }
 
     pub fn check_state(&mut self, index: Index, state: State, site: Site) {
         let known = *self.states.entry(index).or_insert(state);
         if known != state {
-            self.complain(format!("{site:?} has {state:?} at {index:?}, others {known:?}"));
+            self.report_violation(format!("{site:?} has {state:?} at {index:?}, others {known:?}"));
         }
     }
 
@@ -115,7 +115,10 @@
     pub fn check_read(&mut self, shown: Index, site: Site) {
         self.reads += 1;
         if shown < self.shown {
-            self.complain(format!("stale read at {site:?}: {shown:?} after {:?} was shown", self.shown));
+            self.report_violation(format!(
+                "stale read at {site:?}: {shown:?} after {:?} was shown",
+                self.shown
+            ));
         }
         self.shown = self.shown.max(shown);
     }
--- a/crates/quorum/tests/world/storm.rs
+++ b/crates/quorum/tests/world/storm.rs
@@ -30,11 +30,11 @@
     world.machines.iter_mut().for_each(|machine| machine.filler = filler);
     let end = world.now + Duration::from_millis(3_000);
     while world.now < end {
-        trouble(&mut world, weather);
+        inject_fault(&mut world, weather);
         let span = Duration::from_millis(world.rng.random_range(1..120));
         pass(&mut world, span, weather);
     }
-    calm(&mut world, weather);
+    end_all_faults(&mut world, weather);
     world
 }
 
@@ -67,7 +67,7 @@
     Site(world.rng.random_range(0..world.machines.len()))
 }
 
-fn trouble(world: &mut World, weather: Weather) {
+fn inject_fault(world: &mut World, weather: Weather) {
     let site = any_site(world);
     let other = any_site(world);
     match world.rng.random_range(0..14) {
@@ -80,7 +80,7 @@
         8 => world.network.cut(site, other),
         9 | 10 => world.heal(),
         11 => all_lose_power(world, site, weather),
-        12 => hand_over(world, site),
+        12 => transfer_leadership(world, site),
         _ => change(world, weather),
     }
 }
@@ -105,15 +105,15 @@
     for site in world.sites() {
         world.lose_power(site);
     }
-    if weather == Weather::Wiping && is_whole(world) {
+    if weather == Weather::Wiping && is_complete(world) {
         world.wipe(wiped);
     }
     start_all(world);
 }
 
-fn hand_over(world: &mut World, site: Site) {
+fn transfer_leadership(world: &mut World, site: Site) {
     if world.machines[site.0].is_free() {
-        let _ = world.call(site, |replica, now| replica.hand_over(now, None));
+        let _ = world.call(site, |replica, now| replica.transfer_leadership(now, None));
     }
 }
 
@@ -122,7 +122,7 @@
         Weather::Rough => {}
         Weather::Wiping => {
             let site = any_site(world);
-            if is_whole(world) {
+            if is_complete(world) {
                 world.wipe(site);
                 world.start(site);
             }
@@ -140,9 +140,9 @@
     }
 }
 
-/// Whether the decided group is made of disks that exist, so that it can bear the loss of one.
-fn is_whole(world: &World) -> bool {
-    let group = world.oracle.decided_group();
+/// Whether the committed group is made of disks that exist, so that it can bear the loss of one.
+fn is_complete(world: &World) -> bool {
+    let group = world.oracle.committed_group();
     !group.is_joint() && group.voters.iter().all(|voter| world.site_of(*voter).is_some())
 }
 
@@ -158,13 +158,13 @@
     }
     let mut voters: Vec<ReplicaId> = group.voters.iter().copied().filter(|voter| !is_lost(voter)).collect();
     let spares = world.machines.iter().map(|machine| machine.identity);
-    let spare = spares.filter(|spare| !group.names(*spare)).nth(world.now.0 as usize % 2);
+    let spare = spares.filter(|spare| !group.contains(*spare)).nth(world.now.0 as usize % 2);
     voters.extend(spare);
     let _ = world.call(leader, |replica, now| replica.change_group(now, voters));
 }
 
-/// All troubles end; then the partition must have a leader, a whole group, and decide.
-fn calm(world: &mut World, weather: Weather) {
+/// All faults end; then the partition must have a leader, a complete group, and commit.
+fn end_all_faults(world: &mut World, weather: Weather) {
     world.heal();
     world.network.loss = 0.0;
     world.network.straggling = 0.0;
