--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -84,7 +84,7 @@
         }
         let Some(index) = self.link_to(to) else { return };
         let now = self.now;
-        let Some((socket, outgoing)) = self.outgoing_mut(index) else { return };
+        let Some((socket, outgoing)) = self.connections.outgoing_mut(index) else { return };
         outgoing.used = now;
         if socket.waiting() + payload.len() > MAX_WAITING {
             return;
@@ -106,7 +106,7 @@
 
     fn flush_link(&mut self, index: usize) {
         let now = self.now;
-        let Some((socket, outgoing)) = self.outgoing_mut(index) else { return };
+        let Some((socket, outgoing)) = self.connections.outgoing_mut(index) else { return };
         if socket.is_connecting() {
             return;
         }
@@ -133,7 +133,7 @@
                 let serial = self.serial(index);
                 self.alarms.set(now + CONNECT_TIMEOUT, Timer::LinkExpires { connection: index, serial });
                 let hello = link::encode_hello(&Hello::new(self.internal_address));
-                if let Some((socket, _)) = self.outgoing_mut(index) {
+                if let Some((socket, _)) = self.connections.outgoing_mut(index) {
                     socket.put(&hello);
                 }
                 Some(index)
@@ -150,31 +150,31 @@
         if self.serial(index) != serial {
             return;
         }
-        let Some((socket, _)) = self.outgoing_mut(index) else { return };
+        let Some((socket, _)) = self.connections.outgoing_mut(index) else { return };
         if socket.is_connecting() {
-            self.close(index);
+            self.close_link(index);
         }
     }
 
     /// Closes the link to a node: the next frame dials anew.
     pub(crate) fn close_link_to(&mut self, address: SocketAddrV4) {
         if let Some(&index) = self.links.get(&address) {
-            self.close(index);
+            self.close_link(index);
         }
     }
 
     fn drop_link(&mut self, index: usize) {
         let now = self.now;
-        if let Some((_, outgoing)) = self.outgoing_mut(index) {
+        if let Some((_, outgoing)) = self.connections.outgoing_mut(index) {
             let address = outgoing.address;
             self.redial_after.insert(address, now + RECONNECT_BACKOFF);
         }
-        self.close(index);
+        self.close_link(index);
     }
 
     /// Something can be done on an outgoing link.
     pub fn outgoing_ready(&mut self, index: usize, readable: bool) {
-        let Some((socket, outgoing)) = self.outgoing_mut(index) else { return };
+        let Some((socket, outgoing)) = self.connections.outgoing_mut(index) else { return };
         if socket.is_connecting() {
             match socket.connected() {
                 Ok(true) => {}
@@ -212,9 +212,11 @@
         self.redial_after.retain(|_, after| now < *after);
     }
 
-    /// Forgets an outgoing link that is being closed.
-    pub fn forget_link(&mut self, outgoing: &OutgoingLink) {
-        self.links.remove(&outgoing.address);
+    fn close_link(&mut self, index: usize) {
+        if let Some((_, outgoing)) = self.connections.outgoing_mut(index) {
+            self.links.remove(&outgoing.address);
+        }
+        self.connections.close(index);
     }
 
     /// Takes in nodes that wait to connect.
@@ -236,12 +238,12 @@
     /// Frames have come.
     pub fn incoming_ready(&mut self, index: usize) {
         let serial = self.serial(index);
-        let Some((socket, incoming)) = self.incoming_mut(index) else { return };
+        let Some((socket, incoming)) = self.connections.incoming_mut(index) else { return };
         let reading = socket.read();
         let bytes = socket.take_input();
         incoming.decoder.feed(&bytes);
         while self.serial(index) == serial {
-            let Some((_, incoming)) = self.incoming_mut(index) else { return };
+            let Some((_, incoming)) = self.connections.incoming_mut(index) else { return };
             match incoming.decoder.next_frame() {
                 Ok(Some(frame)) => self.incoming_frame(index, frame),
                 Ok(None) => break,
@@ -257,7 +259,7 @@
     }
 
     fn incoming_frame(&mut self, index: usize, frame: Frame) {
-        let Some((_, incoming)) = self.incoming_mut(index) else { return };
+        let Some((_, incoming)) = self.connections.incoming_mut(index) else { return };
         let Some(peer) = incoming.peer else {
             match link::decode_hello(&frame) {
                 Ok(hello) => incoming.peer = Some(hello.address),
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -8,12 +8,14 @@
 use crate::control::partitions::PartitionHost;
 use crate::control::retire::RetireGathering;
 use crate::links::calls::PendingCall;
-use crate::links::connections::{Connection, Role};
+use crate::links::connections::{ConnectionTable, Role};
 use crate::links::messages::{CallNumber, CallNumbers};
+use crate::links::socket::Socket;
 use crate::requests::exchange::Exchange;
 use crate::requests::routing::Routing;
-use crate::requests::server::{Entrance, first_limits};
-use crate::runtime::io::{Listener, SharedWorld};
+use crate::requests::server::{Entrance, ServerConnection, first_limits};
+use crate::requests::upstream::Upstream;
+use crate::runtime::io::{Listener, SharedWorld, World};
 use crate::runtime::start::{Start, StartError};
 use crate::runtime::stop::Departure;
 use crate::runtime::timers::Timer;
@@ -33,7 +35,6 @@
 use std::io;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
-use std::sync::Arc;
 
 /// Keys of the poller. From `FIRST_CONNECTION` on they are connections.
 pub mod keys {
@@ -84,12 +85,8 @@
     pub(crate) internal_address: SocketAddrV4,
     pub(crate) now: Instant,
     random: Pcg64,
-    pub(crate) serials: u64,
     pub(crate) alarms: Alarms<Timer>,
-    pub(crate) connections: Slab<Connection>,
-    pub(crate) most_connections: usize,
-    pub(crate) idle_upstreams: FxHashMap<Arc<str>, Vec<usize>>,
-    pub(crate) input_waits: Vec<usize>,
+    pub(crate) connections: ConnectionTable,
     pub(crate) links: FxHashMap<SocketAddrV4, usize>,
     pub(crate) unflushed_links: Vec<usize>,
     pub(crate) redial_after: FxHashMap<SocketAddrV4, Instant>,
@@ -134,7 +131,6 @@
         let Start { settings, world, listeners, registry, identity, partitions, seed } = start;
         let founder = Founder::for_settings(&settings);
         let call_numbers = CallNumbers::starting_at(world.random());
-        let most_connections = listeners.most_connections;
         let mut node = Node {
             routing: Routing::new(settings.zone.as_str(), seed),
             leaders: LeaderIndex::default(),
@@ -150,12 +146,8 @@
             world,
             now: Instant(0),
             random: Pcg64::seed_from_u64(seed),
-            serials: 0,
             alarms: Alarms::default(),
-            connections: Slab::new(),
-            most_connections,
-            idle_upstreams: FxHashMap::default(),
-            input_waits: Vec::new(),
+            connections: ConnectionTable::new(listeners.most_connections),
             links: FxHashMap::default(),
             unflushed_links: Vec::new(),
             redial_after: FxHashMap::default(),
@@ -329,7 +321,7 @@
     fn sweep(&mut self) {
         self.alarms.set(self.now + SWEEP_INTERVAL, Timer::Sweep);
         self.sweep_servers();
-        self.sweep_upstreams();
+        self.connections.close_expired_idle(self.now);
         self.sweep_links();
         self.sweep_unheard();
         self.remember_executors();
@@ -372,6 +364,43 @@
         listener.as_deref()
     }
 
+    /// Adds a connection; see [`ConnectionTable::add`].
+    pub(crate) fn add_connection(
+        &mut self,
+        open: impl FnOnce(&dyn World, usize) -> io::Result<Socket>,
+        role: Role,
+    ) -> io::Result<usize> {
+        self.connections.add(&*self.world, open, role)
+    }
+
+    /// Closes a connection of a client or to an executor.
+    pub(crate) fn close(&mut self, index: usize) {
+        self.connections.close(index);
+    }
+
+    /// The serial number of the connection at an index; 0 if there is none.
+    pub(crate) fn serial(&self, index: usize) -> u64 {
+        self.connections.serial(index)
+    }
+
+    /// A number that nothing else of this process got.
+    pub(crate) fn next_serial(&mut self) -> u64 {
+        self.connections.next_serial()
+    }
+
+    pub(crate) fn server_mut(&mut self, index: usize) -> Option<(&mut Socket, &mut ServerConnection)> {
+        self.connections.server_mut(index)
+    }
+
+    pub(crate) fn upstream_mut(&mut self, index: usize) -> Option<(&mut Socket, &mut Upstream)> {
+        self.connections.upstream_mut(index)
+    }
+
+    /// Stops reading from a connection, or resumes it.
+    pub(crate) fn pause_connection(&mut self, index: usize, paused: bool) {
+        self.connections.pause(index, paused);
+    }
+
     /// The clock as it is now. `now` is what it was at the start of the turn, and the process may have stood still since:
     /// whatever proves something to somebody (a lease to a reader, a sign of life of a leader to the other candidates) goes
     /// by a look at the clock that is later than the question or the message.
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -268,7 +268,7 @@
         for (instance, id) in gone {
             self.routing.known.remove(&instance);
             self.routing.gateway.remove(id);
-            self.close_idle_upstreams(&instance);
+            self.connections.close_idle(&instance);
         }
         for executor in self.registry.executors().filter(|executor| executor.exists()) {
             let standing = match executor.state {
@@ -293,11 +293,6 @@
             }
         }
     }
-
-    fn close_idle_upstreams(&mut self, instance: &str) {
-        let indices = self.idle_upstreams.remove(instance).unwrap_or_default();
-        indices.into_iter().for_each(|index| self.close(index));
-    }
 }
 
 fn address_of(executor: &Executor) -> SocketAddr {
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -70,7 +70,7 @@
     }
 
     fn admit(&mut self, entrance: Entrance, arrival: Box<dyn Accepted>) {
-        if self.connections.len() >= self.most_connections && entrance == Entrance::Frontend {
+        if self.connections.is_full() && entrance == Entrance::Frontend {
             self.counters.connections_refused += 1;
             return;
         }
@@ -344,13 +344,13 @@
         server.state = State::Idle;
         // The client may have sent its next request already.
         if !socket.input().is_empty() {
-            self.input_waits.push(index);
+            self.connections.note_unread_input(index);
         }
     }
 
     /// Takes up requests that came while another one was answered.
     pub fn serve_waiting_input(&mut self) {
-        for index in std::mem::take(&mut self.input_waits) {
+        for index in self.connections.take_unread_input() {
             self.server_input(index);
         }
     }
@@ -363,7 +363,7 @@
         let idle_timeout = Duration::from_millis(self.client_limits.idle_timeout_ms);
         let mut idle = Vec::new();
         let mut slow = Vec::new();
-        for (index, connection) in &self.connections {
+        for (index, connection) in self.connections.iter() {
             let Role::Server(server) = &connection.role else { continue };
             let rests = now.since(server.since);
             match server.state {
--- a/crates/tier/src/requests/upstream.rs
+++ b/crates/tier/src/requests/upstream.rs
@@ -85,6 +85,16 @@
 }
 
 impl Upstream {
+    /// The instance id of the executor.
+    pub(crate) fn instance(&self) -> &Arc<str> {
+        &self.target.instance
+    }
+
+    /// Whether the executor keeps the idle connection open, as far as it has said.
+    pub(crate) fn is_usable(&self, now: Instant) -> bool {
+        now < self.usable_until
+    }
+
     /// Whether it carries a call.
     pub fn is_busy(&self) -> bool {
         self.leader.is_some()
@@ -103,7 +113,7 @@
         attempt_id: &str,
         request: &[u8],
     ) -> Result<usize, Failure> {
-        while let Some(index) = self.take_idle(&target.instance) {
+        while let Some(index) = self.connections.take_idle(&target.instance, self.now) {
             let Some((socket, upstream)) = self.upstream_mut(index) else { continue };
             upstream.leader = Some(leader);
             attempt_id.clone_into(&mut upstream.attempt_id);
@@ -149,18 +159,6 @@
         Ok(index)
     }
 
-    fn take_idle(&mut self, instance: &Arc<str>) -> Option<usize> {
-        let now = self.now;
-        loop {
-            let index = self.idle_upstreams.get_mut(instance)?.pop()?;
-            let usable = self.upstream_mut(index).is_some_and(|(_, upstream)| now < upstream.usable_until);
-            if usable {
-                return Some(index);
-            }
-            self.close(index);
-        }
-    }
-
     /// A dialled connection did not come up in time.
     pub fn connect_expired(&mut self, index: usize) {
         let connecting = self.upstream_mut(index).is_some_and(|(socket, _)| socket.is_connecting());
@@ -325,7 +323,7 @@
         if upstream.closes || socket.waiting() > 0 {
             self.close(index);
         } else {
-            self.idle_upstreams.entry(instance).or_default().push(index);
+            self.connections.put_idle(instance, index);
         }
         if let Some(leader) = leader {
             self.deliver(leader, UpstreamEvent::End);
@@ -375,32 +373,6 @@
             crate::links::connections::Role::Upstream(upstream),
         )
     }
-
-    /// Connections to executors that are idle and past their time, or whose executor is gone, are closed.
-    pub fn sweep_upstreams(&mut self) {
-        let now = self.now;
-        let mut stale = Vec::new();
-        for indices in self.idle_upstreams.values() {
-            for &index in indices {
-                let over = match self.connections.get(index).map(|connection| &connection.role) {
-                    Some(crate::links::connections::Role::Upstream(upstream)) => now >= upstream.usable_until,
-                    _ => false,
-                };
-                if over {
-                    stale.push(index);
-                }
-            }
-        }
-        stale.into_iter().for_each(|index| self.close(index));
-        self.idle_upstreams.retain(|_, indices| !indices.is_empty());
-    }
-
-    /// Forgets an idle connection that is being closed.
-    pub fn forget_idle(&mut self, upstream: &Upstream, index: usize) {
-        if let Some(indices) = self.idle_upstreams.get_mut(&upstream.target.instance) {
-            indices.retain(|&other| other != index);
-        }
-    }
 }
 
 /// The `timeout` that an answer's `Keep-Alive` tells, in seconds.
