--- a/crates/tier/src/control/bootstrap.rs
+++ b/crates/tier/src/control/bootstrap.rs
@@ -132,14 +132,14 @@
         let done = founder.named.values().flatten().all(|voter| voter.confirmed);
         for (partition, voter, voters) in calls {
             let Some(to) = self.address_of_replica(voter) else { continue };
-            let continuation = Continuation::Founding { partition, voter };
+            let continuation = Continuation::Bootstrap { partition, voter };
             self.call_node(to, Call::Found { partition, voters }, now + CONFIRM_TIMEOUT, continuation);
         }
         done
     }
 
-    /// A voter's reply to its founding.
-    pub fn founding_reply(&mut self, partition: u8, voter: u64, reply: &Reply) {
+    /// A voter's reply to its bootstrap.
+    pub fn bootstrap_reply(&mut self, partition: u8, voter: u64, reply: &Reply) {
         let Some(founder) = &mut self.founder else { return };
         let confirmed = matches!(reply, Reply::Done);
         let voters = founder.named.get_mut(&partition).into_iter().flatten();
--- a/crates/tier/src/control/mod.rs
+++ b/crates/tier/src/control/mod.rs
@@ -16,6 +16,7 @@
 pub mod membership_maintenance;
 pub mod partition_status;
 pub mod partitions;
+pub(crate) mod peer_directory;
 pub mod replica_placement;
 pub mod replica_status;
 pub mod retire;
--- a/crates/tier/src/control/partitions.rs
+++ b/crates/tier/src/control/partitions.rs
@@ -352,24 +352,6 @@
         self.identity
     }
 
-    /// The node that leads a partition, by the highest term that any has told.
-    pub fn known_leader(&self, partition: u8) -> Option<SocketAddrV4> {
-        self.leaders.leader(&self.registry, partition)
-    }
-
-    /// The next node to be asked for the leader of a partition: the one that says it is, then any that holds a replica.
-    pub fn leader_candidate(&self, partition: u8, tried: &[SocketAddrV4]) -> Option<SocketAddrV4> {
-        let untried = |address: &SocketAddrV4| !tried.contains(address);
-        if let Some(leader) = self.known_leader(partition).filter(untried) {
-            return Some(leader);
-        }
-        let class = class_of_partition(partition);
-        let holders = self.registry.live_members().filter(|member| member.class == class);
-        let holders = holders.filter(|member| member.replica.is_some());
-        let addresses: Vec<SocketAddrV4> = holders.map(|member| member.address).filter(untried).collect();
-        addresses.get(self.now.0 as usize % addresses.len().max(1)).copied()
-    }
-
     /// Gives the leadership of partitions to others, as this process is about to end; `at_the_start` of that, or again later.
     pub fn hand_over_partitions(&mut self, at_the_start: bool) {
         let now = self.now;
@@ -403,11 +385,6 @@
         self.registry.member_by_replica(replica).map(|member| member.address)
     }
 
-    /// The internal address of a node.
-    pub fn address_of(&self, name: &str) -> Option<SocketAddrV4> {
-        self.registry.member(name).map(|member| member.address)
-    }
-
     /// The name of the leader of a partition, as its replica here knows it.
     pub fn leader_name(&self, place: usize) -> Option<String> {
         let leader = self.partitions[place].replica.leader_hint()?;
--- /dev/null
+++ b/crates/tier/src/control/peer_directory.rs
@@ -0,0 +1,63 @@
+//! Which node to ask: the members of the registry and the leaders that they announce, at one moment.
+
+use crate::control::leader_index::LeaderIndex;
+use crate::control::partitions::class_of_partition;
+use grebeusher_registry::{Class, Registry};
+use grebeusher_time::Instant;
+use std::net::SocketAddrV4;
+
+/// A read-only view of the peers. It owns nothing.
+pub(crate) struct PeerDirectory<'a> {
+    /// The time of this turn of the loop.
+    pub now: Instant,
+    /// The members.
+    pub registry: &'a Registry,
+    /// The leaders of the partitions.
+    pub leaders: &'a LeaderIndex,
+    /// The address that the peers know this node by.
+    pub own_address: SocketAddrV4,
+}
+
+impl PeerDirectory<'_> {
+    /// The node that leads a partition, by the highest term that any has announced.
+    pub fn leader(&self, partition: u8) -> Option<SocketAddrV4> {
+        self.leaders.leader(self.registry, partition)
+    }
+
+    /// The next node to be asked for the leader of a partition: the announced leader, then any that holds a replica.
+    pub fn leader_candidate(&self, partition: u8, tried: &[SocketAddrV4]) -> Option<SocketAddrV4> {
+        let untried = |address: &SocketAddrV4| !tried.contains(address);
+        if let Some(leader) = self.leader(partition).filter(untried) {
+            return Some(leader);
+        }
+        let class = class_of_partition(partition);
+        let replicas = self.registry.live_members().filter(|member| member.class == class);
+        let replicas = replicas.filter(|member| member.replica.is_some());
+        let addresses: Vec<SocketAddrV4> = replicas.map(|member| member.address).filter(untried).collect();
+        self.pick(&addresses)
+    }
+
+    /// A node that may reach a leader which this one can't: any other edge node that is `usable`.
+    pub fn relay_candidate(&self, usable: impl Fn(&SocketAddrV4) -> bool) -> Option<SocketAddrV4> {
+        let edges = self.registry.live_members().filter(|member| member.class == Class::Edge);
+        let others = edges.map(|member| member.address).filter(|address| *address != self.own_address);
+        let usable: Vec<SocketAddrV4> = others.filter(usable).collect();
+        self.pick(&usable)
+    }
+
+    /// Whether there is another live node that is `usable`.
+    pub fn any_other(&self, usable: impl Fn(&SocketAddrV4) -> bool) -> bool {
+        let mut others = self.registry.live_members().map(|member| member.address);
+        others.any(|address| address != self.own_address && usable(&address))
+    }
+
+    /// The internal address of a node.
+    pub fn address_of(&self, name: &str) -> Option<SocketAddrV4> {
+        self.registry.member(name).map(|member| member.address)
+    }
+
+    /// One of some addresses, another one at another time.
+    fn pick(&self, addresses: &[SocketAddrV4]) -> Option<SocketAddrV4> {
+        addresses.get(self.now.0 as usize % addresses.len().max(1)).copied()
+    }
+}
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -138,7 +138,7 @@
                 RetireQuestion::Show => Call::ShowRetire { partition, node },
             };
             let until = self.now + OPERATOR_TIMEOUT;
-            self.call_leader(partition, call, until, Continuation::Retire { gathering: number });
+            self.call_leader(partition, call, until, Continuation::Retire { request: number });
         }
     }
 
--- a/crates/tier/src/control/status.rs
+++ b/crates/tier/src/control/status.rs
@@ -27,7 +27,7 @@
     }
 
     fn write_status(&self, text: &mut String) -> std::fmt::Result {
-        writeln!(text, "node {} {}", self.settings.node_name.as_str(), self.internal_address)?;
+        writeln!(text, "node {} {}", self.settings.node_name.as_str(), self.links.own_address())?;
         writeln!(text, "ready {} stopping {}", self.is_ready(), self.stopping())?;
         writeln!(text, "configuration {}", self.configuration_version())?;
         for member in self.registry.members() {
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -1,17 +1,57 @@
 //! What comes from other nodes, and what the registry wants done.
 
 use crate::control::partitions::Waiter;
-use crate::links::messages::{Call, CallEnvelope, Channel, Reply, ReplyEnvelope};
+use crate::control::peer_directory::PeerDirectory;
+use crate::links::calls::{CallStep, CallTarget, Continuation, EndedCall, PendingCalls};
+use crate::links::messages::{Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope};
+use crate::links::peer_links::{self, LinkContext, PeerLinks};
 use crate::node::Node;
+use crate::runtime::timers::Timer;
 use grebeusher_quorum::{Group, ReplicaId};
 use grebeusher_registry::{Event, Message};
-use nanoserde::DeBin;
+use grebeusher_time::{Duration, Instant};
+use nanoserde::{DeBin, SerBin};
 use std::net::SocketAddrV4;
 
 impl Node {
+    /// Lets the links do something with what they use of the node.
+    pub(crate) fn with_links<T>(&mut self, act: impl FnOnce(&mut PeerLinks, &mut LinkContext<'_>) -> T) -> T {
+        let mut context = LinkContext {
+            now: self.now,
+            world: &*self.world,
+            connections: &mut self.connections,
+            alarms: &mut self.alarms,
+            traffic: &mut self.traffic,
+        };
+        act(&mut self.links, &mut context)
+    }
+
+    /// Sends a frame to a node, which may be this one. It may be lost, as any on a network.
+    pub fn send_frame(&mut self, to: SocketAddrV4, channel: Channel, payload: &[u8]) {
+        if to == self.links.own_address() {
+            return self.receive_frame(to, channel, payload);
+        }
+        self.with_links(|links, context| links.send(context, to, channel, payload));
+    }
+
+    /// Takes the frames that have come on an incoming link.
+    pub(crate) fn incoming_ready(&mut self, index: usize) {
+        let serial = self.connections.serial(index);
+        let read = peer_links::read_incoming(&mut self.connections, index);
+        while self.connections.serial(index) == serial
+            && let Some(frame) = peer_links::next_received(&mut self.connections, index)
+        {
+            self.traffic.received(frame.channel, &frame.payload);
+            self.receive_frame(frame.peer, frame.channel, &frame.payload);
+        }
+        if read.is_err() && self.connections.serial(index) == serial {
+            self.connections.close(index);
+        }
+    }
+
     /// A frame of another node, or of this one to itself.
     pub fn receive_frame(&mut self, from: SocketAddrV4, channel: Channel, payload: &[u8]) {
-        self.heard_from(from);
+        self.calls.received_from(from);
         match channel {
             Channel::Registry => {
                 if let Ok(message) = Message::decode(payload) {
@@ -28,12 +68,96 @@
             }
             Channel::Reply => {
                 if let Ok(envelope) = <ReplyEnvelope as DeBin>::deserialize_bin(payload) {
-                    self.receive_reply(from, envelope);
+                    self.step_call(|calls, peers| calls.receive_reply(from, envelope, peers));
                 }
             }
         }
     }
 
+    /// The peers as they are known now.
+    pub(crate) fn peer_directory(&self) -> PeerDirectory<'_> {
+        PeerDirectory {
+            now: self.now,
+            registry: &self.registry,
+            leaders: &self.leaders,
+            own_address: self.links.own_address(),
+        }
+    }
+
+    /// The node that leads a partition, by the highest term that any has announced.
+    pub fn known_leader(&self, partition: u8) -> Option<SocketAddrV4> {
+        self.peer_directory().leader(partition)
+    }
+
+    /// Calls the leader of a partition, wherever it is, until `until`.
+    pub fn call_leader(&mut self, partition: u8, call: Call, until: Instant, continuation: Continuation) {
+        let target = CallTarget::Leader(partition);
+        self.step_call(|calls, peers| calls.begin(target, call, until, continuation, peers));
+    }
+
+    /// Calls one node.
+    pub fn call_node(&mut self, to: SocketAddrV4, call: Call, until: Instant, continuation: Continuation) {
+        let target = CallTarget::Node(to);
+        self.step_call(|calls, peers| calls.begin(target, call, until, continuation, peers));
+    }
+
+    /// Forwards a call of another node to the leader of a partition.
+    fn forward_call(&mut self, waiter: Waiter, partition: u8, within_ms: u32, call: &[u8]) {
+        let Ok(call) = <Call as DeBin>::deserialize_bin(call) else { return };
+        let until = self.now + Duration::from_millis(u64::from(within_ms));
+        let continuation = Continuation::Forwarded { peer: waiter.peer, number: waiter.number };
+        self.call_leader(partition, call, until, continuation);
+    }
+
+    /// Lets the pending calls go on, and takes the step that follows.
+    pub(crate) fn step_call(
+        &mut self,
+        act: impl FnOnce(&mut PendingCalls, &PeerDirectory<'_>) -> Option<CallStep>,
+    ) {
+        let peers = PeerDirectory {
+            now: self.now,
+            registry: &self.registry,
+            leaders: &self.leaders,
+            own_address: self.links.own_address(),
+        };
+        match act(&mut self.calls, &peers) {
+            Some(CallStep::Send { target, envelope, expires }) => {
+                self.alarms.set(expires, Timer::CallExpires { number: envelope.number });
+                self.send_frame(target, Channel::Call, &SerBin::serialize_bin(&envelope));
+            }
+            Some(CallStep::RetryAt { number, at }) => drop(self.alarms.set(at, Timer::CallRetry { number })),
+            Some(CallStep::End(ended)) => self.end_call(ended),
+            None => {}
+        }
+    }
+
+    fn end_call(&mut self, ended: EndedCall) {
+        if let Some(unresponsive) = ended.unresponsive {
+            // A link that was idle may have been forgotten on the way, and the system takes a while to notice.
+            self.links.close_link_to(&mut self.connections, unresponsive);
+        }
+        let reply = ended.reply;
+        match ended.continuation {
+            Continuation::Operator { connection, serial, question } => {
+                self.operator_reply(connection, serial, question, reply);
+            }
+            Continuation::Batch { connection, serial, question } => {
+                self.batch_reply(connection, serial, question, reply);
+            }
+            Continuation::Configuration => self.fetched_configuration(reply, false),
+            Continuation::FirstConfiguration => self.fetched_configuration(reply, true),
+            Continuation::Bootstrap { partition, voter } => self.bootstrap_reply(partition, voter, &reply),
+            Continuation::Forwarded { peer, number } => self.reply(peer, number, reply),
+            Continuation::Retire { request } => self.retire_reply(request, &reply),
+        }
+    }
+
+    /// Replies to a node's call.
+    pub fn reply(&mut self, to: SocketAddrV4, number: CallNumber, reply: Reply) {
+        let envelope = ReplyEnvelope { number, reply };
+        self.send_frame(to, Channel::Reply, &SerBin::serialize_bin(&envelope));
+    }
+
     fn receive_call(&mut self, from: SocketAddrV4, envelope: CallEnvelope) {
         let waiter = Waiter { peer: from, number: envelope.number };
         match envelope.call {
@@ -52,7 +176,7 @@
             }
             Call::EndJob { partition, job } => self.end_at_leader(waiter, partition, &job),
             Call::Forward { partition, within_ms, call } => {
-                self.forward_call(waiter.peer, waiter.number, partition, within_ms, &call);
+                self.forward_call(waiter, partition, within_ms, &call);
             }
             Call::BeginRetire { partition, node } => self.begin_retire_at_leader(waiter, partition, &node),
             Call::ShowRetire { partition, node } => self.show_retire_at_leader(waiter, partition, &node),
--- a/crates/tier/src/links/mod.rs
+++ b/crates/tier/src/links/mod.rs
@@ -7,6 +7,7 @@
 pub mod calls;
 pub mod connections;
 pub mod dispatch;
+pub mod link_progress;
 pub mod messages;
 pub mod peer_links;
 pub mod socket;
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -1,13 +1,20 @@
-//! Links to the other nodes: one outgoing connection to each node that is spoken to, incoming ones from any.
+//! Links to the peers: one outgoing connection to each node that this one sends to, incoming ones from any.
+//!
+//! [`PeerLinks`] owns which address has which link, which links have unwritten frames, and when a peer may be dialled again.
+//! Its sockets stand in the [`ConnectionTable`] and its timers in the loop's alarms; both come in by [`LinkContext`]. It is the
+//! only one that opens or closes links. What a frame means is up to [`dispatch`](crate::links::dispatch).
 
-use crate::links::connections::Role;
+use crate::links::connections::{ConnectionTable, Role};
+use crate::links::link_progress::LinkProgress;
 use crate::links::messages::Channel;
 use crate::links::socket::{Reading, Socket};
-use crate::node::Node;
-use crate::runtime::io::Accepted;
+use crate::runtime::io::{Accepted, Listener, World};
 use crate::runtime::timers::Timer;
+use crate::runtime::traffic::Traffic;
 use grebeusher_time::{Duration, Instant};
+use grebeusher_transport::alarms::Alarms;
 use grebeusher_transport::link::{self, Frame, FrameDecoder, Hello};
+use rustc_hash::FxHashMap;
 use std::net::SocketAddrV4;
 use tracing::debug;
 
@@ -20,11 +27,14 @@
 const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A link that nothing was sent on for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(20_000);
-/// The most that waits on a link (bytes): more is dropped, as all that is said is said again.
+/// The most that waits on a link (bytes). More is dropped: whoever sends repeats what was not acknowledged.
 const MAX_WAITING: usize = 12 * 1024 * 1024;
 /// After a link could not be made, the next is tried only after this.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
 
+/// How many links one turn of the loop accepts.
+const MAX_ACCEPTS: usize = 64;
+
 /// An outgoing link.
 pub struct OutgoingLink {
     address: SocketAddrV4,
@@ -32,247 +42,267 @@
     used: Instant,
 }
 
-/// Whether bytes move on a link.
-#[derive(Clone, Copy, Debug)]
-pub struct LinkProgress {
-    /// When bytes last moved, or nothing waited.
-    moved: Instant,
-    /// Bytes that had been written then.
-    sent: u64,
+/// An incoming link.
+pub struct IncomingLink {
+    decoder: FrameDecoder,
+    /// The sender's address, once its hello has come.
+    peer: Option<SocketAddrV4>,
 }
 
-impl LinkProgress {
-    /// Of a link that begins now.
-    pub fn new(now: Instant) -> LinkProgress {
-        LinkProgress { moved: now, sent: 0 }
-    }
+/// A frame of a peer that is for this node.
+pub(crate) struct ReceivedFrame {
+    /// The address that the peer is known by.
+    pub peer: SocketAddrV4,
+    /// What the payload belongs to.
+    pub channel: Channel,
+    /// The encoded message.
+    pub payload: Vec<u8>,
+}
 
-    /// Something is put on the link while `waiting` bytes wait.
-    pub fn put(&mut self, now: Instant, waiting: usize) {
-        if waiting == 0 {
-            self.moved = now;
-        }
-    }
+/// What the links use of the rest of the node.
+pub(crate) struct LinkContext<'a> {
+    /// The time of this turn of the loop.
+    pub now: Instant,
+    /// Dials.
+    pub world: &'a dyn World,
+    /// Holds the sockets.
+    pub connections: &'a mut ConnectionTable,
+    /// Takes the time-outs of connecting.
+    pub alarms: &'a mut Alarms<Timer>,
+    /// Counts the frames.
+    pub traffic: &'a mut Traffic,
+}
 
-    /// What went was written: `sent` bytes in the life of the link, and `waiting` bytes wait still. Goes by what was written,
-    /// not by what waits: under load more is put on a link than goes out in a turn, and it is not stuck for that.
-    pub fn flushed(&mut self, now: Instant, sent: u64, waiting: usize) {
-        if sent > self.sent || waiting == 0 {
-            self.moved = now;
+/// The links of a node.
+pub(crate) struct PeerLinks {
+    /// The address that the peers know this node by.
+    own_address: SocketAddrV4,
+    listener: Box<dyn Listener>,
+    outgoing: FxHashMap<SocketAddrV4, usize>,
+    unflushed: Vec<usize>,
+    redial_after: FxHashMap<SocketAddrV4, Instant>,
+}
+
+impl PeerLinks {
+    /// No links yet.
+    pub fn new(own_address: SocketAddrV4, listener: Box<dyn Listener>) -> PeerLinks {
+        PeerLinks {
+            own_address,
+            listener,
+            outgoing: FxHashMap::default(),
+            unflushed: Vec::new(),
+            redial_after: FxHashMap::default(),
         }
-        self.sent = sent;
     }
 
-    /// Whether bytes wait that nobody has taken any of for longer than `within`.
-    pub fn is_stuck(&self, now: Instant, waiting: usize, within: Duration) -> bool {
-        waiting > 0 && now.since(self.moved) > within
+    /// The address that the peers know this node by.
+    pub fn own_address(&self) -> SocketAddrV4 {
+        self.own_address
     }
-}
 
-/// An incoming link.
-pub struct IncomingLink {
-    decoder: FrameDecoder,
-    peer: Option<SocketAddrV4>,
-}
-
-impl Node {
-    /// Sends a frame to a node. It may be lost, as any on a network.
-    pub fn send_frame(&mut self, to: SocketAddrV4, channel: Channel, payload: &[u8]) {
-        if to == self.internal_address {
-            self.receive_frame(to, channel, payload);
-            return;
-        }
-        let Some(index) = self.link_to(to) else { return };
-        let now = self.now;
-        let Some((socket, outgoing)) = self.connections.outgoing_mut(index) else { return };
-        outgoing.used = now;
+    /// Puts a frame on the link to a peer, which is dialled if there is none. The frame may be lost, as any on a network.
+    pub fn send(
+        &mut self,
+        context: &mut LinkContext<'_>,
+        to: SocketAddrV4,
+        channel: Channel,
+        payload: &[u8],
+    ) {
+        let Some(index) = self.link_to(context, to) else { return };
+        let Some((socket, outgoing)) = context.connections.outgoing_mut(index) else { return };
+        outgoing.used = context.now;
         if socket.waiting() + payload.len() > MAX_WAITING {
             return;
         }
-        outgoing.progress.put(now, socket.waiting());
+        outgoing.progress.put(context.now, socket.waiting());
         socket.put(&link::encode_frame(channel as u8, payload));
-        self.traffic.sent(channel, payload);
-        if !self.unflushed_links.contains(&index) {
-            self.unflushed_links.push(index);
+        context.traffic.sent(channel, payload);
+        if !self.unflushed.contains(&index) {
+            self.unflushed.push(index);
         }
     }
 
     /// Writes what this turn of the loop put on links.
-    pub fn flush_links(&mut self) {
-        for index in std::mem::take(&mut self.unflushed_links) {
-            self.flush_link(index);
+    pub fn flush(&mut self, context: &mut LinkContext<'_>) {
+        for index in std::mem::take(&mut self.unflushed) {
+            self.flush_link(context, index);
         }
     }
 
-    fn flush_link(&mut self, index: usize) {
-        let now = self.now;
-        let Some((socket, outgoing)) = self.connections.outgoing_mut(index) else { return };
+    fn flush_link(&mut self, context: &mut LinkContext<'_>, index: usize) {
+        let Some((socket, outgoing)) = context.connections.outgoing_mut(index) else { return };
         if socket.is_connecting() {
             return;
         }
         if socket.flush().is_err() {
-            return self.drop_link(index);
+            return self.fail(context, index);
         }
-        outgoing.progress.flushed(now, socket.sent(), socket.waiting());
+        outgoing.progress.flushed(context.now, socket.sent(), socket.waiting());
     }
 
-    fn link_to(&mut self, to: SocketAddrV4) -> Option<usize> {
-        if let Some(&index) = self.links.get(&to) {
+    /// The link to a peer; `None` while it may not be dialled again.
+    fn link_to(&mut self, context: &mut LinkContext<'_>, to: SocketAddrV4) -> Option<usize> {
+        if let Some(&index) = self.outgoing.get(&to) {
             return Some(index);
         }
-        let now = self.now;
-        if self.redial_after.get(&to).is_some_and(|&after| now < after) {
+        if self.redial_after.get(&to).is_some_and(|&after| context.now < after) {
             return None;
         }
+        let Some(index) = self.dial(context, to) else {
+            self.redial_after.insert(to, context.now + RECONNECT_BACKOFF);
+            return None;
+        };
+        self.outgoing.insert(to, index);
+        Some(index)
+    }
+
+    fn dial(&self, context: &mut LinkContext<'_>, to: SocketAddrV4) -> Option<usize> {
+        let now = context.now;
         let outgoing = OutgoingLink { address: to, progress: LinkProgress::new(now), used: now };
-        let added =
-            self.add_connection(|world, key| Socket::dial_link(world, to, key), Role::Outgoing(outgoing));
-        match added {
-            Ok(index) => {
-                self.links.insert(to, index);
-                let serial = self.serial(index);
-                self.alarms.set(now + CONNECT_TIMEOUT, Timer::LinkExpires { connection: index, serial });
-                let hello = link::encode_hello(&Hello::new(self.internal_address));
-                if let Some((socket, _)) = self.connections.outgoing_mut(index) {
-                    socket.put(&hello);
-                }
-                Some(index)
-            }
-            Err(_) => {
-                self.redial_after.insert(to, now + RECONNECT_BACKOFF);
-                None
-            }
-        }
+        let dial = |world: &dyn World, key| Socket::dial_link(world, to, key);
+        let index = context.connections.add(context.world, dial, Role::Outgoing(outgoing)).ok()?;
+        let serial = context.connections.serial(index);
+        context.alarms.set(now + CONNECT_TIMEOUT, Timer::LinkExpires { connection: index, serial });
+        let (socket, _) = context.connections.outgoing_mut(index)?;
+        socket.put(&link::encode_hello(&Hello::new(self.own_address)));
+        Some(index)
     }
 
-    /// A link that should have come up by now is given up. It was waited for long enough: the next frame dials anew.
-    pub fn link_expired(&mut self, index: usize, serial: u64) {
-        if self.serial(index) != serial {
+    /// Closes a link that should have come up by now. It was waited for long enough: the next frame dials anew.
+    pub fn connect_expired(&mut self, connections: &mut ConnectionTable, index: usize, serial: u64) {
+        if connections.serial(index) != serial {
             return;
         }
-        let Some((socket, _)) = self.connections.outgoing_mut(index) else { return };
+        let Some((socket, _)) = connections.outgoing_mut(index) else { return };
         if socket.is_connecting() {
-            self.close_link(index);
+            self.close(connections, index);
         }
     }
 
-    /// Closes the link to a node: the next frame dials anew.
-    pub(crate) fn close_link_to(&mut self, address: SocketAddrV4) {
-        if let Some(&index) = self.links.get(&address) {
-            self.close_link(index);
+    /// Closes the link to a peer: the next frame dials anew.
+    pub fn close_link_to(&mut self, connections: &mut ConnectionTable, address: SocketAddrV4) {
+        if let Some(&index) = self.outgoing.get(&address) {
+            self.close(connections, index);
         }
     }
 
-    fn drop_link(&mut self, index: usize) {
-        let now = self.now;
-        if let Some((_, outgoing)) = self.connections.outgoing_mut(index) {
-            let address = outgoing.address;
-            self.redial_after.insert(address, now + RECONNECT_BACKOFF);
+    fn close(&mut self, connections: &mut ConnectionTable, index: usize) {
+        if let Some((_, outgoing)) = connections.outgoing_mut(index) {
+            self.outgoing.remove(&outgoing.address);
         }
-        self.close_link(index);
+        connections.close(index);
     }
 
-    /// Something can be done on an outgoing link.
-    pub fn outgoing_ready(&mut self, index: usize, readable: bool) {
-        let Some((socket, outgoing)) = self.connections.outgoing_mut(index) else { return };
+    /// Closes a link that failed; the peer is dialled again only after a pause.
+    fn fail(&mut self, context: &mut LinkContext<'_>, index: usize) {
+        if let Some((_, outgoing)) = context.connections.outgoing_mut(index) {
+            self.redial_after.insert(outgoing.address, context.now + RECONNECT_BACKOFF);
+        }
+        self.close(context.connections, index);
+    }
+
+    /// Handles an event of an outgoing link.
+    pub fn outgoing_ready(&mut self, context: &mut LinkContext<'_>, index: usize, readable: bool) {
+        let Some((socket, outgoing)) = context.connections.outgoing_mut(index) else { return };
         if socket.is_connecting() {
             match socket.connected() {
                 Ok(true) => {}
                 Ok(false) => return,
-                Err(_) => return self.drop_link(index),
+                Err(_) => return self.fail(context, index),
             }
         }
         if readable {
-            // The peer says nothing on this side: its end is all that can come.
+            // The peer sends nothing on this side: its end is all that can come.
             match socket.read() {
                 Ok(Reading::Open { .. }) => drop(socket.take_input()),
                 _ => {
-                    let address = outgoing.address;
-                    debug!("link to {address} ended");
-                    return self.drop_link(index);
+                    debug!(peer = %outgoing.address, "link ended");
+                    return self.fail(context, index);
                 }
             }
         }
-        self.flush_link(index);
+        self.flush_link(context, index);
     }
 
-    /// Closes links that are stuck, and those that nothing is said on.
-    pub fn sweep_links(&mut self) {
-        let now = self.now;
-        let mut over = Vec::new();
-        for &index in self.links.values() {
-            let Some(connection) = self.connections.get(index) else { continue };
-            let Role::Outgoing(outgoing) = &connection.role else { continue };
-            let stuck = outgoing.progress.is_stuck(now, connection.socket.waiting(), STALL_TIMEOUT);
-            if stuck || now.since(outgoing.used) > IDLE_TIMEOUT {
-                over.push(index);
-            }
-        }
-        over.into_iter().for_each(|index| self.drop_link(index));
-        self.redial_after.retain(|_, after| now < *after);
-    }
-
-    fn close_link(&mut self, index: usize) {
-        if let Some((_, outgoing)) = self.connections.outgoing_mut(index) {
-            self.links.remove(&outgoing.address);
-        }
-        self.connections.close(index);
+    /// Closes links that are stuck, and those that nothing was sent on for long.
+    pub fn sweep(&mut self, context: &mut LinkContext<'_>) {
+        let is_over = |index: &usize| {
+            let Some(connection) = context.connections.get(*index) else { return false };
+            let Role::Outgoing(outgoing) = &connection.role else { return false };
+            let waiting = connection.socket.waiting();
+            outgoing.progress.is_stuck(context.now, waiting, STALL_TIMEOUT)
+                || context.now.since(outgoing.used) > IDLE_TIMEOUT
+        };
+        let over: Vec<usize> = self.outgoing.values().copied().filter(is_over).collect();
+        over.into_iter().for_each(|index| self.fail(context, index));
+        self.redial_after.retain(|_, after| context.now < *after);
     }
 
-    /// Takes in nodes that wait to connect.
-    pub fn accept_links(&mut self) {
-        for _ in 0..64 {
-            let Some(listener) = &self.internal_listener else { return };
-            match listener.accept() {
-                Ok(arrival) => self.admit_link(arrival),
+    /// Accepts the links of peers that wait to connect.
+    pub fn accept(&self, context: &mut LinkContext<'_>) {
+        for _ in 0..MAX_ACCEPTS {
+            match self.listener.accept() {
+                Ok(arrival) => admit(context, arrival),
                 Err(_) => return,
             }
         }
     }
+}
 
-    fn admit_link(&mut self, arrival: Box<dyn Accepted>) {
-        let incoming = IncomingLink { decoder: FrameDecoder::default(), peer: None };
-        let _ = self.add_connection(|_, key| Socket::accepted(arrival, key), Role::Incoming(incoming));
+fn admit(context: &mut LinkContext<'_>, arrival: Box<dyn Accepted>) {
+    let incoming = IncomingLink { decoder: FrameDecoder::default(), peer: None };
+    let open = |_: &dyn World, key| Socket::accepted(arrival, key);
+    // A link that can't be watched is lost, and its peer dials anew.
+    let _ = context.connections.add(context.world, open, Role::Incoming(incoming));
+}
+
+/// Reads what has come on an incoming link into its decoder.
+///
+/// # Errors
+/// The peer has closed the link, or it failed: it is to be closed once its frames are taken.
+pub(crate) fn read_incoming(connections: &mut ConnectionTable, index: usize) -> Result<(), LinkClosed> {
+    let Some((socket, incoming)) = connections.incoming_mut(index) else { return Ok(()) };
+    let reading = socket.read();
+    incoming.decoder.feed(&socket.take_input());
+    match reading {
+        Ok(Reading::Open { .. }) => Ok(()),
+        _ => Err(LinkClosed),
     }
+}
 
-    /// Frames have come.
-    pub fn incoming_ready(&mut self, index: usize) {
-        let serial = self.serial(index);
-        let Some((socket, incoming)) = self.connections.incoming_mut(index) else { return };
-        let reading = socket.read();
-        let bytes = socket.take_input();
-        incoming.decoder.feed(&bytes);
-        while self.serial(index) == serial {
-            let Some((_, incoming)) = self.connections.incoming_mut(index) else { return };
-            match incoming.decoder.next_frame() {
-                Ok(Some(frame)) => self.incoming_frame(index, frame),
-                Ok(None) => break,
-                Err(error) => {
-                    debug!("a link is closed: {error}");
-                    return self.close(index);
-                }
+/// The other side of a link is gone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct LinkClosed;
+
+/// The next whole frame of an incoming link. A link with an invalid frame is closed.
+pub(crate) fn next_received(connections: &mut ConnectionTable, index: usize) -> Option<ReceivedFrame> {
+    loop {
+        let (_, incoming) = connections.incoming_mut(index)?;
+        let received = match incoming.decoder.next_frame() {
+            Ok(None) => return None,
+            Ok(Some(frame)) => incoming.take_frame(frame),
+            Err(error) => Err(error),
+        };
+        match received {
+            Ok(Some(received)) => return Some(received),
+            // A hello, or a frame of a channel that this version does not know.
+            Ok(None) => {}
+            Err(error) => {
+                debug!(%error, "link with an invalid frame closed");
+                connections.close(index);
+                return None;
             }
         }
-        if self.serial(index) == serial && !matches!(reading, Ok(Reading::Open { .. })) {
-            self.close(index);
-        }
     }
+}
 
-    fn incoming_frame(&mut self, index: usize, frame: Frame) {
-        let Some((_, incoming)) = self.connections.incoming_mut(index) else { return };
-        let Some(peer) = incoming.peer else {
-            match link::decode_hello(&frame) {
-                Ok(hello) => incoming.peer = Some(hello.address),
-                Err(error) => {
-                    debug!("a link is closed: {error}");
-                    self.close(index);
-                }
-            }
-            return;
+impl IncomingLink {
+    fn take_frame(&mut self, frame: Frame) -> Result<Option<ReceivedFrame>, link::LinkError> {
+        let Some(peer) = self.peer else {
+            self.peer = Some(link::decode_hello(&frame)?.address);
+            return Ok(None);
         };
-        if let Some(channel) = Channel::from_byte(frame.channel) {
-            self.traffic.received(channel, &frame.payload);
-            self.receive_frame(peer, channel, &frame.payload);
-        }
+        let channel = Channel::from_byte(frame.channel);
+        Ok(channel.map(|channel| ReceivedFrame { peer, channel, payload: frame.payload }))
     }
 }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -7,9 +7,10 @@
 use crate::control::leader_index::LeaderIndex;
 use crate::control::partitions::PartitionHost;
 use crate::control::retire::RetireGathering;
-use crate::links::calls::PendingCall;
+use crate::links::calls::PendingCalls;
 use crate::links::connections::{ConnectionTable, Role};
-use crate::links::messages::{CallNumber, CallNumbers};
+use crate::links::messages::CallNumbers;
+use crate::links::peer_links::PeerLinks;
 use crate::links::socket::Socket;
 use crate::requests::exchange::Exchange;
 use crate::requests::routing::Routing;
@@ -33,7 +34,6 @@
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::io;
-use std::net::SocketAddrV4;
 use std::rc::Rc;
 
 /// Keys of the poller. From `FIRST_CONNECTION` on they are connections.
@@ -81,15 +81,11 @@
     frontend: Option<Box<dyn Listener>>,
     readiness: Option<Box<dyn Listener>>,
     control: Option<Box<dyn Listener>>,
-    pub(crate) internal_listener: Option<Box<dyn Listener>>,
-    pub(crate) internal_address: SocketAddrV4,
     pub(crate) now: Instant,
     random: Pcg64,
     pub(crate) alarms: Alarms<Timer>,
     pub(crate) connections: ConnectionTable,
-    pub(crate) links: FxHashMap<SocketAddrV4, usize>,
-    pub(crate) unflushed_links: Vec<usize>,
-    pub(crate) redial_after: FxHashMap<SocketAddrV4, Instant>,
+    pub(crate) links: PeerLinks,
     pub(crate) http_limits: Limits,
     pub(crate) client_limits: ClientLimits,
     pub(crate) registry: Registry,
@@ -105,10 +101,7 @@
     pub(crate) configuration_proven: bool,
     pub(crate) fetching: Option<Instant>,
     pub(crate) exchanges: Slab<Exchange>,
-    pub(crate) call_numbers: CallNumbers,
-    pub(crate) calls: FxHashMap<CallNumber, PendingCall>,
-    /// Nodes that left a call unanswered and have said nothing since.
-    pub(crate) unheard: FxHashMap<SocketAddrV4, Instant>,
+    pub(crate) calls: PendingCalls,
     pub(crate) gatherings: FxHashMap<u64, RetireGathering>,
     pub(crate) identity: Option<ReplicaId>,
     pub(crate) partitions: Vec<PartitionHost>,
@@ -130,27 +123,23 @@
     pub fn new(start: Start) -> Result<Node, StartError> {
         let Start { settings, world, listeners, registry, identity, partitions, seed } = start;
         let founder = Founder::for_settings(&settings);
-        let call_numbers = CallNumbers::starting_at(world.random());
+        let calls = PendingCalls::new(CallNumbers::starting_at(world.random()));
         let mut node = Node {
             routing: Routing::new(settings.zone.as_str(), seed),
             leaders: LeaderIndex::default(),
             spread_after: Instant(0),
             items: ItemRuns::default(),
             replica_names: FxHashMap::default(),
-            internal_address: listeners.internal_address,
             frontend: listeners.frontend,
             readiness: listeners.readiness,
             control: listeners.control,
-            internal_listener: Some(listeners.internal),
             settings,
             world,
             now: Instant(0),
             random: Pcg64::seed_from_u64(seed),
             alarms: Alarms::default(),
             connections: ConnectionTable::new(listeners.most_connections),
-            links: FxHashMap::default(),
-            unflushed_links: Vec::new(),
-            redial_after: FxHashMap::default(),
+            links: PeerLinks::new(listeners.internal_address, listeners.internal),
             http_limits: first_limits(),
             client_limits: ClientLimits::default(),
             registry,
@@ -162,9 +151,7 @@
             configuration_proven: false,
             fetching: None,
             exchanges: Slab::new(),
-            call_numbers,
-            calls: FxHashMap::default(),
-            unheard: FxHashMap::default(),
+            calls,
             gatherings: FxHashMap::default(),
             identity,
             partitions,
@@ -234,7 +221,7 @@
             self.update_routing();
         }
         self.begin_reviewing();
-        self.flush_links();
+        self.with_links(PeerLinks::flush);
         Ok(())
     }
 
@@ -256,7 +243,7 @@
             keys::FRONTEND => self.accept(Entrance::Frontend),
             keys::READINESS => self.accept(Entrance::Readiness),
             keys::CONTROL => self.accept(Entrance::Control),
-            keys::INTERNAL => self.accept_links(),
+            keys::INTERNAL => self.with_links(|links, context| links.accept(context)),
             keys::SIGNALS => self.signalled(),
             key => self.connection_ready(key - keys::FIRST_CONNECTION, event.readable, event.writable),
         }
@@ -268,7 +255,9 @@
             Role::Server(_) => self.server_ready(index, readable, writable),
             Role::Upstream(_) => self.upstream_ready(index, readable, writable),
             Role::Incoming(_) => self.incoming_ready(index),
-            Role::Outgoing(_) => self.outgoing_ready(index, readable),
+            Role::Outgoing(_) => {
+                self.with_links(|links, context| links.outgoing_ready(context, index, readable));
+            }
         }
     }
 
@@ -284,10 +273,12 @@
             Timer::ExchangeSilence { exchange, serial, attempt } => {
                 self.exchange_silent(exchange, serial, attempt);
             }
-            Timer::LinkExpires { connection, serial } => self.link_expired(connection, serial),
+            Timer::LinkExpires { connection, serial } => {
+                self.links.connect_expired(&mut self.connections, connection, serial);
+            }
             Timer::ItemSilence { run } => self.item_silent(run),
-            Timer::CallExpires { number } => self.call_expired(number),
-            Timer::CallRetry { number } => self.call_retry(number),
+            Timer::CallExpires { number } => self.step_call(|calls, peers| calls.expire(number, peers)),
+            Timer::CallRetry { number } => self.step_call(|calls, peers| calls.retry(number, peers)),
             Timer::HeldReadExpires { read } => self.held_read_expired(read),
             Timer::Found => self.look_to_found(),
             Timer::GroupUpkeep => self.group_upkeep(),
@@ -322,8 +313,8 @@
         self.alarms.set(self.now + SWEEP_INTERVAL, Timer::Sweep);
         self.sweep_servers();
         self.connections.close_expired_idle(self.now);
-        self.sweep_links();
-        self.sweep_unheard();
+        self.with_links(PeerLinks::sweep);
+        self.calls.sweep(self.now);
         self.remember_executors();
         self.tell_popularity();
         self.remember_popularity();
--- a/crates/tier/tests/calls.rs
+++ b/crates/tier/tests/calls.rs
@@ -1,6 +1,6 @@
 //! What a call between nodes has come to, where some copies of it were left unanswered.
 
-use grebeusher_tier::links::calls::settled;
+use grebeusher_tier::links::calls::final_reply;
 use grebeusher_tier::links::messages::{Call, Reply, SubmitJob};
 use rstest::rstest;
 
@@ -29,34 +29,34 @@
 #[rstest]
 fn a_refusal_is_no_promise_while_a_copy_of_the_job_is_unaccounted_for(#[values(429, 503)] refusal: u16) {
     // Given a job of which one copy was left unanswered, when another copy is refused,
-    let reply = settled(&submission(), true, Some(answer(refusal)));
+    let reply = final_reply(&submission(), true, Some(answer(refusal)));
     // then the client is not told that the job will never run: the first copy may yet be taken.
     assert!(matches!(reply, Reply::Unclear));
 }
 
 #[rstest]
 fn a_refusal_is_a_promise_when_each_copy_was_answered(#[values(429, 503)] refusal: u16) {
-    let reply = settled(&submission(), false, Some(answer(refusal)));
+    let reply = final_reply(&submission(), false, Some(answer(refusal)));
     assert_eq!(status(&reply), Some(refusal));
 }
 
 #[rstest]
-fn what_was_taken_is_taken_whatever_became_of_other_copies(#[values(false, true)] unheard: bool) {
-    let reply = settled(&submission(), unheard, Some(answer(202)));
+fn what_was_taken_is_taken_whatever_became_of_other_copies(#[values(false, true)] may_be_taken: bool) {
+    let reply = final_reply(&submission(), may_be_taken, Some(answer(202)));
     assert_eq!(status(&reply), Some(202));
 }
 
 #[test]
 fn a_call_that_nobody_answered_is_unclear_and_one_that_was_put_off_is_not() {
-    assert!(matches!(settled(&submission(), true, None), Reply::Unclear));
-    assert!(matches!(settled(&submission(), true, Some(Reply::Unavailable)), Reply::Unclear));
-    assert!(matches!(settled(&submission(), false, None), Reply::Unavailable));
+    assert!(matches!(final_reply(&submission(), true, None), Reply::Unclear));
+    assert!(matches!(final_reply(&submission(), true, Some(Reply::Unavailable)), Reply::Unclear));
+    assert!(matches!(final_reply(&submission(), false, None), Reply::Unavailable));
 }
 
 #[test]
 fn a_read_that_is_put_off_by_a_status_is_answered_so() {
     let read = Call::ReadJob { partition: 1, job: "a".to_owned(), resume_after: 0, hold_ms: 0 };
-    assert_eq!(status(&settled(&read, true, Some(answer(503)))), Some(503));
+    assert_eq!(status(&final_reply(&read, true, Some(answer(503)))), Some(503));
 }
 
 #[rstest]
@@ -66,12 +66,12 @@
 #[case::taken(200, true, Some(200))]
 fn a_change_is_refused_only_if_no_copy_of_it_can_be_taken(
     #[case] answered: u16,
-    #[case] unheard: bool,
+    #[case] may_be_taken: bool,
     #[case] expected: Option<u16>,
 ) {
     // Given a change of which one copy may still be on its way, when the leader refuses another copy because of its base,
     let change = Call::ReplaceConfiguration { base: 5, body: Vec::new() };
-    let reply = settled(&change, unheard, Some(answer(answered)));
+    let reply = final_reply(&change, may_be_taken, Some(answer(answered)));
     // then nothing is known: the base may be there by the time that the first copy comes.
     assert_eq!(status(&reply), expected);
     assert_eq!(matches!(reply, Reply::Unclear), expected.is_none());
--- a/crates/tier/tests/links.rs
+++ b/crates/tier/tests/links.rs
@@ -1,6 +1,6 @@
 //! When an outgoing link counts as stuck and is begun anew.
 
-use grebeusher_tier::links::peer_links::LinkProgress;
+use grebeusher_tier::links::link_progress::LinkProgress;
 use grebeusher_time::{Duration, Instant};
 
 const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
