--- a/crates/tier/src/batch/api.rs
+++ b/crates/tier/src/batch/api.rs
@@ -66,7 +66,7 @@
     /// A request of a client: a batch call, a batch job or a request for an executor.
     pub fn client_request(&mut self, connection: usize, request: ClientRequest) {
         let serial = self.serial(connection);
-        let Some(active) = self.configuration.clone() else {
+        let Some(active) = self.configuration.active().cloned() else {
             let seconds = format!("{:.1}", STARTING_RETRY.seconds());
             let answer = http::answer(503, &[("Retry-After", &seconds)], b"");
             return self.answer(connection, serial, answer);
--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -87,7 +87,7 @@
             self.cut_off_runs(place);
             self.propose_results(place);
             waits |= self.runner_wake(place).is_some();
-            waits |= self.configuration.is_none() || self.idle_tokens(place) > 0;
+            waits |= self.configuration.active().is_none() || self.idle_tokens(place) > 0;
         }
         if waits && !self.items.waking {
             self.items.waking = true;
@@ -97,7 +97,7 @@
 
     /// The tokens of a partition's items that have still to be begun, on the routes that there are.
     fn idle_tokens(&mut self, place: usize) -> u64 {
-        let Some(active) = self.configuration.clone() else { return 0 };
+        let Some(active) = self.configuration.active().cloned() else { return 0 };
         let Some(partition) = self.batch_mut(place) else { return 0 };
         let routes = &active.routes.configuration().routes;
         let bulk = routes.iter().filter(|route| route.route_type == RouteType::Bulk);
@@ -130,7 +130,7 @@
 
     fn next_order(&mut self, place: usize) -> Option<RunOrder> {
         let now = self.now;
-        let active = self.configuration.clone()?;
+        let active = self.configuration.active().cloned()?;
         let mut rooms: Vec<(&str, bool)> = Vec::new();
         for route in &active.routes.configuration().routes {
             if route.route_type == RouteType::Bulk {
@@ -150,7 +150,7 @@
     fn begin_item(&mut self, place: usize, order: RunOrder) {
         let now = self.now;
         let point = self.random_point();
-        let Some(active) = self.configuration.clone() else { return };
+        let Some(active) = self.configuration.active().cloned() else { return };
         let routes = &active.routes.configuration().routes;
         let route = routes.iter().find(|route| route.name.as_str() == order.route);
         let hints = Hints::of_item(&order);
--- a/crates/tier/src/control/active_configuration.rs
+++ b/crates/tier/src/control/active_configuration.rs
@@ -1,4 +1,7 @@
 //! The operator's configuration as this node serves by it, and how it gets here from its leader.
+//!
+//! [`ServedConfiguration`] owns the configuration in force, the limits that follow from it, and the state of fetching a newer
+//! one. Versions only rise within one incarnation of the process.
 
 use crate::control::api::CONFIGURATION_PARTITION;
 use crate::links::calls::Continuation;
@@ -6,15 +9,15 @@
 use crate::node::Node;
 use grebeusher_configuration::configuration::{Configuration, Route};
 use grebeusher_configuration::routes::RouteTable;
-use grebeusher_time::Duration;
+use grebeusher_time::{Duration, Instant};
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::sync::Arc;
 use tracing::{info, warn};
 
-/// A peer that tells of a newer configuration hands it over within this.
+/// A peer that announced a newer configuration sends it within this.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(300);
-/// A node that starts asks the leader for this long; then what peers say has to do.
+/// A node that starts asks the leader for this long; then what the peers have must do.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// A configuration in force.
@@ -45,62 +48,117 @@
         self.shared.get(self.table.find_index(host, path)?).cloned()
     }
 
-    /// The whole configuration.
+    /// The complete configuration.
     pub fn configuration(&self) -> &Configuration {
         self.table.configuration()
     }
 }
 
-impl Node {
-    /// Puts a committed configuration in force, if it is newer: within one life versions only rise.
-    pub fn activate_configuration(&mut self, version: u64, body: Arc<[u8]>) {
-        if self.configuration.as_ref().is_some_and(|active| active.version >= version) {
-            return;
+/// The configuration that this node serves by.
+#[derive(Default)]
+pub(crate) struct ServedConfiguration {
+    active: Option<Rc<ActiveConfiguration>>,
+    /// Whether the leader was asked for the newest configuration, and answered or did not for long.
+    proven: bool,
+    /// A peer is asked for its newer configuration until then.
+    fetch_ends: Option<Instant>,
+}
+
+impl ServedConfiguration {
+    /// The configuration in force.
+    pub fn active(&self) -> Option<&Rc<ActiveConfiguration>> {
+        self.active.as_ref()
+    }
+
+    /// The version in force; 0 before there is one.
+    pub fn version(&self) -> u64 {
+        self.active.as_ref().map_or(0, |active| active.version)
+    }
+
+    /// Whether the leader's answer, or its absence for long, allows this node to serve.
+    pub fn is_proven(&self) -> bool {
+        self.proven
+    }
+
+    /// The configuration in force if it is newer than a version, as a reply to a peer; version 0 and empty if it is not.
+    pub fn newer_than(&self, version: u64) -> Reply {
+        match &self.active {
+            Some(active) if active.version > version => {
+                Reply::Configuration { version: active.version, body: active.body.to_vec() }
+            }
+            _ => Reply::Configuration { version: 0, body: Vec::new() },
+        }
+    }
+
+    /// Begins to fetch a newer configuration; `None` while another fetch goes on. Until when it may last.
+    fn begin_fetch(&mut self, now: Instant) -> Option<Instant> {
+        if self.fetch_ends.is_some_and(|ends| now < ends) {
+            return None;
+        }
+        self.fetch_ends = Some(now + FETCH_TIMEOUT);
+        self.fetch_ends
+    }
+
+    /// Puts a configuration in force if it is newer; the one that is in force then.
+    fn activate(&mut self, version: u64, body: Arc<[u8]>) -> Option<&ActiveConfiguration> {
+        if self.active.as_ref().is_some_and(|active| active.version >= version) {
+            return None;
         }
         let configuration = match Configuration::read(&body) {
             Ok(configuration) => configuration,
-            Err(error) => return warn!("configuration {version} can't be read: {error}"),
+            Err(error) => {
+                warn!(version, %error, "configuration unreadable");
+                return None;
+            }
         };
-        info!("configuration {version} in force");
-        self.client_limits = configuration.limits;
-        self.http_limits.most_head = configuration.limits.max_header_bytes as usize;
-        self.http_limits.most_body = configuration.limits.max_body_bytes as usize;
+        info!(version, "configuration in force");
         let routes = Routes::new(configuration);
-        self.configuration = Some(Rc::new(ActiveConfiguration { version, body, routes }));
+        self.active = Some(Rc::new(ActiveConfiguration { version, body, routes }));
+        self.active.as_deref()
+    }
+}
+
+/// Where a fetched configuration came from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum FetchSource {
+    /// The leader of the configuration, under its lease.
+    Leader,
+    /// A peer that had a newer one.
+    Peer,
+}
+
+impl Node {
+    /// Puts a committed configuration in force, if it is newer.
+    pub(crate) fn activate_configuration(&mut self, version: u64, body: Arc<[u8]>) {
+        let Some(active) = self.configuration.activate(version, body) else { return };
+        let limits = active.routes.configuration().limits;
+        self.client_limits = limits;
+        self.http_limits.most_head = limits.max_header_bytes as usize;
+        self.http_limits.most_body = limits.max_body_bytes as usize;
         self.registry.set_configuration_version(version);
         self.routing_changed = true;
     }
 
     /// A peer has a newer configuration.
-    pub fn configuration_behind(&mut self, peer: SocketAddrV4) {
-        let now = self.now;
-        if self.fetching.is_some_and(|until| now < until) {
-            return;
-        }
-        self.fetching = Some(now + FETCH_TIMEOUT);
-        let newer_than = self.configuration_version();
-        let call = Call::FetchConfiguration { newer_than };
-        self.call_node(peer, call, now + FETCH_TIMEOUT, Continuation::Configuration);
+    pub(crate) fn configuration_behind(&mut self, peer: SocketAddrV4) {
+        let Some(until) = self.configuration.begin_fetch(self.now) else { return };
+        let call = Call::FetchConfiguration { newer_than: self.configuration.version() };
+        self.call_node(peer, call, until, Continuation::Configuration(FetchSource::Peer));
     }
 
     /// Asks the leader for the newest configuration: what a node serves by when it starts.
-    pub fn prove_configuration(&mut self) {
+    pub(crate) fn prove_configuration(&mut self) {
         let until = self.now + PROOF_TIMEOUT;
-        self.call_leader(
-            CONFIGURATION_PARTITION,
-            Call::ShowConfiguration,
-            until,
-            Continuation::FirstConfiguration,
-        );
+        let continuation = Continuation::Configuration(FetchSource::Leader);
+        self.call_leader(CONFIGURATION_PARTITION, Call::ShowConfiguration, until, continuation);
     }
 
-    /// A configuration has come from a peer or, `proven`, from the leader.
-    pub fn fetched_configuration(&mut self, reply: Reply, proven: bool) {
-        if proven {
+    /// A configuration has come, or the reply that there is none.
+    pub(crate) fn fetched_configuration(&mut self, reply: Reply, source: FetchSource) {
+        match source {
             // Without a leader for so long, what the peers have must do.
-            self.configuration_proven = true;
-        } else {
-            self.fetching = None;
+            FetchSource::Leader => self.configuration.proven = true,
+            FetchSource::Peer => self.configuration.fetch_ends = None,
         }
         if let Reply::Configuration { version, body } = reply
             && version > 0
@@ -111,6 +169,6 @@
 
     /// The version in force; 0 before there is one.
     pub fn configuration_version(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |active| active.version)
+        self.configuration.version()
     }
 }
--- a/crates/tier/src/control/api.rs
+++ b/crates/tier/src/control/api.rs
@@ -7,9 +7,10 @@
 use crate::requests::exchange::ClientRequest;
 use crate::requests::header_names as names;
 use grebeusher_configuration::configuration::Configuration;
-use grebeusher_registry::{Answer, HeartbeatReport};
+use grebeusher_registry::{Answer, CallToken, HeartbeatReport};
 use grebeusher_time::Duration;
 use grebeusher_transport::http;
+use rustc_hash::FxHashMap;
 
 /// The partition that holds the configuration.
 pub const CONFIGURATION_PARTITION: u8 = 0;
@@ -24,6 +25,24 @@
 pub(crate) const JSON: (&str, &str) = ("Content-Type", "application/json");
 const TEXT: (&str, &str) = ("Content-Type", "text/plain");
 
+/// Executors that wait until the other nodes know of their call.
+#[derive(Default)]
+pub(crate) struct PendingAcknowledgements {
+    waiters: FxHashMap<CallToken, ExecutorWaiter>,
+}
+
+/// The connection of an executor that waits.
+struct ExecutorWaiter {
+    connection: usize,
+    serial: u64,
+}
+
+impl PendingAcknowledgements {
+    fn add(&mut self, token: CallToken, connection: usize, serial: u64) {
+        self.waiters.insert(token, ExecutorWaiter { connection, serial });
+    }
+}
+
 impl Node {
     /// The platform's check.
     pub fn readiness_request(&mut self, connection: usize, request: &ClientRequest) {
@@ -75,7 +94,7 @@
                 match effect.answer {
                     Answer::Now => self.answer_heartbeat(connection, serial, effect.heartbeat_target),
                     Answer::Never => self.not_acknowledged(connection, serial),
-                    Answer::WhenTold(token) => drop(self.told_waiters.insert(token, (connection, serial))),
+                    Answer::WhenTold(token) => self.acknowledgements.add(token, connection, serial),
                 }
             }
             Err(_) => self.answer(connection, serial, http::answer(400, &[], b"")),
@@ -95,22 +114,22 @@
         match self.registry.deregister(self.now, id) {
             Answer::Now => self.answer(connection, serial, http::answer(200, &[JSON], b"{}")),
             Answer::Never => self.not_acknowledged(connection, serial),
-            Answer::WhenTold(token) => drop(self.told_waiters.insert(token, (connection, serial))),
+            Answer::WhenTold(token) => self.acknowledgements.add(token, connection, serial),
         }
         self.routing_changed = true;
     }
 
-    /// Calls whose news every node has by now, or that have waited for long enough, are answered.
-    pub fn answer_told(&mut self) {
+    /// Answers the executors whose calls every node knows of by now, and those that have waited for long enough.
+    pub(crate) fn answer_acknowledged(&mut self) {
         let settled = self.registry.settled_calls(self.now);
         for token in settled.told {
-            if let Some((connection, serial)) = self.told_waiters.remove(&token) {
-                self.answer(connection, serial, http::answer(200, &[JSON], b"{}"));
+            if let Some(waiter) = self.acknowledgements.waiters.remove(&token) {
+                self.answer(waiter.connection, waiter.serial, http::answer(200, &[JSON], b"{}"));
             }
         }
         for token in settled.untold {
-            if let Some((connection, serial)) = self.told_waiters.remove(&token) {
-                self.not_acknowledged(connection, serial);
+            if let Some(waiter) = self.acknowledgements.waiters.remove(&token) {
+                self.not_acknowledged(waiter.connection, waiter.serial);
             }
         }
     }
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -13,6 +13,7 @@
 use grebeusher_registry::{Class, MemberState};
 use grebeusher_time::Duration;
 use grebeusher_transport::http;
+use rustc_hash::FxHashMap;
 use tracing::info;
 
 /// A machine that is away for less than this may be back: it counts neither as there nor as gone.
@@ -73,7 +74,11 @@
 }
 
 /// What the verdicts of all partitions come to. `known_here`: whether this node has heard of the machine itself.
-pub fn gathered(question: RetireQuestion, verdicts: &[PartitionVerdict], known_here: bool) -> RetireOutcome {
+pub fn combined_outcome(
+    question: RetireQuestion,
+    verdicts: &[PartitionVerdict],
+    known_here: bool,
+) -> RetireOutcome {
     let any = |wanted: PartitionVerdict| verdicts.contains(&wanted);
     let all = |wanted: PartitionVerdict| verdicts.iter().all(|verdict| *verdict == wanted);
     if any(PartitionVerdict::Unsure) || verdicts.is_empty() {
@@ -95,8 +100,8 @@
     }
 }
 
-/// A question that every batch partition has to answer.
-pub struct RetireGathering {
+/// An operator's request that every batch partition has to answer.
+struct RetireRequest {
     connection: usize,
     serial: u64,
     question: RetireQuestion,
@@ -105,6 +110,37 @@
     verdicts: Vec<PartitionVerdict>,
 }
 
+/// The operators' requests that wait for verdicts of partitions.
+#[derive(Default)]
+pub(crate) struct RetireRequests {
+    pending: FxHashMap<u64, RetireRequest>,
+}
+
+impl RetireRequests {
+    /// Notes one partition's verdict; the request, once it was the last one.
+    fn add_verdict(&mut self, number: u64, verdict: PartitionVerdict) -> Option<RetireRequest> {
+        let request = self.pending.get_mut(&number)?;
+        request.verdicts.push(verdict);
+        if request.verdicts.len() < request.partitions {
+            return None;
+        }
+        self.pending.remove(&number)
+    }
+}
+
+/// The HTTP answer to an operator.
+fn http_answer(outcome: RetireOutcome) -> Vec<u8> {
+    let (status, body): (u16, &[u8]) = match outcome {
+        RetireOutcome::Taken => (200, b"{}"),
+        RetireOutcome::Active => (200, b"{\"state\":\"active\"}"),
+        RetireOutcome::Complete => (200, b"{\"state\":\"complete\"}"),
+        RetireOutcome::NoSuchMachine => (404, b"{}"),
+        RetireOutcome::TooFew => (409, b"{}"),
+        RetireOutcome::Unsure => (503, b"{}"),
+    };
+    http::answer(status, &[JSON], body)
+}
+
 /// How many machines would be left for a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Remaining {
@@ -120,17 +156,16 @@
             return;
         }
         let partitions = self.batch_partitions();
-        let known_here = self.knows_storage_node(node);
-        let gathering = RetireGathering {
+        let request = RetireRequest {
             connection,
             serial,
             question,
-            known_here,
+            known_here: self.knows_storage_node(node),
             partitions: partitions.len(),
             verdicts: Vec::new(),
         };
         let number = self.next_serial();
-        self.gatherings.insert(number, gathering);
+        self.retire_requests.pending.insert(number, request);
         for partition in partitions {
             let node = node.to_owned();
             let call = match question {
@@ -142,24 +177,12 @@
         }
     }
 
-    /// One partition has said something about a storage machine that is to be emptied.
-    pub fn retire_reply(&mut self, number: u64, reply: &Reply) {
-        let Some(gathering) = self.gatherings.get_mut(&number) else { return };
-        gathering.verdicts.push(PartitionVerdict::of(reply));
-        if gathering.verdicts.len() < gathering.partitions {
-            return;
-        }
-        let Some(gathering) = self.gatherings.remove(&number) else { return };
-        let outcome = gathered(gathering.question, &gathering.verdicts, gathering.known_here);
-        let (status, body): (u16, &[u8]) = match outcome {
-            RetireOutcome::Taken => (200, b"{}"),
-            RetireOutcome::Active => (200, b"{\"state\":\"active\"}"),
-            RetireOutcome::Complete => (200, b"{\"state\":\"complete\"}"),
-            RetireOutcome::NoSuchMachine => (404, b"{}"),
-            RetireOutcome::TooFew => (409, b"{}"),
-            RetireOutcome::Unsure => (503, b"{}"),
-        };
-        self.answer(gathering.connection, gathering.serial, http::answer(status, &[JSON], body));
+    /// One partition's verdict on a storage machine that is to be emptied.
+    pub(crate) fn retire_reply(&mut self, number: u64, reply: &Reply) {
+        let verdict = PartitionVerdict::of(reply);
+        let Some(request) = self.retire_requests.add_verdict(number, verdict) else { return };
+        let outcome = combined_outcome(request.question, &request.verdicts, request.known_here);
+        self.answer(request.connection, request.serial, http_answer(outcome));
     }
 
     /// Whether a name is that of a machine that keeps data, dead ones of late included.
@@ -220,7 +243,7 @@
         let asked = self.retiring_nodes(place).iter().any(|retiring| retiring == node);
         let known = asked || self.knows_storage_node(node);
         let reply = if asked && self.is_whole_without(place, node) {
-            info!("part {number}: nothing is left on {node}");
+            info!(partition = number, node, "retired node holds no more data");
             Reply::Done
         } else if known {
             Reply::Answer { status: 202, body: Vec::new() }
--- a/crates/tier/src/control/status.rs
+++ b/crates/tier/src/control/status.rs
@@ -12,9 +12,9 @@
     /// Whether the platform should send clients: a configuration proven by its leader, executors known, not stopping, and
     /// not cut off from all other nodes, as clients are better off elsewhere then.
     pub fn is_ready(&self) -> bool {
-        let proven = self.configuration_proven || self.now.0 >= PROOF_TIMEOUT.nanos();
+        let proven = self.configuration.is_proven() || self.now.0 >= PROOF_TIMEOUT.nanos();
         let executors_known = self.registry.executors().next().is_some();
-        let serves = self.configuration.is_some() && proven && executors_known;
+        let serves = self.configuration.active().is_some() && proven && executors_known;
         !self.stopping() && serves && !self.registry.is_isolated(self.now)
     }
 
--- a/crates/tier/src/links/calls.rs
+++ b/crates/tier/src/links/calls.rs
@@ -4,6 +4,7 @@
 //! unanswered. Each of its operations takes the time and the known peers by [`PeerDirectory`] and returns the [`CallStep`]
 //! that the node is to take: send a frame, set a timer, or end the call.
 
+use crate::control::active_configuration::FetchSource;
 use crate::control::peer_directory::PeerDirectory;
 use crate::links::messages::{Call, CallEnvelope, CallNumber, CallNumbers, OfferJob, Reply, ReplyEnvelope};
 use crate::requests::promises::is_promise;
@@ -35,15 +36,13 @@
 
 /// Who waits for the reply to a call.
 #[derive(Clone, Debug)]
-pub enum Continuation {
+pub(crate) enum Continuation {
     /// An order or a question of the operator.
     Operator { connection: usize, serial: u64, question: OperatorQuestion },
     /// A batch call of a client.
     Batch { connection: usize, serial: u64, question: BatchQuestion },
-    /// A configuration that a peer has and this node has not.
-    Configuration,
-    /// The configuration that this node starts with, from its leader.
-    FirstConfiguration,
+    /// A configuration for this node itself.
+    Configuration(FetchSource),
     /// A bootstrap that a replica confirms.
     Bootstrap { partition: u8, voter: u64 },
     /// Another node's call that this node passes on.
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -90,13 +90,25 @@
     }
 
     /// Calls the leader of a partition, wherever it is, until `until`.
-    pub fn call_leader(&mut self, partition: u8, call: Call, until: Instant, continuation: Continuation) {
+    pub(crate) fn call_leader(
+        &mut self,
+        partition: u8,
+        call: Call,
+        until: Instant,
+        continuation: Continuation,
+    ) {
         let target = CallTarget::Leader(partition);
         self.step_call(|calls, peers| calls.begin(target, call, until, continuation, peers));
     }
 
     /// Calls one node.
-    pub fn call_node(&mut self, to: SocketAddrV4, call: Call, until: Instant, continuation: Continuation) {
+    pub(crate) fn call_node(
+        &mut self,
+        to: SocketAddrV4,
+        call: Call,
+        until: Instant,
+        continuation: Continuation,
+    ) {
         let target = CallTarget::Node(to);
         self.step_call(|calls, peers| calls.begin(target, call, until, continuation, peers));
     }
@@ -144,8 +156,7 @@
             Continuation::Batch { connection, serial, question } => {
                 self.batch_reply(connection, serial, question, reply);
             }
-            Continuation::Configuration => self.fetched_configuration(reply, false),
-            Continuation::FirstConfiguration => self.fetched_configuration(reply, true),
+            Continuation::Configuration(source) => self.fetched_configuration(reply, source),
             Continuation::Bootstrap { partition, voter } => self.bootstrap_reply(partition, voter, &reply),
             Continuation::Forwarded { peer, number } => self.reply(peer, number, reply),
             Continuation::Retire { request } => self.retire_reply(request, &reply),
@@ -196,12 +207,7 @@
     }
 
     fn fetch_here(&mut self, waiter: Waiter, newer_than: u64) {
-        let reply = match &self.configuration {
-            Some(active) if active.version > newer_than => {
-                Reply::Configuration { version: active.version, body: active.body.to_vec() }
-            }
-            _ => Reply::Configuration { version: 0, body: Vec::new() },
-        };
+        let reply = self.configuration.newer_than(newer_than);
         self.reply(waiter.peer, waiter.number, reply);
     }
 
@@ -212,7 +218,7 @@
             self.traffic.registry_ticks += 1;
             self.registry.tick(now);
         }
-        self.answer_told();
+        self.answer_acknowledged();
         let output = self.registry.take_output();
         for (to, message) in output.messages {
             self.send_frame(to, Channel::Registry, &message.encode());
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -1,12 +1,13 @@
 //! One process of the tier: everything that it keeps, and its loop. What happens at each thing stands in the modules beside.
 
 use crate::batch::items::ItemRuns;
-use crate::control::active_configuration::ActiveConfiguration;
-use crate::control::bootstrap::Founder;
-use crate::control::executor_hints::Remembered;
+use crate::control::active_configuration::ServedConfiguration;
+use crate::control::api::PendingAcknowledgements;
+use crate::control::bootstrap::Bootstrapper;
+use crate::control::executor_hints::ExecutorHints;
 use crate::control::leader_index::LeaderIndex;
 use crate::control::partitions::PartitionHost;
-use crate::control::retire::RetireGathering;
+use crate::control::retire::RetireRequests;
 use crate::links::calls::PendingCalls;
 use crate::links::connections::{ConnectionTable, Role};
 use crate::links::messages::CallNumbers;
@@ -24,7 +25,7 @@
 use grebeusher_configuration::configuration::ClientLimits;
 use grebeusher_configuration::settings::Settings;
 use grebeusher_quorum::ReplicaId;
-use grebeusher_registry::{CallToken, Registry};
+use grebeusher_registry::Registry;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::alarms::Alarms;
 use grebeusher_transport::http::Limits;
@@ -34,7 +35,6 @@
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::io;
-use std::rc::Rc;
 
 /// Keys of the poller. From `FIRST_CONNECTION` on they are connections.
 pub mod keys {
@@ -89,23 +89,21 @@
     pub(crate) http_limits: Limits,
     pub(crate) client_limits: ClientLimits,
     pub(crate) registry: Registry,
-    pub(crate) remembered: Remembered,
+    pub(crate) executor_hints: ExecutorHints,
     pub(crate) popularity_written: Instant,
-    pub(crate) told_waiters: FxHashMap<CallToken, (usize, u64)>,
+    pub(crate) acknowledgements: PendingAcknowledgements,
     pub(crate) routing: Routing,
     pub(crate) leaders: LeaderIndex,
     /// When a partition may next be handed on so that the partitions are spread.
     pub(crate) spread_after: Instant,
     pub(crate) routing_changed: bool,
-    pub(crate) configuration: Option<Rc<ActiveConfiguration>>,
-    pub(crate) configuration_proven: bool,
-    pub(crate) fetching: Option<Instant>,
+    pub(crate) configuration: ServedConfiguration,
     pub(crate) exchanges: Slab<Exchange>,
     pub(crate) calls: PendingCalls,
-    pub(crate) gatherings: FxHashMap<u64, RetireGathering>,
+    pub(crate) retire_requests: RetireRequests,
     pub(crate) identity: Option<ReplicaId>,
     pub(crate) partitions: Vec<PartitionHost>,
-    pub(crate) founder: Option<Founder>,
+    pub(crate) bootstrapper: Option<Bootstrapper>,
     pub(crate) items: ItemRuns,
     /// Names of nodes by their disk identities, also former ones.
     pub(crate) replica_names: FxHashMap<u64, String>,
@@ -122,7 +120,7 @@
     /// Puts a process together from what its start has read and opened.
     pub fn new(start: Start) -> Result<Node, StartError> {
         let Start { settings, world, listeners, registry, identity, partitions, seed } = start;
-        let founder = Founder::for_settings(&settings);
+        let bootstrapper = Bootstrapper::for_settings(&settings);
         let calls = PendingCalls::new(CallNumbers::starting_at(world.random()));
         let mut node = Node {
             routing: Routing::new(settings.zone.as_str(), seed),
@@ -143,19 +141,17 @@
             http_limits: first_limits(),
             client_limits: ClientLimits::default(),
             registry,
-            remembered: Remembered::default(),
+            executor_hints: ExecutorHints::default(),
             popularity_written: Instant(0),
-            told_waiters: FxHashMap::default(),
+            acknowledgements: PendingAcknowledgements::default(),
             routing_changed: true,
-            configuration: None,
-            configuration_proven: false,
-            fetching: None,
+            configuration: ServedConfiguration::default(),
             exchanges: Slab::new(),
             calls,
-            gatherings: FxHashMap::default(),
+            retire_requests: RetireRequests::default(),
             identity,
             partitions,
-            founder,
+            bootstrapper,
             counters: Counters::default(),
             traffic: Traffic::default(),
             reviewing: false,
@@ -173,11 +169,11 @@
             self.alarms
                 .set(now + crate::control::membership_maintenance::MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
         }
-        self.recall_executors();
+        self.load_executor_hints();
         self.begin_popularity();
         self.prove_configuration();
-        if self.founder.is_some() {
-            self.alarms.set(now + crate::control::bootstrap::POLL_INTERVAL, Timer::Found);
+        if self.bootstrapper.is_some() {
+            self.alarms.set(now + crate::control::bootstrap::POLL_INTERVAL, Timer::Bootstrap);
         }
     }
 
@@ -280,7 +276,7 @@
             Timer::CallExpires { number } => self.step_call(|calls, peers| calls.expire(number, peers)),
             Timer::CallRetry { number } => self.step_call(|calls, peers| calls.retry(number, peers)),
             Timer::HeldReadExpires { read } => self.held_read_expired(read),
-            Timer::Found => self.look_to_found(),
+            Timer::Bootstrap => self.drive_bootstrap(),
             Timer::GroupUpkeep => self.group_upkeep(),
             Timer::Sweep => self.sweep(),
             Timer::ReviewExecutors => self.review_executors(),
@@ -315,7 +311,7 @@
         self.connections.close_expired_idle(self.now);
         self.with_links(PeerLinks::sweep);
         self.calls.sweep(self.now);
-        self.remember_executors();
+        self.save_executor_hints();
         self.tell_popularity();
         self.remember_popularity();
         self.look_to_exit();
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -241,7 +241,7 @@
     }
 
     fn update_services(&mut self) {
-        let Some(active) = self.configuration.clone() else { return };
+        let Some(active) = self.configuration.active().cloned() else { return };
         if self.routing.configured == active.version {
             return;
         }
--- a/crates/tier/src/runtime/timers.rs
+++ b/crates/tier/src/runtime/timers.rs
@@ -21,8 +21,8 @@
     CallRetry { number: CallNumber },
     /// A read that was held for a result is answered.
     HeldReadExpires { read: u64 },
-    /// The founder of the partitions looks whether it can found.
-    Found,
+    /// The bootstrapping node looks whether the partitions can be bootstrapped.
+    Bootstrap,
     /// Leaders look after their groups.
     GroupUpkeep,
     /// Slow housekeeping.
--- a/crates/tier/src/runtime/traffic.rs
+++ b/crates/tier/src/runtime/traffic.rs
@@ -64,7 +64,7 @@
     /// Counts a timer.
     pub fn timer(&mut self, timer: Timer) {
         let kind = match timer {
-            Timer::Found => 0,
+            Timer::Bootstrap => 0,
             Timer::GroupUpkeep => 1,
             Timer::Sweep => 2,
             Timer::ReviewExecutors => 3,
--- a/crates/tier/tests/retire.rs
+++ b/crates/tier/tests/retire.rs
@@ -1,6 +1,6 @@
 //! What an operator hears about a machine that is to be emptied, from what the leaders of the partitions say.
 
-use grebeusher_tier::control::retire::{PartitionVerdict, RetireOutcome, RetireQuestion, gathered};
+use grebeusher_tier::control::retire::{PartitionVerdict, RetireOutcome, RetireQuestion, combined_outcome};
 use grebeusher_tier::links::messages::Reply;
 use rstest::rstest;
 
@@ -19,7 +19,7 @@
     #[case] verdicts: [PartitionVerdict; 3],
     #[case] outcome: RetireOutcome,
 ) {
-    assert_eq!(gathered(RetireQuestion::Begin, &verdicts, false), outcome);
+    assert_eq!(combined_outcome(RetireQuestion::Begin, &verdicts, false), outcome);
 }
 
 #[rstest]
@@ -31,14 +31,14 @@
     #[case] verdicts: [PartitionVerdict; 3],
     #[case] outcome: RetireOutcome,
 ) {
-    assert_eq!(gathered(RetireQuestion::Show, &verdicts, true), outcome);
+    assert_eq!(combined_outcome(RetireQuestion::Show, &verdicts, true), outcome);
 }
 
 #[rstest]
 fn a_machine_that_this_node_has_heard_of_exists(
     #[values(RetireQuestion::Begin, RetireQuestion::Show)] question: RetireQuestion,
 ) {
-    assert_eq!(gathered(question, &[Unknown; 3], true), RetireOutcome::Unsure);
+    assert_eq!(combined_outcome(question, &[Unknown; 3], true), RetireOutcome::Unsure);
 }
 
 #[rstest]
