--- a/crates/tier/src/batch/partition.rs
+++ b/crates/tier/src/batch/partition.rs
@@ -278,7 +278,7 @@
 
     pub(crate) fn submit_at_leader(&mut self, waiter: Waiter, call: SubmitJob) {
         let (now, wall_ms) = (self.now, self.wall_ms());
-        let Some(place) = self.led_place(call.partition, waiter) else { return };
+        let Some(place) = self.led_index(call.partition, waiter) else { return };
         let answer = |status: u16| Reply::Answer { status, body: b"{}".to_vec() };
         let Ok(submission) = <Submission as DeBin>::deserialize_bin(&call.submission) else {
             return self.reply(waiter.peer, waiter.number, answer(400));
@@ -313,7 +313,7 @@
     /// A node has a job for this partition. What would be refused is refused without its bodies, and what is known is not wanted
     /// again.
     pub(crate) fn offered_to_leader(&mut self, waiter: Waiter, offer: &OfferJob) {
-        let Some(place) = self.led_place(offer.partition, waiter) else { return };
+        let Some(place) = self.led_index(offer.partition, waiter) else { return };
         let Some(partition) = self.batch_mut(place) else { return };
         let answer = |status: u16| Reply::Answer { status, body: b"{}".to_vec() };
         let Some(job) = JobId::new(&offer.job) else {
@@ -337,7 +337,7 @@
         resume_after: u64,
         hold_ms: u32,
     ) {
-        let Some(place) = self.led_place(number, waiter) else { return };
+        let Some(place) = self.led_index(number, waiter) else { return };
         let read = self.next_serial();
         let now = self.now;
         let Some(partition) = self.batch_mut(place) else { return };
@@ -391,7 +391,7 @@
     }
 
     pub(crate) fn read_item_at_leader(&mut self, waiter: Waiter, number: u8, job: &str, item: &str) {
-        let Some(place) = self.led_place(number, waiter) else { return };
+        let Some(place) = self.led_index(number, waiter) else { return };
         let Some(partition) = self.batch_mut(place) else { return };
         let body = JobId::new(job).and_then(|job| partition.jobs.item_body(&job, item).map(<[u8]>::to_vec));
         let reply = match body {
@@ -403,7 +403,7 @@
 
     pub(crate) fn end_at_leader(&mut self, waiter: Waiter, number: u8, job: &str) {
         let now = self.now;
-        let Some(place) = self.led_place(number, waiter) else { return };
+        let Some(place) = self.led_index(number, waiter) else { return };
         let Some(partition) = self.batch_mut(place) else { return };
         let known =
             JobId::new(job).filter(|job| partition.jobs.contains(job) || partition.leader.is_under_way(job));
--- a/crates/tier/src/control/configuration_partition.rs
+++ b/crates/tier/src/control/configuration_partition.rs
@@ -28,22 +28,22 @@
 }
 
 impl Node {
-    pub(crate) fn restore_configuration(&mut self, place: usize, bytes: &[u8]) -> Result<(), RunError> {
+    pub(crate) fn restore_configuration(&mut self, index: usize, bytes: &[u8]) -> Result<(), RunError> {
         let register = ConfigurationRegister::decode(bytes).map_err(|error| RunError::State {
             partition: CONFIGURATION_PARTITION,
             reason: error.to_string(),
         })?;
-        if let Application::Configuration(partition) = &mut self.partitions[place].application {
+        if let Application::Configuration(partition) = &mut self.partitions[index].application {
             partition.register = register;
             partition.pending.clear();
         }
-        self.serve_committed(place);
+        self.serve_committed(index);
         Ok(())
     }
 
     pub(crate) fn apply_configuration(
         &mut self,
-        place: usize,
+        index: usize,
         entry: &[u8],
         waiters: Vec<Waiter>,
     ) -> Result<(), RunError> {
@@ -51,7 +51,7 @@
             partition: CONFIGURATION_PARTITION,
             reason: error.to_string(),
         })?;
-        let Application::Configuration(partition) = &mut self.partitions[place].application else {
+        let Application::Configuration(partition) = &mut self.partitions[index].application else {
             return Ok(());
         };
         partition.pending.applied(entry.change());
@@ -60,7 +60,7 @@
             self.reply(waiter.peer, waiter.number, Reply::Answer { status, body: b"{}".to_vec() });
         }
         // Calls that this change decided are judged by their nodes anew.
-        for waiter in std::mem::take(&mut self.partitions[place].deferred) {
+        for waiter in std::mem::take(&mut self.partitions[index].deferred) {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
         Ok(())
@@ -68,8 +68,8 @@
 
     /// Puts the newest committed configuration in force here; the relays take it to the others. Once for all that was
     /// committed in a turn: a member that catches up on hundreds of changes reads one configuration, not each of them.
-    pub(crate) fn serve_committed(&mut self, place: usize) {
-        let Application::Configuration(partition) = &self.partitions[place].application else { return };
+    pub(crate) fn serve_committed(&mut self, index: usize) {
+        let Application::Configuration(partition) = &self.partitions[index].application else { return };
         let version = partition.register.version();
         if version == 0 {
             return;
@@ -81,12 +81,12 @@
     /// An operator's change, at the leader or at a node that is taken for it.
     pub(crate) fn replace_at_leader(&mut self, waiter: Waiter, base: u64, body: Vec<u8>) {
         let now = self.now;
-        let Some(place) = self.led_place(CONFIGURATION_PARTITION, waiter) else { return };
+        let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let Ok(configuration) = Configuration::read(&body) else {
             return self.reply(waiter.peer, waiter.number, Reply::Answer { status: 400, body: Vec::new() });
         };
         let change = Change { base, version: configuration.version, hash: BodyHash::of(&body) };
-        let host = &mut self.partitions[place];
+        let host = &mut self.partitions[index];
         let Application::Configuration(partition) = &mut host.application else { return };
         let verdict = partition.register.judge(&change, &partition.pending);
         match verdict {
@@ -112,8 +112,8 @@
 
     /// The newest configuration, at the leader.
     pub(crate) fn show_at_leader(&mut self, waiter: Waiter) {
-        let Some(place) = self.led_place(CONFIGURATION_PARTITION, waiter) else { return };
-        let Application::Configuration(partition) = &self.partitions[place].application else { return };
+        let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
+        let Application::Configuration(partition) = &self.partitions[index].application else { return };
         let reply = Reply::Configuration {
             version: partition.register.version(),
             body: partition.register.body().to_vec(),
@@ -122,21 +122,21 @@
     }
 
     /// The place of a partition that this node leads under a lease; otherwise the caller is told who may.
-    pub(crate) fn led_place(&mut self, partition: u8, waiter: Waiter) -> Option<usize> {
+    pub(crate) fn led_index(&mut self, partition: u8, waiter: Waiter) -> Option<usize> {
         let now = self.clock();
-        let Some(place) = self.partitions.iter().position(|host| host.partition == partition) else {
+        let Some(index) = self.partitions.iter().position(|host| host.partition == partition) else {
             self.reply(waiter.peer, waiter.number, Reply::NotLeader { leader: None });
             return None;
         };
-        let host = &self.partitions[place];
+        let host = &self.partitions[index];
         if host.replica.is_leader() {
             if host.leads() && host.replica.lease_holds(now) {
-                return Some(place);
+                return Some(index);
             }
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
             return None;
         }
-        let leader = self.leader_name(place);
+        let leader = self.leader_name(index);
         self.reply(waiter.peer, waiter.number, Reply::NotLeader { leader });
         None
     }
--- a/crates/tier/src/control/disk_budget.rs
+++ b/crates/tier/src/control/disk_budget.rs
@@ -22,37 +22,37 @@
 /// at that moment the partition takes the log and two or three times the texts, and is smaller only after it. So at its peak
 /// a partition takes least if the log is written anew as late as the disk and the memory bear.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DiskRoom {
+pub struct DiskBudget {
     /// For its state and its log, on the disk (bytes).
-    share: usize,
+    partition_bytes: usize,
     /// For its log, in memory (bytes).
-    most_log: usize,
+    max_log: usize,
 }
 
-impl DiskRoom {
+impl DiskBudget {
     /// Of a batch partition. A node may hold replicas of all of them, and each is written anew beside its former state, one at a
     /// time: that takes one share more.
-    pub fn of_batch_partition(disk: usize, memory: usize) -> DiskRoom {
+    pub fn for_batch_partition(disk: usize, memory: usize) -> DiskBudget {
         let shares = usize::from(BATCH_PARTITIONS) + 1;
         let used = disk as f64 * USED_SHARE;
-        DiskRoom { share: used as usize / shares, most_log: memory / LOG_MEMORY_SHARE }
+        DiskBudget { partition_bytes: used as usize / shares, max_log: memory / LOG_MEMORY_SHARE }
     }
 
     /// Of the configuration, which is small: its log is kept short so that newcomers are quickly told.
-    pub fn of_configuration(disk: usize) -> DiskRoom {
+    pub fn for_configuration(disk: usize) -> DiskBudget {
         const MAX_LOG: usize = 2 * 1024 * 1024;
-        DiskRoom { share: disk / 4, most_log: MAX_LOG }
+        DiskBudget { partition_bytes: disk / 4, max_log: MAX_LOG }
     }
 
     /// The log beyond which it is written anew, beside a state of so many bytes.
-    pub fn log_beside(self, state: usize) -> usize {
-        let least = (self.share / MIN_LOG_SHARE).min(self.most_log);
-        self.share.saturating_sub(state).clamp(least, self.most_log)
+    pub fn max_log_bytes(self, state: usize) -> usize {
+        let least = (self.partition_bytes / MIN_LOG_SHARE).min(self.max_log);
+        self.partition_bytes.saturating_sub(state).clamp(least, self.max_log)
     }
 
     /// What the jobs of a partition may cost: of the memory, and of the disk that is to hold them.
-    pub fn most_jobs(self, memory: usize) -> usize {
-        let state = self.share as f64 * MAX_STATE_SHARE;
+    pub fn max_job_bytes(self, memory: usize) -> usize {
+        let state = self.partition_bytes as f64 * MAX_STATE_SHARE;
         (memory / JOBS_MEMORY_SHARE).min(state as usize)
     }
 }
--- a/crates/tier/src/control/leader_balance.rs
+++ b/crates/tier/src/control/leader_balance.rs
@@ -18,7 +18,7 @@
 
 /// A voter that could take a partition over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heir {
+pub struct Successor {
     /// Its disk identity.
     pub replica: ReplicaId,
     /// The partitions that its node leads.
@@ -27,67 +27,67 @@
 
 /// The heir that is to have a partition of a leader of `led` partitions: the first of those that own fewest, if the two come closer
 /// by it.
-pub fn relieving_heir(led: usize, heirs: &[Heir]) -> Option<ReplicaId> {
-    let least = heirs.iter().map(|heir| heir.led).min()?;
+pub fn successor_to_relieve(led: usize, heirs: &[Successor]) -> Option<ReplicaId> {
+    let least = heirs.iter().map(|successor| successor.led).min()?;
     let relieves = least + 1 < led;
-    heirs.iter().find(|heir| relieves && heir.led == least).map(|heir| heir.replica)
+    heirs.iter().find(|successor| relieves && successor.led == least).map(|successor| successor.replica)
 }
 
 impl Node {
     /// Hands one batch partition to a voter whose node leads none or fewer, where this node leads several that have items.
-    pub(crate) fn spread_leadership(&mut self) {
+    pub(crate) fn balance_leadership(&mut self) {
         let now = self.now;
-        if self.stopping() || now < self.spread_after {
+        if self.stopping() || now < self.balance_after {
             return;
         }
-        let places = (0..self.partitions.len()).filter(|place| self.leads_batch_partition(*place));
+        let places = (0..self.partitions.len()).filter(|index| self.leads_batch_partition(*index));
         let mut led: Vec<usize> = places.collect();
         // Partitions without items cost their leader nothing.
-        led.retain(|place| self.batch_load(*place) != PartitionLoad::default());
+        led.retain(|index| self.batch_load(*index) != PartitionLoad::default());
         if led.len() < 2 {
             return;
         }
         // A hand-over interrupts what runs: the one with the fewest runs goes.
-        led.sort_by_key(|place| self.batch_load(*place).running);
-        for place in led.iter().copied() {
-            if self.may_hand_over(place, now)
-                && let Some(heir) = relieving_heir(led.len(), &self.heirs_of(place))
+        led.sort_by_key(|index| self.batch_load(*index).running);
+        for index in led.iter().copied() {
+            if self.may_hand_over(index, now)
+                && let Some(successor) = successor_to_relieve(led.len(), &self.successors_of(index))
             {
-                self.spread_after = now + REBALANCE_INTERVAL;
-                return self.relieve(place, heir);
+                self.balance_after = now + REBALANCE_INTERVAL;
+                return self.hand_to(index, successor);
             }
         }
     }
 
-    fn leads_batch_partition(&self, place: usize) -> bool {
-        let host = &self.partitions[place];
+    fn leads_batch_partition(&self, index: usize) -> bool {
+        let host = &self.partitions[index];
         host.leads() && (1..=BATCH_PARTITIONS).contains(&host.partition)
     }
 
-    fn may_hand_over(&self, place: usize, now: Instant) -> bool {
-        let host = &self.partitions[place];
+    fn may_hand_over(&self, index: usize, now: Instant) -> bool {
+        let host = &self.partitions[index];
         let since = host.leader_since().is_some_and(|since| now.since(since) >= STABILITY_DURATION);
         since && host.replica.is_settled() && !host.replica.is_handing_over()
     }
 
     /// The living voters of a partition whose nodes are not to be emptied, the one that is furthest first.
-    fn heirs_of(&mut self, place: usize) -> Vec<Heir> {
-        let retiring = self.retiring_nodes(place);
-        let heir = |replica: ReplicaId| {
+    fn successors_of(&mut self, index: usize) -> Vec<Successor> {
+        let retiring = self.retiring_nodes(index);
+        let successor = |replica: ReplicaId| {
             let member = self.registry.member_by_replica(replica.0)?;
             let led = self.leaders.count_of(&self.registry, member.address, 1..=BATCH_PARTITIONS);
             let stays = member.state == MemberState::Alive && !retiring.contains(&member.name);
-            stays.then_some(Heir { replica, led })
+            stays.then_some(Successor { replica, led })
         };
-        self.partitions[place].replica.heirs().into_iter().filter_map(heir).collect()
+        self.partitions[index].replica.heirs().into_iter().filter_map(successor).collect()
     }
 
-    fn relieve(&mut self, place: usize, heir: ReplicaId) {
-        let partition = self.partitions[place].partition;
-        info!("part {partition}: handed to another voter, as this node owns others too");
-        self.checkpoint_batch(place);
-        if let Err(error) = self.partitions[place].replica.hand_over(self.now, Some(heir)) {
-            warn!("part {partition}: not handed over: {error}");
+    fn hand_to(&mut self, index: usize, successor: ReplicaId) {
+        let partition = self.partitions[index].partition;
+        info!(partition, "leadership handed over for balance");
+        self.checkpoint_batch(index);
+        if let Err(error) = self.partitions[index].replica.hand_over(self.now, Some(successor)) {
+            warn!(partition, %error, "leadership not handed over");
         }
     }
 }
--- a/crates/tier/src/control/leader_index.rs
+++ b/crates/tier/src/control/leader_index.rs
@@ -61,7 +61,7 @@
 fn read_leaders(registry: &Registry) -> BTreeMap<u8, (u64, SocketAddrV4)> {
     let mut leaders = BTreeMap::new();
     for facts in registry.facts() {
-        if let Some(address) = address_of_teller(registry, facts)
+        if let Some(address) = address_of_announcer(registry, facts)
             && let Ok(led) = <LedPartitions as DeBin>::deserialize_bin(&facts.payload)
         {
             led.partitions.iter().for_each(|led| note_leader(&mut leaders, led, address));
@@ -71,7 +71,7 @@
 }
 
 /// Where the node of these facts is, if it lives and they are of its present life.
-fn address_of_teller(registry: &Registry, facts: &Facts) -> Option<SocketAddrV4> {
+fn address_of_announcer(registry: &Registry, facts: &Facts) -> Option<SocketAddrV4> {
     let member = registry.member(&facts.node).filter(|member| member.serves())?;
     (member.incarnation == facts.incarnation).then_some(member.address)
 }
--- a/crates/tier/src/control/membership_maintenance.rs
+++ b/crates/tier/src/control/membership_maintenance.rs
@@ -1,8 +1,11 @@
-//! How leaders look after the groups of their partitions: voters that are gone make room for others.
+//! How leaders maintain the groups of their partitions: voters that are gone are replaced by others.
+//!
+//! [`MembershipMaintenance`] owns what a leader remembers of one group: absent voters, excluded candidates, when it last logged.
+//! Only this module and [`retire`](crate::control::retire) change the voters of a running group.
 
-use crate::control::partitions::class_of_partition;
+use crate::control::partitions::{HandOver, class_of_partition};
 use crate::control::replica_placement::{Candidate, next_voters};
-use crate::control::replica_status::LoneCopy;
+use crate::control::replica_status::SoleReplicaWarning;
 use crate::node::Node;
 use crate::runtime::timers::Timer;
 use grebeusher_quorum::{Index, ReplicaId, Term};
@@ -11,51 +14,51 @@
 use std::collections::BTreeMap;
 use tracing::{debug, info, warn};
 
-/// How often leaders look after their groups.
+/// How often leaders check their groups.
 pub const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
 /// A voter whose node is not there for this long makes room for another. Its node has then been silent for over two
-/// seconds; a group that waits for longer may meet the next loss without having been mended from the first.
+/// seconds; a group that waits for longer may meet the next loss without being repaired from the first.
 const ABSENCE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A node that a change of a group waited for in vain is passed over for this long, while there are others.
+/// A node that did not catch up in a change of a group is excluded for this long, while there are others.
 const EXCLUSION_DURATION: Duration = Duration::from_millis(10_000);
-/// How often the log tells of a replica whose term and group stay.
+/// How often a replica is logged whose term and group stay.
 const LOG_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// What is remembered for the care of one replica's group.
+/// What a leader remembers of one group.
 #[derive(Debug, Default)]
-pub struct GroupCare {
+pub struct MembershipMaintenance {
     /// Since when voters are absent, as this leader sees it.
     absent_since: BTreeMap<ReplicaId, Instant>,
     /// The nodes that the change which was begun last takes in.
     joining: Vec<ReplicaId>,
-    /// Nodes that changes waited for in vain, and until when they are passed over.
-    passed_over: BTreeMap<ReplicaId, Instant>,
-    pub(crate) lone_copy: LoneCopy,
-    /// The term and group that the log was last told of.
-    told: (Term, Index),
-    told_at: Instant,
+    /// Nodes that did not catch up in a change, and until when they are excluded.
+    excluded_until: BTreeMap<ReplicaId, Instant>,
+    pub(crate) sole_replica_warning: SoleReplicaWarning,
+    /// The term and group that were last logged.
+    logged: (Term, Index),
+    logged_at: Instant,
 }
 
-impl GroupCare {
+impl MembershipMaintenance {
     /// Begins anew, as the leadership has ended.
-    pub fn forget_absences(&mut self) {
+    pub fn leadership_ended(&mut self) {
         self.absent_since.clear();
         self.joining.clear();
-        self.passed_over.clear();
-        self.lone_copy = LoneCopy::default();
+        self.excluded_until.clear();
+        self.sole_replica_warning = SoleReplicaWarning::default();
     }
 
     /// A change to these voters is begun.
-    pub fn begun(&mut self, voters: &[ReplicaId], next: &[ReplicaId]) {
+    pub fn change_begun(&mut self, voters: &[ReplicaId], next: &[ReplicaId]) {
         self.joining = next.iter().copied().filter(|voter| !voters.contains(voter)).collect();
     }
 
     /// No change is under way: a node that the last one was to take in and that is no voter did not catch up, though it
     /// lives. Guards against waiting for it again and again while others could step in.
-    pub fn settle(&mut self, now: Instant, voters: &[ReplicaId]) {
+    pub fn change_ended(&mut self, now: Instant, voters: &[ReplicaId]) {
         let in_vain = std::mem::take(&mut self.joining).into_iter().filter(|node| !voters.contains(node));
-        self.passed_over.extend(in_vain.map(|node| (node, now + EXCLUSION_DURATION)));
-        self.passed_over.retain(|_, until| now < *until);
+        self.excluded_until.extend(in_vain.map(|node| (node, now + EXCLUSION_DURATION)));
+        self.excluded_until.retain(|_, until| now < *until);
     }
 
     /// The candidates without those that are passed over; all of them if no other could join the voters.
@@ -63,7 +66,7 @@
         let replica = |candidate: &Candidate| ReplicaId(candidate.replica);
         let is_voter = |candidate: &Candidate| voters.contains(&replica(candidate));
         let kept = |candidate: &&Candidate| {
-            is_voter(candidate) || !self.passed_over.contains_key(&replica(candidate))
+            is_voter(candidate) || !self.excluded_until.contains_key(&replica(candidate))
         };
         let usable: Vec<Candidate> = alive.iter().filter(kept).cloned().collect();
         if usable.iter().all(is_voter) { alive } else { usable }
@@ -87,85 +90,89 @@
 }
 
 impl Node {
-    /// Looks after the groups of the partitions that this node leads.
-    pub fn group_upkeep(&mut self) {
-        self.alarms.set(self.now + MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
-        for place in 0..self.partitions.len() {
-            self.tell_replica(place);
-            if self.partitions[place].leads() {
-                self.upkeep_partition(place);
-                self.warn_of_lone_copy(place);
-                self.forget_old_jobs(place);
+    /// Maintains the groups of the partitions that this node leads.
+    pub fn maintain_groups(&mut self) {
+        self.alarms.set(self.now + MAINTENANCE_INTERVAL, Timer::MaintainGroups);
+        for index in 0..self.partitions.len() {
+            self.log_replica(index);
+            if self.partitions[index].leads() {
+                self.maintain_group(index);
+                self.warn_of_sole_replica(index);
+                self.forget_old_jobs(index);
             }
         }
-        self.spread_leadership();
+        self.balance_leadership();
         if self.stopping() {
-            // An heir that did not take over, or one that handed the partition back, must not keep it here until the end.
-            self.hand_over_partitions(false);
+            // A successor that did not take over, or one that handed the partition back, must not keep it here until the end.
+            self.hand_over_partitions(HandOver::Repeated);
         }
     }
 
-    /// A line of the log for each change of a replica's term or group, and one a second.
-    fn tell_replica(&mut self, place: usize) {
+    /// Logs each change of a replica's term or group, and its state once a second.
+    fn log_replica(&mut self, index: usize) {
         let now = self.now;
-        let host = &mut self.partitions[place];
+        let host = &mut self.partitions[index];
         let seen = (host.replica.term(), host.replica.group_index());
-        if host.care.told == seen && now < host.care.told_at + LOG_INTERVAL {
+        if host.maintenance.logged == seen && now < host.maintenance.logged_at + LOG_INTERVAL {
             return;
         }
-        host.care.told = seen;
-        host.care.told_at = now;
-        let (partition, term, commit, last) =
-            (host.partition, host.replica.term().0, host.replica.commit_index().0, host.replica.last());
-        let group = host.replica.group();
-        let (voters, outgoing) = (group.voters.len(), group.outgoing.len());
-        let leader = host.replica.leader_hint().map_or(0, short);
-        let own = short(host.replica.identity());
-        let names: Vec<u64> = group.members().map(short).collect();
+        host.maintenance.logged = seen;
+        host.maintenance.logged_at = now;
+        let replica = &host.replica;
+        let (group, last) = (replica.group(), replica.last());
+        let members: Vec<u64> = group.members().map(short).collect();
         debug!(
-            "part {partition} replica {own} term {term} commit {commit} last {} of term {} leader {leader} group {voters}+{outgoing} {names:?} log {}",
-            last.index.0,
-            last.term.0,
-            host.replica.log_bytes()
+            partition = host.partition,
+            replica = short(replica.identity()),
+            term = replica.term().0,
+            commit = replica.commit_index().0,
+            last_index = last.index.0,
+            last_term = last.term.0,
+            leader = replica.leader_hint().map_or(0, short),
+            voters = group.voters.len(),
+            outgoing = group.outgoing.len(),
+            ?members,
+            log_bytes = replica.log_bytes(),
+            "replica state"
         );
     }
 
     /// Changes the group of a partition that this node leads, if its voters call for it.
-    fn upkeep_partition(&mut self, place: usize) {
+    fn maintain_group(&mut self, index: usize) {
         let now = self.now;
-        let replica = &self.partitions[place].replica;
+        let replica = &self.partitions[index].replica;
         if replica.group().is_joint() || replica.pending_change().is_some() {
             return;
         }
         let voters = replica.group().voters.clone();
-        self.partitions[place].care.settle(now, &voters);
-        let alive = self.candidates(place);
-        let alive = self.partitions[place].care.usable(&voters, alive);
-        let lost = self.lost_voters(place, &voters, &alive);
+        self.partitions[index].maintenance.change_ended(now, &voters);
+        let alive = self.candidates(index);
+        let alive = self.partitions[index].maintenance.usable(&voters, alive);
+        let lost = self.lost_voters(index, &voters, &alive);
         let wanted = self.group_size();
         let Some(next) = next_voters(&voters, &lost, &alive, wanted, self.identity) else { return };
-        let partition = self.partitions[place].partition;
-        info!("part {partition}: the group changes from {voters:?} to {next:?}");
-        self.partitions[place].care.begun(&voters, &next);
-        if let Err(error) = self.partitions[place].replica.change_group(now, next) {
-            warn!("part {partition}: the group can't change now: {error}");
+        let partition = self.partitions[index].partition;
+        info!(partition, from = ?voters, to = ?next, "group change begins");
+        self.partitions[index].maintenance.change_begun(&voters, &next);
+        if let Err(error) = self.partitions[index].replica.change_group(now, next) {
+            warn!(partition, %error, "group change refused");
         }
     }
 
     /// The nodes that may hold a replica of a partition.
-    fn candidates(&mut self, place: usize) -> Vec<Candidate> {
-        let class = class_of_partition(self.partitions[place].partition);
-        let retiring = self.retiring_nodes(place);
+    fn candidates(&mut self, index: usize) -> Vec<Candidate> {
+        let class = class_of_partition(self.partitions[index].partition);
+        let retiring = self.retiring_nodes(index);
         let alive = self.registry.members().filter(|member| member.state == MemberState::Alive);
         let alive = alive.filter(|member| member.class == class && !retiring.contains(&member.name));
         alive.filter_map(Candidate::of).collect()
     }
 
     /// The voters that are to make room: their node is to be emptied, lost its disk, or has been absent for long.
-    fn lost_voters(&mut self, place: usize, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
-        let retiring = self.retiring_nodes(place);
+    fn lost_voters(&mut self, index: usize, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
+        let retiring = self.retiring_nodes(index);
         let retired = self.retiring_replicas(&retiring);
-        let absent = self.partitions[place].care.absent(self.now, voters, alive);
+        let absent = self.partitions[index].maintenance.absent(self.now, voters, alive);
         let lost = |voter: &&ReplicaId| {
             retired.contains(voter) || absent.contains(voter) || self.superseded(**voter)
         };
--- a/crates/tier/src/control/partition_status.rs
+++ b/crates/tier/src/control/partition_status.rs
@@ -26,16 +26,16 @@
 
     /// The leader's status of a partition.
     pub(crate) fn show_partition_at_leader(&mut self, waiter: Waiter, partition: u8) {
-        let Some(place) = self.led_place(partition, waiter) else { return };
-        let retiring = self.retiring_nodes(place);
+        let Some(index) = self.led_index(partition, waiter) else { return };
+        let retiring = self.retiring_nodes(index);
         let mut text = String::new();
         // Writing to a string can't fail.
-        let _ = self.write_partition(place, &retiring, &mut text);
+        let _ = self.write_partition(index, &retiring, &mut text);
         self.reply(waiter.peer, waiter.number, Reply::Answer { status: 200, body: text.into_bytes() });
     }
 
-    fn write_partition(&self, place: usize, retiring: &[String], text: &mut String) -> std::fmt::Result {
-        let host = &self.partitions[place];
+    fn write_partition(&self, index: usize, retiring: &[String], text: &mut String) -> std::fmt::Result {
+        let host = &self.partitions[index];
         let (partition, replica) = (host.partition, &host.replica);
         let (term, commit, log) = (replica.term().0, replica.commit_index().0, replica.log_bytes());
         writeln!(
@@ -45,8 +45,8 @@
         )?;
         let group = replica.group();
         let changes = if group.is_joint() { " (the group is changing)" } else { "" };
-        for copy in self.copies(place) {
-            let (disk, synced) = (copy.voter.0, copy.synced.0);
+        for status in self.replica_statuses(index) {
+            let (disk, synced) = (status.voter.0, status.synced.0);
             match self.registry.member_by_replica(disk) {
                 Some(member) => {
                     let (name, state, zone) = (&member.name, member.state, &member.zone);
@@ -60,7 +60,7 @@
                 }
             }
         }
-        if let Some(holder) = self.sole_holder(place) {
+        if let Some(holder) = self.sole_replica(index) {
             writeln!(
                 text,
                 "part {partition} WARNING: {holder} holds the only copy of all that is committed"
--- a/crates/tier/src/control/partitions.rs
+++ b/crates/tier/src/control/partitions.rs
@@ -1,10 +1,12 @@
-//! The replicas of partitions that this node holds: their disk, their messages, their applications, and the care of their groups.
+//! The replicas of partitions that this node holds: their disk, their messages, their applications, their leadership.
+//!
+//! A [`PartitionHost`] owns one replica with its files, its application and the calls that wait for its commits.
 
 use crate::batch::partition::{BatchPartition, shared};
 use crate::control::configuration_partition::ConfigurationPartition;
-use crate::control::disk_budget::DiskRoom;
+use crate::control::disk_budget::DiskBudget;
 use crate::control::leader_index::{LedPartition, LedPartitions};
-use crate::control::membership_maintenance::GroupCare;
+use crate::control::membership_maintenance::MembershipMaintenance;
 use crate::links::messages::{CallNumber, Channel, QuorumEnvelope, Reply};
 use crate::node::{Node, RunError};
 use crate::runtime::io::{PartitionStore, World};
@@ -28,6 +30,15 @@
     Batch(Box<BatchPartition>),
 }
 
+/// Which attempt of a stopping process to hand its partitions over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum HandOver {
+    /// At the start of the shutdown: to any voter, if none stays.
+    First,
+    /// Later, to voters that stay only.
+    Repeated,
+}
+
 /// Who waits for a proposal to be committed.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiter {
@@ -37,11 +48,11 @@
     pub number: CallNumber,
 }
 
-/// What a replica's care for its machine rests on.
+/// What a replica must know of its machine.
 #[derive(Clone, Copy, Debug)]
-pub struct Tuning {
+pub struct ReplicaConfig {
     /// What the partition may take of the disk.
-    pub room: DiskRoom,
+    pub budget: DiskBudget,
     /// The machine's own link.
     pub link_mbps: f64,
     /// For what is left to chance.
@@ -57,17 +68,17 @@
     store: Box<dyn PartitionStore>,
     /// Its state.
     pub application: Application,
-    /// Calls by the proposal that settles them.
+    /// Calls by the proposal that decides them.
     pub waiters: BTreeMap<Index, (Term, Vec<Waiter>)>,
     /// Calls that are judged anew after the next commit.
     pub deferred: Vec<Waiter>,
     applied: Index,
-    room: DiskRoom,
+    budget: DiskBudget,
     /// The log is written anew beyond this (bytes).
     compact_at: usize,
     /// Since when the application acts as the leader's.
     leader_since: Option<Instant>,
-    pub(crate) care: GroupCare,
+    pub(crate) maintenance: MembershipMaintenance,
 }
 
 impl PartitionHost {
@@ -81,13 +92,13 @@
         partition: u8,
         identity: ReplicaId,
         application: Application,
-        tuning: Tuning,
+        config: ReplicaConfig,
     ) -> Result<PartitionHost, RunError> {
         let folder = data.join(format!("part-{partition}"));
         let (store, restored) =
             world.open_store(&folder).map_err(|source| RunError::Disk { partition, source })?;
         let replica =
-            Replica::new(identity, restored, timing(partition, tuning.link_mbps), tuning.seed, Instant(0));
+            Replica::new(identity, restored, timing(partition, config.link_mbps), config.seed, Instant(0));
         Ok(PartitionHost {
             partition,
             replica,
@@ -96,10 +107,10 @@
             waiters: BTreeMap::new(),
             deferred: Vec::new(),
             applied: Index(0),
-            room: tuning.room,
-            compact_at: tuning.room.log_beside(0),
+            budget: config.budget,
+            compact_at: config.budget.max_log_bytes(0),
             leader_since: None,
-            care: GroupCare::default(),
+            maintenance: MembershipMaintenance::default(),
         })
     }
 
@@ -129,7 +140,7 @@
         });
         let Some(snapshot) = of_this_state else { return };
         if let Err(error) = batch.restore(&shared(snapshot.clone())) {
-            warn!("part {}: its own snapshot can't be read: {error}", self.partition);
+            warn!(partition = self.partition, %error, "own snapshot unreadable");
         }
     }
 
@@ -164,25 +175,25 @@
 impl Node {
     /// Does what the replicas want done: writes, one sync for all that came in this turn, messages, commits.
     pub fn pump_partitions(&mut self) -> Result<(), RunError> {
-        for place in 0..self.partitions.len() {
-            self.pump_partition(place)?;
+        for index in 0..self.partitions.len() {
+            self.pump_partition(index)?;
         }
         Ok(())
     }
 
-    fn pump_partition(&mut self, place: usize) -> Result<(), RunError> {
+    fn pump_partition(&mut self, index: usize) -> Result<(), RunError> {
         let now = self.now;
-        if now >= self.partitions[place].next_wake() {
+        if now >= self.partitions[index].next_wake() {
             self.traffic.partition_ticks += 1;
-            self.partitions[place].replica.tick(now);
+            self.partitions[index].replica.tick(now);
         }
-        while self.partitions[place].replica.has_ready() {
-            let partition = self.partitions[place].partition;
-            let ready = self.partitions[place].replica.take_ready();
+        while self.partitions[index].replica.has_ready() {
+            let partition = self.partitions[index].partition;
+            let ready = self.partitions[index].replica.take_ready();
             for (to, message) in ready.ahead {
                 self.send_quorum(partition, to, &message);
             }
-            let host = &mut self.partitions[place];
+            let host = &mut self.partitions[index];
             let disk = |source| RunError::Disk { partition, source };
             host.store.write(&ready.writes).map_err(disk)?;
             host.refer_to_snapshot(&ready.writes);
@@ -195,14 +206,14 @@
                 self.send_quorum(partition, to, &message);
             }
             if let Some(restore) = ready.restore {
-                let host = &mut self.partitions[place];
-                host.compact_at = host.room.log_beside(restore.bytes.as_slice().len());
-                self.restore_partition(place, restore.bytes)?;
-                self.partitions[place].applied = restore.index;
+                let host = &mut self.partitions[index];
+                host.compact_at = host.budget.max_log_bytes(restore.bytes.as_slice().len());
+                self.restore_partition(index, restore.bytes)?;
+                self.partitions[index].applied = restore.index;
             }
             let changed = !ready.committed.is_empty();
             for committed in ready.committed {
-                let host = &mut self.partitions[place];
+                let host = &mut self.partitions[index];
                 host.applied = committed.index;
                 let waiters = match host.waiters.remove(&committed.index) {
                     Some((term, waiters)) if term == committed.term => waiters,
@@ -212,15 +223,15 @@
                     }
                     None => Vec::new(),
                 };
-                self.apply_to_partition(place, committed.payload, waiters)?;
+                self.apply_to_partition(index, committed.payload, waiters)?;
             }
             if changed {
-                self.serve_committed(place);
+                self.serve_committed(index);
             }
-            self.partitions[place].applied = self.partitions[place].applied.max(ready.applied);
-            self.compact_partition(place);
+            self.partitions[index].applied = self.partitions[index].applied.max(ready.applied);
+            self.compact_partition(index);
         }
-        self.follow_leadership(place);
+        self.update_leadership(index);
         Ok(())
     }
 
@@ -255,27 +266,27 @@
         }
     }
 
-    fn restore_partition(&mut self, place: usize, bytes: Blob) -> Result<(), RunError> {
-        match self.partitions[place].application {
-            Application::Configuration(_) => self.restore_configuration(place, bytes.as_slice()),
-            Application::Batch(_) => self.restore_batch(place, bytes),
+    fn restore_partition(&mut self, index: usize, bytes: Blob) -> Result<(), RunError> {
+        match self.partitions[index].application {
+            Application::Configuration(_) => self.restore_configuration(index, bytes.as_slice()),
+            Application::Batch(_) => self.restore_batch(index, bytes),
         }
     }
 
     fn apply_to_partition(
         &mut self,
-        place: usize,
+        index: usize,
         entry: Blob,
         waiters: Vec<Waiter>,
     ) -> Result<(), RunError> {
-        match self.partitions[place].application {
-            Application::Configuration(_) => self.apply_configuration(place, entry.as_slice(), waiters),
-            Application::Batch(_) => self.apply_batch(place, entry, waiters),
+        match self.partitions[index].application {
+            Application::Configuration(_) => self.apply_configuration(index, entry.as_slice(), waiters),
+            Application::Batch(_) => self.apply_batch(index, entry, waiters),
         }
     }
 
-    fn compact_partition(&mut self, place: usize) {
-        let host = &mut self.partitions[place];
+    fn compact_partition(&mut self, index: usize) {
+        let host = &mut self.partitions[index];
         if host.replica.log_bytes() < host.compact_at {
             return;
         }
@@ -285,46 +296,50 @@
         };
         let size = snapshot.len();
         if let Err(error) = host.replica.compact(host.applied, snapshot) {
-            warn!("part {}: no snapshot of {size} bytes: {error}", host.partition);
+            warn!(partition = host.partition, bytes = size, %error, "no snapshot made");
         }
-        host.compact_at = host.room.log_beside(size);
+        host.compact_at = host.budget.max_log_bytes(size);
     }
 
     /// Begins or ends to act as the leader of a partition.
-    fn follow_leadership(&mut self, place: usize) {
+    fn update_leadership(&mut self, index: usize) {
         let now = self.now;
-        let host = &mut self.partitions[place];
+        let host = &mut self.partitions[index];
         let leads = host.replica.is_leader() && (host.leads() || host.replica.lease_holds(now));
         if leads == host.leads() {
             return;
         }
         host.leader_since = leads.then_some(now);
         let partition = host.partition;
-        let term = host.replica.term();
-        info!("part {partition}: {} at term {}", if leads { "leader" } else { "no longer leader" }, term.0);
+        let term = host.replica.term().0;
+        if leads {
+            info!(partition, term, "became leader");
+        } else {
+            info!(partition, term, "leadership ended");
+        }
         if !leads {
             let waiters: Vec<Waiter> =
                 std::mem::take(&mut host.waiters).into_values().flat_map(|(_, waiters)| waiters).collect();
             let deferred = std::mem::take(&mut host.deferred);
-            host.care.forget_absences();
+            host.maintenance.leadership_ended();
             self.reply_unclear(waiters);
             for waiter in deferred {
                 self.reply(waiter.peer, waiter.number, Reply::Unavailable);
             }
         }
-        self.leader_changed(place, leads);
-        self.tell_leadership();
+        self.leader_changed(index, leads);
+        self.announce_leadership();
     }
 
-    fn leader_changed(&mut self, place: usize, leads: bool) {
-        match &mut self.partitions[place].application {
+    fn leader_changed(&mut self, index: usize, leads: bool) {
+        match &mut self.partitions[index].application {
             Application::Configuration(partition) => partition.leader_changed(),
-            Application::Batch(_) => self.batch_leader_changed(place, leads),
+            Application::Batch(_) => self.batch_leader_changed(index, leads),
         }
     }
 
-    /// Tells all nodes which partitions this node leads, at which terms.
-    fn tell_leadership(&mut self) {
+    /// Announces to all nodes which partitions this node leads, at which terms.
+    fn announce_leadership(&mut self) {
         let led = self.partitions.iter().filter(|host| host.leads());
         let facts = LedPartitions {
             partitions: led
@@ -332,7 +347,7 @@
                 .collect(),
         };
         if self.registry.set_facts(self.now, SerBin::serialize_bin(&facts)).is_err() {
-            warn!("more parts are owned than can be told");
+            warn!("led partitions exceed the size of an announcement");
         }
     }
 
@@ -352,32 +367,32 @@
         self.identity
     }
 
-    /// Gives the leadership of partitions to others, as this process is about to end; `at_the_start` of that, or again later.
-    pub fn hand_over_partitions(&mut self, at_the_start: bool) {
+    /// Gives the leadership of partitions to others, as this process is about to end.
+    pub(crate) fn hand_over_partitions(&mut self, attempt: HandOver) {
         let now = self.now;
-        for place in 0..self.partitions.len() {
-            if !self.partitions[place].leads() || self.partitions[place].replica.is_handing_over() {
+        for index in 0..self.partitions.len() {
+            if !self.partitions[index].leads() || self.partitions[index].replica.is_handing_over() {
                 continue;
             }
-            let heir = self.staying_heir(place);
+            let successor = self.live_successor(index);
             // Where all voters are about to end the partition goes to one of them, once: not round and round among them.
-            if heir.is_none() && !at_the_start {
+            if successor.is_none() && attempt == HandOver::Repeated {
                 continue;
             }
-            self.checkpoint_batch(place);
-            if let Err(error) = self.partitions[place].replica.hand_over(now, heir) {
-                warn!("part {}: not handed over: {error}", self.partitions[place].partition);
+            self.checkpoint_batch(index);
+            if let Err(error) = self.partitions[index].replica.hand_over(now, successor) {
+                warn!(partition = self.partitions[index].partition, %error, "leadership not handed over");
             }
         }
     }
 
-    /// The voter that is furthest of those whose nodes run and are not about to end, if there is one.
-    fn staying_heir(&self, place: usize) -> Option<ReplicaId> {
-        let stays = |heir: &ReplicaId| {
-            let member = self.registry.member_by_replica(heir.0);
+    /// The voter with the longest log of those whose nodes run and are not about to end.
+    fn live_successor(&self, index: usize) -> Option<ReplicaId> {
+        let stays = |successor: &ReplicaId| {
+            let member = self.registry.member_by_replica(successor.0);
             member.is_some_and(|member| member.state == MemberState::Alive)
         };
-        self.partitions[place].replica.heirs().into_iter().find(stays)
+        self.partitions[index].replica.heirs().into_iter().find(stays)
     }
 
     /// The internal address of the node with a disk identity.
@@ -386,8 +401,8 @@
     }
 
     /// The name of the leader of a partition, as its replica here knows it.
-    pub fn leader_name(&self, place: usize) -> Option<String> {
-        let leader = self.partitions[place].replica.leader_hint()?;
+    pub fn leader_name(&self, index: usize) -> Option<String> {
+        let leader = self.partitions[index].replica.leader_hint()?;
         self.registry.member_by_replica(leader.0).map(|member| member.name.clone())
     }
 }
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -192,9 +192,9 @@
 
     pub(crate) fn begin_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
         let now = self.now;
-        let Some(place) = self.led_place(number, waiter) else { return };
+        let Some(index) = self.led_index(number, waiter) else { return };
         let refused = |status| Reply::Answer { status, body: Vec::new() };
-        let Some(partition) = self.batch_mut(place) else { return };
+        let Some(partition) = self.batch_mut(index) else { return };
         if partition.retiring.contains(node) {
             return self.reply(waiter.peer, waiter.number, Reply::Done);
         }
@@ -202,7 +202,7 @@
             return self.reply(waiter.peer, waiter.number, refused(404));
         }
         let wanted = self.group_size();
-        let remaining = self.remaining_without(place, node);
+        let remaining = self.remaining_without(index, node);
         if remaining.there < wanted {
             let may_be_enough = remaining.there + remaining.may_return >= wanted;
             let reply = if may_be_enough { Reply::Unavailable } else { refused(409) };
@@ -210,15 +210,15 @@
         }
         let mut entry = vec![RETIRE_ENTRY];
         entry.extend_from_slice(node.as_bytes());
-        if self.partitions[place].propose(now, entry, Some(waiter)).is_none() {
+        if self.partitions[index].propose(now, entry, Some(waiter)).is_none() {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
     }
 
     /// The machines that could hold a partition when one more is emptied.
-    fn remaining_without(&mut self, place: usize, node: &str) -> Remaining {
-        let class = class_of_partition(self.partitions[place].partition);
-        let retiring = self.retiring_nodes(place);
+    fn remaining_without(&mut self, index: usize, node: &str) -> Remaining {
+        let class = class_of_partition(self.partitions[index].partition);
+        let retiring = self.retiring_nodes(index);
         let others = self.registry.members().filter(|member| {
             member.class == class
                 && member.replica.is_some()
@@ -239,10 +239,10 @@
 
     /// 200: the partition's data has left the node; 202: not yet.
     pub(crate) fn show_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
-        let Some(place) = self.led_place(number, waiter) else { return };
-        let asked = self.retiring_nodes(place).iter().any(|retiring| retiring == node);
+        let Some(index) = self.led_index(number, waiter) else { return };
+        let asked = self.retiring_nodes(index).iter().any(|retiring| retiring == node);
         let known = asked || self.knows_storage_node(node);
-        let reply = if asked && self.is_whole_without(place, node) {
+        let reply = if asked && self.is_complete_without(index, node) {
             info!(partition = number, node, "retired node holds no more data");
             Reply::Done
         } else if known {
@@ -257,8 +257,8 @@
     /// decided, so that each committed entry is on a quorum of it, and all its voters are living nodes. A voter that nobody
     /// can name, or whose node is away, may be a former identity of that node or a loss that has still to be mended: with
     /// the machine gone the next loss might leave no quorum.
-    fn is_whole_without(&self, place: usize, node: &str) -> bool {
-        let replica = &self.partitions[place].replica;
+    fn is_complete_without(&self, index: usize, node: &str) -> bool {
+        let replica = &self.partitions[index].replica;
         let lives_elsewhere = |voter: &ReplicaId| {
             let member = self.registry.member_by_replica(voter.0);
             member.is_some_and(|member| member.serves() && member.name != node)
@@ -269,8 +269,8 @@
     }
 
     /// The nodes that a partition's data is to leave.
-    pub(crate) fn retiring_nodes(&mut self, place: usize) -> Vec<String> {
-        self.batch_mut(place)
+    pub(crate) fn retiring_nodes(&mut self, index: usize) -> Vec<String> {
+        self.batch_mut(index)
             .map(|partition| partition.retiring.iter().cloned().collect())
             .unwrap_or_default()
     }
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -172,11 +172,11 @@
     fn receive_call(&mut self, from: SocketAddrV4, envelope: CallEnvelope) {
         let waiter = Waiter { peer: from, number: envelope.number };
         match envelope.call {
-            Call::Found { partition, voters } => self.found_partition(waiter, partition, &voters),
+            Call::Found { partition, voters } => self.bootstrap_partition(waiter, partition, &voters),
             Call::ReplaceConfiguration { base, body } => self.replace_at_leader(waiter, base, body),
             Call::ShowConfiguration => self.show_at_leader(waiter),
             Call::ShowPartition { partition } => self.show_partition_at_leader(waiter, partition),
-            Call::FetchConfiguration { newer_than } => self.fetch_here(waiter, newer_than),
+            Call::FetchConfiguration { newer_than } => self.reply_with_configuration(waiter, newer_than),
             Call::SubmitJob(call) => self.submit_at_leader(waiter, call),
             Call::OfferJob(offer) => self.offered_to_leader(waiter, &offer),
             Call::ReadJob { partition, job, resume_after, hold_ms } => {
@@ -195,7 +195,7 @@
     }
 
     /// Only a process of the first start is founded; the answer leaves when it is on disk.
-    fn found_partition(&mut self, waiter: Waiter, partition: u8, voters: &[u64]) {
+    fn bootstrap_partition(&mut self, waiter: Waiter, partition: u8, voters: &[u64]) {
         let group = Group::of(voters.iter().copied().map(ReplicaId));
         let bootstrap = self.settings.bootstrap;
         let founded = match self.partitions.iter_mut().find(|host| host.partition == partition) {
@@ -206,7 +206,7 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    fn fetch_here(&mut self, waiter: Waiter, newer_than: u64) {
+    fn reply_with_configuration(&mut self, waiter: Waiter, newer_than: u64) {
         let reply = self.configuration.newer_than(newer_than);
         self.reply(waiter.peer, waiter.number, reply);
     }
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -118,7 +118,7 @@
     match node.run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            error!("{error}");
+            error!(%error, "node ends");
             ExitCode::FAILURE
         }
     }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -19,7 +19,7 @@
 use crate::requests::upstream::Upstream;
 use crate::runtime::io::{Listener, SharedWorld, World};
 use crate::runtime::start::{Start, StartError};
-use crate::runtime::stop::Departure;
+use crate::runtime::stop::GracefulShutdown;
 use crate::runtime::timers::Timer;
 use crate::runtime::traffic::Traffic;
 use grebeusher_configuration::configuration::ClientLimits;
@@ -95,7 +95,7 @@
     pub(crate) routing: Routing,
     pub(crate) leaders: LeaderIndex,
     /// When a partition may next be handed on so that the partitions are spread.
-    pub(crate) spread_after: Instant,
+    pub(crate) balance_after: Instant,
     pub(crate) routing_changed: bool,
     pub(crate) configuration: ServedConfiguration,
     pub(crate) exchanges: Slab<Exchange>,
@@ -112,7 +112,7 @@
     /// Whether a review of the executors is due.
     reviewing: bool,
     /// Set once the process was told to stop.
-    pub(crate) departure: Option<Departure>,
+    pub(crate) shutdown: Option<GracefulShutdown>,
     pub(crate) exit: bool,
 }
 
@@ -125,7 +125,7 @@
         let mut node = Node {
             routing: Routing::new(settings.zone.as_str(), seed),
             leaders: LeaderIndex::default(),
-            spread_after: Instant(0),
+            balance_after: Instant(0),
             items: ItemRuns::default(),
             replica_names: FxHashMap::default(),
             frontend: listeners.frontend,
@@ -136,7 +136,7 @@
             now: Instant(0),
             random: Pcg64::seed_from_u64(seed),
             alarms: Alarms::default(),
-            connections: ConnectionTable::new(listeners.most_connections),
+            connections: ConnectionTable::new(listeners.max_connections),
             links: PeerLinks::new(listeners.internal_address, listeners.internal),
             http_limits: first_limits(),
             client_limits: ClientLimits::default(),
@@ -155,7 +155,7 @@
             counters: Counters::default(),
             traffic: Traffic::default(),
             reviewing: false,
-            departure: None,
+            shutdown: None,
             exit: false,
         };
         node.set_first_timers();
@@ -166,8 +166,10 @@
         let now = self.now;
         self.alarms.set(now + SWEEP_INTERVAL, Timer::Sweep);
         if !self.partitions.is_empty() {
-            self.alarms
-                .set(now + crate::control::membership_maintenance::MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
+            self.alarms.set(
+                now + crate::control::membership_maintenance::MAINTENANCE_INTERVAL,
+                Timer::MaintainGroups,
+            );
         }
         self.load_executor_hints();
         self.begin_popularity();
@@ -277,11 +279,11 @@
             Timer::CallRetry { number } => self.step_call(|calls, peers| calls.retry(number, peers)),
             Timer::HeldReadExpires { read } => self.held_read_expired(read),
             Timer::Bootstrap => self.drive_bootstrap(),
-            Timer::GroupUpkeep => self.group_upkeep(),
+            Timer::MaintainGroups => self.maintain_groups(),
             Timer::Sweep => self.sweep(),
             Timer::ReviewExecutors => self.review_executors(),
             Timer::RunItems => self.run_items(),
-            Timer::Exit => self.leave_for_good(),
+            Timer::Exit => self.exit_now(),
         }
     }
 
@@ -314,7 +316,7 @@
         self.save_executor_hints();
         self.tell_popularity();
         self.remember_popularity();
-        self.look_to_exit();
+        self.exit_when_idle();
     }
 
     fn signalled(&mut self) {
@@ -322,8 +324,8 @@
         if signalled.reload {
             self.reload_settings();
         }
-        if signalled.stop && self.departure.is_none() {
-            self.begin_to_stop();
+        if signalled.stop && self.shutdown.is_none() {
+            self.begin_shutdown();
         }
     }
 
@@ -339,7 +341,7 @@
 
     /// Whether the process was told to stop.
     pub fn stopping(&self) -> bool {
-        self.departure.is_some()
+        self.shutdown.is_some()
     }
 
     pub(crate) fn listener(&self, entrance: Entrance) -> Option<&dyn Listener> {
--- a/crates/tier/src/runtime/show.rs
+++ b/crates/tier/src/runtime/show.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A node that is there connects and answers well within this.
-const PATIENCE: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 /// A status has a line for each member and executor.
 const LIMITS: Limits = Limits { most_head: 16 * 1024, most_headers: 64, most_body: 16 * 1024 * 1024 };
 
@@ -60,9 +60,9 @@
 
 /// The whole answer, up to the end of the connection.
 fn ask(address: SocketAddrV4, path: &str) -> io::Result<Vec<u8>> {
-    let mut stream = TcpStream::connect_timeout(&address.into(), PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
+    let mut stream = TcpStream::connect_timeout(&address.into(), REQUEST_TIMEOUT)?;
+    stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
+    stream.set_write_timeout(Some(REQUEST_TIMEOUT))?;
     let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes())?;
     let mut bytes = Vec::new();
--- a/crates/tier/src/runtime/start.rs
+++ b/crates/tier/src/runtime/start.rs
@@ -4,8 +4,8 @@
 use crate::batch::partition::BatchPartition;
 use crate::control::api::CONFIGURATION_PARTITION;
 use crate::control::configuration_partition::ConfigurationPartition;
-use crate::control::disk_budget::DiskRoom;
-use crate::control::partitions::{Application, PartitionHost, Tuning};
+use crate::control::disk_budget::DiskBudget;
+use crate::control::partitions::{Application, PartitionHost, ReplicaConfig};
 use crate::node::{RunError, keys};
 use crate::runtime::io::{Listener, SharedWorld, World};
 use grebeusher_configuration::settings::{MachineClass, Settings, SettingsError};
@@ -52,7 +52,7 @@
     /// The address that other nodes know it by.
     pub internal_address: SocketAddrV4,
     /// How many connections clients may make the process hold.
-    pub most_connections: usize,
+    pub max_connections: usize,
 }
 
 /// Why a process can't start.
@@ -68,7 +68,7 @@
     },
     /// The settings are wrong.
     #[snafu(display("{}: {source}", path.display()))]
-    WrongSettings {
+    InvalidSettings {
         /// The file.
         path: PathBuf,
         /// The field and what was expected.
@@ -111,7 +111,7 @@
 /// The file can't be read or a field is wrong.
 pub fn read_settings(path: &Path) -> Result<Settings, StartError> {
     let text = std::fs::read_to_string(path).context(SettingsFileSnafu { path })?;
-    Settings::read(&text).context(WrongSettingsSnafu { path })
+    Settings::read(&text).context(InvalidSettingsSnafu { path })
 }
 
 impl Start {
@@ -142,7 +142,7 @@
             readiness: optional(settings.bindings.readiness, keys::READINESS)?,
             frontend: optional(settings.bindings.frontend, keys::FRONTEND)?,
             internal_address,
-            most_connections: descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64) as usize,
+            max_connections: descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64) as usize,
         })
     }
 }
@@ -171,15 +171,15 @@
     let mut partitions = Vec::new();
     for partition in partitions_of(&settings.machine_class) {
         let seed = seed.wrapping_add(u64::from(partition) + 1);
-        let (application, room) = if partition == CONFIGURATION_PARTITION {
-            let room = DiskRoom::of_configuration(disk);
-            (Application::Configuration(ConfigurationPartition::default()), room)
+        let (application, budget) = if partition == CONFIGURATION_PARTITION {
+            let budget = DiskBudget::for_configuration(disk);
+            (Application::Configuration(ConfigurationPartition::default()), budget)
         } else {
-            let room = DiskRoom::of_batch_partition(disk, memory);
-            (Application::Batch(Box::new(BatchPartition::new(room.most_jobs(memory), seed))), room)
+            let budget = DiskBudget::for_batch_partition(disk, memory);
+            (Application::Batch(Box::new(BatchPartition::new(budget.max_job_bytes(memory), seed))), budget)
         };
-        let tuning = Tuning { room, link_mbps: settings.limits.link_mbps, seed };
-        partitions.push(PartitionHost::open(world, data, partition, identity.id, application, tuning)?);
+        let config = ReplicaConfig { budget, link_mbps: settings.limits.link_mbps, seed };
+        partitions.push(PartitionHost::open(world, data, partition, identity.id, application, config)?);
     }
     Ok((Some(identity.id), partitions))
 }
--- a/crates/tier/src/runtime/stop.rs
+++ b/crates/tier/src/runtime/stop.rs
@@ -1,8 +1,9 @@
 //! How a process ends: not ready at once, then serving on until the platform sends nobody any more, then what is open.
 //!
 //! Where the platform has no other node in reach it goes on sending requests to one that stops, until its end. A stopping
-//! process therefore takes only what it can still finish: see [`Departure::takes`].
+//! process therefore takes only what it can still finish: see [`GracefulShutdown::accepts`].
 
+use crate::control::partitions::HandOver;
 use crate::node::Node;
 use crate::requests::exchange::{ClientRequest, time_allowed};
 use crate::requests::server::Waiting;
@@ -30,18 +31,18 @@
 /// What a refused client is told to wait: another node serves it at once (seconds).
 const RETRY_ELSEWHERE_S: &str = "0.1";
 
-/// The end of a process that was told to stop.
+/// The shutdown of a process that got SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Departure {
+pub struct GracefulShutdown {
     since: Instant,
     exits_at: Instant,
 }
 
-impl Departure {
-    /// A process that was told to stop at `since`, and would be killed `grace` later.
-    pub fn new(since: Instant, grace: Duration) -> Departure {
+impl GracefulShutdown {
+    /// Of a process that got SIGTERM at `since`, and would be killed `grace` later.
+    pub fn new(since: Instant, grace: Duration) -> GracefulShutdown {
         let margin = EXIT_MARGIN.min(grace.scaled(EXIT_MARGIN_SHARE));
-        Departure { since, exits_at: since + grace.saturating_sub(margin) }
+        GracefulShutdown { since, exits_at: since + grace.saturating_sub(margin) }
     }
 
     /// When the process ends at the latest.
@@ -55,13 +56,13 @@
     }
 
     /// Whether something that lasts `longest` from now on is surely over when the process ends.
-    pub fn outlasts(&self, now: Instant, longest: Duration) -> bool {
+    pub fn ends_in_time(&self, now: Instant, longest: Duration) -> bool {
         now + longest + ANSWER_MARGIN <= self.exits_at
     }
 
     /// Whether a request that is read now is still taken: any at first, later those that are over in time. A stream must
     /// be, whatever happens, as nothing can complete it once its head is out; of a whole answer the usual time counts.
-    pub fn takes(&self, now: Instant, route: &Route, time_left: Duration) -> bool {
+    pub fn accepts(&self, now: Instant, route: &Route, time_left: Duration) -> bool {
         if now.since(self.since) < ACCEPT_ALL_DURATION {
             return true;
         }
@@ -72,18 +73,19 @@
                 time_left.min(MIN_USUAL.max(usual))
             }
         };
-        self.outlasts(now, longest)
+        self.ends_in_time(now, longest)
     }
 }
 
 impl Node {
     /// Begins to stop: nobody is to be sent here any more, and others take over what this process leads.
-    pub(crate) fn begin_to_stop(&mut self) {
-        let departure = Departure::new(self.now, Duration::from_seconds(self.settings.bounds.grace_period_s));
-        self.departure = Some(departure);
-        self.alarms.set(departure.exits_at(), crate::runtime::timers::Timer::Exit);
+    pub(crate) fn begin_shutdown(&mut self) {
+        let shutdown =
+            GracefulShutdown::new(self.now, Duration::from_seconds(self.settings.bounds.grace_period_s));
+        self.shutdown = Some(shutdown);
+        self.alarms.set(shutdown.exits_at(), crate::runtime::timers::Timer::Exit);
         self.registry.leave(self.now);
-        self.hand_over_partitions(true);
+        self.hand_over_partitions(HandOver::First);
     }
 
     /// Refuses a client's request that would not be over before this process ends; whether it did. Nothing of it has left
@@ -94,9 +96,9 @@
         request: &ClientRequest,
         route: &Route,
     ) -> bool {
-        let Some(departure) = self.departure else { return false };
+        let Some(shutdown) = self.shutdown else { return false };
         let time_left = time_allowed(&request.head.headers, route);
-        if departure.takes(self.now, route, time_left) {
+        if shutdown.accepts(self.now, route, time_left) {
             return false;
         }
         self.counters.refused += 1;
@@ -106,7 +108,7 @@
 
     /// Refuses a call that would wait for another node for up to `longest` if this process may end before; whether it did.
     pub(crate) fn refuse_call_if_too_late(&mut self, connection: usize, longest: Duration) -> bool {
-        if self.departure.is_none_or(|departure| departure.outlasts(self.now, longest)) {
+        if self.shutdown.is_none_or(|shutdown| shutdown.ends_in_time(self.now, longest)) {
             return false;
         }
         self.refuse_here(connection);
@@ -119,19 +121,19 @@
     }
 
     /// Ends the process once nothing is under way any more.
-    pub(crate) fn look_to_exit(&mut self) {
-        if !self.departure.is_some_and(|departure| departure.may_exit(self.now)) {
+    pub(crate) fn exit_when_idle(&mut self) {
+        if !self.shutdown.is_some_and(|shutdown| shutdown.may_exit(self.now)) {
             return;
         }
         self.close_idle_servers();
         if self.busy_servers() == 0 && self.exchange_count() == 0 {
-            self.leave_for_good();
+            self.exit_now();
         }
     }
 
     /// The last turn: who still waits gets an answer, and the others hear that this process has left, so that nobody waits
     /// for it.
-    pub(crate) fn leave_for_good(&mut self) {
+    pub(crate) fn exit_now(&mut self) {
         for waiting in self.waiting_clients() {
             match waiting {
                 Waiting::Exchange(exchange) => self.give_up(exchange),
@@ -157,7 +159,7 @@
                 self.settings.fault_tolerance = settings.fault_tolerance;
                 self.registry.set_losses(losses_of(&self.settings));
             }
-            Err(error) => warn!("the settings file is left as it was read: {error}"),
+            Err(error) => warn!(%error, "settings file not reloaded"),
         }
     }
 }
--- a/crates/tier/src/runtime/system.rs
+++ b/crates/tier/src/runtime/system.rs
@@ -57,7 +57,7 @@
 
     fn listen(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Listener>> {
         let listener = self.poller.register(listen(address.into())?, key, Interest::READABLE)?;
-        Ok(Box::new(TcpEntrance { poller: self.poller.clone(), listener }))
+        Ok(Box::new(TcpAcceptor { poller: self.poller.clone(), listener }))
     }
 
     fn dial(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Stream>> {
@@ -69,7 +69,7 @@
         let stream = socket::dial(address)?;
         if let Err(error) = socket::prepare_link(&stream) {
             // It is a link all the same, that is only later known to be dead.
-            debug!("a link to {address} has no time-out: {error}");
+            debug!(peer = %address, %error, "link without a time-out");
         }
         let stream = self.poller.register(stream, key, Interest::WRITABLE)?;
         Ok(Box::new(TcpConnection(stream)))
@@ -121,24 +121,24 @@
     }
 }
 
-struct TcpEntrance {
+struct TcpAcceptor {
     poller: Rc<Poller>,
     listener: Registered<TcpListener>,
 }
 
-impl Listener for TcpEntrance {
+impl Listener for TcpAcceptor {
     fn accept(&self) -> io::Result<Box<dyn Accepted>> {
         let (stream, _) = self.listener.get().accept()?;
-        Ok(Box::new(TcpArrival { poller: self.poller.clone(), stream }))
+        Ok(Box::new(TcpAccepted { poller: self.poller.clone(), stream }))
     }
 }
 
-struct TcpArrival {
+struct TcpAccepted {
     poller: Rc<Poller>,
     stream: TcpStream,
 }
 
-impl Accepted for TcpArrival {
+impl Accepted for TcpAccepted {
     fn watch(self: Box<Self>, key: usize) -> io::Result<Box<dyn Stream>> {
         self.stream.set_nonblocking(true)?;
         self.stream.set_nodelay(true)?;
--- a/crates/tier/src/runtime/timers.rs
+++ b/crates/tier/src/runtime/timers.rs
@@ -24,7 +24,7 @@
     /// The bootstrapping node looks whether the partitions can be bootstrapped.
     Bootstrap,
     /// Leaders look after their groups.
-    GroupUpkeep,
+    MaintainGroups,
     /// Slow housekeeping.
     Sweep,
     /// Executors that have fallen silent are looked for.
--- a/crates/tier/src/runtime/traffic.rs
+++ b/crates/tier/src/runtime/traffic.rs
@@ -65,7 +65,7 @@
     pub fn timer(&mut self, timer: Timer) {
         let kind = match timer {
             Timer::Bootstrap => 0,
-            Timer::GroupUpkeep => 1,
+            Timer::MaintainGroups => 1,
             Timer::Sweep => 2,
             Timer::ReviewExecutors => 3,
             Timer::RunItems => 4,
--- a/crates/tier/tests/disk_room.rs
+++ b/crates/tier/tests/disk_budget.rs
@@ -1,7 +1,7 @@
 //! What a partition may take of its node's disk.
 
 use grebeusher_tier::batch::api::BATCH_PARTITIONS;
-use grebeusher_tier::control::disk_budget::DiskRoom;
+use grebeusher_tier::control::disk_budget::DiskBudget;
 use rstest::rstest;
 
 const MB: usize = 1024 * 1024;
@@ -9,8 +9,8 @@
 /// The most that a node has on its disk: all partitions with a state and a log as large as they may get, one of them twice as it
 /// is written anew.
 fn peak(disk: usize, memory: usize, state: usize) -> usize {
-    let room = DiskRoom::of_batch_partition(disk, memory);
-    usize::from(BATCH_PARTITIONS) * (state + room.log_beside(state)) + state
+    let budget = DiskBudget::for_batch_partition(disk, memory);
+    usize::from(BATCH_PARTITIONS) * (state + budget.max_log_bytes(state)) + state
 }
 
 #[rstest]
@@ -24,7 +24,7 @@
 ) {
     // Given jobs that cost all that they may, or less
     let (disk, memory) = (disk_mb * MB, memory_mb * MB);
-    let most = DiskRoom::of_batch_partition(disk, memory).most_jobs(memory);
+    let most = DiskBudget::for_batch_partition(disk, memory).max_job_bytes(memory);
     for tenths in 0..=10 {
         let state = most / 10 * tenths;
         // Then states and logs fit the disk, also while one is written anew
@@ -34,20 +34,20 @@
 
 #[test]
 fn a_large_state_is_not_written_anew_for_every_little_entry() {
-    let room = DiskRoom::of_batch_partition(140 * MB, 300 * MB);
-    assert!(room.log_beside(10_000 * MB) >= 4 * MB);
+    let budget = DiskBudget::for_batch_partition(140 * MB, 300 * MB);
+    assert!(budget.max_log_bytes(10_000 * MB) >= 4 * MB);
 }
 
 #[test]
 fn the_log_is_bounded_by_the_memory_where_the_disk_is_large() {
-    let room = DiskRoom::of_batch_partition(20_000 * MB, 300 * MB);
-    assert_eq!(room.log_beside(0), 50 * MB);
-    assert_eq!(room.most_jobs(300 * MB), 75 * MB);
+    let budget = DiskBudget::for_batch_partition(20_000 * MB, 300 * MB);
+    assert_eq!(budget.max_log_bytes(0), 50 * MB);
+    assert_eq!(budget.max_job_bytes(300 * MB), 75 * MB);
 }
 
 #[test]
 fn the_log_of_the_configuration_stays_short() {
-    let room = DiskRoom::of_configuration(64 * MB);
-    assert_eq!(room.log_beside(0), 2 * MB);
-    assert_eq!(room.log_beside(MB), 2 * MB);
+    let budget = DiskBudget::for_configuration(64 * MB);
+    assert_eq!(budget.max_log_bytes(0), 2 * MB);
+    assert_eq!(budget.max_log_bytes(MB), 2 * MB);
 }
--- a/crates/tier/tests/leader_balance.rs
+++ b/crates/tier/tests/leader_balance.rs
@@ -1,25 +1,25 @@
 //! Which voter a partition is handed to where a node leads several partitions.
 
 use grebeusher_quorum::ReplicaId;
-use grebeusher_tier::control::leader_balance::{Heir, relieving_heir};
+use grebeusher_tier::control::leader_balance::{Successor, successor_to_relieve};
 use rstest::rstest;
 
-fn heir(replica: u64, led: usize) -> Heir {
-    Heir { replica: ReplicaId(replica), led }
+fn successor(replica: u64, led: usize) -> Successor {
+    Successor { replica: ReplicaId(replica), led }
 }
 
 #[rstest]
-#[case::of_two_partitions_one_goes_to_a_node_without(2, vec![heir(1, 1), heir(2, 0), heir(3, 0)], Some(2))]
-#[case::of_three_partitions_one_goes_to_a_node_with_one(3, vec![heir(1, 1)], Some(1))]
-#[case::of_alike_nodes_the_one_that_is_furthest(2, vec![heir(7, 0), heir(8, 0)], Some(7))]
-#[case::one_partition_stays(1, vec![heir(1, 0)], None)]
-#[case::a_partition_that_would_only_change_places_stays(2, vec![heir(1, 1), heir(2, 1)], None)]
+#[case::of_two_partitions_one_goes_to_a_node_without(2, vec![successor(1, 1), successor(2, 0), successor(3, 0)], Some(2))]
+#[case::of_three_partitions_one_goes_to_a_node_with_one(3, vec![successor(1, 1)], Some(1))]
+#[case::of_alike_nodes_the_one_that_is_furthest(2, vec![successor(7, 0), successor(8, 0)], Some(7))]
+#[case::one_partition_stays(1, vec![successor(1, 0)], None)]
+#[case::a_partition_that_would_only_change_places_stays(2, vec![successor(1, 1), successor(2, 1)], None)]
 #[case::nobody_there(3, vec![], None)]
 fn a_partition_goes_to_who_leads_fewest_if_both_come_closer(
     #[case] led: usize,
-    #[case] heirs: Vec<Heir>,
+    #[case] heirs: Vec<Successor>,
     #[case] expected: Option<u64>,
 ) {
     // Given a node that leads so many partitions, when the heirs of one of them own so many, then it goes there or stays.
-    assert_eq!(relieving_heir(led, &heirs), expected.map(ReplicaId));
+    assert_eq!(successor_to_relieve(led, &heirs), expected.map(ReplicaId));
 }
--- a/crates/tier/tests/group_care.rs
+++ b/crates/tier/tests/membership_maintenance.rs
@@ -1,7 +1,7 @@
 //! Which nodes a leader takes into a group when a change waited for one in vain.
 
 use grebeusher_quorum::ReplicaId;
-use grebeusher_tier::control::membership_maintenance::GroupCare;
+use grebeusher_tier::control::membership_maintenance::MembershipMaintenance;
 use grebeusher_tier::control::replica_placement::{Candidate, next_voters};
 use grebeusher_time::{Duration, Instant};
 
@@ -16,9 +16,9 @@
 const NOW: Instant = Instant(1_000_000_000);
 
 /// What a leader of the voters 1, 2 and 3, of which 3 is lost, changes the group to when these are alive.
-fn next(care: &GroupCare, alive: Vec<Candidate>) -> Option<Vec<ReplicaId>> {
+fn next(maintenance: &MembershipMaintenance, alive: Vec<Candidate>) -> Option<Vec<ReplicaId>> {
     let voters = ids(&[1, 2, 3]);
-    let alive = care.usable(&voters, alive);
+    let alive = maintenance.usable(&voters, alive);
     next_voters(&voters, &ids(&[3]), &alive, 3, Some(ReplicaId(1)))
 }
 
@@ -26,32 +26,32 @@
 fn a_spare_that_did_not_catch_up_makes_room_for_another() {
     // Given two spares, of which the one in the best zone lives and never catches up,
     let alive = vec![node(1, "a"), node(2, "b"), node(4, "b"), node(5, "c")];
-    let mut care = GroupCare::default();
-    assert_eq!(next(&care, alive.clone()), Some(ids(&[1, 2, 5])));
+    let mut maintenance = MembershipMaintenance::default();
+    assert_eq!(next(&maintenance, alive.clone()), Some(ids(&[1, 2, 5])));
     // when the change that waited for it was given up,
-    care.begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
-    care.settle(NOW, &ids(&[1, 2, 3]));
+    maintenance.change_begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
+    maintenance.change_ended(NOW, &ids(&[1, 2, 3]));
     // then the other one steps in,
-    assert_eq!(next(&care, alive.clone()), Some(ids(&[1, 2, 4])));
+    assert_eq!(next(&maintenance, alive.clone()), Some(ids(&[1, 2, 4])));
     // and the first has its turn again later.
-    care.settle(NOW + Duration::from_millis(10_000), &ids(&[1, 2, 3]));
-    assert_eq!(next(&care, alive), Some(ids(&[1, 2, 5])));
+    maintenance.change_ended(NOW + Duration::from_millis(10_000), &ids(&[1, 2, 3]));
+    assert_eq!(next(&maintenance, alive), Some(ids(&[1, 2, 5])));
 }
 
 #[test]
 fn the_only_spare_is_tried_again_at_once() {
     let alive = vec![node(1, "a"), node(2, "b"), node(5, "c")];
-    let mut care = GroupCare::default();
-    care.begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
-    care.settle(NOW, &ids(&[1, 2, 3]));
-    assert_eq!(next(&care, alive), Some(ids(&[1, 2, 5])));
+    let mut maintenance = MembershipMaintenance::default();
+    maintenance.change_begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
+    maintenance.change_ended(NOW, &ids(&[1, 2, 3]));
+    assert_eq!(next(&maintenance, alive), Some(ids(&[1, 2, 5])));
 }
 
 #[test]
 fn a_spare_that_joined_is_not_passed_over() {
     let alive = vec![node(1, "a"), node(2, "b"), node(4, "b"), node(5, "c")];
-    let mut care = GroupCare::default();
-    care.begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
-    care.settle(NOW, &ids(&[1, 2, 5]));
-    assert_eq!(next(&care, alive), Some(ids(&[1, 2, 5])));
+    let mut maintenance = MembershipMaintenance::default();
+    maintenance.change_begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
+    maintenance.change_ended(NOW, &ids(&[1, 2, 5]));
+    assert_eq!(next(&maintenance, alive), Some(ids(&[1, 2, 5])));
 }
--- a/crates/tier/tests/copies.rs
+++ b/crates/tier/tests/replica_status.rs
@@ -1,18 +1,18 @@
 //! Which machine holds the only copy of a partition, and when that is told.
 
 use grebeusher_quorum::{Index, ReplicaId};
-use grebeusher_tier::control::replica_status::{LoneCopy, PartitionCopy, sole_holder};
+use grebeusher_tier::control::replica_status::{ReplicaStatus, SoleReplicaWarning, sole_replica};
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 
 /// Voters 1, 2 and so on, each with the last entry that it has; none for one whose node is away.
-fn copies(synced: &[Option<u64>]) -> Vec<PartitionCopy> {
-    let copy = |(voter, synced): (u64, &Option<u64>)| PartitionCopy {
+fn replica_statuses(synced: &[Option<u64>]) -> Vec<ReplicaStatus> {
+    let status = |(voter, synced): (u64, &Option<u64>)| ReplicaStatus {
         voter: ReplicaId(voter),
         synced: Index(synced.unwrap_or(9)),
-        lives: synced.is_some(),
+        is_alive: synced.is_some(),
     };
-    (1..).zip(synced).map(copy).collect()
+    (1..).zip(synced).map(status).collect()
 }
 
 #[rstest]
@@ -23,18 +23,18 @@
 #[case::the_group_is_one(&[Some(9)], None)]
 #[case::none_that_lives(&[None, Some(8), Some(8)], None)]
 fn a_sole_holder_is_named(#[case] synced: &[Option<u64>], #[case] holder: Option<u64>) {
-    assert_eq!(sole_holder(&copies(synced), Index(9)), holder.map(ReplicaId));
+    assert_eq!(sole_replica(&replica_statuses(synced), Index(9)), holder.map(ReplicaId));
 }
 
 #[test]
 fn a_lone_copy_is_told_once_it_lasts_and_then_now_and_then() {
     let at = |ms| Instant(0) + Duration::from_millis(ms);
-    let mut lone = LoneCopy::default();
+    let mut lone = SoleReplicaWarning::default();
     // A moment is nothing: followers answer a little later than the leader has synced.
-    assert!(!lone.look(at(0), true) && !lone.look(at(1_400), true));
-    assert!(lone.look(at(1_600), true));
-    assert!(!lone.look(at(3_000), true));
-    assert!(lone.look(at(6_600), true));
+    assert!(!lone.observe(at(0), true) && !lone.observe(at(1_400), true));
+    assert!(lone.observe(at(1_600), true));
+    assert!(!lone.observe(at(3_000), true));
+    assert!(lone.observe(at(6_600), true));
     // When there are two again, all begins anew.
-    assert!(!lone.look(at(6_700), false) && !lone.look(at(6_800), true));
+    assert!(!lone.observe(at(6_700), false) && !lone.observe(at(6_800), true));
 }
--- a/crates/tier/tests/stop.rs
+++ b/crates/tier/tests/stop.rs
@@ -1,14 +1,14 @@
 //! What a process that was told to stop still takes on.
 
 use grebeusher_configuration::configuration::{Configuration, Route};
-use grebeusher_tier::runtime::stop::Departure;
+use grebeusher_tier::runtime::stop::GracefulShutdown;
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rstest::rstest;
 
 const GRACE: Duration = Duration::from_millis(8000);
 
-fn told_to_stop() -> Departure {
-    Departure::new(Instant(0), GRACE)
+fn shutting_down() -> GracefulShutdown {
+    GracefulShutdown::new(Instant(0), GRACE)
 }
 
 /// A route of a type with an objective of 200 ms and a time-out of 6 s.
@@ -31,7 +31,7 @@
     #[values(0, 1200, 2399)] ms: u64,
 ) {
     // Given a process that was told to stop a moment ago, when a request of any length comes, then it is taken.
-    assert!(told_to_stop().takes(at_ms(ms), &route(route_type), Duration::from_millis(6000)));
+    assert!(shutting_down().accepts(at_ms(ms), &route(route_type), Duration::from_millis(6000)));
 }
 
 #[rstest]
@@ -47,7 +47,10 @@
 ) {
     // Given 7.5 s from SIGTERM to the exit, when a stream comes that may take as long as its time, then it is taken if
     // that is over before the exit: once its head is out nothing but its end completes it.
-    assert_eq!(told_to_stop().takes(at_ms(ms), &route("streaming"), Duration::from_millis(left_ms)), taken);
+    assert_eq!(
+        shutting_down().accepts(at_ms(ms), &route("streaming"), Duration::from_millis(left_ms)),
+        taken
+    );
 }
 
 #[rstest]
@@ -55,8 +58,8 @@
     // Given requests whose answers are sent whole, so that one which takes too long can still hear 504, when one comes
     // with much more time than it usually needs, then its usual time decides.
     let route = route(route_type);
-    assert!(told_to_stop().takes(at_ms(6300), &route, Duration::from_millis(6000)));
-    assert!(!told_to_stop().takes(at_ms(6400), &route, Duration::from_millis(6000)));
+    assert!(shutting_down().accepts(at_ms(6300), &route, Duration::from_millis(6000)));
+    assert!(!shutting_down().accepts(at_ms(6400), &route, Duration::from_millis(6000)));
 }
 
 #[rstest]
@@ -65,13 +68,13 @@
 #[case::none(0, 0)]
 fn the_exit_is_never_far_before_the_kill(#[case] grace_ms: u64, #[case] exit_ms: u64) {
     // Given a grace period, then the exit lies within its last sixth, in which the operators bear a cut.
-    let departure = Departure::new(Instant(0), Duration::from_millis(grace_ms));
-    assert_eq!(departure.exits_at(), at_ms(exit_ms));
-    assert!(departure.exits_at() >= Instant(0) + Duration::from_millis(grace_ms).scaled(5.0 / 6.0));
+    let shutdown = GracefulShutdown::new(Instant(0), Duration::from_millis(grace_ms));
+    assert_eq!(shutdown.exits_at(), at_ms(exit_ms));
+    assert!(shutdown.exits_at() >= Instant(0) + Duration::from_millis(grace_ms).scaled(5.0 / 6.0));
 }
 
 #[test]
 fn it_may_go_early_once_the_platform_has_missed_it() {
-    assert!(!told_to_stop().may_exit(at_ms(2500)));
-    assert!(told_to_stop().may_exit(at_ms(2600)));
+    assert!(!shutting_down().may_exit(at_ms(2500)));
+    assert!(shutting_down().may_exit(at_ms(2600)));
 }
