--- a/crates/tier/src/control/api.rs
+++ b/crates/tier/src/control/api.rs
@@ -1,5 +1,7 @@
 //! The control plane's HTTP interface: heartbeats of executors, orders of the operator, the platform's checks.
 
+use crate::control::partition_status::PartitionReport;
+use crate::control::partitions::Waiter;
 use crate::control::retire::RetireQuestion;
 use crate::links::calls::{Continuation, OperatorQuestion};
 use crate::links::messages::{Call, Reply};
@@ -175,6 +177,27 @@
         );
     }
 
+    /// The operator's question for a partition, forwarded to its leader.
+    fn partition_request(&mut self, connection: usize, serial: u64, partition: u8) {
+        let question = OperatorQuestion::Partition;
+        let continuation = Continuation::Operator { connection, serial, question };
+        let call = Call::ShowPartition { partition };
+        self.call_leader(partition, call, self.now + OPERATOR_TIMEOUT, continuation);
+    }
+
+    /// The leader's status of a partition.
+    pub(crate) fn show_partition_at_leader(&mut self, waiter: Waiter, partition: u8) {
+        let Some(index) = self.led_index(partition, waiter) else { return };
+        let report = PartitionReport {
+            host: &self.partitions[index],
+            registry: &self.registry,
+            node_name: self.settings.node_name.as_str(),
+            configuration_version: self.configuration.version(),
+        };
+        let body = report.to_string().into_bytes();
+        self.reply(waiter.peer, waiter.number, Reply::Answer { status: 200, body });
+    }
+
     /// The leader's reply to the operator's call.
     pub fn operator_reply(
         &mut self,
--- a/crates/tier/src/control/executor_hints.rs
+++ b/crates/tier/src/control/executor_hints.rs
@@ -2,8 +2,10 @@
 //!
 //! [`ExecutorHints`] owns when the hint was written and of which generation of the registry it is.
 
-use crate::node::Node;
+use crate::runtime::io::World;
+use grebeusher_registry::Registry;
 use grebeusher_time::{Duration, Instant};
+use std::path::Path;
 use tracing::{debug, warn};
 
 /// The name of the hint on the disk.
@@ -19,36 +21,23 @@
 }
 
 impl ExecutorHints {
-    /// Whether the executors of this generation are to be written; notes that they are.
-    fn take_due(&mut self, now: Instant, generation: u64) -> bool {
-        if now < self.written + WRITE_INTERVAL || generation == self.generation {
-            return false;
-        }
-        *self = ExecutorHints { written: now, generation };
-        true
-    }
-}
-
-impl Node {
     /// Takes over what an earlier process of this node knew.
-    pub(crate) fn load_executor_hints(&mut self) {
-        let Some(folder) = &self.settings.data_path else { return };
-        let Some(bytes) = self.world.read_hint(folder, NAME) else { return };
-        match self.registry.recall(self.now, &bytes) {
+    pub fn load(world: &dyn World, folder: &Path, registry: &mut Registry, now: Instant) {
+        let Some(bytes) = world.read_hint(folder, NAME) else { return };
+        match registry.recall(now, &bytes) {
             Ok(executors) => debug!(executors, "executor hints loaded"),
             Err(error) => warn!(%error, "executor hints unreadable"),
         }
-        self.routing_changed = true;
     }
 
     /// Writes down which executors there are, if that has changed.
-    pub(crate) fn save_executor_hints(&mut self) {
-        let Some(folder) = &self.settings.data_path else { return };
-        let generation = self.registry.generation().executors;
-        if self.stopping() || !self.executor_hints.take_due(self.now, generation) {
+    pub fn save(&mut self, world: &dyn World, folder: &Path, registry: &Registry, now: Instant) {
+        let generation = registry.generation().executors;
+        if now < self.written + WRITE_INTERVAL || generation == self.generation {
             return;
         }
-        if let Err(error) = self.world.keep_hint(folder, NAME, &self.registry.remember()) {
+        *self = ExecutorHints { written: now, generation };
+        if let Err(error) = world.keep_hint(folder, NAME, &registry.remember()) {
             warn!(%error, "executor hints not written");
         }
     }
--- a/crates/tier/src/control/leader_balance.rs
+++ b/crates/tier/src/control/leader_balance.rs
@@ -3,12 +3,12 @@
 //! executors' connections full while others idle. After a loss of all power elections may come out so.
 
 use crate::batch::api::BATCH_PARTITIONS;
-use crate::node::Node;
+use crate::control::leader_index::LeaderIndex;
+use crate::control::partitions::PartitionHost;
 use grebeusher_batch::PartitionLoad;
 use grebeusher_quorum::ReplicaId;
-use grebeusher_registry::MemberState;
+use grebeusher_registry::{MemberState, Registry};
 use grebeusher_time::{Duration, Instant};
-use tracing::{info, warn};
 
 /// A leadership is not handed on for balance sooner than this after it began: its end must have become known, and so must
 /// the leaders of the other partitions.
@@ -33,61 +33,71 @@
     heirs.iter().find(|successor| relieves && successor.led == least).map(|successor| successor.replica)
 }
 
-impl Node {
-    /// Hands one batch partition to a voter whose node leads none or fewer, where this node leads several that have items.
-    pub(crate) fn balance_leadership(&mut self) {
-        let now = self.now;
-        if self.stopping() || now < self.balance_after {
-            return;
+/// A partition that is to be handed over.
+pub(crate) struct HandOverPlan {
+    /// The index of the partition on this node.
+    pub index: usize,
+    /// The voter that is to lead it.
+    pub successor: ReplicaId,
+}
+
+/// Decides when a partition is handed over for balance. It owns only the time before which nothing is.
+#[derive(Default)]
+pub(crate) struct LeaderBalancer {
+    next_at: Instant,
+}
+
+impl LeaderBalancer {
+    /// A batch partition for a voter whose node leads none or fewer, where this node leads several that have items.
+    pub fn choose(
+        &mut self,
+        now: Instant,
+        partitions: &[PartitionHost],
+        registry: &Registry,
+        leaders: &LeaderIndex,
+    ) -> Option<HandOverPlan> {
+        if now < self.next_at {
+            return None;
         }
-        let places = (0..self.partitions.len()).filter(|index| self.leads_batch_partition(*index));
-        let mut led: Vec<usize> = places.collect();
-        // Partitions without items cost their leader nothing.
-        led.retain(|index| self.batch_load(*index) != PartitionLoad::default());
+        let led = led_with_items(partitions);
         if led.len() < 2 {
-            return;
+            return None;
         }
-        // A hand-over interrupts what runs: the one with the fewest runs goes.
-        led.sort_by_key(|index| self.batch_load(*index).running);
-        for index in led.iter().copied() {
-            if self.may_hand_over(index, now)
-                && let Some(successor) = successor_to_relieve(led.len(), &self.successors_of(index))
-            {
-                self.balance_after = now + REBALANCE_INTERVAL;
-                return self.hand_to(index, successor);
-            }
-        }
-    }
-
-    fn leads_batch_partition(&self, index: usize) -> bool {
-        let host = &self.partitions[index];
-        host.leads() && (1..=BATCH_PARTITIONS).contains(&host.partition)
+        let plan =
+            led.iter().filter(|index| may_hand_over(&partitions[**index], now)).find_map(|&index| {
+                let successors = successors_of(&partitions[index], registry, leaders);
+                let successor = successor_to_relieve(led.len(), &successors)?;
+                Some(HandOverPlan { index, successor })
+            })?;
+        self.next_at = now + REBALANCE_INTERVAL;
+        Some(plan)
     }
+}
 
-    fn may_hand_over(&self, index: usize, now: Instant) -> bool {
-        let host = &self.partitions[index];
-        let since = host.leader_since().is_some_and(|since| now.since(since) >= STABILITY_DURATION);
-        since && host.replica.is_settled() && !host.replica.is_handing_over()
-    }
+/// The indices of the batch partitions that this node leads and that have items, the one with the fewest runs first: a
+/// hand-over interrupts what runs. Partitions without items cost their leader nothing.
+fn led_with_items(partitions: &[PartitionHost]) -> Vec<usize> {
+    let is_led = |host: &PartitionHost| host.leads() && (1..=BATCH_PARTITIONS).contains(&host.partition);
+    let indices = (0..partitions.len()).filter(|index| is_led(&partitions[*index]));
+    let mut led: Vec<usize> =
+        indices.filter(|index| partitions[*index].load() != PartitionLoad::default()).collect();
+    led.sort_by_key(|index| partitions[*index].load().running);
+    led
+}
 
-    /// The living voters of a partition whose nodes are not to be emptied, the one that is furthest first.
-    fn successors_of(&mut self, index: usize) -> Vec<Successor> {
-        let retiring = self.retiring_nodes(index);
-        let successor = |replica: ReplicaId| {
-            let member = self.registry.member_by_replica(replica.0)?;
-            let led = self.leaders.count_of(&self.registry, member.address, 1..=BATCH_PARTITIONS);
-            let stays = member.state == MemberState::Alive && !retiring.contains(&member.name);
-            stays.then_some(Successor { replica, led })
-        };
-        self.partitions[index].replica.heirs().into_iter().filter_map(successor).collect()
-    }
+fn may_hand_over(host: &PartitionHost, now: Instant) -> bool {
+    let is_stable = host.leader_since().is_some_and(|since| now.since(since) >= STABILITY_DURATION);
+    is_stable && host.replica.is_settled() && !host.replica.is_handing_over()
+}
 
-    fn hand_to(&mut self, index: usize, successor: ReplicaId) {
-        let partition = self.partitions[index].partition;
-        info!(partition, "leadership handed over for balance");
-        self.checkpoint_batch(index);
-        if let Err(error) = self.partitions[index].replica.hand_over(self.now, Some(successor)) {
-            warn!(partition, %error, "leadership not handed over");
-        }
-    }
+/// The living voters of a partition whose nodes are not to be emptied, the one with the longest log first.
+fn successors_of(host: &PartitionHost, registry: &Registry, leaders: &LeaderIndex) -> Vec<Successor> {
+    let retiring = host.retiring_nodes();
+    let successor = |replica: ReplicaId| {
+        let member = registry.member_by_replica(replica.0)?;
+        let led = leaders.count_of(registry, member.address, 1..=BATCH_PARTITIONS);
+        let stays = member.state == MemberState::Alive && !retiring.contains(&member.name);
+        stays.then_some(Successor { replica, led })
+    };
+    host.replica.heirs().into_iter().filter_map(successor).collect()
 }
--- a/crates/tier/src/control/membership_maintenance.rs
+++ b/crates/tier/src/control/membership_maintenance.rs
@@ -3,9 +3,10 @@
 //! [`MembershipMaintenance`] owns what a leader remembers of one group: absent voters, excluded candidates, when it last logged.
 //! Only this module and [`retire`](crate::control::retire) change the voters of a running group.
 
+use crate::control::leader_balance::HandOverPlan;
 use crate::control::partitions::{HandOver, class_of_partition};
 use crate::control::replica_placement::{Candidate, next_voters};
-use crate::control::replica_status::SoleReplicaWarning;
+use crate::control::replica_status::{SoleReplicaWarning, warn_of_sole_replica};
 use crate::node::Node;
 use crate::runtime::timers::Timer;
 use grebeusher_quorum::{Index, ReplicaId, Term};
@@ -61,7 +62,7 @@
         self.excluded_until.retain(|_, until| now < *until);
     }
 
-    /// The candidates without those that are passed over; all of them if no other could join the voters.
+    /// The candidates without those that are excluded; all of them if no other could join the voters.
     pub fn usable(&self, voters: &[ReplicaId], alive: Vec<Candidate>) -> Vec<Candidate> {
         let replica = |candidate: &Candidate| ReplicaId(candidate.replica);
         let is_voter = |candidate: &Candidate| voters.contains(&replica(candidate));
@@ -72,7 +73,7 @@
         if usable.iter().all(is_voter) { alive } else { usable }
     }
 
-    /// The voters that none of the living has been for long.
+    /// The voters whose nodes have been absent for long.
     fn absent(&mut self, now: Instant, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
         let is_alive = |voter: &ReplicaId| alive.iter().any(|candidate| candidate.replica == voter.0);
         self.absent_since.retain(|voter, _| voters.contains(voter) && !is_alive(voter));
@@ -97,17 +98,32 @@
             self.log_replica(index);
             if self.partitions[index].leads() {
                 self.maintain_group(index);
-                self.warn_of_sole_replica(index);
+                warn_of_sole_replica(&mut self.partitions[index], &self.registry, self.now);
                 self.forget_old_jobs(index);
             }
         }
-        self.balance_leadership();
+        if !self.stopping() {
+            self.balance_leadership();
+        }
         if self.stopping() {
             // A successor that did not take over, or one that handed the partition back, must not keep it here until the end.
             self.hand_over_partitions(HandOver::Repeated);
         }
     }
 
+    /// Hands one batch partition to another node where this one leads too many.
+    fn balance_leadership(&mut self) {
+        let (partitions, registry) = (&self.partitions, &self.registry);
+        let chosen = self.leader_balancer.choose(self.now, partitions, registry, &self.leaders);
+        let Some(HandOverPlan { index, successor }) = chosen else { return };
+        let partition = self.partitions[index].partition;
+        info!(partition, "leadership handed over for balance");
+        self.checkpoint_batch(index);
+        if let Err(error) = self.partitions[index].replica.hand_over(self.now, Some(successor)) {
+            warn!(partition, %error, "leadership not handed over");
+        }
+    }
+
     /// Logs each change of a replica's term or group, and its state once a second.
     fn log_replica(&mut self, index: usize) {
         let now = self.now;
@@ -162,7 +178,7 @@
     /// The nodes that may hold a replica of a partition.
     fn candidates(&mut self, index: usize) -> Vec<Candidate> {
         let class = class_of_partition(self.partitions[index].partition);
-        let retiring = self.retiring_nodes(index);
+        let retiring = self.partitions[index].retiring_nodes();
         let alive = self.registry.members().filter(|member| member.state == MemberState::Alive);
         let alive = alive.filter(|member| member.class == class && !retiring.contains(&member.name));
         alive.filter_map(Candidate::of).collect()
@@ -170,7 +186,7 @@
 
     /// The voters that are to make room: their node is to be emptied, lost its disk, or has been absent for long.
     fn lost_voters(&mut self, index: usize, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
-        let retiring = self.retiring_nodes(index);
+        let retiring = self.partitions[index].retiring_nodes();
         let retired = self.retiring_replicas(&retiring);
         let absent = self.partitions[index].maintenance.absent(self.now, voters, alive);
         let lost = |voter: &&ReplicaId| {
--- a/crates/tier/src/control/mod.rs
+++ b/crates/tier/src/control/mod.rs
@@ -4,6 +4,10 @@
 //! [`partitions`] drives the replicas; what a partition's log means is up to [`configuration_partition`] and
 //! [`batch::partition`](crate::batch::partition). [`membership_maintenance`], [`leader_balance`], [`retire`] and [`bootstrap`]
 //! change the groups of replicas and their leaders; nothing else does.
+//!
+//! Each concern owns its state in a type of its module, such as [`active_configuration`]'s served configuration, and decides
+//! by the registry, the partitions and the time that it is given. The text of [`status`] and [`partition_status`] is an interface
+//! of the operators and must stay.
 
 pub mod active_configuration;
 pub mod api;
--- a/crates/tier/src/control/partition_status.rs
+++ b/crates/tier/src/control/partition_status.rs
@@ -1,51 +1,64 @@
 //! What the leader of a partition says of it, for operators: its term, its group, its jobs.
 
-use crate::control::api::OPERATOR_TIMEOUT;
-use crate::control::partitions::{Application, Waiter};
-use crate::links::calls::{Continuation, OperatorQuestion};
-use crate::links::messages::{Call, Reply};
-use crate::node::Node;
+use crate::control::partitions::{Application, PartitionHost};
+use crate::control::replica_status::{replica_statuses, sole_replica_name};
 use grebeusher_batch::Jobs;
-use std::fmt::Write;
+use grebeusher_registry::Registry;
+use std::fmt::{self, Display, Formatter};
 
 /// So many jobs get a line of their own; a status stays readable, and the reply small.
 const MAX_JOBS: usize = 500;
 
-impl Node {
-    /// The operator's question for a partition, passed on to its leader.
-    pub fn partition_request(&mut self, connection: usize, serial: u64, partition: u8) {
-        let question = OperatorQuestion::Partition;
-        let continuation = Continuation::Operator { connection, serial, question };
-        self.call_leader(
-            partition,
-            Call::ShowPartition { partition },
-            self.now + OPERATOR_TIMEOUT,
-            continuation,
-        );
-    }
+/// What the leader says of a partition, a line for each thing.
+pub(crate) struct PartitionReport<'a> {
+    /// The partition.
+    pub host: &'a PartitionHost,
+    /// The members, for the names of the voters.
+    pub registry: &'a Registry,
+    /// The name of this node.
+    pub node_name: &'a str,
+    /// The version of the configuration in force.
+    pub configuration_version: u64,
+}
 
-    /// The leader's status of a partition.
-    pub(crate) fn show_partition_at_leader(&mut self, waiter: Waiter, partition: u8) {
-        let Some(index) = self.led_index(partition, waiter) else { return };
-        let retiring = self.retiring_nodes(index);
-        let mut text = String::new();
-        // Writing to a string can't fail.
-        let _ = self.write_partition(index, &retiring, &mut text);
-        self.reply(waiter.peer, waiter.number, Reply::Answer { status: 200, body: text.into_bytes() });
+impl Display for PartitionReport<'_> {
+    fn fmt(&self, text: &mut Formatter<'_>) -> fmt::Result {
+        let partition = self.host.partition;
+        self.write_replica(text)?;
+        self.write_voters(text)?;
+        if let Some(holder) = sole_replica_name(self.host, self.registry) {
+            writeln!(
+                text,
+                "part {partition} WARNING: {holder} holds the only copy of all that is committed"
+            )?;
+        }
+        for node in self.host.retiring_nodes() {
+            writeln!(text, "part {partition} is to leave {node}")?;
+        }
+        match &self.host.application {
+            Application::Batch(batch) => write_jobs(partition, batch.jobs(), text),
+            Application::Configuration(_) => {
+                writeln!(text, "part {partition} holds configuration {}", self.configuration_version)
+            }
+        }
     }
+}
 
-    fn write_partition(&self, index: usize, retiring: &[String], text: &mut String) -> std::fmt::Result {
-        let host = &self.partitions[index];
-        let (partition, replica) = (host.partition, &host.replica);
+impl PartitionReport<'_> {
+    fn write_replica(&self, text: &mut Formatter<'_>) -> fmt::Result {
+        let (partition, replica) = (self.host.partition, &self.host.replica);
         let (term, commit, log) = (replica.term().0, replica.commit_index().0, replica.log_bytes());
         writeln!(
             text,
             "part {partition} owned by {} at term {term}: commit {commit}, log of {log} bytes",
-            self.settings.node_name.as_str()
-        )?;
-        let group = replica.group();
-        let changes = if group.is_joint() { " (the group is changing)" } else { "" };
-        for status in self.replica_statuses(index) {
+            self.node_name
+        )
+    }
+
+    fn write_voters(&self, text: &mut Formatter<'_>) -> fmt::Result {
+        let partition = self.host.partition;
+        let changes = if self.host.replica.group().is_joint() { " (the group is changing)" } else { "" };
+        for status in replica_statuses(self.host, self.registry) {
             let (disk, synced) = (status.voter.0, status.synced.0);
             match self.registry.member_by_replica(disk) {
                 Some(member) => {
@@ -60,25 +73,11 @@
                 }
             }
         }
-        if let Some(holder) = self.sole_replica(index) {
-            writeln!(
-                text,
-                "part {partition} WARNING: {holder} holds the only copy of all that is committed"
-            )?;
-        }
-        for node in retiring {
-            writeln!(text, "part {partition} is to leave {node}")?;
-        }
-        match &host.application {
-            Application::Batch(batch) => write_jobs(partition, batch.jobs(), text),
-            Application::Configuration(_) => {
-                writeln!(text, "part {partition} holds configuration {}", self.configuration_version())
-            }
-        }
+        Ok(())
     }
 }
 
-fn write_jobs(partition: u8, jobs: &Jobs, text: &mut String) -> std::fmt::Result {
+fn write_jobs(partition: u8, jobs: &Jobs, text: &mut Formatter<'_>) -> fmt::Result {
     writeln!(text, "part {partition} holds {} jobs in about {} bytes", jobs.len(), jobs.cost())?;
     for job in jobs.names().take(MAX_JOBS) {
         let Some(status) = jobs.status(job) else { continue };
--- a/crates/tier/src/control/partitions.rs
+++ b/crates/tier/src/control/partitions.rs
@@ -10,6 +10,7 @@
 use crate::links::messages::{CallNumber, Channel, QuorumEnvelope, Reply};
 use crate::node::{Node, RunError};
 use crate::runtime::io::{PartitionStore, World};
+use grebeusher_batch::PartitionLoad;
 use grebeusher_quorum::{Blob, Index, Replica, ReplicaId, Term, Timing, Write};
 use grebeusher_registry::{Class, MemberState};
 use grebeusher_time::{Duration, Instant};
@@ -144,6 +145,22 @@
         }
     }
 
+    /// The items of a batch partition; none for the configuration.
+    pub(crate) fn load(&self) -> PartitionLoad {
+        match &self.application {
+            Application::Batch(batch) => batch.runner.load(),
+            Application::Configuration(_) => PartitionLoad::default(),
+        }
+    }
+
+    /// The nodes that the partition's data is to leave.
+    pub(crate) fn retiring_nodes(&self) -> Vec<String> {
+        match &self.application {
+            Application::Batch(batch) => batch.retiring.iter().cloned().collect(),
+            Application::Configuration(_) => Vec::new(),
+        }
+    }
+
     /// Proposes an entry whose commit answers a call.
     pub fn propose(&mut self, now: Instant, entry: Vec<u8>, waiter: Option<Waiter>) -> Option<Index> {
         let index = self.replica.propose(now, entry).ok()?;
--- a/crates/tier/src/control/replica_status.rs
+++ b/crates/tier/src/control/replica_status.rs
@@ -1,7 +1,8 @@
 //! How far the replicas of a partition are, and a warning where one machine holds the only complete one.
 
-use crate::node::Node;
+use crate::control::partitions::PartitionHost;
 use grebeusher_quorum::{Index, ReplicaId};
+use grebeusher_registry::Registry;
 use grebeusher_time::{Duration, Instant};
 use tracing::warn;
 
@@ -53,32 +54,27 @@
     }
 }
 
-impl Node {
-    /// The replicas of a partition that this node leads.
-    pub(crate) fn replica_statuses(&self, index: usize) -> Vec<ReplicaStatus> {
-        let is_alive =
-            |voter: ReplicaId| self.registry.member_by_replica(voter.0).is_some_and(|member| member.serves());
-        let replicas = self.partitions[index].replica.copies().into_iter();
-        replicas.map(|(voter, synced)| ReplicaStatus { voter, synced, is_alive: is_alive(voter) }).collect()
-    }
+/// The replicas of a partition that this node leads.
+pub(crate) fn replica_statuses(host: &PartitionHost, registry: &Registry) -> Vec<ReplicaStatus> {
+    let is_alive =
+        |voter: ReplicaId| registry.member_by_replica(voter.0).is_some_and(|member| member.serves());
+    let replicas = host.replica.copies().into_iter();
+    replicas.map(|(voter, synced)| ReplicaStatus { voter, synced, is_alive: is_alive(voter) }).collect()
+}
 
-    /// The name of the machine that holds the only complete replica of a partition that this node leads, if one does.
-    pub(crate) fn sole_replica(&self, index: usize) -> Option<String> {
-        let holder =
-            sole_replica(&self.replica_statuses(index), self.partitions[index].replica.commit_index())?;
-        let member = self.registry.member_by_replica(holder.0);
-        Some(member.map_or_else(|| format!("disk {:016x}", holder.0), |member| member.name.clone()))
-    }
+/// The name of the machine that holds the only complete replica of a partition that this node leads, if one does.
+pub(crate) fn sole_replica_name(host: &PartitionHost, registry: &Registry) -> Option<String> {
+    let holder = sole_replica(&replica_statuses(host, registry), host.replica.commit_index())?;
+    let member = registry.member_by_replica(holder.0);
+    Some(member.map_or_else(|| format!("disk {:016x}", holder.0), |member| member.name.clone()))
+}
 
-    /// Warns in the log where one machine holds the only complete replica of a partition for long.
-    pub(crate) fn warn_of_sole_replica(&mut self, index: usize) {
-        let now = self.now;
-        let holder = self.sole_replica(index);
-        let host = &mut self.partitions[index];
-        if host.maintenance.sole_replica_warning.observe(now, holder.is_some())
-            && let Some(holder) = holder
-        {
-            warn!(partition = host.partition, holder, "one replica holds the only copy of committed entries");
-        }
+/// Warns in the log where one machine holds the only complete replica of a partition for long.
+pub(crate) fn warn_of_sole_replica(host: &mut PartitionHost, registry: &Registry, now: Instant) {
+    let holder = sole_replica_name(host, registry);
+    if host.maintenance.sole_replica_warning.observe(now, holder.is_some())
+        && let Some(holder) = holder
+    {
+        warn!(partition = host.partition, holder, "one replica holds the only copy of committed entries");
     }
 }
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -218,7 +218,7 @@
     /// The machines that could hold a partition when one more is emptied.
     fn remaining_without(&mut self, index: usize, node: &str) -> Remaining {
         let class = class_of_partition(self.partitions[index].partition);
-        let retiring = self.retiring_nodes(index);
+        let retiring = self.partitions[index].retiring_nodes();
         let others = self.registry.members().filter(|member| {
             member.class == class
                 && member.replica.is_some()
@@ -240,7 +240,7 @@
     /// 200: the partition's data has left the node; 202: not yet.
     pub(crate) fn show_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
         let Some(index) = self.led_index(number, waiter) else { return };
-        let asked = self.retiring_nodes(index).iter().any(|retiring| retiring == node);
+        let asked = self.partitions[index].retiring_nodes().iter().any(|retiring| retiring == node);
         let known = asked || self.knows_storage_node(node);
         let reply = if asked && self.is_complete_without(index, node) {
             info!(partition = number, node, "retired node holds no more data");
@@ -267,11 +267,4 @@
             && replica.group().voters.len() >= self.group_size()
             && replica.group().voters.iter().all(lives_elsewhere)
     }
-
-    /// The nodes that a partition's data is to leave.
-    pub(crate) fn retiring_nodes(&mut self, index: usize) -> Vec<String> {
-        self.batch_mut(index)
-            .map(|partition| partition.retiring.iter().cloned().collect())
-            .unwrap_or_default()
-    }
 }
--- a/crates/tier/src/links/mod.rs
+++ b/crates/tier/src/links/mod.rs
@@ -1,8 +1,9 @@
 //! Everything that travels between nodes: the links, the frames on them, and calls with their replies.
 //!
-//! [`peer_links`] keeps one link to each peer and decides when it is opened, flushed and given up; [`dispatch`] hands each frame
-//! that came to the module it is for; [`calls`] keeps what was asked of peers until the reply or the time-out. [`messages`] is
-//! the format on the wire. [`socket`] and [`connections`] are the byte level that links share with clients and executors.
+//! Three types own the state: [`connections`]' table has every socket, [`peer_links`]' links know which peer has which
+//! connection and when to dial again, [`calls`]' pending calls wait for replies. None of them knows another: they take sockets,
+//! clock and peers by argument and return what is to be done. [`dispatch`] alone joins them in `impl Node` and hands each
+//! frame to the module it is for. [`messages`] is the format on the wire, and its order of variants must stay.
 
 pub mod calls;
 pub mod connections;
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -6,6 +6,7 @@
 use grebeusher_tier::runtime::show::status_of;
 use grebeusher_tier::runtime::start::{Start, read_settings};
 use grebeusher_tier::runtime::system::System;
+use std::fmt::Display;
 use std::io::Write;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -72,33 +73,36 @@
 }
 
 fn show(address: SocketAddrV4) -> ExitCode {
-    let written = match status_of(address) {
-        Ok(status) => std::io::stdout().write_all(status.as_bytes()).map_err(|error| error.to_string()),
-        Err(error) => Err(error.to_string()),
+    let status = match status_of(address) {
+        Ok(status) => status,
+        Err(error) => return fail(&error),
     };
-    match written {
+    match std::io::stdout().write_all(status.as_bytes()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("{error}");
-            ExitCode::FAILURE
-        }
+        Err(error) => fail(&error),
     }
 }
 
+fn fail(error: &dyn Display) -> ExitCode {
+    eprintln!("{error}");
+    ExitCode::FAILURE
+}
+
 fn check(file: &Path) -> ExitCode {
     match read_settings(file) {
         Ok(_) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("{error}");
-            ExitCode::FAILURE
-        }
+        Err(error) => fail(&error),
     }
 }
 
 fn run(verbose: bool) -> ExitCode {
     let written = if verbose { Level::DEBUG } else { Level::WARN };
     // Only a second subscriber is an error, and there is none.
-    let _ = tracing::subscriber::set_global_default(LogRing::new(Level::DEBUG, written));
+    let _ = tracing::subscriber::set_global_default(LogRing::new(
+        Level::DEBUG,
+        written,
+        Box::new(|line| eprintln!("{line}")),
+    ));
     let Some(path) = std::env::var_os(SETTINGS_FILE).map(PathBuf::from) else {
         eprintln!("{SETTINGS_FILE} names no settings file");
         return ExitCode::FAILURE;
@@ -110,10 +114,7 @@
     let started = started.and_then(Node::new);
     let mut node = match started {
         Ok(node) => node,
-        Err(error) => {
-            eprintln!("{error}");
-            return ExitCode::FAILURE;
-        }
+        Err(error) => return fail(&error),
     };
     match node.run() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -1,10 +1,14 @@
-//! One process of the tier: everything that it keeps, and its loop. What happens at each thing stands in the modules beside.
+//! One process of the tier: the parts that it is composed of, and its loop.
+//!
+//! The loop reads the clock once a turn, routes events and due timers to the folders, then pumps what follows from them and
+//! flushes the links. State of one concern belongs to a type in its folder; a field is added here only for a new concern.
 
 use crate::batch::items::ItemRuns;
 use crate::control::active_configuration::ServedConfiguration;
 use crate::control::api::PendingAcknowledgements;
 use crate::control::bootstrap::Bootstrapper;
 use crate::control::executor_hints::ExecutorHints;
+use crate::control::leader_balance::LeaderBalancer;
 use crate::control::leader_index::LeaderIndex;
 use crate::control::partitions::PartitionHost;
 use crate::control::retire::RetireRequests;
@@ -59,7 +63,7 @@
 /// The loop waits at most this long.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
 
-/// Counters of a process's life, for its status and its log.
+/// Counters since the start of a process, for its status and its log.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Requests for executors.
@@ -94,8 +98,7 @@
     pub(crate) acknowledgements: PendingAcknowledgements,
     pub(crate) routing: Routing,
     pub(crate) leaders: LeaderIndex,
-    /// When a partition may next be handed on so that the partitions are spread.
-    pub(crate) balance_after: Instant,
+    pub(crate) leader_balancer: LeaderBalancer,
     pub(crate) routing_changed: bool,
     pub(crate) configuration: ServedConfiguration,
     pub(crate) exchanges: Slab<Exchange>,
@@ -111,7 +114,7 @@
     pub(crate) traffic: Traffic,
     /// Whether a review of the executors is due.
     reviewing: bool,
-    /// Set once the process was told to stop.
+    /// Set once the process got SIGTERM.
     pub(crate) shutdown: Option<GracefulShutdown>,
     pub(crate) exit: bool,
 }
@@ -125,7 +128,7 @@
         let mut node = Node {
             routing: Routing::new(settings.zone.as_str(), seed),
             leaders: LeaderIndex::default(),
-            balance_after: Instant(0),
+            leader_balancer: LeaderBalancer::default(),
             items: ItemRuns::default(),
             replica_names: FxHashMap::default(),
             frontend: listeners.frontend,
@@ -171,7 +174,9 @@
                 Timer::MaintainGroups,
             );
         }
-        self.load_executor_hints();
+        if let Some(folder) = &self.settings.data_path {
+            ExecutorHints::load(&*self.world, folder, &mut self.registry, now);
+        }
         self.begin_popularity();
         self.prove_configuration();
         if self.bootstrapper.is_some() {
@@ -179,7 +184,7 @@
         }
     }
 
-    /// Runs until the process is told to stop and has finished.
+    /// Runs until the process gets SIGTERM and has finished.
     ///
     /// # Errors
     /// A disk or the poller fails: the process ends, and starts again from what is on disk.
@@ -313,7 +318,9 @@
         self.connections.close_expired_idle(self.now);
         self.with_links(PeerLinks::sweep);
         self.calls.sweep(self.now);
-        self.save_executor_hints();
+        if let Some(folder) = self.settings.data_path.as_deref().filter(|_| !self.stopping()) {
+            self.executor_hints.save(&*self.world, folder, &self.registry, self.now);
+        }
         self.tell_popularity();
         self.remember_popularity();
         self.exit_when_idle();
@@ -339,7 +346,7 @@
         self.exit
     }
 
-    /// Whether the process was told to stop.
+    /// Whether the process got SIGTERM.
     pub fn stopping(&self) -> bool {
         self.shutdown.is_some()
     }
@@ -408,7 +415,7 @@
     }
 }
 
-/// Why the loop ends without having been told to.
+/// Why the loop ends without SIGTERM.
 #[derive(Debug, snafu::Snafu)]
 pub enum RunError {
     /// The poller fails.
--- a/crates/tier/src/runtime/log_ring.rs
+++ b/crates/tier/src/runtime/log_ring.rs
@@ -1,4 +1,7 @@
-//! The log: a ring of lines in memory that is written out when something goes wrong, and little else.
+//! The log: a ring of lines in memory that is written out before an error line, and little else.
+//!
+//! A line is `SECONDS LEVEL MODULE: MESSAGE FIELD=VALUE ...`. The ring owns the kept lines; where written lines go is up to the
+//! sink that it is given.
 
 use std::collections::VecDeque;
 use std::fmt::{Debug, Write};
@@ -10,10 +13,13 @@
 
 /// How many lines the ring keeps.
 const LINES: usize = 256;
-/// What is left out of a line beyond this (bytes).
+/// A line is cut off after this many bytes.
 const MAX_LINE: usize = 400;
 
-/// A subscriber that keeps the last lines, and writes them out with the first warning after them.
+/// Takes the lines that are written.
+pub type LineSink = Box<dyn Fn(&str) + Send + Sync>;
+
+/// A subscriber that keeps the last lines, and writes them out before the next error.
 pub struct LogRing {
     started: Instant,
     /// Lines up to this level are kept.
@@ -21,23 +27,25 @@
     /// Lines up to this level are written at once.
     written: Level,
     lines: Mutex<VecDeque<String>>,
+    sink: LineSink,
 }
 
 impl LogRing {
     /// A ring that keeps lines up to `kept` and writes those up to `written` at once.
-    pub fn new(kept: Level, written: Level) -> LogRing {
-        LogRing { started: Instant::now(), kept, written, lines: Mutex::new(VecDeque::new()) }
+    pub fn new(kept: Level, written: Level, sink: LineSink) -> LogRing {
+        LogRing { started: Instant::now(), kept, written, lines: Mutex::new(VecDeque::new()), sink }
     }
 
     fn line(&self, event: &Event<'_>) -> String {
-        let mut line = Line(String::new());
-        let part = event.metadata().target().rsplit("::").next().unwrap_or_default();
+        let mut text = EventText::default();
+        event.record(&mut text);
+        let metadata = event.metadata();
+        let module = metadata.target().rsplit("::").next().unwrap_or_default();
         let seconds = self.started.elapsed().as_secs_f64();
-        // Writing to a string can't fail.
-        let _ = write!(line.0, "{seconds:.3} {} {part}:", event.metadata().level());
-        event.record(&mut line);
-        line.0.truncate(line.0.floor_char_boundary(MAX_LINE));
-        line.0
+        let EventText { message, fields } = text;
+        let mut line = format!("{seconds:.3} {} {module}: {message}{fields}", metadata.level());
+        line.truncate(line.floor_char_boundary(MAX_LINE));
+        line
     }
 }
 
@@ -52,11 +60,11 @@
         let level = *event.metadata().level();
         if level <= Level::ERROR {
             for earlier in lines.drain(..) {
-                eprintln!("  {earlier}");
+                (self.sink)(&format!("  {earlier}"));
             }
         }
         if level <= self.written {
-            eprintln!("{line}");
+            (self.sink)(&line);
             return;
         }
         if lines.len() == LINES {
@@ -78,14 +86,19 @@
     fn exit(&self, _: &Id) {}
 }
 
-struct Line(String);
+/// The message of an event, and its fields as ` name=value` in their order.
+#[derive(Default)]
+struct EventText {
+    message: String,
+    fields: String,
+}
 
-impl Visit for Line {
+impl Visit for EventText {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        let _ = if field.name() == "message" {
-            write!(self.0, " {value:?}")
-        } else {
-            write!(self.0, " {}={value:?}", field.name())
+        // Writing to a string can't fail.
+        let _ = match field.name() {
+            "message" => write!(self.message, "{value:?}"),
+            name => write!(self.fields, " {name}={value:?}"),
         };
     }
 }
--- a/crates/tier/src/runtime/stop.rs
+++ b/crates/tier/src/runtime/stop.rs
@@ -7,11 +7,14 @@
 use crate::node::Node;
 use crate::requests::exchange::{ClientRequest, time_allowed};
 use crate::requests::server::Waiting;
+use crate::runtime::io::World;
 use crate::runtime::start::losses_of;
 use grebeusher_configuration::configuration::{Route, RouteType};
-use grebeusher_configuration::settings::Settings;
+use grebeusher_configuration::settings::{Settings, SettingsError};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::http;
+use snafu::Snafu;
+use std::io;
 use tracing::warn;
 
 /// The platform misses a node after two checks, a second apart; until then it sends new connections.
@@ -77,6 +80,27 @@
     }
 }
 
+/// Why the settings stay as they were read.
+#[derive(Debug, Snafu)]
+enum ReloadError {
+    /// The file can't be read.
+    #[snafu(display("{source}"), context(false))]
+    Unreadable {
+        /// What the system says.
+        source: io::Error,
+    },
+    /// A field is wrong.
+    #[snafu(display("{source}"), context(false))]
+    Invalid {
+        /// The field and what was expected.
+        source: SettingsError,
+    },
+}
+
+fn read_again(world: &dyn World) -> Result<Settings, ReloadError> {
+    Ok(Settings::read(&world.settings()?)?)
+}
+
 impl Node {
     /// Begins to stop: nobody is to be sent here any more, and others take over what this process leads.
     pub(crate) fn begin_shutdown(&mut self) {
@@ -150,8 +174,7 @@
 
     /// Reads the settings file anew. One that can't be read changes nothing.
     pub fn reload_settings(&mut self) {
-        let read = self.world.settings().map_err(|error| error.to_string());
-        match read.and_then(|text| Settings::read(&text).map_err(|error| error.to_string())) {
+        match read_again(&*self.world) {
             Ok(settings) => {
                 // Addresses, name and disk are the process's for its life.
                 self.settings.bounds = settings.bounds;
