--- a/crates/tier/src/control/configuration_partition.rs
+++ b/crates/tier/src/control/configuration_partition.rs
@@ -16,7 +16,7 @@
 }
 
 impl ConfigurationPartition {
-    /// The whole state.
+    /// The complete state.
     pub fn snapshot(&self) -> Vec<u8> {
         self.register.encode()
     }
@@ -121,7 +121,7 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// The place of a partition that this node leads under a lease; otherwise the caller is told who may.
+    /// The index of a partition that this node leads under a lease; otherwise the caller gets the name of the leader.
     pub(crate) fn led_index(&mut self, partition: u8, waiter: Waiter) -> Option<usize> {
         let now = self.clock();
         let Some(index) = self.partitions.iter().position(|host| host.partition == partition) else {
--- a/crates/tier/src/control/disk_budget.rs
+++ b/crates/tier/src/control/disk_budget.rs
@@ -16,9 +16,9 @@
 
 /// What one partition may take.
 ///
-/// The jobs refer to the entries in memory, so beside the log they cost next to nothing, and what a long log costs in excess
+/// The jobs refer to the entries in memory, so in addition to the log they cost next to nothing, and what a long log costs in excess
 /// are the bodies of items that are done: about a third of it, as texts are the longer ones and are kept for readers. A
-/// snapshot is a copy of all that is kept. While it is made it stands beside the log, and once more on its way to the disk:
+/// snapshot is a copy of all that is kept. While it is made it takes memory in addition to the log, and once more on its way to the disk:
 /// at that moment the partition takes the log and two or three times the texts, and is smaller only after it. So at its peak
 /// a partition takes least if the log is written anew as late as the disk and the memory bear.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 }
 
 impl DiskBudget {
-    /// Of a batch partition. A node may hold replicas of all of them, and each is written anew beside its former state, one at a
+    /// Of a batch partition. A node may hold replicas of all of them, and each is written anew next to its former state, one at a
     /// time: that takes one share more.
     pub fn for_batch_partition(disk: usize, memory: usize) -> DiskBudget {
         let shares = usize::from(BATCH_PARTITIONS) + 1;
@@ -38,13 +38,13 @@
         DiskBudget { partition_bytes: used as usize / shares, max_log: memory / LOG_MEMORY_SHARE }
     }
 
-    /// Of the configuration, which is small: its log is kept short so that newcomers are quickly told.
+    /// Of the configuration, which is small: its log is kept short so that new members catch up quickly.
     pub fn for_configuration(disk: usize) -> DiskBudget {
         const MAX_LOG: usize = 2 * 1024 * 1024;
         DiskBudget { partition_bytes: disk / 4, max_log: MAX_LOG }
     }
 
-    /// The log beyond which it is written anew, beside a state of so many bytes.
+    /// The size of the log beyond which it is written anew, for a state of so many bytes.
     pub fn max_log_bytes(self, state: usize) -> usize {
         let least = (self.partition_bytes / MIN_LOG_SHARE).min(self.max_log);
         self.partition_bytes.saturating_sub(state).clamp(least, self.max_log)
--- a/crates/tier/src/control/leader_balance.rs
+++ b/crates/tier/src/control/leader_balance.rs
@@ -25,7 +25,7 @@
     pub led: usize,
 }
 
-/// The heir that is to have a partition of a leader of `led` partitions: the first of those that own fewest, if the two come closer
+/// The successor for a partition of a leader of `led` partitions: the first of those that lead fewest, if the two come closer
 /// by it.
 pub fn successor_to_relieve(led: usize, heirs: &[Successor]) -> Option<ReplicaId> {
     let least = heirs.iter().map(|successor| successor.led).min()?;
--- a/crates/tier/src/control/leader_index.rs
+++ b/crates/tier/src/control/leader_index.rs
@@ -1,4 +1,4 @@
-//! Which node leads which partition, by what the nodes tell of themselves.
+//! Which node leads which partition, by what the nodes announce.
 
 use grebeusher_registry::{Facts, Generation, Registry};
 use nanoserde::{DeBin, SerBin};
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The facts that a node tells of itself: the partitions that it leads.
+/// The facts that a node announces: the partitions that it leads.
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct LedPartitions {
     /// Each partition once.
@@ -22,7 +22,7 @@
     pub term: u64,
 }
 
-/// The leaders as the registry last told them. Facts are read once for each change of the registry, not at each call.
+/// The leaders as they were last announced. Facts are read once for each change of the registry, not at each call.
 #[derive(Default)]
 pub struct LeaderIndex {
     known: RefCell<Known>,
@@ -37,7 +37,7 @@
 }
 
 impl LeaderIndex {
-    /// The node that leads a partition, by the highest term that any living node has told.
+    /// The node that leads a partition, by the highest term that any living node has announced.
     pub fn leader(&self, registry: &Registry, partition: u8) -> Option<SocketAddrV4> {
         let mut known = self.known.borrow_mut();
         let Generation { members, facts, .. } = registry.generation();
@@ -70,7 +70,7 @@
     leaders
 }
 
-/// Where the node of these facts is, if it lives and they are of its present life.
+/// Where the node of these facts is, if it runs and they are of its present incarnation.
 fn address_of_announcer(registry: &Registry, facts: &Facts) -> Option<SocketAddrV4> {
     let member = registry.member(&facts.node).filter(|member| member.serves())?;
     (member.incarnation == facts.incarnation).then_some(member.address)
--- a/crates/tier/src/control/partitions.rs
+++ b/crates/tier/src/control/partitions.rs
@@ -11,7 +11,7 @@
 use crate::node::{Node, RunError};
 use crate::runtime::io::{PartitionStore, World};
 use grebeusher_batch::PartitionLoad;
-use grebeusher_quorum::{Blob, Index, Replica, ReplicaId, Term, Timing, Write};
+use grebeusher_quorum::{Blob, Committed, Index, Replica, ReplicaId, Term, Timing, Write};
 use grebeusher_registry::{Class, MemberState};
 use grebeusher_time::{Duration, Instant};
 use nanoserde::{DeBin, SerBin};
@@ -130,8 +130,20 @@
         self.leader_since
     }
 
+    fn write(&mut self, writes: &[Write]) -> Result<(), RunError> {
+        let partition = self.partition;
+        self.store.write(writes).map_err(|source| RunError::Disk { partition, source })?;
+        self.refer_to_snapshot(writes);
+        Ok(())
+    }
+
+    fn sync(&mut self) -> Result<(), RunError> {
+        let partition = self.partition;
+        self.store.sync().map_err(|source| RunError::Disk { partition, source })
+    }
+
     /// Lets the application refer to the snapshot of it that was just written, in the stead of the entries that it replaces:
-    /// otherwise these stayed in memory for the texts in them, beside a snapshot with the same texts. A snapshot of
+    /// otherwise these stayed in memory for the texts in them, in addition to a snapshot with the same texts. A snapshot of
     /// another state than the application's, which came from the leader, is loaded later and not here.
     fn refer_to_snapshot(&mut self, writes: &[Write]) {
         let Application::Batch(batch) = &mut self.application else { return };
@@ -199,59 +211,68 @@
     }
 
     fn pump_partition(&mut self, index: usize) -> Result<(), RunError> {
-        let now = self.now;
-        if now >= self.partitions[index].next_wake() {
+        if self.now >= self.partitions[index].next_wake() {
             self.traffic.partition_ticks += 1;
-            self.partitions[index].replica.tick(now);
+            self.partitions[index].replica.tick(self.now);
         }
         while self.partitions[index].replica.has_ready() {
-            let partition = self.partitions[index].partition;
-            let ready = self.partitions[index].replica.take_ready();
-            for (to, message) in ready.ahead {
-                self.send_quorum(partition, to, &message);
-            }
-            let host = &mut self.partitions[index];
-            let disk = |source| RunError::Disk { partition, source };
-            host.store.write(&ready.writes).map_err(disk)?;
-            host.refer_to_snapshot(&ready.writes);
-            if ready.must_sync {
-                // What was already put on links for other partitions need not wait for this disk.
-                host.store.sync().map_err(disk)?;
-            }
-            host.replica.synced();
-            for (to, message) in ready.messages {
-                self.send_quorum(partition, to, &message);
-            }
-            if let Some(restore) = ready.restore {
-                let host = &mut self.partitions[index];
-                host.compact_at = host.budget.max_log_bytes(restore.bytes.as_slice().len());
-                self.restore_partition(index, restore.bytes)?;
-                self.partitions[index].applied = restore.index;
-            }
-            let changed = !ready.committed.is_empty();
-            for committed in ready.committed {
-                let host = &mut self.partitions[index];
-                host.applied = committed.index;
-                let waiters = match host.waiters.remove(&committed.index) {
-                    Some((term, waiters)) if term == committed.term => waiters,
-                    Some((_, lost)) => {
-                        self.reply_unclear(lost);
-                        Vec::new()
-                    }
-                    None => Vec::new(),
-                };
-                self.apply_to_partition(index, committed.payload, waiters)?;
-            }
-            if changed {
-                self.serve_committed(index);
-            }
-            self.partitions[index].applied = self.partitions[index].applied.max(ready.applied);
-            self.compact_partition(index);
+            self.handle_ready(index)?;
         }
         self.update_leadership(index);
         Ok(())
     }
 
+    /// Does what a replica wants done, in the order in which it is safe.
+    fn handle_ready(&mut self, index: usize) -> Result<(), RunError> {
+        let partition = self.partitions[index].partition;
+        let ready = self.partitions[index].replica.take_ready();
+        for (to, message) in ready.ahead {
+            self.send_quorum(partition, to, &message);
+        }
+        let host = &mut self.partitions[index];
+        host.write(&ready.writes)?;
+        if ready.must_sync {
+            // What was already put on links for other partitions need not wait for this disk.
+            host.sync()?;
+        }
+        host.replica.synced();
+        for (to, message) in ready.messages {
+            self.send_quorum(partition, to, &message);
+        }
+        if let Some(restore) = ready.restore {
+            let host = &mut self.partitions[index];
+            host.compact_at = host.budget.max_log_bytes(restore.bytes.as_slice().len());
+            self.restore_partition(index, restore.bytes)?;
+            self.partitions[index].applied = restore.index;
+        }
+        self.apply_committed(index, ready.committed)?;
+        let host = &mut self.partitions[index];
+        host.applied = host.applied.max(ready.applied);
+        self.compact_partition(index);
+        Ok(())
+    }
+
+    fn apply_committed(&mut self, index: usize, entries: Vec<Committed>) -> Result<(), RunError> {
+        let is_changed = !entries.is_empty();
+        for entry in entries {
+            let host = &mut self.partitions[index];
+            host.applied = entry.index;
+            let waiters = match host.waiters.remove(&entry.index) {
+                Some((term, waiters)) if term == entry.term => waiters,
+                Some((_, lost)) => {
+                    self.reply_unclear(lost);
+                    Vec::new()
+                }
+                None => Vec::new(),
+            };
+            self.apply_to_partition(index, entry.payload, waiters)?;
+        }
+        if is_changed {
+            self.serve_committed(index);
+        }
+        Ok(())
+    }
+
     fn send_quorum(&mut self, partition: u8, to: ReplicaId, message: &grebeusher_quorum::Message) {
         let Some(address) = self.address_of_replica(to.0) else { return };
         let Some(identity) = self.identity else { return };
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -1,6 +1,6 @@
 //! Emptying a storage machine: the operator's calls at an edge node, and what the leader of each batch partition says to them.
 //!
-//! A refusal rests on what the proven leaders of all partitions say, not on what one node has heard of the others: a node that was
+//! A refusal rests on what the proven leaders of all partitions say, not on what one node knows of the others: a node that was
 //! cut off or has just started knows few machines. Whoever can't be sure says 503.
 
 use crate::batch::partition::RETIRE_ENTRY;
@@ -73,7 +73,7 @@
     Unsure,
 }
 
-/// What the verdicts of all partitions come to. `known_here`: whether this node has heard of the machine itself.
+/// What the verdicts of all partitions come to. `known_here`: whether this node knows the machine itself.
 pub fn combined_outcome(
     question: RetireQuestion,
     verdicts: &[PartitionVerdict],
--- a/crates/tier/src/control/status.rs
+++ b/crates/tier/src/control/status.rs
@@ -1,11 +1,12 @@
 //! What a node says of itself and of the tier, for operators.
 
+use crate::batch::api::BATCH_PARTITIONS;
 use crate::control::partitions::Application;
 use crate::node::Node;
 use grebeusher_time::{Duration, DurationExt};
-use std::fmt::Write;
+use std::fmt::{self, Write};
 
-/// A node without the leader's word serves by what its peers have after this.
+/// A node that the leader has not answered serves by what its peers have after this.
 const PROOF_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Node {
@@ -26,29 +27,45 @@
         text
     }
 
-    fn write_status(&self, text: &mut String) -> std::fmt::Result {
+    fn write_status(&self, text: &mut String) -> fmt::Result {
         writeln!(text, "node {} {}", self.settings.node_name.as_str(), self.links.own_address())?;
         writeln!(text, "ready {} stopping {}", self.is_ready(), self.stopping())?;
         writeln!(text, "configuration {}", self.configuration_version())?;
+        self.write_members(text)?;
+        self.write_partitions(text)?;
+        self.write_executors(text)?;
+        self.write_counters(text)?;
+        self.write_choices(text)
+    }
+
+    fn write_members(&self, text: &mut String) -> fmt::Result {
         for member in self.registry.members() {
             let (name, state, zone) = (&member.name, member.state, &member.zone);
             writeln!(text, "member {name} {} {state:?} {:?} {zone}", member.address, member.class)?;
         }
-        for partition in 0..=crate::batch::api::BATCH_PARTITIONS {
+        Ok(())
+    }
+
+    fn write_partitions(&self, text: &mut String) -> fmt::Result {
+        for partition in 0..=BATCH_PARTITIONS {
             match self.known_leader(partition) {
                 Some(leader) => writeln!(text, "part {partition} owner {leader}")?,
                 None => writeln!(text, "part {partition} without an owner")?,
             }
         }
         for host in &self.partitions {
-            let (partition, term, commit) =
-                (host.partition, host.replica.term().0, host.replica.commit_index().0);
-            let voters = &host.replica.group().voters;
+            let (partition, replica) = (host.partition, &host.replica);
+            let (term, commit, voters) =
+                (replica.term().0, replica.commit_index().0, &replica.group().voters);
             writeln!(text, "replica of part {partition} term {term} commit {commit} voters {voters:?}")?;
             if let Application::Batch(batch) = &host.application {
                 writeln!(text, "jobs of part {partition}: {}", batch.jobs().len())?;
             }
         }
+        Ok(())
+    }
+
+    fn write_executors(&self, text: &mut String) -> fmt::Result {
         for executor in self.registry.executors() {
             let (id, state, silent) = (&executor.id, executor.state, executor.silent);
             writeln!(
@@ -57,6 +74,10 @@
                 executor.service, executor.address
             )?;
         }
+        Ok(())
+    }
+
+    fn write_counters(&self, text: &mut String) -> fmt::Result {
         let counters = &self.counters;
         writeln!(
             text,
@@ -67,7 +88,6 @@
             counters.malformed,
             self.exchange_count(),
             self.items.count(),
-        )?;
-        self.write_choices(text)
+        )
     }
 }
--- a/crates/tier/src/links/calls.rs
+++ b/crates/tier/src/links/calls.rs
@@ -121,7 +121,7 @@
     Unreachable,
 }
 
-/// How much longer than usual a call may take without anything being wrong: reads are held, and large calls need their
+/// How much longer than usual a call may take without a fault: the leader holds reads, and large calls need their
 /// time on links that many of them share. Guards against large calls being sent again and again while they wait in the
 /// queue of a link: what was meant to help then keeps the leader's link full for good.
 fn extra_time(call: &Call) -> Duration {
--- a/crates/tier/src/links/link_progress.rs
+++ b/crates/tier/src/links/link_progress.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// What went was written: `sent` bytes in the life of the link, and `waiting` bytes wait still. Goes by what was written,
+    /// The link was flushed: `sent` bytes since it was dialled, and `waiting` bytes wait still. Goes by what was written,
     /// not by what waits: under load more is put on a link than goes out in a turn, and it is not stuck for that.
     pub fn flushed(&mut self, now: Instant, sent: u64, waiting: usize) {
         if sent > self.sent || waiting == 0 {
--- a/crates/tier/src/links/messages.rs
+++ b/crates/tier/src/links/messages.rs
@@ -1,4 +1,4 @@
-//! What the nodes of the tier say to each other beside the registry's and the replicas' own messages: calls and their replies.
+//! The messages between nodes other than those of the registry and the replicas: calls and their replies.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -14,9 +14,9 @@
     Call = 3,
     /// The reply to a call.
     Reply = 4,
-    /// What nodes tell of popular prefixes of prompts.
+    /// Popular prefixes of prompts.
     Popularity = 5,
-    /// What leaders of batch partitions tell each other of their items.
+    /// The load of batch partitions, between their leaders.
     BatchLoad = 6,
 }
 
@@ -48,7 +48,7 @@
     pub message: Vec<u8>,
 }
 
-/// The items of a partition, as its leader tells the leaders of the others.
+/// The items of a partition, as its leader reports them to the leaders of the others.
 #[derive(Clone, Copy, Debug, SerBin, DeBin)]
 pub struct BatchLoad {
     /// The partition.
@@ -59,7 +59,7 @@
     pub waiting: u32,
 }
 
-/// The number of a call, which its reply carries. It is unique over all lives of all processes at an address, as replies may
+/// The number of a call, which its reply carries. It is unique over all incarnations of all processes at an address, as replies may
 /// come late, after the process that called has ended and another one has its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct CallNumber(pub u64);
@@ -71,7 +71,7 @@
 }
 
 impl CallNumbers {
-    /// Begins at a number that was drawn for this life of the process, out of so many that two lives never meet.
+    /// Begins at a number that was drawn for this incarnation of the process, out of so many that two incarnations never meet.
     pub fn starting_at(drawn: u64) -> CallNumbers {
         CallNumbers { next: drawn }
     }
@@ -105,7 +105,7 @@
 /// What one node asks of another.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Call {
-    /// Founds a partition with these disk identities as its voters; only in the first life of the whole system.
+    /// Bootstraps a partition with these disk identities as its voters; only at the first start of the whole system.
     Found { partition: u8, voters: Vec<u64> },
     /// Takes a configuration on top of `base`; for the leader of the configuration.
     ReplaceConfiguration { base: u64, body: Vec<u8> },
@@ -179,9 +179,9 @@
     Done,
     /// An HTTP status with its body.
     Answer { status: u16, body: Vec<u8> },
-    /// A configuration, whole; version 0 and empty: none that is newer.
+    /// A complete configuration; version 0 and empty: none that is newer.
     Configuration { version: u64, body: Vec<u8> },
-    /// The job that was offered is not here: it is to be sent whole.
+    /// The job that was offered is not here: it is to be sent complete.
     Wanted,
 }
 
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -274,7 +274,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LinkClosed;
 
-/// The next whole frame of an incoming link. A link with an invalid frame is closed.
+/// The next complete frame of an incoming link. A link with an invalid frame is closed.
 pub(crate) fn next_received(connections: &mut ConnectionTable, index: usize) -> Option<ReceivedFrame> {
     loop {
         let (_, incoming) = connections.incoming_mut(index)?;
--- a/crates/tier/src/links/socket.rs
+++ b/crates/tier/src/links/socket.rs
@@ -28,7 +28,7 @@
     written: usize,
     /// All bytes that the peer's side has taken.
     sent: u64,
-    /// Whether reading is held back, as whoever takes the bytes does not.
+    /// Whether reading is paused, as whoever takes the bytes does not.
     paused: bool,
     connecting: bool,
 }
@@ -136,7 +136,7 @@
         self.output.extend_from_slice(bytes);
     }
 
-    /// How many bytes were written in the connection's life.
+    /// How many bytes were written since the connection was opened.
     pub fn sent(&self) -> u64 {
         self.sent
     }
@@ -173,7 +173,7 @@
         self.update_interest()
     }
 
-    /// Holds reading back, or takes it up again.
+    /// Stops reading, or resumes it.
     pub fn pause(&mut self, paused: bool) -> io::Result<()> {
         self.paused = paused;
         self.update_interest()
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -300,8 +300,8 @@
         }
     }
 
-    /// Executors are reviewed while anything runs on them: a node at rest does not wake for it. The first review tells the
-    /// gateway that the pause was no freeze.
+    /// Executors are reviewed while anything runs on them: a node at rest does not wake for it. The first review lets the
+    /// gateway know that the pause was no freeze.
     fn begin_reviewing(&mut self) {
         if !self.reviewing && self.runs_anything() {
             self.review_executors();
@@ -398,7 +398,7 @@
     }
 
     /// The clock as it is now. `now` is what it was at the start of the turn, and the process may have stood still since:
-    /// whatever proves something to somebody (a lease to a reader, a sign of life of a leader to the other candidates) goes
+    /// whatever proves something to somebody (a lease to a reader, a heartbeat of a leader to the other candidates) goes
     /// by a look at the clock that is later than the question or the message.
     pub(crate) fn clock(&self) -> Instant {
         self.world.now()
--- a/crates/tier/src/runtime/io.rs
+++ b/crates/tier/src/runtime/io.rs
@@ -23,7 +23,7 @@
     /// A number that nobody can guess: a seed, or an identity.
     fn random(&self) -> u64;
 
-    /// Waits for events, at most for `span`, and puts them in the place of what `events` holds.
+    /// Waits for events, at most for `span`, and replaces the content of `events` by them.
     ///
     /// # Errors
     /// The system refuses to wait, which no later call would mend.
@@ -43,7 +43,7 @@
 
     /// Begins to connect to another node. As [`World::dial`], and the connection breaks by itself when what was written on it
     /// has not arrived for [`grebeusher_transport::socket::USER_TIMEOUT`]. Guards against a link that something on the way
-    /// has forgotten without a word: the system takes all that is written on it, and nothing comes.
+    /// has silently forgotten: the system takes all that is written on it, and nothing comes.
     ///
     /// # Errors
     /// It fails at once.
@@ -64,7 +64,7 @@
     /// The disk refuses or is damaged.
     fn identity(&self, folder: &Path) -> Result<Identity, StoreError>;
 
-    /// What was kept as a hint under a name in `folder`: nothing if there is none that is whole. Nothing rests on it.
+    /// What was kept as a hint under a name in `folder`: nothing if there is none that is complete. Correctness never depends on it.
     fn read_hint(&self, _folder: &Path, _name: &str) -> Option<Vec<u8>> {
         None
     }
--- a/crates/tier/src/runtime/show.rs
+++ b/crates/tier/src/runtime/show.rs
@@ -58,7 +58,7 @@
     text: String,
 }
 
-/// The whole answer, up to the end of the connection.
+/// The complete answer, up to the end of the connection.
 fn ask(address: SocketAddrV4, path: &str) -> io::Result<Vec<u8>> {
     let mut stream = TcpStream::connect_timeout(&address.into(), REQUEST_TIMEOUT)?;
     stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
@@ -71,7 +71,7 @@
     Ok(bytes)
 }
 
-/// `None`: these bytes are no whole answer with a text.
+/// `None`: these bytes are no complete answer with a text.
 fn read_answer(bytes: &[u8]) -> Option<Answer> {
     let (head, length) = http::response_head(bytes, &LIMITS).ok()??;
     let framing = http::response_framing(head.status, &head.headers, "GET").ok()?;
--- a/crates/tier/src/runtime/stop.rs
+++ b/crates/tier/src/runtime/stop.rs
@@ -27,11 +27,11 @@
 const EXIT_MARGIN_SHARE: f64 = 0.125;
 /// What is left between the last moment of a request's time and the end, for its answer to leave.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// An answer that is sent whole takes mostly less than this many latency objectives, and never counts as shorter than
+/// An answer that is sent complete takes mostly less than this many latency objectives, and never counts as shorter than
 /// `MIN_USUAL`. One that takes longer all the same hears 504 at the end.
 const USUAL_OBJECTIVES: f64 = 4.0;
 const MIN_USUAL: Duration = Duration::from_millis(1000);
-/// What a refused client is told to wait: another node serves it at once (seconds).
+/// The `Retry-After` of a rejected request: another node serves it at once (seconds).
 const RETRY_ELSEWHERE_S: &str = "0.1";
 
 /// The shutdown of a process that got SIGTERM.
@@ -64,7 +64,7 @@
     }
 
     /// Whether a request that is read now is still taken: any at first, later those that are over in time. A stream must
-    /// be, whatever happens, as nothing can complete it once its head is out; of a whole answer the usual time counts.
+    /// be, whatever happens, as nothing can complete it once its head is out; of a complete answer the usual time counts.
     pub fn accepts(&self, now: Instant, route: &Route, time_left: Duration) -> bool {
         if now.since(self.since) < ACCEPT_ALL_DURATION {
             return true;
@@ -176,7 +176,7 @@
     pub fn reload_settings(&mut self) {
         match read_again(&*self.world) {
             Ok(settings) => {
-                // Addresses, name and disk are the process's for its life.
+                // Addresses, name and disk never change while the process runs.
                 self.settings.bounds = settings.bounds;
                 self.settings.seed_nodes = settings.seed_nodes;
                 self.settings.fault_tolerance = settings.fault_tolerance;
--- a/crates/tier/src/runtime/timers.rs
+++ b/crates/tier/src/runtime/timers.rs
@@ -2,7 +2,7 @@
 
 use crate::links::messages::CallNumber;
 
-/// One timer of the loop. Serials guard against places that were given to another thing meanwhile.
+/// One timer of the loop. Serials guard against indices that were given to another connection or exchange meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// A connection to an executor should have come up.
@@ -19,7 +19,7 @@
     CallExpires { number: CallNumber },
     /// A call is to be tried at another node.
     CallRetry { number: CallNumber },
-    /// A read that was held for a result is answered.
+    /// A read that waits for a result is answered.
     HeldReadExpires { read: u64 },
     /// The bootstrapping node looks whether the partitions can be bootstrapped.
     Bootstrap,
--- a/crates/tier/tests/calls.rs
+++ b/crates/tier/tests/calls.rs
@@ -27,7 +27,7 @@
 }
 
 #[rstest]
-fn a_refusal_is_no_promise_while_a_copy_of_the_job_is_unaccounted_for(#[values(429, 503)] refusal: u16) {
+fn a_rejection_is_not_final_while_another_attempt_may_be_taken(#[values(429, 503)] refusal: u16) {
     // Given a job of which one copy was left unanswered, when another copy is refused,
     let reply = final_reply(&submission(), true, Some(answer(refusal)));
     // then the client is not told that the job will never run: the first copy may yet be taken.
@@ -35,26 +35,28 @@
 }
 
 #[rstest]
-fn a_refusal_is_a_promise_when_each_copy_was_answered(#[values(429, 503)] refusal: u16) {
+fn a_rejection_is_final_when_every_attempt_was_answered(#[values(429, 503)] refusal: u16) {
     let reply = final_reply(&submission(), false, Some(answer(refusal)));
     assert_eq!(status(&reply), Some(refusal));
 }
 
 #[rstest]
-fn what_was_taken_is_taken_whatever_became_of_other_copies(#[values(false, true)] may_be_taken: bool) {
+fn an_accepted_job_stays_accepted_whatever_became_of_other_attempts(
+    #[values(false, true)] may_be_taken: bool,
+) {
     let reply = final_reply(&submission(), may_be_taken, Some(answer(202)));
     assert_eq!(status(&reply), Some(202));
 }
 
 #[test]
-fn a_call_that_nobody_answered_is_unclear_and_one_that_was_put_off_is_not() {
+fn an_unanswered_call_is_unclear_and_an_unavailable_one_is_not() {
     assert!(matches!(final_reply(&submission(), true, None), Reply::Unclear));
     assert!(matches!(final_reply(&submission(), true, Some(Reply::Unavailable)), Reply::Unclear));
     assert!(matches!(final_reply(&submission(), false, None), Reply::Unavailable));
 }
 
 #[test]
-fn a_read_that_is_put_off_by_a_status_is_answered_so() {
+fn a_read_is_answered_with_the_status_of_the_leader() {
     let read = Call::ReadJob { partition: 1, job: "a".to_owned(), resume_after: 0, hold_ms: 0 };
     assert_eq!(status(&final_reply(&read, true, Some(answer(503)))), Some(503));
 }
@@ -64,7 +66,7 @@
 #[case::lost_race(412, false, Some(412))]
 #[case::invalid(400, true, Some(400))]
 #[case::taken(200, true, Some(200))]
-fn a_change_is_refused_only_if_no_copy_of_it_can_be_taken(
+fn a_change_is_rejected_only_if_no_attempt_can_be_taken(
     #[case] answered: u16,
     #[case] may_be_taken: bool,
     #[case] expected: Option<u16>,
--- a/crates/tier/tests/disk_budget.rs
+++ b/crates/tier/tests/disk_budget.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_large_state_is_not_written_anew_for_every_little_entry() {
+fn a_large_state_is_not_compacted_for_every_small_entry() {
     let budget = DiskBudget::for_batch_partition(140 * MB, 300 * MB);
     assert!(budget.max_log_bytes(10_000 * MB) >= 4 * MB);
 }
--- a/crates/tier/tests/leader_balance.rs
+++ b/crates/tier/tests/leader_balance.rs
@@ -15,7 +15,7 @@
 #[case::one_partition_stays(1, vec![successor(1, 0)], None)]
 #[case::a_partition_that_would_only_change_places_stays(2, vec![successor(1, 1), successor(2, 1)], None)]
 #[case::nobody_there(3, vec![], None)]
-fn a_partition_goes_to_who_leads_fewest_if_both_come_closer(
+fn a_partition_goes_to_the_node_that_leads_fewest_if_that_evens_the_load(
     #[case] led: usize,
     #[case] heirs: Vec<Successor>,
     #[case] expected: Option<u64>,
--- a/crates/tier/tests/link_progress.rs
+++ b/crates/tier/tests/link_progress.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_link_that_nobody_takes_anything_of_is_stuck() {
+fn a_link_whose_bytes_are_not_taken_is_stuck() {
     // Given a link that carried something,
     let mut link = LinkProgress::new(at(0));
     link.put(at(100), 0);
--- a/crates/tier/tests/membership_maintenance.rs
+++ b/crates/tier/tests/membership_maintenance.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_spare_that_did_not_catch_up_makes_room_for_another() {
+fn a_candidate_that_did_not_catch_up_is_excluded_for_another() {
     // Given two spares, of which the one in the best zone lives and never catches up,
     let alive = vec![node(1, "a"), node(2, "b"), node(4, "b"), node(5, "c")];
     let mut maintenance = MembershipMaintenance::default();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_only_spare_is_tried_again_at_once() {
+fn the_only_candidate_is_retried_at_once() {
     let alive = vec![node(1, "a"), node(2, "b"), node(5, "c")];
     let mut maintenance = MembershipMaintenance::default();
     maintenance.change_begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_spare_that_joined_is_not_passed_over() {
+fn a_candidate_that_joined_is_not_excluded() {
     let alive = vec![node(1, "a"), node(2, "b"), node(4, "b"), node(5, "c")];
     let mut maintenance = MembershipMaintenance::default();
     maintenance.change_begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
--- a/crates/tier/tests/replica_status.rs
+++ b/crates/tier/tests/replica_status.rs
@@ -22,12 +22,12 @@
 #[case::another_is_away(&[Some(9), None, Some(8)], Some(1))]
 #[case::the_group_is_one(&[Some(9)], None)]
 #[case::none_that_lives(&[None, Some(8), Some(8)], None)]
-fn a_sole_holder_is_named(#[case] synced: &[Option<u64>], #[case] holder: Option<u64>) {
+fn the_only_complete_replica_is_named(#[case] synced: &[Option<u64>], #[case] holder: Option<u64>) {
     assert_eq!(sole_replica(&replica_statuses(synced), Index(9)), holder.map(ReplicaId));
 }
 
 #[test]
-fn a_lone_copy_is_told_once_it_lasts_and_then_now_and_then() {
+fn a_sole_replica_is_warned_of_once_it_lasts_and_then_every_five_seconds() {
     let at = |ms| Instant(0) + Duration::from_millis(ms);
     let mut lone = SoleReplicaWarning::default();
     // A moment is nothing: followers answer a little later than the leader has synced.
--- a/crates/tier/tests/stop.rs
+++ b/crates/tier/tests/stop.rs
@@ -26,7 +26,7 @@
 }
 
 #[rstest]
-fn all_that_comes_before_the_platform_knows_is_taken(
+fn every_request_before_the_platform_notices_is_accepted(
     #[values("streaming", "idempotent", "non_idempotent")] route_type: &str,
     #[values(0, 1200, 2399)] ms: u64,
 ) {
@@ -40,7 +40,7 @@
 #[case::a_short_one_fits_later(5000, 2300, true)]
 #[case::a_short_one_that_does_not(5200, 2300, false)]
 #[case::nothing_fits_at_the_end(7400, 10, false)]
-fn a_stream_is_taken_later_only_if_all_its_time_fits(
+fn a_stream_is_accepted_later_only_if_its_whole_timeout_fits(
     #[case] ms: u64,
     #[case] left_ms: u64,
     #[case] taken: bool,
@@ -54,7 +54,9 @@
 }
 
 #[rstest]
-fn a_whole_answer_is_awaited_for_its_usual_time(#[values("idempotent", "non_idempotent")] route_type: &str) {
+fn an_unstreamed_answer_counts_with_its_usual_time(
+    #[values("idempotent", "non_idempotent")] route_type: &str,
+) {
     // Given requests whose answers are sent whole, so that one which takes too long can still hear 504, when one comes
     // with much more time than it usually needs, then its usual time decides.
     let route = route(route_type);
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn it_may_go_early_once_the_platform_has_missed_it() {
+fn it_may_exit_early_once_the_platform_has_noticed() {
     assert!(!shutting_down().may_exit(at_ms(2500)));
     assert!(shutting_down().may_exit(at_ms(2600)));
 }
