--- a/crates/tier/src/lib.rs
+++ b/crates/tier/src/lib.rs
@@ -20,6 +20,8 @@
 //! assert_eq!(shutdown.exits_at(), Instant(0) + Duration::from_millis(7500));
 //! ```
 
+#![warn(missing_docs)]
+
 pub mod batch;
 pub mod control;
 pub mod links;
--- a/crates/tier/src/links/messages.rs
+++ b/crates/tier/src/links/messages.rs
@@ -106,29 +106,83 @@
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Call {
     /// Bootstraps a partition with these disk identities as its voters; only at the first start of the whole system.
-    Found { partition: u8, voters: Vec<u64> },
+    Found {
+        /// The partition.
+        partition: u8,
+        /// The disk identities of all its voters.
+        voters: Vec<u64>,
+    },
     /// Takes a configuration on top of `base`; for the leader of the configuration.
-    ReplaceConfiguration { base: u64, body: Vec<u8> },
+    ReplaceConfiguration {
+        /// The version that the change builds on; 0 for the first one.
+        base: u64,
+        /// The new configuration.
+        body: Vec<u8>,
+    },
     /// The newest configuration, proven by the leader's lease.
     ShowConfiguration,
     /// What the leader of a partition says of it, for operators.
-    ShowPartition { partition: u8 },
+    ShowPartition {
+        /// The partition.
+        partition: u8,
+    },
     /// The newest configuration that the node knows, if it is newer than this version.
-    FetchConfiguration { newer_than: u64 },
+    FetchConfiguration {
+        /// The version that the caller has.
+        newer_than: u64,
+    },
     /// Takes a batch job; for the leader of the partition.
     SubmitJob(SubmitJob),
     /// Reads the results of a job; for the leader of the partition.
-    ReadJob { partition: u8, job: String, resume_after: u64, hold_ms: u32 },
+    ReadJob {
+        /// The partition.
+        partition: u8,
+        /// The id of the job.
+        job: String,
+        /// The offset after which results are listed.
+        resume_after: u64,
+        /// How long the leader may hold the read until there is a result (milliseconds).
+        hold_ms: u32,
+    },
     /// The body of an item that is not listed yet; for the leader of the partition.
-    ReadItem { partition: u8, job: String, item: String },
+    ReadItem {
+        /// The partition.
+        partition: u8,
+        /// The id of the job.
+        job: String,
+        /// The id of the item.
+        item: String,
+    },
     /// Ends a job; for the leader of the partition.
-    EndJob { partition: u8, job: String },
+    EndJob {
+        /// The partition.
+        partition: u8,
+        /// The id of the job.
+        job: String,
+    },
     /// Passes a call, encoded, on to the leader of a partition, for a node that can't reach it; within this many milliseconds.
-    Forward { partition: u8, within_ms: u32, call: Vec<u8> },
+    Forward {
+        /// The partition.
+        partition: u8,
+        /// How long the call may take (milliseconds).
+        within_ms: u32,
+        /// The encoded call.
+        call: Vec<u8>,
+    },
     /// Asks the leader of a partition to move its data off a storage node.
-    BeginRetire { partition: u8, node: String },
+    BeginRetire {
+        /// The partition.
+        partition: u8,
+        /// The name of the storage node.
+        node: String,
+    },
     /// Asks the leader of a partition whether its data has left a storage node.
-    ShowRetire { partition: u8, node: String },
+    ShowRetire {
+        /// The partition.
+        partition: u8,
+        /// The name of the storage node.
+        node: String,
+    },
     /// Asks the leader of a partition whether it wants a batch job, before its bodies are sent, and what became of it if they were.
     OfferJob(OfferJob),
 }
@@ -170,7 +224,10 @@
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Reply {
     /// The node doesn't own the partition; perhaps this one (by name) does.
-    NotLeader { leader: Option<String> },
+    NotLeader {
+        /// The name of the node that may lead it.
+        leader: Option<String>,
+    },
     /// The node leads the partition and can't say now.
     Unavailable,
     /// What was asked may or may not come to be.
@@ -178,9 +235,19 @@
     /// Done.
     Done,
     /// An HTTP status with its body.
-    Answer { status: u16, body: Vec<u8> },
+    Answer {
+        /// The HTTP status.
+        status: u16,
+        /// The body.
+        body: Vec<u8>,
+    },
     /// A complete configuration; version 0 and empty: none that is newer.
-    Configuration { version: u64, body: Vec<u8> },
+    Configuration {
+        /// Its version.
+        version: u64,
+        /// The configuration, as the operator sent it.
+        body: Vec<u8>,
+    },
     /// The job that was offered is not here: it is to be sent complete.
     Wanted,
 }
--- a/crates/tier/src/links/socket.rs
+++ b/crates/tier/src/links/socket.rs
@@ -14,9 +14,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reading {
     /// The connection stays open; `bytes` came.
-    Open { bytes: usize },
+    Open {
+        /// How many bytes came.
+        bytes: usize,
+    },
     /// The peer has ended its side; `bytes` came before.
-    Ended { bytes: usize },
+    Ended {
+        /// How many bytes came.
+        bytes: usize,
+    },
 }
 
 /// A non-blocking connection. Its buffers take no memory while they are empty: connections are many, and most of them wait
--- a/crates/tier/src/runtime/timers.rs
+++ b/crates/tier/src/runtime/timers.rs
@@ -6,21 +6,55 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
     /// A connection to an executor should have come up.
-    ConnectExpires { connection: usize, serial: u64 },
+    ConnectExpires {
+        /// The index of the connection.
+        connection: usize,
+        /// The serial number of what the index meant.
+        serial: u64,
+    },
     /// A link to another node should have come up.
-    LinkExpires { connection: usize, serial: u64 },
+    LinkExpires {
+        /// The index of the connection.
+        connection: usize,
+        /// The serial number of what the index meant.
+        serial: u64,
+    },
     /// An exchange's deadline.
-    ExchangeDeadline { exchange: usize, serial: u64 },
+    ExchangeDeadline {
+        /// The index of the exchange.
+        exchange: usize,
+        /// The serial number of what the index meant.
+        serial: u64,
+    },
     /// An exchange waits for a first event or an answer for suspiciously long.
-    ExchangeSilence { exchange: usize, serial: u64, attempt: u32 },
+    ExchangeSilence {
+        /// The index of the exchange.
+        exchange: usize,
+        /// The serial number of what the index meant.
+        serial: u64,
+        /// The number of the attempt.
+        attempt: u32,
+    },
     /// An item's run is silent for too long.
-    ItemSilence { run: u64 },
+    ItemSilence {
+        /// The key of the run.
+        run: u64,
+    },
     /// A call to another node should have been answered.
-    CallExpires { number: CallNumber },
+    CallExpires {
+        /// The number of the call.
+        number: CallNumber,
+    },
     /// A call is to be tried at another node.
-    CallRetry { number: CallNumber },
+    CallRetry {
+        /// The number of the call.
+        number: CallNumber,
+    },
     /// A read that waits for a result is answered.
-    HeldReadExpires { read: u64 },
+    HeldReadExpires {
+        /// The key of the read.
+        read: u64,
+    },
     /// The bootstrapping node looks whether the partitions can be bootstrapped.
     Bootstrap,
     /// Leaders look after their groups.
