--- a/crates/tier/src/control/configuration_partition.rs
+++ b/crates/tier/src/control/configuration_partition.rs
@@ -1,4 +1,6 @@
 //! Partition 0: the operator's configuration, changed by compare-and-set.
+//!
+//! [`ConfigurationPartition`] owns the replicated register and the changes that are proposed and not yet committed.
 
 use crate::control::api::CONFIGURATION_PARTITION;
 use crate::control::partitions::{Application, Waiter};
@@ -6,6 +8,7 @@
 use crate::node::{Node, RunError};
 use grebeusher_configuration::configuration::Configuration;
 use grebeusher_configuration::register::{BodyHash, Change, ConfigurationRegister, Entry, Pending, Verdict};
+use std::fmt::Display;
 use std::sync::Arc;
 
 /// What a replica of partition 0 keeps.
@@ -25,17 +28,35 @@
     pub fn leader_changed(&mut self) {
         self.pending.clear();
     }
+
+    /// Takes the state of a snapshot.
+    fn restore(&mut self, bytes: &[u8]) -> Result<(), RunError> {
+        self.register = ConfigurationRegister::decode(bytes).map_err(unreadable)?;
+        self.pending.clear();
+        Ok(())
+    }
+
+    /// Applies a committed entry; the HTTP status that its caller gets.
+    fn apply(&mut self, entry: &[u8]) -> Result<u16, RunError> {
+        let entry = Entry::decode(entry).map_err(unreadable)?;
+        self.pending.applied(entry.change());
+        Ok(self.register.apply(&entry).answer().status())
+    }
+
+    /// The newest committed configuration as a reply; version 0 and empty before there is one.
+    fn newest(&self) -> Reply {
+        Reply::Configuration { version: self.register.version(), body: self.register.body().to_vec() }
+    }
+}
+
+fn unreadable(error: impl Display) -> RunError {
+    RunError::State { partition: CONFIGURATION_PARTITION, reason: error.to_string() }
 }
 
 impl Node {
     pub(crate) fn restore_configuration(&mut self, index: usize, bytes: &[u8]) -> Result<(), RunError> {
-        let register = ConfigurationRegister::decode(bytes).map_err(|error| RunError::State {
-            partition: CONFIGURATION_PARTITION,
-            reason: error.to_string(),
-        })?;
         if let Application::Configuration(partition) = &mut self.partitions[index].application {
-            partition.register = register;
-            partition.pending.clear();
+            partition.restore(bytes)?;
         }
         self.serve_committed(index);
         Ok(())
@@ -47,15 +68,10 @@
         entry: &[u8],
         waiters: Vec<Waiter>,
     ) -> Result<(), RunError> {
-        let entry = Entry::decode(entry).map_err(|error| RunError::State {
-            partition: CONFIGURATION_PARTITION,
-            reason: error.to_string(),
-        })?;
         let Application::Configuration(partition) = &mut self.partitions[index].application else {
             return Ok(());
         };
-        partition.pending.applied(entry.change());
-        let status = partition.register.apply(&entry).answer().status();
+        let status = partition.apply(entry)?;
         for waiter in waiters {
             self.reply(waiter.peer, waiter.number, Reply::Answer { status, body: b"{}".to_vec() });
         }
@@ -114,10 +130,7 @@
     pub(crate) fn show_at_leader(&mut self, waiter: Waiter) {
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let Application::Configuration(partition) = &self.partitions[index].application else { return };
-        let reply = Reply::Configuration {
-            version: partition.register.version(),
-            body: partition.register.body().to_vec(),
-        };
+        let reply = partition.newest();
         self.reply(waiter.peer, waiter.number, reply);
     }
 
--- a/crates/tier/src/control/membership_maintenance.rs
+++ b/crates/tier/src/control/membership_maintenance.rs
@@ -4,13 +4,13 @@
 //! Only this module and [`retire`](crate::control::retire) change the voters of a running group.
 
 use crate::control::leader_balance::HandOverPlan;
-use crate::control::partitions::{HandOver, class_of_partition};
+use crate::control::partitions::{HandOver, PartitionHost, class_of_partition};
 use crate::control::replica_placement::{Candidate, next_voters};
 use crate::control::replica_status::{SoleReplicaWarning, warn_of_sole_replica};
 use crate::node::Node;
 use crate::runtime::timers::Timer;
 use grebeusher_quorum::{Index, ReplicaId, Term};
-use grebeusher_registry::MemberState;
+use grebeusher_registry::{MemberState, Registry};
 use grebeusher_time::{Duration, Instant};
 use std::collections::BTreeMap;
 use tracing::{debug, info, warn};
@@ -162,7 +162,7 @@
         }
         let voters = replica.group().voters.clone();
         self.partitions[index].maintenance.change_ended(now, &voters);
-        let alive = self.candidates(index);
+        let alive = candidates(&self.partitions[index], &self.registry);
         let alive = self.partitions[index].maintenance.usable(&voters, alive);
         let lost = self.lost_voters(index, &voters, &alive);
         let wanted = self.group_size();
@@ -175,35 +175,33 @@
         }
     }
 
-    /// The nodes that may hold a replica of a partition.
-    fn candidates(&mut self, index: usize) -> Vec<Candidate> {
-        let class = class_of_partition(self.partitions[index].partition);
-        let retiring = self.partitions[index].retiring_nodes();
-        let alive = self.registry.members().filter(|member| member.state == MemberState::Alive);
-        let alive = alive.filter(|member| member.class == class && !retiring.contains(&member.name));
-        alive.filter_map(Candidate::of).collect()
-    }
-
-    /// The voters that are to make room: their node is to be emptied, lost its disk, or has been absent for long.
+    /// The voters that are to be replaced: their node is to be emptied, lost its disk, or has been absent for long.
     fn lost_voters(&mut self, index: usize, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
-        let retiring = self.partitions[index].retiring_nodes();
-        let retired = self.retiring_replicas(&retiring);
-        let absent = self.partitions[index].maintenance.absent(self.now, voters, alive);
-        let lost = |voter: &&ReplicaId| {
-            retired.contains(voter) || absent.contains(voter) || self.superseded(**voter)
+        let host = &mut self.partitions[index];
+        let registry = &self.registry;
+        let retired = retiring_replicas(host, registry);
+        let absent = host.maintenance.absent(self.now, voters, alive);
+        let is_lost = |voter: &&ReplicaId| {
+            retired.contains(voter)
+                || absent.contains(voter)
+                || self.replica_names.is_superseded(**voter, registry)
         };
-        voters.iter().filter(lost).copied().collect()
+        voters.iter().filter(is_lost).copied().collect()
     }
+}
 
-    /// Whether the node of a disk identity runs under another one now: the disk was lost.
-    fn superseded(&self, voter: ReplicaId) -> bool {
-        let Some(name) = self.replica_names.get(&voter.0) else { return false };
-        let Some(member) = self.registry.member(name) else { return false };
-        member.serves() && member.replica.is_some_and(|replica| replica != voter.0)
-    }
+/// The nodes that may hold a replica of a partition.
+fn candidates(host: &PartitionHost, registry: &Registry) -> Vec<Candidate> {
+    let class = class_of_partition(host.partition);
+    let retiring = host.retiring_nodes();
+    let alive = registry.members().filter(|member| member.state == MemberState::Alive);
+    let alive = alive.filter(|member| member.class == class && !retiring.contains(&member.name));
+    alive.filter_map(Candidate::of).collect()
+}
 
-    fn retiring_replicas(&self, retiring: &[String]) -> Vec<ReplicaId> {
-        let members = retiring.iter().filter_map(|name| self.registry.member(name));
-        members.filter_map(|member| member.replica).map(ReplicaId).collect()
-    }
+/// The disk identities of the nodes that a partition's data is to leave.
+fn retiring_replicas(host: &PartitionHost, registry: &Registry) -> Vec<ReplicaId> {
+    let retiring = host.retiring_nodes();
+    let members = retiring.iter().filter_map(|name| registry.member(name));
+    members.filter_map(|member| member.replica).map(ReplicaId).collect()
 }
--- a/crates/tier/src/control/mod.rs
+++ b/crates/tier/src/control/mod.rs
@@ -21,6 +21,7 @@
 pub mod partition_status;
 pub mod partitions;
 pub(crate) mod peer_directory;
+pub(crate) mod replica_names;
 pub mod replica_placement;
 pub mod replica_status;
 pub mod retire;
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -235,7 +235,7 @@
                 if let Some(member) = self.registry.member(&name)
                     && let Some(replica) = member.replica
                 {
-                    self.replica_names.insert(replica, name);
+                    self.replica_names.record(replica, name);
                 }
                 self.routing_changed = true;
             }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -11,6 +11,7 @@
 use crate::control::leader_balance::LeaderBalancer;
 use crate::control::leader_index::LeaderIndex;
 use crate::control::partitions::PartitionHost;
+use crate::control::replica_names::ReplicaNames;
 use crate::control::retire::RetireRequests;
 use crate::links::calls::PendingCalls;
 use crate::links::connections::{ConnectionTable, Role};
@@ -21,8 +22,8 @@
 use crate::requests::routing::Routing;
 use crate::requests::server::{Entrance, ServerConnection, first_limits};
 use crate::requests::upstream::Upstream;
-use crate::runtime::io::{Listener, SharedWorld, World};
-use crate::runtime::start::{Start, StartError};
+use crate::runtime::io::{SharedWorld, World};
+use crate::runtime::start::{ClientListeners, Start, StartError};
 use crate::runtime::stop::GracefulShutdown;
 use crate::runtime::timers::Timer;
 use crate::runtime::traffic::Traffic;
@@ -36,7 +37,6 @@
 use grebeusher_transport::poller::Event;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::io;
 
@@ -82,9 +82,7 @@
 pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) world: SharedWorld,
-    frontend: Option<Box<dyn Listener>>,
-    readiness: Option<Box<dyn Listener>>,
-    control: Option<Box<dyn Listener>>,
+    pub(crate) client_listeners: ClientListeners,
     pub(crate) now: Instant,
     random: Pcg64,
     pub(crate) alarms: Alarms<Timer>,
@@ -108,8 +106,7 @@
     pub(crate) partitions: Vec<PartitionHost>,
     pub(crate) bootstrapper: Option<Bootstrapper>,
     pub(crate) items: ItemRuns,
-    /// Names of nodes by their disk identities, also former ones.
-    pub(crate) replica_names: FxHashMap<u64, String>,
+    pub(crate) replica_names: ReplicaNames,
     pub(crate) counters: Counters,
     pub(crate) traffic: Traffic,
     /// Whether a review of the executors is due.
@@ -130,10 +127,8 @@
             leaders: LeaderIndex::default(),
             leader_balancer: LeaderBalancer::default(),
             items: ItemRuns::default(),
-            replica_names: FxHashMap::default(),
-            frontend: listeners.frontend,
-            readiness: listeners.readiness,
-            control: listeners.control,
+            replica_names: ReplicaNames::default(),
+            client_listeners: listeners.clients,
             settings,
             world,
             now: Instant(0),
@@ -351,15 +346,6 @@
         self.shutdown.is_some()
     }
 
-    pub(crate) fn listener(&self, entrance: Entrance) -> Option<&dyn Listener> {
-        let listener = match entrance {
-            Entrance::Frontend => &self.frontend,
-            Entrance::Readiness => &self.readiness,
-            Entrance::Control => &self.control,
-        };
-        listener.as_deref()
-    }
-
     /// Adds a connection; see [`ConnectionTable::add`].
     pub(crate) fn add_connection(
         &mut self,
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -61,7 +61,7 @@
     /// Takes in whoever waits to connect.
     pub fn accept(&mut self, entrance: Entrance) {
         for _ in 0..ACCEPTED_AT_ONCE {
-            let Some(listener) = self.listener(entrance) else { return };
+            let Some(listener) = self.client_listeners.get(entrance) else { return };
             match listener.accept() {
                 Ok(arrival) => self.admit(entrance, arrival),
                 Err(_) => return,
--- a/crates/tier/src/runtime/start.rs
+++ b/crates/tier/src/runtime/start.rs
@@ -7,6 +7,7 @@
 use crate::control::disk_budget::DiskBudget;
 use crate::control::partitions::{Application, PartitionHost, ReplicaConfig};
 use crate::node::{RunError, keys};
+use crate::requests::server::Entrance;
 use crate::runtime::io::{Listener, SharedWorld, World};
 use grebeusher_configuration::settings::{MachineClass, Settings, SettingsError};
 use grebeusher_quorum::ReplicaId;
@@ -39,14 +40,29 @@
     pub seed: u64,
 }
 
+/// The addresses that everybody but the other nodes connects to.
+pub struct ClientListeners {
+    frontend: Option<Box<dyn Listener>>,
+    readiness: Option<Box<dyn Listener>>,
+    control: Option<Box<dyn Listener>>,
+}
+
+impl ClientListeners {
+    /// The address of an entrance, if this process has one.
+    pub(crate) fn get(&self, entrance: Entrance) -> Option<&dyn Listener> {
+        let listener = match entrance {
+            Entrance::Frontend => &self.frontend,
+            Entrance::Readiness => &self.readiness,
+            Entrance::Control => &self.control,
+        };
+        listener.as_deref()
+    }
+}
+
 /// The addresses that a process listens at.
 pub struct Listeners {
-    /// Clients.
-    pub frontend: Option<Box<dyn Listener>>,
-    /// The platform's checks.
-    pub readiness: Option<Box<dyn Listener>>,
-    /// Executors and operators.
-    pub control: Option<Box<dyn Listener>>,
+    /// Clients, the platform's health checks, executors and operators.
+    pub clients: ClientListeners,
     /// Other nodes.
     pub internal: Box<dyn Listener>,
     /// The address that other nodes know it by.
@@ -138,9 +154,11 @@
         let descriptors = settings.limits.file_descriptors;
         Ok(Listeners {
             internal: open(internal_address, keys::INTERNAL)?,
-            control: optional(settings.bindings.control_plane, keys::CONTROL)?,
-            readiness: optional(settings.bindings.readiness, keys::READINESS)?,
-            frontend: optional(settings.bindings.frontend, keys::FRONTEND)?,
+            clients: ClientListeners {
+                control: optional(settings.bindings.control_plane, keys::CONTROL)?,
+                readiness: optional(settings.bindings.readiness, keys::READINESS)?,
+                frontend: optional(settings.bindings.frontend, keys::FRONTEND)?,
+            },
             internal_address,
             max_connections: descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64) as usize,
         })
