--- a/crates/tier/src/control/membership_maintenance.rs
+++ b/crates/tier/src/control/membership_maintenance.rs
@@ -73,6 +73,16 @@
         if usable.iter().all(is_voter) { alive } else { usable }
     }
 
+    /// Whether a replica is to be logged: its term or group has changed, or it was logged a while ago. Notes that it is.
+    fn take_log_due(&mut self, now: Instant, state: (Term, Index)) -> bool {
+        if self.logged == state && now < self.logged_at + LOG_INTERVAL {
+            return false;
+        }
+        self.logged = state;
+        self.logged_at = now;
+        true
+    }
+
     /// The voters whose nodes have been absent for long.
     fn absent(&mut self, now: Instant, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
         let is_alive = |voter: &ReplicaId| alive.iter().any(|candidate| candidate.replica == voter.0);
@@ -95,7 +105,7 @@
     pub fn maintain_groups(&mut self) {
         self.alarms.set(self.now + MAINTENANCE_INTERVAL, Timer::MaintainGroups);
         for index in 0..self.partitions.len() {
-            self.log_replica(index);
+            log_replica(&mut self.partitions[index], self.now);
             if self.partitions[index].leads() {
                 self.maintain_group(index);
                 warn_of_sole_replica(&mut self.partitions[index], &self.registry, self.now);
@@ -104,8 +114,7 @@
         }
         if !self.stopping() {
             self.balance_leadership();
-        }
-        if self.stopping() {
+        } else {
             // A successor that did not take over, or one that handed the partition back, must not keep it here until the end.
             self.hand_over_partitions(HandOver::Repeated);
         }
@@ -124,35 +133,6 @@
         }
     }
 
-    /// Logs each change of a replica's term or group, and its state once a second.
-    fn log_replica(&mut self, index: usize) {
-        let now = self.now;
-        let host = &mut self.partitions[index];
-        let seen = (host.replica.term(), host.replica.group_index());
-        if host.maintenance.logged == seen && now < host.maintenance.logged_at + LOG_INTERVAL {
-            return;
-        }
-        host.maintenance.logged = seen;
-        host.maintenance.logged_at = now;
-        let replica = &host.replica;
-        let (group, last) = (replica.group(), replica.last());
-        let members: Vec<u64> = group.members().map(short).collect();
-        debug!(
-            partition = host.partition,
-            replica = short(replica.identity()),
-            term = replica.term().0,
-            commit = replica.commit_index().0,
-            last_index = last.index.0,
-            last_term = last.term.0,
-            leader = replica.leader_hint().map_or(0, short),
-            voters = group.voters.len(),
-            outgoing = group.outgoing.len(),
-            ?members,
-            log_bytes = replica.log_bytes(),
-            "replica state"
-        );
-    }
-
     /// Changes the group of a partition that this node leads, if its voters call for it.
     fn maintain_group(&mut self, index: usize) {
         let now = self.now;
@@ -190,6 +170,30 @@
     }
 }
 
+/// Logs each change of a replica's term or group, and its state once a second.
+fn log_replica(host: &mut PartitionHost, now: Instant) {
+    let replica = &host.replica;
+    if !host.maintenance.take_log_due(now, (replica.term(), replica.group_index())) {
+        return;
+    }
+    let (group, last) = (replica.group(), replica.last());
+    let members: Vec<u64> = group.members().map(short).collect();
+    debug!(
+        partition = host.partition,
+        replica = short(replica.identity()),
+        term = replica.term().0,
+        commit = replica.commit_index().0,
+        last_index = last.index.0,
+        last_term = last.term.0,
+        leader = replica.leader_hint().map_or(0, short),
+        voters = group.voters.len(),
+        outgoing = group.outgoing.len(),
+        ?members,
+        log_bytes = replica.log_bytes(),
+        "replica state"
+    );
+}
+
 /// The nodes that may hold a replica of a partition.
 fn candidates(host: &PartitionHost, registry: &Registry) -> Vec<Candidate> {
     let class = class_of_partition(host.partition);
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -1,4 +1,6 @@
-//! What comes from other nodes, and what the registry wants done.
+//! Where links, calls and the registry meet in the node: frames and calls go to the module they are for, replies go back.
+//!
+//! This module owns nothing. It is the only one that lends the links and the pending calls what they need of the node.
 
 use crate::control::partitions::Waiter;
 use crate::control::peer_directory::PeerDirectory;
@@ -194,15 +196,15 @@
         }
     }
 
-    /// Only a process of the first start is founded; the answer leaves when it is on disk.
+    /// Only a process of the first start is bootstrapped; the reply leaves when it is on disk.
     fn bootstrap_partition(&mut self, waiter: Waiter, partition: u8, voters: &[u64]) {
         let group = Group::of(voters.iter().copied().map(ReplicaId));
         let bootstrap = self.settings.bootstrap;
-        let founded = match self.partitions.iter_mut().find(|host| host.partition == partition) {
+        let accepted = match self.partitions.iter_mut().find(|host| host.partition == partition) {
             Some(host) if bootstrap => host.replica.found(group).is_ok(),
             _ => false,
         };
-        let reply = if founded { Reply::Done } else { Reply::Unavailable };
+        let reply = if accepted { Reply::Done } else { Reply::Unavailable };
         self.reply(waiter.peer, waiter.number, reply);
     }
 
