--- a/crates/tier/src/control/bootstrap.rs
+++ b/crates/tier/src/control/bootstrap.rs
@@ -194,7 +194,7 @@
         for BootstrapRequest { partition, voter, voters } in requests {
             let Some(to) = self.address_of_replica(voter) else { continue };
             let continuation = Continuation::Bootstrap { partition, voter };
-            self.call_node(to, Call::Found { partition, voters }, now + CONFIRM_TIMEOUT, continuation);
+            self.call_node(to, Call::Bootstrap { partition, voters }, now + CONFIRM_TIMEOUT, continuation);
         }
         is_complete
     }
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -43,7 +43,7 @@
         while self.connections.serial(index) == serial
             && let Some(frame) = peer_links::next_received(&mut self.connections, index)
         {
-            self.traffic.received(frame.channel, &frame.payload);
+            self.traffic.count_received(frame.channel, &frame.payload);
             self.receive_frame(frame.peer, frame.channel, &frame.payload);
         }
         if read.is_err() && self.connections.serial(index) == serial {
@@ -174,7 +174,7 @@
     fn receive_call(&mut self, from: SocketAddrV4, envelope: CallEnvelope) {
         let waiter = Waiter { peer: from, number: envelope.number };
         match envelope.call {
-            Call::Found { partition, voters } => self.bootstrap_partition(waiter, partition, &voters),
+            Call::Bootstrap { partition, voters } => self.bootstrap_partition(waiter, partition, &voters),
             Call::ReplaceConfiguration { base, body } => self.replace_at_leader(waiter, base, body),
             Call::ShowConfiguration => self.show_at_leader(waiter),
             Call::ShowPartition { partition } => self.show_partition_at_leader(waiter, partition),
--- a/crates/tier/src/links/messages.rs
+++ b/crates/tier/src/links/messages.rs
@@ -106,7 +106,7 @@
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Call {
     /// Bootstraps a partition with these disk identities as its voters; only at the first start of the whole system.
-    Found {
+    Bootstrap {
         /// The partition.
         partition: u8,
         /// The disk identities of all its voters.
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -116,7 +116,7 @@
         }
         outgoing.progress.put(context.now, socket.waiting());
         socket.put(&link::encode_frame(channel as u8, payload));
-        context.traffic.sent(channel, payload);
+        context.traffic.count_sent(channel, payload);
         if !self.unflushed.contains(&index) {
             self.unflushed.push(index);
         }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -110,7 +110,7 @@
     pub(crate) counters: Counters,
     pub(crate) traffic: Traffic,
     /// Whether a review of the executors is due.
-    reviewing: bool,
+    reviews_executors: bool,
     /// Set once the process got SIGTERM.
     pub(crate) shutdown: Option<GracefulShutdown>,
     pub(crate) exit: bool,
@@ -152,7 +152,7 @@
             bootstrapper,
             counters: Counters::default(),
             traffic: Traffic::default(),
-            reviewing: false,
+            reviews_executors: false,
             shutdown: None,
             exit: false,
         };
@@ -203,10 +203,10 @@
         self.traffic.turns += 1;
         self.traffic.turns_by_events += u64::from(!events.is_empty());
         for event in events {
-            self.handle(*event);
+            self.handle_event(*event);
         }
         while let Some(timer) = self.alarms.due(self.now) {
-            self.timer(timer);
+            self.handle_timer(timer);
         }
         // Nothing is begun any more by a process that ends with this turn.
         if !self.exit {
@@ -218,7 +218,7 @@
         if std::mem::take(&mut self.routing_changed) {
             self.update_routing();
         }
-        self.begin_reviewing();
+        self.start_executor_review();
         self.with_links(PeerLinks::flush);
         Ok(())
     }
@@ -236,13 +236,13 @@
         wake
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event.key {
             keys::FRONTEND => self.accept(Entrance::Frontend),
             keys::READINESS => self.accept(Entrance::Readiness),
             keys::CONTROL => self.accept(Entrance::Control),
             keys::INTERNAL => self.with_links(|links, context| links.accept(context)),
-            keys::SIGNALS => self.signalled(),
+            keys::SIGNALS => self.handle_signals(),
             key => self.connection_ready(key - keys::FIRST_CONNECTION, event.readable, event.writable),
         }
     }
@@ -259,8 +259,8 @@
         }
     }
 
-    fn timer(&mut self, timer: Timer) {
-        self.traffic.timer(timer);
+    fn handle_timer(&mut self, timer: Timer) {
+        self.traffic.count_timer(timer);
         match timer {
             Timer::ConnectExpires { connection, serial } => {
                 if self.serial(connection) == serial {
@@ -289,16 +289,16 @@
 
     fn review_executors(&mut self) {
         self.routing.gateway.review(self.now);
-        self.reviewing = self.runs_anything();
-        if self.reviewing {
+        self.reviews_executors = self.runs_anything();
+        if self.reviews_executors {
             self.alarms.set(self.now + REVIEW_INTERVAL, Timer::ReviewExecutors);
         }
     }
 
     /// Executors are reviewed while anything runs on them: a node at rest does not wake for it. The first review lets the
     /// gateway know that the pause was no freeze.
-    fn begin_reviewing(&mut self) {
-        if !self.reviewing && self.runs_anything() {
+    fn start_executor_review(&mut self) {
+        if !self.reviews_executors && self.runs_anything() {
             self.review_executors();
         }
     }
@@ -321,12 +321,12 @@
         self.exit_when_idle();
     }
 
-    fn signalled(&mut self) {
-        let signalled = self.world.signals();
-        if signalled.reload {
+    fn handle_signals(&mut self) {
+        let signals = self.world.signals();
+        if signals.reload {
             self.reload_settings();
         }
-        if signalled.stop && self.shutdown.is_none() {
+        if signals.stop && self.shutdown.is_none() {
             self.begin_shutdown();
         }
     }
--- a/crates/tier/src/runtime/traffic.rs
+++ b/crates/tier/src/runtime/traffic.rs
@@ -62,7 +62,7 @@
 
 impl Traffic {
     /// Counts a timer.
-    pub fn timer(&mut self, timer: Timer) {
+    pub fn count_timer(&mut self, timer: Timer) {
         let kind = match timer {
             Timer::Bootstrap => 0,
             Timer::MaintainGroups => 1,
@@ -77,12 +77,12 @@
     }
 
     /// Counts a frame to another node.
-    pub fn sent(&mut self, channel: Channel, payload: &[u8]) {
+    pub fn count_sent(&mut self, channel: Channel, payload: &[u8]) {
         count(&mut self.sent, channel, payload);
     }
 
     /// Counts a frame from another node.
-    pub fn received(&mut self, channel: Channel, payload: &[u8]) {
+    pub fn count_received(&mut self, channel: Channel, payload: &[u8]) {
         count(&mut self.received, channel, payload);
     }
 }
--- a/crates/tier/tests/stable_bytes.rs
+++ b/crates/tier/tests/stable_bytes.rs
@@ -33,7 +33,7 @@
 /// The first bytes of each kind of call. A kind that is added needs its number here and its bytes below.
 fn number_of_call(call: &Call) -> u16 {
     match call {
-        Call::Found { .. } => 0,
+        Call::Bootstrap { .. } => 0,
         Call::ReplaceConfiguration { .. } => 1,
         Call::ShowConfiguration => 2,
         Call::ShowPartition { .. } => 3,
@@ -63,7 +63,7 @@
 }
 
 #[rstest]
-#[case::found(Call::Found { partition: 3, voters: vec![0x0102_0304_0506_0708, 9] }, "000003020000000000000008070605040302010900000000000000")]
+#[case::found(Call::Bootstrap { partition: 3, voters: vec![0x0102_0304_0506_0708, 9] }, "000003020000000000000008070605040302010900000000000000")]
 #[case::replace_configuration(
     Call::ReplaceConfiguration { base: 0x0102_0304_0506_0708, body: b"{\"a\":1}".to_vec() },
     "0100080706050403020107000000000000007b2261223a317d"
