--- a/crates/tier/src/control/active_configuration.rs
+++ b/crates/tier/src/control/active_configuration.rs
@@ -7,9 +7,10 @@
 use crate::links::calls::Continuation;
 use crate::links::messages::{Call, Reply};
 use crate::node::Node;
-use grebeusher_configuration::configuration::{Configuration, Route};
+use grebeusher_configuration::configuration::{ClientLimits, Configuration, Route};
 use grebeusher_configuration::routes::RouteTable;
 use grebeusher_time::{Duration, Instant};
+use grebeusher_transport::http::Limits;
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -55,9 +56,12 @@
 }
 
 /// The configuration that this node serves by.
-#[derive(Default)]
 pub(crate) struct ServedConfiguration {
     active: Option<Rc<ActiveConfiguration>>,
+    /// The limits on heads and bodies.
+    http_limits: Limits,
+    /// The other limits for clients.
+    client_limits: ClientLimits,
     /// Whether the leader was asked for the newest configuration, and answered or did not for long.
     proven: bool,
     /// A peer is asked for its newer configuration until then.
@@ -65,6 +69,27 @@
 }
 
 impl ServedConfiguration {
+    /// None yet: clients are served by these limits until one is in force.
+    pub fn new(http_limits: Limits) -> ServedConfiguration {
+        ServedConfiguration {
+            active: None,
+            http_limits,
+            client_limits: ClientLimits::default(),
+            proven: false,
+            fetch_ends: None,
+        }
+    }
+
+    /// The limits on heads and bodies of clients and executors.
+    pub fn http_limits(&self) -> &Limits {
+        &self.http_limits
+    }
+
+    /// The time-outs of clients.
+    pub fn client_limits(&self) -> &ClientLimits {
+        &self.client_limits
+    }
+
     /// The configuration in force.
     pub fn active(&self) -> Option<&Rc<ActiveConfiguration>> {
         self.active.as_ref()
@@ -99,22 +124,26 @@
         self.fetch_ends
     }
 
-    /// Puts a configuration in force if it is newer; the one that is in force then.
-    fn activate(&mut self, version: u64, body: Arc<[u8]>) -> Option<&ActiveConfiguration> {
+    /// Puts a configuration in force if it is newer; whether it is in force now.
+    fn activate(&mut self, version: u64, body: Arc<[u8]>) -> bool {
         if self.active.as_ref().is_some_and(|active| active.version >= version) {
-            return None;
+            return false;
         }
         let configuration = match Configuration::read(&body) {
             Ok(configuration) => configuration,
             Err(error) => {
                 warn!(version, %error, "configuration unreadable");
-                return None;
+                return false;
             }
         };
         info!(version, "configuration in force");
+        let limits = configuration.limits;
+        self.client_limits = limits;
+        self.http_limits.most_head = limits.max_header_bytes as usize;
+        self.http_limits.most_body = limits.max_body_bytes as usize;
         let routes = Routes::new(configuration);
         self.active = Some(Rc::new(ActiveConfiguration { version, body, routes }));
-        self.active.as_deref()
+        true
     }
 }
 
@@ -130,13 +159,10 @@
 impl Node {
     /// Puts a committed configuration in force, if it is newer.
     pub(crate) fn activate_configuration(&mut self, version: u64, body: Arc<[u8]>) {
-        let Some(active) = self.configuration.activate(version, body) else { return };
-        let limits = active.routes.configuration().limits;
-        self.client_limits = limits;
-        self.http_limits.most_head = limits.max_header_bytes as usize;
-        self.http_limits.most_body = limits.max_body_bytes as usize;
-        self.registry.set_configuration_version(version);
-        self.routing_changed = true;
+        if self.configuration.activate(version, body) {
+            self.registry.set_configuration_version(version);
+            self.routing_changed = true;
+        }
     }
 
     /// A peer has a newer configuration.
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -27,13 +27,11 @@
 use crate::runtime::stop::GracefulShutdown;
 use crate::runtime::timers::Timer;
 use crate::runtime::traffic::Traffic;
-use grebeusher_configuration::configuration::ClientLimits;
 use grebeusher_configuration::settings::Settings;
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::Registry;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::alarms::Alarms;
-use grebeusher_transport::http::Limits;
 use grebeusher_transport::poller::Event;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -88,8 +86,6 @@
     pub(crate) alarms: Alarms<Timer>,
     pub(crate) connections: ConnectionTable,
     pub(crate) links: PeerLinks,
-    pub(crate) http_limits: Limits,
-    pub(crate) client_limits: ClientLimits,
     pub(crate) registry: Registry,
     pub(crate) executor_hints: ExecutorHints,
     pub(crate) popularity_written: Instant,
@@ -136,14 +132,12 @@
             alarms: Alarms::default(),
             connections: ConnectionTable::new(listeners.max_connections),
             links: PeerLinks::new(listeners.internal_address, listeners.internal),
-            http_limits: first_limits(),
-            client_limits: ClientLimits::default(),
             registry,
             executor_hints: ExecutorHints::default(),
             popularity_written: Instant(0),
             acknowledgements: PendingAcknowledgements::default(),
             routing_changed: true,
-            configuration: ServedConfiguration::default(),
+            configuration: ServedConfiguration::new(first_limits()),
             exchanges: Slab::new(),
             calls,
             retire_requests: RetireRequests::default(),
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -237,7 +237,7 @@
     /// The bounds on a request: the operator's for clients, the program's own for executors and the operator.
     fn limits_at(&mut self, index: usize) -> Limits {
         match self.server_mut(index) {
-            Some((_, server)) if server.entrance == Entrance::Frontend => self.http_limits,
+            Some((_, server)) if server.entrance == Entrance::Frontend => *self.configuration.http_limits(),
             _ => first_limits(),
         }
     }
@@ -359,8 +359,8 @@
     /// answer; one that has begun a request hears 408.
     pub fn sweep_servers(&mut self) {
         let now = self.now;
-        let header_timeout = Duration::from_millis(self.client_limits.header_timeout_ms);
-        let idle_timeout = Duration::from_millis(self.client_limits.idle_timeout_ms);
+        let header_timeout = Duration::from_millis(self.configuration.client_limits().header_timeout_ms);
+        let idle_timeout = Duration::from_millis(self.configuration.client_limits().idle_timeout_ms);
         let mut idle = Vec::new();
         let mut slow = Vec::new();
         for (index, connection) in self.connections.iter() {
--- a/crates/tier/src/requests/upstream.rs
+++ b/crates/tier/src/requests/upstream.rs
@@ -243,7 +243,7 @@
 
     /// Reads a head; 0 while it is not whole, `None` if it is no head.
     fn upstream_head(&mut self, index: usize, bytes: &[u8]) -> Option<usize> {
-        let (head, length) = match http::response_head(bytes, &self.http_limits) {
+        let (head, length) = match http::response_head(bytes, self.configuration.http_limits()) {
             Ok(Some(read)) => read,
             Ok(None) => return Some(0),
             Err(_) => return None,
