--- a/crates/tier/src/control/leader_index.rs
+++ b/crates/tier/src/control/leader_index.rs
@@ -1,4 +1,4 @@
-//! Which node leads which partition, by what the nodes tell of themselves.
+//! Which node leads which partition, by what the nodes announce.
 
 use grebeusher_registry::{Generation, NodeMetadata, Registry};
 use nanoserde::{DeBin, SerBin};
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// The facts that a node tells of itself: the partitions that it leads.
+/// The facts that a node announces: the partitions that it leads.
 #[derive(Clone, Debug, Default, SerBin, DeBin)]
 pub struct LedPartitions {
     /// Each partition once.
@@ -22,7 +22,7 @@
     pub term: u64,
 }
 
-/// The leaders as the registry last told them. Facts are read once for each change of the registry, not at each call.
+/// The leaders as they were last announced. Facts are read once for each change of the registry, not at each call.
 #[derive(Default)]
 pub struct LeaderIndex {
     known: RefCell<Known>,
@@ -37,7 +37,7 @@
 }
 
 impl LeaderIndex {
-    /// The node that leads a partition, by the highest term that any living node has told.
+    /// The node that leads a partition, by the highest term that any living node has announced.
     pub fn leader(&self, registry: &Registry, partition: u8) -> Option<SocketAddrV4> {
         let mut known = self.known.borrow_mut();
         let Generation { members, node_metadata, .. } = registry.generation();
@@ -60,9 +60,9 @@
 
 fn read_leaders(registry: &Registry) -> BTreeMap<u8, (u64, SocketAddrV4)> {
     let mut leaders = BTreeMap::new();
-    for node_metadata in registry.node_metadata() {
-        if let Some(address) = address_of_teller(registry, node_metadata)
-            && let Ok(led) = <LedPartitions as DeBin>::deserialize_bin(&node_metadata.payload)
+    for facts in registry.node_metadata() {
+        if let Some(address) = address_of_announcer(registry, facts)
+            && let Ok(led) = <LedPartitions as DeBin>::deserialize_bin(&facts.payload)
         {
             led.partitions.iter().for_each(|led| note_leader(&mut leaders, led, address));
         }
@@ -70,10 +70,10 @@
     leaders
 }
 
-/// Where the node of these facts is, if it lives and they are of its present life.
-fn address_of_teller(registry: &Registry, node_metadata: &NodeMetadata) -> Option<SocketAddrV4> {
-    let member = registry.member(&node_metadata.node).filter(|member| member.serves())?;
-    (member.incarnation == node_metadata.incarnation).then_some(member.address)
+/// Where the node of these facts is, if it runs and they are of its present incarnation.
+fn address_of_announcer(registry: &Registry, facts: &NodeMetadata) -> Option<SocketAddrV4> {
+    let member = registry.member(&facts.node).filter(|member| member.serves())?;
+    (member.incarnation == facts.incarnation).then_some(member.address)
 }
 
 /// The higher term leads; of two alike the one that was read first.
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -1,6 +1,6 @@
 //! Emptying a storage machine: the operator's calls at an edge node, and what the leader of each batch partition says to them.
 //!
-//! A refusal rests on what the proven leaders of all partitions say, not on what one node has heard of the others: a node that was
+//! A refusal rests on what the proven leaders of all partitions say, not on what one node knows of the others: a node that was
 //! cut off or has just started knows few machines. Whoever can't be sure says 503.
 
 use crate::batch::partition::RETIRE_ENTRY;
@@ -13,6 +13,7 @@
 use grebeusher_registry::{Class, MemberState};
 use grebeusher_time::Duration;
 use grebeusher_transport::http;
+use rustc_hash::FxHashMap;
 use tracing::info;
 
 /// A machine that is away for less than this may be back: it counts neither as there nor as gone.
@@ -72,8 +73,12 @@
     Unsure,
 }
 
-/// What the verdicts of all partitions come to. `known_here`: whether this node has heard of the machine itself.
-pub fn gathered(question: RetireQuestion, verdicts: &[PartitionVerdict], known_here: bool) -> RetireOutcome {
+/// What the verdicts of all partitions come to. `known_here`: whether this node knows the machine itself.
+pub fn combined_outcome(
+    question: RetireQuestion,
+    verdicts: &[PartitionVerdict],
+    known_here: bool,
+) -> RetireOutcome {
     let any = |wanted: PartitionVerdict| verdicts.contains(&wanted);
     let all = |wanted: PartitionVerdict| verdicts.iter().all(|verdict| *verdict == wanted);
     if any(PartitionVerdict::Unsure) || verdicts.is_empty() {
@@ -95,8 +100,8 @@
     }
 }
 
-/// A question that every batch partition has to answer.
-pub struct RetireGathering {
+/// An operator's request that every batch partition has to answer.
+struct RetireRequest {
     connection: usize,
     serial: u64,
     question: RetireQuestion,
@@ -105,6 +110,37 @@
     verdicts: Vec<PartitionVerdict>,
 }
 
+/// The operators' requests that wait for verdicts of partitions.
+#[derive(Default)]
+pub(crate) struct RetireRequests {
+    pending: FxHashMap<u64, RetireRequest>,
+}
+
+impl RetireRequests {
+    /// Notes one partition's verdict; the request, once it was the last one.
+    fn add_verdict(&mut self, number: u64, verdict: PartitionVerdict) -> Option<RetireRequest> {
+        let request = self.pending.get_mut(&number)?;
+        request.verdicts.push(verdict);
+        if request.verdicts.len() < request.partitions {
+            return None;
+        }
+        self.pending.remove(&number)
+    }
+}
+
+/// The HTTP answer to an operator.
+fn http_answer(outcome: RetireOutcome) -> Vec<u8> {
+    let (status, body): (u16, &[u8]) = match outcome {
+        RetireOutcome::Taken => (200, b"{}"),
+        RetireOutcome::Active => (200, b"{\"state\":\"active\"}"),
+        RetireOutcome::Complete => (200, b"{\"state\":\"complete\"}"),
+        RetireOutcome::NoSuchMachine => (404, b"{}"),
+        RetireOutcome::TooFew => (409, b"{}"),
+        RetireOutcome::Unsure => (503, b"{}"),
+    };
+    http::answer(status, &[JSON], body)
+}
+
 /// How many machines would be left for a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Remaining {
@@ -120,17 +156,16 @@
             return;
         }
         let partitions = self.batch_partitions();
-        let known_here = self.knows_storage_node(node);
-        let gathering = RetireGathering {
+        let request = RetireRequest {
             connection,
             serial,
             question,
-            known_here,
+            known_here: self.knows_storage_node(node),
             partitions: partitions.len(),
             verdicts: Vec::new(),
         };
         let number = self.next_serial();
-        self.gatherings.insert(number, gathering);
+        self.retire_requests.pending.insert(number, request);
         for partition in partitions {
             let node = node.to_owned();
             let call = match question {
@@ -138,28 +173,16 @@
                 RetireQuestion::Show => Call::ShowRetire { partition, node },
             };
             let until = self.now + OPERATOR_TIMEOUT;
-            self.call_leader(partition, call, until, Continuation::Retire { gathering: number });
+            self.call_leader(partition, call, until, Continuation::Retire { request: number });
         }
     }
 
-    /// One partition has said something about a storage machine that is to be emptied.
-    pub fn retire_reply(&mut self, number: u64, reply: &Reply) {
-        let Some(gathering) = self.gatherings.get_mut(&number) else { return };
-        gathering.verdicts.push(PartitionVerdict::of(reply));
-        if gathering.verdicts.len() < gathering.partitions {
-            return;
-        }
-        let Some(gathering) = self.gatherings.remove(&number) else { return };
-        let outcome = gathered(gathering.question, &gathering.verdicts, gathering.known_here);
-        let (status, body): (u16, &[u8]) = match outcome {
-            RetireOutcome::Taken => (200, b"{}"),
-            RetireOutcome::Active => (200, b"{\"state\":\"active\"}"),
-            RetireOutcome::Complete => (200, b"{\"state\":\"complete\"}"),
-            RetireOutcome::NoSuchMachine => (404, b"{}"),
-            RetireOutcome::TooFew => (409, b"{}"),
-            RetireOutcome::Unsure => (503, b"{}"),
-        };
-        self.answer(gathering.connection, gathering.serial, http::answer(status, &[JSON], body));
+    /// One partition's verdict on a storage machine that is to be emptied.
+    pub(crate) fn retire_reply(&mut self, number: u64, reply: &Reply) {
+        let verdict = PartitionVerdict::of(reply);
+        let Some(request) = self.retire_requests.add_verdict(number, verdict) else { return };
+        let outcome = combined_outcome(request.question, &request.verdicts, request.known_here);
+        self.answer(request.connection, request.serial, http_answer(outcome));
     }
 
     /// Whether a name is that of a machine that keeps data, dead ones of late included.
@@ -169,9 +192,9 @@
 
     pub(crate) fn begin_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
         let now = self.now;
-        let Some(place) = self.led_place(number, waiter) else { return };
+        let Some(index) = self.led_index(number, waiter) else { return };
         let refused = |status| Reply::Answer { status, body: Vec::new() };
-        let Some(partition) = self.batch_mut(place) else { return };
+        let Some(partition) = self.batch_mut(index) else { return };
         if partition.retiring.contains(node) {
             return self.reply(waiter.peer, waiter.number, Reply::Done);
         }
@@ -179,7 +202,7 @@
             return self.reply(waiter.peer, waiter.number, refused(404));
         }
         let wanted = self.group_size();
-        let remaining = self.remaining_without(place, node);
+        let remaining = self.remaining_without(index, node);
         if remaining.there < wanted {
             let may_be_enough = remaining.there + remaining.may_return >= wanted;
             let reply = if may_be_enough { Reply::Unavailable } else { refused(409) };
@@ -187,15 +210,15 @@
         }
         let mut entry = vec![RETIRE_ENTRY];
         entry.extend_from_slice(node.as_bytes());
-        if self.partitions[place].propose(now, entry, Some(waiter)).is_none() {
+        if self.partitions[index].propose(now, entry, Some(waiter)).is_none() {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
     }
 
     /// The machines that could hold a partition when one more is emptied.
-    fn remaining_without(&mut self, place: usize, node: &str) -> Remaining {
-        let class = class_of_partition(self.partitions[place].partition);
-        let retiring = self.retiring_nodes(place);
+    fn remaining_without(&mut self, index: usize, node: &str) -> Remaining {
+        let class = class_of_partition(self.partitions[index].partition);
+        let retiring = self.partitions[index].retiring_nodes();
         let others = self.registry.members().filter(|member| {
             member.class == class
                 && member.replica.is_some()
@@ -216,11 +239,11 @@
 
     /// 200: the partition's data has left the node; 202: not yet.
     pub(crate) fn show_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
-        let Some(place) = self.led_place(number, waiter) else { return };
-        let asked = self.retiring_nodes(place).iter().any(|retiring| retiring == node);
+        let Some(index) = self.led_index(number, waiter) else { return };
+        let asked = self.partitions[index].retiring_nodes().iter().any(|retiring| retiring == node);
         let known = asked || self.knows_storage_node(node);
-        let reply = if asked && self.is_whole_without(place, node) {
-            info!("part {number}: nothing is left on {node}");
+        let reply = if asked && self.is_complete_without(index, node) {
+            info!(partition = number, node, "retired node holds no more data");
             Reply::Done
         } else if known {
             Reply::Answer { status: 202, body: Vec::new() }
@@ -234,8 +257,8 @@
     /// decided, so that each committed entry is on a quorum of it, and all its voters are living nodes. A voter that nobody
     /// can name, or whose node is away, may be a former identity of that node or a loss that has still to be mended: with
     /// the machine gone the next loss might leave no quorum.
-    fn is_whole_without(&self, place: usize, node: &str) -> bool {
-        let replica = &self.partitions[place].replica;
+    fn is_complete_without(&self, index: usize, node: &str) -> bool {
+        let replica = &self.partitions[index].replica;
         let lives_elsewhere = |voter: &ReplicaId| {
             let member = self.registry.member_by_replica(voter.0);
             member.is_some_and(|member| member.serves() && member.name != node)
@@ -244,11 +267,4 @@
             && replica.group().voters.len() >= self.group_size()
             && replica.group().voters.iter().all(lives_elsewhere)
     }
-
-    /// The nodes that a partition's data is to leave.
-    pub(crate) fn retiring_nodes(&mut self, place: usize) -> Vec<String> {
-        self.batch_mut(place)
-            .map(|partition| partition.retiring.iter().cloned().collect())
-            .unwrap_or_default()
-    }
 }
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -1,39 +1,42 @@
-//! One process of the tier: everything that it keeps, and its loop. What happens at each thing stands in the modules beside.
+//! One process of the tier: the parts that it is composed of, and its loop.
+//!
+//! The loop reads the clock once a turn, routes events and due timers to the folders, then pumps what follows from them and
+//! flushes the links. State of one concern belongs to a type in its folder; a field is added here only for a new concern.
 
 use crate::batch::items::ItemRuns;
-use crate::control::active_configuration::ActiveConfiguration;
-use crate::control::bootstrap::Founder;
-use crate::control::executor_hints::Remembered;
+use crate::control::active_configuration::ServedConfiguration;
+use crate::control::api::PendingAcknowledgements;
+use crate::control::bootstrap::Bootstrapper;
+use crate::control::executor_hints::ExecutorHints;
+use crate::control::leader_balance::LeaderBalancer;
 use crate::control::leader_index::LeaderIndex;
 use crate::control::partitions::PartitionHost;
-use crate::control::retire::RetireGathering;
-use crate::links::calls::PendingCall;
-use crate::links::connections::{Connection, Role};
-use crate::links::messages::{CallNumber, CallNumbers};
+use crate::control::replica_names::ReplicaNames;
+use crate::control::retire::RetireRequests;
+use crate::links::calls::PendingCalls;
+use crate::links::connections::{ConnectionTable, Role};
+use crate::links::messages::CallNumbers;
+use crate::links::peer_links::PeerLinks;
+use crate::links::socket::Socket;
 use crate::requests::exchange::Exchange;
 use crate::requests::routing::Routing;
-use crate::requests::server::{ListenerKind, first_limits};
-use crate::runtime::io::{Listener, SharedWorld};
-use crate::runtime::start::{Start, StartError};
-use crate::runtime::stop::Departure;
+use crate::requests::server::{ListenerKind, ServerConnection, first_limits};
+use crate::requests::upstream::Upstream;
+use crate::runtime::io::{SharedWorld, World};
+use crate::runtime::start::{ClientListeners, Start, StartError};
+use crate::runtime::stop::GracefulShutdown;
 use crate::runtime::timers::Timer;
 use crate::runtime::traffic::Traffic;
-use grebeusher_configuration::configuration::ClientLimits;
 use grebeusher_configuration::settings::Settings;
 use grebeusher_quorum::ReplicaId;
-use grebeusher_registry::{CallToken, Registry};
+use grebeusher_registry::Registry;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::alarms::Alarms;
-use grebeusher_transport::http::Limits;
 use grebeusher_transport::poller::Event;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
-use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::io;
-use std::net::SocketAddrV4;
-use std::rc::Rc;
-use std::sync::Arc;
 
 /// Keys of the poller. From `FIRST_CONNECTION` on they are connections.
 pub mod keys {
@@ -58,7 +61,7 @@
 /// The loop waits at most this long.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
 
-/// Counters of a process's life, for its status and its log.
+/// Counters since the start of a process, for its status and its log.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Requests for executors.
@@ -77,54 +80,35 @@
 pub struct Node {
     pub(crate) settings: Settings,
     pub(crate) world: SharedWorld,
-    frontend: Option<Box<dyn Listener>>,
-    readiness: Option<Box<dyn Listener>>,
-    control: Option<Box<dyn Listener>>,
-    pub(crate) internal_listener: Option<Box<dyn Listener>>,
-    pub(crate) internal_address: SocketAddrV4,
+    pub(crate) client_listeners: ClientListeners,
     pub(crate) now: Instant,
     random: Pcg64,
-    pub(crate) serials: u64,
     pub(crate) alarms: Alarms<Timer>,
-    pub(crate) connections: Slab<Connection>,
-    pub(crate) most_connections: usize,
-    pub(crate) idle_upstreams: FxHashMap<Arc<str>, Vec<usize>>,
-    pub(crate) input_waits: Vec<usize>,
-    pub(crate) links: FxHashMap<SocketAddrV4, usize>,
-    pub(crate) unflushed_links: Vec<usize>,
-    pub(crate) redial_after: FxHashMap<SocketAddrV4, Instant>,
-    pub(crate) http_limits: Limits,
-    pub(crate) client_limits: ClientLimits,
+    pub(crate) connections: ConnectionTable,
+    pub(crate) links: PeerLinks,
     pub(crate) registry: Registry,
-    pub(crate) remembered: Remembered,
+    pub(crate) executor_hints: ExecutorHints,
     pub(crate) popularity_written: Instant,
-    pub(crate) told_waiters: FxHashMap<CallToken, (usize, u64)>,
+    pub(crate) acknowledgements: PendingAcknowledgements,
     pub(crate) routing: Routing,
     pub(crate) leaders: LeaderIndex,
-    /// When a partition may next be handed on so that the partitions are spread.
-    pub(crate) spread_after: Instant,
+    pub(crate) leader_balancer: LeaderBalancer,
     pub(crate) routing_changed: bool,
-    pub(crate) configuration: Option<Rc<ActiveConfiguration>>,
-    pub(crate) configuration_proven: bool,
-    pub(crate) fetching: Option<Instant>,
+    pub(crate) configuration: ServedConfiguration,
     pub(crate) exchanges: Slab<Exchange>,
-    pub(crate) call_numbers: CallNumbers,
-    pub(crate) calls: FxHashMap<CallNumber, PendingCall>,
-    /// Nodes that left a call unanswered and have said nothing since.
-    pub(crate) unheard: FxHashMap<SocketAddrV4, Instant>,
-    pub(crate) gatherings: FxHashMap<u64, RetireGathering>,
+    pub(crate) calls: PendingCalls,
+    pub(crate) retire_requests: RetireRequests,
     pub(crate) identity: Option<ReplicaId>,
     pub(crate) partitions: Vec<PartitionHost>,
-    pub(crate) founder: Option<Founder>,
+    pub(crate) bootstrapper: Option<Bootstrapper>,
     pub(crate) items: ItemRuns,
-    /// Names of nodes by their disk identities, also former ones.
-    pub(crate) replica_names: FxHashMap<u64, String>,
+    pub(crate) replica_names: ReplicaNames,
     pub(crate) counters: Counters,
     pub(crate) traffic: Traffic,
     /// Whether a review of the executors is due.
-    reviewing: bool,
-    /// Set once the process was told to stop.
-    pub(crate) departure: Option<Departure>,
+    reviews_executors: bool,
+    /// Set once the process got SIGTERM.
+    pub(crate) shutdown: Option<GracefulShutdown>,
     pub(crate) exit: bool,
 }
 
@@ -132,55 +116,38 @@
     /// Puts a process together from what its start has read and opened.
     pub fn new(start: Start) -> Result<Node, StartError> {
         let Start { settings, world, listeners, registry, identity, partitions, seed } = start;
-        let founder = Founder::for_settings(&settings);
-        let call_numbers = CallNumbers::starting_at(world.random());
-        let most_connections = listeners.most_connections;
+        let bootstrapper = Bootstrapper::for_settings(&settings);
+        let calls = PendingCalls::new(CallNumbers::starting_at(world.random()));
         let mut node = Node {
             routing: Routing::new(settings.zone.as_str(), seed),
             leaders: LeaderIndex::default(),
-            spread_after: Instant(0),
+            leader_balancer: LeaderBalancer::default(),
             items: ItemRuns::default(),
-            replica_names: FxHashMap::default(),
-            internal_address: listeners.internal_address,
-            frontend: listeners.frontend,
-            readiness: listeners.readiness,
-            control: listeners.control,
-            internal_listener: Some(listeners.internal),
+            replica_names: ReplicaNames::default(),
+            client_listeners: listeners.clients,
             settings,
             world,
             now: Instant(0),
             random: Pcg64::seed_from_u64(seed),
-            serials: 0,
             alarms: Alarms::default(),
-            connections: Slab::new(),
-            most_connections,
-            idle_upstreams: FxHashMap::default(),
-            input_waits: Vec::new(),
-            links: FxHashMap::default(),
-            unflushed_links: Vec::new(),
-            redial_after: FxHashMap::default(),
-            http_limits: first_limits(),
-            client_limits: ClientLimits::default(),
+            connections: ConnectionTable::new(listeners.max_connections),
+            links: PeerLinks::new(listeners.internal_address, listeners.internal),
             registry,
-            remembered: Remembered::default(),
+            executor_hints: ExecutorHints::default(),
             popularity_written: Instant(0),
-            told_waiters: FxHashMap::default(),
+            acknowledgements: PendingAcknowledgements::default(),
             routing_changed: true,
-            configuration: None,
-            configuration_proven: false,
-            fetching: None,
+            configuration: ServedConfiguration::new(first_limits()),
             exchanges: Slab::new(),
-            call_numbers,
-            calls: FxHashMap::default(),
-            unheard: FxHashMap::default(),
-            gatherings: FxHashMap::default(),
+            calls,
+            retire_requests: RetireRequests::default(),
             identity,
             partitions,
-            founder,
+            bootstrapper,
             counters: Counters::default(),
             traffic: Traffic::default(),
-            reviewing: false,
-            departure: None,
+            reviews_executors: false,
+            shutdown: None,
             exit: false,
         };
         node.set_first_timers();
@@ -191,18 +158,22 @@
         let now = self.now;
         self.alarms.set(now + SWEEP_INTERVAL, Timer::Sweep);
         if !self.partitions.is_empty() {
-            self.alarms
-                .set(now + crate::control::membership_maintenance::MAINTENANCE_INTERVAL, Timer::GroupUpkeep);
+            self.alarms.set(
+                now + crate::control::membership_maintenance::MAINTENANCE_INTERVAL,
+                Timer::MaintainGroups,
+            );
+        }
+        if let Some(folder) = &self.settings.data_path {
+            ExecutorHints::load(&*self.world, folder, &mut self.registry, now);
         }
-        self.recall_executors();
         self.begin_popularity();
         self.prove_configuration();
-        if self.founder.is_some() {
-            self.alarms.set(now + crate::control::bootstrap::POLL_INTERVAL, Timer::Found);
+        if self.bootstrapper.is_some() {
+            self.alarms.set(now + crate::control::bootstrap::POLL_INTERVAL, Timer::Bootstrap);
         }
     }
 
-    /// Runs until the process is told to stop and has finished.
+    /// Runs until the process gets SIGTERM and has finished.
     ///
     /// # Errors
     /// A disk or the poller fails: the process ends, and starts again from what is on disk.
@@ -226,10 +197,10 @@
         self.traffic.turns += 1;
         self.traffic.turns_by_events += u64::from(!events.is_empty());
         for event in events {
-            self.handle(*event);
+            self.handle_event(*event);
         }
         while let Some(timer) = self.alarms.due(self.now) {
-            self.timer(timer);
+            self.handle_timer(timer);
         }
         // Nothing is begun any more by a process that ends with this turn.
         if !self.exit {
@@ -241,8 +212,8 @@
         if std::mem::take(&mut self.routing_changed) {
             self.update_routing();
         }
-        self.begin_reviewing();
-        self.flush_links();
+        self.start_executor_review();
+        self.with_links(PeerLinks::flush);
         Ok(())
     }
 
@@ -259,13 +230,13 @@
         wake
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event.key {
             keys::FRONTEND => self.accept(ListenerKind::Frontend),
             keys::READINESS => self.accept(ListenerKind::Readiness),
             keys::CONTROL => self.accept(ListenerKind::Control),
-            keys::INTERNAL => self.accept_links(),
-            keys::SIGNALS => self.signalled(),
+            keys::INTERNAL => self.with_links(|links, context| links.accept(context)),
+            keys::SIGNALS => self.handle_signals(),
             key => self.connection_ready(key - keys::FIRST_CONNECTION, event.readable, event.writable),
         }
     }
@@ -276,12 +247,14 @@
             Role::Server(_) => self.server_ready(index, readable, writable),
             Role::Upstream(_) => self.upstream_ready(index, readable, writable),
             Role::Incoming(_) => self.incoming_ready(index),
-            Role::Outgoing(_) => self.outgoing_ready(index, readable),
+            Role::Outgoing(_) => {
+                self.with_links(|links, context| links.outgoing_ready(context, index, readable));
+            }
         }
     }
 
-    fn timer(&mut self, timer: Timer) {
-        self.traffic.timer(timer);
+    fn handle_timer(&mut self, timer: Timer) {
+        self.traffic.count_timer(timer);
         match timer {
             Timer::ConnectExpires { connection, serial } => {
                 if self.serial(connection) == serial {
@@ -292,32 +265,34 @@
             Timer::ExchangeResponseTimeout { exchange, serial, attempt } => {
                 self.exchange_response_timeout(exchange, serial, attempt);
             }
-            Timer::LinkExpires { connection, serial } => self.link_expired(connection, serial),
+            Timer::LinkExpires { connection, serial } => {
+                self.links.connect_expired(&mut self.connections, connection, serial);
+            }
             Timer::ItemResponseTimeout { run } => self.item_response_timeout(run),
-            Timer::CallExpires { number } => self.call_expired(number),
-            Timer::CallRetry { number } => self.call_retry(number),
+            Timer::CallExpires { number } => self.step_call(|calls, peers| calls.expire(number, peers)),
+            Timer::CallRetry { number } => self.step_call(|calls, peers| calls.retry(number, peers)),
             Timer::PendingReadExpires { read } => self.pending_read_expired(read),
-            Timer::Found => self.look_to_found(),
-            Timer::GroupUpkeep => self.group_upkeep(),
+            Timer::Bootstrap => self.drive_bootstrap(),
+            Timer::MaintainGroups => self.maintain_groups(),
             Timer::Sweep => self.sweep(),
             Timer::ReviewExecutors => self.review_executors(),
             Timer::RunItems => self.run_items(),
-            Timer::Exit => self.leave_for_good(),
+            Timer::Exit => self.exit_now(),
         }
     }
 
     fn review_executors(&mut self) {
         self.routing.gateway.detect_unresponsive(self.now);
-        self.reviewing = self.runs_anything();
-        if self.reviewing {
+        self.reviews_executors = self.runs_anything();
+        if self.reviews_executors {
             self.alarms.set(self.now + REVIEW_INTERVAL, Timer::ReviewExecutors);
         }
     }
 
-    /// Executors are reviewed while anything runs on them: a node at rest does not wake for it. The first review tells the
-    /// gateway that the pause was no freeze.
-    fn begin_reviewing(&mut self) {
-        if !self.reviewing && self.runs_anything() {
+    /// Executors are reviewed while anything runs on them: a node at rest does not wake for it. The first review lets the
+    /// gateway know that the pause was no freeze.
+    fn start_executor_review(&mut self) {
+        if !self.reviews_executors && self.runs_anything() {
             self.review_executors();
         }
     }
@@ -329,22 +304,24 @@
     fn sweep(&mut self) {
         self.alarms.set(self.now + SWEEP_INTERVAL, Timer::Sweep);
         self.sweep_servers();
-        self.sweep_upstreams();
-        self.sweep_links();
-        self.sweep_unheard();
-        self.remember_executors();
+        self.connections.close_expired_idle(self.now);
+        self.with_links(PeerLinks::sweep);
+        self.calls.sweep(self.now);
+        if let Some(folder) = self.settings.data_path.as_deref().filter(|_| !self.stopping()) {
+            self.executor_hints.save(&*self.world, folder, &self.registry, self.now);
+        }
         self.tell_popularity();
         self.remember_popularity();
-        self.look_to_exit();
+        self.exit_when_idle();
     }
 
-    fn signalled(&mut self) {
-        let signalled = self.world.signals();
-        if signalled.reload {
+    fn handle_signals(&mut self) {
+        let signals = self.world.signals();
+        if signals.reload {
             self.reload_settings();
         }
-        if signalled.stop && self.departure.is_none() {
-            self.begin_to_stop();
+        if signals.stop && self.shutdown.is_none() {
+            self.begin_shutdown();
         }
     }
 
@@ -358,22 +335,50 @@
         self.exit
     }
 
-    /// Whether the process was told to stop.
+    /// Whether the process got SIGTERM.
     pub fn stopping(&self) -> bool {
-        self.departure.is_some()
+        self.shutdown.is_some()
     }
 
-    pub(crate) fn listener(&self, entrance: ListenerKind) -> Option<&dyn Listener> {
-        let listener = match entrance {
-            ListenerKind::Frontend => &self.frontend,
-            ListenerKind::Readiness => &self.readiness,
-            ListenerKind::Control => &self.control,
-        };
-        listener.as_deref()
+    /// Adds a connection; see [`ConnectionTable::add`].
+    pub(crate) fn add_connection(
+        &mut self,
+        open: impl FnOnce(&dyn World, usize) -> io::Result<Socket>,
+        role: Role,
+    ) -> io::Result<usize> {
+        self.connections.add(&*self.world, open, role)
+    }
+
+    /// Closes a connection of a client or to an executor.
+    pub(crate) fn close(&mut self, index: usize) {
+        self.connections.close(index);
+    }
+
+    /// The serial number of the connection at an index; 0 if there is none.
+    pub(crate) fn serial(&self, index: usize) -> u64 {
+        self.connections.serial(index)
+    }
+
+    /// A number that nothing else of this process got.
+    pub(crate) fn next_serial(&mut self) -> u64 {
+        self.connections.next_serial()
+    }
+
+    pub(crate) fn server_mut(&mut self, index: usize) -> Option<(&mut Socket, &mut ServerConnection)> {
+        self.connections.server_mut(index)
+    }
+
+    pub(crate) fn upstream_mut(&mut self, index: usize) -> Option<(&mut Socket, &mut Upstream)> {
+        self.connections.upstream_mut(index)
+    }
+
+    /// Stops reading from a connection, or resumes it.
+    pub(crate) fn pause_connection(&mut self, index: usize, paused: bool) {
+        self.connections.pause(index, paused);
     }
 
     /// The clock as it is now. `now` is what it was at the start of the turn, and the process may have stood still since:
-    /// whatever proves something to somebody (a lease to a reader, a sign of life of a leader to the other candidates) goes
+    /// whatever proves something to somebody (a lease to a reader, a heartbeat of a leader to the other candidates) goes
     /// by a look at the clock that is later than the question or the message.
     pub(crate) fn clock(&self) -> Instant {
         self.world.now()
@@ -390,7 +395,7 @@
     }
 }
 
-/// Why the loop ends without having been told to.
+/// Why the loop ends without SIGTERM.
 #[derive(Debug, snafu::Snafu)]
 pub enum RunError {
     /// The poller fails.
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -61,7 +61,7 @@
     /// Takes in whoever waits to connect.
     pub fn accept(&mut self, entrance: ListenerKind) {
         for _ in 0..ACCEPTED_AT_ONCE {
-            let Some(listener) = self.listener(entrance) else { return };
+            let Some(listener) = self.client_listeners.get(entrance) else { return };
             match listener.accept() {
                 Ok(arrival) => self.admit(entrance, arrival),
                 Err(_) => return,
@@ -70,7 +70,7 @@
     }
 
     fn admit(&mut self, entrance: ListenerKind, arrival: Box<dyn Accepted>) {
-        if self.connections.len() >= self.most_connections && entrance == ListenerKind::Frontend {
+        if self.connections.is_full() && entrance == ListenerKind::Frontend {
             self.counters.connections_refused += 1;
             return;
         }
@@ -237,7 +237,9 @@
     /// The bounds on a request: the operator's for clients, the program's own for executors and the operator.
     fn limits_at(&mut self, index: usize) -> Limits {
         match self.server_mut(index) {
-            Some((_, server)) if server.entrance == ListenerKind::Frontend => self.http_limits,
+            Some((_, server)) if server.entrance == ListenerKind::Frontend => {
+                *self.configuration.http_limits()
+            }
             _ => first_limits(),
         }
     }
@@ -344,13 +346,13 @@
         server.state = State::Idle;
         // The client may have sent its next request already.
         if !socket.input().is_empty() {
-            self.input_waits.push(index);
+            self.connections.note_unread_input(index);
         }
     }
 
     /// Takes up requests that came while another one was answered.
     pub fn serve_waiting_input(&mut self) {
-        for index in std::mem::take(&mut self.input_waits) {
+        for index in self.connections.take_unread_input() {
             self.server_input(index);
         }
     }
@@ -359,11 +361,11 @@
     /// answer; one that has begun a request hears 408.
     pub fn sweep_servers(&mut self) {
         let now = self.now;
-        let header_timeout = Duration::from_millis(self.client_limits.header_timeout_ms);
-        let idle_timeout = Duration::from_millis(self.client_limits.idle_timeout_ms);
+        let header_timeout = Duration::from_millis(self.configuration.client_limits().header_timeout_ms);
+        let idle_timeout = Duration::from_millis(self.configuration.client_limits().idle_timeout_ms);
         let mut idle = Vec::new();
         let mut slow = Vec::new();
-        for (index, connection) in &self.connections {
+        for (index, connection) in self.connections.iter() {
             let Role::Server(server) = &connection.role else { continue };
             let rests = now.since(server.since);
             match server.state {
--- /dev/null
+++ b/crates/tier/tests/membership_maintenance.rs
@@ -0,0 +1,57 @@
+//! Which nodes a leader takes into a group when a change waited for one in vain.
+
+use grebeusher_quorum::ReplicaId;
+use grebeusher_tier::control::membership_maintenance::MembershipMaintenance;
+use grebeusher_tier::control::replica_placement::{Candidate, next_voters};
+use grebeusher_time::{Duration, Instant};
+
+fn node(replica: u64, zone: &str) -> Candidate {
+    Candidate { replica, zone: zone.to_owned(), name: format!("node-{replica}") }
+}
+
+fn ids(replicas: &[u64]) -> Vec<ReplicaId> {
+    replicas.iter().copied().map(ReplicaId).collect()
+}
+
+const NOW: Instant = Instant(1_000_000_000);
+
+/// What a leader of the voters 1, 2 and 3, of which 3 is lost, changes the group to when these are alive.
+fn next(maintenance: &MembershipMaintenance, alive: Vec<Candidate>) -> Option<Vec<ReplicaId>> {
+    let voters = ids(&[1, 2, 3]);
+    let alive = maintenance.usable(&voters, alive);
+    next_voters(&voters, &ids(&[3]), &alive, 3, Some(ReplicaId(1)))
+}
+
+#[test]
+fn a_candidate_that_did_not_catch_up_is_excluded_for_another() {
+    // Given two spares, of which the one in the best zone lives and never catches up,
+    let alive = vec![node(1, "a"), node(2, "b"), node(4, "b"), node(5, "c")];
+    let mut maintenance = MembershipMaintenance::default();
+    assert_eq!(next(&maintenance, alive.clone()), Some(ids(&[1, 2, 5])));
+    // when the change that waited for it was given up,
+    maintenance.change_begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
+    maintenance.change_ended(NOW, &ids(&[1, 2, 3]));
+    // then the other one steps in,
+    assert_eq!(next(&maintenance, alive.clone()), Some(ids(&[1, 2, 4])));
+    // and the first has its turn again later.
+    maintenance.change_ended(NOW + Duration::from_millis(10_000), &ids(&[1, 2, 3]));
+    assert_eq!(next(&maintenance, alive), Some(ids(&[1, 2, 5])));
+}
+
+#[test]
+fn the_only_candidate_is_retried_at_once() {
+    let alive = vec![node(1, "a"), node(2, "b"), node(5, "c")];
+    let mut maintenance = MembershipMaintenance::default();
+    maintenance.change_begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
+    maintenance.change_ended(NOW, &ids(&[1, 2, 3]));
+    assert_eq!(next(&maintenance, alive), Some(ids(&[1, 2, 5])));
+}
+
+#[test]
+fn a_candidate_that_joined_is_not_excluded() {
+    let alive = vec![node(1, "a"), node(2, "b"), node(4, "b"), node(5, "c")];
+    let mut maintenance = MembershipMaintenance::default();
+    maintenance.change_begun(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]));
+    maintenance.change_ended(NOW, &ids(&[1, 2, 5]));
+    assert_eq!(next(&maintenance, alive), Some(ids(&[1, 2, 5])));
+}
