--- a/crates/batch/src/admission.rs
+++ b/crates/batch/src/admission.rs
@@ -90,7 +90,7 @@
         if admission != Admission::Propose {
             return admission;
         }
-        let cost = submission.items.iter().map(|item| item.cost()).sum();
+        let cost = submission.items.iter().map(super::submission::ItemSpec::cost).sum();
         let used = jobs.cost().saturating_add(self.pending_cost);
         if used.saturating_add(cost) > self.max_cost {
             return Admission::OutOfMemory;
--- a/crates/batch/src/runner/backoff.rs
+++ b/crates/batch/src/runner/backoff.rs
@@ -22,7 +22,7 @@
 /// More doublings than any backoff needs to reach its maximum.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// The random part of backoffs, by SplitMix64.
+/// The random part of backoffs, by `SplitMix64`.
 #[derive(Debug)]
 pub(super) struct BackoffJitter {
     state: u64,
--- a/crates/batch/src/runner/dispatch.rs
+++ b/crates/batch/src/runner/dispatch.rs
@@ -40,7 +40,7 @@
             job_run.remove(item);
             return None;
         };
-        let last_event_id = job_run.item(item).and_then(|item| item.last_event());
+        let last_event_id = job_run.item(item).and_then(super::item_run::ItemRun::last_event);
         self.last_run += 1;
         self.turns += 1;
         self.runs.insert(run, ItemKey { job: id.clone(), item });
--- a/crates/batch/tests/batches/random_faults.rs
+++ b/crates/batch/tests/batches/random_faults.rs
@@ -17,7 +17,7 @@
 /// Long enough that no client still sends a job that may be forgotten.
 const STATUS: Duration = Duration::from_millis(30_000);
 
-/// SplitMix64.
+/// `SplitMix64`.
 struct Dice(u64);
 
 impl Dice {
--- a/crates/configuration/tests/routes.rs
+++ b/crates/configuration/tests/routes.rs
@@ -157,7 +157,10 @@
         let name = split.pick(f64::from(step) / 1000.0).as_str();
         assert!(name == "alpha" || name == "beta", "{name} at {step}");
     }
-    assert_eq!(split.services().map(|name| name.as_str()).collect::<Vec<_>>(), ["alpha", "beta"]);
+    assert_eq!(
+        split.services().map(grebeusher_configuration::names::ServiceName::as_str).collect::<Vec<_>>(),
+        ["alpha", "beta"]
+    );
 }
 
 #[test]
--- a/crates/configuration/tests/settings.rs
+++ b/crates/configuration/tests/settings.rs
@@ -43,9 +43,15 @@
     assert!(read.serves(&ServedRole::Controller) && !read.serves(&ServedRole::Storage));
     assert_eq!(read.ip_address, Ipv4Addr::new(10, 7, 0, 35));
     assert_eq!((read.zone.as_str(), read.region.as_str(), read.zones.count()), ("north", "coast", 3));
-    assert_eq!(read.zones.region_of(&"hill".into()).map(|region| region.as_str()), Some("inland"));
+    assert_eq!(
+        read.zones.region_of(&"hill".into()).map(grebeusher_configuration::names::RegionName::as_str),
+        Some("inland")
+    );
     assert_eq!(read.zones.region_of(&"sea".into()), None);
-    assert_eq!(read.zones.names().map(|zone| zone.as_str()).collect::<Vec<_>>(), ["hill", "north", "south"]);
+    assert_eq!(
+        read.zones.names().map(grebeusher_configuration::names::ZoneName::as_str).collect::<Vec<_>>(),
+        ["hill", "north", "south"]
+    );
     assert_eq!(read.bindings.frontend, Some(address("10.7.0.35:8144")));
     assert_eq!(read.bindings.readiness, Some(address("10.7.0.35:8140")));
     assert_eq!(read.bindings.control_plane, Some(address("10.7.0.35:8146")));
--- a/crates/configuration/tests/stable_words.rs
+++ b/crates/configuration/tests/stable_words.rs
@@ -378,6 +378,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one line for each key")]
 fn complete_settings_are_read_key_by_key() {
     let Settings {
         node_name,
@@ -455,6 +456,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one line for each key")]
 fn a_complete_configuration_is_read_key_by_key() {
     let expected = Configuration {
         version: 7,
--- a/crates/gateway/tests/model/engine.rs
+++ b/crates/gateway/tests/model/engine.rs
@@ -4,7 +4,7 @@
 use grebeusher_gateway::PromptSegments;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Tokens of an event, and of a piece of a prompt_tokens.
+/// Tokens of an event, and of a piece of a `prompt_tokens`.
 const STRIDE: u32 = 16;
 const PIECE: u32 = 1024;
 
@@ -95,7 +95,7 @@
         kept.map(|segment| segment.tokens).sum()
     }
 
-    /// Milliseconds until a new request's prompt_tokens would be read from.
+    /// Milliseconds until a new request's `prompt_tokens` would be read from.
     pub fn backlog_ms(&self) -> f64 {
         let unread: u32 = self.batch.iter().chain(&self.queue).map(|job| job.unread).sum();
         let finished = (self.batch.len() + self.queue.len() + 1).saturating_sub(self.slots);
@@ -163,7 +163,7 @@
         Some(ms)
     }
 
-    /// Ends the step: tokens for all whose prompt_tokens is read, pieces for the others.
+    /// Ends the step: tokens for all whose `prompt_tokens` is read, pieces for the others.
     pub fn end_step(&mut self) -> Vec<(usize, Made)> {
         let (mut piece, mut made, mut read) = (PIECE, Vec::new(), Vec::new());
         for job in &mut self.batch {
--- a/crates/gateway/tests/model/simulation.rs
+++ b/crates/gateway/tests/model/simulation.rs
@@ -266,7 +266,7 @@
 
     fn refused(&mut self, number: usize, after_ms: f64) {
         let places = self.engines.len() * self.deployment.slots;
-        let taken: usize = self.engines.iter().map(|e| e.running()).sum();
+        let taken: usize = self.engines.iter().map(super::engine::Engine::running).sum();
         if taken * 2 < places && self.engines.iter().all(|e| e.waiting() == 0) {
             self.report.false_rejections += 1;
         }
--- a/crates/gateway/tests/retries.rs
+++ b/crates/gateway/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: what may follow which outcome, by retry_class of request, written out in full.
+//! Retries: what may follow which outcome, by `retry_class` of request, written out in full.
 
 use grebeusher_gateway::{AttemptOutcome, Attempts, FinalResponse, RetryClass, RetryDecision};
 use proptest::prelude::*;
--- a/crates/gateway/tests/simulation.rs
+++ b/crates/gateway/tests/simulation.rs
@@ -38,6 +38,7 @@
 
 #[test]
 #[ignore = "prints a table for tuning: DAY picks one day, in release it takes minutes"]
+#[expect(clippy::too_many_lines, reason = "one table of days")]
 fn table() {
     let config = GatewayConfig::default();
     let lanes = |lanes| Router::Gateway(GatewayConfig { lane_shares: lanes, ..config });
--- a/crates/hash/src/lib.rs
+++ b/crates/hash/src/lib.rs
@@ -15,7 +15,7 @@
     hasher.finish()
 }
 
-/// Spreads the bits of a value (the finisher of SplitMix64), so that values that differ little order at random.
+/// Spreads the bits of a value (the finisher of `SplitMix64`), so that values that differ little order at random.
 pub fn mixed(bits: u64) -> u64 {
     let bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -108,7 +108,7 @@
                 .in_flight
                 .first_entry()
                 .filter(|e| e.key().0 <= now)
-                .map(|e| e.remove());
+                .map(std::collections::btree_map::OccupiedEntry::remove);
             if let Some((_, to, datagram)) = arrived
                 && let Some(node) = &mut self.nodes[to]
             {
--- a/crates/quorum/src/progress/mod.rs
+++ b/crates/quorum/src/progress/mod.rs
@@ -99,7 +99,7 @@
             ProgressState::Probe { .. } => self.become_replicate(),
             ProgressState::Replicate(inflights) => inflights.free_to(self.matched),
             ProgressState::Snapshot(transfer) if self.matched >= transfer.last_index() => {
-                self.become_replicate()
+                self.become_replicate();
             }
             ProgressState::Snapshot(_) => {}
         }
--- a/crates/quorum/tests/stable_bytes.rs
+++ b/crates/quorum/tests/stable_bytes.rs
@@ -297,6 +297,7 @@
 }
 
 /// Each kind of message, and what follows the head in its binary form.
+#[expect(clippy::too_many_lines, reason = "one sample for each kind of message")]
 fn messages() -> Vec<(&'static str, Body, &'static str)> {
     let request = |leadership_transfer| VoteRequest { last: position(), leadership_transfer };
     let response = |outcome| Body::AppendResponse(AppendResponse { outcome, sent: SENT });
--- a/crates/quorum/tests/world/storm.rs
+++ b/crates/quorum/tests/world/storm.rs
@@ -55,7 +55,8 @@
 fn clients(world: &mut World) {
     world.read_everywhere();
     for site in world.sites() {
-        let leads = world.machines[site.0].replica.as_ref().is_some_and(|replica| replica.is_leader());
+        let leads =
+            world.machines[site.0].replica.as_ref().is_some_and(grebeusher_quorum::Replica::is_leader);
         if leads && world.rng.random_bool(0.5) {
             world.propose(site);
         }
--- a/crates/registry/src/confirmation.rs
+++ b/crates/registry/src/confirmation.rs
@@ -193,7 +193,7 @@
             if broadcast.outstanding.is_empty() && broadcast.core_replicas.survive(losses) {
                 let executors = broadcast.relay.registers.iter().filter_map(Register::as_executor);
                 executors.for_each(|executor| {
-                    self.executors.set_confirmed_state(&executor.report.id, executor.report.state)
+                    self.executors.set_confirmed_state(&executor.report.id, executor.report.state);
                 });
             }
             if !broadcast.outstanding.is_empty() || !broadcast.calls.is_empty() {
--- a/crates/registry/src/hash.rs
+++ b/crates/registry/src/hash.rs
@@ -12,7 +12,7 @@
     mix(left ^ mix(right))
 }
 
-/// A step of SplitMix64.
+/// A step of `SplitMix64`.
 fn mix(value: u64) -> u64 {
     mixed(value.wrapping_add(0x9e37_79b9_7f4a_7c15))
 }
--- a/crates/registry/tests/cost.rs
+++ b/crates/registry/tests/cost.rs
@@ -167,7 +167,7 @@
 fn relay_load_is_even_across_nodes(#[case] count: usize) {
     // Given a settled fleet in which each node tells all others something once
     let fleet = Fleet::converged(count, 1);
-    let ids: Vec<_> = fleet.registry(0).members().map(|member| member.id()).collect();
+    let ids: Vec<_> = fleet.registry(0).members().map(grebeusher_registry::Member::id).collect();
     assert_eq!(ids.len(), count);
     let sent = |node: usize| -> usize {
         let children = |id| fleet.registry(node).relay_children_of(id).expect("a live node").len();
--- a/crates/simulation/src/clients/mod.rs
+++ b/crates/simulation/src/clients/mod.rs
@@ -149,10 +149,10 @@
             let Task::Job(job) = task else { continue };
             match job.state {
                 JobState::LastRead => {
-                    stage.judge.job_lost(&job.id, "its results can't be read at the end", now)
+                    stage.judge.job_lost(&job.id, "its results can't be read at the end", now);
                 }
                 JobState::LastBodies => {
-                    stage.judge.job_lost(&job.id, "an item gives no body at the end", now)
+                    stage.judge.job_lost(&job.id, "an item gives no body at the end", now);
                 }
                 _ => {}
             }
--- a/crates/simulation/src/executors/answers.rs
+++ b/crates/simulation/src/executors/answers.rs
@@ -9,6 +9,7 @@
 use rand::Rng;
 
 impl Executors {
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of answer")]
     pub(super) fn step(&mut self, number: usize, run_number: u64, stage: &mut Stage<'_>) {
         let live = &mut self.all[number];
         let active = live.runs.len();
--- a/crates/simulation/src/executors/heartbeats.rs
+++ b/crates/simulation/src/executors/heartbeats.rs
@@ -59,7 +59,7 @@
                 let edges = stage.machines.iter().filter(|m| m.class == Class::Edge && m.listed);
                 let edges: Vec<SocketAddrV4> = edges
                     .filter(|m| !near || m.zone == live.made.zone_number)
-                    .map(|machine| machine.control())
+                    .map(super::super::stage::Machine::control)
                     .collect();
                 let Some(pick) = edges.get(stage.hub.random.random_range(0..edges.len().max(1))) else {
                     return wake(stage, number, stage.now() + Duration::from_millis(300), HEARTBEAT, 0);
--- a/crates/simulation/src/fleet/faults.rs
+++ b/crates/simulation/src/fleet/faults.rs
@@ -9,6 +9,7 @@
 use grebeusher_time::{Duration, DurationExt};
 
 impl Fleet {
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of fault")]
     pub(super) fn begin_fault(&mut self, fault: Fault) {
         match fault.clone() {
             Fault::NodeKill { on, leader, power, wipe, for_s } => {
@@ -23,7 +24,7 @@
                 }
             }
             Fault::RollTerm { on, count, gap_s, remove } => {
-                self.roll(on, count, Duration::from_seconds(gap_s), remove)
+                self.roll(on, count, Duration::from_seconds(gap_s), remove);
             }
             Fault::AddNode { on } => self.add_node(on),
             Fault::Replace { on, after_s, planned } => {
--- a/crates/simulation/src/fleet/settings.rs
+++ b/crates/simulation/src/fleet/settings.rs
@@ -17,7 +17,7 @@
             self.seeds.clone()
         } else {
             let listed = self.machines.iter().filter(|m| m.class == Class::Edge && m.listed && m.counted);
-            listed.take(3).map(|machine| machine.control()).collect()
+            listed.take(3).map(super::super::stage::Machine::control).collect()
         };
         let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let zones: Vec<String> = self
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -141,7 +141,7 @@
     /// A change was acknowledged: each node is asked for the configuration at once.
     pub fn peek_everywhere(&mut self, stage: &mut Stage<'_>) {
         let nodes = stage.machines.iter().filter(|m| m.class == Class::Edge && m.listed && m.life.is_some());
-        let nodes: Vec<SocketAddrV4> = nodes.map(|machine| machine.control()).collect();
+        let nodes: Vec<SocketAddrV4> = nodes.map(super::stage::Machine::control).collect();
         for node in nodes {
             self.add(Order::PeekAt { node }, Vec::new(), Duration::from_nanos(0), stage);
         }
@@ -251,7 +251,7 @@
             Order::PeekAt { node } => Some(*node),
             _ => {
                 let nodes = stage.machines.iter().filter(|m| m.class == Class::Edge && m.listed);
-                let nodes: Vec<SocketAddrV4> = nodes.map(|machine| machine.control()).collect();
+                let nodes: Vec<SocketAddrV4> = nodes.map(super::stage::Machine::control).collect();
                 nodes.get(stage.hub.random.random_range(0..nodes.len().max(1))).copied()
             }
         };
@@ -339,7 +339,7 @@
                 }
             }
             AGAIN if self.tasks.get(&number).is_some_and(|task| task.call.is_none()) => {
-                self.send(number, stage)
+                self.send(number, stage);
             }
             _ => {}
         }
@@ -355,6 +355,7 @@
         }
     }
 
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of task")]
     fn answered(&mut self, number: u64, status: Option<u16>, body: &[u8], stage: &mut Stage<'_>) {
         let Some(task) = self.tasks.get_mut(&number) else { return };
         let now = stage.now();
--- a/crates/simulation/src/storm.rs
+++ b/crates/simulation/src/storm.rs
@@ -67,6 +67,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "one arm for each kind of fault")]
 fn fault(random: &mut Pcg64, zones: usize) -> Fault {
     let for_s = (random.random_range(0.4..5.0) * 10.0f64).round() / 10.0;
     let leader = random.random_bool(0.5);
--- a/crates/tier/src/control/api.rs
+++ b/crates/tier/src/control/api.rs
@@ -69,10 +69,10 @@
             ("POST", ["api", "Configuration.Replace"]) => self.replace(connection, serial, request),
             ("GET", ["api", "Configuration.Show"]) => self.show(connection, serial),
             ("POST", ["api", "Retire.Begin", node]) => {
-                self.retire(connection, serial, node, RetireQuestion::Begin)
+                self.retire(connection, serial, node, RetireQuestion::Begin);
             }
             ("GET", ["api", "Retire.Show", node]) => {
-                self.retire(connection, serial, node, RetireQuestion::Show)
+                self.retire(connection, serial, node, RetireQuestion::Show);
             }
             ("GET", ["api", "readiness"]) => self.readiness_request(connection, &request),
             ("GET", ["api", "status"]) => {
@@ -81,7 +81,7 @@
             }
             ("GET", ["api", "status", partition]) => match partition.parse() {
                 Ok(partition) if partition <= crate::batch::api::BATCH_PARTITIONS => {
-                    self.partition_request(connection, serial, partition)
+                    self.partition_request(connection, serial, partition);
                 }
                 _ => self.answer(connection, serial, http::answer(404, &[], b"")),
             },
--- a/crates/tier/src/control/configuration_partition.rs
+++ b/crates/tier/src/control/configuration_partition.rs
@@ -118,7 +118,7 @@
             }
             Verdict::Undecided => host.deferred.push(waiter),
             verdict => {
-                let answer = verdict.answer().map(|answer| answer.status());
+                let answer = verdict.answer().map(grebeusher_configuration::register::Answer::status);
                 let reply =
                     answer.map_or(Reply::Unclear, |status| Reply::Answer { status, body: b"{}".to_vec() });
                 self.reply(waiter.peer, waiter.number, reply);
--- a/crates/tier/src/control/partition_status.rs
+++ b/crates/tier/src/control/partition_status.rs
@@ -69,7 +69,7 @@
                     )?;
                 }
                 None => {
-                    writeln!(text, "part {partition} voter unknown disk {disk:016x} has {synced}{changes}")?
+                    writeln!(text, "part {partition} voter unknown disk {disk:016x} has {synced}{changes}")?;
                 }
             }
         }
--- a/crates/tier/src/control/replica_status.rs
+++ b/crates/tier/src/control/replica_status.rs
@@ -56,8 +56,9 @@
 
 /// The replicas of a partition that this node leads.
 pub(crate) fn replica_statuses(host: &PartitionHost, registry: &Registry) -> Vec<ReplicaStatus> {
-    let is_alive =
-        |voter: ReplicaId| registry.member_by_replica(voter.0).is_some_and(|member| member.serves());
+    let is_alive = |voter: ReplicaId| {
+        registry.member_by_replica(voter.0).is_some_and(grebeusher_registry::Member::serves)
+    };
     let replicas = host.replica.match_indexes().into_iter();
     replicas.map(|(voter, synced)| ReplicaStatus { voter, synced, is_alive: is_alive(voter) }).collect()
 }
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -185,7 +185,7 @@
                 self.read_at_leader(waiter, partition, &job, resume_after, hold_ms);
             }
             Call::ReadItem { partition, job, item } => {
-                self.read_item_at_leader(waiter, partition, &job, &item)
+                self.read_item_at_leader(waiter, partition, &job, &item);
             }
             Call::EndJob { partition, job } => self.end_at_leader(waiter, partition, &job),
             Call::Forward { partition, within_ms, call } => {
--- a/crates/tier/src/runtime/show.rs
+++ b/crates/tier/src/runtime/show.rs
@@ -45,7 +45,7 @@
         match read_answer(&ask(&format!("/api/status/{partition}"))?) {
             Some(Answer { status: 200, text: leader }) => text += &leader,
             Some(Answer { status, .. }) => {
-                text += &format!("part {partition}: no owner answers (status {status})\n")
+                text += &format!("part {partition}: no owner answers (status {status})\n");
             }
             None => return NoStatusSnafu { address }.fail(),
         }
--- a/crates/tier/tests/wrong_caller.rs
+++ b/crates/tier/tests/wrong_caller.rs
@@ -43,9 +43,9 @@
             let line = single.executor_line().expect("the request is sent");
             single.send(line, &bytes[..cut]);
             if resets {
-                single.reset(line)
+                single.reset(line);
             } else {
-                single.end(line)
+                single.end(line);
             }
             // then the client hears that it failed, with nothing of the executor's.
             let read = single.take(client);
@@ -73,9 +73,9 @@
     assert_eq!(status_of(&single.take(client)), None);
     // when its connection ends or is reset, then only the end makes it whole.
     if resets {
-        single.reset(line)
+        single.reset(line);
     } else {
-        single.end(line)
+        single.end(line);
     }
     assert_eq!(status_of(&single.take(client)), status);
 }
