--- a/crates/bench-adapter/src/door.rs
+++ b/crates/bench-adapter/src/door.rs
@@ -1,7 +1,7 @@
 //! The door of one instance: ids of the wire become small indices, answers become lines.
 
 use grebeusher_dispatch::host::Host;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::{Duration, DurationExt};
 use serde::Serialize;
 use std::cell::RefCell;
@@ -35,10 +35,10 @@
 pub struct Door {
     who: u64,
     lines: Vec<u8>,
-    units: HashMap<Rc<str>, UnitId>,
-    named: HashMap<UnitId, Named>,
+    units: HashMap<Rc<str>, RequestId>,
+    named: HashMap<RequestId, Named>,
     next_unit: u64,
-    over: Vec<UnitId>,
+    over: Vec<RequestId>,
     executors: HashMap<Rc<str>, ExecutorId>,
     executor_names: Vec<Rc<str>>,
 }
@@ -72,28 +72,28 @@
         self.executors.get(name).copied()
     }
 
-    pub fn arrival(&mut self, msg_id: &str) -> UnitId {
-        let (unit, msg_id) = (UnitId(self.next_unit), Rc::<str>::from(msg_id));
+    pub fn arrival(&mut self, msg_id: &str) -> RequestId {
+        let (unit, msg_id) = (RequestId(self.next_unit), Rc::<str>::from(msg_id));
         self.next_unit += 1;
         self.units.insert(msg_id.clone(), unit);
         self.named.insert(unit, Named { msg_id, out: 0, finished: false });
         unit
     }
 
-    pub fn unit(&self, msg_id: &str) -> Option<UnitId> {
+    pub fn unit(&self, msg_id: &str) -> Option<RequestId> {
         self.units.get(msg_id).copied()
     }
 
     /// One allocation of the unit came back.
-    pub fn returned(&mut self, unit: UnitId, finished: bool) {
+    pub fn returned(&mut self, unit: RequestId, finished: bool) {
         self.settle(unit, 1, finished);
     }
 
-    pub fn finished(&mut self, unit: UnitId) {
+    pub fn finished(&mut self, unit: RequestId) {
         self.settle(unit, 0, true);
     }
 
-    fn settle(&mut self, unit: UnitId, came_back: usize, finished: bool) {
+    fn settle(&mut self, unit: RequestId, came_back: usize, finished: bool) {
         if let Some(named) = self.named.get_mut(&unit) {
             named.out = named.out.saturating_sub(came_back);
             named.finished |= finished;
@@ -120,7 +120,7 @@
     }
 
     /// Ends a work unit, and tells its id to whoever words the answer.
-    fn final_answer(&mut self, unit: UnitId, line: impl for<'a> FnOnce(u64, &'a str) -> Line<'a>) {
+    fn final_answer(&mut self, unit: RequestId, line: impl for<'a> FnOnce(u64, &'a str) -> Line<'a>) {
         self.finished(unit);
         let Some(named) = self.named.get(&unit) else { return };
         write(&mut self.lines, &line(self.who, &named.msg_id));
@@ -138,7 +138,7 @@
 pub struct Wire(pub Rc<RefCell<Door>>);
 
 impl Host for Wire {
-    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Duration) {
+    fn allocate(&mut self, unit: RequestId, executor: ExecutorId, time_out: Duration) {
         let door = &mut *self.0.borrow_mut();
         let Some(named) = door.named.get_mut(&unit) else { return };
         named.out += 1;
@@ -147,23 +147,23 @@
         write(&mut door.lines, &Line::Issue { who, msg_id, executor, give_up_after_ns: time_out.nanos() });
     }
 
-    fn recall(&mut self, allocation: AllocationId) {
+    fn cancel(&mut self, allocation: AttemptId) {
         let door = &mut *self.0.borrow_mut();
-        let Some(named) = door.named.get(&allocation.unit) else { return };
+        let Some(named) = door.named.get(&allocation.request) else { return };
         let (who, msg_id) = (door.who, &*named.msg_id);
         write(&mut door.lines, &Line::Recall { who, msg_id, go: allocation.number });
     }
 
-    fn turn_back(&mut self, unit: UnitId, come_back: Option<Duration>) {
+    fn reject(&mut self, unit: RequestId, come_back: Option<Duration>) {
         let wait_ns = come_back.map(|wait| wait.nanos());
         self.0.borrow_mut().final_answer(unit, |who, msg_id| Line::Decline { who, msg_id, wait_ns });
     }
 
-    fn forfeit(&mut self, unit: UnitId) {
+    fn fail(&mut self, unit: RequestId) {
         self.0.borrow_mut().final_answer(unit, |who, msg_id| Line::DropRequest { who, msg_id });
     }
 
-    fn wake(&mut self, after: Duration, alarm: u64) {
+    fn set_timer(&mut self, after: Duration, alarm: u64) {
         let door = &mut *self.0.borrow_mut();
         write(&mut door.lines, &Line::SetAlarm { who: door.who, span_ns: after.nanos(), name: alarm });
     }
@@ -174,13 +174,13 @@
         write(&mut door.lines, &Line::Ping { who: door.who, executor });
     }
 
-    fn tell(&mut self, node: Option<u64>, word: &[u8]) {
+    fn send_load(&mut self, node: Option<u64>, word: &[u8]) {
         let door = &mut *self.0.borrow_mut();
         let (who, payload) = (door.who, hex::encode(word));
         write(&mut door.lines, &Line::Signal { who, recipient: node, payload: &payload });
     }
 
-    fn follow_list(&mut self) {
+    fn watch_executors(&mut self) {
         let door = &mut *self.0.borrow_mut();
         write(&mut door.lines, &Line::Watch { who: door.who, enable: true });
     }
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -7,9 +7,9 @@
 use clap::Parser;
 use door::{Door, Wire};
 use grebeusher_dispatch::decide::Dispatcher;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId};
-use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report, Standing};
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId};
 use grebeusher_dispatch::time::{Duration, Instant};
+use grebeusher_dispatch::{Arrival, AttemptOutcome, ExecutorStatus, ListedExecutor, LoadReport};
 use grebeusher_node_config::ReportLayout;
 use serde::Deserialize;
 use serde_json::Value;
@@ -89,7 +89,7 @@
 }
 
 impl Instance {
-    fn report(&self, usage: Option<&[Option<f64>]>) -> Option<Report> {
+    fn report(&self, usage: Option<&[Option<f64>]>) -> Option<LoadReport> {
         usage.map(|usage| self.places.report(|at| usage.get(at).copied().flatten()))
     }
 }
@@ -129,26 +129,26 @@
     fn tell(&mut self, line: &Line) -> Result<(), String> {
         match &*line.kind {
             "membership" => match &*line.mode {
-                "broken" => self.call(line, |node, _| node.dispatcher.list_broken()),
+                "broken" => self.call(line, |node, _| node.dispatcher.executor_list_lost()),
                 "patch" | "whole" | "stale_copy" => {
-                    let standings: Vec<Standing> =
+                    let standings: Vec<ExecutorStatus> =
                         line.elements.iter().map(|e| standing(&e.stage_state)).collect::<Result<_, _>>()?;
                     self.call(line, |node, now| {
                         let mut entries = Vec::with_capacity(line.elements.len());
                         for (e, &standing) in line.elements.iter().zip(&standings) {
-                            entries.push(Listing {
+                            entries.push(ListedExecutor {
                                 executor: node.door.borrow_mut().executor(&e.executor),
                                 name: &e.executor,
-                                standing,
+                                status: standing,
                                 started: Some(Instant(e.started_at_ns)).filter(|at| at.0 > 0),
                                 kind: e.model,
                                 zone: e.dc,
                                 cell: e.pod,
                                 weight: e.weight,
-                                speaks: false,
+                                reports_own_status: false,
                             });
                         }
-                        node.dispatcher.listed(now, line.mode != "patch", &entries);
+                        node.dispatcher.update_executors(now, line.mode != "patch", &entries);
                     })
                 }
                 other => Err(format!("unknown membership mode {other:?}")),
@@ -156,25 +156,27 @@
             "work_item" => {
                 let msg_id = line.msg_id.as_deref().ok_or("no msg_id")?;
                 let arrival = Arrival {
-                    tariff: line.class,
+                    class: line.class,
                     customer: line.customer,
-                    patience_ends: Instant(line.not_after_ns),
+                    deadline: Instant(line.not_after_ns),
                     repeat: line.bits & 2 > 0,
                     hint: Some(Duration::from_nanos(line.effort_ns as u64)).filter(|_| line.bits & 1 != 0),
                     slots: line.slots.unwrap_or(1.0),
-                    beyond: false,
+                    over_budget: false,
                 };
                 self.call(line, |node, now| {
                     let unit = node.door.borrow_mut().arrival(msg_id);
-                    node.dispatcher.arrived(now, unit, &arrival);
+                    node.dispatcher.request_arrived(now, unit, &arrival);
                 })
             }
-            "head_received" => self.call_known(line, |node, _, id| node.dispatcher.streaming(id.unit)),
+            "head_received" => {
+                self.call_known(line, |node, _, id| node.dispatcher.response_started(id.request))
+            }
             "hint_update" => {
                 let executor = self.known_executor(line)?;
                 self.call_known(line, |node, now, id| {
                     if let Some(executor) = executor {
-                        node.dispatcher.noticed(now, id, executor);
+                        node.dispatcher.attempt_progressed(now, id, executor);
                     }
                 })
             }
@@ -183,23 +185,23 @@
                 let executor = self.known_executor(line)?;
                 self.call_known(line, |node, now, id| {
                     let report = node.report(line.usage.as_deref());
-                    node.door.borrow_mut().returned(id.unit, line.finished);
+                    node.door.borrow_mut().returned(id.request, line.finished);
                     if let Some(executor) = executor {
-                        node.dispatcher.ended(now, id, executor, ending, line.finished, report);
+                        node.dispatcher.attempt_ended(now, id, executor, ending, line.finished, report);
                     }
                 })
             }
             "withdrawn" => self.call_known(line, |node, _, id| {
-                node.door.borrow_mut().finished(id.unit);
-                node.dispatcher.finish(id.unit);
+                node.door.borrow_mut().finished(id.request);
+                node.dispatcher.finish(id.request);
             }),
-            "bell" => self.call(line, |node, now| node.dispatcher.rang(now, line.name)),
+            "bell" => self.call(line, |node, now| node.dispatcher.timer_fired(now, line.name)),
             "pong" => {
                 let executor = self.known_executor(line)?;
                 self.call(line, |node, now| {
                     let report = node.report(line.usage.as_deref());
                     if let Some(executor) = executor {
-                        node.dispatcher.probed(now, executor, report);
+                        node.dispatcher.load_reported(now, executor, report);
                     }
                 })
             }
@@ -207,7 +209,7 @@
                 let payload = line.payload.as_deref().ok_or("no payload")?;
                 let word = hex::decode(payload).map_err(|e| format!("payload {payload:?}: {e}"))?;
                 let from = line.from.ok_or("no sender")?;
-                self.call(line, |node, now| node.dispatcher.told(now, from, &word))
+                self.call(line, |node, now| node.dispatcher.load_message_received(now, from, &word))
             }
             other => Err(format!("unknown message type {other:?}")),
         }
@@ -235,11 +237,11 @@
     fn call_known(
         &mut self,
         line: &Line,
-        call: impl FnOnce(&mut Instance, Instant, AllocationId),
+        call: impl FnOnce(&mut Instance, Instant, AttemptId),
     ) -> Result<(), String> {
         let msg_id = line.msg_id.as_deref().ok_or("no msg_id")?;
         let Some(unit) = self.instance(line)?.door.borrow().unit(msg_id) else { return Ok(()) };
-        self.call(line, |node, now| call(node, now, AllocationId { unit, number: line.go }))
+        self.call(line, |node, now| call(node, now, AttemptId { request: unit, number: line.go }))
     }
 
     fn known_executor(&mut self, line: &Line) -> Result<Option<ExecutorId>, String> {
@@ -248,25 +250,25 @@
     }
 }
 
-fn standing(state: &str) -> Result<Standing, String> {
+fn standing(state: &str) -> Result<ExecutorStatus, String> {
     match state {
-        "IN" => Ok(Standing::Ready),
-        "LAME" => Ok(Standing::Draining),
-        "OUT" => Ok(Standing::Gone),
+        "IN" => Ok(ExecutorStatus::Ready),
+        "LAME" => Ok(ExecutorStatus::Draining),
+        "OUT" => Ok(ExecutorStatus::Gone),
         other => Err(format!("unknown stage_state {other:?}")),
     }
 }
 
-fn ending(disposition: &str) -> Result<Ending, String> {
+fn ending(disposition: &str) -> Result<AttemptOutcome, String> {
     match disposition {
-        "done" => Ok(Ending::Fulfilled),
-        "err" => Ok(Ending::Error),
-        "busy" => Ok(Ending::Full),
-        "etimedout" => Ok(Ending::TimedOut),
-        "econnrefused" => Ok(Ending::Refused),
-        "econnreset" => Ok(Ending::Reset),
-        "ecanceled" => Ok(Ending::Recalled),
-        "skipped" => Ok(Ending::NeverSent),
+        "done" => Ok(AttemptOutcome::Served),
+        "err" => Ok(AttemptOutcome::Error),
+        "busy" => Ok(AttemptOutcome::Full),
+        "etimedout" => Ok(AttemptOutcome::TimedOut),
+        "econnrefused" => Ok(AttemptOutcome::Refused),
+        "econnreset" => Ok(AttemptOutcome::Reset),
+        "ecanceled" => Ok(AttemptOutcome::Cancelled),
+        "skipped" => Ok(AttemptOutcome::NeverSent),
         other => Err(format!("unknown disposition {other:?}")),
     }
 }
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -1,50 +1,50 @@
-//! The decisions of grebeusher: which executor gets a work unit, and what becomes of it.
+//! The decisions of grebeusher: which executor gets a request, and what becomes of it.
 //!
 //! A caller builds one [`Dispatcher`] a node, hands it a [`Host`] to act through, tells it what is promised
 //! (`promised.rs`), calls `start`, and then one method for each thing that happens, with its time. Nothing
-//! else drives it: no clock, no I/O. The interface is set down in `host.rs` (what it asks), `tariffs.rs`,
-//! `word.rs`, `learnt.rs`, `ids.rs` and `time.rs`.
+//! else drives it: no clock, no I/O. The interface is set down in `host.rs` (what it asks), `classes.rs`,
+//! `word.rs`, `learned.rs`, `ids.rs` and `time.rs`.
 //!
-//! The design (SITA-E, `docs/design.md`): the size of a work unit picks a lane by cut-offs that equalise the
+//! The design (SITA-E, `docs/design.md`): the size of a request picks a lane by cut-offs that equalise the
 //! summed size per worker; inside the lane a random pick is weighted by one minus the utilisation (`lanes`,
 //! `choice`, and with the tier `grebeusher-sizing`). Beside it stand six mechanisms: following the list
-//! (`list`), setting aside (`evidence`), cold budgets (`executor`), further allocations (`further`),
-//! turn-backs with fairness (`choice`, `work`), and evidence beside reports, own (`executor`, `choice`) and
-//! of all nodes (`talk`).
+//! (`list`), outlier ejection (`evidence`), cold budgets (`executor`), retries (`further`),
+//! rejections with fairness (`choice`, `work`), and evidence beside reports, own (`executor`, `choice`) and
+//! of all nodes (`load_sharing`).
 
-mod choice;
-mod evidence;
+mod builder;
 mod executor;
-mod further;
+mod executor_list;
+mod health;
 mod lanes;
-mod list;
-mod placing;
-mod promised;
-mod talk;
-mod work;
+mod load_sharing;
+mod pending;
+mod placement;
+mod retry;
+mod selection;
 
-use crate::learnt::Known;
+use crate::learned::Knowledge;
 use crate::time::DurationExt;
-use crate::{Allowance, ColdStart, Duration, Host, Instant, Tariff, UnitId};
+use crate::{AttemptPolicy, Duration, Host, Instant, RequestClass, RequestId, SlowStart};
 use executor::Executor;
 use grebeusher_sizing::CutOffs;
+use load_sharing::LoadSharing;
+use pending::{PendingRequest, QuotaShare};
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, VecDeque};
-use talk::Talk;
-use work::{Allotment, Work};
 
-const BEAT: u64 = 0;
-const FOLLOW: u64 = 1;
-const FIRST_UNIT: u64 = 2;
+const HEARTBEAT_TIMER: u64 = 0;
+const WATCH_TIMER: u64 = 1;
+const FIRST_REQUEST_TIMER: u64 = 2;
 /// Housekeeping runs this often: well under the seconds after which reports and lists change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// The final answer is due this long before patience ends: a few batches of any caller.
+/// The final answer is due this long before the deadline ends: a few batches of any caller.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// Progress is told at a steady pace: so many without a word are no chance.
-const SILENT_PACES: f64 = 2.5;
+const MAX_SILENT_INTERVALS: f64 = 2.5;
 /// Below this many sizes one lane holds every worker (design page).
-const FEWEST: usize = 50;
+const MIN_SAMPLES: usize = 50;
 /// What is sent is on its way to whoever counts it for so long at most, or they count it a little later than
 /// this node: two that are a window apart here may come closer together there.
 const RECEIPT_TIMEOUT: Duration = Duration::from_millis(50);
@@ -52,30 +52,30 @@
 /// The decisions of one node, with all that it knows.
 pub struct Dispatcher<H: Host> {
     host: H,
-    chance: Pcg32,
+    rng: Pcg32,
     node: u64,
     nodes: u64,
     zone: usize,
-    tariffs: Vec<Tariff>,
-    allowance: Allowance,
-    cold: ColdStart,
-    asks_list: bool,
+    classes: Vec<RequestClass>,
+    policy: AttemptPolicy,
+    slow_start: SlowStart,
+    must_watch_executors: bool,
     may_probe: bool,
-    tells_start: bool,
+    reports_starts: bool,
     progress: Option<Duration>,
-    talk: Talk,
-    allotments: Vec<Allotment>,
+    load_sharing: LoadSharing,
+    quota_shares: Vec<QuotaShare>,
     executors: Vec<Executor>,
     /// The ready executors in the order in which this node uses them.
-    roster: Vec<usize>,
+    ready_order: Vec<usize>,
     out: usize,
-    work: BTreeMap<UnitId, Work>,
-    /// When work units came and further allocations were sent, as far as their budget looks back.
-    came: VecDeque<Instant>,
-    further: VecDeque<Instant>,
-    follow_tries: u32,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    /// When requests came and retries were sent, as far as their budget looks back.
+    arrival_times: VecDeque<Instant>,
+    retry_times: VecDeque<Instant>,
+    watch_attempts: u32,
     list_until: Option<Instant>,
-    known: Known,
+    known: Knowledge,
     cut_offs: CutOffs,
     recut: Instant,
 }
@@ -83,44 +83,49 @@
 impl<H: Host> Dispatcher<H> {
     /// Begins: nothing may be told before.
     pub fn start(&mut self, now: Instant) {
-        (self.recut, self.talk.heard, self.cold.from) = (now, now, now + self.cold.fall_window);
+        (self.recut, self.load_sharing.heard, self.slow_start.from) =
+            (now, now, now + self.slow_start.fall_window);
         // Nodes that start together must not beat together.
-        self.host
-            .wake(Duration::from_seconds(HEARTBEAT_INTERVAL.seconds() * self.chance.random::<f64>()), BEAT);
-        if self.asks_list {
-            self.host.follow_list();
+        self.host.set_timer(
+            Duration::from_seconds(HEARTBEAT_INTERVAL.seconds() * self.rng.random::<f64>()),
+            HEARTBEAT_TIMER,
+        );
+        if self.must_watch_executors {
+            self.host.watch_executors();
         }
     }
 
     /// An alarm set earlier fell due.
-    pub fn rang(&mut self, now: Instant, alarm: u64) {
+    pub fn timer_fired(&mut self, now: Instant, alarm: u64) {
         match alarm {
-            BEAT => self.beat(now),
-            FOLLOW => self.host.follow_list(),
-            _ => self.review(now, UnitId(alarm - FIRST_UNIT)),
+            HEARTBEAT_TIMER => self.housekeep(now),
+            WATCH_TIMER => self.host.watch_executors(),
+            _ => self.review(now, RequestId(alarm - FIRST_REQUEST_TIMER)),
         }
     }
 
     /// Whether another process of this node has the cold executors: both together have one budget.
-    pub fn cold_elsewhere(&mut self, now: Instant, elsewhere: bool) {
-        self.cold.from = if elsewhere { Instant(u64::MAX) } else { now + self.cold.fall_window };
+    pub fn set_slow_start_elsewhere(&mut self, now: Instant, elsewhere: bool) {
+        self.slow_start.from = if elsewhere { Instant(u64::MAX) } else { now + self.slow_start.fall_window };
     }
 
-    /// Housekeeping: cut-offs, held work units.
-    fn beat(&mut self, now: Instant) {
+    /// Housekeeping: cut-offs, held requests.
+    fn housekeep(&mut self, now: Instant) {
         const CUT_OFF_INTERVAL: Duration = Duration::from_millis(5000); // design page
-        self.host.wake(HEARTBEAT_INTERVAL, BEAT);
+        self.host.set_timer(HEARTBEAT_INTERVAL, HEARTBEAT_TIMER);
         // While one is cold a node that knows few sizes learns paces, slots and the mean at each beat. Guards
         // against nodes restarted together that leave cold executors idle, as they take a unit for too much.
-        let learns = |e: &Executor| self.known.count() < FEWEST && e.cold_budget(&self.cold, now).is_some();
+        let learns = |e: &Executor| {
+            self.known.count() < MIN_SAMPLES && e.slow_start_budget(&self.slow_start, now).is_some()
+        };
         if now.since(self.recut) >= CUT_OFF_INTERVAL || self.ready().any(learns) {
             self.recut = now;
             self.recompute_cut_offs();
             self.form_lanes(now);
         }
-        if self.talk.allowed {
-            self.tell(now);
+        if self.load_sharing.allowed {
+            self.exchange_load(now);
         }
-        self.serve_held(now);
+        self.serve_pending(now);
     }
 }
--- /dev/null
+++ b/crates/dispatch/src/decide/builder.rs
@@ -0,0 +1,86 @@
+//! A new node, and what it is told at its start of what is promised. Nothing is decided here.
+
+use super::{Dispatcher, load_sharing::LoadSharing, pending::QuotaShare};
+use crate::learned::Knowledge;
+use crate::time::DurationExt;
+use crate::{AttemptPolicy, Duration, Host, Instant, RequestClass, SlowStart};
+use grebeusher_sizing::CutOffs;
+use rand::SeedableRng;
+use rand_pcg::Pcg32;
+use std::collections::{BTreeMap, VecDeque};
+
+impl<H: Host> Dispatcher<H> {
+    /// A node, by its number among `nodes`, that knows nothing yet.
+    pub fn new(host: H, seed: u64, node: u64, nodes: u64, classes: Vec<RequestClass>) -> Self {
+        Dispatcher {
+            host,
+            rng: Pcg32::seed_from_u64(seed),
+            node,
+            nodes: nodes.max(1),
+            zone: 0,
+            classes,
+            policy: AttemptPolicy::default(),
+            slow_start: SlowStart::default(),
+            must_watch_executors: false,
+            may_probe: false,
+            reports_starts: false,
+            progress: None,
+            load_sharing: LoadSharing::default(),
+            quota_shares: Vec::new(),
+            executors: Vec::new(),
+            ready_order: Vec::new(),
+            out: 0,
+            requests: BTreeMap::new(),
+            arrival_times: VecDeque::new(),
+            retry_times: VecDeque::new(),
+            watch_attempts: 0,
+            list_until: None,
+            known: Knowledge::default(),
+            cut_offs: CutOffs::one_lane(),
+            recut: Instant(0),
+        }
+    }
+
+    /// What its attempts may do.
+    pub fn with_attempt_policy(mut self, policy: AttemptPolicy) -> Self {
+        self.policy = policy;
+        self
+    }
+
+    /// What executors that start can do.
+    pub fn with_slow_start(mut self, slow_start: SlowStart) -> Self {
+        self.slow_start = slow_start;
+        self
+    }
+
+    /// Whether the list must be asked for, executors may be probed, and what is told of running work.
+    pub fn with_signals(
+        mut self,
+        must_watch_executors: bool,
+        probes: bool,
+        starts: bool,
+        progress: Option<Duration>,
+    ) -> Self {
+        (self.must_watch_executors, self.may_probe) = (must_watch_executors, probes);
+        (self.reports_starts, self.progress) = (starts, progress.filter(|p| p.nanos() > 0));
+        self
+    }
+
+    /// Each customer's requests a second within its share, at all nodes together.
+    pub fn with_customer_quotas(mut self, quotas: &[f64]) -> Self {
+        self.quota_shares = quotas.iter().map(|quota| QuotaShare::of(*quota, self.nodes)).collect();
+        self
+    }
+
+    /// Whether nodes may send each other words.
+    pub fn with_load_sharing(mut self, peers: bool) -> Self {
+        self.load_sharing.allowed = peers && self.nodes > 1;
+        self
+    }
+
+    /// The zone in which this node stands.
+    pub fn with_zone(mut self, zone: usize) -> Self {
+        self.zone = zone;
+        self
+    }
+}
--- a/crates/dispatch/src/decide/executor.rs
+++ b/crates/dispatch/src/decide/executor.rs
@@ -2,11 +2,11 @@
 
 use super::RECEIPT_TIMEOUT;
 use crate::time::DurationExt;
-use crate::{AllocationId, ColdStart, Duration, Instant, Standing};
+use crate::{AttemptId, Duration, ExecutorStatus, Instant, SlowStart};
 
-/// An allocation that is still out, as its executor's record keeps it.
-pub(super) struct Flight {
-    pub(super) id: AllocationId,
+/// An attempt that is still out, as its executor's record keeps it.
+pub(super) struct InFlightAttempt {
+    pub(super) id: AttemptId,
     pub(super) size: f64,
     pub(super) slots: f64,
     pub(super) sent: Instant,
@@ -20,11 +20,11 @@
 #[derive(Default)]
 pub(super) struct Executor {
     pub(super) hash: u64,
-    pub(super) standing: Standing,
-    pub(super) speaks: bool,
+    pub(super) status: ExecutorStatus,
+    pub(super) reports_own_status: bool,
     pub(super) started: Option<Instant>,
     /// The latest that this start can have been, as listed ones may be off: when it was heard of, at most.
-    pub(super) cold_from: Option<Instant>,
+    pub(super) warming_since: Option<Instant>,
     pub(super) kind: usize,
     pub(super) zone: usize,
     pub(super) cell: usize,
@@ -41,7 +41,7 @@
     /// of a while ago, so room goes by the first, and what all nodes together may send by both.
     pub(super) slots: f64,
     pub(super) most_free: f64,
-    pub(super) flights: Vec<Flight>,
+    pub(super) in_flight: Vec<InFlightAttempt>,
     /// Slots that other nodes fill here, by their word, and when it came; and what this one told them last.
     pub(super) others: Option<(Instant, f64)>,
     pub(super) told: u8,
@@ -54,11 +54,11 @@
     /// Work a second of its kind when warm, on one slot and on all: a standard core until it has been seen.
     pub(super) pace: f64,
     pub(super) capacity: f64,
-    pub(super) aside_until: Instant,
+    pub(super) ejected_until: Instant,
     pub(super) last_wait: f64,
     pub(super) last_start: Instant,
     /// When something was sent here while it was cold.
-    pub(super) cold_sent: Vec<Instant>,
+    pub(super) sent_while_warming: Vec<Instant>,
 }
 
 impl Executor {
@@ -71,7 +71,7 @@
     }
 
     pub(super) fn own_slots(&self) -> f64 {
-        self.flights.iter().map(|f| f.slots).sum()
+        self.in_flight.iter().map(|f| f.slots).sum()
     }
 
     /// The most slots that it was seen to have.
@@ -79,7 +79,7 @@
         self.slots.max(self.most_free)
     }
 
-    /// Utilisation as of now: the report is late, so own allocations sent since it was taken are added.
+    /// Utilisation as of now: the report is late, so own attempts sent since it was taken are added.
     /// Guards against piling work on one idle-looking executor. `None` where nothing is known.
     pub(super) fn load(&self, now: Instant) -> Option<f64> {
         const LAG: Duration = Duration::from_millis(1000); // reports are averages over it: the newest sends are missing
@@ -87,10 +87,10 @@
         if let Some(filled) = self.filled(now) {
             return Some(filled / self.width());
         }
-        let own = self.flights.len() as f64 / self.slots;
+        let own = self.in_flight.len() as f64 / self.slots;
         match self.reported {
             Some(at) if now.since(at) < STALE => {
-                let recent = self.flights.iter().filter(|f| f.sent > at - LAG).count();
+                let recent = self.in_flight.iter().filter(|f| f.sent > at - LAG).count();
                 Some((self.utilisation + recent as f64 / self.slots).max(own))
             }
             _ if own > 0.0 => Some(own),
@@ -98,10 +98,10 @@
         }
     }
 
-    /// Seconds that own allocations wait here for a slot: the age of the oldest that waits now, or what the
+    /// Seconds that own attempts wait here for a slot: the age of the oldest that waits now, or what the
     /// last one to start waited, which counts for less as it ages. `None` where nothing was sent lately.
     pub(super) fn wait(&self, now: Instant) -> Option<f64> {
-        const HALF_LIFE_S: f64 = 2.0; // about the run of a few work units, after which a queue is another
+        const HALF_LIFE_S: f64 = 2.0; // about the run of a few requests, after which a queue is another
         const STALE_S: f64 = 6.0; // as a report
         let age = now.since(self.last_start).seconds();
         let past = (age < STALE_S).then(|| self.last_wait * 0.5_f64.powf(age / HALF_LIFE_S));
@@ -109,7 +109,7 @@
     }
 
     fn oldest_wait(&self, now: Instant) -> Option<f64> {
-        let waiting = self.flights.iter().filter(|f| f.started.is_none() && f.word_due <= now);
+        let waiting = self.in_flight.iter().filter(|f| f.started.is_none() && f.word_due <= now);
         waiting.map(|f| now.since(f.word_due).seconds()).reduce(f64::max)
     }
 
@@ -117,30 +117,39 @@
     /// nodes onto the few that look free.
     pub(super) fn has_room(&self, now: Instant) -> bool {
         const NOTIFICATION_TIMEOUT: f64 = 0.06; // seconds: a start is told within a round trip and a hand-shake
-        (self.flights.len() as f64) < self.slots
+        (self.in_flight.len() as f64) < self.slots
             && self.oldest_wait(now).is_none_or(|wait| wait <= NOTIFICATION_TIMEOUT)
     }
 
     /// The work that all nodes together may send here within a window, while it is cold.
-    pub(super) fn cold_budget(&self, cold: &ColdStart, now: Instant) -> Option<f64> {
-        let started = self.cold_from.max(self.died).filter(|&at| now < at + cold.warm_within)?;
-        Some(cold.least(now.since(started)) * self.capacity * cold.fall_factor)
+    pub(super) fn slow_start_budget(&self, slow_start: &SlowStart, now: Instant) -> Option<f64> {
+        let started = self.warming_since.max(self.died).filter(|&at| now < at + slow_start.warm_up)?;
+        Some(slow_start.least(now.since(started)) * self.capacity * slow_start.fall_factor)
     }
 
-    /// Whether a cold executor can take one more work unit, of `mean` size: it falls by their number more
+    /// Whether a cold executor can take one more request, of `mean` size: it falls by their number more
     /// than by their size. Its budget is split among as many nodes as get a unit each of it, one at least:
     /// those nearest after its fixed hash; the others leave it alone until it is warm. Guards against all
     /// nodes together pushing it over, and against one that idles since the few that may use it see little.
-    pub(super) fn cold_admits(&self, cold: &ColdStart, nodes: u64, now: Instant, mean: f64) -> bool {
+    pub(super) fn slow_start_admits(
+        &self,
+        slow_start: &SlowStart,
+        nodes: u64,
+        now: Instant,
+        mean: f64,
+    ) -> bool {
         const USED: f64 = 0.8; // of the budget: the rest covers one slower than its kind
         const FIRST: usize = 3; // in flight before any answer: a long one must not keep all others out
-        let Some(units) = self.cold_budget(cold, now).map(|budget| budget * USED / mean) else { return true };
-        let owners = (units as u64).clamp(1, nodes);
-        let window = cold.fall_window + RECEIPT_TIMEOUT;
-        let sent = self.cold_sent.iter().filter(|&&at| now.since(at) <= window).count();
-        now >= cold.from
+        let Some(requests) = self.slow_start_budget(slow_start, now).map(|budget| budget * USED / mean)
+        else {
+            return true;
+        };
+        let owners = (requests as u64).clamp(1, nodes);
+        let window = slow_start.fall_window + RECEIPT_TIMEOUT;
+        let sent = self.sent_while_warming.iter().filter(|&&at| now.since(at) <= window).count();
+        now >= slow_start.from
             && self.distance < owners
-            && self.flights.len() < FIRST + self.answers
-            && (sent + 1) as f64 <= units / owners as f64
+            && self.in_flight.len() < FIRST + self.answers
+            && (sent + 1) as f64 <= requests / owners as f64
     }
 }
--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -1,10 +1,10 @@
 //! Lanes of executors and the cut-offs of sizes between them, by what is learnt of work and of kinds.
 
-use super::{Dispatcher, FEWEST, executor::Executor};
+use super::{Dispatcher, MIN_SAMPLES, executor::Executor};
 use crate::ids::mixed;
-use crate::learnt::{KindLearnt, Learnt};
-use crate::word::mark;
-use crate::{Host, Instant, Standing};
+use crate::learned::{LearnedKind, LearnedState};
+use crate::load_message::short_hash;
+use crate::{ExecutorStatus, Host, Instant};
 use grebeusher_sizing::{BoundaryRule, CutOffs, Remainder, lanes_in_order};
 use std::collections::BTreeMap;
 
@@ -16,28 +16,28 @@
     /// hash of their ids, into two lanes. Long work earns by its size and is late on a slow worker however
     /// idle: it gets the fastest quarter. Short work bears most hand-shakes, which no size shows.
     pub(super) fn form_lanes(&mut self, now: Instant) {
-        let ready = |i: &usize| self.executors[*i].standing == Standing::Ready;
-        self.roster = (0..self.executors.len()).filter(ready).collect();
+        let ready = |i: &usize| self.executors[*i].status == ExecutorStatus::Ready;
+        self.ready_order = (0..self.executors.len()).filter(ready).collect();
         // Paces and weights are above nothing, where their bits are in the order of their values.
         let strength = |e: &Executor| (e.pace.to_bits(), e.weight.to_bits(), e.hash);
-        self.roster.sort_by_cached_key(|&i| strength(&self.executors[i]));
-        let lanes = lanes_in_order(self.roster.len(), &LANE_SHARES, Remainder::Earlier);
-        for (&i, lane) in self.roster.iter().zip(lanes) {
+        self.ready_order.sort_by_cached_key(|&i| strength(&self.executors[i]));
+        let lanes = lanes_in_order(self.ready_order.len(), &LANE_SHARES, Remainder::Earlier);
+        for (&i, lane) in self.ready_order.iter().zip(lanes) {
             self.executors[i].lane = lane;
         }
-        if self.talk.allowed {
-            self.talk.order.clone_from(&self.roster);
-            self.talk.order.sort_by_key(|&i| mark(self.executors[i].hash));
-            self.talk.list = mark(self.ready().fold(0, |sum, e| sum ^ mixed(e.hash)));
+        if self.load_sharing.allowed {
+            self.load_sharing.order.clone_from(&self.ready_order);
+            self.load_sharing.order.sort_by_key(|&i| short_hash(self.executors[i].hash));
+            self.load_sharing.list = short_hash(self.ready().fold(0, |sum, e| sum ^ mixed(e.hash)));
         }
         // The own zone comes six times as far to the front: crossing costs, yet a zone must not be left to
         // itself, since neither workers nor clients are spread evenly. Before all come the cold ones that
         // this node may warm, or they would idle: a budget is seldom split among more nodes.
         const NEARER: u64 = 6;
         const WARMERS: u64 = 8;
-        self.roster.sort_by_cached_key(|&i| {
+        self.ready_order.sort_by_cached_key(|&i| {
             let e = &self.executors[i];
-            match e.cold_budget(&self.cold, now) {
+            match e.slow_start_budget(&self.slow_start, now) {
                 Some(_) if e.distance < WARMERS => 0,
                 _ if e.zone == self.zone => e.rank / NEARER,
                 _ => e.rank,
@@ -46,14 +46,14 @@
     }
 
     pub(super) fn ready(&self) -> impl Iterator<Item = &Executor> {
-        self.roster.iter().map(|&i| &self.executors[i])
+        self.ready_order.iter().map(|&i| &self.executors[i])
     }
 
     /// Cut-offs such that each lane's part of the summed size matches its part of the workers' paces.
     pub(super) fn recompute_cut_offs(&mut self) {
-        let sizes = self.known.weighs();
+        let sizes = self.known.recompute();
         self.cut_offs = CutOffs::one_lane();
-        if sizes.len() >= FEWEST && self.ready().any(|e| e.lane == 1) {
+        if sizes.len() >= MIN_SAMPLES && self.ready().any(|e| e.lane == 1) {
             // By the learnt paces, all one until known: by number alone a slow lane gets more than it can do.
             let pace = |lane: usize| self.ready().filter(|e| e.lane <= lane).map(|e| e.pace).sum::<f64>();
             let due = sizes.iter().map(|entry| entry.size).sum::<f64>() * pace(0) / pace(1);
@@ -72,24 +72,24 @@
     }
 
     /// What was seen of each kind here.
-    fn kinds(&self) -> BTreeMap<usize, KindLearnt> {
-        let mut kinds: BTreeMap<usize, KindLearnt> = BTreeMap::new();
+    fn kinds(&self) -> BTreeMap<usize, LearnedKind> {
+        let mut kinds: BTreeMap<usize, LearnedKind> = BTreeMap::new();
         for e in self.ready().filter(|e| e.ran > 0.0) {
             let known = kinds.entry(e.kind).or_default();
-            *known = known.and(KindLearnt { done: e.done, ran: e.ran, slots: e.width() });
+            *known = known.and(LearnedKind { done: e.done, ran: e.ran, slots: e.width() });
         }
         kinds
     }
 
     /// What this node has seen of work and of executors' kinds, for one that knows less.
-    pub fn learnt(&self) -> Learnt {
-        Learnt { sizes: self.known.own(), kinds: self.kinds() }
+    pub fn learned(&self) -> LearnedState {
+        LearnedState { sizes: self.known.own(), kinds: self.kinds() }
     }
 
     /// Another node told what it has seen; how many sizes are known now. Guards against nodes that have just
     /// started: by a few short sizes each takes a cold executor for one that bears many; all push it over.
-    pub fn taught(&mut self, now: Instant, learnt: &Learnt) -> usize {
-        self.known.joins(learnt);
+    pub fn merge_learned(&mut self, now: Instant, learned: &LearnedState) -> usize {
+        self.known.merge(learned);
         self.recompute_cut_offs();
         self.form_lanes(now);
         self.known.count()
--- /dev/null
+++ b/crates/dispatch/src/decide/placement.rs
@@ -0,0 +1,173 @@
+//! The way of a request: it comes, is sent, held or rejected, and has one final answer.
+
+use super::pending::{Attempt, PendingRequest};
+use super::{
+    ANSWER_MARGIN, Dispatcher, FIRST_REQUEST_TIMER, MAX_SILENT_INTERVALS, MIN_SAMPLES, RECEIPT_TIMEOUT,
+    executor::InFlightAttempt,
+};
+use crate::time::DurationExt;
+use crate::{Arrival, AttemptId, Duration, Effect, ExecutorId, Host, Instant, RequestId};
+
+impl<H: Host> Dispatcher<H> {
+    /// A request came in; it owes exactly one final answer from here on.
+    pub fn request_arrived(&mut self, now: Instant, request: RequestId, arrival: &Arrival) {
+        // Sizes beyond any sense would own the cut-offs alone: a millisecond to a day is what work takes.
+        const SENSIBLE: (f64, f64) = (0.001, 86_400.0);
+        let slots = if arrival.slots > 0.0 && arrival.slots.is_finite() { arrival.slots } else { 1.0 };
+        let hinted = arrival.hint.filter(|h| h.nanos() > 0);
+        let size = hinted.map_or(self.known.median, |h| (h.seconds() * slots).clamp(SENSIBLE.0, SENSIBLE.1));
+        if hinted.is_some() {
+            self.known.record(size, size / slots);
+            if self.known.count() == MIN_SAMPLES {
+                self.recompute_cut_offs();
+            }
+        }
+        if self.policy.retry_budget.is_some() {
+            self.arrival_times.push_back(now);
+        }
+        let class = arrival.class.min(self.classes.len() - 1);
+        let terms = &self.classes[class];
+        // The one notion of time left. Clocks may differ by so much: a client that has just asked waits
+        // as long as its request class says, within that.
+        let (told, off) = (arrival.deadline, self.policy.deadline_error);
+        let waits = if arrival.repeat { told } else { now + terms.deadline };
+        let deadline = waits.clamp(told - off, told + off);
+        // The latency objective runs from a client's first try. Guards against late repeats taking the place of
+        // what can still be in time.
+        let asked = if arrival.repeat { now.min(deadline - terms.deadline) } else { now };
+        let latency_objective =
+            terms.latency_objective + Duration::from_seconds(terms.stretch * size / slots);
+        let over_share = self.quota_shares.get_mut(arrival.customer).is_some_and(|a| a.exceeds_share(now));
+        let work = PendingRequest {
+            class,
+            asked,
+            latency_objective,
+            deadline,
+            size,
+            slots,
+            over_share,
+            ..PendingRequest::default()
+        };
+        self.requests.insert(request, work);
+        if arrival.over_budget { self.answer(request) } else { self.place(now, request) }
+    }
+
+    /// An answer began to stream: it belongs to the client now, and the deadline no longer ends.
+    pub fn response_started(&mut self, request: RequestId) {
+        self.requests.entry(request).and_modify(|work| work.response_started = true);
+    }
+
+    /// Sends the request where the design says, holds it while nothing can take it, or turns it back.
+    pub(super) fn place(&mut self, now: Instant, request: RequestId) {
+        const MAX_QUEUE_TIME: Duration = Duration::from_millis(1000); // a slot comes free in it; longer seldom helps
+        const SHARE_TIMEOUT: Duration = Duration::from_millis(60); // a few round trips to whoever divides the fleet's budget
+        let picked = self.pick(now, request);
+        let Some(work) = self.requests.get_mut(&request) else { return };
+        if work.deadline <= now + ANSWER_MARGIN {
+            return self.answer(request);
+        }
+        match picked {
+            Some((executor, _, wait)) => {
+                let (first, fresh) =
+                    (work.attempts.is_empty(), work.attempts.iter().all(|a| !a.may_have_run));
+                let spent = !first && !self.may_retry(now);
+                let wait_too_long = fresh && self.wait_too_long(now, &self.requests[&request], wait);
+                if spent || wait_too_long {
+                    self.answer(request)
+                } else if first || self.host.may_retry(request) {
+                    self.send(now, request, executor)
+                } else {
+                    self.queue(now, request, now + SHARE_TIMEOUT)
+                }
+            }
+            None => {
+                let until = (now + MAX_QUEUE_TIME).min(work.asked + work.latency_objective);
+                self.queue(now, request, until)
+            }
+        }
+    }
+
+    /// Holds a request, with its own alarm: the deadline may end between two beats.
+    fn queue(&mut self, now: Instant, request: RequestId, until: Instant) {
+        let Some(work) = self.requests.get_mut(&request).filter(|work| !work.pending) else { return };
+        work.pending = true;
+        work.pending_until = until.min(work.deadline - ANSWER_MARGIN);
+        self.host.set_timer(work.pending_until.since(now), FIRST_REQUEST_TIMER + request.0);
+    }
+
+    pub(super) fn send(&mut self, now: Instant, request: RequestId, executor: ExecutorId) {
+        const REVIEW_DELAY: Duration = Duration::from_millis(150); // who waits to start this long is looked at again
+        // Every few seconds each executor that is used (design page), and no other: probes cost.
+        const PROBE_INTERVAL: Duration = Duration::from_millis(3000);
+        let Some(work) = self.requests.get_mut(&request) else { return };
+        let e = &mut self.executors[executor.0];
+        (work.pending, self.out) = (false, self.out + 1);
+        let sent = Attempt { executor, sent: now, open: true, may_have_run: true, cancelled: false };
+        work.attempts.push(sent);
+        if work.attempts.len() > 1 && self.policy.retry_budget.is_some() {
+            self.retry_times.push_back(now);
+        }
+        let (size, slots) = (work.size, work.slots);
+        let time_out = (work.deadline - ANSWER_MARGIN).since(now);
+        // Where starts are not told, what runs is heard of a pace later; without progress it never is. Guards
+        // against taking all that is out for running, and what waits for an executor fallen silent.
+        let word_due = match self.progress {
+            _ if self.reports_starts => now,
+            Some(pace) => now + pace,
+            None => Instant(u64::MAX),
+        };
+        let id = AttemptId { request, number: work.attempts.len() - 1 };
+        e.in_flight.push(InFlightAttempt { id, size, slots, sent: now, word_due, started: None, heard: now });
+        if e.slow_start_budget(&self.slow_start, now).is_some() {
+            e.sent_while_warming.retain(|&at| now.since(at) <= self.slow_start.fall_window + RECEIPT_TIMEOUT);
+            e.sent_while_warming.push(now);
+        }
+        let heard = e.reported.unwrap_or_default().max(e.asked);
+        if self.may_probe && now.since(heard) >= PROBE_INTERVAL {
+            e.asked = now;
+            self.host.probe(executor);
+        }
+        self.host.allocate(request, executor, time_out);
+        if self.classes[work.class].effect != Effect::NonIdempotent {
+            let untold = self.progress.filter(|_| !self.reports_starts);
+            self.host.set_timer(
+                untold.map_or(REVIEW_DELAY, |pace| pace.scaled(MAX_SILENT_INTERVALS)),
+                FIRST_REQUEST_TIMER + request.0,
+            );
+        }
+    }
+
+    /// The final answer to a request that is given up: a rejection where trying again is harmless.
+    pub(super) fn answer(&mut self, request: RequestId) {
+        const RETRY_AFTER: Duration = Duration::from_millis(500); // a slot comes free in it; short against any the deadline
+        let Some(work) = self.requests.get(&request) else { return };
+        let ran = work.attempts.iter().any(|a| a.may_have_run);
+        let client_may_retry = !ran || self.classes[work.class].effect.client_may_retry();
+        let retry_after = self.policy.max_retry_after.map(|longest| longest.min(RETRY_AFTER));
+        self.finish(request);
+        if client_may_retry { self.host.reject(request, retry_after) } else { self.host.fail(request) }
+    }
+
+    /// No answer is owed any more, as one was given, or the client left: what is still out for the request
+    /// is recalled, so that nobody works for nothing.
+    pub fn finish(&mut self, request: RequestId) {
+        let Some(work) = self.requests.remove(&request) else { return };
+        for (number, attempt) in work.attempts.iter().enumerate() {
+            if attempt.is_out() && self.policy.cancellation {
+                self.host.cancel(AttemptId { request, number });
+            }
+        }
+    }
+
+    /// Tries the held requests again, oldest first, and gives up those whose latency objective is past.
+    pub fn serve_pending(&mut self, now: Instant) {
+        let pending = self
+            .requests
+            .iter()
+            .filter(|(_, work)| work.pending)
+            .map(|(&request, work)| (request, work.pending_until));
+        for (request, pending_until) in pending.collect::<Vec<_>>() {
+            if pending_until <= now { self.answer(request) } else { self.place(now, request) }
+        }
+    }
+}
--- a/crates/dispatch/src/decide/choice.rs
+++ b/crates/dispatch/src/decide/selection.rs
@@ -1,11 +1,11 @@
 //! Which executor: the weighted pick in the lane, whom it is among, and when a wait is too long.
 
-use super::{Dispatcher, executor::Executor, work::Work};
-use crate::{Duration, ExecutorId, Host, Instant, Tariff, UnitId};
+use super::{Dispatcher, executor::Executor, pending::PendingRequest};
+use crate::{Duration, ExecutorId, Host, Instant, RequestClass, RequestId};
 use grebeusher_sizing::{MIN_WEIGHT, WeightedCandidate, weights};
 use rand::{Rng, distr::weighted::WeightedIndex};
 
-/// An executor that could take a work unit.
+/// An executor that could take a request.
 struct Candidate {
     at: usize,
     in_lane: bool,
@@ -14,27 +14,27 @@
     wait: Option<f64>,
     /// Whether that is by what all nodes have out.
     known: bool,
-    cold: bool,
+    warming: bool,
 }
 
 impl<H: Host> Dispatcher<H> {
-    /// Those that a work unit may go to: of its lane, in the order in which this node uses them, a few and
-    /// one more for every two allocations out; or many of both lanes. A node that sends little uses few
+    /// Those that a request may go to: of its lane, in the order in which this node uses them, a few and
+    /// one more for every two attempts out; or many of both lanes. A node that sends little uses few
     /// and so hears of them. Guards against picks all through a large fleet, one unheard of after the other.
-    fn candidates(&self, now: Instant, work: &Work, few: bool) -> Vec<Candidate> {
+    fn candidates(&self, now: Instant, work: &PendingRequest, few: bool) -> Vec<Candidate> {
         const FEW: usize = 3; // leaves the weighted pick its choice
         const MORE: usize = 4; // times as many: one of them has room unless nearly all are full
         let lane = self.cut_offs.lane_of(work.size);
-        let Tariff { kind, effect, .. } = self.tariffs[work.tariff];
+        let RequestClass { kind, effect, .. } = self.classes[work.class];
         let in_lane = |at: usize| self.cut_offs.lanes() == 1 || self.executors[at].lane == lane;
         let candidate = |&at: &usize| {
             let e = &self.executors[at];
-            let able = now >= e.aside_until
+            let able = now >= e.ejected_until
                 && self.is_told(now, e)
                 && kind.is_none_or(|kind| kind == e.kind)
-                && self.repeats(now, effect, &work.allocations, e)
-                && !work.allocations.iter().any(|a| a.open && a.executor.0 == at)
-                && e.cold_admits(&self.cold, self.nodes, now, self.known.mean);
+                && self.may_repeat(now, effect, &work.attempts, e)
+                && !work.attempts.iter().any(|a| a.open && a.executor.0 == at)
+                && e.slow_start_admits(&self.slow_start, self.nodes, now, self.known.mean);
             able.then(|| {
                 let over = e.filled(now).map(|filled| filled + work.slots - e.width());
                 let queue = over.map(|over| over.max(0.0) / e.width() * self.known.mean_run / e.pace);
@@ -45,17 +45,17 @@
                     load: e.load(now),
                     wait: queue.or_else(|| e.wait(now)),
                     known: over.is_some(),
-                    cold: e.cold_budget(&self.cold, now).is_some(),
+                    warming: e.slow_start_budget(&self.slow_start, now).is_some(),
                 }
             })
         };
         let known = self.ready().any(|e| e.filled(now).is_some()); // where nodes talk all are heard of
-        let most = if known { self.roster.len() } else { FEW + self.out / 2 };
-        let lane = self.roster.iter().filter(|&&at| few && in_lane(at));
+        let most = if known { self.ready_order.len() } else { FEW + self.out / 2 };
+        let lane = self.ready_order.iter().filter(|&&at| few && in_lane(at));
         let mut found: Vec<Candidate> = lane.filter_map(candidate).take(most).collect();
         if found.is_empty() {
             // No worker of the lane can take it, or none of the few has room: those of both that can.
-            found.extend(self.roster.iter().filter_map(candidate).take(most * MORE));
+            found.extend(self.ready_order.iter().filter_map(candidate).take(most * MORE));
         }
         // One that nothing was sent to lately is taken for as full as those of its lane that something was
         // sent to. Guards against a node that sees little taking every executor for free. A longer wait may
@@ -69,12 +69,12 @@
             let waits: Vec<f64> = known.filter(|&wait| wait < SILENT_S).collect();
             let mean = if waits.len() > 1 { waits.iter().sum::<f64>() / waits.len() as f64 } else { 0.0 };
             for c in found.iter_mut().filter(|c| c.in_lane == in_lane && c.wait.is_none()) {
-                let mean = if c.cold { 0.0 } else { mean };
+                let mean = if c.warming { 0.0 } else { mean };
                 (c.wait, c.room) = (Some(mean), c.room && mean <= spare);
             }
         }
         // One that failed this unit is not asked again while another is there: a crash looks idle at once.
-        let tried = |c: &Candidate| work.allocations.iter().any(|a| a.executor.0 == c.at);
+        let tried = |c: &Candidate| work.attempts.iter().any(|a| a.executor.0 == c.at);
         if !found.iter().all(tried) {
             found.retain(|c| !tried(c));
         }
@@ -82,8 +82,8 @@
     }
 
     /// The design's choice, a weighted random pick in the lane of its size; whether any had room; the wait.
-    pub(super) fn pick(&mut self, now: Instant, unit: UnitId) -> Option<(ExecutorId, bool, f64)> {
-        let work = self.work.get(&unit)?;
+    pub(super) fn pick(&mut self, now: Instant, request: RequestId) -> Option<(ExecutorId, bool, f64)> {
+        let work = self.requests.get(&request)?;
         let mut able = self.candidates(now, work, true);
         // What all have out is known as of a while ago, and all nodes know the same: the pick is among a
         // quarter at least, the shortest queues. Guards against a crowd at the few that had room then.
@@ -94,12 +94,12 @@
         // the lane only to one less than half used: late reports must not draw a crowd.
         const FRESH: Duration = Duration::from_millis(1000); // what a report is an average over
         let fresh = |e: &&Executor| e.reported.is_some_and(|at| now.since(at) < FRESH);
-        let hears = !known && self.ready().filter(fresh).count() * 2 > self.roster.len();
+        let hears = !known && self.ready().filter(fresh).count() * 2 > self.ready_order.len();
         let below = |c: &Candidate| if c.in_lane { 1.0 - MIN_WEIGHT } else { 0.5 };
         // Nor does it show that own work waited long there: then others are looked at, unless a further place
         // may be had. Guards against queues before the few that a node uses while their neighbours idle.
         const BORNE: f64 = 0.1; // of the slack: the next one waits longer where a queue builds
-        let borne = if self.allowance.second_copies { f64::MAX } else { (work.slack(now) * BORNE).max(0.1) };
+        let borne = if self.policy.hedging { f64::MAX } else { (work.slack(now) * BORNE).max(0.1) };
         let brief = |c: &Candidate| known || c.wait.is_none_or(|wait| wait <= borne);
         let free = |c: &Candidate| !hears || c.load.is_none_or(|load| load < below(c));
         let open = |c: &Candidate| c.room && brief(c) && free(c);
@@ -115,7 +115,7 @@
         } else {
             // First those with room, of these the not full, then those of the lane, then cold ones that may
             // take some: the few nodes that warm one see little, and left to chance it would idle.
-            let rank = |c: &Candidate| (c.room, open(c), c.in_lane, c.room && c.cold);
+            let rank = |c: &Candidate| (c.room, open(c), c.in_lane, c.room && c.warming);
             let best = able.iter().map(rank).max();
             able.retain(|c| Some(rank(c)) == best);
         }
@@ -128,19 +128,19 @@
             utilisation: c.load,
             weight_factor: strength(&self.executors[c.at]),
         };
-        let weighs = weights(&able.iter().map(weigh).collect::<Vec<_>>());
-        let chosen = &able[self.chance.sample(WeightedIndex::new(weighs).ok()?)];
+        let recompute = weights(&able.iter().map(weigh).collect::<Vec<_>>());
+        let chosen = &able[self.rng.sample(WeightedIndex::new(recompute).ok()?)];
         // With no room anywhere it waits where it goes: the least wait of all would promise too much.
         let wait = if any_room && !known { least_wait } else { chosen.wait.unwrap_or(0.0) };
         Some((ExecutorId(chosen.at), any_room, wait))
     }
 
-    /// Whether a wait is too long to start with: the work unit would be late, and make others late. Waits
-    /// grow while a queue builds, so less than the slack is allowed: the less a tariff earns, the less;
+    /// Whether a wait is too long to start with: the request would be late, and make others late. Waits
+    /// grow while a queue builds, so less than the slack is allowed: the less a request class earns, the less;
     /// and next to none beyond a customer's share. Guards against queues in which all is late.
-    pub(super) fn hopeless(&self, now: Instant, work: &Work, wait: f64) -> bool {
-        let best = self.tariffs.iter().map(|t| t.earnings).fold(0.0, f64::max);
-        let part = match self.tariffs[work.tariff].earnings / best {
+    pub(super) fn wait_too_long(&self, now: Instant, work: &PendingRequest, wait: f64) -> bool {
+        let best = self.classes.iter().map(|t| t.value).fold(0.0, f64::max);
+        let part = match self.classes[work.class].value / best {
             _ if work.over_share => 0.0,
             part if part.is_finite() => part,
             _ => 1.0,
--- a/crates/dispatch/src/host.rs
+++ b/crates/dispatch/src/host.rs
@@ -1,27 +1,30 @@
-//! What the decisions ask of whoever runs them.
+//! The interface through which a dispatcher acts; its owner implements it.
 
-use crate::ids::{AllocationId, ExecutorId, UnitId};
+use crate::ids::{AttemptId, ExecutorId, RequestId};
 use crate::time::Duration;
 
+/// What a dispatcher asks of its owner. No method calls back into the dispatcher.
 pub trait Host {
-    /// Sends the work unit to the executor. Allocations of a unit are numbered from 0 in this order.
-    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Duration);
-    /// Whether the whole fleet's budget, where there is one, has one more allocation for a unit that has had its first. It is
-    /// asked only when one would be sent, and again while none is had.
-    fn may_go_further(&mut self, _unit: UnitId) -> bool {
+    /// Sends the request to the executor. The attempts of a request are numbered from 0 in this order.
+    fn allocate(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration);
+    /// Whether the whole fleet's retry budget, where there is one, has one more attempt for a request that has had
+    /// its first. It is asked only when one would be sent, and again while none is granted.
+    fn may_retry(&mut self, _request: RequestId) -> bool {
         true
     }
-    /// Stops waiting for one allocation.
-    fn recall(&mut self, allocation: AllocationId);
-    /// Final answer: trying again is harmless, if given after this span.
-    fn turn_back(&mut self, unit: UnitId, come_back: Option<Duration>);
-    /// Final answer: nothing is promised.
-    fn forfeit(&mut self, unit: UnitId);
-    /// Asks for a call of `rang` with this alarm.
-    fn wake(&mut self, after: Duration, alarm: u64);
+    /// Stops waiting for one attempt.
+    fn cancel(&mut self, attempt: AttemptId);
+    /// Final answer: the client may retry safely, after this wait if one is given.
+    fn reject(&mut self, request: RequestId, retry_after: Option<Duration>);
+    /// Final answer: the request may have run, or no executor can run it.
+    fn fail(&mut self, request: RequestId);
+    /// Asks for a call of `timer_fired` with this timer.
+    fn set_timer(&mut self, after: Duration, timer: u64);
+    /// Asks the executor for a load report.
     fn probe(&mut self, executor: ExecutorId);
-    /// Sends a word to one other node, by its number, or to all; it may get lost. Asked only where nodes may talk.
-    fn tell(&mut self, node: Option<u64>, word: &[u8]);
-    /// Asks to be told of changes to the executor list.
-    fn follow_list(&mut self);
+    /// Sends a load message to one other node, by its number, or to all; it may get lost. Asked only where nodes may
+    /// share load.
+    fn send_load(&mut self, node: Option<u64>, message: &[u8]);
+    /// Asks for the executor list and its changes.
+    fn watch_executors(&mut self);
 }
--- a/crates/dispatch/src/ids.rs
+++ b/crates/dispatch/src/ids.rs
@@ -1,18 +1,20 @@
-//! Small indices that stand for the ids of the outside; the adapter maps them at the door.
+//! Small indices that stand for the ids of the outside; the owner of a dispatcher maps them.
 
 pub use grebeusher_hash::{fixed_hash, mixed};
 
-/// A work unit. Indices are given out in order of arrival and never used again.
+/// A request. Indices are given out in order of arrival and never used again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct UnitId(pub u64);
+pub struct RequestId(pub u64);
 
-/// An executor. An id keeps its index when its process restarts.
+/// An executor. It keeps its index when its process restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExecutorId(pub usize);
 
-/// One allocation of a work unit; they are numbered from 0 in the order in which they were sent.
+/// One attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AllocationId {
-    pub unit: UnitId,
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// Attempts are numbered from 0 in the order in which they were sent.
     pub number: usize,
 }
--- a/crates/dispatch/src/learnt.rs
+++ b/crates/dispatch/src/learned.rs
@@ -7,42 +7,43 @@
 /// The sizes that are kept (design page).
 const SAMPLE: usize = 1000;
 
-/// Of one kind of executor.
+/// What is known of one kind of executor.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct KindLearnt {
-    /// Size of the work that was answered, in seconds of a standard core, and the seconds that it held slots.
+pub struct LearnedKind {
+    /// Summed size of the requests that were answered, in seconds of a standard core.
     pub done: f64,
+    /// The seconds that they occupied slots.
     pub ran: f64,
     /// The most slots that one of it was seen to have.
     pub slots: f64,
 }
 
-impl KindLearnt {
+impl LearnedKind {
     /// With as much more.
-    pub fn and(self, more: KindLearnt) -> KindLearnt {
-        let KindLearnt { done, ran, slots } = more;
-        KindLearnt { done: self.done + done, ran: self.ran + ran, slots: self.slots.max(slots) }
+    pub fn and(self, more: LearnedKind) -> LearnedKind {
+        let LearnedKind { done, ran, slots } = more;
+        LearnedKind { done: self.done + done, ran: self.ran + ran, slots: self.slots.max(slots) }
     }
 }
 
 /// What one node has seen itself, as it tells another: what it was told it does not tell on, or it would count twice.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Learnt {
+pub struct LearnedState {
     /// Sizes of recent work, and how long each runs on standard cores, in seconds; the newest first.
     pub sizes: Vec<(f64, f64)>,
     /// By the place of the kind, as the list is told to the decisions.
-    pub kinds: BTreeMap<usize, KindLearnt>,
+    pub kinds: BTreeMap<usize, LearnedKind>,
 }
 
 /// What is kept of recent work.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sized {
+pub(crate) struct SizeSample {
     pub size: f64,
     /// How long it runs on standard cores, in seconds.
     run: f64,
 }
 
-impl SampleEntry for Sized {
+impl SampleEntry for SizeSample {
     fn size(&self) -> f64 {
         self.size
     }
@@ -52,38 +53,38 @@
     }
 }
 
-pub(crate) struct Known {
+pub(crate) struct Knowledge {
     /// Recent sized work. What was told comes before what was seen.
-    recent: Sample<Sized>,
+    recent: Sample<SizeSample>,
     told: usize,
-    told_kinds: BTreeMap<usize, KindLearnt>,
+    told_kinds: BTreeMap<usize, LearnedKind>,
     pub median: f64,
     pub mean: f64,
     pub mean_run: f64,
 }
 
-impl Default for Known {
-    fn default() -> Known {
+impl Default for Knowledge {
+    fn default() -> Knowledge {
         let (recent, told_kinds) = (Sample::with_limit(SAMPLE), BTreeMap::new());
-        Known { recent, told: 0, told_kinds, median: 1.0, mean: 1.0, mean_run: 1.0 }
+        Knowledge { recent, told: 0, told_kinds, median: 1.0, mean: 1.0, mean_run: 1.0 }
     }
 }
 
-impl Known {
+impl Knowledge {
     /// How many sizes are known.
     pub fn count(&self) -> usize {
         self.recent.len()
     }
 
-    pub fn saw(&mut self, size: f64, run: f64) {
+    pub fn record(&mut self, size: f64, run: f64) {
         let full = self.recent.is_full();
-        if self.recent.add(Sized { size, run }) {
+        if self.recent.add(SizeSample { size, run }) {
             self.told = self.told.saturating_sub(usize::from(full));
         }
     }
 
     /// Works out median and means anew; the sizes, smallest first.
-    pub fn weighs(&mut self) -> Vec<Sized> {
+    pub fn recompute(&mut self) -> Vec<SizeSample> {
         let sorted = self.recent.sorted();
         if let Some(median) = self.recent.median() {
             let count = sorted.len() as f64;
@@ -94,7 +95,7 @@
     }
 
     /// What was told of a kind.
-    pub fn told_of(&self, kind: usize) -> KindLearnt {
+    pub fn told_of(&self, kind: usize) -> LearnedKind {
         self.told_kinds.get(&kind).copied().unwrap_or_default()
     }
 
@@ -106,16 +107,16 @@
     }
 
     /// Another node told what it has seen; nonsense in it is passed over.
-    pub fn joins(&mut self, learnt: &Learnt) {
+    pub fn merge(&mut self, learned: &LearnedState) {
         const TOLD_S: f64 = 30.0; // counts for no more than what a node sees run in its first minute or so
         let sound = |value: f64| value > 0.0 && value.is_finite();
-        for &(size, run) in learnt.sizes.iter().filter(|(size, run)| sound(*size) && sound(*run)) {
-            self.told += usize::from(self.recent.add_older(Sized { size, run }));
+        for &(size, run) in learned.sizes.iter().filter(|(size, run)| sound(*size) && sound(*run)) {
+            self.told += usize::from(self.recent.add_older(SizeSample { size, run }));
         }
-        let sound_kind = |told: &KindLearnt| sound(told.done) && sound(told.ran) && sound(told.slots);
-        for (kind, told) in learnt.kinds.iter().filter(|(_, told)| sound_kind(told)) {
+        let sound_kind = |told: &LearnedKind| sound(told.done) && sound(told.ran) && sound(told.slots);
+        for (kind, told) in learned.kinds.iter().filter(|(_, told)| sound_kind(told)) {
             let part = (TOLD_S / told.ran).min(1.0);
-            let told = KindLearnt { done: told.done * part, ran: told.ran * part, ..*told };
+            let told = LearnedKind { done: told.done * part, ran: told.ran * part, ..*told };
             let known = self.told_kinds.entry(*kind).or_default();
             *known = known.and(told);
         }
--- a/crates/dispatch/tests/stable_bytes.rs
+++ b/crates/dispatch/tests/stable_bytes.rs
@@ -1,24 +1,30 @@
 //! Bytes written by earlier versions that this one must read and write unchanged: the words that nodes send one another.
 
 use grebeusher_dispatch::ids::fixed_hash;
-use grebeusher_dispatch::word::{LONGEST, MOST, Word, mark};
+use grebeusher_dispatch::load_message::{LoadMessage, MAX_COUNTS_PER_MESSAGE, MAX_MESSAGE_BYTES, short_hash};
 
 #[test]
 fn each_word_is_written_and_read_as_it_was() {
     let words = [
-        (Word::Own { filled: vec![(0xabcd, 3), (0x0102, 200)] }, &[1, 0xab, 0xcd, 3, 1, 2, 200][..]),
-        (Word::All { list: 0xfeed, first: 2 * MOST, filled: vec![4, 5, 6] }, &[2, 0xfe, 0xed, 2, 4, 5, 6]),
+        (LoadMessage::Own { filled: vec![(0xabcd, 3), (0x0102, 200)] }, &[1, 0xab, 0xcd, 3, 1, 2, 200][..]),
+        (
+            LoadMessage::All { list: 0xfeed, first: 2 * MAX_COUNTS_PER_MESSAGE, filled: vec![4, 5, 6] },
+            &[2, 0xfe, 0xed, 2, 4, 5, 6],
+        ),
     ];
     for (word, bytes) in words {
         // One that is added is to be added here as well.
         match word {
-            Word::Own { .. } | Word::All { .. } => {}
+            LoadMessage::Own { .. } | LoadMessage::All { .. } => {}
         }
-        assert_eq!(word.bytes(), bytes);
-        assert_eq!(Word::read(bytes), Some(word));
+        assert_eq!(word.encode(), bytes);
+        assert_eq!(LoadMessage::decode(bytes), Some(word));
     }
-    assert_eq!((LONGEST, MOST), (256, 200));
-    assert_eq!((Word::read(&[]), Word::read(&[3, 1]), Word::read(&[2, 1])), (None, None, None));
+    assert_eq!((MAX_MESSAGE_BYTES, MAX_COUNTS_PER_MESSAGE), (256, 200));
+    assert_eq!(
+        (LoadMessage::decode(&[]), LoadMessage::decode(&[3, 1]), LoadMessage::decode(&[2, 1])),
+        (None, None, None)
+    );
 }
 
 /// Names stand as hashes in what nodes tell each other and in what keepers agree on.
@@ -33,5 +39,5 @@
         let found = format!("{:016x}", fixed_hash(name));
         assert_eq!(found, hash, "{name}");
     }
-    assert_eq!(mark(0x0123_4567_89ab_cdef), 0x0123 ^ 0x4567 ^ 0x89ab ^ 0xcdef);
+    assert_eq!(short_hash(0x0123_4567_89ab_cdef), 0x0123 ^ 0x4567 ^ 0x89ab ^ 0xcdef);
 }
--- a/crates/dispatch/tests/stories.rs
+++ b/crates/dispatch/tests/stories.rs
@@ -3,34 +3,37 @@
 mod fake;
 
 use fake::*;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId, fixed_hash};
-use grebeusher_dispatch::learnt::{KindLearnt, Learnt};
-use grebeusher_dispatch::tariffs::*;
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId, fixed_hash};
+use grebeusher_dispatch::learned::{LearnedKind, LearnedState};
+use grebeusher_dispatch::load_message::{LoadMessage, MAX_COUNTS_PER_MESSAGE, MAX_MESSAGE_BYTES, short_hash};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
-use grebeusher_dispatch::word::{LONGEST, MOST, Word, mark};
+use grebeusher_dispatch::{
+    Arrival, AttemptOutcome, AttemptPolicy, ExecutorStatus, ListedExecutor, LoadReport, RetryBudget,
+    SlowStart,
+};
 
-const UNIT_ALARMS: u64 = 2;
+const REQUEST_ALARMS: u64 = 2;
 
 #[test]
 fn long_work_and_short_work_part_ways_once_fifty_sizes_are_known() {
     let mut story = Story::of(8);
     let (mut short, mut long) = ([0; 8], [0; 8]);
-    for unit in 1000..1008 {
-        story.arrive(unit, BINDING, 300); // work that is out: the node uses all eight
+    for request in 1000..1008 {
+        story.arrive(request, BINDING, 300); // work that is out: the node uses all eight
         story.sent_to();
     }
-    for unit in 0..400 {
+    for request in 0..400 {
         // Short work brings just over three quarters of all, as the first lane holds of the workers.
-        let is_long = unit % 10 == 0;
-        story.arrive(unit, BINDING, if is_long { 700 } else { 300 });
+        let is_long = request % 10 == 0;
+        story.arrive(request, BINDING, if is_long { 700 } else { 300 });
         let executor = story.sent_to();
-        story.end(unit, 0, executor, Ending::Fulfilled);
-        if unit == 60 {
+        story.end(request, 0, executor, AttemptOutcome::Served);
+        if request == 60 {
             story.pass(300);
-            story.node.rang(story.now, 0);
+            story.node.timer_fired(story.now, 0);
             story.heard();
         }
-        if unit > 60 {
+        if request > 60 {
             if is_long { long[executor] += 1 } else { short[executor] += 1 }
         }
     }
@@ -51,27 +54,28 @@
 fn is_left_for_the_long_lane(ms: u64) -> bool {
     let mut story = Story::of(8);
     let first: Vec<usize> = (1000..1008)
-        .map(|unit| {
-            story.arrive(unit, BINDING, 300);
+        .map(|request| {
+            story.arrive(request, BINDING, 300);
             story.sent_to()
         })
         .collect();
     let mut long = [false; 8];
-    let report = |full| Some(Report { utilisation: Some(if full { 1.0 } else { 0.1 }), free_slots: None });
-    for unit in 0..400 {
-        let is_long = unit % 10 == 0;
-        story.arrive(unit, BINDING, if is_long { 700 } else { 300 });
+    let report =
+        |full| Some(LoadReport { utilisation: Some(if full { 1.0 } else { 0.1 }), free_slots: None });
+    for request in 0..400 {
+        let is_long = request % 10 == 0;
+        story.arrive(request, BINDING, if is_long { 700 } else { 300 });
         let executor = story.sent_to();
-        long[executor] |= is_long && unit > 60;
-        story.end(unit, 0, executor, Ending::Fulfilled);
-        if unit == 60 {
+        long[executor] |= is_long && request > 60;
+        story.end(request, 0, executor, AttemptOutcome::Served);
+        if request == 60 {
             story.pass(300);
-            story.node.rang(story.now, 0);
+            story.node.timer_fired(story.now, 0);
             story.heard();
         }
     }
-    for (unit, &executor) in (1000..).zip(&first) {
-        story.end_with(unit, 0, executor, Ending::Fulfilled, report(!long[executor]));
+    for (request, &executor) in (1000..).zip(&first) {
+        story.end_with(request, 0, executor, AttemptOutcome::Served, report(!long[executor]));
     }
     story.pass(ms);
     story.arrive(500, BINDING, 300);
@@ -84,12 +88,12 @@
     for executors in [2, 3] {
         let mut story = Story::of(executors);
         let (mut short, mut long) = ([0; 3], [0; 3]);
-        for unit in 0..300 {
-            let size = 100 + unit * 37 % 800;
-            story.arrive(unit, BINDING, size);
+        for request in 0..300 {
+            let size = 100 + request * 37 % 800;
+            story.arrive(request, BINDING, size);
             let executor = story.sent_to();
-            story.end(unit, 0, executor, Ending::Fulfilled);
-            if unit > 60 {
+            story.end(request, 0, executor, AttemptOutcome::Served);
+            if request > 60 {
                 short[executor] += u32::from(size < 200);
                 long[executor] += u32::from(size > 890);
             }
@@ -102,12 +106,12 @@
 fn inside_a_lane_the_pick_follows_reported_utilisation() {
     let mut story = Story::of(2);
     let mut sent = [0; 2];
-    for unit in 0..2000 {
-        story.arrive(unit, BINDING, UNHINTED);
+    for request in 0..2000 {
+        story.arrive(request, BINDING, UNHINTED);
         let executor = story.sent_to();
         sent[executor] += 1;
-        let report = Report { utilisation: Some([0.8, 0.2][executor]), free_slots: None };
-        story.end_with(unit, 0, executor, Ending::Fulfilled, Some(report));
+        let report = LoadReport { utilisation: Some([0.8, 0.2][executor]), free_slots: None };
+        story.end_with(request, 0, executor, AttemptOutcome::Served, Some(report));
     }
     let share = sent[1] as f64 / 2000.0;
     assert!((0.75..0.85).contains(&share), "weights 0.2 and 0.8, yet the idle one got {share}");
@@ -117,14 +121,14 @@
 fn the_same_idle_share_is_worth_more_at_a_larger_executor() {
     // Failure: nodes that see little, or have just started, know no pace and gave small and large ones the same.
     let mut story = Story::fleet(1, 0).remove(0);
-    let large = Listing { weight: 4.0, ..listing(1, "large") };
-    story.node.listed(story.now, true, &[listing(0, "small"), large]);
+    let large = ListedExecutor { weight: 4.0, ..listing(1, "large") };
+    story.node.update_executors(story.now, true, &[listing(0, "small"), large]);
     let mut sent = [0; 2];
-    for unit in 0..2000 {
-        story.arrive(unit, BINDING, UNHINTED);
+    for request in 0..2000 {
+        story.arrive(request, BINDING, UNHINTED);
         let executor = story.sent_to();
         sent[executor] += 1;
-        story.end(unit, 0, executor, Ending::Fulfilled);
+        story.end(request, 0, executor, AttemptOutcome::Served);
     }
     let share = sent[1] as f64 / 2000.0;
     assert!((0.75..0.85).contains(&share), "sizes 1 and 4, yet the large one got {share}");
@@ -132,17 +136,17 @@
 
 #[test]
 fn what_an_executor_can_make_nothing_of_is_forfeited_and_speaks_not_against_it() {
-    // Failure: one bad client's units went to three executors each, and all of them were set aside.
+    // Failure: one bad client's units went to three executors each, and all of them were ejected.
     let mut story = Story::of(2);
-    for unit in 0..6 {
-        story.arrive(unit, RETRIABLE, 300);
+    for request in 0..6 {
+        story.arrive(request, RETRIABLE, 300);
         let executor = story.sent_to();
-        story.end(unit, 0, executor, Ending::Unusable);
-        assert_eq!(story.heard(), [Said::Forfeit(unit)]);
+        story.end(request, 0, executor, AttemptOutcome::Unusable);
+        assert_eq!(story.heard(), [Said::Forfeit(request)]);
     }
     let mut used: Vec<usize> = (6..10)
-        .map(|unit| {
-            story.arrive(unit, RETRIABLE, 300);
+        .map(|request| {
+            story.arrive(request, RETRIABLE, 300);
             story.sent_to()
         })
         .collect();
@@ -153,16 +157,16 @@
 
 #[test]
 fn a_connection_that_breaks_before_all_is_sent_speaks_not_against_its_executor() {
-    // Failure: where connections were reset, warm executors were set aside, and taken for restarted and cold.
+    // Failure: where connections were reset, warm executors were ejected, and taken for restarted and cold.
     let mut story = Story::of(2);
     let mut first = Vec::new();
-    for unit in 0..8 {
-        story.arrive(unit, BINDING, 300);
+    for request in 0..8 {
+        story.arrive(request, BINDING, 300);
         first.push(story.sent_to());
-        story.end(unit, 0, first[unit as usize], Ending::CutOff);
+        story.end(request, 0, first[request as usize], AttemptOutcome::CutOff);
         let second = story.sent_to();
-        assert_ne!(second, first[unit as usize], "it never ran, and another is asked");
-        story.end(unit, 1, second, Ending::Fulfilled);
+        assert_ne!(second, first[request as usize], "it never ran, and another is asked");
+        story.end(request, 1, second, AttemptOutcome::Served);
         story.heard();
     }
     first.sort_unstable();
@@ -181,29 +185,31 @@
         story.start_of(out.len() as u64, 0, executor); // it has a slot for each that runs
         out.push(executor);
     }
-    for (unit, &executor) in out.iter().enumerate() {
-        story.end(unit as u64, 0, executor, Ending::Fulfilled);
+    for (request, &executor) in out.iter().enumerate() {
+        story.end(request as u64, 0, executor, AttemptOutcome::Served);
     }
-    let half_full = Some(Report { utilisation: Some(0.5), free_slots: None });
+    let half_full = Some(LoadReport { utilisation: Some(0.5), free_slots: None });
     let mut sent = [0; 2];
-    for unit in 100..1100 {
+    for request in 100..1100 {
         story.pass(2000);
-        story.node.probed(story.now, ExecutorId(0), half_full);
-        story.node.probed(story.now, ExecutorId(1), half_full);
-        story.arrive(2 * unit, BINDING, UNHINTED);
+        story.node.load_reported(story.now, ExecutorId(0), half_full);
+        story.node.load_reported(story.now, ExecutorId(1), half_full);
+        story.arrive(2 * request, BINDING, UNHINTED);
         let first = story.sent_to();
-        story.arrive(2 * unit + 1, BINDING, UNHINTED);
+        story.arrive(2 * request + 1, BINDING, UNHINTED);
         let second = story.sent_to();
         sent[usize::from(second != first)] += 1;
-        story.end(2 * unit, 0, first, Ending::Fulfilled);
-        story.end(2 * unit + 1, 0, second, Ending::Fulfilled);
+        story.end(2 * request, 0, first, AttemptOutcome::Served);
+        story.end(2 * request + 1, 0, second, AttemptOutcome::Served);
     }
     assert!(sent[1] > 700, "what is out already weighs against sending there again: {sent:?}");
 }
 
 #[test]
 fn binding_work_that_may_have_run_is_forfeited_and_never_sent_again() {
-    for ending in [Ending::Error, Ending::Reset, Ending::TimedOut, Ending::Recalled] {
+    for ending in
+        [AttemptOutcome::Error, AttemptOutcome::Reset, AttemptOutcome::TimedOut, AttemptOutcome::Cancelled]
+    {
         let mut story = Story::of(4);
         story.arrive(1, BINDING, 100);
         let executor = story.sent_to();
@@ -214,7 +220,7 @@
 
 #[test]
 fn binding_work_proved_not_to_have_run_gets_another_executor() {
-    for ending in [Ending::Full, Ending::Refused] {
+    for ending in [AttemptOutcome::Full, AttemptOutcome::Refused] {
         let mut story = Story::of(4);
         story.arrive(1, BINDING, 100);
         let first = story.sent_to();
@@ -224,33 +230,33 @@
 }
 
 #[test]
-fn allocations_end_at_the_number_allowed() {
-    let mut story = Story::with(6, Allowance { most_allocations: 2, ..ALLOWANCE });
+fn attempts_end_at_the_number_allowed() {
+    let mut story = Story::with(6, AttemptPolicy { max_attempts: 2, ..ALLOWANCE });
     story.arrive(1, BINDING, 100);
     let first = story.sent_to();
-    story.end(1, 0, first, Ending::Full);
+    story.end(1, 0, first, AttemptOutcome::Full);
     let second = story.sent_to();
-    story.end(1, 1, second, Ending::Full);
+    story.end(1, 1, second, AttemptOutcome::Full);
     assert_eq!(story.heard(), [Said::TurnBack(1)]);
 }
 
-/// Guards against a budget of further allocations that a burst of endings overruns, at a node that has just started.
+/// Guards against a budget of retries that a burst of endings overruns, at a node that has just started.
 #[test]
-fn further_allocations_stay_within_their_budget_in_any_window() {
-    let further = Some(Further { span: Duration::from_millis(5000), free: 1.0, share: 0.5 });
-    let mut story = Story::with(6, Allowance { further, ..ALLOWANCE });
-    let sent = |story: &mut Story, unit| {
-        story.arrive(unit, BINDING, 100);
+fn further_attempts_stay_within_their_budget_in_any_window() {
+    let further = Some(RetryBudget { span: Duration::from_millis(5000), free: 1.0, share: 0.5 });
+    let mut story = Story::with(6, AttemptPolicy { retry_budget: further, ..ALLOWANCE });
+    let sent = |story: &mut Story, request| {
+        story.arrive(request, BINDING, 100);
         let first = story.sent_to();
-        story.end(unit, 0, first, Ending::CutOff);
+        story.end(request, 0, first, AttemptOutcome::CutOff);
         let heard = story.heard();
         assert_eq!(heard.len(), 1, "given up at once, or sent again: {heard:?}");
         let Said::Allocate(_, second, _) = heard[0] else { return false };
-        story.end(unit, 1, second, Ending::Fulfilled);
+        story.end(request, 1, second, AttemptOutcome::Served);
         true
     };
     // One is free, and one more for every two that came.
-    let further: Vec<bool> = (1..=6).map(|unit| sent(&mut story, unit)).collect();
+    let further: Vec<bool> = (1..=6).map(|request| sent(&mut story, request)).collect();
     assert_eq!(further, [true, true, false, true, false, true]);
     // Those that came long ago count no more, nor does what was sent then.
     story.pass(5100);
@@ -258,20 +264,20 @@
     assert!(sent(&mut story, 8) && !sent(&mut story, 9));
 }
 
-/// Guards against work given up seconds early by a clock that is ahead, and against holding it past a client's patience.
+/// Guards against work given up seconds early by a clock that is ahead, and against holding it past a client's the deadline.
 #[test]
-fn where_clocks_differ_a_fresh_unit_has_the_patience_of_its_tariff_within_the_error() {
+fn where_clocks_differ_a_fresh_request_has_the_patience_of_its_tariff_within_the_error() {
     let given = |off_ms: u64, told_ms: u64| {
-        let patience_off = Duration::from_millis(off_ms);
-        let mut story = Story::with(2, Allowance { patience_off, ..ALLOWANCE });
-        let patience_ends = story.now + Duration::from_millis(told_ms);
-        let arrival = Arrival { patience_ends, ..story.arrival(100) };
+        let deadline_error = Duration::from_millis(off_ms);
+        let mut story = Story::with(2, AttemptPolicy { deadline_error, ..ALLOWANCE });
+        let deadline = story.now + Duration::from_millis(told_ms);
+        let arrival = Arrival { deadline, ..story.arrival(100) };
         story.arrive_as(1, arrival);
         let heard = story.heard();
         let Said::Allocate(_, _, time_out) = heard[0] else { panic!("{heard:?}") };
         time_out.seconds()
     };
-    let whole = tariffs()[0].patience.seconds();
+    let whole = classes()[0].deadline.seconds();
     assert!((given(0, 1000) - 0.98).abs() < 1e-6, "{}", given(0, 1000));
     assert!((given(2000, 1000) - 2.98).abs() < 1e-6, "{}", given(2000, 1000));
     let told = (whole * 1e3) as u64 + 1000;
@@ -286,7 +292,7 @@
         story.arrive(1, BINDING, 100);
         story.sent_to();
         story.pass(3000);
-        story.end(1, 0, 0, Ending::Fulfilled);
+        story.end(1, 0, 0, AttemptOutcome::Served);
         story.arrive(2, BINDING, 100);
         let heard = story.heard();
         assert_eq!(heard.iter().any(|said| matches!(said, Said::Allocate(2, ..))), sent, "{heard:?}");
@@ -298,21 +304,26 @@
 fn where_listed_starts_may_be_off_an_executor_counts_as_cold_for_longer() {
     let sent = |off_ms: u64| {
         let mut story = Story::of(1);
-        let cold = ColdStart {
+        let slow_start = SlowStart {
             share: 0.2,
-            warm_within: Duration::from_millis(20_000),
+            warm_up: Duration::from_millis(20_000),
             fall_factor: 4.0,
             fall_window: Duration::from_millis(1000),
-            starts_off: Duration::from_millis(off_ms),
+            start_time_error: Duration::from_millis(off_ms),
             from: Instant(0),
         };
-        story.node = dispatcher(story.said.clone(), (0, 2), ALLOWANCE, false, true).cold_starts(cold);
+        story.node =
+            dispatcher(story.said.clone(), (0, 2), ALLOWANCE, false, true).with_slow_start(slow_start);
         story.node.start(story.now);
-        let listed = story.now;
+        let update_executors = story.now;
         story.pass(15_000);
-        story.node.listed(story.now, true, &[Listing { started: Some(listed), ..listing(0, "late") }]);
+        story.node.update_executors(
+            story.now,
+            true,
+            &[ListedExecutor { started: Some(update_executors), ..listing(0, "late") }],
+        );
         story.pass(6000);
-        (0..30).for_each(|unit| story.arrive(unit, BINDING, 1000));
+        (0..30).for_each(|request| story.arrive(request, BINDING, 1000));
         story.heard().iter().filter(|said| matches!(said, Said::Allocate(..))).count()
     };
     assert!(sent(0) > sent(12_000), "{} and {}", sent(0), sent(12_000));
@@ -323,11 +334,11 @@
     let mut story = Story::of(6);
     story.arrive(1, IN_ZONE, 100);
     let first = story.sent_to();
-    story.end(1, 0, first, Ending::Reset);
+    story.end(1, 0, first, AttemptOutcome::Reset);
     let second = story.sent_to();
     assert_eq!(second % 2, first % 2, "another zone does not know the mark");
     story.pass(3100);
-    story.end(1, 1, second, Ending::Reset);
+    story.end(1, 1, second, AttemptOutcome::Reset);
     assert_eq!(
         story.heard(),
         [Said::Forfeit(1)],
@@ -337,18 +348,18 @@
     story.arrive(2, ANYWHERE, 100);
     let first = story.sent_to();
     story.pass(9990);
-    story.end(2, 0, first, Ending::TimedOut);
+    story.end(2, 0, first, AttemptOutcome::TimedOut);
     assert_eq!(story.heard(), [Said::TurnBack(2)], "all executors drop its repeats");
 }
 
 #[test]
-fn the_last_allocation_is_given_up_before_patience_ends() {
+fn the_last_attempt_is_given_up_before_patience_ends() {
     let mut story = Story::of(2);
     story.arrive(1, BINDING, 100);
     let Said::Allocate(_, executor, time_out) = story.heard()[0] else { panic!("not sent") };
     assert!(time_out < Duration::from_millis(10_000) && time_out > Duration::from_millis(9900));
     story.pass(9990);
-    story.end(1, 0, executor, Ending::TimedOut);
+    story.end(1, 0, executor, AttemptOutcome::TimedOut);
     assert_eq!(story.heard(), [Said::Forfeit(1)]);
     story.arrive_with(2, RETRIABLE, 100, 5);
     assert_eq!(story.heard(), [Said::TurnBack(2)], "no time to send it at all");
@@ -360,25 +371,25 @@
     story.arrive(1, RETRIABLE, 100);
     let first = story.sent_to();
     story.pass(150);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
     story.heard();
-    story.node.streaming(UnitId(1));
+    story.node.response_started(RequestId(1));
     story.pass(20_000);
-    story.end(1, 0, first, Ending::Recalled);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
+    story.end(1, 0, first, AttemptOutcome::Cancelled);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
     assert_eq!(story.heard(), []);
 }
 
 #[test]
 fn held_work_is_answered_by_its_own_alarm() {
-    // Failure: patience ended between two beats, and a held work unit got no answer.
+    // Failure: the deadline ended between two beats, and a held request got no answer.
     let mut story = Story::of(0);
     story.arrive_with(1, BINDING, 100, 100);
     let alarms = story.said.0.take();
     let [Said::Wake(after, alarm)] = alarms[..] else { panic!("{alarms:?}") };
     assert!(after < Duration::from_millis(100));
     story.now = story.now + after;
-    story.node.rang(story.now, alarm);
+    story.node.timer_fired(story.now, alarm);
     assert_eq!(story.heard(), [Said::TurnBack(1)]);
 }
 
@@ -387,27 +398,27 @@
     let mut story = Story::of(0);
     story.arrive(1, BINDING, 100);
     assert_eq!(story.heard(), []);
-    story.node.listed(story.now, false, &[listing(0, "late")]);
+    story.node.update_executors(story.now, false, &[listing(0, "late")]);
     assert_eq!(story.sent_to(), 0);
 }
 
 #[test]
 fn draining_gone_and_unlisted_executors_get_nothing_new() {
     let mut story = Story::of(4);
-    let draining = Listing { standing: Standing::Draining, ..listing(0, "executor-0") };
-    let gone = Listing { standing: Standing::Gone, ..listing(1, "executor-1") };
-    story.node.listed(story.now, false, &[draining, gone]);
-    for unit in 0..20 {
-        story.arrive(unit, BINDING, 100);
+    let draining = ListedExecutor { status: ExecutorStatus::Draining, ..listing(0, "executor-0") };
+    let gone = ListedExecutor { status: ExecutorStatus::Gone, ..listing(1, "executor-1") };
+    story.node.update_executors(story.now, false, &[draining, gone]);
+    for request in 0..20 {
+        story.arrive(request, BINDING, 100);
         let executor = story.sent_to();
         assert!(executor >= 2);
-        story.end(unit, 0, executor, Ending::Fulfilled);
+        story.end(request, 0, executor, AttemptOutcome::Served);
     }
-    story.node.listed(story.now, true, &[listing(3, "executor-3")]);
-    for unit in 20..40 {
-        story.arrive(unit, BINDING, 100);
+    story.node.update_executors(story.now, true, &[listing(3, "executor-3")]);
+    for request in 20..40 {
+        story.arrive(request, BINDING, 100);
         assert_eq!(story.sent_to(), 3, "absent from a whole list means gone");
-        story.end(unit, 0, 3, Ending::Fulfilled);
+        story.end(request, 0, 3, AttemptOutcome::Served);
     }
 }
 
@@ -418,10 +429,10 @@
     for _ in 0..50 {
         let mut waits = Vec::new();
         for _ in 0..4 {
-            story.node.list_broken();
+            story.node.executor_list_lost();
             let [Said::Wake(after, alarm)] = story.said.0.take()[..] else { panic!("one alarm") };
             waits.push(after);
-            story.node.rang(story.now, alarm);
+            story.node.timer_fired(story.now, alarm);
             assert_eq!(story.heard(), [Said::Follow]);
         }
         let within = |wait: Duration, least, most| {
@@ -430,7 +441,7 @@
         assert!(within(waits[0], 100, 600) && within(waits[1], 200, 1200), "{waits:?}");
         assert!(within(waits[2], 400, 2400) && within(waits[3], 800, 4800), "{waits:?}");
         // Word that the list stands begins the row anew.
-        story.node.list_proved(story.now, true);
+        story.node.executor_list_confirmed(story.now, true);
     }
 }
 
@@ -438,32 +449,36 @@
 fn a_list_that_nothing_proves_is_gone_by_for_its_time_and_not_a_moment_longer() {
     // Failure: the calls for a list failed one after the other, and an executor that had long begun to drain got work.
     const GRACE: Duration = Duration::from_millis(500);
-    let mut story = Story::with(3, Allowance { grace: GRACE, ..ALLOWANCE });
+    let mut story = Story::with(3, AttemptPolicy { grace: GRACE, ..ALLOWANCE });
     let proved = story.now;
-    story.node.list_proved(proved, true);
+    story.node.executor_list_confirmed(proved, true);
     for (after, sends) in [(0, true), (6400, true), (6500, false), (9000, false)] {
         story.now = proved + Duration::from_millis(after);
         story.arrive(after, BINDING, UNHINTED);
         let sent =
-            story.heard().iter().any(|said| matches!(said, Said::Allocate(unit, ..) if *unit == after));
+            story.heard().iter().any(|said| matches!(said, Said::Allocate(request, ..) if *request == after));
         assert_eq!(sent, sends, "{after} ms after the last proof");
     }
     // One that speaks for itself is not bound to the list; and a new proof serves what is held.
-    story.node.listed(story.now, false, &[Listing { speaks: true, ..listing(9, "speaks") }]);
+    story.node.update_executors(
+        story.now,
+        false,
+        &[ListedExecutor { reports_own_status: true, ..listing(9, "speaks") }],
+    );
     assert!(story.heard().iter().any(|said| matches!(said, Said::Allocate(9000, 9, _))));
 }
 
 #[test]
-fn an_allocation_that_waited_for_its_connection_begins_only_while_it_still_may() {
-    let (unit, mut story) = (1, Story::of(3));
-    story.node.list_proved(story.now, true);
-    story.arrive(unit, ANYWHERE, UNHINTED);
+fn an_attempt_that_waited_for_its_connection_begins_only_while_it_still_may() {
+    let (request, mut story) = (1, Story::of(3));
+    story.node.executor_list_confirmed(story.now, true);
+    story.arrive(request, ANYWHERE, UNHINTED);
     let at = story.sent_to();
-    let id = |number| AllocationId { unit: UnitId(unit), number };
-    let begins = |story: &Story, number, at| story.node.may_begin(story.now, id(number), ExecutorId(at));
+    let id = |number| AttemptId { request: RequestId(request), number };
+    let begins = |story: &Story, number, at| story.node.may_send_now(story.now, id(number), ExecutorId(at));
     assert!(begins(&story, 0, at));
     // It may have run, is remembered for 3 s, and goes on: what is dialled for too long would be a second run.
-    story.end(unit, 0, at, Ending::Reset);
+    story.end(request, 0, at, AttemptOutcome::Reset);
     let again = story.sent_to();
     assert!(begins(&story, 1, again));
     story.now = story.now + Duration::from_millis(2999);
@@ -471,18 +486,18 @@
     story.now = story.now + Duration::from_millis(1);
     assert!(!begins(&story, 1, again), "its group has forgotten the first");
     story.now = story.now - Duration::from_millis(1000);
-    let draining = Listing { standing: Standing::Draining, ..listing(again, "drains") };
-    story.node.listed(story.now, false, &[draining]);
+    let draining = ListedExecutor { status: ExecutorStatus::Draining, ..listing(again, "drains") };
+    story.node.update_executors(story.now, false, &[draining]);
     assert!(!begins(&story, 1, again), "word of a drain came first");
-    story.node.listed(story.now, false, &[listing(again, "drains")]);
+    story.node.update_executors(story.now, false, &[listing(again, "drains")]);
     assert!(begins(&story, 1, again));
-    story.node.finish(UnitId(unit));
+    story.node.finish(RequestId(request));
     assert!(!begins(&story, 1, again), "nobody waits");
 }
 
 #[test]
 fn a_cold_executor_is_sent_only_what_all_nodes_together_may() {
-    // Failure: small work units were counted by their size alone, and many of them from all nodes pushed one over.
+    // Failure: small requests were counted by their size alone, and many of them from all nodes pushed one over.
     let mut stories = [Story::at(0, 0, ALLOWANCE, false), Story::at(1, 0, ALLOWANCE, false)];
     let started = stories[0].now;
     let mut sent: Vec<Instant> = Vec::new();
@@ -492,10 +507,10 @@
         for (node, story) in stories.iter_mut().enumerate() {
             story.arrive(step, BINDING, UNHINTED);
             for said in story.heard() {
-                if let Said::Allocate(unit, 0, _) = said {
+                if let Said::Allocate(request, 0, _) = said {
                     sent.push(story.now);
                     early[node] |= story.now.since(started) < Duration::from_millis(8000);
-                    story.end(unit, 0, 0, Ending::Fulfilled);
+                    story.end(request, 0, 0, AttemptOutcome::Served);
                 }
             }
             story.pass(10);
@@ -527,7 +542,7 @@
         story.now = now;
         story.arrive(100 + step, BINDING, 250);
         let executor = story.sent_to();
-        story.end(100 + step, 0, executor, Ending::Fulfilled);
+        story.end(100 + step, 0, executor, AttemptOutcome::Served);
         if executor == 4 {
             sent.push(now);
             nodes[node] = true;
@@ -543,11 +558,11 @@
     }
 }
 
-/// A node learns that work units take a quarter of a second on executors of one slot.
+/// A node learns that requests take a quarter of a second on executors of one slot.
 fn know_sizes(story: &mut Story) {
-    story.run_units(8, 250, 250);
+    story.run_requests(8, 250, 250);
     story.pass(3500);
-    story.node.rang(story.now, 0);
+    story.node.timer_fired(story.now, 0);
     story.heard();
 }
 
@@ -559,8 +574,8 @@
         let mut used = 0;
         for story in &mut fleet {
             know_sizes(story);
-            for unit in 20..23 {
-                story.arrive(unit, BINDING, 250);
+            for request in 20..23 {
+                story.arrive(request, BINDING, 250);
                 story.sent_to();
             }
             story.pass(3000); // all three wait
@@ -578,10 +593,10 @@
     // Failure: most nodes were restarted in a release, and for 5 s none of them sent anything to what was cold.
     let mut story = Story::fleet(1, 4).remove(0);
     story.pass(1000); // the process before it may have spent its part within this window
-    story.run_units(4, 1000, 60);
+    story.run_requests(4, 1000, 60);
     story.list_cold(4);
     story.pass(10);
-    story.node.rang(story.now, 0);
+    story.node.timer_fired(story.now, 0);
     story.heard();
     story.arrive(10, BINDING, 1000);
     assert_eq!(story.sent_to(), 4);
@@ -595,12 +610,12 @@
         for mut story in Story::fleet(nodes, 1) {
             // Of work this small a cold executor bears several calls at once.
             let sizes = vec![(0.05, 0.05); 60];
-            story.node.taught(story.now, &Learnt { sizes, ..Learnt::default() });
-            story.node.listed(story.now, true, &[]);
+            story.node.merge_learned(story.now, &LearnedState { sizes, ..LearnedState::default() });
+            story.node.update_executors(story.now, true, &[]);
             story.list_cold(4);
-            let mut sends = |units: std::ops::Range<u64>, after| {
+            let mut sends = |requests: std::ops::Range<u64>, after| {
                 story.pass(after);
-                units.for_each(|unit| story.arrive(unit, RETRIABLE, 250));
+                requests.for_each(|request| story.arrive(request, RETRIABLE, 250));
                 story.heard().iter().filter(|said| matches!(said, Said::Allocate(_, 4, _))).count()
             };
             sent += sends(0..20, 900); // the window is 1 s
@@ -615,15 +630,15 @@
 fn executors_at_which_own_work_waited_long_are_passed_over() {
     // Failure: a node kept to the few executors that it uses, where its work queued, while others stood idle.
     for (waited, passed_over) in [(300, true), (20, false)] {
-        let mut story = Story::with(12, Allowance { second_copies: false, ..ALLOWANCE });
+        let mut story = Story::with(12, AttemptPolicy { hedging: false, ..ALLOWANCE });
         let mut used = Vec::new();
-        for unit in 0..30 {
-            story.arrive(unit, RETRIABLE, UNHINTED);
+        for request in 0..30 {
+            story.arrive(request, RETRIABLE, UNHINTED);
             let executor = story.sent_to();
             used.push(executor);
             story.pass(waited);
-            story.start_of(unit, 0, executor);
-            story.end(unit, 0, executor, Ending::Fulfilled);
+            story.start_of(request, 0, executor);
+            story.end(request, 0, executor, AttemptOutcome::Served);
         }
         used.sort_unstable();
         used.dedup();
@@ -635,8 +650,8 @@
 fn a_new_executor_is_known_by_its_kind_at_once() {
     // Failure: until the next look at the cut-offs all new ones passed for one slow slot, too little for a unit.
     let mut story = Story::fleet(1, 4).remove(0);
-    story.run_units(40, 1000, 250); // four times as fast as a standard core
-    story.node.rang(story.now, 0);
+    story.run_requests(40, 1000, 250); // four times as fast as a standard core
+    story.node.timer_fired(story.now, 0);
     story.heard();
     story.list_cold(4);
     story.arrive(100, BINDING, 1000);
@@ -648,9 +663,9 @@
     // Failure: what had crashed came back cold before the list said so, and was pushed over at once.
     let mut story = Story::of(1);
     story.arrive(1, BINDING, 100);
-    story.end(1, 0, 0, Ending::Reset);
+    story.end(1, 0, 0, AttemptOutcome::Reset);
     story.arrive(2, BINDING, 100);
-    story.end(2, 0, 0, Ending::Refused);
+    story.end(2, 0, 0, AttemptOutcome::Refused);
     story.pass(6000);
     story.heard();
     story.arrive(3, BINDING, 100);
@@ -661,15 +676,15 @@
 }
 
 #[test]
-fn a_unit_is_not_sent_again_where_it_failed() {
+fn a_request_is_not_sent_again_where_it_failed() {
     // Failure: a crashed executor looked idle and was asked again at once.
     let mut story = Story::of(2);
-    for unit in 0..10 {
-        story.arrive(unit, RETRIABLE, 100);
+    for request in 0..10 {
+        story.arrive(request, RETRIABLE, 100);
         let first = story.sent_to();
-        story.end(unit, 0, first, Ending::Reset);
+        story.end(request, 0, first, AttemptOutcome::Reset);
         assert_eq!(story.sent_to(), 1 - first);
-        story.end(unit, 1, 1 - first, Ending::Fulfilled);
+        story.end(request, 1, 1 - first, AttemptOutcome::Served);
     }
 }
 
@@ -679,16 +694,16 @@
     let mut story = Story::of(4);
     story.arrive(1, RETRIABLE, 100);
     let sick = story.sent_to();
-    story.end(1, 0, sick, Ending::Error);
+    story.end(1, 0, sick, AttemptOutcome::Error);
     assert_ne!(story.sent_to(), sick, "a retriable unit is tried elsewhere");
     let mut came_back = None;
-    for unit in 10..700 {
+    for request in 10..700 {
         story.pass(10);
-        story.arrive(unit, BINDING, UNHINTED);
+        story.arrive(request, BINDING, UNHINTED);
         let executor = story.sent_to();
-        story.end(unit, 0, executor, Ending::Fulfilled);
+        story.end(request, 0, executor, AttemptOutcome::Served);
         if executor == sick && came_back.is_none() {
-            came_back = Some(unit * 10 - 90);
+            came_back = Some(request * 10 - 90);
         }
     }
     let after = came_back.expect("it returns");
@@ -698,11 +713,11 @@
 #[test]
 fn setting_aside_never_takes_more_than_half_of_the_executors() {
     let mut story = Story::of(4);
-    for unit in 0..20 {
-        story.arrive(unit, BINDING, 100);
+    for request in 0..20 {
+        story.arrive(request, BINDING, 100);
         let executor = story.sent_to();
-        story.end(unit, 0, executor, Ending::Error);
-        assert_eq!(story.heard(), [Said::Forfeit(unit)], "sent although all of them fail");
+        story.end(request, 0, executor, AttemptOutcome::Error);
+        assert_eq!(story.heard(), [Said::Forfeit(request)], "sent although all of them fail");
     }
 }
 
@@ -712,7 +727,7 @@
     let mut story = Story::of(1);
     story.arrive(1, BINDING, 100);
     let executor = story.sent_to();
-    story.end(1, 0, executor, Ending::Full);
+    story.end(1, 0, executor, AttemptOutcome::Full);
     assert_eq!(story.heard(), []);
     story.arrive(2, BINDING, 100);
     assert_eq!(story.heard(), [], "held while it rests");
@@ -721,58 +736,58 @@
 #[test]
 fn work_that_waits_gets_a_second_place_and_keeps_the_first_until_one_starts() {
     // Failure: a move gave up a place in a queue, and marked work waited where it was, however long.
-    for (second_copies, tariff, more) in [
+    for (hedging, class, more) in [
         (true, RETRIABLE, true),
         (true, IN_ZONE, true),
         (false, RETRIABLE, false),
         (false, IN_ZONE, false),
         (true, BINDING, false),
     ] {
-        let mut story = Story::with(4, Allowance { second_copies, ..ALLOWANCE });
-        story.arrive(1, tariff, 100);
+        let mut story = Story::with(4, AttemptPolicy { hedging, ..ALLOWANCE });
+        story.arrive(1, class, 100);
         let first = story.sent_to();
         story.pass(150);
-        story.node.rang(story.now, UNIT_ALARMS + 1);
+        story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
         let other = match (more, &story.heard()[..]) {
             (true, [Said::Allocate(1, other, _)]) => *other,
             (false, []) => continue,
-            (_, other) => panic!("copies {second_copies}, tariff {tariff}: {other:?}"),
+            (_, other) => panic!("copies {hedging}, tariff {class}: {other:?}"),
         };
         assert_ne!(other, first);
-        assert!(tariff != IN_ZONE || other % 2 == first % 2, "marked work stays in its group");
+        assert!(class != IN_ZONE || other % 2 == first % 2, "marked work stays in its group");
         story.start_of(1, 1, other);
-        assert_eq!(story.heard(), [Said::Recall(1, 0)]);
-        story.end(1, 0, first, Ending::Recalled);
+        assert_eq!(story.heard(), [Said::Cancel(1, 0)]);
+        story.end(1, 0, first, AttemptOutcome::Cancelled);
         assert_eq!(story.heard(), [], "the other one runs");
     }
 }
 
 #[test]
 fn where_starts_are_not_told_waiting_work_is_not_taken_for_running() {
-    // Failure: what waited for longer than two and a half paces passed for silent, its executor was set aside
+    // Failure: what waited for longer than two and a half paces passed for silent, its executor was ejected
     // and a second copy sent, until all workers were full of copies.
     let mut story = Story::told(4, ALLOWANCE, false);
     story.arrive(1, RETRIABLE, 3000);
     let first = story.sent_to();
     story.pass(2600);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
     assert_eq!(story.heard(), [], "it may wait, or have just started");
     story.start_of(1, 0, first);
     story.pass(2000);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
     assert_eq!(story.heard(), [], "one word of progress proves a start");
     story.pass(600);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
-    assert!(matches!(story.heard()[..], [Said::Recall(1, 0), Said::Allocate(1, other, _)] if other != first));
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
+    assert!(matches!(story.heard()[..], [Said::Cancel(1, 0), Said::Allocate(1, other, _)] if other != first));
 }
 
 #[test]
 fn without_recalls_a_second_copy_goes_out_and_none_is_recalled() {
-    let mut story = Story::with(3, Allowance { recalls: false, ..ALLOWANCE });
+    let mut story = Story::with(3, AttemptPolicy { cancellation: false, ..ALLOWANCE });
     story.arrive(1, RETRIABLE, 100);
     story.sent_to();
     story.pass(150);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
     assert!(matches!(story.heard()[..], [Said::Allocate(1, ..)]));
 }
 
@@ -783,30 +798,30 @@
     story.arrive(1, RETRIABLE, 100);
     assert_eq!(story.sent_to(), 0);
     story.pass(500);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
     assert_eq!(story.heard(), [], "0.5 s and twice its size less its run are not over yet");
     story.pass(150);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
-    assert_eq!(story.heard(), [Said::Recall(1, 0), Said::TurnBack(1)]);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
+    assert_eq!(story.heard(), [Said::Cancel(1, 0), Said::TurnBack(1)]);
 }
 
 #[test]
 fn a_lane_without_room_borrows_workers_of_the_other() {
     // Failure: short work queued in its jammed lane while the other lane idled.
     let mut story = Story::of(4);
-    for unit in 0..60 {
-        story.arrive(unit, BINDING, if unit % 10 == 0 { 700 } else { 300 });
+    for request in 0..60 {
+        story.arrive(request, BINDING, if request % 10 == 0 { 700 } else { 300 });
         let executor = story.sent_to();
-        story.end(unit, 0, executor, Ending::Fulfilled);
+        story.end(request, 0, executor, AttemptOutcome::Served);
     }
     story.pass(300);
-    story.node.rang(story.now, 0);
+    story.node.timer_fired(story.now, 0);
     story.heard();
     let taken: Vec<usize> = (100..104)
-        .map(|unit| {
-            story.arrive(unit, BINDING, 300);
+        .map(|request| {
+            story.arrive(request, BINDING, 300);
             let executor = story.sent_to();
-            story.start_of(unit, 0, executor);
+            story.start_of(request, 0, executor);
             executor
         })
         .collect();
@@ -815,17 +830,17 @@
 
 #[test]
 fn work_that_runs_is_left_alone_until_its_executor_falls_silent() {
-    let mut story = Story::with(3, Allowance { second_copies: false, ..ALLOWANCE });
+    let mut story = Story::with(3, AttemptPolicy { hedging: false, ..ALLOWANCE });
     story.arrive(1, RETRIABLE, 5000);
     let first = story.sent_to();
     story.start_of(1, 0, first);
     story.pass(1000);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
     assert_eq!(story.heard(), []);
     story.pass(2000);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
-    assert_eq!(story.heard(), [Said::Recall(1, 0)], "one at a time: recalled first");
-    story.end(1, 0, first, Ending::Recalled);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
+    assert_eq!(story.heard(), [Said::Cancel(1, 0)], "one at a time: recalled first");
+    story.end(1, 0, first, AttemptOutcome::Cancelled);
     assert_ne!(story.sent_to(), first);
 }
 
@@ -833,8 +848,8 @@
 fn work_that_cannot_be_in_time_anywhere_is_turned_back_at_once() {
     // Failure: under overload every queue grew until all answers were late.
     let mut story = Story::of(2);
-    for unit in 0..2 {
-        story.arrive(unit, BINDING, 100);
+    for request in 0..2 {
+        story.arrive(request, BINDING, 100);
     }
     story.pass(3000);
     story.heard();
@@ -853,13 +868,13 @@
     assert_eq!(story.sent_to(), 1 - long, "the other has room");
     story.pass(100);
     let mut turned_back = 0;
-    for unit in 10..50 {
-        story.arrive(unit, BINDING, 100);
+    for request in 10..50 {
+        story.arrive(request, BINDING, 100);
         match story.heard()[..] {
             [Said::TurnBack(_)] => turned_back += 1,
             [Said::Allocate(_, executor, _)] => {
                 assert_eq!(executor, 1 - long);
-                story.end(unit, 0, executor, Ending::Fulfilled);
+                story.end(request, 0, executor, AttemptOutcome::Served);
             }
             ref other => panic!("{other:?}"),
         }
@@ -869,14 +884,14 @@
 
 #[test]
 fn a_repeat_is_judged_by_the_first_try_of_its_client() {
-    // Failure: repeats past their quoted time took the place of what could still be in time.
+    // Failure: repeats past their latency objective took the place of what could still be in time.
     let mut story = Story::of(1);
     story.arrive(0, BINDING, 100);
     story.sent_to();
     story.pass(150);
-    for (unit, repeat) in [(1, true), (2, false)] {
+    for (request, repeat) in [(1, true), (2, false)] {
         // It has waited for five of its ten seconds already, if it is the same client's second try.
-        story.arrive_as(unit, Arrival { repeat, ..story.arrival(5000) });
+        story.arrive_as(request, Arrival { repeat, ..story.arrival(5000) });
         assert_eq!(matches!(story.heard()[..], [Said::TurnBack(_)]), repeat);
     }
 }
@@ -885,24 +900,24 @@
 fn what_a_customer_sends_beyond_its_share_is_turned_back_first() {
     let mut story = Story::of(1);
     // Two nodes: four units a second here, twice the even part, and two seconds' worth at once before overuse.
-    story.node =
-        dispatcher(story.said.clone(), (0, 2), ALLOWANCE, false, true).customers(&[4.0, f64::INFINITY]);
+    story.node = dispatcher(story.said.clone(), (0, 2), ALLOWANCE, false, true)
+        .with_customer_quotas(&[4.0, f64::INFINITY]);
     story.node.start(story.now);
     story.list(1);
-    for (unit, customer) in (0..9).map(|unit| (unit, 0)).chain([(9, 1)]) {
-        story.pass(if unit == 8 { 200 } else { 0 });
+    for (request, customer) in (0..9).map(|request| (request, 0)).chain([(9, 1)]) {
+        story.pass(if request == 8 { 200 } else { 0 });
         let hint = Some(Duration::from_millis(2000));
-        story.arrive_as(unit, Arrival { customer, hint, ..story.arrival(10_000) });
+        story.arrive_as(request, Arrival { customer, hint, ..story.arrival(10_000) });
     }
     let turned_back = story.heard().into_iter().filter(|s| matches!(s, Said::TurnBack(_)));
     assert_eq!(turned_back.collect::<Vec<_>>(), [Said::TurnBack(8)]);
 }
 
 #[test]
-fn a_share_of_less_than_a_unit_at_a_node_still_admits_some() {
+fn a_share_of_less_than_a_request_at_a_node_still_admits_some() {
     // Failure: with hundreds of nodes a node's part was under half a unit a second, and all was beyond the share.
     let mut story = Story::of(1);
-    story.node = dispatcher(story.said.clone(), (0, 2), ALLOWANCE, false, true).customers(&[0.1]);
+    story.node = dispatcher(story.said.clone(), (0, 2), ALLOWANCE, false, true).with_customer_quotas(&[0.1]);
     story.node.start(story.now);
     story.list(1);
     story.arrive(0, BINDING, 2000);
@@ -917,17 +932,17 @@
     // Failure: every node probed every executor, and with hundreds of both the probes cost more than they told.
     let mut story = Story::at(0, 100, ALLOWANCE, true);
     let mut probes = Vec::new();
-    for unit in 0..100 {
-        story.arrive(unit, BINDING, 100);
+    for request in 0..100 {
+        story.arrive(request, BINDING, 100);
         let [ref asked @ .., Said::Allocate(_, executor, _)] = story.heard()[..] else { panic!("not sent") };
         assert!(asked.is_empty() || asked == [Said::Probe(executor)], "{asked:?}");
         if !asked.is_empty() {
             probes.push((executor, story.now));
-            story.node.probed(story.now, ExecutorId(executor), None);
+            story.node.load_reported(story.now, ExecutorId(executor), None);
         }
-        story.end(unit, 0, executor, Ending::Fulfilled);
+        story.end(request, 0, executor, AttemptOutcome::Served);
         story.pass(100);
-        story.node.rang(story.now, 0);
+        story.node.timer_fired(story.now, 0);
     }
     assert!((4..40).contains(&probes.len()), "a few executors, three or four times each: {probes:?}");
 }
@@ -937,8 +952,8 @@
     // Failure: picks went to executors never heard of, one after the other through the whole fleet.
     let mut story = Story::of(100);
     let mut busy = std::collections::BTreeSet::new();
-    for unit in 0..50 {
-        story.arrive(unit, BINDING, 100);
+    for request in 0..50 {
+        story.arrive(request, BINDING, 100);
         busy.insert(story.sent_to());
     }
     assert!(busy.len() > 25, "each slot is filled once before any twice: {busy:?}");
@@ -949,8 +964,8 @@
     // Failure: a node with one or two units out took every executor it had not used for free, and sent on into queues.
     let mut story = Story::of(100);
     let mut out = Vec::new();
-    for unit in 0..2 {
-        story.arrive(unit, BINDING, 100);
+    for request in 0..2 {
+        story.arrive(request, BINDING, 100);
         out.push(story.sent_to());
         story.pass(100);
     }
@@ -969,31 +984,31 @@
     // Failure: a late report of free slots sent a second unit where the first one waited.
     let mut story = Story::of(2);
     for executor in 0..2 {
-        let free = Report { utilisation: Some(0.1), free_slots: Some(4.0) };
-        story.node.probed(story.now, ExecutorId(executor), Some(free));
+        let free = LoadReport { utilisation: Some(0.1), free_slots: Some(4.0) };
+        story.node.load_reported(story.now, ExecutorId(executor), Some(free));
     }
-    for unit in (0..40).step_by(2) {
-        story.arrive(unit, BINDING, UNHINTED);
+    for request in (0..40).step_by(2) {
+        story.arrive(request, BINDING, UNHINTED);
         let first = story.sent_to();
-        story.arrive(unit + 1, BINDING, UNHINTED);
+        story.arrive(request + 1, BINDING, UNHINTED);
         assert_eq!(story.sent_to(), 1 - first);
-        story.end(unit, 0, first, Ending::Fulfilled);
-        story.end(unit + 1, 0, 1 - first, Ending::Fulfilled);
+        story.end(request, 0, first, AttemptOutcome::Served);
+        story.end(request + 1, 0, 1 - first, AttemptOutcome::Served);
     }
 }
 
 #[test]
-fn a_long_unit_does_not_keep_a_cold_executor_to_itself() {
+fn a_long_request_does_not_keep_a_cold_executor_to_itself() {
     // Failures: one long unit was all that it had in flight, and what was heavier than a mean one got none of it.
     let mut sent = 0;
     for node in 0..2 {
         let mut story = Story::at(node, 0, ALLOWANCE, false);
         story.list_cold(0);
         story.pass(15_000);
-        for unit in 0..4 {
-            story.arrive(unit, BINDING, 2000);
+        for request in 0..4 {
+            story.arrive(request, BINDING, 2000);
             sent += story.heard().iter().filter(|s| matches!(s, Said::Allocate(..))).count();
-            story.start_of(unit, 0, 0);
+            story.start_of(request, 0, 0);
             story.pass(1100);
         }
     }
@@ -1005,27 +1020,35 @@
     let mut story = Story::of(2);
     story.arrive(1, RETRIABLE, 100);
     let executor = story.sent_to();
-    story.node.finish(UnitId(1));
-    assert_eq!(story.heard(), [Said::Recall(1, 0)], "nobody works for nothing");
-    story.end(1, 0, executor, Ending::Recalled);
-    story.end(77, 3, 99, Ending::Error);
+    story.node.finish(RequestId(1));
+    assert_eq!(story.heard(), [Said::Cancel(1, 0)], "nobody works for nothing");
+    story.end(1, 0, executor, AttemptOutcome::Cancelled);
+    story.end(77, 3, 99, AttemptOutcome::Error);
     story.start_of(77, 0, 99);
-    story.node.finish(UnitId(77));
-    story.node.streaming(UnitId(77));
-    story.node.probed(story.now, ExecutorId(99), None);
-    story.node.rang(story.now, 12_345);
+    story.node.finish(RequestId(77));
+    story.node.response_started(RequestId(77));
+    story.node.load_reported(story.now, ExecutorId(99), None);
+    story.node.timer_fired(story.now, 12_345);
     assert_eq!(story.heard(), []);
 }
 
 #[test]
 fn absurd_figures_are_bounded() {
     let mut story = Story::at(u64::MAX, 3, ALLOWANCE, false);
-    let odd = Listing { weight: f64::NAN, ..listing(1, "executor-1") };
-    story.node.listed(story.now, false, &[Listing { weight: 0.0, ..listing(0, "executor-0") }, odd]);
-    let report = Report { utilisation: Some(f64::NAN), free_slots: Some(f64::INFINITY) };
-    story.node.probed(story.now, ExecutorId(0), Some(report));
-    story.node.probed(story.now, ExecutorId(1), Some(Report { utilisation: Some(-7.0), free_slots: None }));
-    for (unit, (hint, slots)) in [
+    let odd = ListedExecutor { weight: f64::NAN, ..listing(1, "executor-1") };
+    story.node.update_executors(
+        story.now,
+        false,
+        &[ListedExecutor { weight: 0.0, ..listing(0, "executor-0") }, odd],
+    );
+    let report = LoadReport { utilisation: Some(f64::NAN), free_slots: Some(f64::INFINITY) };
+    story.node.load_reported(story.now, ExecutorId(0), Some(report));
+    story.node.load_reported(
+        story.now,
+        ExecutorId(1),
+        Some(LoadReport { utilisation: Some(-7.0), free_slots: None }),
+    );
+    for (request, (hint, slots)) in [
         (Duration::from_nanos(0), 0.0),
         (Duration::from_nanos(u64::MAX), f64::NAN),
         (Duration::from_nanos(1), f64::INFINITY),
@@ -1033,12 +1056,12 @@
     .into_iter()
     .enumerate()
     {
-        let absurd = Arrival { tariff: 99, customer: 9, hint: Some(hint), slots, ..story.arrival(1000) };
-        story.arrive_as(unit as u64, absurd);
+        let absurd = Arrival { class: 99, customer: 9, hint: Some(hint), slots, ..story.arrival(1000) };
+        story.arrive_as(request as u64, absurd);
     }
     for _ in 0..30 {
         story.pass(250);
-        story.node.rang(story.now, 0);
+        story.node.timer_fired(story.now, 0);
     }
     assert_eq!(story.heard().iter().filter(|s| matches!(s, Said::Allocate(..))).count(), 3);
 }
@@ -1047,10 +1070,10 @@
 fn the_same_events_bring_the_same_actions() {
     let play = || {
         let mut story = Story::of(5);
-        for unit in 0..200 {
-            story.arrive(unit, (unit % 4) as usize, 50 + unit * 37 % 900);
+        for request in 0..200 {
+            story.arrive(request, (request % 4) as usize, 50 + request * 37 % 900);
             story.pass(20);
-            story.node.rang(story.now, if unit % 10 == 0 { 0 } else { UNIT_ALARMS + unit });
+            story.node.timer_fired(story.now, if request % 10 == 0 { 0 } else { REQUEST_ALARMS + request });
         }
         story.said.0.take()
     };
@@ -1060,42 +1083,42 @@
 #[test]
 fn nodes_that_may_talk_know_what_the_others_have_out() {
     // Failure: a node that sees one unit in fifty sent to workers that others had filled.
-    let free = Some(Report { utilisation: None, free_slots: Some(4.0) });
-    let mut teller = Story::talking(0, 2);
-    let mut other = Story::talking(1, 2);
-    for story in [&mut teller, &mut other] {
-        for unit in [1, 2] {
-            story.arrive(unit, RETRIABLE, UNHINTED);
+    let free = Some(LoadReport { utilisation: None, free_slots: Some(4.0) });
+    let mut aggregator = Story::with_load_sharing(0, 2);
+    let mut other = Story::with_load_sharing(1, 2);
+    for story in [&mut aggregator, &mut other] {
+        for request in [1, 2] {
+            story.arrive(request, RETRIABLE, UNHINTED);
             let executor = story.sent_to();
-            story.end_with(unit, 0, executor, Ending::Fulfilled, free);
+            story.end_with(request, 0, executor, AttemptOutcome::Served, free);
         }
     }
     let arrival = Arrival { slots: 4.0, ..other.arrival(9000) };
     other.arrive_as(3, arrival);
     let filled = other.sent_to();
-    other.node.rang(other.now, 0);
+    other.node.timer_fired(other.now, 0);
     for (to, word) in other.words() {
         assert_eq!(to, Some(0), "the first node adds up");
-        teller.node.told(teller.now, 1, &word);
+        aggregator.node.load_message_received(aggregator.now, 1, &word);
     }
-    teller.node.rang(teller.now, 0);
-    assert_eq!(teller.words().iter().filter(|(to, _)| to.is_none()).count(), 1);
-    teller.heard();
-    for unit in 4..8 {
-        teller.arrive(unit, BINDING, UNHINTED);
-        assert_ne!(teller.sent_to(), filled, "it has no slot left, whoever filled it");
+    aggregator.node.timer_fired(aggregator.now, 0);
+    assert_eq!(aggregator.words().iter().filter(|(to, _)| to.is_none()).count(), 1);
+    aggregator.heard();
+    for request in 4..8 {
+        aggregator.arrive(request, BINDING, UNHINTED);
+        assert_ne!(aggregator.sent_to(), filled, "it has no slot left, whoever filled it");
     }
 }
 
 #[test]
 fn what_is_said_to_a_node_that_may_not_talk_or_is_no_word_changes_nothing() {
     let mut story = Story::of(2);
-    story.node.told(story.now, 1, &[2, 0, 1, 2, 3]);
-    story.node.rang(story.now, 0);
+    story.node.load_message_received(story.now, 1, &[2, 0, 1, 2, 3]);
+    story.node.timer_fired(story.now, 0);
     assert_eq!(story.words(), []);
-    let mut story = Story::talking(1, 2);
+    let mut story = Story::with_load_sharing(1, 2);
     for junk in [&[][..], &[9, 9], &[1, 200, 3], &[2, 0, 1], &[2, 0, 0, 0, 200]] {
-        story.node.told(story.now, 0, junk);
+        story.node.load_message_received(story.now, 0, junk);
     }
     story.arrive(1, RETRIABLE, 100);
     story.sent_to();
@@ -1104,41 +1127,45 @@
 #[test]
 fn the_next_node_adds_up_when_the_first_falls_silent() {
     // Guards against all nodes deaf while one is away, and that one deaf when it is back.
-    let mut back = Story::talking(0, 2);
-    let mut story = Story::talking(1, 2);
+    let mut back = Story::with_load_sharing(0, 2);
+    let mut story = Story::with_load_sharing(1, 2);
     story.arrive(1, RETRIABLE, 100);
     story.sent_to();
-    story.node.rang(story.now, 0);
+    story.node.timer_fired(story.now, 0);
     assert_eq!(story.words().last().map(|(to, _)| *to), Some(Some(0)));
     story.pass(2100);
-    story.node.told(story.now, 0, &Word::Own { filled: Vec::new() }.bytes());
-    story.node.rang(story.now, 0);
+    story.node.load_message_received(story.now, 0, &LoadMessage::Own { filled: Vec::new() }.encode());
+    story.node.timer_fired(story.now, 0);
     let words = story.words();
     let all = words.iter().find(|(to, _)| to.is_none()).expect("it adds up itself");
-    back.node.told(back.now, 1, &all.1);
-    back.node.rang(back.now, 0);
+    back.node.load_message_received(back.now, 1, &all.1);
+    back.node.timer_fired(back.now, 0);
     assert_eq!(back.words().last().map(|(to, _)| *to), Some(Some(1)), "it joins in");
 }
 
 #[test]
 fn words_hold_what_was_put_into_them_and_no_more_than_a_word_may() {
-    let own = Word::Own { filled: (0..20).map(|at| (at * 777, at as u8)).collect() };
-    let all = Word::All { list: 7, first: 2 * MOST, filled: (0..MOST as u8).collect() };
+    let own = LoadMessage::Own { filled: (0..20).map(|at| (at * 777, at as u8)).collect() };
+    let all = LoadMessage::All {
+        list: 7,
+        first: 2 * MAX_COUNTS_PER_MESSAGE,
+        filled: (0..MAX_COUNTS_PER_MESSAGE as u8).collect(),
+    };
     for word in [own, all] {
-        assert_eq!(Word::read(&word.bytes()), Some(word));
+        assert_eq!(LoadMessage::decode(&word.encode()), Some(word));
     }
-    let crowded = Word::Own { filled: vec![(1, 1); 500] };
-    assert!(crowded.bytes().len() <= LONGEST);
-    assert!(Word::read(&crowded.bytes()).is_some());
+    let crowded = LoadMessage::Own { filled: vec![(1, 1); 500] };
+    assert!(crowded.encode().len() <= MAX_MESSAGE_BYTES);
+    assert!(LoadMessage::decode(&crowded.encode()).is_some());
 }
 
 #[test]
-fn a_unit_of_several_slots_runs_no_longer_for_it() {
-    // Failure: the slack of a unit of four slots was taken for its quoted time less four times its run, and
-    // it was turned back wherever anything waited.
+fn a_request_of_several_slots_runs_no_longer_for_it() {
+    // Failure: the slack of a unit of four slots was taken for its latency objective less four times its run, and
+    // it was rejected wherever anything waited.
     let mut story = Story::of(2);
-    for unit in 0..2 {
-        story.arrive(unit, BINDING, 100);
+    for request in 0..2 {
+        story.arrive(request, BINDING, 100);
     }
     story.pass(400);
     story.heard();
@@ -1150,21 +1177,24 @@
 #[test]
 fn a_crowd_does_not_gather_at_the_one_that_all_know_to_be_free() {
     // Failure: all nodes knew the same half a second old queues, and all sent to the shortest: 30 at once.
-    let mut teller = Story::talking(0, 8);
-    let mut other = Story::talking(1, 8);
-    let full = |at: usize| (mark(fixed_hash(&format!("executor-{at}"))), 4);
-    let word = Word::Own { filled: (1..8).map(full).collect() };
-    teller.node.told(teller.now, 1, &word.bytes());
-    teller.node.rang(teller.now, 0);
-    let free = Some(Report { utilisation: None, free_slots: Some(4.0) });
+    let mut aggregator = Story::with_load_sharing(0, 8);
+    let mut other = Story::with_load_sharing(1, 8);
+    let full = |at: usize| (short_hash(fixed_hash(&format!("executor-{at}"))), 4);
+    let word = LoadMessage::Own { filled: (1..8).map(full).collect() };
+    aggregator.node.load_message_received(aggregator.now, 1, &word.encode());
+    aggregator.node.timer_fired(aggregator.now, 0);
+    let free = Some(LoadReport { utilisation: None, free_slots: Some(4.0) });
     let mut used = [0; 8];
-    for unit in 0..40 {
-        other.arrive(unit, RETRIABLE, UNHINTED);
+    for request in 0..40 {
+        other.arrive(request, RETRIABLE, UNHINTED);
         let executor = other.sent_to();
-        used[executor] += u32::from(unit > 0);
-        other.end_with(unit, 0, executor, Ending::Fulfilled, free);
-        if unit == 0 {
-            teller.words().iter().for_each(|(_, word)| other.node.told(other.now, 0, word));
+        used[executor] += u32::from(request > 0);
+        other.end_with(request, 0, executor, AttemptOutcome::Served, free);
+        if request == 0 {
+            aggregator
+                .words()
+                .iter()
+                .for_each(|(_, word)| other.node.load_message_received(other.now, 0, word));
         }
     }
     assert!(used[0] > 20, "the free one gets most: {used:?}");
@@ -1179,8 +1209,8 @@
     let executor = story.sent_to();
     story.start_of(1, 0, executor);
     story.pass(150);
-    story.node.rang(story.now, UNIT_ALARMS + 1);
-    assert_eq!(story.said.0.take(), [Said::Wake(Duration::from_millis(2350), UNIT_ALARMS + 1)]);
+    story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
+    assert_eq!(story.said.0.take(), [Said::Wake(Duration::from_millis(2350), REQUEST_ALARMS + 1)]);
 }
 
 #[test]
@@ -1188,24 +1218,24 @@
     // Failure: workers listed alike ran work three times as long, and got as much of it as the fastest.
     let mut story = Story::of(2);
     let names = ["executor-0", "executor-1"];
-    let entries: Vec<Listing> =
-        (0..2).map(|kind| Listing { kind, zone: 0, ..listing(kind, names[kind]) }).collect();
-    story.node.listed(story.now, true, &entries);
+    let entries: Vec<ListedExecutor> =
+        (0..2).map(|kind| ListedExecutor { kind, zone: 0, ..listing(kind, names[kind]) }).collect();
+    story.node.update_executors(story.now, true, &entries);
     let mut sent = [0; 2];
-    for unit in 0..1040 {
-        if unit == 40 {
-            story.node.rang(story.now, 0);
+    for request in 0..1040 {
+        if request == 40 {
+            story.node.timer_fired(story.now, 0);
             story.heard();
             sent = [0; 2];
         }
-        story.arrive(unit, RETRIABLE, if unit < 40 { 100 } else { UNHINTED });
+        story.arrive(request, RETRIABLE, if request < 40 { 100 } else { UNHINTED });
         let executor = story.sent_to();
         sent[executor] += 1;
-        if unit < 40 {
-            story.start_of(unit, 0, executor);
+        if request < 40 {
+            story.start_of(request, 0, executor);
             story.pass([130, 390][executor]);
         }
-        story.end(unit, 0, executor, Ending::Fulfilled);
+        story.end(request, 0, executor, AttemptOutcome::Served);
     }
     let share = f64::from(sent[0]) / 1000.0;
     assert!((0.7..0.8).contains(&share), "three times the pace, yet its share is {share}");
@@ -1216,20 +1246,21 @@
     // Failure: three slow workers of four got three quarters of the work, though the fourth did half of it.
     let mut story = Story::of(4);
     let names: Vec<String> = (0..4).map(|i| format!("executor-{i}")).collect();
-    let entries: Vec<Listing> =
-        (0..4).map(|i| Listing { kind: usize::from(i == 3), zone: 0, ..listing(i, &names[i]) }).collect();
-    story.node.listed(story.now, true, &entries);
+    let entries: Vec<ListedExecutor> = (0..4)
+        .map(|i| ListedExecutor { kind: usize::from(i == 3), zone: 0, ..listing(i, &names[i]) })
+        .collect();
+    story.node.update_executors(story.now, true, &entries);
     let mut fast = 0;
-    for unit in 0..300 {
-        let size = 100 + unit % 10 * 100;
-        story.arrive(unit, BINDING, size);
+    for request in 0..300 {
+        let size = 100 + request % 10 * 100;
+        story.arrive(request, BINDING, size);
         let executor = story.sent_to();
-        story.start_of(unit, 0, executor);
+        story.start_of(request, 0, executor);
         story.pass(if executor == 3 { size } else { 3 * size });
-        story.end(unit, 0, executor, Ending::Fulfilled);
-        story.node.rang(story.now, 0);
+        story.end(request, 0, executor, AttemptOutcome::Served);
+        story.node.timer_fired(story.now, 0);
         story.heard();
-        fast += u32::from(unit >= 200 && size == 800 && executor == 3);
+        fast += u32::from(request >= 200 && size == 800 && executor == 3);
     }
     // Of the sizes, 100 to 700 are half of the work.
     assert_eq!(fast, 10, "800 is for the fast one");
@@ -1243,13 +1274,13 @@
         let mut story = Story::at(node, 0, ALLOWANCE, false);
         story.list_cold(0);
         story.pass(15_000);
-        let sends = |story: &mut Story, unit: u64| {
-            story.arrive(unit, BINDING, 100);
+        let sends = |story: &mut Story, request: u64| {
+            story.arrive(request, BINDING, 100);
             story.heard().iter().filter(|said| matches!(said, Said::Allocate(..))).count()
         };
-        story.node.cold_elsewhere(story.now, true);
+        story.node.set_slow_start_elsewhere(story.now, true);
         assert_eq!(sends(&mut story, 1), 0, "the other process has it");
-        story.node.cold_elsewhere(story.now, false);
+        story.node.set_slow_start_elsewhere(story.now, false);
         story.pass(990);
         assert_eq!(sends(&mut story, 2), 0, "what the other has sent within the window still counts");
         story.pass(10);
@@ -1262,19 +1293,19 @@
 fn work_that_waits_leaves_a_queue_only_where_a_recall_is_promised_to_stop_it() {
     // Failure: with thin traffic a unit waited where its node did not know of others' work, while its neighbours idled; moved
     // where recalled jobs ran on, it was done twice and the fleet did twice the work.
-    for recalls_stop in [false, true] {
-        let mut story = Story::with(3, Allowance { second_copies: false, recalls_stop, ..ALLOWANCE });
-        for (unit, tariff) in [(1, RETRIABLE), (2, BINDING)] {
-            story.arrive(unit, tariff, 100);
+    for cancel_dequeues in [false, true] {
+        let mut story = Story::with(3, AttemptPolicy { hedging: false, cancel_dequeues, ..ALLOWANCE });
+        for (request, class) in [(1, RETRIABLE), (2, BINDING)] {
+            story.arrive(request, class, 100);
             let first = story.sent_to();
             story.pass(200);
-            story.node.rang(story.now, UNIT_ALARMS + unit);
-            if tariff == BINDING || !recalls_stop {
+            story.node.timer_fired(story.now, REQUEST_ALARMS + request);
+            if class == BINDING || !cancel_dequeues {
                 assert_eq!(story.heard(), [], "what may have run stays");
                 continue;
             }
-            assert_eq!(story.heard(), [Said::Recall(unit, 0)], "one at a time: recalled first");
-            story.end(unit, 0, first, Ending::Recalled);
+            assert_eq!(story.heard(), [Said::Cancel(request, 0)], "one at a time: recalled first");
+            story.end(request, 0, first, AttemptOutcome::Cancelled);
             assert_ne!(story.sent_to(), first);
         }
     }
@@ -1283,9 +1314,9 @@
 #[test]
 fn work_beyond_what_the_fleet_may_spend_is_turned_back_at_once_and_sent_nowhere() {
     let mut story = Story::of(3);
-    for tariff in [RETRIABLE, BINDING] {
-        story.arrive_as(tariff as u64, Arrival { tariff, beyond: true, ..story.arrival(9000) });
-        assert_eq!(story.heard(), [Said::TurnBack(tariff as u64)]);
+    for class in [RETRIABLE, BINDING] {
+        story.arrive_as(class as u64, Arrival { class, over_budget: true, ..story.arrival(9000) });
+        assert_eq!(story.heard(), [Said::TurnBack(class as u64)]);
     }
     story.arrive(7, BINDING, 100);
     story.sent_to();
@@ -1296,88 +1327,90 @@
 #[test]
 fn a_node_that_has_just_started_goes_by_what_others_have_learnt() {
     let mut old = Story::told(8, ALLOWANCE, true);
-    old.run_units(200, 1000, 500);
-    let learnt = old.node.learnt();
-    let sent_to_cold = |taught: bool| {
+    old.run_requests(200, 1000, 500);
+    let learned = old.node.learned();
+    let sent_to_cold = |merge_learned: bool| {
         let mut sent = 0;
         for mut fresh in Story::fleet(8, 2) {
             fresh.list_cold(0);
-            if taught {
-                fresh.node.taught(fresh.now, &learnt);
+            if merge_learned {
+                fresh.node.merge_learned(fresh.now, &learned);
             }
             // Two short ones and a look around, as before the work of the day comes.
             fresh.arrive(100, BINDING, 50);
             fresh.arrive(101, BINDING, 50);
-            fresh.node.rang(fresh.now, 0);
+            fresh.node.timer_fired(fresh.now, 0);
             fresh.heard();
             fresh.pass(2000);
-            for unit in 0..4 {
-                fresh.arrive(unit, BINDING, 1000);
+            for request in 0..4 {
+                fresh.arrive(request, BINDING, 1000);
             }
             sent += fresh.heard().iter().filter(|said| matches!(said, Said::Allocate(_, 0, _))).count();
         }
         sent
     };
-    let (alone, taught) = (sent_to_cold(false), sent_to_cold(true));
-    assert!(taught <= 2 && alone > 2 * taught.max(1), "{alone} alone, {taught} taught");
+    let (alone, merge_learned) = (sent_to_cold(false), sent_to_cold(true));
+    assert!(merge_learned <= 2 && alone > 2 * merge_learned.max(1), "{alone} alone, {merge_learned} taught");
 }
 
 #[test]
 fn nonsense_that_another_node_tells_teaches_nothing() {
     let mut story = Story::of(4);
-    story.run_units(60, 100, 100);
-    let mad = KindLearnt { done: f64::INFINITY, ran: -1.0, slots: f64::NAN };
-    let told =
-        Learnt { sizes: vec![(f64::NAN, 1.0), (-3.0, 1.0), (1.0, 0.0)], kinds: [(0, mad), (9, mad)].into() };
-    assert_eq!(story.node.taught(story.now, &told), 60);
+    story.run_requests(60, 100, 100);
+    let mad = LearnedKind { done: f64::INFINITY, ran: -1.0, slots: f64::NAN };
+    let told = LearnedState {
+        sizes: vec![(f64::NAN, 1.0), (-3.0, 1.0), (1.0, 0.0)],
+        kinds: [(0, mad), (9, mad)].into(),
+    };
+    assert_eq!(story.node.merge_learned(story.now, &told), 60);
     // What is told is not told on: between two nodes it would come back as news for ever.
-    let other = Story::of(4).node.learnt();
-    let sound = Learnt { sizes: vec![(1.0, 1.0); 50], ..other };
-    let before = story.node.learnt();
-    assert_eq!(story.node.taught(story.now, &sound), 110);
-    assert_eq!(story.node.learnt(), before);
+    let other = Story::of(4).node.learned();
+    let sound = LearnedState { sizes: vec![(1.0, 1.0); 50], ..other };
+    let before = story.node.learned();
+    assert_eq!(story.node.merge_learned(story.now, &sound), 110);
+    assert_eq!(story.node.learned(), before);
 }
 
 /// Failure: two units that a node sent a window apart came closer together, a third one between them, and a cold executor fell.
 #[test]
-fn units_for_a_cold_executor_are_a_little_more_than_a_window_apart() {
+fn requests_for_a_cold_executor_are_a_little_more_than_a_window_apart() {
     let mut story = Story::fleet(1, 0).remove(0);
     story.list_cold(0);
     story.pass(5000); // two fifths of what it can do when warm: one unit and a quarter
     story.arrive(0, BINDING, UNHINTED);
     assert_eq!(story.sent_to(), 0);
-    story.end(0, 0, 0, Ending::Fulfilled);
-    for (unit, ms, sent) in [(1, 1010, false), (2, 50, true)] {
+    story.end(0, 0, 0, AttemptOutcome::Served);
+    for (request, ms, sent) in [(1, 1010, false), (2, 50, true)] {
         story.pass(ms);
-        story.arrive(unit, BINDING, UNHINTED);
+        story.arrive(request, BINDING, UNHINTED);
         let said = story.heard();
         let to_cold = said.iter().any(|said| matches!(said, Said::Allocate(..)));
         assert_eq!(to_cold, sent, "after {ms} more: {said:?}");
-        story.node.finish(UnitId(unit));
+        story.node.finish(RequestId(request));
     }
 }
 
-/// Guards against a unit that is turned back though a part of the fleet's budget was on its way, and against one that waits for a part
-/// until its patience is almost over.
+/// Guards against a unit that is rejected though a part of the fleet's budget was on its way, and against one that waits for a part
+/// until its the deadline is almost over.
 #[test]
-fn a_further_allocation_waits_a_moment_for_a_part_of_the_fleets_budget() {
+fn a_further_attempt_waits_a_moment_for_a_part_of_the_fleets_budget() {
     for comes in [true, false] {
         let mut story = Story::of(4);
         story.said.2.set(true);
         story.arrive(1, RETRIABLE, 100);
         let first = story.sent_to();
-        story.end(1, 0, first, Ending::Error);
+        story.end(1, 0, first, AttemptOutcome::Error);
         assert_eq!(story.heard(), [], "it waits");
         story.pass(30);
         story.said.2.set(!comes);
-        story.node.serve_held(story.now);
+        story.node.serve_pending(story.now);
         if comes {
             assert_ne!(story.sent_to(), first);
             continue;
         }
         assert_eq!(story.heard(), []);
         story.pass(30);
-        story.node.rang(story.now, UNIT_ALARMS + 1);
+        story.node.timer_fired(story.now, REQUEST_ALARMS + 1);
         assert_eq!(story.heard(), [Said::TurnBack(1)], "and no longer");
     }
 }
--- a/crates/emulator/src/machine.rs
+++ b/crates/emulator/src/machine.rs
@@ -1,8 +1,8 @@
 //! One executor: slots, a queue in order of coming, a cold start, and how it speaks of its load.
 
 use crate::scenario::{Executors, Rules};
-use grebeusher_dispatch::tariffs::{Report, Standing};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{ExecutorStatus, LoadReport};
 use std::collections::VecDeque;
 
 /// One allocation, by its unit and number, as its executor has it.
@@ -32,7 +32,7 @@
     pub make: Make,
     pub up: bool,
     /// What discovery says of it.
-    pub standing: Standing,
+    pub standing: ExecutorStatus,
     /// Counts its starts: what was said to an earlier life concerns this one no more.
     pub life: u32,
     /// `None` for long ago.
@@ -57,7 +57,7 @@
         Machine {
             make,
             up: true,
-            standing: Standing::Ready,
+            standing: ExecutorStatus::Ready,
             life: 0,
             started,
             slower: 1.0,
@@ -160,17 +160,17 @@
 
     /// Back under its old id, and cold.
     pub fn rise(&mut self, now: Instant) {
-        (self.up, self.standing, self.started) = (true, Standing::Ready, Some(now));
+        (self.up, self.standing, self.started) = (true, ExecutorStatus::Ready, Some(now));
         self.busy = (0.0, now);
     }
 
-    pub fn report(&mut self, now: Instant) -> Report {
+    pub fn report(&mut self, now: Instant) -> LoadReport {
         self.account(now);
         if self.flatters > 0 {
-            return Report { utilisation: Some(0.0), free_slots: Some(self.make.slots as f64) };
+            return LoadReport { utilisation: Some(0.0), free_slots: Some(self.make.slots as f64) };
         }
         let free = self.make.slots - self.running.len();
-        Report { utilisation: Some(self.busy.0), free_slots: Some(free as f64) }
+        LoadReport { utilisation: Some(self.busy.0), free_slots: Some(free as f64) }
     }
 
     fn account(&mut self, now: Instant) {
--- a/crates/emulator/src/plain.rs
+++ b/crates/emulator/src/plain.rs
@@ -3,9 +3,9 @@
 
 use crate::stage::Sees;
 use crate::world::Decide;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
-use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report, Standing};
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{Arrival, AttemptOutcome, ExecutorStatus, ListedExecutor, LoadReport};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -35,7 +35,7 @@
     most_allocations: usize,
     /// Whether an executor may be used, and how much is out there.
     executors: Vec<(bool, usize)>,
-    work: BTreeMap<UnitId, Work>,
+    work: BTreeMap<RequestId, Work>,
 }
 
 impl<H: Sees> Plain<H> {
@@ -52,7 +52,7 @@
         }
     }
 
-    fn pick(&mut self, unit: UnitId) -> Option<usize> {
+    fn pick(&mut self, unit: RequestId) -> Option<usize> {
         let usable = |(at, (usable, out)): (usize, &(bool, usize))| usable.then_some((at, *out));
         let ready: Vec<(usize, usize)> = self.executors.iter().enumerate().filter_map(usable).collect();
         let names = || ready.iter().map(|(at, _)| *at).collect::<Vec<usize>>();
@@ -70,7 +70,7 @@
         if fit.is_empty() { None } else { Some(fit[self.chance.random_range(0..fit.len())]) }
     }
 
-    fn place(&mut self, now: Instant, unit: UnitId) {
+    fn place(&mut self, now: Instant, unit: RequestId) {
         /// The answer is due this long before patience ends.
         const MARGIN: Duration = Duration::from_millis(20);
         let picked = self.pick(unit);
@@ -87,22 +87,18 @@
         }
     }
 
-    fn end(&mut self, unit: UnitId) {
+    fn end(&mut self, unit: RequestId) {
         let Some(work) = self.work.remove(&unit) else { return };
-        if work.binding && work.may_have_run {
-            self.host.forfeit(unit)
-        } else {
-            self.host.turn_back(unit, None)
-        }
+        if work.binding && work.may_have_run { self.host.fail(unit) } else { self.host.reject(unit, None) }
     }
 }
 
 impl<H: Sees> Decide for Plain<H> {
     fn start(&mut self, _now: Instant) {
-        self.host.follow_list();
+        self.host.watch_executors();
     }
 
-    fn listed(&mut self, _now: Instant, whole: bool, entries: &[Listing<'_>]) {
+    fn listed(&mut self, _now: Instant, whole: bool, entries: &[ListedExecutor<'_>]) {
         if whole {
             self.executors.iter_mut().for_each(|(usable, _)| *usable = false);
         }
@@ -110,52 +106,52 @@
             let at = entry.executor.0;
             let length = self.executors.len().max(at + 1);
             self.executors.resize(length, (false, 0));
-            self.executors[at].0 = entry.standing == Standing::Ready;
+            self.executors[at].0 = entry.status == ExecutorStatus::Ready;
         }
     }
 
     fn list_broken(&mut self) {
         // One call for all that may have been missed, like the rest of this at once.
-        self.host.wake(Duration::from_millis(1000), 0);
+        self.host.set_timer(Duration::from_millis(1000), 0);
     }
 
-    fn arrived(&mut self, now: Instant, unit: UnitId, arrival: &Arrival) {
-        let (binding, patience_ends) = (self.binding[arrival.tariff], arrival.patience_ends);
+    fn arrived(&mut self, now: Instant, unit: RequestId, arrival: &Arrival) {
+        let (binding, patience_ends) = (self.binding[arrival.class], arrival.deadline);
         self.work.insert(unit, Work { binding, patience_ends, sent: 0, may_have_run: false });
         self.place(now, unit);
     }
 
-    fn noticed(&mut self, _now: Instant, _id: AllocationId, _executor: ExecutorId) {}
+    fn noticed(&mut self, _now: Instant, _id: AttemptId, _executor: ExecutorId) {}
 
     fn ended(
         &mut self,
         now: Instant,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
-        ending: Ending,
+        ending: AttemptOutcome,
         finished: bool,
-        _report: Option<Report>,
+        _report: Option<LoadReport>,
     ) {
         if let Some((_, out)) = self.executors.get_mut(executor.0) {
             *out = out.saturating_sub(1);
         }
-        let Some(work) = self.work.get_mut(&id.unit) else { return };
+        let Some(work) = self.work.get_mut(&id.request) else { return };
         // One allocation at a time, so this was the only one that may have run.
-        work.may_have_run &= !ending.proves_not_run();
+        work.may_have_run &= !ending.proves_not_executed();
         if finished {
-            self.work.remove(&id.unit);
+            self.work.remove(&id.request);
         } else if work.sent >= self.most_allocations || (work.binding && work.may_have_run) {
-            self.end(id.unit);
+            self.end(id.request);
         } else {
-            self.place(now, id.unit);
+            self.place(now, id.request);
         }
     }
 
-    fn finish(&mut self, unit: UnitId) {
+    fn finish(&mut self, unit: RequestId) {
         self.work.remove(&unit);
     }
 
     fn rang(&mut self, _now: Instant, _alarm: u64) {
-        self.host.follow_list();
+        self.host.watch_executors();
     }
 }
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -8,9 +8,9 @@
 use crate::scenario::Scenario;
 use crate::spread::{Spread, Width};
 use grebeusher_dispatch::host::Host;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
-use grebeusher_dispatch::tariffs::{Ending, Report, Standing};
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{AttemptOutcome, ExecutorStatus, LoadReport};
 use rand::Rng;
 use rand::distr::weighted::WeightedIndex;
 use rand_pcg::Pcg32;
@@ -27,8 +27,8 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Word {
     Runs,
-    Done(Option<Report>),
-    Ended(Ending, Option<Report>),
+    Done(Option<LoadReport>),
+    Ended(AttemptOutcome, Option<LoadReport>),
 }
 
 /// What happens, in the order of its time.
@@ -48,7 +48,7 @@
     TimesOut(Job),
     GivesUp(Job),
     Rings(usize, u32, u64),
-    Lists(usize, u32, usize, Standing, Option<Instant>),
+    Lists(usize, u32, usize, ExecutorStatus, Option<Instant>),
     ListCall(usize, u32, bool),
     /// A node hears another's word.
     Told(usize, u64, Rc<[u8]>),
@@ -230,8 +230,8 @@
         if self.cut(here, there).is_some() {
             // A new connection does not come up; one that stands says nothing.
             let (within, ending) = match fresh {
-                true => (n.dial_within_ms, Ending::Refused),
-                false => (n.taken_within_ms, Ending::TimedOut),
+                true => (n.dial_within_ms, AttemptOutcome::Refused),
+                false => (n.taken_within_ms, AttemptOutcome::TimedOut),
             };
             return self.after(ms(within), Event::Hears(job, Word::Ended(ending, None)));
         }
@@ -240,13 +240,14 @@
             self.figures.dials += 1;
         }
         if !self.machines[executor].up {
-            return self.after(way.scaled(2.0), Event::Hears(job, Word::Ended(Ending::Refused, None)));
+            return self
+                .after(way.scaled(2.0), Event::Hears(job, Word::Ended(AttemptOutcome::Refused, None)));
         }
         let shake = if fresh { way.scaled(2.0 * n.handshake_trips) } else { Duration::from_nanos(0) };
         let arrives = self.now + shake + way;
         if n.resets > 0.0 && self.net_chance.random::<f64>() < n.resets {
             let whole = self.net_chance.random::<bool>();
-            let ending = if whole { Ending::Reset } else { Ending::CutOff };
+            let ending = if whole { AttemptOutcome::Reset } else { AttemptOutcome::CutOff };
             self.at(arrives + way, Event::Hears(job, Word::Ended(ending, None)));
             if !whole {
                 return;
@@ -267,11 +268,11 @@
         self.spread.reached(now, executor);
         let machine = &mut self.machines[executor];
         if !machine.up {
-            return self.tell(job, Word::Ended(Ending::Reset, None));
+            return self.tell(job, Word::Ended(AttemptOutcome::Reset, None));
         }
         if machine.fails > 0 {
             let report = Some(machine.report(now));
-            return self.tell(job, Word::Ended(Ending::Error, report));
+            return self.tell(job, Word::Ended(AttemptOutcome::Error, report));
         }
         if machine.is_cold(now) {
             let (units, untold) = machine.count(now, ms(rules.fall_window_ms), knew);
@@ -290,7 +291,7 @@
             Taken::Waits => self.stands(executor),
             Taken::Full => {
                 let report = Some(self.machines[executor].report(now));
-                self.tell(job, Word::Ended(Ending::Full, report));
+                self.tell(job, Word::Ended(AttemptOutcome::Full, report));
             }
         }
     }
@@ -340,7 +341,7 @@
         self.serve_queue(executor);
         self.stands(executor);
         let report = Some(self.machines[executor].report(now));
-        let word = if fails { Word::Ended(Ending::Error, report) } else { Word::Done(report) };
+        let word = if fails { Word::Ended(AttemptOutcome::Error, report) } else { Word::Done(report) };
         self.tell(job, word);
     }
 
@@ -392,26 +393,26 @@
         }
         let way = self.delay(here, there);
         self.after(way, Event::Cancels(job));
-        self.after(way.scaled(2.0), Event::Hears(job, Word::Ended(Ending::Recalled, None)));
+        self.after(way.scaled(2.0), Event::Hears(job, Word::Ended(AttemptOutcome::Cancelled, None)));
     }
 
     /// An executor's process dies. Its jobs are lost, or, where it was told to leave, those that wait are handed back.
     pub fn kill(&mut self, executor: usize) {
-        let leaving = self.machines[executor].standing != Standing::Ready;
+        let leaving = self.machines[executor].standing != ExecutorStatus::Ready;
         let (ran, waited) = self.machines[executor].die(self.now);
         self.sight[executor].fill(self.now);
         self.stands(executor);
         for job in ran {
-            self.tell(job, Word::Ended(Ending::Reset, None));
+            self.tell(job, Word::Ended(AttemptOutcome::Reset, None));
         }
         for job in waited {
-            let ending = if leaving { Ending::Full } else { Ending::Reset };
+            let ending = if leaving { AttemptOutcome::Full } else { AttemptOutcome::Reset };
             self.tell(job, Word::Ended(ending, None));
         }
     }
 
     /// Discovery has something to say of an executor, to all who watch.
-    pub fn list_changes(&mut self, executor: usize, standing: Standing) {
+    pub fn list_changes(&mut self, executor: usize, standing: ExecutorStatus) {
         let machine = &mut self.machines[executor];
         machine.standing = standing;
         let started = machine.started;
@@ -524,13 +525,13 @@
 pub trait Sees: Host {
     /// The executor, of these, where work of this unit's size starts first if all that was sent is known; of several the
     /// one with the largest part of its slots free, then the fastest. It counts as sent there.
-    fn first_free(&mut self, unit: UnitId, among: &[usize]) -> Option<usize>;
+    fn first_free(&mut self, unit: RequestId, among: &[usize]) -> Option<usize>;
     /// What runs and waits at an executor now, by slot.
     fn filled(&self, executor: usize) -> f64;
 }
 
 impl Sees for Hands {
-    fn first_free(&mut self, unit: UnitId, among: &[usize]) -> Option<usize> {
+    fn first_free(&mut self, unit: RequestId, among: &[usize]) -> Option<usize> {
         let mut stage = self.stage.borrow_mut();
         let stage = &mut *stage;
         let size_s = stage.errands[stage.units[unit.0 as usize].errand].size_s;
@@ -569,31 +570,31 @@
 }
 
 impl Host for Hands {
-    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Duration) {
+    fn allocate(&mut self, unit: RequestId, executor: ExecutorId, time_out: Duration) {
         self.stage.borrow_mut().allocate(unit.0, executor.0, time_out);
     }
 
-    fn recall(&mut self, allocation: AllocationId) {
-        let job = Job { unit: allocation.unit.0, number: allocation.number };
+    fn cancel(&mut self, allocation: AttemptId) {
+        let job = Job { unit: allocation.request.0, number: allocation.number };
         self.stage.borrow_mut().gives_up(job);
     }
 
-    fn turn_back(&mut self, unit: UnitId, _come_back: Option<Duration>) {
+    fn reject(&mut self, unit: RequestId, _come_back: Option<Duration>) {
         self.stage.borrow_mut().answer(unit.0, Answer::TurnedBack);
     }
 
-    fn forfeit(&mut self, unit: UnitId) {
+    fn fail(&mut self, unit: RequestId) {
         self.stage.borrow_mut().answer(unit.0, Answer::Forfeited);
     }
 
-    fn wake(&mut self, after: Duration, alarm: u64) {
+    fn set_timer(&mut self, after: Duration, alarm: u64) {
         self.stage.borrow_mut().after(after, Event::Rings(self.node, self.life, alarm));
     }
 
     /// Reports come with answers here, so nothing is asked for.
     fn probe(&mut self, _executor: ExecutorId) {}
 
-    fn tell(&mut self, node: Option<u64>, word: &[u8]) {
+    fn send_load(&mut self, node: Option<u64>, word: &[u8]) {
         let mut stage = self.stage.borrow_mut();
         let word: Rc<[u8]> = word.into();
         let (count, here) = (stage.nodes.len(), stage.nodes[self.node].zone);
@@ -605,7 +606,7 @@
         }
     }
 
-    fn follow_list(&mut self) {
+    fn watch_executors(&mut self) {
         self.stage.borrow_mut().call_discovery(self.node);
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -9,11 +9,12 @@
 use crate::stage::{Event, Hands, NodeState, START, Stage, Unit, Word, ms};
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::host::Host;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
-use grebeusher_dispatch::tariffs::{
-    Allowance, Arrival, ColdStart, Effect as DispatchEffect, Ending, Listing, Report, Standing, Tariff,
-};
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{
+    Arrival, AttemptOutcome, AttemptPolicy, Effect as DispatchEffect, ExecutorStatus, ListedExecutor,
+    LoadReport, RequestClass, SlowStart,
+};
 use rand::distr::{Distribution, weighted::WeightedIndex};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -23,20 +24,20 @@
 /// What a node's decisions are told; the real ones, and others to compare them with.
 pub trait Decide {
     fn start(&mut self, now: Instant);
-    fn listed(&mut self, now: Instant, whole: bool, entries: &[Listing<'_>]);
+    fn listed(&mut self, now: Instant, whole: bool, entries: &[ListedExecutor<'_>]);
     fn list_broken(&mut self);
-    fn arrived(&mut self, now: Instant, unit: UnitId, arrival: &Arrival);
-    fn noticed(&mut self, now: Instant, id: AllocationId, executor: ExecutorId);
+    fn arrived(&mut self, now: Instant, unit: RequestId, arrival: &Arrival);
+    fn noticed(&mut self, now: Instant, id: AttemptId, executor: ExecutorId);
     fn ended(
         &mut self,
         now: Instant,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
-        ending: Ending,
+        ending: AttemptOutcome,
         finished: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     );
-    fn finish(&mut self, unit: UnitId);
+    fn finish(&mut self, unit: RequestId);
     /// Another node sent a word.
     fn told(&mut self, _now: Instant, _node: u64, _word: &[u8]) {}
     fn rang(&mut self, now: Instant, alarm: u64);
@@ -46,37 +47,37 @@
     fn start(&mut self, now: Instant) {
         Dispatcher::start(self, now);
     }
-    fn listed(&mut self, now: Instant, whole: bool, entries: &[Listing<'_>]) {
-        Dispatcher::listed(self, now, whole, entries);
+    fn listed(&mut self, now: Instant, whole: bool, entries: &[ListedExecutor<'_>]) {
+        Dispatcher::update_executors(self, now, whole, entries);
     }
     fn list_broken(&mut self) {
-        Dispatcher::list_broken(self);
+        Dispatcher::executor_list_lost(self);
     }
-    fn arrived(&mut self, now: Instant, unit: UnitId, arrival: &Arrival) {
-        Dispatcher::arrived(self, now, unit, arrival);
+    fn arrived(&mut self, now: Instant, unit: RequestId, arrival: &Arrival) {
+        Dispatcher::request_arrived(self, now, unit, arrival);
     }
-    fn noticed(&mut self, now: Instant, id: AllocationId, executor: ExecutorId) {
-        Dispatcher::noticed(self, now, id, executor);
+    fn noticed(&mut self, now: Instant, id: AttemptId, executor: ExecutorId) {
+        Dispatcher::attempt_progressed(self, now, id, executor);
     }
     fn ended(
         &mut self,
         now: Instant,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
-        ending: Ending,
+        ending: AttemptOutcome,
         finished: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
-        Dispatcher::ended(self, now, id, executor, ending, finished, report);
+        Dispatcher::attempt_ended(self, now, id, executor, ending, finished, report);
     }
-    fn finish(&mut self, unit: UnitId) {
+    fn finish(&mut self, unit: RequestId) {
         Dispatcher::finish(self, unit);
     }
     fn told(&mut self, now: Instant, node: u64, word: &[u8]) {
-        Dispatcher::told(self, now, node, word);
+        Dispatcher::load_message_received(self, now, node, word);
     }
     fn rang(&mut self, now: Instant, alarm: u64) {
-        Dispatcher::rang(self, now, alarm);
+        Dispatcher::timer_fired(self, now, alarm);
     }
 }
 
@@ -99,37 +100,37 @@
 /// The decisions as the scenario allows them.
 pub fn maker(scenario: &Scenario, policy: Policy) -> Maker {
     let (n, r) = (scenario.nodes.clone(), scenario.rules);
-    let tariffs: Vec<Tariff> = scenario.tariffs.iter().map(tariff).collect();
+    let tariffs: Vec<RequestClass> = scenario.tariffs.iter().map(tariff).collect();
     let binding: Vec<bool> = scenario.tariffs.iter().map(crate::scenario::Tariff::is_binding).collect();
     let choice = match policy {
         Policy::Sita => {
             return Box::new(move |hands, node, seed| {
-                let allowance = Allowance {
-                    most_allocations: n.most_allocations,
-                    second_copies: n.second_copies,
-                    recalls: n.recalls,
-                    recalls_stop: n.recalls_stop,
-                    patience_off: Duration::from_nanos(0),
-                    further: None,
+                let allowance = AttemptPolicy {
+                    max_attempts: n.most_allocations,
+                    hedging: n.second_copies,
+                    cancellation: n.recalls,
+                    cancel_dequeues: n.recalls_stop,
+                    deadline_error: Duration::from_nanos(0),
+                    retry_budget: None,
                     grace: Duration::from_nanos(0),
-                    longest_come_back: None,
+                    max_retry_after: None,
                 };
-                let cold = ColdStart {
+                let cold = SlowStart {
                     share: r.cold_share,
-                    warm_within: ms(r.warm_within_s * 1e3),
+                    warm_up: ms(r.warm_within_s * 1e3),
                     fall_factor: r.fall_factor,
                     fall_window: ms(r.fall_window_ms),
-                    starts_off: Duration::from_nanos(0),
+                    start_time_error: Duration::from_nanos(0),
                     from: Instant(0),
                 };
                 let told_count = n.told_count.unwrap_or(n.count) as u64;
                 let progress = Some(ms(n.progress_ms)).filter(|pace| pace.nanos() > 0);
                 let dispatcher = Dispatcher::new(hands, seed, node as u64, told_count, tariffs.clone())
-                    .allowing(allowance)
-                    .cold_starts(cold)
-                    .noticing(true, false, n.starts_told, progress)
-                    .talking(n.words)
-                    .standing_in(node % n.zones.len());
+                    .with_attempt_policy(allowance)
+                    .with_slow_start(cold)
+                    .with_signals(true, false, n.starts_told, progress)
+                    .with_load_sharing(n.words)
+                    .with_zone(node % n.zones.len());
                 Box::new(dispatcher)
             });
         }
@@ -143,16 +144,16 @@
     })
 }
 
-fn tariff(t: &crate::scenario::Tariff) -> Tariff {
-    Tariff {
+fn tariff(t: &crate::scenario::Tariff) -> RequestClass {
+    RequestClass {
         effect: match t.effect {
-            Effect::Retriable => DispatchEffect::Retriable,
-            Effect::Binding => DispatchEffect::Binding,
+            Effect::Retriable => DispatchEffect::Idempotent,
+            Effect::Binding => DispatchEffect::NonIdempotent,
         },
-        quoted_time: ms(t.quoted_ms),
+        latency_objective: ms(t.quoted_ms),
         stretch: t.stretch,
-        patience: ms(t.patience_ms),
-        earnings: t.earnings,
+        deadline: ms(t.patience_ms),
+        value: t.earnings,
         kind: None,
     }
 }
@@ -237,7 +238,7 @@
     }
 
     fn whole_list(&mut self, node: usize) {
-        let entries: Vec<(usize, Standing, Option<Instant>)> = {
+        let entries: Vec<(usize, ExecutorStatus, Option<Instant>)> = {
             let stage = self.stage.borrow();
             let entry = |(at, m): (usize, &Machine)| (at, m.standing, m.started);
             stage.machines.iter().enumerate().map(entry).collect()
@@ -246,17 +247,27 @@
     }
 
     /// A node hears what the list says of some executors, or of all.
-    fn tells_list(&mut self, node: usize, whole: bool, entries: &[(usize, Standing, Option<Instant>)]) {
-        let listings: Vec<Listing> = {
+    fn tells_list(&mut self, node: usize, whole: bool, entries: &[(usize, ExecutorStatus, Option<Instant>)]) {
+        let listings: Vec<ListedExecutor> = {
             let mut stage = self.stage.borrow_mut();
             let now = stage.now;
             for &(at, standing, started) in entries {
-                stage.book.told(now, node, at, standing == Standing::Ready, started);
+                stage.book.told(now, node, at, standing == ExecutorStatus::Ready, started);
             }
-            let listing = |&(at, standing, started): &(usize, Standing, Option<Instant>)| {
+            let listing = |&(at, standing, started): &(usize, ExecutorStatus, Option<Instant>)| {
                 let make = &stage.machines[at].make;
                 let (executor, name, kind, zone) = (ExecutorId(at), &self.names[at], make.kind, make.zone);
-                Listing { executor, name, standing, started, kind, zone, cell: 0, weight: 1.0, speaks: false }
+                ListedExecutor {
+                    executor,
+                    name,
+                    status: standing,
+                    started,
+                    kind,
+                    zone,
+                    cell: 0,
+                    weight: 1.0,
+                    reports_own_status: false,
+                }
             };
             entries.iter().map(listing).collect()
         };
@@ -342,7 +353,7 @@
                 let mut stage = self.stage.borrow_mut();
                 if stage.machines[at].life == life && !stage.machines[at].up {
                     stage.rises(at);
-                    stage.list_changes(at, Standing::Ready);
+                    stage.list_changes(at, ExecutorStatus::Ready);
                 }
             }
         }
@@ -377,13 +388,13 @@
                 return stage.after(KNOCK_AGAIN, Event::Tries(errand));
             };
             let arrival = Arrival {
-                tariff,
+                class: tariff,
                 customer: 0,
-                patience_ends: deadline,
+                deadline,
                 repeat: e.tries > 0,
                 hint: e.hint_s.map(Duration::from_seconds),
                 slots: 1.0,
-                beyond: false,
+                over_budget: false,
             };
             let unit = stage.units.len() as u64;
             let life = stage.nodes[node].life;
@@ -400,7 +411,7 @@
             (unit, node, arrival)
         };
         let now = self.stage.borrow().now;
-        self.minds[node].arrived(now, UnitId(unit), &arrival);
+        self.minds[node].arrived(now, RequestId(unit), &arrival);
     }
 
     fn leaves(&mut self, unit: u64) {
@@ -416,12 +427,12 @@
             stage.figures.left(&stage.errands[taken.errand]);
             taken.node
         };
-        self.minds[node].finish(UnitId(unit));
+        self.minds[node].finish(RequestId(unit));
     }
 
     fn hears(&mut self, Job { unit, number }: Job, word: Word) {
         let now = self.stage.borrow().now;
-        let id = AllocationId { unit: UnitId(unit), number };
+        let id = AttemptId { request: RequestId(unit), number };
         let (node, life, executor, open, waits) = {
             let stage = self.stage.borrow();
             let taken = &stage.units[unit as usize];
@@ -434,31 +445,31 @@
         let (ending, report) = match word {
             Word::Runs if open => return self.minds[node].noticed(now, id, executor),
             Word::Runs => return,
-            Word::Done(report) => (Ending::Fulfilled, report),
+            Word::Done(report) => (AttemptOutcome::Served, report),
             Word::Ended(ending, report) => (ending, report),
         };
-        if ending == Ending::Fulfilled && waits {
+        if ending == AttemptOutcome::Served && waits {
             self.stage.borrow_mut().answer(unit, Answer::Fulfilled);
         }
         if open {
             self.ended(node, id, executor, ending, report);
-        } else if ending == Ending::Fulfilled && waits {
+        } else if ending == AttemptOutcome::Served && waits {
             // Its allocation had ended, and yet it was done: the result is as good as any.
-            self.minds[node].finish(id.unit);
+            self.minds[node].finish(id.request);
         }
     }
 
     fn ended(
         &mut self,
         node: usize,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
-        ending: Ending,
-        report: Option<Report>,
+        ending: AttemptOutcome,
+        report: Option<LoadReport>,
     ) {
         let (now, finished) = {
             let mut stage = self.stage.borrow_mut();
-            let taken = &mut stage.units[id.unit.0 as usize];
+            let taken = &mut stage.units[id.request.0 as usize];
             taken.sent[id.number].open = false;
             let finished = taken.answered || taken.gone;
             (stage.now, finished)
@@ -475,8 +486,8 @@
         };
         if open && self.lives(node, life) {
             self.stage.borrow_mut().gives_up(job);
-            let id = AllocationId { unit: UnitId(job.unit), number: job.number };
-            self.ended(node, id, executor, Ending::TimedOut, None);
+            let id = AttemptId { request: RequestId(job.unit), number: job.number };
+            self.ended(node, id, executor, AttemptOutcome::TimedOut, None);
         }
     }
 
@@ -506,11 +517,11 @@
                 for &at in &whom {
                     match what {
                         What::KillExecutors if stage.machines[at].up => stage.kill(at),
-                        What::DrainExecutors => stage.list_changes(at, Standing::Draining),
+                        What::DrainExecutors => stage.list_changes(at, ExecutorStatus::Draining),
                         What::SlowExecutors => stage.machines[at].slower *= factor,
                         What::FailExecutors => stage.machines[at].fails += 1,
                         What::FlatterExecutors => stage.machines[at].flatters += 1,
-                        What::UnlistExecutors => stage.list_changes(at, Standing::Gone),
+                        What::UnlistExecutors => stage.list_changes(at, ExecutorStatus::Gone),
                         _ => {}
                     }
                 }
@@ -564,7 +575,7 @@
                             if stage.machines[at].up {
                                 stage.kill(at);
                             }
-                            stage.list_changes(at, Standing::Gone);
+                            stage.list_changes(at, ExecutorStatus::Gone);
                             let life = stage.machines[at].life;
                             stage.after(Duration::from_millis(1000), Event::Rises(at, life));
                         }
@@ -572,7 +583,7 @@
                         What::FailExecutors => stage.machines[at].fails -= 1,
                         What::FlatterExecutors => stage.machines[at].flatters -= 1,
                         What::UnlistExecutors if stage.machines[at].up => {
-                            stage.list_changes(at, Standing::Ready);
+                            stage.list_changes(at, ExecutorStatus::Ready);
                         }
                         _ => {}
                     }
--- a/crates/emulator/tests/stories.rs
+++ b/crates/emulator/tests/stories.rs
@@ -2,9 +2,9 @@
 //! rule, and that the decisions keep them through overlapping failures.
 
 use grebeusher_dispatch::host::Host;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
-use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report};
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{Arrival, AttemptOutcome, ListedExecutor, LoadReport};
 use grebeusher_emulator::figures::Outcome;
 use grebeusher_emulator::laws::Sizes;
 use grebeusher_emulator::plots;
@@ -131,31 +131,39 @@
 /// Decisions that go wrong on purpose: what they do with each unit, and whether they hear of the list.
 struct Odd {
     hands: Hands,
-    does: fn(&mut Hands, UnitId),
-    ends: fn(&mut Hands, AllocationId),
+    does: fn(&mut Hands, RequestId),
+    ends: fn(&mut Hands, AttemptId),
 }
 
 impl Decide for Odd {
     fn start(&mut self, _: Instant) {
-        self.hands.follow_list();
+        self.hands.watch_executors();
     }
-    fn listed(&mut self, _: Instant, _: bool, _: &[Listing<'_>]) {}
+    fn listed(&mut self, _: Instant, _: bool, _: &[ListedExecutor<'_>]) {}
     fn list_broken(&mut self) {}
-    fn arrived(&mut self, _: Instant, unit: UnitId, _: &Arrival) {
+    fn arrived(&mut self, _: Instant, unit: RequestId, _: &Arrival) {
         (self.does)(&mut self.hands, unit);
     }
-    fn noticed(&mut self, _: Instant, _: AllocationId, _: ExecutorId) {}
-    fn ended(&mut self, _: Instant, id: AllocationId, _: ExecutorId, _: Ending, _: bool, _: Option<Report>) {
+    fn noticed(&mut self, _: Instant, _: AttemptId, _: ExecutorId) {}
+    fn ended(
+        &mut self,
+        _: Instant,
+        id: AttemptId,
+        _: ExecutorId,
+        _: AttemptOutcome,
+        _: bool,
+        _: Option<LoadReport>,
+    ) {
         (self.ends)(&mut self.hands, id);
     }
-    fn finish(&mut self, _: UnitId) {}
+    fn finish(&mut self, _: RequestId) {}
     fn rang(&mut self, _: Instant, _: u64) {}
 }
 
 fn broken_by(
     further: &str,
-    does: fn(&mut Hands, UnitId),
-    ends: fn(&mut Hands, AllocationId),
+    does: fn(&mut Hands, RequestId),
+    ends: fn(&mut Hands, AttemptId),
 ) -> Vec<(Rule, String)> {
     let scenario = small(further);
     let make: Maker = Box::new(move |hands, _, _| Box::new(Odd { hands, does, ends }));
@@ -166,37 +174,37 @@
 #[test]
 fn each_rule_that_is_broken_on_purpose_is_noticed() {
     const LONG: Duration = Duration::from_millis(3000);
-    let nothing: fn(&mut Hands, AllocationId) = |_, _| {};
+    let nothing: fn(&mut Hands, AttemptId) = |_, _| {};
     let has = |broken: Vec<(Rule, String)>, rule: Rule, what: &str| {
         assert!(broken.iter().any(|(r, w)| *r == rule && w.contains(what)), "{what}: {broken:?}");
     };
     has(broken_by("", |_, _| {}, nothing), Rule::OneAnswer, "has no answer");
-    let twice: fn(&mut Hands, UnitId) = |hands, unit| {
-        hands.turn_back(unit, None);
-        hands.forfeit(unit);
+    let twice: fn(&mut Hands, RequestId) = |hands, unit| {
+        hands.reject(unit, None);
+        hands.fail(unit);
     };
     has(broken_by("", twice, nothing), Rule::OneAnswer, "a second time");
-    let sends_on: fn(&mut Hands, UnitId) = |hands, unit| {
-        hands.forfeit(unit);
+    let sends_on: fn(&mut Hands, RequestId) = |hands, unit| {
+        hands.fail(unit);
         hands.allocate(unit, ExecutorId(0), LONG);
     };
     has(broken_by("", sends_on, nothing), Rule::OneAnswer, "sent after its end");
-    let late: fn(&mut Hands, UnitId) =
+    let late: fn(&mut Hands, RequestId) =
         |hands, unit| hands.allocate(unit, ExecutorId(0), Duration::from_seconds(5.2));
-    let answers: fn(&mut Hands, AllocationId) = |hands, id| hands.forfeit(id.unit);
+    let answers: fn(&mut Hands, AttemptId) = |hands, id| hands.fail(id.request);
     let crawls = fault("slow-executors", 0, 20, "part = 1.0\nfactor = 100.0");
     has(broken_by(&crawls, late, answers), Rule::OneAnswer, "after its patience");
-    let two_places: fn(&mut Hands, UnitId) = |hands, unit| {
+    let two_places: fn(&mut Hands, RequestId) = |hands, unit| {
         hands.allocate(unit, ExecutorId(0), LONG);
         hands.allocate(unit, ExecutorId(1), LONG);
     };
     has(broken_by("", two_places, nothing), Rule::NoEffectTwice, "runs a second time");
-    let one: fn(&mut Hands, UnitId) =
+    let one: fn(&mut Hands, RequestId) =
         |hands, unit| hands.allocate(unit, ExecutorId(0), Duration::from_millis(50));
-    let harmless: fn(&mut Hands, AllocationId) = |hands, id| hands.turn_back(id.unit, None);
+    let harmless: fn(&mut Hands, AttemptId) = |hands, id| hands.reject(id.request, None);
     has(broken_by("", one, harmless), Rule::NoEffectTwice, "was turned back");
     let drains = fault("drain-executors", 2, 10, "part = 1.0");
-    let first: fn(&mut Hands, UnitId) = |hands, unit| hands.allocate(unit, ExecutorId(0), LONG);
+    let first: fn(&mut Hands, RequestId) = |hands, unit| hands.allocate(unit, ExecutorId(0), LONG);
     has(broken_by(&drains, first, nothing), Rule::DrainGrace, "told to leave");
     let returns = fault("kill-executors", 1, 2, "part = 1.0");
     has(broken_by(&returns, first, nothing), Rule::ColdStart, "are borne");
--- a/crates/load-test/src/discovery.rs
+++ b/crates/load-test/src/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::fleet::{Fleet, Owner, Task};
 use crate::http::{request, said};
-use grebeusher_dispatch::tariffs::Standing;
+use grebeusher_dispatch::ExecutorStatus;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::stage::ms;
 use rand::Rng;
@@ -30,11 +30,11 @@
     }
 }
 
-fn lifecycle(standing: Standing) -> &'static str {
+fn lifecycle(standing: ExecutorStatus) -> &'static str {
     match standing {
-        Standing::Ready => "active",
-        Standing::Draining => "leaving",
-        Standing::Gone => "left",
+        ExecutorStatus::Ready => "active",
+        ExecutorStatus::Draining => "leaving",
+        ExecutorStatus::Gone => "left",
     }
 }
 
@@ -54,7 +54,7 @@
     }
 
     fn listed(&self) -> Vec<usize> {
-        let listed = |&at: &usize| self.executors[at].machine.standing != Standing::Gone;
+        let listed = |&at: &usize| self.executors[at].machine.standing != ExecutorStatus::Gone;
         (0..self.executors.len()).filter(listed).collect()
     }
 
@@ -69,7 +69,7 @@
         let now = self.now();
         for &at in which {
             let machine = &self.executors[at].machine;
-            let usable = machine.standing == Standing::Ready;
+            let usable = machine.standing == ExecutorStatus::Ready;
             if is_clear {
                 self.book.told(now, node, at, usable, machine.started);
             } else if usable {
@@ -156,7 +156,7 @@
     }
 
     /// The list has changed of an executor: who watches hears of it some time later.
-    pub fn list_changes(&mut self, executor: usize, standing: Standing) {
+    pub fn list_changes(&mut self, executor: usize, standing: ExecutorStatus) {
         self.executors[executor].machine.standing = standing;
         self.registry.generation += 1;
         if self.registry.down > 0 {
--- a/crates/load-test/src/executors.rs
+++ b/crates/load-test/src/executors.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::{Fleet, Owner, Task};
 use crate::http::{Message, answer, request, said};
-use grebeusher_dispatch::tariffs::{Report, Standing};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{ExecutorStatus, LoadReport};
 use grebeusher_emulator::machine::{Job, Machine, Taken};
 use grebeusher_emulator::stage::ms;
 use serde_json::{Value, json};
@@ -205,7 +205,7 @@
         if !e.machine.up {
             return;
         }
-        let leaving = e.machine.standing != Standing::Ready;
+        let leaving = e.machine.standing != ExecutorStatus::Ready;
         let (ran, waited) = e.machine.die(now);
         let jobs = std::mem::take(&mut e.jobs);
         for &(door, _, _) in &e.doors {
@@ -335,7 +335,7 @@
     }
 }
 
-fn report_line(report: Report) -> String {
+fn report_line(report: LoadReport) -> String {
     let (share, free) = (report.utilisation.unwrap_or(0.0), report.free_slots.unwrap_or(0.0));
     format!("X-Load-Report: TEXT load_share={share:.3}, x0={free}\r\n")
 }
--- a/crates/load-test/src/faults.rs
+++ b/crates/load-test/src/faults.rs
@@ -3,7 +3,7 @@
 use crate::account::Line;
 use crate::fleet::Fleet;
 use crate::link::Trouble;
-use grebeusher_dispatch::tariffs::Standing;
+use grebeusher_dispatch::ExecutorStatus;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::scenario::{Fault, Scenario, Side, What, Whom};
 use grebeusher_emulator::stage::{START, ms};
@@ -102,11 +102,11 @@
         for &at in whom {
             match fault.what {
                 What::KillExecutors => self.executor_dies(at),
-                What::DrainExecutors => self.list_changes(at, Standing::Draining),
+                What::DrainExecutors => self.list_changes(at, ExecutorStatus::Draining),
                 What::SlowExecutors => self.executors[at].machine.slower *= fault.slows_by(),
                 What::FailExecutors => self.executors[at].machine.fails += 1,
                 What::FlatterExecutors => self.executors[at].machine.flatters += 1,
-                What::UnlistExecutors => self.list_changes(at, Standing::Gone),
+                What::UnlistExecutors => self.list_changes(at, ExecutorStatus::Gone),
                 What::RestartNodes if self.nodes[at].is_up() => {
                     self.nodes[at].kill();
                     self.node_is_gone(at);
@@ -152,11 +152,11 @@
             match fault.what {
                 What::KillExecutors => {
                     self.executor_rises(at)?;
-                    self.list_changes(at, Standing::Ready);
+                    self.list_changes(at, ExecutorStatus::Ready);
                 }
                 What::DrainExecutors => {
                     self.executor_dies(at);
-                    self.list_changes(at, Standing::Gone);
+                    self.list_changes(at, ExecutorStatus::Gone);
                     let life = self.executors[at].machine.life;
                     self.after(AWAY, crate::fleet::Task::Rises(at, life));
                 }
@@ -164,7 +164,7 @@
                 What::FailExecutors => self.executors[at].machine.fails -= 1,
                 What::FlatterExecutors => self.executors[at].machine.flatters -= 1,
                 What::UnlistExecutors if self.executors[at].machine.up => {
-                    self.list_changes(at, Standing::Ready);
+                    self.list_changes(at, ExecutorStatus::Ready);
                 }
                 What::RestartNodes if !self.nodes[at].is_up() => self.start_node(at, fault.old_list)?,
                 What::FreezeNodes => self.freezes(at, false),
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -408,7 +408,7 @@
             Task::Rises(at, life) => {
                 if self.executors[at].machine.life == life {
                     self.executor_rises(at)?;
-                    self.list_changes(at, grebeusher_dispatch::tariffs::Standing::Ready);
+                    self.list_changes(at, grebeusher_dispatch::ExecutorStatus::Ready);
                 }
             }
             Task::CallTimesOut(at, node, number) => self.call_times_out(at, node, number),
--- a/crates/load-test/src/staff.rs
+++ b/crates/load-test/src/staff.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Fleet, Owner, Task};
 use crate::http::{answer, said};
 use crate::wire::CLEAR;
-use grebeusher_dispatch::tariffs::Standing;
+use grebeusher_dispatch::ExecutorStatus;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_emulator::scenario::{Maintenance, Scenario};
 use grebeusher_emulator::stage::{START, ms};
@@ -336,7 +336,7 @@
             Some(Agent::Watches) => {
                 self.staff.agents[at] = Some(Agent::Works);
                 self.executor_dies(at);
-                self.list_changes(at, Standing::Gone);
+                self.list_changes(at, ExecutorStatus::Gone);
                 if !plan.never_back.contains(&at) {
                     self.after(ms(plan.work_s * 1e3), Task::AgentActs(at));
                 }
@@ -344,7 +344,7 @@
             Some(Agent::Works) => {
                 self.staff.agents[at] = None;
                 self.executor_rises(at)?;
-                self.list_changes(at, Standing::Ready);
+                self.list_changes(at, ExecutorStatus::Ready);
             }
             _ => {}
         }
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -26,8 +26,10 @@
 
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::host::Host;
-use grebeusher_dispatch::tariffs::{Allowance, ColdStart, Effect, Further, Group, Report, Tariff};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{
+    AttemptPolicy, DeduplicationScope, Effect, LoadReport, RequestClass, RetryBudget, SlowStart,
+};
 use object::Object;
 use serde_json::Value;
 
@@ -77,9 +79,9 @@
     pub report_fields: Vec<String>,
     /// Which of them the decisions use.
     pub places: ReportLayout,
-    tariffs: Vec<Tariff>,
-    allowance: Allowance,
-    cold: ColdStart,
+    tariffs: Vec<RequestClass>,
+    attempt_policy: AttemptPolicy,
+    slow_start: SlowStart,
     starts: bool,
     progress: Option<Duration>,
     quotas: Vec<f64>,
@@ -122,7 +124,7 @@
             &[("automatic", RegistryMode::Automatic), ("subscribe", RegistryMode::Subscribe)],
         )?;
         let retry_after = caps.flag("retry_after")?;
-        let longest_come_back =
+        let max_retry_after =
             if retry_after { Some(caps.required_duration("max_retry_after_ns")?) } else { None };
         let nodes = root.count("fleet_size", 1..=u64::MAX)?.unwrap_or(1);
         let zone = root.count("az", 0..=(zones.len().max(1) as u64 - 1))?.unwrap_or(0);
@@ -141,17 +143,17 @@
             places: ReportLayout::of(&report_fields, tells_free_slots),
             report_fields,
             tariffs: read_tariffs(&root, &family, &tariffs, kinds.len())?,
-            allowance: Allowance {
-                most_allocations: caps.count("most_allocations", 1..=1000)?.unwrap_or(1) as usize,
-                second_copies: caps.flag("second_copies")?,
-                recalls: caps.flag("cancelling")?,
-                recalls_stop: false,
-                patience_off: root.object("contract")?.duration("deadline_error_ns")?.unwrap_or_default(),
-                further: further(&root.object("contract")?)?,
+            attempt_policy: AttemptPolicy {
+                max_attempts: caps.count("most_allocations", 1..=1000)?.unwrap_or(1) as usize,
+                hedging: caps.flag("second_copies")?,
+                cancellation: caps.flag("cancelling")?,
+                cancel_dequeues: false,
+                deadline_error: root.object("contract")?.duration("deadline_error_ns")?.unwrap_or_default(),
+                retry_budget: read_retry_budget(&root.object("contract")?)?,
                 grace: root.object("contract")?.duration("stop_sending_within_ns")?.unwrap_or_default(),
-                longest_come_back,
+                max_retry_after,
             },
-            cold: cold_start(&root.object("contract")?)?,
+            slow_start: read_slow_start(&root.object("contract")?)?,
             starts: family.flag("tells_start")?,
             progress: family.duration("progress_ns")?.filter(|pace| pace.nanos() > 0),
             quotas: quotas(&tenants)?,
@@ -165,12 +167,12 @@
 
     /// The longest that any client waits.
     pub fn longest_patience(&self) -> Duration {
-        self.tariffs.iter().map(|tariff| tariff.patience).max().unwrap_or_default()
+        self.tariffs.iter().map(|tariff| tariff.deadline).max().unwrap_or_default()
     }
 
     /// How long the clients of a tariff wait.
-    pub fn patience(&self, tariff: usize) -> Duration {
-        self.tariffs[tariff].patience
+    pub fn deadline(&self, tariff: usize) -> Duration {
+        self.tariffs[tariff].deadline
     }
 
     /// The place of a customer by its name; one behind all for who names none, or one that is not known. Guards against
@@ -202,34 +204,34 @@
 
     /// Whether a tariff is binding, by its place.
     pub fn is_binding(&self, tariff: usize) -> bool {
-        self.tariffs[tariff].effect == Effect::Binding
+        self.tariffs[tariff].effect == Effect::NonIdempotent
     }
 
     /// Whether executors may be asked to give up a job that they took.
     pub fn recalls(&self) -> bool {
-        self.allowance.recalls
+        self.attempt_policy.cancellation
     }
 
     /// Whether two allocations of one unit may be out at once.
     pub fn second_copies(&self) -> bool {
-        self.allowance.second_copies
+        self.attempt_policy.hedging
     }
 
     /// What the operators promise of their executors: that a recall takes work that waits out of the queue.
     pub fn recalls_stop(&mut self, stop: bool) {
-        self.allowance.recalls_stop = stop && self.allowance.recalls;
+        self.attempt_policy.cancel_dequeues = stop && self.attempt_policy.cancellation;
     }
 
     /// A dispatcher that acts through `host` under this settings. `asks_list`: the list comes only to those who ask
     /// on this wire; `talks`: words between nodes have a form on it.
     pub fn dispatcher<H: Host>(&self, host: H, seed: u64, asks_list: bool, talks: bool) -> Dispatcher<H> {
         Dispatcher::new(host, seed, self.node, self.nodes, self.tariffs.clone())
-            .allowing(self.allowance)
-            .cold_starts(self.cold)
-            .noticing(asks_list, self.probes, self.starts, self.progress)
-            .customers(&self.quotas)
-            .talking(self.peers && talks)
-            .standing_in(self.zone)
+            .with_attempt_policy(self.attempt_policy)
+            .with_slow_start(self.slow_start)
+            .with_signals(asks_list, self.probes, self.starts, self.progress)
+            .with_customer_quotas(&self.quotas)
+            .with_load_sharing(self.peers && talks)
+            .with_zone(self.zone)
     }
 }
 
@@ -250,9 +252,9 @@
 /// The effect of a tariff's work, before its group and memory span are read.
 #[derive(Clone, Copy)]
 enum EffectKind {
-    Retriable,
-    Fingerprinted,
-    Binding,
+    Idempotent,
+    Keyed,
+    NonIdempotent,
 }
 
 fn read_tariffs(
@@ -260,7 +262,7 @@
     family: &Object,
     tariffs: &[Object],
     kinds: usize,
-) -> Result<Vec<Tariff>, ConfigError> {
+) -> Result<Vec<RequestClass>, ConfigError> {
     if tariffs.is_empty() {
         return Err(root.invalid("tariffs", "a list of at least one tariff"));
     }
@@ -269,11 +271,15 @@
     let only_kinds = family.one_each("class_kind", tariffs.len(), -1.0..=most)?;
     let at = |list: &Option<Vec<f64>>, at: usize| list.as_ref().map(|list| list[at]);
     let words = [
-        ("read_like", EffectKind::Retriable),
-        ("idempotency_key", EffectKind::Fingerprinted),
-        ("non_idempotent", EffectKind::Binding),
+        ("read_like", EffectKind::Idempotent),
+        ("idempotency_key", EffectKind::Keyed),
+        ("non_idempotent", EffectKind::NonIdempotent),
+    ];
+    let groups = [
+        ("all", DeduplicationScope::All),
+        ("zone", DeduplicationScope::Zone),
+        ("cell", DeduplicationScope::Cell),
     ];
-    let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
     tariffs
         .iter()
         .enumerate()
@@ -281,20 +287,20 @@
             // A wrong group is refused also where none is needed.
             tariff.word("group", &groups)?;
             let effect = match tariff.required_word("effect", &words)? {
-                EffectKind::Retriable => Effect::Retriable,
-                EffectKind::Binding => Effect::Binding,
-                EffectKind::Fingerprinted => Effect::Fingerprinted {
-                    group: tariff.required_word("group", &groups)?,
-                    memory_span: tariff.required_duration("memory_span_ns")?,
+                EffectKind::Idempotent => Effect::Idempotent,
+                EffectKind::NonIdempotent => Effect::NonIdempotent,
+                EffectKind::Keyed => Effect::Keyed {
+                    scope: tariff.required_word("group", &groups)?,
+                    deduplication_window: tariff.required_duration("memory_span_ns")?,
                 },
             };
             let stretch = tariff.number("aim_stretch", 0.0..=1e6)?.or(at(&stretches, place));
-            Ok(Tariff {
+            Ok(RequestClass {
                 effect,
-                quoted_time: tariff.required_duration("quoted_time_ns")?,
+                latency_objective: tariff.required_duration("quoted_time_ns")?,
                 stretch: stretch.unwrap_or(0.0),
-                patience: tariff.required_duration("patience_ns")?,
-                earnings: tariff.number("earnings", 0.0..=f64::MAX)?.unwrap_or(1.0),
+                deadline: tariff.required_duration("patience_ns")?,
+                value: tariff.number("earnings", 0.0..=f64::MAX)?.unwrap_or(1.0),
                 kind: at(&only_kinds, place).filter(|&kind| kind >= 0.0).map(|kind| kind as usize),
             })
         })
@@ -302,20 +308,20 @@
 }
 
 /// The budget of further allocations, where there is one: all of it must be told.
-fn further(contract: &Object) -> Result<Option<Further>, ConfigError> {
+fn read_retry_budget(contract: &Object) -> Result<Option<RetryBudget>, ConfigError> {
     let Some(span) = contract.duration("budget_span_ns")? else { return Ok(None) };
     let free = contract.required_number("extra_free", 0.0..=1e9)?;
-    Ok(Some(Further { span, free, share: contract.required_number("further_ratio", 0.0..=1e3)? }))
+    Ok(Some(RetryBudget { span, free, share: contract.required_number("further_ratio", 0.0..=1e3)? }))
 }
 
 /// What is promised of cold executors must be told: nobody can keep to what is not known.
-fn cold_start(contract: &Object) -> Result<ColdStart, ConfigError> {
-    Ok(ColdStart {
+fn read_slow_start(contract: &Object) -> Result<SlowStart, ConfigError> {
+    Ok(SlowStart {
         share: contract.required_number("cold_share", 0.0..=1.0)?,
-        warm_within: Duration::from_nanos(contract.required_number("warm_within_ns", 0.0..=1e18)? as u64),
+        warm_up: Duration::from_nanos(contract.required_number("warm_within_ns", 0.0..=1e18)? as u64),
         fall_factor: contract.required_number("overload_factor", 0.0..=1e6)?,
         fall_window: contract.required_duration("fall_ns")?,
-        starts_off: contract.duration("ready_margin_ns")?.unwrap_or_default(),
+        start_time_error: contract.duration("ready_margin_ns")?.unwrap_or_default(),
         from: Instant(0),
     })
 }
@@ -342,8 +348,8 @@
     }
 
     /// The report, from a look-up of its values by place.
-    pub fn report(&self, value: impl Fn(usize) -> Option<f64>) -> Report {
-        Report {
+    pub fn report(&self, value: impl Fn(usize) -> Option<f64>) -> LoadReport {
+        LoadReport {
             utilisation: self.utilisation.and_then(&value),
             free_slots: self.free_slots.and_then(&value),
         }
--- a/crates/node-config/tests/stable_words.rs
+++ b/crates/node-config/tests/stable_words.rs
@@ -249,7 +249,7 @@
     assert_eq!((settings.zone(), settings.zone_name(), settings.place()), (1, "south", (3, 40)));
     assert_eq!(settings.progress(), Some(Duration::from_millis(1000)));
     assert_eq!(
-        [0, 1, 2].map(|tariff| settings.patience(tariff)),
+        [0, 1, 2].map(|tariff| settings.deadline(tariff)),
         [9000, 8000, 7000].map(Duration::from_millis)
     );
     assert_eq!([0, 1, 2].map(|tariff| settings.is_binding(tariff)), [false, false, true]);
