--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -14,10 +14,10 @@
 use crate::wire::load::Reports;
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::host::Host;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId, fixed_hash};
-use grebeusher_dispatch::learnt::{KindLearnt, Learnt};
-use grebeusher_dispatch::tariffs::{Arrival, Ending, Listing, Report, Standing};
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId, fixed_hash};
+use grebeusher_dispatch::learned::{LearnedKind, LearnedState};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{Arrival, AttemptOutcome, ExecutorStatus, ListedExecutor, LoadReport};
 use grebeusher_faktory::reservations;
 use grebeusher_job_log::book::{Due, Job};
 use grebeusher_maintenance::{Plan, Seen, View, ZoneSeen};
@@ -40,15 +40,15 @@
     executors: Directory,
     alarms: Alarms<u64>,
     /// When to stop waiting for an allocation.
-    time_outs: Alarms<AllocationId>,
+    time_outs: Alarms<AttemptId>,
     /// Allocations that were not sent, as they could not be written down or nobody waits for them.
-    unsent: Vec<AllocationId>,
+    unsent: Vec<AttemptId>,
     /// Units whose clients were found to have left.
-    left: Vec<UnitId>,
+    left: Vec<RequestId>,
     /// Jobs to be given up once more.
-    give_ups: Alarms<AllocationId>,
+    give_ups: Alarms<AttemptId>,
     /// Units that want a further allocation for which there was no part of a budget.
-    seek_further: BTreeSet<UnitId>,
+    seek_further: BTreeSet<RequestId>,
 }
 
 /// The hands of the decisions: what they say is done at once.
@@ -71,7 +71,7 @@
 
 impl Hands {
     /// The final answer, once.
-    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Duration>, body: &[u8]) {
+    fn answer(&self, unit: RequestId, status: u16, come_back: Option<Duration>, body: &[u8]) {
         let lasting = self.lasting(unit);
         let first = {
             let mut desk = self.desk.borrow_mut();
@@ -94,7 +94,7 @@
     }
 
     /// The ledger and the errand of a unit that outlives the process. Where there is no ledger none does.
-    fn lasting(&self, unit: UnitId) -> Option<(&Ledger, Rc<Errand>)> {
+    fn lasting(&self, unit: RequestId) -> Option<(&Ledger, Rc<Errand>)> {
         let ledger = self.ledger.as_deref()?;
         let errand = self.desk.borrow().units.errand(unit)?;
         errand.lasts.then_some((ledger, errand))
@@ -108,7 +108,7 @@
         }
     }
 
-    fn give_up(&self, id: AllocationId) {
+    fn give_up(&self, id: AttemptId) {
         let desk = self.desk.borrow();
         let Some((executor, accepted, errand)) = desk.units.still_out(id) else { return };
         if let Some(faktory) = self.faktory.as_ref().filter(|_| desk.executors.worker(executor).is_some()) {
@@ -122,7 +122,7 @@
 }
 
 impl Host for Hands {
-    fn allocate(&mut self, unit: UnitId, executor: ExecutorId, time_out: Duration) {
+    fn allocate(&mut self, unit: RequestId, executor: ExecutorId, time_out: Duration) {
         let mut desk = self.desk.borrow_mut();
         let address = desk.executors.address(executor);
         let Some((id, errand)) = desk.units.allocated(unit, executor) else { return };
@@ -161,7 +161,7 @@
         }
     }
 
-    fn may_go_further(&mut self, unit: UnitId) -> bool {
+    fn may_retry(&mut self, unit: RequestId) -> bool {
         let Some(fellows) = &self.fellows else { return true };
         let mut desk = self.desk.borrow_mut();
         let Some(errand) = desk.units.errand(unit) else { return true };
@@ -178,19 +178,19 @@
         may
     }
 
-    fn recall(&mut self, allocation: AllocationId) {
+    fn cancel(&mut self, allocation: AttemptId) {
         self.give_up(allocation);
     }
 
-    fn turn_back(&mut self, unit: UnitId, come_back: Option<Duration>) {
+    fn reject(&mut self, unit: RequestId, come_back: Option<Duration>) {
         self.answer(unit, 503, come_back, b"");
     }
 
-    fn forfeit(&mut self, unit: UnitId) {
+    fn fail(&mut self, unit: RequestId) {
         self.answer(unit, 500, None, b"");
     }
 
-    fn wake(&mut self, after: Duration, alarm: u64) {
+    fn set_timer(&mut self, after: Duration, alarm: u64) {
         self.desk.borrow_mut().alarms.set(self.clock.now() + after, alarm);
     }
 
@@ -200,13 +200,13 @@
     }
 
     /// Only where the operators have named fellows: the users' protocol has no form for words between nodes.
-    fn tell(&mut self, node: Option<u64>, word: &[u8]) {
+    fn send_load(&mut self, node: Option<u64>, word: &[u8]) {
         if let Some(fellows) = &self.fellows {
             fellows.tell(node, word);
         }
     }
 
-    fn follow_list(&mut self) {
+    fn watch_executors(&mut self) {
         self.discovery.follow();
     }
 }
@@ -223,7 +223,7 @@
 struct Listed {
     executor: ExecutorId,
     name: String,
-    standing: Standing,
+    standing: ExecutorStatus,
     /// By the list, or by a newer word of a fellow.
     started: Option<Instant>,
     listed_start: Option<Instant>,
@@ -234,9 +234,19 @@
 }
 
 impl Listed {
-    fn listing(&self) -> Listing<'_> {
+    fn listing(&self) -> ListedExecutor<'_> {
         let &Listed { executor, ref name, standing, started, kind, zone, cell, weight, .. } = self;
-        Listing { executor, name, standing, started, kind, zone, cell, weight, speaks: false }
+        ListedExecutor {
+            executor,
+            name,
+            status: standing,
+            started,
+            kind,
+            zone,
+            cell,
+            weight,
+            reports_own_status: false,
+        }
     }
 }
 
@@ -250,17 +260,17 @@
 }
 
 impl Closed {
-    fn stands(&self, executor: u64, listed: Standing) -> Standing {
+    fn stands(&self, executor: u64, listed: ExecutorStatus) -> ExecutorStatus {
         let closed = match self {
             Closed::All => true,
             Closed::These(these) => these.contains(&executor),
         };
-        if closed && listed == Standing::Ready { Standing::Draining } else { listed }
+        if closed && listed == ExecutorStatus::Ready { ExecutorStatus::Draining } else { listed }
     }
 
     /// What the decisions hear of an executor: one standing, merged of the list and of what is closed.
-    fn listing<'a>(&self, executor: u64, known: &'a Listed) -> Listing<'a> {
-        Listing { standing: self.stands(executor, known.standing), ..known.listing() }
+    fn listing<'a>(&self, executor: u64, known: &'a Listed) -> ListedExecutor<'a> {
+        ListedExecutor { status: self.stands(executor, known.standing), ..known.listing() }
     }
 }
 
@@ -285,7 +295,7 @@
     gone: BTreeSet<ExecutorId>,
     kept_cold: Instant,
     /// Units for which there is no part of a budget yet, and until when they wait for one.
-    awaiting: VecDeque<(Instant, UnitId, Errand, Arrival)>,
+    awaiting: VecDeque<(Instant, RequestId, Errand, Arrival)>,
     /// What the fleet has closed.
     closed: Closed,
     /// Where this node stopped waiting for something that may still run, and when; only where machines are closed.
@@ -358,7 +368,7 @@
 
     /// How many executors are listed, and how many of these the decisions pass over now.
     pub fn listing(&self) -> (usize, usize) {
-        self.dispatcher.listing(self.hands.clock.now())
+        self.dispatcher.executor_counts(self.hands.clock.now())
     }
 
     /// The fleet has closed these, or opened them again.
@@ -370,9 +380,10 @@
         let changed = self.known.iter().filter(|(hash, known)| {
             before.stands(**hash, known.standing) != self.closed.stands(**hash, known.standing)
         });
-        let listings: Vec<Listing> = changed.map(|(hash, known)| self.closed.listing(*hash, known)).collect();
+        let listings: Vec<ListedExecutor> =
+            changed.map(|(hash, known)| self.closed.listing(*hash, known)).collect();
         if !listings.is_empty() {
-            self.dispatcher.listed(self.hands.clock.now(), false, &listings);
+            self.dispatcher.update_executors(self.hands.clock.now(), false, &listings);
         }
     }
 
@@ -406,12 +417,12 @@
                 ..ZoneSeen::default()
             });
             zone.listed += 1;
-            zone.ready += u32::from(known.standing == Standing::Ready);
+            zone.ready += u32::from(known.standing == ExecutorStatus::Ready);
         }
         let seen = |machine: u64| {
             let known = self.known.get(&machine)?;
             let started_ms = known.listed_start.map_or(0, |at| at.0 / 1_000_000);
-            Some(Seen { machine, ready: known.standing == Standing::Ready, started_ms })
+            Some(Seen { machine, ready: known.standing == ExecutorStatus::Ready, started_ms })
         };
         View { zones: zones.into_values().collect(), machines: watched.filter_map(seen).collect() }
     }
@@ -431,7 +442,7 @@
             .known
             .values()
             .filter(|known| {
-                known.standing != Standing::Gone
+                known.standing != ExecutorStatus::Gone
                     && (plan.of_zones.contains(&placed(&self.zones, known.zone))
                         || plan.of_kinds.contains(&placed(&self.kinds, known.kind)))
             })
@@ -480,12 +491,12 @@
         self.keeps_cold();
         while self.awaiting.front().is_some_and(|(until, ..)| *until <= now) {
             let Some((_, unit, errand, arrival)) = self.awaiting.pop_front() else { break };
-            self.takes(unit, errand, &Arrival { beyond: true, ..arrival });
+            self.takes(unit, errand, &Arrival { over_budget: true, ..arrival });
         }
         let left = std::mem::take(&mut self.hands.desk.borrow_mut().left);
         left.into_iter().for_each(|unit| self.withdrawn(unit));
         let unsent = std::mem::take(&mut self.hands.desk.borrow_mut().unsent);
-        unsent.into_iter().for_each(|id| self.ended(id, Ending::CutOff, None));
+        unsent.into_iter().for_each(|id| self.ended(id, AttemptOutcome::CutOff, None));
         while let Some(job) = self.hands.ledger.as_ref().and_then(|ledger| ledger.due()) {
             self.settled(&job.id, false);
         }
@@ -494,14 +505,14 @@
             self.timed_out(id);
         }
         while let Some(alarm) = { self.hands.desk.borrow_mut().alarms.due(now) } {
-            self.dispatcher.rang(self.hands.clock.now(), alarm);
+            self.dispatcher.timer_fired(self.hands.clock.now(), alarm);
         }
         while let Some(id) = { self.hands.desk.borrow_mut().give_ups.due(now) } {
             self.hands.give_up(id);
         }
     }
 
-    pub fn arrived(&mut self, unit: UnitId, errand: Errand, arrival: &Arrival) {
+    pub fn arrived(&mut self, unit: RequestId, errand: Errand, arrival: &Arrival) {
         let spends = |fellows: &Rc<dyn Talk>| fellows.may_spend(Spends::Unit, errand.of);
         if self.hands.fellows.as_ref().is_some_and(|fellows| !spends(fellows)) {
             // A part may be had from the node that divides; who gets none in time is turned back.
@@ -523,13 +534,13 @@
             }
         }
         if !self.hands.desk.borrow().seek_further.is_empty() {
-            self.dispatcher.serve_held(self.hands.clock.now());
+            self.dispatcher.serve_pending(self.hands.clock.now());
         }
     }
 
-    fn takes(&mut self, unit: UnitId, errand: Errand, arrival: &Arrival) {
+    fn takes(&mut self, unit: RequestId, errand: Errand, arrival: &Arrival) {
         self.hands.desk.borrow_mut().units.arrived(unit, errand);
-        self.dispatcher.arrived(self.hands.clock.now(), unit, arrival);
+        self.dispatcher.request_arrived(self.hands.clock.now(), unit, arrival);
     }
 
     pub fn has_ledger(&self) -> bool {
@@ -554,11 +565,11 @@
             body: errand.body.clone(),
             hint_us: arrival.hint.map(|hint| hint.nanos() / 1000),
             taken_ms: ms(self.hands.clock.now()),
-            ends_ms: ms(arrival.patience_ends),
+            ends_ms: ms(arrival.deadline),
         };
         self.counters.units.up();
         if ledger.taken(job).is_err() {
-            self.counters.turned_back.up(arrival.tariff);
+            self.counters.turned_back.up(arrival.class);
             return 503;
         }
         self.arrived(self.unit_ids.take(), errand, arrival);
@@ -599,16 +610,16 @@
             return self.hands.answer_lasting(&ledger, &job.id, &job.tariff, 503, b"");
         };
         let arrival = Arrival {
-            tariff,
+            class: tariff,
             customer: self.stranger,
-            patience_ends: moment(job.ends_ms),
+            deadline: moment(job.ends_ms),
             repeat: false,
             hint: job.hint_us.map(|us| Duration::from_nanos(us.saturating_mul(1000))),
             slots: 1.0,
-            beyond: false,
+            over_budget: false,
         };
         let Job { id, tariff, target, headers, body, binding, .. } = job;
-        let (call_id, of) = (id.into(), (arrival.tariff, arrival.customer));
+        let (call_id, of) = (id.into(), (arrival.class, arrival.customer));
         let errand =
             Errand { call_id, tariff, target, headers, body, binding, of, lasts: true, pushed: None };
         self.arrived(self.unit_ids.take(), errand, &arrival);
@@ -644,7 +655,7 @@
     }
 
     /// The client left: no answer is owed.
-    pub fn withdrawn(&mut self, unit: UnitId) {
+    pub fn withdrawn(&mut self, unit: RequestId) {
         self.awaiting.retain(|(_, waits, ..)| *waits != unit);
         self.hands.desk.borrow_mut().seek_further.remove(&unit);
         self.hands.desk.borrow_mut().units.answered(unit);
@@ -653,7 +664,7 @@
     }
 
     /// The executor took the job.
-    pub fn accepted(&mut self, id: AllocationId) {
+    pub fn accepted(&mut self, id: AttemptId) {
         self.counters.accepted.up();
         let executor = {
             let mut desk = self.hands.desk.borrow_mut();
@@ -689,15 +700,15 @@
                 // It has the job, though its 202 may still be on the way: to close the connection now would
                 // not give it up.
                 self.hands.desk.borrow_mut().units.accepted(id);
-                self.dispatcher.noticed(self.hands.clock.now(), id, executor);
+                self.dispatcher.attempt_progressed(self.hands.clock.now(), id, executor);
             }
             (Some(id), State::Done { result }) => {
                 self.hands.answer(unit, 200, None, result.as_bytes());
-                self.ended(id, Ending::Fulfilled, report);
+                self.ended(id, AttemptOutcome::Served, report);
             }
-            (Some(id), State::Failed) => self.ended(id, Ending::Error, report),
-            (Some(id), State::Returned) => self.ended(id, Ending::Full, report),
-            (Some(id), State::Lost) => self.ended(id, Ending::Reset, report),
+            (Some(id), State::Failed) => self.ended(id, AttemptOutcome::Error, report),
+            (Some(id), State::Returned) => self.ended(id, AttemptOutcome::Full, report),
+            (Some(id), State::Lost) => self.ended(id, AttemptOutcome::Reset, report),
             // The connection broke and yet the job was done: its result is as good as any.
             (None, State::Done { result }) if !self.hands.desk.borrow().units.is_answered(unit) => {
                 self.counters.late_results.up();
@@ -732,20 +743,20 @@
 
     /// Whether another process of this node sends to cold executors.
     pub fn cold_elsewhere(&mut self, elsewhere: bool) {
-        self.dispatcher.cold_elsewhere(self.hands.clock.now(), elsewhere);
+        self.dispatcher.set_slow_start_elsewhere(self.hands.clock.now(), elsewhere);
     }
 
     /// Whether an allocation that waited for its connection may still be written to it.
-    pub fn may_begin(&mut self, id: AllocationId, executor: ExecutorId) -> bool {
-        let waits = self.hands.clients.waits(id.unit);
+    pub fn may_begin(&mut self, id: AttemptId, executor: ExecutorId) -> bool {
+        let waits = self.hands.clients.waits(id.request);
         if !waits {
-            self.hands.desk.borrow_mut().left.push(id.unit);
+            self.hands.desk.borrow_mut().left.push(id.request);
         }
-        waits && self.dispatcher.may_begin(self.hands.clock.now(), id, executor)
+        waits && self.dispatcher.may_send_now(self.hands.clock.now(), id, executor)
     }
 
     /// An allocation ended; what had ended before has nothing more to say.
-    pub fn ended(&mut self, id: AllocationId, ending: Ending, report: Option<Report>) {
+    pub fn ended(&mut self, id: AttemptId, ending: AttemptOutcome, report: Option<LoadReport>) {
         let executor = {
             let mut desk = self.hands.desk.borrow_mut();
             let Some((executor, alarm)) = desk.units.ended(id) else { return };
@@ -753,41 +764,41 @@
             executor
         };
         match ending {
-            Ending::Fulfilled | Ending::NeverSent => {}
-            Ending::Error => self.counters.ended_error.up(),
-            Ending::Full => self.counters.ended_full.up(),
-            Ending::TimedOut => self.counters.ended_timed_out.up(),
-            Ending::Refused => self.counters.ended_refused.up(),
-            Ending::Reset => self.counters.ended_reset.up(),
-            Ending::Recalled => self.counters.ended_recalled.up(),
-            Ending::CutOff => self.counters.ended_cut_off.up(),
-            Ending::Unusable => self.counters.ended_unusable.up(),
+            AttemptOutcome::Served | AttemptOutcome::NeverSent => {}
+            AttemptOutcome::Error => self.counters.ended_error.up(),
+            AttemptOutcome::Full => self.counters.ended_full.up(),
+            AttemptOutcome::TimedOut => self.counters.ended_timed_out.up(),
+            AttemptOutcome::Refused => self.counters.ended_refused.up(),
+            AttemptOutcome::Reset => self.counters.ended_reset.up(),
+            AttemptOutcome::Cancelled => self.counters.ended_recalled.up(),
+            AttemptOutcome::CutOff => self.counters.ended_cut_off.up(),
+            AttemptOutcome::Unusable => self.counters.ended_unusable.up(),
         }
-        let ran = matches!(ending, Ending::Fulfilled | Ending::Error);
-        if let Some(unsure) = self.unsure.as_mut().filter(|_| !ran && !ending.proves_not_run()) {
-            let errand = self.hands.desk.borrow().units.errand(id.unit);
+        let ran = matches!(ending, AttemptOutcome::Served | AttemptOutcome::Error);
+        if let Some(unsure) = self.unsure.as_mut().filter(|_| !ran && !ending.proves_not_executed()) {
+            let errand = self.hands.desk.borrow().units.errand(id.request);
             if let Some(errand) = errand {
                 unsure.insert((executor, errand.call_id.clone()), self.hands.clock.now());
             }
         }
-        if ending != Ending::Fulfilled {
+        if ending != AttemptOutcome::Served {
             let desk = self.hands.desk.borrow();
-            let (unit, executor) = (id.unit.0, desk.executors.name(executor));
+            let (unit, executor) = (id.request.0, desk.executors.name(executor));
             debug!(unit, executor, ?ending, "unit {unit} at {executor}: {ending:?}");
         }
-        if ending == Ending::Fulfilled {
+        if ending == AttemptOutcome::Served {
             self.process_answers(executor);
         }
-        let answered = self.hands.desk.borrow().units.is_answered(id.unit);
-        if let Some((ledger, errand)) = self.hands.lasting(id.unit).filter(|_| !answered) {
-            ledger.ended(&errand.call_id, id.number, ending.proves_not_run());
+        let answered = self.hands.desk.borrow().units.is_answered(id.request);
+        if let Some((ledger, errand)) = self.hands.lasting(id.request).filter(|_| !answered) {
+            ledger.ended(&errand.call_id, id.number, ending.proves_not_executed());
         }
-        self.dispatcher.ended(self.hands.clock.now(), id, executor, ending, answered, report);
-        self.hands.desk.borrow_mut().units.tidy(id.unit);
+        self.dispatcher.attempt_ended(self.hands.clock.now(), id, executor, ending, answered, report);
+        self.hands.desk.borrow_mut().units.tidy(id.request);
     }
 
     /// A worker has fetched what was handed to it: it runs.
-    pub fn fetched(&mut self, id: AllocationId) {
+    pub fn fetched(&mut self, id: AttemptId) {
         self.counters.relayed.up();
         let executor = {
             let mut desk = self.hands.desk.borrow_mut();
@@ -796,14 +807,14 @@
         };
         if let Some(executor) = executor {
             self.counters.accepted.up();
-            self.dispatcher.noticed(self.hands.clock.now(), id, executor);
+            self.dispatcher.attempt_progressed(self.hands.clock.now(), id, executor);
         }
     }
 
     /// An allocation is done, with this result.
-    pub fn fulfilled(&mut self, id: AllocationId, result: &[u8]) {
-        self.hands.answer(id.unit, 200, None, result);
-        self.ended(id, Ending::Fulfilled, None);
+    pub fn fulfilled(&mut self, id: AttemptId, result: &[u8]) {
+        self.hands.answer(id.request, 200, None, result);
+        self.ended(id, AttemptOutcome::Served, None);
     }
 
     /// How a worker of the Faktory front stands: to the decisions it is an executor of this node's own zone.
@@ -818,14 +829,14 @@
         let kind = place(&mut self.kinds, WORKER);
         let listing = worker_listing(executor, &name, standing, kind, self.own_zone);
         self.listed = true;
-        self.dispatcher.listed(self.hands.clock.now(), false, &[listing]);
+        self.dispatcher.update_executors(self.hands.clock.now(), false, &[listing]);
     }
 
     /// The executor did not say in time that it took the job, and the connection is closed, or broke. Where it has told of
     /// a start, that word alone got lost.
-    pub fn not_taken(&mut self, id: AllocationId, ending: Ending) {
+    pub fn not_taken(&mut self, id: AttemptId, ending: AttemptOutcome) {
         let Some((executor, taken, errand)) = self.hands.desk.borrow().units.still_out(id) else { return };
-        if taken && ending == Ending::TimedOut {
+        if taken && ending == AttemptOutcome::TimedOut {
             return;
         }
         // It may have the job all the same: its word got lost, or is on the way in this moment, or it comes to what it was
@@ -838,13 +849,13 @@
     }
 
     /// The node stops waiting, and says so to the executor where that is allowed.
-    fn timed_out(&mut self, id: AllocationId) {
+    fn timed_out(&mut self, id: AttemptId) {
         self.hands.give_up(id);
-        self.ended(id, Ending::TimedOut, None);
+        self.ended(id, AttemptOutcome::TimedOut, None);
     }
 
     /// Giving up did not get through: the job may run on, so another try is owed while anybody waits for it.
-    pub fn not_given_up(&mut self, id: AllocationId) {
+    pub fn not_given_up(&mut self, id: AttemptId) {
         self.counters.give_ups_failed.up();
         let mut desk = self.hands.desk.borrow_mut();
         if desk.units.still_out(id).is_some() {
@@ -852,11 +863,11 @@
         }
     }
 
-    pub fn probed(&mut self, executor: ExecutorId, report: Option<Report>) {
+    pub fn probed(&mut self, executor: ExecutorId, report: Option<LoadReport>) {
         if report.is_none() {
             self.counters.probes_failed.up();
         }
-        self.dispatcher.probed(self.hands.clock.now(), executor, report);
+        self.dispatcher.load_reported(self.hands.clock.now(), executor, report);
     }
 
     /// The executor list, whole or only what changed in it.
@@ -867,7 +878,7 @@
         for entry in &entries {
             let mut desk = self.hands.desk.borrow_mut();
             let executor = desk.executors.index(&entry.instance_id);
-            let standing: Standing = entry.lifecycle.into();
+            let standing: ExecutorStatus = entry.lifecycle.into();
             match entry.host_port.parse() {
                 Ok(address) => desk.executors.listens_at(executor, address),
                 Err(e) => {
@@ -876,7 +887,7 @@
                 }
             }
             let address = desk.executors.address(executor);
-            self.hands.executors.forget(executor, address.filter(|_| standing != Standing::Gone));
+            self.hands.executors.forget(executor, address.filter(|_| standing != ExecutorStatus::Gone));
             // A start that lies ahead would keep it cold for as long.
             let started = Instant((entry.started_at_ms.unwrap_or(0.0) * 1e6) as u64).min(now);
             let age = now.since(started).seconds();
@@ -887,16 +898,16 @@
                 age_s = age,
                 "list: {executor_name} at {at} is {standing:?}, started {age:.1} s ago"
             );
-            listings.push(Listing {
+            listings.push(ListedExecutor {
                 executor,
                 name: &entry.instance_id,
-                standing,
+                status: standing,
                 started: Some(started).filter(|at| at.0 > 0),
                 kind: place(&mut self.kinds, &entry.machine_type),
                 zone: place(&mut self.zones, &entry.zone),
                 cell: entry.cell.unwrap_or(0.0) as usize,
                 weight: entry.weight.unwrap_or(1.0),
-                speaks: false,
+                reports_own_status: false,
             });
         }
         self.listed |= !listings.is_empty();
@@ -908,23 +919,25 @@
         }
         self.notes(version.reset, &listings);
         for listing in &mut listings {
-            listing.standing = self.closed.stands(fixed_hash(listing.name), listing.standing);
+            listing.status = self.closed.stands(fixed_hash(listing.name), listing.status);
         }
-        self.dispatcher.listed(now, version.reset, &listings);
+        self.dispatcher.update_executors(now, version.reset, &listings);
     }
 
     /// Keeps what the list says, and tells the fellows of starts that are new.
-    fn notes(&mut self, whole: bool, listings: &[Listing<'_>]) {
+    fn notes(&mut self, whole: bool, listings: &[ListedExecutor<'_>]) {
         let Some(fellows) = self.hands.fellows.clone() else { return };
         let before = if whole { std::mem::take(&mut self.known) } else { BTreeMap::new() };
-        for &Listing { executor, name, standing, started, kind, zone, cell, weight, .. } in listings {
+        for &ListedExecutor { executor, name, status: standing, started, kind, zone, cell, weight, .. } in
+            listings
+        {
             let hash = fixed_hash(name);
             let known = self.known.get(&hash).or_else(|| before.get(&hash)).and_then(|known| known.started);
             if let Some(at) = started.filter(|at| known.is_none_or(|known| known < *at)) {
                 fellows.has_seen(hash, at, false);
                 self.gone.remove(&executor);
             }
-            if standing == Standing::Gone {
+            if standing == ExecutorStatus::Gone {
                 self.gone.remove(&executor);
             }
             let (name, listed_start) = (name.to_owned(), started);
@@ -963,7 +976,7 @@
         let now = self.hands.clock.now();
         let at = at.min(now);
         let Some(known) = self.known.get_mut(&executor) else { return };
-        if known.standing == Standing::Gone || known.started.is_some_and(|started| started >= at) {
+        if known.standing == ExecutorStatus::Gone || known.started.is_some_and(|started| started >= at) {
             return;
         }
         known.started = Some(at);
@@ -977,13 +990,13 @@
         let age_s = now.since(at).seconds();
         debug!(executor = name, gone, age_s, "{name} was {how} {age_s:.1} s ago");
         let listing = self.closed.listing(executor, known);
-        self.dispatcher.listed(now, false, &[listing]);
+        self.dispatcher.update_executors(now, false, &[listing]);
     }
 
     /// Starts that the list has not told, no longer ago than this, and what is gone.
     pub fn seen_lately(&self, within: Duration) -> impl Iterator<Item = (u64, Instant, bool)> {
         let now = self.hands.clock.now();
-        let seen = self.known.iter().filter(|(_, known)| known.standing != Standing::Gone);
+        let seen = self.known.iter().filter(|(_, known)| known.standing != ExecutorStatus::Gone);
         seen.filter_map(move |(hash, known)| {
             let gone = self.gone.contains(&known.executor);
             let at = known.started.filter(|at| Some(*at) > known.listed_start && now.since(*at) < within)?;
@@ -993,9 +1006,9 @@
 
     /// What this node has seen, for one that knows less.
     pub fn learnt(&self) -> Lesson {
-        let learnt = self.dispatcher.learnt();
-        let named = |(kind, known): (&usize, &KindLearnt)| {
-            let KindLearnt { done, ran, slots } = *known;
+        let learnt = self.dispatcher.learned();
+        let named = |(kind, known): (&usize, &LearnedKind)| {
+            let LearnedKind { done, ran, slots } = *known;
             Some((self.kinds.get(*kind)?.clone(), (done as f32, ran as f32, slots as f32)))
         };
         Lesson {
@@ -1009,14 +1022,14 @@
         let known = |(kind, told): &(String, (f32, f32, f32))| {
             let (done, ran, slots) = (told.0.into(), told.1.into(), told.2.into());
             let kind = self.kinds.iter().position(|name| name == kind)?;
-            Some((kind, KindLearnt { done, ran, slots }))
+            Some((kind, LearnedKind { done, ran, slots }))
         };
-        let learnt = Learnt {
+        let learnt = LearnedState {
             sizes: lesson.sizes.iter().map(|(size, run)| ((*size).into(), (*run).into())).collect(),
             kinds: lesson.kinds.iter().filter_map(known).collect(),
         };
         self.counters.lessons.up();
-        self.dispatcher.taught(self.hands.clock.now(), &learnt)
+        self.dispatcher.merge_learned(self.hands.clock.now(), &learnt)
     }
 
     /// As long as one is gone it has not begun to warm up.
@@ -1031,15 +1044,15 @@
         let still = self.known.iter().filter(|(_, known)| gone.contains(&known.executor));
         // Only the decisions take it for started now. Guards against a word or a list that it is back, which is a little older
         // than this, being taken for old news.
-        let listings: Vec<Listing> = still
-            .map(|(hash, known)| Listing { started: Some(now), ..self.closed.listing(*hash, known) })
+        let listings: Vec<ListedExecutor> = still
+            .map(|(hash, known)| ListedExecutor { started: Some(now), ..self.closed.listing(*hash, known) })
             .collect();
-        self.dispatcher.listed(now, false, &listings);
+        self.dispatcher.update_executors(now, false, &listings);
     }
 
     /// Another node sent a word of the decisions.
     pub fn told(&mut self, node: u64, word: &[u8]) {
-        self.dispatcher.told(self.hands.clock.now(), node, word);
+        self.dispatcher.load_message_received(self.hands.clock.now(), node, word);
     }
 
     /// The workers that are there, as executors.
@@ -1055,11 +1068,11 @@
 
     /// All that discovery had then is known here.
     pub fn list_proved(&mut self, as_of: Instant, heard: bool) {
-        self.dispatcher.list_proved(as_of, heard);
+        self.dispatcher.executor_list_confirmed(as_of, heard);
     }
 
     pub fn list_broken(&mut self) {
-        self.dispatcher.list_broken();
+        self.dispatcher.executor_list_lost();
     }
 }
 
@@ -1072,13 +1085,23 @@
     standing: reservations::Standing,
     kind: usize,
     zone: usize,
-) -> Listing<'_> {
+) -> ListedExecutor<'_> {
     let standing = match standing {
-        reservations::Standing::Works => Standing::Ready,
-        reservations::Standing::Quiet => Standing::Draining,
-        reservations::Standing::Gone => Standing::Gone,
+        reservations::Standing::Works => ExecutorStatus::Ready,
+        reservations::Standing::Quiet => ExecutorStatus::Draining,
+        reservations::Standing::Gone => ExecutorStatus::Gone,
     };
-    Listing { executor, name, standing, started: None, kind, zone, cell: 0, weight: 1.0, speaks: true }
+    ListedExecutor {
+        executor,
+        name,
+        status: standing,
+        started: None,
+        kind,
+        zone,
+        cell: 0,
+        weight: 1.0,
+        reports_own_status: true,
+    }
 }
 
 /// The place of a name among those of the settings, a new one if it is not there.
--- a/crates/node/src/memory/list.rs
+++ b/crates/node/src/memory/list.rs
@@ -1,7 +1,7 @@
 //! The list of executors as discovery words it.
 
 use crate::memory::counters::Counters;
-use grebeusher_dispatch::tariffs::Standing;
+use grebeusher_dispatch::ExecutorStatus;
 use serde::Deserialize;
 use serde_json::Value;
 use tracing::warn;
@@ -41,12 +41,12 @@
     Left,
 }
 
-impl From<Lifecycle> for Standing {
-    fn from(lifecycle: Lifecycle) -> Standing {
+impl From<Lifecycle> for ExecutorStatus {
+    fn from(lifecycle: Lifecycle) -> ExecutorStatus {
         match lifecycle {
-            Lifecycle::Active => Standing::Ready,
-            Lifecycle::Leaving => Standing::Draining,
-            Lifecycle::Left => Standing::Gone,
+            Lifecycle::Active => ExecutorStatus::Ready,
+            Lifecycle::Leaving => ExecutorStatus::Draining,
+            Lifecycle::Left => ExecutorStatus::Gone,
         }
     }
 }
--- a/crates/node/src/memory/units.rs
+++ b/crates/node/src/memory/units.rs
@@ -1,7 +1,7 @@
 //! The work units in hand: what they brought, and what is out for them.
 
 use crate::memory::parts::Of;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::Duration;
 use grebeusher_transport::alarms::Alarm;
 use std::cell::Cell;
@@ -13,10 +13,10 @@
 pub struct UnitIds(Rc<Cell<u64>>);
 
 impl UnitIds {
-    pub fn take(&self) -> UnitId {
+    pub fn take(&self) -> RequestId {
         let id = self.0.get();
         self.0.set(id + 1);
-        UnitId(id)
+        RequestId(id)
     }
 }
 
@@ -60,55 +60,55 @@
 /// Kept until a unit has its final answer and nothing is out for it.
 #[derive(Default)]
 pub struct Units {
-    kept: HashMap<UnitId, Unit>,
-    by_call: HashMap<Rc<str>, UnitId>,
+    kept: HashMap<RequestId, Unit>,
+    by_call: HashMap<Rc<str>, RequestId>,
 }
 
 impl Units {
-    pub fn arrived(&mut self, id: UnitId, errand: Errand) {
+    pub fn arrived(&mut self, id: RequestId, errand: Errand) {
         self.by_call.insert(errand.call_id.clone(), id);
         self.kept.insert(id, Unit { errand: Rc::new(errand), out: Vec::new(), answered: false });
     }
 
-    pub fn find(&self, call_id: &str) -> Option<UnitId> {
+    pub fn find(&self, call_id: &str) -> Option<RequestId> {
         self.by_call.get(call_id).copied()
     }
 
     /// One more allocation of the unit, as it is sent.
-    pub fn allocated(&mut self, unit: UnitId, executor: ExecutorId) -> Option<(AllocationId, Rc<Errand>)> {
+    pub fn allocated(&mut self, unit: RequestId, executor: ExecutorId) -> Option<(AttemptId, Rc<Errand>)> {
         let kept = self.kept.get_mut(&unit)?;
         let number = kept.out.len();
         kept.out.push(Out { executor, open: true, accepted: false, time_out: None });
-        Some((AllocationId { unit, number }, kept.errand.clone()))
+        Some((AttemptId { request: unit, number }, kept.errand.clone()))
     }
 
-    pub fn accepted(&mut self, id: AllocationId) {
+    pub fn accepted(&mut self, id: AttemptId) {
         if let Some(out) = self.out(id) {
             out.accepted = true;
         }
     }
 
     /// When the node will stop waiting for the allocation.
-    pub fn times_out(&mut self, id: AllocationId, alarm: Alarm) {
+    pub fn times_out(&mut self, id: AttemptId, alarm: Alarm) {
         if let Some(out) = self.out(id) {
             out.time_out = Some(alarm);
         }
     }
 
-    fn out(&mut self, id: AllocationId) -> Option<&mut Out> {
-        self.kept.get_mut(&id.unit)?.out.get_mut(id.number)
+    fn out(&mut self, id: AttemptId) -> Option<&mut Out> {
+        self.kept.get_mut(&id.request)?.out.get_mut(id.number)
     }
 
     /// The allocation of this unit that is out at the executor, if one is.
-    pub fn out_at(&self, unit: UnitId, executor: ExecutorId) -> Option<AllocationId> {
+    pub fn out_at(&self, unit: RequestId, executor: ExecutorId) -> Option<AttemptId> {
         let out = &self.kept.get(&unit)?.out;
         let number = out.iter().position(|out| out.open && out.executor == executor)?;
-        Some(AllocationId { unit, number })
+        Some(AttemptId { request: unit, number })
     }
 
     /// The executor of an allocation that is still out, whether it was accepted, and what was sent.
-    pub fn still_out(&self, id: AllocationId) -> Option<(ExecutorId, bool, Rc<Errand>)> {
-        let unit = self.kept.get(&id.unit)?;
+    pub fn still_out(&self, id: AttemptId) -> Option<(ExecutorId, bool, Rc<Errand>)> {
+        let unit = self.kept.get(&id.request)?;
         let out = unit.out.get(id.number).filter(|out| out.open)?;
         Some((out.executor, out.accepted, unit.errand.clone()))
     }
@@ -124,28 +124,28 @@
     }
 
     /// What a unit brought that is not over.
-    pub fn errand(&self, unit: UnitId) -> Option<Rc<Errand>> {
+    pub fn errand(&self, unit: RequestId) -> Option<Rc<Errand>> {
         self.kept.get(&unit).map(|unit| unit.errand.clone())
     }
 
     /// The allocation has ended; `None` if it had before. Tells its executor, and the alarm that is off.
-    pub fn ended(&mut self, id: AllocationId) -> Option<(ExecutorId, Option<Alarm>)> {
+    pub fn ended(&mut self, id: AttemptId) -> Option<(ExecutorId, Option<Alarm>)> {
         let out = self.out(id).filter(|out| out.open)?;
         out.open = false;
         Some((out.executor, out.time_out))
     }
 
-    pub fn is_answered(&self, unit: UnitId) -> bool {
+    pub fn is_answered(&self, unit: RequestId) -> bool {
         self.kept.get(&unit).is_none_or(|unit| unit.answered)
     }
 
     /// The unit has its final answer, or nobody waits for one; `false` if it had before.
-    pub fn answered(&mut self, unit: UnitId) -> bool {
+    pub fn answered(&mut self, unit: RequestId) -> bool {
         self.kept.get_mut(&unit).is_some_and(|unit| !std::mem::replace(&mut unit.answered, true))
     }
 
     /// Forgets a unit that is over.
-    pub fn tidy(&mut self, unit: UnitId) {
+    pub fn tidy(&mut self, unit: RequestId) {
         let Some(kept) = self.kept.get(&unit) else { return };
         if kept.answered && kept.out.iter().all(|out| !out.open) {
             self.by_call.remove(&kept.errand.call_id);
--- a/crates/node/src/sides.rs
+++ b/crates/node/src/sides.rs
@@ -2,8 +2,8 @@
 
 use crate::memory::parts::{Of, Spends};
 use crate::memory::units::Errand;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId, UnitId};
-use grebeusher_dispatch::tariffs::Ending;
+use grebeusher_dispatch::AttemptOutcome;
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_faktory::reservations::Standing;
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 /// Clients, and who calls back.
 pub trait Front {
     /// The final answer to the client of a unit.
-    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Duration>, body: &[u8]);
+    fn answer(&self, unit: RequestId, status: u16, come_back: Option<Duration>, body: &[u8]);
     /// Whether the client of a unit is still there, as of this moment.
-    fn waits(&self, unit: UnitId) -> bool;
+    fn waits(&self, unit: RequestId) -> bool;
     /// The answer to a call-back that went to another process of this node.
     fn passed_on(&self, caller: CallerId, status: u16);
 }
@@ -31,7 +31,7 @@
 pub trait Workers {
     fn allocate(
         &self,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
         errand: &Errand,
@@ -40,7 +40,7 @@
     /// Gives up an allocation: before it was taken by closing its connection, later by asking for it.
     fn give_up(
         &self,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
         errand: &Errand,
@@ -49,11 +49,11 @@
     /// Asks for a job back that may have been taken though nothing was heard of it; its allocation ends after that.
     fn ask_back(
         &self,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
         errand: &Errand,
-        ending: Ending,
+        ending: AttemptOutcome,
     );
     fn probe(&self, executor: ExecutorId, address: Option<SocketAddr>);
     /// Closes idle connections to an executor but those to this address.
@@ -69,11 +69,11 @@
 /// The Faktory front.
 pub trait Pushes {
     /// The final answer to a unit that was pushed as a job; `false` if it was not.
-    fn answer(&self, unit: UnitId, status: u16) -> bool;
+    fn answer(&self, unit: RequestId, status: u16) -> bool;
     /// Hands a job to a worker; `false` if it can't be.
-    fn hand(&self, worker: usize, id: AllocationId, errand: &Errand, time_out: Duration) -> bool;
-    fn not_handed(&self, id: AllocationId);
-    fn withdraw(&self, id: AllocationId);
+    fn hand(&self, worker: usize, id: AttemptId, errand: &Errand, time_out: Duration) -> bool;
+    fn not_handed(&self, id: AttemptId);
+    fn withdraw(&self, id: AttemptId);
     /// The workers that are there.
     fn workers(&self) -> Vec<(String, Standing)>;
 }
--- a/crates/node/src/wire/clients.rs
+++ b/crates/node/src/wire/clients.rs
@@ -9,8 +9,8 @@
 use crate::sides::{CallerId, Front, Room};
 use crate::wire::LIMITS;
 use crate::wire::call_backs::{self, CallBack};
-use grebeusher_dispatch::ids::UnitId;
-use grebeusher_dispatch::tariffs::Arrival;
+use grebeusher_dispatch::Arrival;
+use grebeusher_dispatch::ids::RequestId;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_node_config::DeploymentSettings;
 use grebeusher_transport::alarms::Alarms;
@@ -57,7 +57,7 @@
     connection: Connection,
     serial: u64,
     /// The work unit whose answer it waits for.
-    in_hand: Option<UnitId>,
+    in_hand: Option<RequestId>,
     /// Its call-back was passed to another process of the node, and waits for the answer.
     passed_on: bool,
     /// Its tariff, and the length of the body that it brought.
@@ -169,7 +169,7 @@
 
 struct Callers {
     kept: Slab<Caller>,
-    by_unit: HashMap<UnitId, usize>,
+    by_unit: HashMap<RequestId, usize>,
     /// Until when a request must be whole, or an answer taken, by place and serial.
     slow: Alarms<(usize, u64)>,
     next_serial: u64,
@@ -652,14 +652,14 @@
         let slots =
             figures.filter(|(name, _)| name.trim() == "slots").find_map(|(_, n)| n.trim().parse().ok());
         let arrival = Arrival {
-            tariff,
+            class: tariff,
             customer,
-            patience_ends,
+            deadline: patience_ends,
             // Where the patience is cut the first try can't be told from it.
             repeat: header("X-Again") == Some("1") && patience_ends == asks_until,
             hint,
             slots: slots.unwrap_or(1.0),
-            beyond: false,
+            over_budget: false,
         };
         let binding = self.settings.is_binding(tariff);
         let (call_id, of) = (call_id.into(), (tariff, arrival.customer));
@@ -690,7 +690,7 @@
         if crowded {
             // Nothing has run of this one.
             self.counters.units.up();
-            self.counters.turned_back.up(arrival.tariff);
+            self.counters.turned_back.up(arrival.class);
             if let Some(caller) = self.callers.borrow_mut().kept.get_mut(place) {
                 caller.closes |= self.winding_down.get();
             }
@@ -701,7 +701,7 @@
             let mut callers = self.callers.borrow_mut();
             callers.by_unit.insert(unit, place);
             if let Some(caller) = callers.kept.get_mut(place) {
-                (caller.in_hand, caller.tariff) = (Some(unit), arrival.tariff);
+                (caller.in_hand, caller.tariff) = (Some(unit), arrival.class);
                 (caller.body, caller.is_usual) = (errand.body.len(), true);
                 caller.connection.bear(BESIDE);
             }
@@ -750,7 +750,7 @@
 
 impl Front for Clients {
     /// The final answer to a work unit; the one place where one is given.
-    fn answer(&self, unit: UnitId, status: u16, come_back: Option<Duration>, body: &[u8]) {
+    fn answer(&self, unit: RequestId, status: u16, come_back: Option<Duration>, body: &[u8]) {
         let (place, tariff) = {
             let mut callers = self.callers.borrow_mut();
             let Some(place) = callers.by_unit.remove(&unit) else { return };
@@ -766,7 +766,7 @@
 
     /// Looks at the connection itself, whose end the loop may not have come to. What did not come by a client's connection
     /// is waited for.
-    fn waits(&self, unit: UnitId) -> bool {
+    fn waits(&self, unit: RequestId) -> bool {
         let callers = &mut *self.callers.borrow_mut();
         let caller = callers.by_unit.get(&unit).and_then(|&place| callers.kept.get_mut(place));
         caller.is_none_or(|caller| matches!(caller.take_in(), Ok(Reading::Open)))
--- a/crates/node/src/wire/executors.rs
+++ b/crates/node/src/wire/executors.rs
@@ -8,8 +8,8 @@
 use crate::sides::{Room, Workers};
 use crate::wire::LIMITS;
 use crate::wire::load;
-use grebeusher_dispatch::ids::{AllocationId, ExecutorId};
-use grebeusher_dispatch::tariffs::Ending;
+use grebeusher_dispatch::AttemptOutcome;
+use grebeusher_dispatch::ids::{AttemptId, ExecutorId};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_transport::alarms::{Alarm, Alarms};
 use grebeusher_transport::buffer::Reading;
@@ -41,9 +41,9 @@
 /// What a connection is used for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Use {
-    Allocation(AllocationId, Binding),
-    GivingUp(AllocationId),
-    AskingBack(AllocationId, Ending),
+    Allocation(AttemptId, Binding),
+    GivingUp(AttemptId),
+    AskingBack(AttemptId, AttemptOutcome),
     Probe,
     Idle,
 }
@@ -67,7 +67,7 @@
     dues: Alarms<(usize, u64)>,
     next_serial: u64,
     /// What ended while the decisions were speaking; told as soon as they listen again.
-    untold: Vec<(ExecutorId, Use, Ending)>,
+    untold: Vec<(ExecutorId, Use, AttemptOutcome)>,
 }
 
 pub struct Executors {
@@ -133,7 +133,7 @@
             Err(e) => {
                 debug!("no connection to executor {}: {e}", executor.0);
                 self.counters.dials_failed.up();
-                let ending = if none_left(&e) { Ending::CutOff } else { Ending::Refused };
+                let ending = if none_left(&e) { AttemptOutcome::CutOff } else { AttemptOutcome::Refused };
                 return lines.untold.push((executor, used, ending));
             }
         };
@@ -237,13 +237,13 @@
                     let ending = match broken(&line) {
                         _ if line.dialling => {
                             self.counters.dials_failed.up();
-                            Ending::Refused
+                            AttemptOutcome::Refused
                         }
                         // Nothing came back, and nothing broke. Its sisters may be as silent: the next dial shows
                         // whether anybody is there.
-                        Ending::Reset => {
+                        AttemptOutcome::Reset => {
                             lines.kept.retain(|_, l| l.executor != line.executor || l.used != Use::Idle);
-                            Ending::TimedOut
+                            AttemptOutcome::TimedOut
                         }
                         other => other,
                     };
@@ -263,7 +263,9 @@
                 return;
             };
             match used {
-                Use::Allocation(id, _) if matches!(ending, Ending::TimedOut | Ending::Reset) => {
+                Use::Allocation(id, _)
+                    if matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Reset) =>
+                {
                     exchange.not_taken(id, ending)
                 }
                 Use::Allocation(id, _) => exchange.ended(id, ending, None),
@@ -302,12 +304,12 @@
                         self.counters.dials_failed.up();
                     }
                     let refused = line.dialling && e.kind() == ErrorKind::ConnectionRefused;
-                    let ending = if refused { Ending::Refused } else { broken(&line) };
+                    let ending = if refused { AttemptOutcome::Refused } else { broken(&line) };
                     Err((line.executor, line.used, ending))
                 }
             }
         };
-        if let Err((executor, _, Ending::Refused)) = &answer {
+        if let Err((executor, _, AttemptOutcome::Refused)) = &answer {
             exchange.process_gone(*executor);
         }
         match answer {
@@ -416,11 +418,13 @@
         let unstarted = response.headers.get("X-Rejected") == Some("1");
         match (used, response.status) {
             (Use::Allocation(id, _), 202) => exchange.accepted(id),
-            (Use::Allocation(id, _), 503 | 504) if unstarted => exchange.ended(id, Ending::Full, report),
+            (Use::Allocation(id, _), 503 | 504) if unstarted => {
+                exchange.ended(id, AttemptOutcome::Full, report)
+            }
             // The client's fault, not the executor's: an id that is another's, say.
-            (Use::Allocation(id, _), 400..500) => exchange.ended(id, Ending::Unusable, report),
-            (Use::Allocation(id, _), _) => exchange.ended(id, Ending::Error, report),
-            (Use::GivingUp(id), ..500) => exchange.ended(id, Ending::Recalled, None),
+            (Use::Allocation(id, _), 400..500) => exchange.ended(id, AttemptOutcome::Unusable, report),
+            (Use::Allocation(id, _), _) => exchange.ended(id, AttemptOutcome::Error, report),
+            (Use::GivingUp(id), ..500) => exchange.ended(id, AttemptOutcome::Cancelled, None),
             (Use::GivingUp(id), _) => exchange.not_given_up(id),
             (Use::AskingBack(id, before), _) => exchange.ended(id, before, None),
             (Use::Probe, _) => {
@@ -435,9 +439,9 @@
 /// How what a connection was used for ended when it broke: nothing has run of a request whose last byte was
 /// not written. Guards against taking an executor for restarted, and so for cold, that reset a connection: only
 /// one that refuses is gone.
-fn broken(line: &Line) -> Ending {
+fn broken(line: &Line) -> AttemptOutcome {
     let unsent = line.dialling || line.connection.buffer.waits_to_write();
-    if unsent { Ending::CutOff } else { Ending::Reset }
+    if unsent { AttemptOutcome::CutOff } else { AttemptOutcome::Reset }
 }
 
 /// Whether a connection is lacking on this side: the node's own number is used up, or the system's descriptors.
@@ -477,7 +481,7 @@
 impl Workers for Executors {
     fn allocate(
         &self,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
         errand: &Errand,
@@ -499,7 +503,7 @@
     /// Gives up an allocation: before it was taken by closing its connection, later by asking for it.
     fn give_up(
         &self,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
         errand: &Errand,
@@ -507,18 +511,18 @@
     ) {
         let used = Use::Allocation(id, errand.binding);
         if !accepted && !self.closes(used) {
-            return self.lines.borrow_mut().untold.push((executor, used, Ending::Recalled));
+            return self.lines.borrow_mut().untold.push((executor, used, AttemptOutcome::Cancelled));
         }
         self.speak(executor, address, Use::GivingUp(id), &deletion(errand, address));
     }
 
     fn ask_back(
         &self,
-        id: AllocationId,
+        id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
         errand: &Errand,
-        ending: Ending,
+        ending: AttemptOutcome,
     ) {
         self.speak(executor, address, Use::AskingBack(id, ending), &deletion(errand, address));
     }
--- a/crates/node/src/wire/faktory.rs
+++ b/crates/node/src/wire/faktory.rs
@@ -7,9 +7,9 @@
 use crate::memory::counters::Counters;
 use crate::memory::units::{Errand, Pushed, UnitIds};
 use crate::sides::Pushes;
-use grebeusher_dispatch::ids::{AllocationId, UnitId};
-use grebeusher_dispatch::tariffs::{Arrival, Ending};
+use grebeusher_dispatch::ids::{AttemptId, RequestId};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_dispatch::{Arrival, AttemptOutcome};
 use grebeusher_faktory::command::{Command, Job, WorkerState, read};
 use grebeusher_faktory::handshake::Greeting;
 use grebeusher_faktory::reservations::{End, Handed, Reservations, Standing};
@@ -48,7 +48,7 @@
 enum Waits {
     Nothing,
     /// For the final answer to the job that it pushed.
-    Push(UnitId),
+    Push(RequestId),
     /// For a job of one of these queues, until then.
     Fetch(Vec<String>, Instant),
 }
@@ -67,15 +67,15 @@
 
 /// What the decisions are told as soon as they listen again.
 enum Untold {
-    Fetched(AllocationId),
-    Ended(AllocationId, Ending),
+    Fetched(AttemptId),
+    Ended(AttemptId, AttemptOutcome),
 }
 
 struct Inside {
     peers: Slab<Peer>,
     /// Who waits for the answer to a unit, and its tariff.
-    by_unit: HashMap<UnitId, (usize, usize)>,
-    table: Reservations<AllocationId>,
+    by_unit: HashMap<RequestId, (usize, usize)>,
+    table: Reservations<AttemptId>,
     untold: Vec<Untold>,
     dues: Alarms<(usize, u64)>,
     next_serial: u64,
@@ -249,7 +249,7 @@
         for told in untold {
             match told {
                 Untold::Fetched(id) => exchange.fetched(id),
-                Untold::Ended(id, Ending::Fulfilled) => exchange.fulfilled(id, b""),
+                Untold::Ended(id, AttemptOutcome::Served) => exchange.fulfilled(id, b""),
                 Untold::Ended(id, ending) => exchange.ended(id, ending, None),
             }
         }
@@ -465,15 +465,15 @@
         }
         let now = self.clock.now();
         let patience = figure("patience_ms")
-            .map_or(self.settings.patience(tariff), |ms| Duration::from_millis(ms.min(MAX_PATIENCE_MS)));
+            .map_or(self.settings.deadline(tariff), |ms| Duration::from_millis(ms.min(MAX_PATIENCE_MS)));
         let arrival = Arrival {
-            tariff,
+            class: tariff,
             customer: self.settings.customer(None),
-            patience_ends: now + patience,
+            deadline: now + patience,
             repeat: job.custom["again"].as_bool().unwrap_or(false),
             hint: figure("cost_us").map(|us| Duration::from_nanos(us.saturating_mul(1000))),
             slots: 1.0,
-            beyond: false,
+            over_budget: false,
         };
         let errand = Errand {
             call_id: job.jid.as_str().into(),
@@ -548,14 +548,14 @@
         true
     }
 
-    fn ended(&mut self, ended: impl IntoIterator<Item = (AllocationId, End)>) {
+    fn ended(&mut self, ended: impl IntoIterator<Item = (AttemptId, End)>) {
         self.untold.extend(ended.into_iter().map(|(id, end)| {
             let ending = match end {
-                End::Done => Ending::Fulfilled,
-                End::Failed => Ending::Error,
-                End::Unfetched => Ending::Full,
-                End::Broken => Ending::Reset,
-                End::Expired => Ending::TimedOut,
+                End::Done => AttemptOutcome::Served,
+                End::Failed => AttemptOutcome::Error,
+                End::Unfetched => AttemptOutcome::Full,
+                End::Broken => AttemptOutcome::Reset,
+                End::Expired => AttemptOutcome::TimedOut,
             };
             Untold::Ended(id, ending)
         }));
@@ -572,7 +572,7 @@
 
 impl Pushes for Faktory {
     /// The final answer, if the unit was pushed here.
-    fn answer(&self, unit: UnitId, status: u16) -> bool {
+    fn answer(&self, unit: RequestId, status: u16) -> bool {
         let mut inside = self.inside.borrow_mut();
         let Some((place, tariff)) = inside.by_unit.remove(&unit) else { return false };
         self.counters.answered(tariff, status);
@@ -589,7 +589,7 @@
     }
 
     /// The decisions send a unit to a worker; `false` if it can't have it, or nothing is handed out any more.
-    fn hand(&self, worker: usize, id: AllocationId, errand: &Errand, time_out: Duration) -> bool {
+    fn hand(&self, worker: usize, id: AttemptId, errand: &Errand, time_out: Duration) -> bool {
         if self.leaves.get() {
             return false;
         }
@@ -622,16 +622,16 @@
     }
 
     /// A worker could not have what the decisions sent to it: nothing of it has run.
-    fn not_handed(&self, id: AllocationId) {
-        self.inside.borrow_mut().untold.push(Untold::Ended(id, Ending::Full));
+    fn not_handed(&self, id: AttemptId) {
+        self.inside.borrow_mut().untold.push(Untold::Ended(id, AttemptOutcome::Full));
     }
 
     /// Nobody waits any more for what was handed to a worker. One that has fetched it can't be told, and what it says
     /// of it later is answered with an error.
-    fn withdraw(&self, id: AllocationId) {
+    fn withdraw(&self, id: AttemptId) {
         let mut inside = self.inside.borrow_mut();
         if inside.table.withdraw(id).is_some() {
-            inside.untold.push(Untold::Ended(id, Ending::Recalled));
+            inside.untold.push(Untold::Ended(id, AttemptOutcome::Cancelled));
         }
     }
 
--- a/crates/node/src/wire/load.rs
+++ b/crates/node/src/wire/load.rs
@@ -1,6 +1,6 @@
 //! Load reports: an object in a call-back or a probe's answer, or `TEXT name=value, ...` in a header.
 
-use grebeusher_dispatch::tariffs::Report;
+use grebeusher_dispatch::LoadReport;
 use grebeusher_node_config::{DeploymentSettings, ReportLayout};
 use serde_json::Value;
 
@@ -17,12 +17,12 @@
         Reports { names: settings.report_fields.clone(), places: settings.places }
     }
 
-    pub fn object(&self, load: &Value) -> Option<Report> {
+    pub fn object(&self, load: &Value) -> Option<LoadReport> {
         load.as_object()?;
         Some(self.places.report(|at| load[self.names.get(at)?.as_str()].as_f64()))
     }
 
-    pub fn text(&self, text: &str) -> Option<Report> {
+    pub fn text(&self, text: &str) -> Option<LoadReport> {
         let text = text.trim().strip_prefix("TEXT")?;
         let pairs: Vec<(&str, f64)> = text
             .split(',')
@@ -34,7 +34,7 @@
     }
 
     /// A report that stands alone as a body, in either form.
-    pub fn body(&self, body: &[u8]) -> Option<Report> {
+    pub fn body(&self, body: &[u8]) -> Option<LoadReport> {
         let text = std::str::from_utf8(body).ok()?;
         self.text(text).or_else(|| self.object(&serde_json::from_str(text).ok()?))
     }
