--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -9,7 +9,7 @@
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::ids::{AttemptId, ExecutorId};
 use grebeusher_dispatch::time::{Duration, Instant};
-use grebeusher_dispatch::{Arrival, AttemptOutcome, ExecutorStatus, ListedExecutor, LoadReport};
+use grebeusher_dispatch::{Arrival, AttemptOutcome, ExecutorStatus, ListUpdate, ListedExecutor, LoadReport};
 use grebeusher_node_config::ReportLayout;
 use serde::Deserialize;
 use serde_json::Value;
@@ -148,7 +148,11 @@
                                 reports_own_status: false,
                             });
                         }
-                        node.dispatcher.update_executors(now, line.mode != "patch", &entries);
+                        node.dispatcher.update_executors(
+                            now,
+                            ListUpdate::complete_if(line.mode != "patch"),
+                            &entries,
+                        );
                     })
                 }
                 other => Err(format!("unknown membership mode {other:?}")),
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -1,16 +1,15 @@
-//! The decisions of grebeusher: which executor gets a request, and what becomes of it.
+//! The decisions of a node: which executor gets a request, and what becomes of it.
 //!
-//! A caller builds one [`Dispatcher`] a node, hands it a [`Host`] to act through, tells it what is promised
-//! (`promised.rs`), calls `start`, and then one method for each thing that happens, with its time. Nothing
-//! else drives it: no clock, no I/O. The interface is set down in `host.rs` (what it asks), `classes.rs`,
-//! `word.rs`, `learned.rs`, `ids.rs` and `time.rs`.
+//! An owner builds one [`Dispatcher`] (`builder`), hands it a [`Host`] to act through, calls `start`, and then one
+//! method for each event, with its time. Nothing else drives it: no clock, no I/O. All randomness comes from one seeded
+//! generator, so equal events give equal decisions.
 //!
-//! The design (SITA-E, `docs/design.md`): the size of a request picks a lane by cut-offs that equalise the
-//! summed size per worker; inside the lane a random pick is weighted by one minus the utilisation (`lanes`,
-//! `choice`, and with the tier `grebeusher-sizing`). Beside it stand six mechanisms: following the list
-//! (`list`), outlier ejection (`evidence`), cold budgets (`executor`), retries (`further`),
-//! rejections with fairness (`choice`, `work`), and evidence beside reports, own (`executor`, `choice`) and
-//! of all nodes (`load_sharing`).
+//! The design is SITA-E (`docs/design.md`): the size of a request picks a lane by cut-offs that equalise the summed
+//! size per worker (`lanes`); inside the lane a random pick is weighted by one minus the utilisation (`selection`).
+//! Six mechanisms stand beside it: the executor list (`executor_list`), outlier ejection (`health`), slow start
+//! (`executor`), retries and hedges (`retry`), rejection with fair shares of customers (`selection`, `pending`), and
+//! load by own evidence (`executor`) and by load sharing (`load_sharing`). `placement` follows a request from its
+//! arrival to its final answer.
 
 mod builder;
 mod executor;
@@ -25,7 +24,7 @@
 
 use crate::learned::Knowledge;
 use crate::time::DurationExt;
-use crate::{AttemptPolicy, Duration, Host, Instant, RequestClass, RequestId, SlowStart};
+use crate::{AttemptPolicy, Duration, ExecutorSignals, Host, Instant, RequestClass, RequestId, SlowStart};
 use executor::Executor;
 use grebeusher_sizing::CutOffs;
 use load_sharing::LoadSharing;
@@ -41,7 +40,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// The final answer is due this long before the deadline ends: a few batches of any caller.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
-/// Progress is told at a steady pace: so many without a word are no chance.
+/// Progress is reported at a steady interval: so many without a report are no chance.
 const MAX_SILENT_INTERVALS: f64 = 2.5;
 /// Below this many sizes one lane holds every worker (design page).
 const MIN_SAMPLES: usize = 50;
@@ -59,10 +58,7 @@
     classes: Vec<RequestClass>,
     policy: AttemptPolicy,
     slow_start: SlowStart,
-    must_watch_executors: bool,
-    may_probe: bool,
-    reports_starts: bool,
-    progress: Option<Duration>,
+    signals: ExecutorSignals,
     load_sharing: LoadSharing,
     quota_shares: Vec<QuotaShare>,
     executors: Vec<Executor>,
@@ -81,26 +77,26 @@
 }
 
 impl<H: Host> Dispatcher<H> {
-    /// Begins: nothing may be told before.
+    /// Begins; no other event may come before.
     pub fn start(&mut self, now: Instant) {
-        (self.recut, self.load_sharing.heard, self.slow_start.from) =
+        (self.recut, self.load_sharing.last_received, self.slow_start.from) =
             (now, now, now + self.slow_start.fall_window);
-        // Nodes that start together must not beat together.
+        // Nodes that start together must not do their housekeeping together.
         self.host.set_timer(
             Duration::from_seconds(HEARTBEAT_INTERVAL.seconds() * self.rng.random::<f64>()),
             HEARTBEAT_TIMER,
         );
-        if self.must_watch_executors {
+        if self.signals.must_watch_executors {
             self.host.watch_executors();
         }
     }
 
-    /// An alarm set earlier fell due.
-    pub fn timer_fired(&mut self, now: Instant, alarm: u64) {
-        match alarm {
+    /// A timer set through the host fired.
+    pub fn timer_fired(&mut self, now: Instant, timer: u64) {
+        match timer {
             HEARTBEAT_TIMER => self.housekeep(now),
             WATCH_TIMER => self.host.watch_executors(),
-            _ => self.review(now, RequestId(alarm - FIRST_REQUEST_TIMER)),
+            _ => self.review(now, RequestId(timer - FIRST_REQUEST_TIMER)),
         }
     }
 
@@ -109,12 +105,12 @@
         self.slow_start.from = if elsewhere { Instant(u64::MAX) } else { now + self.slow_start.fall_window };
     }
 
-    /// Housekeeping: cut-offs, held requests.
+    /// Housekeeping: cut-offs, queued requests.
     fn housekeep(&mut self, now: Instant) {
         const CUT_OFF_INTERVAL: Duration = Duration::from_millis(5000); // design page
         self.host.set_timer(HEARTBEAT_INTERVAL, HEARTBEAT_TIMER);
-        // While one is cold a node that knows few sizes learns paces, slots and the mean at each beat. Guards
-        // against nodes restarted together that leave cold executors idle, as they take a unit for too much.
+        // While one is cold a node that knows few sizes learns paces, slots and the mean at each round of housekeeping. Guards
+        // against nodes restarted together that leave cold executors idle, as they take a request for too much.
         let learns = |e: &Executor| {
             self.known.count() < MIN_SAMPLES && e.slow_start_budget(&self.slow_start, now).is_some()
         };
--- a/crates/dispatch/src/decide/builder.rs
+++ b/crates/dispatch/src/decide/builder.rs
@@ -1,9 +1,9 @@
-//! A new node, and what it is told at its start of what is promised. Nothing is decided here.
+//! Construction of a dispatcher. Nothing is decided here.
 
 use super::{Dispatcher, load_sharing::LoadSharing, pending::QuotaShare};
 use crate::learned::Knowledge;
 use crate::time::DurationExt;
-use crate::{AttemptPolicy, Duration, Host, Instant, RequestClass, SlowStart};
+use crate::{AttemptPolicy, ExecutorSignals, Host, Instant, RequestClass, SlowStart};
 use grebeusher_sizing::CutOffs;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
@@ -21,10 +21,7 @@
             classes,
             policy: AttemptPolicy::default(),
             slow_start: SlowStart::default(),
-            must_watch_executors: false,
-            may_probe: false,
-            reports_starts: false,
-            progress: None,
+            signals: ExecutorSignals::default(),
             load_sharing: LoadSharing::default(),
             quota_shares: Vec::new(),
             executors: Vec::new(),
@@ -53,16 +50,10 @@
         self
     }
 
-    /// Whether the list must be asked for, executors may be probed, and what is told of running work.
-    pub fn with_signals(
-        mut self,
-        must_watch_executors: bool,
-        probes: bool,
-        starts: bool,
-        progress: Option<Duration>,
-    ) -> Self {
-        (self.must_watch_executors, self.may_probe) = (must_watch_executors, probes);
-        (self.reports_starts, self.progress) = (starts, progress.filter(|p| p.nanos() > 0));
+    /// What may be asked of executors, and what they report.
+    pub fn with_signals(mut self, signals: ExecutorSignals) -> Self {
+        let progress = signals.progress.filter(|interval| interval.nanos() > 0);
+        self.signals = ExecutorSignals { progress, ..signals };
         self
     }
 
@@ -72,7 +63,7 @@
         self
     }
 
-    /// Whether nodes may send each other words.
+    /// Whether nodes may send each other load messages.
     pub fn with_load_sharing(mut self, peers: bool) -> Self {
         self.load_sharing.allowed = peers && self.nodes > 1;
         self
--- a/crates/dispatch/src/decide/executor.rs
+++ b/crates/dispatch/src/decide/executor.rs
@@ -10,10 +10,10 @@
     pub(super) size: f64,
     pub(super) slots: f64,
     pub(super) sent: Instant,
-    /// By when word of its start should have come.
-    pub(super) word_due: Instant,
+    /// When its start should have been reported.
+    pub(super) start_due: Instant,
     pub(super) started: Option<Instant>,
-    pub(super) heard: Instant,
+    pub(super) last_report: Instant,
 }
 
 /// All that is known of one executor.
@@ -23,7 +23,7 @@
     pub(super) status: ExecutorStatus,
     pub(super) reports_own_status: bool,
     pub(super) started: Option<Instant>,
-    /// The latest that this start can have been, as listed ones may be off: when it was heard of, at most.
+    /// The latest that this start can have been, as listed ones may be off: when it was first listed, at most.
     pub(super) warming_since: Option<Instant>,
     pub(super) kind: usize,
     pub(super) zone: usize,
@@ -42,9 +42,9 @@
     pub(super) slots: f64,
     pub(super) most_free: f64,
     pub(super) in_flight: Vec<InFlightAttempt>,
-    /// Slots that other nodes fill here, by their word, and when it came; and what this one told them last.
+    /// Slots that other nodes fill here by load sharing, and as of when; and what this one sent them last.
     pub(super) others: Option<(Instant, f64)>,
-    pub(super) told: u8,
+    pub(super) reported_slots: u8,
     pub(super) answers: usize,
     pub(super) reset: Option<Instant>,
     pub(super) died: Option<Instant>,
@@ -62,9 +62,9 @@
 }
 
 impl Executor {
-    /// Slots that all nodes together have filled here or wait for, where they tell each other.
+    /// Slots that all nodes together have filled here or wait for, where they share load.
     pub(super) fn filled(&self, now: Instant) -> Option<f64> {
-        const STALE: Duration = Duration::from_millis(1500); // a few words may get lost
+        const STALE: Duration = Duration::from_millis(1500); // a few messages may get lost
         // Before any report its width is a guess, by which all would look full.
         let (_, others) = self.others.filter(|(at, _)| self.most_free > 0.0 && now.since(*at) < STALE)?;
         Some(others + self.own_slots())
@@ -109,14 +109,14 @@
     }
 
     fn oldest_wait(&self, now: Instant) -> Option<f64> {
-        let waiting = self.in_flight.iter().filter(|f| f.started.is_none() && f.word_due <= now);
-        waiting.map(|f| now.since(f.word_due).seconds()).reduce(f64::max)
+        let waiting = self.in_flight.iter().filter(|f| f.started.is_none() && f.start_due <= now);
+        waiting.map(|f| now.since(f.start_due).seconds()).reduce(f64::max)
     }
 
     /// Whether own evidence leaves room here for one more. Late reports do not count: they would send all
     /// nodes onto the few that look free.
     pub(super) fn has_room(&self, now: Instant) -> bool {
-        const NOTIFICATION_TIMEOUT: f64 = 0.06; // seconds: a start is told within a round trip and a hand-shake
+        const NOTIFICATION_TIMEOUT: f64 = 0.06; // seconds: a start is reported within a round trip and a hand-shake
         (self.in_flight.len() as f64) < self.slots
             && self.oldest_wait(now).is_none_or(|wait| wait <= NOTIFICATION_TIMEOUT)
     }
@@ -128,7 +128,7 @@
     }
 
     /// Whether a cold executor can take one more request, of `mean` size: it falls by their number more
-    /// than by their size. Its budget is split among as many nodes as get a unit each of it, one at least:
+    /// than by their size. Its budget is split among as many nodes as get a request each of it, one at least:
     /// those nearest after its fixed hash; the others leave it alone until it is warm. Guards against all
     /// nodes together pushing it over, and against one that idles since the few that may use it see little.
     pub(super) fn slow_start_admits(
--- a/crates/dispatch/src/decide/executor_list.rs
+++ b/crates/dispatch/src/decide/executor_list.rs
@@ -1,18 +1,17 @@
-//! The list of executors is followed, and nothing goes by an old one.
+//! The executor list: it is followed, and no decision goes by an outdated one.
 
 use super::{Dispatcher, RECEIPT_TIMEOUT, WATCH_TIMER, executor::Executor};
 use crate::ids::fixed_hash;
 use crate::time::DurationExt;
-use crate::{AttemptId, Duration, ExecutorId, ExecutorStatus, Host, Instant, ListedExecutor};
+use crate::{AttemptId, Duration, ExecutorId, ExecutorStatus, Host, Instant, ListUpdate, ListedExecutor};
 use grebeusher_sizing::rendezvous;
 use rand::Rng;
 
 impl<H: Host> Dispatcher<H> {
-    /// The executor list, whole or only what changed in it.
-    pub fn update_executors(&mut self, now: Instant, whole: bool, entries: &[ListedExecutor<'_>]) {
+    /// The executor list came, or changes of it.
+    pub fn update_executors(&mut self, now: Instant, update: ListUpdate, entries: &[ListedExecutor<'_>]) {
         self.watch_attempts = 0;
-        if whole {
-            // Absent from a whole list means gone.
+        if update == ListUpdate::Complete {
             self.executors.iter_mut().for_each(|e| e.status = ExecutorStatus::Gone);
         }
         for entry in entries {
@@ -44,17 +43,19 @@
         self.serve_pending(now);
     }
 
-    /// All that the list's keeper had then is known, as it says itself if it was `heard`. Once what it had
-    /// later counts as told, and the grace is over, nothing goes to those for whom the list alone speaks.
-    pub fn executor_list_confirmed(&mut self, as_of: Instant, heard: bool) {
-        self.watch_attempts *= u32::from(!heard);
+    /// All that discovery had at `as_of` is known here; `answered`: discovery said so itself.
+    ///
+    /// Once what it had later counts as announced, and the grace is over, nothing goes to executors whose status
+    /// comes from the list alone.
+    pub fn executor_list_confirmed(&mut self, as_of: Instant, answered: bool) {
+        self.watch_attempts *= u32::from(!answered);
         const NOTIFICATION_TIMEOUT: Duration = Duration::from_millis(6000); // whatever became of the node's calls
         self.list_until = Some(as_of + NOTIFICATION_TIMEOUT + self.policy.grace - RECEIPT_TIMEOUT);
     }
 
     /// The list could not be had, or its changes stopped coming.
     pub fn executor_list_lost(&mut self) {
-        if !self.must_watch_executors {
+        if !self.signals.must_watch_executors {
             return;
         }
         // All nodes lose it together: 0.1 to 0.6 s, so that a few calls fit into 6 s; doubled up to 4.8 s.
@@ -71,19 +72,21 @@
     }
 
     /// Whether an attempt that waited for a connection may still go to its executor. Guards against one
-    /// that begins after word of a drain, or of an age of the list that may hide one, or after the memory
-    /// span of its group.
+    /// that begins after a drain was announced, or of an age of the list that may hide one, or after its
+    /// deduplication window.
     pub fn may_send_now(&self, now: Instant, id: AttemptId, executor: ExecutorId) -> bool {
         let (e, Some(work)) = (&self.executors[executor.0], self.requests.get(&id.request)) else {
             return false;
         };
         let effect = self.classes[work.class].effect;
         let earlier = &work.attempts[..id.number];
-        e.status == ExecutorStatus::Ready && self.is_told(now, e) && self.may_repeat(now, effect, earlier, e)
+        e.status == ExecutorStatus::Ready
+            && self.status_is_current(now, e)
+            && self.may_repeat(now, effect, earlier, e)
     }
 
-    /// Whether what is known of its standing may be gone by.
-    pub(super) fn is_told(&self, now: Instant, e: &Executor) -> bool {
+    /// Whether its known status is recent enough to act on.
+    pub(super) fn status_is_current(&self, now: Instant, e: &Executor) -> bool {
         e.reports_own_status || self.list_until.is_none_or(|until| now < until)
     }
 }
--- a/crates/dispatch/src/decide/health.rs
+++ b/crates/dispatch/src/decide/health.rs
@@ -1,4 +1,4 @@
-//! What starts, endings and reports tell of executors, and outlier ejection.
+//! What starts, outcomes and reports say of executors, and outlier ejection.
 
 use super::{Dispatcher, executor::InFlightAttempt, pending::Attempt};
 use crate::time::DurationExt;
@@ -6,21 +6,22 @@
 use rand::Rng;
 
 impl<H: Host> Dispatcher<H> {
-    /// An executor told that an attempt started, or how far it is.
+    /// An executor reported that an attempt started, or how far it is.
     pub fn attempt_progressed(&mut self, now: Instant, id: AttemptId, executor: ExecutorId) {
         let Some(e) = self.executors.get_mut(executor.0) else { return };
         if let Some(attempt) = e.in_flight.iter_mut().find(|f| f.id == id) {
             if attempt.started.is_none() {
-                // Where starts are not told the first word of progress proves one, a pace ago at most.
-                let untold = self.progress.filter(|_| !self.reports_starts).unwrap_or_default();
-                let started = attempt.sent.max(now - untold);
+                // Where starts are not reported the first report of progress proves one, a pace ago at most.
+                let unreported =
+                    self.signals.progress.filter(|_| !self.signals.reports_starts).unwrap_or_default();
+                let started = attempt.sent.max(now - unreported);
                 attempt.started = Some(started);
                 (e.last_wait, e.last_start) = (started.since(attempt.sent).seconds(), started);
             }
-            attempt.heard = now;
+            attempt.last_report = now;
         }
         e.slots = e.slots.max(e.in_flight.iter().filter(|f| f.started.is_some()).count() as f64);
-        // The others of a unit that has started wait for nothing.
+        // The other attempts of a request that has started wait for nothing.
         let Some(work) = self.requests.get(&id.request) else { return };
         let others = work.attempts.iter().enumerate().filter(|(n, a)| *n != id.number && a.is_out());
         let others: Vec<usize> = others.map(|(number, _)| number).collect();
@@ -37,19 +38,19 @@
         now: Instant,
         id: AttemptId,
         executor: ExecutorId,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
         finished: bool,
         report: Option<LoadReport>,
     ) {
         self.load_reported(now, executor, report);
-        self.health(now, id, executor, ending);
+        self.record_outcome(now, id, executor, outcome);
         let request = id.request;
         if let Some(work) = self.requests.get_mut(&request) {
             if let Some(attempt) = work.attempts.get_mut(id.number) {
                 attempt.open = false;
-                attempt.may_have_run = !ending.proves_not_executed();
+                attempt.may_have_run = !outcome.proves_not_executed();
             }
-            if finished { self.finish(request) } else { self.retry_or_answer(now, request, ending) }
+            if finished { self.finish(request) } else { self.retry_or_answer(now, request, outcome) }
         }
         self.serve_pending(now);
     }
@@ -73,12 +74,12 @@
         }
     }
 
-    /// What an ending says of the executor.
-    fn health(&mut self, now: Instant, id: AttemptId, executor: ExecutorId, ending: AttemptOutcome) {
+    /// What an outcome says of the executor.
+    fn record_outcome(&mut self, now: Instant, id: AttemptId, executor: ExecutorId, outcome: AttemptOutcome) {
         let Some(e) = self.executors.get_mut(executor.0) else { return };
         let attempt = e.in_flight.iter().position(|f| f.id == id).map(|at| e.in_flight.swap_remove(at));
         self.out -= usize::from(attempt.is_some());
-        match ending {
+        match outcome {
             AttemptOutcome::Served => {
                 e.answers += 1;
                 match attempt {
@@ -87,7 +88,7 @@
                     }
                     // Where neither starts nor other nodes tell, the answer tells the wait: all that it took
                     // beyond its own run. Guards against queues unseen as work runs for less than a pace.
-                    Some(f) if !self.reports_starts && !self.load_sharing.allowed => {
+                    Some(f) if !self.signals.reports_starts && !self.load_sharing.allowed => {
                         let run = f.size / f.slots / e.pace.max(1.0);
                         let took = now.since(f.sent).seconds();
                         // Paces only from one that is half idle, where next to nothing waits; and a run of a
@@ -110,7 +111,7 @@
             AttemptOutcome::Error => self.eject(now, executor),
             AttemptOutcome::Refused => {
                 // Connections broke and now none is made: the process is gone, and what comes back under
-                // this id is cold long before the list says so. Guards against pushing it over untold.
+                // this id is cold long before the list says so. Guards against overloading it unknowingly.
                 const TOGETHER: Duration = Duration::from_millis(5000);
                 if e.reset.is_some_and(|at| now.since(at) < TOGETHER) {
                     (e.died, e.answers) = (Some(now), 0);
@@ -122,9 +123,9 @@
     }
 
     /// Leaves an executor out for a fixed time plus a random part, so that the nodes do not come back
-    /// together. Never more than half of the ready ones: trouble of all is not the fault of each.
+    /// together. Never more than half of the ready ones: a fault of all is not the fault of each.
     pub(super) fn eject(&mut self, now: Instant, executor: ExecutorId) {
-        // Long enough to pass over most of a short trouble, short enough to find the end of a long one.
+        // Long enough to pass over most of a short fault, short enough to find the end of a long one.
         const FIXED_S: f64 = 3.0;
         const RANDOM_S: f64 = 2.0;
         let out = self.ready().filter(|e| e.ejected_until > now).count();
--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -63,7 +63,7 @@
         let kinds = self.kinds();
         for e in &mut self.executors {
             let own = kinds.get(&e.kind).copied().unwrap_or_default();
-            let known = own.and(self.known.told_of(e.kind));
+            let known = own.and(self.known.received_of(e.kind));
             if known.ran > 0.0 {
                 e.pace = known.done / known.ran;
                 e.capacity = e.pace * known.slots;
@@ -86,7 +86,7 @@
         LearnedState { sizes: self.known.own(), kinds: self.kinds() }
     }
 
-    /// Another node told what it has seen; how many sizes are known now. Guards against nodes that have just
+    /// Adds what another node has seen; returns how many sizes are known now. Guards against nodes that have just
     /// started: by a few short sizes each takes a cold executor for one that bears many; all push it over.
     pub fn merge_learned(&mut self, now: Instant, learned: &LearnedState) -> usize {
         self.known.merge(learned);
--- a/crates/dispatch/src/decide/placement.rs
+++ b/crates/dispatch/src/decide/placement.rs
@@ -1,6 +1,7 @@
-//! The way of a request: it comes, is sent, held or rejected, and has one final answer.
+//! The course of a request: it arrives, is sent, queued or rejected, and has exactly one final answer.
 
 use super::pending::{Attempt, PendingRequest};
+use super::selection::Selection;
 use super::{
     ANSWER_MARGIN, Dispatcher, FIRST_REQUEST_TIMER, MAX_SILENT_INTERVALS, MIN_SAMPLES, RECEIPT_TIMEOUT,
     executor::InFlightAttempt,
@@ -29,10 +30,10 @@
         let terms = &self.classes[class];
         // The one notion of time left. Clocks may differ by so much: a client that has just asked waits
         // as long as its request class says, within that.
-        let (told, off) = (arrival.deadline, self.policy.deadline_error);
-        let waits = if arrival.repeat { told } else { now + terms.deadline };
-        let deadline = waits.clamp(told - off, told + off);
-        // The latency objective runs from a client's first try. Guards against late repeats taking the place of
+        let (reported, error) = (arrival.deadline, self.policy.deadline_error);
+        let waits = if arrival.repeat { reported } else { now + terms.deadline };
+        let deadline = waits.clamp(reported - error, reported + error);
+        // The latency objective runs from a client's first attempt. Guards against late repeats taking the place of
         // what can still be in time.
         let asked = if arrival.repeat { now.min(deadline - terms.deadline) } else { now };
         let latency_objective =
@@ -52,12 +53,12 @@
         if arrival.over_budget { self.answer(request) } else { self.place(now, request) }
     }
 
-    /// An answer began to stream: it belongs to the client now, and the deadline no longer ends.
+    /// An answer began to stream: it belongs to the client now, and its deadline no longer counts.
     pub fn response_started(&mut self, request: RequestId) {
         self.requests.entry(request).and_modify(|work| work.response_started = true);
     }
 
-    /// Sends the request where the design says, holds it while nothing can take it, or turns it back.
+    /// Sends the request where the design says, queues it while nothing can take it, or rejects it.
     pub(super) fn place(&mut self, now: Instant, request: RequestId) {
         const MAX_QUEUE_TIME: Duration = Duration::from_millis(1000); // a slot comes free in it; longer seldom helps
         const SHARE_TIMEOUT: Duration = Duration::from_millis(60); // a few round trips to whoever divides the fleet's budget
@@ -67,7 +68,7 @@
             return self.answer(request);
         }
         match picked {
-            Some((executor, _, wait)) => {
+            Some(Selection { executor, wait, .. }) => {
                 let (first, fresh) =
                     (work.attempts.is_empty(), work.attempts.iter().all(|a| !a.may_have_run));
                 let spent = !first && !self.may_retry(now);
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Holds a request, with its own alarm: the deadline may end between two beats.
+    /// Queues a request, with its own timer: it may expire between two rounds of housekeeping.
     fn queue(&mut self, now: Instant, request: RequestId, until: Instant) {
         let Some(work) = self.requests.get_mut(&request).filter(|work| !work.pending) else { return };
         work.pending = true;
@@ -95,6 +96,7 @@
         self.host.set_timer(work.pending_until.since(now), FIRST_REQUEST_TIMER + request.0);
     }
 
+    /// Sends one attempt of the request, and sees to it that it is reviewed where it may be retried.
     pub(super) fn send(&mut self, now: Instant, request: RequestId, executor: ExecutorId) {
         const REVIEW_DELAY: Duration = Duration::from_millis(150); // who waits to start this long is looked at again
         // Every few seconds each executor that is used (design page), and no other: probes cost.
@@ -109,29 +111,37 @@
         }
         let (size, slots) = (work.size, work.slots);
         let time_out = (work.deadline - ANSWER_MARGIN).since(now);
-        // Where starts are not told, what runs is heard of a pace later; without progress it never is. Guards
+        // Where starts are not reported, what runs is reported an interval later; without progress it never is. Guards
         // against taking all that is out for running, and what waits for an executor fallen silent.
-        let word_due = match self.progress {
-            _ if self.reports_starts => now,
+        let start_due = match self.signals.progress {
+            _ if self.signals.reports_starts => now,
             Some(pace) => now + pace,
             None => Instant(u64::MAX),
         };
         let id = AttemptId { request, number: work.attempts.len() - 1 };
-        e.in_flight.push(InFlightAttempt { id, size, slots, sent: now, word_due, started: None, heard: now });
+        e.in_flight.push(InFlightAttempt {
+            id,
+            size,
+            slots,
+            sent: now,
+            start_due,
+            started: None,
+            last_report: now,
+        });
         if e.slow_start_budget(&self.slow_start, now).is_some() {
             e.sent_while_warming.retain(|&at| now.since(at) <= self.slow_start.fall_window + RECEIPT_TIMEOUT);
             e.sent_while_warming.push(now);
         }
-        let heard = e.reported.unwrap_or_default().max(e.asked);
-        if self.may_probe && now.since(heard) >= PROBE_INTERVAL {
+        let last_report = e.reported.unwrap_or_default().max(e.asked);
+        if self.signals.may_probe && now.since(last_report) >= PROBE_INTERVAL {
             e.asked = now;
             self.host.probe(executor);
         }
         self.host.allocate(request, executor, time_out);
         if self.classes[work.class].effect != Effect::NonIdempotent {
-            let untold = self.progress.filter(|_| !self.reports_starts);
+            let unreported = self.signals.progress.filter(|_| !self.signals.reports_starts);
             self.host.set_timer(
-                untold.map_or(REVIEW_DELAY, |pace| pace.scaled(MAX_SILENT_INTERVALS)),
+                unreported.map_or(REVIEW_DELAY, |pace| pace.scaled(MAX_SILENT_INTERVALS)),
                 FIRST_REQUEST_TIMER + request.0,
             );
         }
@@ -139,7 +149,7 @@
 
     /// The final answer to a request that is given up: a rejection where trying again is harmless.
     pub(super) fn answer(&mut self, request: RequestId) {
-        const RETRY_AFTER: Duration = Duration::from_millis(500); // a slot comes free in it; short against any the deadline
+        const RETRY_AFTER: Duration = Duration::from_millis(500); // a slot comes free in it; short against any deadline
         let Some(work) = self.requests.get(&request) else { return };
         let ran = work.attempts.iter().any(|a| a.may_have_run);
         let client_may_retry = !ran || self.classes[work.class].effect.client_may_retry();
@@ -149,7 +159,7 @@
     }
 
     /// No answer is owed any more, as one was given, or the client left: what is still out for the request
-    /// is recalled, so that nobody works for nothing.
+    /// is cancelled, so that nobody works for nothing.
     pub fn finish(&mut self, request: RequestId) {
         let Some(work) = self.requests.remove(&request) else { return };
         for (number, attempt) in work.attempts.iter().enumerate() {
@@ -159,7 +169,7 @@
         }
     }
 
-    /// Tries the held requests again, oldest first, and gives up those whose latency objective is past.
+    /// Tries the queued requests again, oldest first, and answers those whose time in the queue is over.
     pub fn serve_pending(&mut self, now: Instant) {
         let pending = self
             .requests
--- a/crates/dispatch/src/decide/retry.rs
+++ b/crates/dispatch/src/decide/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: when a request may be sent again, and how many may be.
+//! Retries and hedges: when a request may be sent again, and how many may be.
 
 use super::{ANSWER_MARGIN, Dispatcher, FIRST_REQUEST_TIMER, MAX_SILENT_INTERVALS, RECEIPT_TIMEOUT};
 use super::{executor::Executor, pending::Attempt};
@@ -12,11 +12,10 @@
         ran.is_none_or(|(sent, at)| effect.may_repeat(now, sent, at.zone == e.zone, at.cell == e.cell))
     }
 
-    /// Looks at a request that is out and may be sent again: one that waits gets a further place where
-    /// there is room, or leaves its own where a recall stops it; one whose executor fell silent goes to one
-    /// with room.
+    /// Looks at a request that is out and may be sent again: one that waits is hedged where there is room,
+    /// or moved where cancelling takes it out of its queue; one whose executor fell silent goes to one with room.
     pub(super) fn review(&mut self, now: Instant, request: RequestId) {
-        const AGAIN: Duration = Duration::from_millis(250); // a few looks within the shortest latency objectives
+        const REVIEW_INTERVAL: Duration = Duration::from_millis(250); // a few looks within the shortest latency objectives
         let Some(work) = self.requests.get(&request) else { return };
         if work.pending && work.pending_until <= now {
             return self.answer(request);
@@ -30,33 +29,34 @@
             self.executors[a.executor.0].in_flight.iter().find(|f| f.id == id).map(|f| (a.executor, f))
         });
         // What has started counts, else what was sent last.
-        let told = in_flight.max_by_key(|(_, f)| (f.started.is_some(), f.sent));
-        let Some((executor, attempt)) = told else { return };
+        let latest = in_flight.max_by_key(|(_, f)| (f.started.is_some(), f.sent));
+        let Some((executor, attempt)) = latest else { return };
         let id = attempt.id;
-        let silent_at = self.progress.map(|pace| attempt.heard + pace.scaled(MAX_SILENT_INTERVALS));
+        let silent_at =
+            self.signals.progress.map(|pace| attempt.last_report + pace.scaled(MAX_SILENT_INTERVALS));
         let silent = attempt.started.is_some() && silent_at.is_some_and(|at| at < now);
-        // Where no second copy is allowed a recalled one may run on, and where starts are not told any may
-        // have started long before.
-        let unstarted = self.reports_starts && attempt.started.is_none();
-        let twice = self.policy.hedging;
-        let waits = unstarted && now > attempt.sent && (twice || self.policy.cancel_dequeues);
+        // Without hedging a cancelled one may run on, and where starts are not reported any may have started
+        // long before.
+        let unstarted = self.signals.reports_starts && attempt.started.is_none();
+        let hedging = self.policy.hedging;
+        let waits = unstarted && now > attempt.sent && (hedging || self.policy.cancel_dequeues);
         let lost =
-            waits && twice && work.slack(now) < 0.0 && self.classes[work.class].effect.client_may_retry();
+            waits && hedging && work.slack(now) < 0.0 && self.classes[work.class].effect.client_may_retry();
         if silent {
             self.eject(now, executor);
         }
         if (waits || silent)
-            && self.may_allocate(request, self.policy.cancellation)
+            && self.may_attempt(request, self.policy.cancellation)
             && self.may_retry(now)
-            && let Some((better, true, _)) = self.pick(now, request)
+            && let Some(better) = self.pick(now, request).filter(|picked| picked.has_room)
             && self.host.may_retry(request)
         {
             // One that waits keeps its place there, where two may be out: whichever starts first has it.
-            if !(waits && twice) {
+            if !(waits && hedging) {
                 self.cancel_attempt(id);
             }
-            if twice {
-                self.send(now, request, better);
+            if hedging {
+                self.send(now, request, better.executor);
             }
             return;
         }
@@ -66,14 +66,14 @@
         }
         // What runs, or may, is looked at when it would be silent. Guards against a second of looks at each.
         let next = match silent_at {
-            _ if unstarted => AGAIN,
-            Some(at) => at.since(now).max(AGAIN),
+            _ if unstarted => REVIEW_INTERVAL,
+            Some(at) => at.since(now).max(REVIEW_INTERVAL),
             None => return,
         };
         self.host.set_timer(next, FIRST_REQUEST_TIMER + request.0);
     }
 
-    /// Recalls an attempt: where no second copy is allowed its unit goes elsewhere when that has ended.
+    /// Cancels an attempt: without hedging its request goes elsewhere when that has ended.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId) {
         if let Some(work) = self.requests.get_mut(&id.request) {
             work.attempts[id.number].cancelled = true;
@@ -96,31 +96,31 @@
         (self.retry_times.len() + 1) as f64 <= budget.free + budget.share * self.arrival_times.len() as f64
     }
 
-    /// Whether one more attempt is allowed; `recalling`: the open ones are about to be recalled.
-    fn may_allocate(&self, request: RequestId, recalling: bool) -> bool {
+    /// Whether one more attempt is allowed; `cancelling`: the open ones are about to be cancelled.
+    fn may_attempt(&self, request: RequestId, cancelling: bool) -> bool {
         let work = &self.requests[&request];
         let open = work.attempts.iter().any(|a| a.open);
         let ran = work.attempts.iter().any(|a| a.may_have_run);
-        let binding = self.classes[work.class].effect == Effect::NonIdempotent;
+        let non_idempotent = self.classes[work.class].effect == Effect::NonIdempotent;
         work.attempts.len() < self.policy.max_attempts
-            && !(binding && ran)
-            && (!open || recalling || self.policy.hedging)
+            && !(non_idempotent && ran)
+            && (!open || cancelling || self.policy.hedging)
     }
 
     /// An attempt ended without an answer: another one, or the final answer.
-    pub(super) fn retry_or_answer(&mut self, now: Instant, request: RequestId, ending: AttemptOutcome) {
-        // A stream that has started is the answer, whatever became of another copy and of the deadline.
+    pub(super) fn retry_or_answer(&mut self, now: Instant, request: RequestId, outcome: AttemptOutcome) {
+        // A stream that has started is the answer, whatever became of a hedge and of the deadline.
         let Some(work) = self.requests.get(&request).filter(|w| !w.response_started) else { return };
         // No other will make anything of it. Guards against one bad client having all executors ejected.
-        if ending == AttemptOutcome::Unusable {
+        if outcome == AttemptOutcome::Unusable {
             self.finish(request);
             return self.host.fail(request);
         }
         let out_of_time = work.deadline <= now + ANSWER_MARGIN;
         if !out_of_time && work.attempts.iter().any(|a| a.open) {
-            return; // another copy is still out
+            return; // a hedge is still in flight
         }
-        if out_of_time || ending == AttemptOutcome::NeverSent || !self.may_allocate(request, false) {
+        if out_of_time || outcome == AttemptOutcome::NeverSent || !self.may_attempt(request, false) {
             return self.answer(request);
         }
         self.place(now, request);
--- a/crates/dispatch/src/decide/selection.rs
+++ b/crates/dispatch/src/decide/selection.rs
@@ -17,6 +17,76 @@
     warming: bool,
 }
 
+/// The executor picked for a request.
+pub(super) struct Selection {
+    pub(super) executor: ExecutorId,
+    /// Whether any candidate had room.
+    pub(super) has_room: bool,
+    /// Seconds that the request is expected to wait.
+    pub(super) wait: f64,
+}
+
+/// Where the load of all is known the pick is among one in so many at least, the shortest queues: what all have in
+/// flight is known as of a while ago, and all nodes know the same. Guards against a crowd at the few that had room
+/// then.
+const SHORTEST_QUEUES: usize = 4;
+
+/// When a candidate with room is open, which is when the pick looks no further.
+struct OpenRule {
+    /// The load of all executors is known from load sharing.
+    known: bool,
+    /// Whether reports count. Own evidence does not show what others fill: at the floor of the weights it passes for
+    /// full. Guards against queues in one lane while the other idles. Only where most have just reported, and out of
+    /// the lane only for one less than half used: late reports must not draw a crowd.
+    by_reports: bool,
+    /// The longest wait of own requests there, in seconds, unless hedges are allowed. Guards against queues before
+    /// the few that a node uses while their neighbours idle.
+    max_wait: f64,
+}
+
+impl OpenRule {
+    fn is_open(&self, c: &Candidate) -> bool {
+        let max_load = if c.in_lane { 1.0 - MIN_WEIGHT } else { 0.5 };
+        let brief = self.known || c.wait.is_none_or(|wait| wait <= self.max_wait);
+        let free = !self.by_reports || c.load.is_none_or(|load| load < max_load);
+        c.room && brief && free
+    }
+
+    /// Keeps the candidates among which the pick is drawn.
+    fn keep_best(&self, able: &mut Vec<Candidate>) {
+        if self.known {
+            able.sort_by(|a, b| a.wait.unwrap_or(0.0).total_cmp(&b.wait.unwrap_or(0.0)));
+            let open = able.iter().filter(|c| self.is_open(c)).count();
+            able.truncate(open.max(able.len().div_ceil(SHORTEST_QUEUES)));
+        } else {
+            // First those with room, of these the not full, then those of the lane, then cold ones that may
+            // take some: the few nodes that warm one see little, and left to chance it would idle.
+            let rank = |c: &Candidate| (c.room, self.is_open(c), c.in_lane, c.room && c.warming);
+            let best = able.iter().map(rank).max();
+            able.retain(|c| Some(rank(c)) == best);
+        }
+    }
+}
+
+/// Gives each candidate that nothing was sent to lately the mean wait of the others of its lane; beyond `max_wait`
+/// seconds it counts as full.
+///
+/// Guards against a node that sees little taking every executor for free. A longer wait may be that of an executor
+/// lost, and one alone may be slow: they tell nothing of others. Nor do the warm tell of a cold one, which few may
+/// use: its budget keeps it from being full.
+fn assume_waits(candidates: &mut [Candidate], max_wait: f64) {
+    const SILENT_S: f64 = 6.0;
+    for in_lane in [true, false] {
+        let known = candidates.iter().filter(|c| c.in_lane == in_lane).filter_map(|c| c.wait);
+        let waits: Vec<f64> = known.filter(|&wait| wait < SILENT_S).collect();
+        let mean = if waits.len() > 1 { waits.iter().sum::<f64>() / waits.len() as f64 } else { 0.0 };
+        for c in candidates.iter_mut().filter(|c| c.in_lane == in_lane && c.wait.is_none()) {
+            let mean = if c.warming { 0.0 } else { mean };
+            (c.wait, c.room) = (Some(mean), c.room && mean <= max_wait);
+        }
+    }
+}
+
 impl<H: Host> Dispatcher<H> {
     /// Those that a request may go to: of its lane, in the order in which this node uses them, a few and
     /// one more for every two attempts out; or many of both lanes. A node that sends little uses few
@@ -30,7 +100,7 @@
         let candidate = |&at: &usize| {
             let e = &self.executors[at];
             let able = now >= e.ejected_until
-                && self.is_told(now, e)
+                && self.status_is_current(now, e)
                 && kind.is_none_or(|kind| kind == e.kind)
                 && self.may_repeat(now, effect, &work.attempts, e)
                 && !work.attempts.iter().any(|a| a.open && a.executor.0 == at)
@@ -49,7 +119,7 @@
                 }
             })
         };
-        let known = self.ready().any(|e| e.filled(now).is_some()); // where nodes talk all are heard of
+        let known = self.ready().any(|e| e.filled(now).is_some()); // with load sharing that of all is
         let most = if known { self.ready_order.len() } else { FEW + self.out / 2 };
         let lane = self.ready_order.iter().filter(|&&at| few && in_lane(at));
         let mut found: Vec<Candidate> = lane.filter_map(candidate).take(most).collect();
@@ -57,23 +127,9 @@
             // No worker of the lane can take it, or none of the few has room: those of both that can.
             found.extend(self.ready_order.iter().filter_map(candidate).take(most * MORE));
         }
-        // One that nothing was sent to lately is taken for as full as those of its lane that something was
-        // sent to. Guards against a node that sees little taking every executor for free. A longer wait may
-        // be that of an executor lost, and one alone may be slow: they tell nothing of others. Nor do
-        // the warm tell of a cold one, which few may use: its budget keeps it from being full.
-        const SILENT_S: f64 = 6.0;
-        const PART: f64 = 0.25; // of the slack may be waited: the estimate is of the past, the queue may grow
-        let spare = (work.slack(now) * PART).max(0.1);
-        for in_lane in [true, false] {
-            let known = found.iter().filter(|c| c.in_lane == in_lane).filter_map(|c| c.wait);
-            let waits: Vec<f64> = known.filter(|&wait| wait < SILENT_S).collect();
-            let mean = if waits.len() > 1 { waits.iter().sum::<f64>() / waits.len() as f64 } else { 0.0 };
-            for c in found.iter_mut().filter(|c| c.in_lane == in_lane && c.wait.is_none()) {
-                let mean = if c.warming { 0.0 } else { mean };
-                (c.wait, c.room) = (Some(mean), c.room && mean <= spare);
-            }
-        }
-        // One that failed this unit is not asked again while another is there: a crash looks idle at once.
+        const SLACK_SHARE: f64 = 0.25; // may be waited: the estimate is of the past, the queue may grow
+        assume_waits(&mut found, (work.slack(now) * SLACK_SHARE).max(0.1));
+        // One that failed this request is not tried again while another is there: a crash looks idle at once.
         let tried = |c: &Candidate| work.attempts.iter().any(|a| a.executor.0 == c.at);
         if !found.iter().all(tried) {
             found.retain(|c| !tried(c));
@@ -81,46 +137,40 @@
         found
     }
 
-    /// The design's choice, a weighted random pick in the lane of its size; whether any had room; the wait.
-    pub(super) fn pick(&mut self, now: Instant, request: RequestId) -> Option<(ExecutorId, bool, f64)> {
+    /// The weighted random pick in the lane of the request's size.
+    pub(super) fn pick(&mut self, now: Instant, request: RequestId) -> Option<Selection> {
         let work = self.requests.get(&request)?;
         let mut able = self.candidates(now, work, true);
-        // What all have out is known as of a while ago, and all nodes know the same: the pick is among a
-        // quarter at least, the shortest queues. Guards against a crowd at the few that had room then.
-        const PART: usize = 4;
         let known = able.iter().any(|c| c.known);
-        // Own evidence does not show what others fill: at the floor of the weights it passes for full. Guards
-        // against queues in one lane while the other idles. Only where most were just heard of, and out of
-        // the lane only to one less than half used: late reports must not draw a crowd.
-        const FRESH: Duration = Duration::from_millis(1000); // what a report is an average over
-        let fresh = |e: &&Executor| e.reported.is_some_and(|at| now.since(at) < FRESH);
-        let hears = !known && self.ready().filter(fresh).count() * 2 > self.ready_order.len();
-        let below = |c: &Candidate| if c.in_lane { 1.0 - MIN_WEIGHT } else { 0.5 };
-        // Nor does it show that own work waited long there: then others are looked at, unless a further place
-        // may be had. Guards against queues before the few that a node uses while their neighbours idle.
-        const BORNE: f64 = 0.1; // of the slack: the next one waits longer where a queue builds
-        let borne = if self.policy.hedging { f64::MAX } else { (work.slack(now) * BORNE).max(0.1) };
-        let brief = |c: &Candidate| known || c.wait.is_none_or(|wait| wait <= borne);
-        let free = |c: &Candidate| !hears || c.load.is_none_or(|load| load < below(c));
-        let open = |c: &Candidate| c.room && brief(c) && free(c);
-        let enough = if known { able.len().div_ceil(PART) } else { 1 };
-        if able.iter().filter(|c| open(c)).count() < enough {
+        let rule = self.open_rule(now, work, known);
+        let enough = if known { able.len().div_ceil(SHORTEST_QUEUES) } else { 1 };
+        if able.iter().filter(|c| rule.is_open(c)).count() < enough {
             able = self.candidates(now, work, false);
         }
-        let any_room = able.iter().any(|c| c.room);
+        let has_room = able.iter().any(|c| c.room);
         let least_wait = able.iter().filter_map(|c| c.wait).fold(f64::INFINITY, f64::min);
-        if known {
-            able.sort_by(|a, b| a.wait.unwrap_or(0.0).total_cmp(&b.wait.unwrap_or(0.0)));
-            able.truncate(able.iter().filter(|c| open(c)).count().max(able.len().div_ceil(PART)));
-        } else {
-            // First those with room, of these the not full, then those of the lane, then cold ones that may
-            // take some: the few nodes that warm one see little, and left to chance it would idle.
-            let rank = |c: &Candidate| (c.room, open(c), c.in_lane, c.room && c.warming);
-            let best = able.iter().map(rank).max();
-            able.retain(|c| Some(rank(c)) == best);
-        }
-        // Utilisation is a share: what is idle counts by listed size and learnt pace. Where all are heard of
-        // the own zone has no other preference: crossing costs, and a zone must not be left to itself.
+        rule.keep_best(&mut able);
+        let chosen = self.draw(&able, known)?;
+        // With no room anywhere it waits where it goes: the least wait of all would promise too much.
+        let wait = if has_room && !known { least_wait } else { chosen.wait.unwrap_or(0.0) };
+        Some(Selection { executor: ExecutorId(chosen.at), has_room, wait })
+    }
+
+    /// What makes a candidate open for this request.
+    fn open_rule(&self, now: Instant, work: &PendingRequest, known: bool) -> OpenRule {
+        const FRESH: Duration = Duration::from_millis(1000); // what a report is an average over
+        const MAX_WAIT_SHARE: f64 = 0.1; // of the slack: the next one waits longer where a queue builds
+        let fresh = |e: &&Executor| e.reported.is_some_and(|at| now.since(at) < FRESH);
+        let by_reports = !known && self.ready().filter(fresh).count() * 2 > self.ready_order.len();
+        let max_wait =
+            if self.policy.hedging { f64::MAX } else { (work.slack(now) * MAX_WAIT_SHARE).max(0.1) };
+        OpenRule { known, by_reports, max_wait }
+    }
+
+    /// Draws one of the candidates by its weight.
+    fn draw<'a>(&mut self, able: &'a [Candidate], known: bool) -> Option<&'a Candidate> {
+        // Utilisation is a share: what is idle counts by listed size and learned pace. Where the load of all is
+        // known the own zone has no other preference: crossing costs, and a zone must not be left to itself.
         const NEARER: f64 = 3.0;
         let near = |e: &Executor| if known && e.zone == self.zone { NEARER } else { 1.0 };
         let strength = |e: &Executor| e.pace * e.weight * near(e);
@@ -128,11 +178,8 @@
             utilisation: c.load,
             weight_factor: strength(&self.executors[c.at]),
         };
-        let recompute = weights(&able.iter().map(weigh).collect::<Vec<_>>());
-        let chosen = &able[self.rng.sample(WeightedIndex::new(recompute).ok()?)];
-        // With no room anywhere it waits where it goes: the least wait of all would promise too much.
-        let wait = if any_room && !known { least_wait } else { chosen.wait.unwrap_or(0.0) };
-        Some((ExecutorId(chosen.at), any_room, wait))
+        let weights = weights(&able.iter().map(weigh).collect::<Vec<_>>());
+        Some(&able[self.rng.sample(WeightedIndex::new(weights).ok()?)])
     }
 
     /// Whether a wait is too long to start with: the request would be late, and make others late. Waits
--- a/crates/dispatch/src/executor.rs
+++ b/crates/dispatch/src/executor.rs
@@ -38,6 +38,35 @@
     pub reports_own_status: bool,
 }
 
+/// Whether an update of the executor list replaces it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListUpdate {
+    /// It holds every executor: absent means gone.
+    Complete,
+    /// It holds only what changed.
+    Changes,
+}
+
+impl ListUpdate {
+    /// `Complete` if the update is one, else `Changes`.
+    pub fn complete_if(complete: bool) -> ListUpdate {
+        if complete { ListUpdate::Complete } else { ListUpdate::Changes }
+    }
+}
+
+/// What a node may ask for on its wire, and what executors report of running attempts.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ExecutorSignals {
+    /// The executor list comes only to those who ask for it.
+    pub must_watch_executors: bool,
+    /// Executors may be probed for load reports.
+    pub may_probe: bool,
+    /// Executors report when an attempt starts.
+    pub reports_starts: bool,
+    /// The interval at which executors report the progress of an attempt, if they do.
+    pub progress: Option<Duration>,
+}
+
 /// The values of a load report that the decisions use; any may be absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
--- a/crates/dispatch/src/learned.rs
+++ b/crates/dispatch/src/learned.rs
@@ -1,11 +1,11 @@
-//! What a node knows of work and of the kinds of executors: what it has seen itself, and what others tell one that has
-//! seen little.
+//! What a node knows of work and of the kinds of executors: what it has seen itself, and what other nodes send
+//! to one that has seen little.
 
 use grebeusher_sizing::{Sample, SampleEntry};
 use std::collections::BTreeMap;
 
 /// The sizes that are kept (design page).
-const SAMPLE: usize = 1000;
+const MAX_SAMPLES: usize = 1000;
 
 /// What is known of one kind of executor.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -19,19 +19,19 @@
 }
 
 impl LearnedKind {
-    /// With as much more.
+    /// The sum of two observations of a kind.
     pub fn and(self, more: LearnedKind) -> LearnedKind {
         let LearnedKind { done, ran, slots } = more;
         LearnedKind { done: self.done + done, ran: self.ran + ran, slots: self.slots.max(slots) }
     }
 }
 
-/// What one node has seen itself, as it tells another: what it was told it does not tell on, or it would count twice.
+/// What one node has seen itself, as it sends it to another. What it received it does not pass on, or it would count twice.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
     /// Sizes of recent work, and how long each runs on standard cores, in seconds; the newest first.
     pub sizes: Vec<(f64, f64)>,
-    /// By the place of the kind, as the list is told to the decisions.
+    /// By the index of the kind.
     pub kinds: BTreeMap<usize, LearnedKind>,
 }
 
@@ -54,10 +54,10 @@
 }
 
 pub(crate) struct Knowledge {
-    /// Recent sized work. What was told comes before what was seen.
+    /// Recent sized work. What was received from other nodes comes before what was seen here.
     recent: Sample<SizeSample>,
-    told: usize,
-    told_kinds: BTreeMap<usize, LearnedKind>,
+    received: usize,
+    received_kinds: BTreeMap<usize, LearnedKind>,
     pub median: f64,
     pub mean: f64,
     pub mean_run: f64,
@@ -65,8 +65,8 @@
 
 impl Default for Knowledge {
     fn default() -> Knowledge {
-        let (recent, told_kinds) = (Sample::with_limit(SAMPLE), BTreeMap::new());
-        Knowledge { recent, told: 0, told_kinds, median: 1.0, mean: 1.0, mean_run: 1.0 }
+        let (recent, received_kinds) = (Sample::with_limit(MAX_SAMPLES), BTreeMap::new());
+        Knowledge { recent, received: 0, received_kinds, median: 1.0, mean: 1.0, mean_run: 1.0 }
     }
 }
 
@@ -79,7 +79,7 @@
     pub fn record(&mut self, size: f64, run: f64) {
         let full = self.recent.is_full();
         if self.recent.add(SizeSample { size, run }) {
-            self.told = self.told.saturating_sub(usize::from(full));
+            self.received = self.received.saturating_sub(usize::from(full));
         }
     }
 
@@ -94,31 +94,33 @@
         sorted
     }
 
-    /// What was told of a kind.
-    pub fn told_of(&self, kind: usize) -> LearnedKind {
-        self.told_kinds.get(&kind).copied().unwrap_or_default()
+    /// What other nodes sent of a kind.
+    pub fn received_of(&self, kind: usize) -> LearnedKind {
+        self.received_kinds.get(&kind).copied().unwrap_or_default()
     }
 
     /// The newest of the sizes that were seen here.
     pub fn own(&self) -> Vec<(f64, f64)> {
-        const TELLS: usize = 120; // with the rest they fit a datagram of 1,200 bytes
-        let own = self.recent.entries().skip(self.told).rev();
-        own.take(TELLS).map(|entry| (entry.size, entry.run)).collect()
+        const MAX_SENT_SIZES: usize = 120; // with the rest they fit a datagram of 1,200 bytes
+        let own = self.recent.entries().skip(self.received).rev();
+        own.take(MAX_SENT_SIZES).map(|entry| (entry.size, entry.run)).collect()
     }
 
-    /// Another node told what it has seen; nonsense in it is passed over.
+    /// Adds what another node has seen; values that make no sense are passed over.
     pub fn merge(&mut self, learned: &LearnedState) {
-        const TOLD_S: f64 = 30.0; // counts for no more than what a node sees run in its first minute or so
+        const MAX_RECEIVED_SECONDS: f64 = 30.0; // counts for no more than what a node sees run in its first minute or so
         let sound = |value: f64| value > 0.0 && value.is_finite();
         for &(size, run) in learned.sizes.iter().filter(|(size, run)| sound(*size) && sound(*run)) {
-            self.told += usize::from(self.recent.add_older(SizeSample { size, run }));
+            self.received += usize::from(self.recent.add_older(SizeSample { size, run }));
         }
-        let sound_kind = |told: &LearnedKind| sound(told.done) && sound(told.ran) && sound(told.slots);
-        for (kind, told) in learned.kinds.iter().filter(|(_, told)| sound_kind(told)) {
-            let part = (TOLD_S / told.ran).min(1.0);
-            let told = LearnedKind { done: told.done * part, ran: told.ran * part, ..*told };
-            let known = self.told_kinds.entry(*kind).or_default();
-            *known = known.and(told);
+        let sound_kind =
+            |received: &LearnedKind| sound(received.done) && sound(received.ran) && sound(received.slots);
+        for (kind, received) in learned.kinds.iter().filter(|(_, received)| sound_kind(received)) {
+            let share = (MAX_RECEIVED_SECONDS / received.ran).min(1.0);
+            let received =
+                LearnedKind { done: received.done * share, ran: received.ran * share, ..*received };
+            let known = self.received_kinds.entry(*kind).or_default();
+            *known = known.and(received);
         }
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -33,7 +33,7 @@
 pub use grebeusher_time as time;
 
 pub use attempt::{AttemptOutcome, AttemptPolicy, RetryBudget};
-pub use executor::{ExecutorStatus, ListedExecutor, LoadReport, SlowStart};
+pub use executor::{ExecutorSignals, ExecutorStatus, ListUpdate, ListedExecutor, LoadReport, SlowStart};
 pub use host::Host;
 pub use ids::{AttemptId, ExecutorId, RequestId};
 pub use request::{Arrival, DeduplicationScope, Effect, RequestClass};
--- a/crates/dispatch/tests/fake/mod.rs
+++ b/crates/dispatch/tests/fake/mod.rs
@@ -5,8 +5,8 @@
 use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_dispatch::{
-    Arrival, AttemptOutcome, AttemptPolicy, DeduplicationScope, Effect, ExecutorStatus, ListedExecutor,
-    LoadReport, RequestClass, SlowStart,
+    Arrival, AttemptOutcome, AttemptPolicy, DeduplicationScope, Effect, ExecutorSignals, ExecutorStatus,
+    ListUpdate, ListedExecutor, LoadReport, RequestClass, SlowStart,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -113,7 +113,12 @@
     Dispatcher::new(host, 7, node, nodes, classes())
         .with_attempt_policy(policy)
         .with_slow_start(slow_start)
-        .with_signals(true, probes, starts, Some(Duration::from_millis(1000)))
+        .with_signals(ExecutorSignals {
+            must_watch_executors: true,
+            may_probe: probes,
+            reports_starts: starts,
+            progress: Some(Duration::from_millis(1000)),
+        })
 }
 
 /// A node some way into its life, with a clock of its own.
@@ -172,14 +177,14 @@
         let names: Vec<String> = (0..executors).map(|i| format!("executor-{i}")).collect();
         let entries: Vec<ListedExecutor> =
             names.iter().enumerate().map(|(i, name)| listing(i, name)).collect();
-        self.node.update_executors(self.now, true, &entries);
+        self.node.update_executors(self.now, ListUpdate::Complete, &entries);
         self.said.0.borrow_mut().clear();
     }
 
     /// One that has just started joins the list.
     pub fn list_cold(&mut self, index: usize) {
         let slow_start = ListedExecutor { started: Some(self.now), ..listing(index, "cold") };
-        self.node.update_executors(self.now, false, &[slow_start]);
+        self.node.update_executors(self.now, ListUpdate::Changes, &[slow_start]);
     }
 
     /// So many units of one size run one after the other, for so many milliseconds each.
--- a/crates/dispatch/tests/stories.rs
+++ b/crates/dispatch/tests/stories.rs
@@ -8,8 +8,8 @@
 use grebeusher_dispatch::load_message::{LoadMessage, MAX_COUNTS_PER_MESSAGE, MAX_MESSAGE_BYTES, short_hash};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_dispatch::{
-    Arrival, AttemptOutcome, AttemptPolicy, ExecutorStatus, ListedExecutor, LoadReport, RetryBudget,
-    SlowStart,
+    Arrival, AttemptOutcome, AttemptPolicy, ExecutorStatus, ListUpdate, ListedExecutor, LoadReport,
+    RetryBudget, SlowStart,
 };
 
 const REQUEST_ALARMS: u64 = 2;
@@ -122,7 +122,7 @@
     // Failure: nodes that see little, or have just started, know no pace and gave small and large ones the same.
     let mut story = Story::fleet(1, 0).remove(0);
     let large = ListedExecutor { weight: 4.0, ..listing(1, "large") };
-    story.node.update_executors(story.now, true, &[listing(0, "small"), large]);
+    story.node.update_executors(story.now, ListUpdate::Complete, &[listing(0, "small"), large]);
     let mut sent = [0; 2];
     for request in 0..2000 {
         story.arrive(request, BINDING, UNHINTED);
@@ -319,7 +319,7 @@
         story.pass(15_000);
         story.node.update_executors(
             story.now,
-            true,
+            ListUpdate::Complete,
             &[ListedExecutor { started: Some(update_executors), ..listing(0, "late") }],
         );
         story.pass(6000);
@@ -398,7 +398,7 @@
     let mut story = Story::of(0);
     story.arrive(1, BINDING, 100);
     assert_eq!(story.heard(), []);
-    story.node.update_executors(story.now, false, &[listing(0, "late")]);
+    story.node.update_executors(story.now, ListUpdate::Changes, &[listing(0, "late")]);
     assert_eq!(story.sent_to(), 0);
 }
 
@@ -407,14 +407,14 @@
     let mut story = Story::of(4);
     let draining = ListedExecutor { status: ExecutorStatus::Draining, ..listing(0, "executor-0") };
     let gone = ListedExecutor { status: ExecutorStatus::Gone, ..listing(1, "executor-1") };
-    story.node.update_executors(story.now, false, &[draining, gone]);
+    story.node.update_executors(story.now, ListUpdate::Changes, &[draining, gone]);
     for request in 0..20 {
         story.arrive(request, BINDING, 100);
         let executor = story.sent_to();
         assert!(executor >= 2);
         story.end(request, 0, executor, AttemptOutcome::Served);
     }
-    story.node.update_executors(story.now, true, &[listing(3, "executor-3")]);
+    story.node.update_executors(story.now, ListUpdate::Complete, &[listing(3, "executor-3")]);
     for request in 20..40 {
         story.arrive(request, BINDING, 100);
         assert_eq!(story.sent_to(), 3, "absent from a whole list means gone");
@@ -462,7 +462,7 @@
     // One that speaks for itself is not bound to the list; and a new proof serves what is held.
     story.node.update_executors(
         story.now,
-        false,
+        ListUpdate::Changes,
         &[ListedExecutor { reports_own_status: true, ..listing(9, "speaks") }],
     );
     assert!(story.heard().iter().any(|said| matches!(said, Said::Allocate(9000, 9, _))));
@@ -487,9 +487,9 @@
     assert!(!begins(&story, 1, again), "its group has forgotten the first");
     story.now = story.now - Duration::from_millis(1000);
     let draining = ListedExecutor { status: ExecutorStatus::Draining, ..listing(again, "drains") };
-    story.node.update_executors(story.now, false, &[draining]);
+    story.node.update_executors(story.now, ListUpdate::Changes, &[draining]);
     assert!(!begins(&story, 1, again), "word of a drain came first");
-    story.node.update_executors(story.now, false, &[listing(again, "drains")]);
+    story.node.update_executors(story.now, ListUpdate::Changes, &[listing(again, "drains")]);
     assert!(begins(&story, 1, again));
     story.node.finish(RequestId(request));
     assert!(!begins(&story, 1, again), "nobody waits");
@@ -611,7 +611,7 @@
             // Of work this small a cold executor bears several calls at once.
             let sizes = vec![(0.05, 0.05); 60];
             story.node.merge_learned(story.now, &LearnedState { sizes, ..LearnedState::default() });
-            story.node.update_executors(story.now, true, &[]);
+            story.node.update_executors(story.now, ListUpdate::Complete, &[]);
             story.list_cold(4);
             let mut sends = |requests: std::ops::Range<u64>, after| {
                 story.pass(after);
@@ -1038,7 +1038,7 @@
     let odd = ListedExecutor { weight: f64::NAN, ..listing(1, "executor-1") };
     story.node.update_executors(
         story.now,
-        false,
+        ListUpdate::Changes,
         &[ListedExecutor { weight: 0.0, ..listing(0, "executor-0") }, odd],
     );
     let report = LoadReport { utilisation: Some(f64::NAN), free_slots: Some(f64::INFINITY) };
@@ -1220,7 +1220,7 @@
     let names = ["executor-0", "executor-1"];
     let entries: Vec<ListedExecutor> =
         (0..2).map(|kind| ListedExecutor { kind, zone: 0, ..listing(kind, names[kind]) }).collect();
-    story.node.update_executors(story.now, true, &entries);
+    story.node.update_executors(story.now, ListUpdate::Complete, &entries);
     let mut sent = [0; 2];
     for request in 0..1040 {
         if request == 40 {
@@ -1249,7 +1249,7 @@
     let entries: Vec<ListedExecutor> = (0..4)
         .map(|i| ListedExecutor { kind: usize::from(i == 3), zone: 0, ..listing(i, &names[i]) })
         .collect();
-    story.node.update_executors(story.now, true, &entries);
+    story.node.update_executors(story.now, ListUpdate::Complete, &entries);
     let mut fast = 0;
     for request in 0..300 {
         let size = 100 + request % 10 * 100;
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -12,8 +12,8 @@
 use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_dispatch::{
-    Arrival, AttemptOutcome, AttemptPolicy, Effect as DispatchEffect, ExecutorStatus, ListedExecutor,
-    LoadReport, RequestClass, SlowStart,
+    Arrival, AttemptOutcome, AttemptPolicy, Effect as DispatchEffect, ExecutorSignals, ExecutorStatus,
+    ListUpdate, ListedExecutor, LoadReport, RequestClass, SlowStart,
 };
 use rand::distr::{Distribution, weighted::WeightedIndex};
 use rand::{Rng, SeedableRng};
@@ -48,7 +48,7 @@
         Dispatcher::start(self, now);
     }
     fn listed(&mut self, now: Instant, whole: bool, entries: &[ListedExecutor<'_>]) {
-        Dispatcher::update_executors(self, now, whole, entries);
+        Dispatcher::update_executors(self, now, ListUpdate::complete_if(whole), entries);
     }
     fn list_broken(&mut self) {
         Dispatcher::executor_list_lost(self);
@@ -128,7 +128,12 @@
                 let dispatcher = Dispatcher::new(hands, seed, node as u64, told_count, tariffs.clone())
                     .with_attempt_policy(allowance)
                     .with_slow_start(cold)
-                    .with_signals(true, false, n.starts_told, progress)
+                    .with_signals(ExecutorSignals {
+                        must_watch_executors: true,
+                        may_probe: false,
+                        reports_starts: n.starts_told,
+                        progress,
+                    })
                     .with_load_sharing(n.words)
                     .with_zone(node % n.zones.len());
                 Box::new(dispatcher)
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -28,7 +28,8 @@
 use grebeusher_dispatch::host::Host;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_dispatch::{
-    AttemptPolicy, DeduplicationScope, Effect, LoadReport, RequestClass, RetryBudget, SlowStart,
+    AttemptPolicy, DeduplicationScope, Effect, ExecutorSignals, LoadReport, RequestClass, RetryBudget,
+    SlowStart,
 };
 use object::Object;
 use serde_json::Value;
@@ -228,7 +229,12 @@
         Dispatcher::new(host, seed, self.node, self.nodes, self.tariffs.clone())
             .with_attempt_policy(self.attempt_policy)
             .with_slow_start(self.slow_start)
-            .with_signals(asks_list, self.probes, self.starts, self.progress)
+            .with_signals(ExecutorSignals {
+                must_watch_executors: asks_list,
+                may_probe: self.probes,
+                reports_starts: self.starts,
+                progress: self.progress,
+            })
             .with_customer_quotas(&self.quotas)
             .with_load_sharing(self.peers && talks)
             .with_zone(self.zone)
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -17,7 +17,7 @@
 use grebeusher_dispatch::ids::{AttemptId, ExecutorId, RequestId, fixed_hash};
 use grebeusher_dispatch::learned::{LearnedKind, LearnedState};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
-use grebeusher_dispatch::{Arrival, AttemptOutcome, ExecutorStatus, ListedExecutor, LoadReport};
+use grebeusher_dispatch::{Arrival, AttemptOutcome, ExecutorStatus, ListUpdate, ListedExecutor, LoadReport};
 use grebeusher_faktory::reservations;
 use grebeusher_job_log::book::{Due, Job};
 use grebeusher_maintenance::{Plan, Seen, View, ZoneSeen};
@@ -383,7 +383,7 @@
         let listings: Vec<ListedExecutor> =
             changed.map(|(hash, known)| self.closed.listing(*hash, known)).collect();
         if !listings.is_empty() {
-            self.dispatcher.update_executors(self.hands.clock.now(), false, &listings);
+            self.dispatcher.update_executors(self.hands.clock.now(), ListUpdate::Changes, &listings);
         }
     }
 
@@ -829,7 +829,7 @@
         let kind = place(&mut self.kinds, WORKER);
         let listing = worker_listing(executor, &name, standing, kind, self.own_zone);
         self.listed = true;
-        self.dispatcher.update_executors(self.hands.clock.now(), false, &[listing]);
+        self.dispatcher.update_executors(self.hands.clock.now(), ListUpdate::Changes, &[listing]);
     }
 
     /// The executor did not say in time that it took the job, and the connection is closed, or broke. Where it has told of
@@ -921,7 +921,7 @@
         for listing in &mut listings {
             listing.status = self.closed.stands(fixed_hash(listing.name), listing.status);
         }
-        self.dispatcher.update_executors(now, version.reset, &listings);
+        self.dispatcher.update_executors(now, ListUpdate::complete_if(version.reset), &listings);
     }
 
     /// Keeps what the list says, and tells the fellows of starts that are new.
@@ -990,7 +990,7 @@
         let age_s = now.since(at).seconds();
         debug!(executor = name, gone, age_s, "{name} was {how} {age_s:.1} s ago");
         let listing = self.closed.listing(executor, known);
-        self.dispatcher.update_executors(now, false, &[listing]);
+        self.dispatcher.update_executors(now, ListUpdate::Changes, &[listing]);
     }
 
     /// Starts that the list has not told, no longer ago than this, and what is gone.
@@ -1047,7 +1047,7 @@
         let listings: Vec<ListedExecutor> = still
             .map(|(hash, known)| ListedExecutor { started: Some(now), ..self.closed.listing(*hash, known) })
             .collect();
-        self.dispatcher.update_executors(now, false, &listings);
+        self.dispatcher.update_executors(now, ListUpdate::Changes, &listings);
     }
 
     /// Another node sent a word of the decisions.
