--- a/crates/bench-adapter/src/door.rs
+++ b/crates/bench-adapter/src/door.rs
@@ -155,7 +155,7 @@
     }
 
     fn reject(&mut self, unit: RequestId, come_back: Option<Duration>) {
-        let wait_ns = come_back.map(|wait| wait.nanos());
+        let wait_ns = come_back.map(DurationExt::nanos);
         self.0.borrow_mut().final_answer(unit, |who, msg_id| Line::Decline { who, msg_id, wait_ns });
     }
 
--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -126,6 +126,7 @@
     }
 
     /// The lines that tell one node of something that happened.
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of line")]
     fn tell(&mut self, line: &Line) -> Result<(), String> {
         match &*line.kind {
             "membership" => match &*line.mode {
--- a/crates/budgets/tests/stories.rs
+++ b/crates/budgets/tests/stories.rs
@@ -79,6 +79,7 @@
     }
 
     /// So many milliseconds pass, one by one.
+    #[expect(clippy::too_many_lines, reason = "one story with several nodes")]
     fn pass(&mut self, for_ms: u64) {
         for _ in 0..for_ms {
             self.now += 1;
--- a/crates/dispatch/src/decide/health.rs
+++ b/crates/dispatch/src/decide/health.rs
@@ -105,7 +105,7 @@
             // A full waiting room empties in about a run: nothing until then, or it would answer fastest
             // of all and draw the more work the fuller it is.
             AttemptOutcome::Full => {
-                e.ejected_until = now + Duration::from_seconds(0.5 + 0.5 * self.rng.random::<f64>())
+                e.ejected_until = now + Duration::from_seconds(0.5 + 0.5 * self.rng.random::<f64>());
             }
             AttemptOutcome::Reset => e.reset = Some(now),
             AttemptOutcome::Error => self.eject(now, executor),
--- a/crates/dispatch/src/decide/placement.rs
+++ b/crates/dispatch/src/decide/placement.rs
@@ -74,16 +74,16 @@
                 let spent = !first && !self.may_retry(now);
                 let wait_too_long = fresh && self.wait_too_long(now, &self.requests[&request], wait);
                 if spent || wait_too_long {
-                    self.answer(request)
+                    self.answer(request);
                 } else if first || self.host.may_retry(request) {
-                    self.send(now, request, executor)
+                    self.send(now, request, executor);
                 } else {
-                    self.queue(now, request, now + SHARE_TIMEOUT)
+                    self.queue(now, request, now + SHARE_TIMEOUT);
                 }
             }
             None => {
                 let until = (now + MAX_QUEUE_TIME).min(work.asked + work.latency_objective);
-                self.queue(now, request, until)
+                self.queue(now, request, until);
             }
         }
     }
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -211,6 +211,7 @@
 }
 
 /// Whether all is well.
+#[expect(clippy::too_many_lines, reason = "one line for each figure")]
 fn act(what: What) -> Result<bool, Wrong> {
     match what {
         What::Check { scenario } => {
--- a/crates/emulator/src/queueing.rs
+++ b/crates/emulator/src/queueing.rs
@@ -85,6 +85,7 @@
 }
 
 /// One executor that nothing is lost or late on the way to.
+#[expect(clippy::too_many_lines, reason = "one row of the table after the other")]
 fn one_queue(name: &str, servers: u64, size: Sizes, per_s: f64, length_s: f64) -> Scenario {
     const FOR_EVER_MS: f64 = 1e9;
     let network = Network {
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -729,7 +729,7 @@
             return Err(format!("nodes.zone_shares: expected one a zone, found {}", nodes.zone_shares.len()));
         }
         nodes.zone_shares.iter().try_for_each(|&share| within("nodes.zone_shares", share, 0.001..=1e6))?;
-        if nodes.zones.is_empty() || nodes.zones.iter().any(|zone| zone.is_empty()) {
+        if nodes.zones.is_empty() || nodes.zones.iter().any(std::string::String::is_empty) {
             return Err(format!("nodes.zones: expected at least one name, found {:?}", nodes.zones));
         }
         filled("executors", &self.executors)?;
--- a/crates/load-test/src/staff.rs
+++ b/crates/load-test/src/staff.rs
@@ -282,7 +282,12 @@
         let life = self.nodes[node].life;
         (self.staff.node_agents[node], self.staff.node_by[node]) = (Some((Agent::Watches, life)), number);
         let waits = self.units.values().filter(|open| open.node == node && open.was_sent()).count();
-        let runs = self.executors.iter().flat_map(|e| e.whose()).filter(|(_, of)| *of == node).count();
+        let runs = self
+            .executors
+            .iter()
+            .flat_map(super::executors::Executor::whose)
+            .filter(|(_, of)| *of == node)
+            .count();
         if waits + runs > 0 {
             let what =
                 format!("is out, and {waits} units wait for it and {runs} of its run or wait at executors");
--- a/crates/load-test/src/wire.rs
+++ b/crates/load-test/src/wire.rs
@@ -343,6 +343,7 @@
     }
 
     /// Moves all that may be moved now.
+    #[expect(clippy::too_many_lines, reason = "one arm for each kind of event")]
     fn pumps(&mut self, key: usize, now: Instant) -> Option<News> {
         let conn = &mut self.conns[key];
         let link = &self.links[conn.link];
--- a/crates/maintenance/src/works.rs
+++ b/crates/maintenance/src/works.rs
@@ -365,7 +365,7 @@
         let died =
             self.senders.range_mut(earlier).filter(|(_, sender)| sender.socket == ask.socket && !sender.dead);
         died.for_each(|(_, sender)| {
-            (sender.dead, sender.until_ms) = (true, sender.until_ms.min(self.clock_ms))
+            (sender.dead, sender.until_ms) = (true, sender.until_ms.min(self.clock_ms));
         });
         self.senders.insert(
             ask.holder,
@@ -394,7 +394,7 @@
         for (machine, start) in &mut self.orphans {
             match view.machines.iter().find(|seen| seen.machine == *machine) {
                 Some(seen) if start.is_some_and(|start| seen.ready && seen.started_ms > start) => {
-                    back.push(*machine)
+                    back.push(*machine);
                 }
                 Some(seen) if start.is_none() => *start = Some(seen.started_ms),
                 _ => {}
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -101,6 +101,7 @@
     ///
     /// # Errors
     /// A key is missing, of the wrong type, out of range or an unknown word.
+    #[expect(clippy::too_many_lines, reason = "one line for each setting")]
     pub fn read(settings: &Value) -> Result<DeploymentSettings, ConfigError> {
         let root = Object::root(settings)?;
         let (caps, family, report) =
--- a/crates/node/src/life/node.rs
+++ b/crates/node/src/life/node.rs
@@ -167,6 +167,7 @@
 
 impl Node {
     /// `inherited`: the clients' listening socket, where the platform holds it.
+    #[expect(clippy::too_many_lines, reason = "the steps of a start in their order; to be split")]
     pub fn start(posted: PathBuf, signals: Signals, inherited: Option<TcpListener>) -> Result<Node, String> {
         let mut posting = NodeSettings::of_file(&posted).map_err(|error| error.to_string())?;
         let fleet = env::var_os(FLEET).map(|path| FleetSettings::of_file(Path::new(&path))).transpose();
@@ -468,7 +469,7 @@
                 listed,
                 passed_over,
                 fulfilled: c.fulfilled.all(),
-                failed: failed.into_iter().map(|count| count.all()).sum(),
+                failed: failed.into_iter().map(super::super::memory::counters::Count::all).sum(),
             }
         };
         self.fitness.verdict(self.clock.now(), see, stands)
@@ -570,7 +571,7 @@
                     && self.clients.open_units() == 0
                     && self.owes_no_push() =>
             {
-                fellows.is_through(&mut self.exchange)
+                fellows.is_through(&mut self.exchange);
             }
             (false, Phase::Drained { .. }) if self.goes_by_plan => {
                 self.goes_by_plan = false;
@@ -586,7 +587,7 @@
         match self.phase {
             Phase::Starting if self.knows_enough() => self.enter(Phase::Serving),
             Phase::Leaving { since } if self.clock.now() >= since + DETECTION_TIMEOUT => {
-                self.enter(Phase::Closing { since: self.clock.now() })
+                self.enter(Phase::Closing { since: self.clock.now() });
             }
             Phase::Drained { since } if self.clock.now() >= since + DETECTION_TIMEOUT => self.wind_down(),
             Phase::Closing { since } => {
--- a/crates/node/src/life/upgrade.rs
+++ b/crates/node/src/life/upgrade.rs
@@ -13,6 +13,7 @@
 
 /// The inherited listening socket; `None` where the node has to bind one of its own. To be called once, and before
 /// anything is opened.
+#[expect(unsafe_code, reason = "a descriptor that the platform opened can only be taken over so")]
 pub fn inherited() -> Result<Option<TcpListener>, String> {
     let Some(text) = env::var_os(INHERITED) else { return Ok(None) };
     let wrong = |what: &str| format!("{INHERITED}: {what}, found {text:?}");
--- a/crates/node/src/wire/executors.rs
+++ b/crates/node/src/wire/executors.rs
@@ -266,7 +266,7 @@
                 Use::Allocation(id, _)
                     if matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Reset) =>
                 {
-                    exchange.not_taken(id, ending)
+                    exchange.not_taken(id, ending);
                 }
                 Use::Allocation(id, _) => exchange.ended(id, ending, None),
                 Use::GivingUp(id) => exchange.not_given_up(id),
@@ -419,7 +419,7 @@
         match (used, response.status) {
             (Use::Allocation(id, _), 202) => exchange.accepted(id),
             (Use::Allocation(id, _), 503 | 504) if unstarted => {
-                exchange.ended(id, AttemptOutcome::Full, report)
+                exchange.ended(id, AttemptOutcome::Full, report);
             }
             // The client's fault, not the executor's: an id that is another's, say.
             (Use::Allocation(id, _), 400..500) => exchange.ended(id, AttemptOutcome::Unusable, report),
--- a/crates/node/src/wire/fellows.rs
+++ b/crates/node/src/wire/fellows.rs
@@ -253,6 +253,7 @@
 impl Fellows {
     /// Listens beside the clients' address, and knocks at the fleet's contacts. `own`: this node's number, and how many
     /// there are by what it was told.
+    #[expect(clippy::too_many_lines, reason = "the steps of a start in their order; to be split")]
     pub fn meet(
         fleet: &fleet::FleetSettings,
         posted: &fleet::PeerSettings,
@@ -288,8 +289,10 @@
         let budgets = fleet.budgets.as_ref();
         let parts = budgets.map(|posted| Parts::new(now, posted, names, holder).map(RefCell::new));
         let parts = parts.transpose()?;
-        let permission =
-            fleet.maintenance.as_ref().map_or(Duration::from_nanos(0), |works| works.permission());
+        let permission = fleet
+            .maintenance
+            .as_ref()
+            .map_or(Duration::from_nanos(0), grebeusher_node_config::fleet::MaintenanceSettings::permission);
         let names = (fixed_hash(&at.to_string()), fixed_hash(&node_name(fellow.number)));
         let works = fleet.maintenance.as_ref().map(|_| Office {
             is_through: Cell::new(false),
@@ -587,7 +590,7 @@
             match (outcome, &self.parts, &self.works) {
                 (Outcome::Part(grant), Some(parts), _) => parts.borrow_mut().granted(&grant),
                 (Outcome::Permit(permit), _, Some(works)) => {
-                    works.granted(self.clock.now(), permit, exchange)
+                    works.granted(self.clock.now(), permit, exchange);
                 }
                 _ => {}
             }
--- a/crates/node/src/wire/settling.rs
+++ b/crates/node/src/wire/settling.rs
@@ -47,7 +47,7 @@
     fn joined_group(&mut self, group: u64, origin: GroupOrigin) {
         match origin {
             GroupOrigin::Bootstrapped => {
-                warn!(group, "keepers: group {group:016x} is founded here, as most keepers had nothing")
+                warn!(group, "keepers: group {group:016x} is founded here, as most keepers had nothing");
             }
             GroupOrigin::Joined => info!(group, "keepers: this one belongs to group {group:016x}"),
         }
@@ -101,8 +101,8 @@
     /// The number of the node that leads, as far as it is known here, and how much is settled at this keeper.
     pub fn figures(&self) -> (Option<u32>, Option<u64>) {
         let own = self.keeper.as_ref();
-        let leader = own.map_or(Some(self.asked), |keeper| keeper.leader());
-        let settled = own.and_then(|keeper| keeper.applied()).map(|(_, entries)| entries);
+        let leader = own.map_or(Some(self.asked), grebeusher_volatile_raft::Voter::leader);
+        let settled = own.and_then(grebeusher_volatile_raft::Voter::applied).map(|(_, entries)| entries);
         (leader.map(|place| self.keepers[place]), settled)
     }
 
--- a/crates/node/src/wire/sibling.rs
+++ b/crates/node/src/wire/sibling.rs
@@ -280,7 +280,7 @@
                 }
             }
             Ok(Word::Node(name)) => {
-                self.links.borrow_mut().drop(place, &format!("it is of another node, {name:?}"))
+                self.links.borrow_mut().drop(place, &format!("it is of another node, {name:?}"));
             }
             Err(e) => self.links.borrow_mut().drop(place, &format!("what it says can't be read: {e}")),
         }
--- a/crates/node/tests/stable_bytes.rs
+++ b/crates/node/tests/stable_bytes.rs
@@ -284,6 +284,7 @@
 const NOWHERE: &str = "127.0.0.1:9";
 
 /// One datagram of each kind, as node 2 sends it to node 1, with what it says.
+#[expect(clippy::too_many_lines, reason = "one sample for each kind of datagram")]
 fn datagrams() -> Vec<(&'static str, Vec<u8>, &'static str)> {
     let nowhere: SocketAddr = NOWHERE.parse().expect("an address");
     let from = (7u32, nowhere);
