--- a/crates/dispatch/tests/stable_bytes.rs
+++ b/crates/dispatch/tests/stable_bytes.rs
@@ -4,21 +4,21 @@
 use grebeusher_dispatch::load_message::{LoadMessage, MAX_COUNTS_PER_MESSAGE, MAX_MESSAGE_BYTES, short_hash};
 
 #[test]
-fn each_word_is_written_and_read_as_it_was() {
-    let words = [
+fn each_load_message_is_written_and_read_as_it_was() {
+    let sent_messages = [
         (LoadMessage::Own { filled: vec![(0xabcd, 3), (0x0102, 200)] }, &[1, 0xab, 0xcd, 3, 1, 2, 200][..]),
         (
             LoadMessage::All { list: 0xfeed, first: 2 * MAX_COUNTS_PER_MESSAGE, filled: vec![4, 5, 6] },
             &[2, 0xfe, 0xed, 2, 4, 5, 6],
         ),
     ];
-    for (word, bytes) in words {
+    for (message, bytes) in sent_messages {
         // One that is added is to be added here as well.
-        match word {
+        match message {
             LoadMessage::Own { .. } | LoadMessage::All { .. } => {}
         }
-        assert_eq!(word.encode(), bytes);
-        assert_eq!(LoadMessage::decode(bytes), Some(word));
+        assert_eq!(message.encode(), bytes);
+        assert_eq!(LoadMessage::decode(bytes), Some(message));
     }
     assert_eq!((MAX_MESSAGE_BYTES, MAX_COUNTS_PER_MESSAGE), (256, 200));
     assert_eq!(
--- a/crates/dispatch/tests/fake/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One tiny fake host that writes down what it is asked, and a story that plays against it.
+//! One tiny fake host that writes down what it is asked, and a scenario that plays against it.
 
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::host::Host;
@@ -12,54 +12,54 @@
 use std::rc::Rc;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Said {
+pub enum Action {
     Allocate(u64, usize, Duration),
     Cancel(u64, usize),
-    TurnBack(u64),
-    Forfeit(u64),
-    Wake(Duration, u64),
+    Reject(u64),
+    Fail(u64),
+    SetTimer(Duration, u64),
     Probe(usize),
-    Follow,
+    WatchExecutors,
 }
 
 /// A word, and the one node that it goes to or all.
-pub type Told = (Option<u64>, Vec<u8>);
+pub type SentMessage = (Option<u64>, Vec<u8>);
 
 /// What was said and told, and whether there is no part of a budget for retries.
 #[derive(Clone, Default)]
-pub struct Fake(pub Rc<RefCell<Vec<Said>>>, pub Rc<RefCell<Vec<Told>>>, pub Rc<Cell<bool>>);
+pub struct RecordingHost(pub Rc<RefCell<Vec<Action>>>, pub Rc<RefCell<Vec<SentMessage>>>, pub Rc<Cell<bool>>);
 
-impl Host for Fake {
+impl Host for RecordingHost {
     fn allocate(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration) {
-        self.0.borrow_mut().push(Said::Allocate(request.0, executor.0, time_out));
+        self.0.borrow_mut().push(Action::Allocate(request.0, executor.0, time_out));
     }
     fn may_retry(&mut self, _: RequestId) -> bool {
         !self.2.get()
     }
     fn cancel(&mut self, attempt: AttemptId) {
-        self.0.borrow_mut().push(Said::Cancel(attempt.request.0, attempt.number));
+        self.0.borrow_mut().push(Action::Cancel(attempt.request.0, attempt.number));
     }
     fn reject(&mut self, request: RequestId, _come_back: Option<Duration>) {
-        self.0.borrow_mut().push(Said::TurnBack(request.0));
+        self.0.borrow_mut().push(Action::Reject(request.0));
     }
     fn fail(&mut self, request: RequestId) {
-        self.0.borrow_mut().push(Said::Forfeit(request.0));
+        self.0.borrow_mut().push(Action::Fail(request.0));
     }
     fn set_timer(&mut self, after: Duration, alarm: u64) {
-        self.0.borrow_mut().push(Said::Wake(after, alarm));
+        self.0.borrow_mut().push(Action::SetTimer(after, alarm));
     }
     fn probe(&mut self, executor: ExecutorId) {
-        self.0.borrow_mut().push(Said::Probe(executor.0));
+        self.0.borrow_mut().push(Action::Probe(executor.0));
     }
-    fn send_load(&mut self, node: Option<u64>, word: &[u8]) {
-        self.1.borrow_mut().push((node, word.to_vec()));
+    fn send_load(&mut self, node: Option<u64>, message: &[u8]) {
+        self.1.borrow_mut().push((node, message.to_vec()));
     }
     fn watch_executors(&mut self) {
-        self.0.borrow_mut().push(Said::Follow);
+        self.0.borrow_mut().push(Action::WatchExecutors);
     }
 }
 
-pub const ALLOWANCE: AttemptPolicy = AttemptPolicy {
+pub const POLICY: AttemptPolicy = AttemptPolicy {
     max_attempts: 4,
     hedging: true,
     cancellation: true,
@@ -71,8 +71,8 @@
 };
 /// A size that stands for no hint at all: the unit joins no sample, and one lane stays.
 pub const UNHINTED: u64 = 0;
-pub const RETRIABLE: usize = 0;
-pub const BINDING: usize = 1;
+pub const IDEMPOTENT: usize = 0;
+pub const NON_IDEMPOTENT: usize = 1;
 pub const IN_ZONE: usize = 2;
 pub const ANYWHERE: usize = 3;
 
@@ -96,12 +96,12 @@
 }
 
 pub fn dispatcher(
-    host: Fake,
+    host: RecordingHost,
     (node, nodes): (u64, u64),
     policy: AttemptPolicy,
     probes: bool,
     starts: bool,
-) -> Dispatcher<Fake> {
+) -> Dispatcher<RecordingHost> {
     let slow_start = SlowStart {
         share: 0.2,
         warm_up: Duration::from_millis(20_000),
@@ -122,54 +122,61 @@
 }
 
 /// A node some way into its life, with a clock of its own.
-pub struct Story {
-    pub node: Dispatcher<Fake>,
-    pub said: Fake,
+pub struct Scenario {
+    pub node: Dispatcher<RecordingHost>,
+    pub host: RecordingHost,
     pub now: Instant,
 }
 
-impl Story {
-    pub fn with(executors: usize, policy: AttemptPolicy) -> Story {
-        Story::at(0, executors, policy, false)
+impl Scenario {
+    pub fn with(executors: usize, policy: AttemptPolicy) -> Scenario {
+        Scenario::at(0, executors, policy, false)
     }
 
     /// At one of the two nodes, with probes or without: with them it asks before it sends.
-    pub fn at(node: u64, executors: usize, policy: AttemptPolicy, probes: bool) -> Story {
-        Story::new((node, 2), executors, policy, probes, true)
+    pub fn at(node: u64, executors: usize, policy: AttemptPolicy, probes: bool) -> Scenario {
+        Scenario::new((node, 2), executors, policy, probes, true)
     }
 
     /// One of two nodes that may send each other words.
-    pub fn with_load_sharing(node: u64, executors: usize) -> Story {
-        let mut story = Story::at(node, executors, ALLOWANCE, false);
-        story.node =
-            dispatcher(story.said.clone(), (node, 2), ALLOWANCE, false, true).with_load_sharing(true);
-        story.node.start(story.now);
-        story.list(executors);
-        story
+    pub fn with_load_sharing(node: u64, executors: usize) -> Scenario {
+        let mut scenario = Scenario::at(node, executors, POLICY, false);
+        scenario.node =
+            dispatcher(scenario.host.clone(), (node, 2), POLICY, false, true).with_load_sharing(true);
+        scenario.node.start(scenario.now);
+        scenario.list(executors);
+        scenario
     }
 
     /// What was said to other nodes since the last look.
-    pub fn words(&self) -> Vec<Told> {
-        self.said.1.take()
+    pub fn sent_messages(&self) -> Vec<SentMessage> {
+        self.host.1.take()
     }
 
     /// Where starts are told, or not.
-    pub fn told(executors: usize, policy: AttemptPolicy, starts: bool) -> Story {
-        Story::new((0, 2), executors, policy, false, starts)
+    pub fn told(executors: usize, policy: AttemptPolicy, starts: bool) -> Scenario {
+        Scenario::new((0, 2), executors, policy, false, starts)
     }
 
     /// All nodes of a fleet, each with what it says; none hears of the others.
-    pub fn fleet(nodes: u64, executors: usize) -> Vec<Story> {
-        (0..nodes).map(|node| Story::new((node, nodes), executors, ALLOWANCE, false, true)).collect()
+    pub fn fleet(nodes: u64, executors: usize) -> Vec<Scenario> {
+        (0..nodes).map(|node| Scenario::new((node, nodes), executors, POLICY, false, true)).collect()
     }
 
-    fn new(node: (u64, u64), executors: usize, policy: AttemptPolicy, probes: bool, starts: bool) -> Story {
-        let said = Fake::default();
+    fn new(
+        node: (u64, u64),
+        executors: usize,
+        policy: AttemptPolicy,
+        probes: bool,
+        starts: bool,
+    ) -> Scenario {
+        let host = RecordingHost::default();
         let now = Instant(1_000_000_000_000);
-        let mut story = Story { node: dispatcher(said.clone(), node, policy, probes, starts), said, now };
-        story.node.start(now);
-        story.list(executors);
-        story
+        let mut scenario =
+            Scenario { node: dispatcher(host.clone(), node, policy, probes, starts), host, now };
+        scenario.node.start(now);
+        scenario.list(executors);
+        scenario
     }
 
     /// A whole list of so many.
@@ -178,11 +185,11 @@
         let entries: Vec<ListedExecutor> =
             names.iter().enumerate().map(|(i, name)| listing(i, name)).collect();
         self.node.update_executors(self.now, ListUpdate::Complete, &entries);
-        self.said.0.borrow_mut().clear();
+        self.host.0.borrow_mut().clear();
     }
 
     /// One that has just started joins the list.
-    pub fn list_cold(&mut self, index: usize) {
+    pub fn list_warming(&mut self, index: usize) {
         let slow_start = ListedExecutor { started: Some(self.now), ..listing(index, "cold") };
         self.node.update_executors(self.now, ListUpdate::Changes, &[slow_start]);
     }
@@ -190,7 +197,7 @@
     /// So many units of one size run one after the other, for so many milliseconds each.
     pub fn run_requests(&mut self, requests: u64, size_ms: u64, run_ms: u64) {
         for request in 0..requests {
-            self.arrive(request, BINDING, size_ms);
+            self.arrive(request, NON_IDEMPOTENT, size_ms);
             let executor = self.sent_to();
             self.start_of(request, 0, executor);
             self.pass(run_ms);
@@ -198,8 +205,8 @@
         }
     }
 
-    pub fn of(executors: usize) -> Story {
-        Story::with(executors, ALLOWANCE)
+    pub fn of(executors: usize) -> Scenario {
+        Scenario::with(executors, POLICY)
     }
 
     pub fn pass(&mut self, ms: u64) {
@@ -215,52 +222,60 @@
         self.arrive_as(request, Arrival { class, hint, ..self.arrival(ms) });
     }
 
-    /// A plain arrival whose the deadline ends in so many milliseconds, to be changed where a story needs it.
+    /// A plain arrival whose the deadline ends in so many milliseconds, to be changed where a scenario needs it.
     pub fn arrival(&self, ms: u64) -> Arrival {
         let (deadline, hint) = (self.now + Duration::from_millis(ms), Some(Duration::from_millis(100)));
-        Arrival { class: BINDING, customer: 0, deadline, repeat: false, hint, slots: 1.0, over_budget: false }
+        Arrival {
+            class: NON_IDEMPOTENT,
+            customer: 0,
+            deadline,
+            repeat: false,
+            hint,
+            slots: 1.0,
+            over_budget: false,
+        }
     }
 
     pub fn arrive_as(&mut self, request: u64, arrival: Arrival) {
         self.node.request_arrived(self.now, RequestId(request), &arrival);
     }
 
-    pub fn end(&mut self, request: u64, go: usize, executor: usize, ending: AttemptOutcome) {
-        self.end_with(request, go, executor, ending, None);
+    pub fn end(&mut self, request: u64, number: usize, executor: usize, ending: AttemptOutcome) {
+        self.end_with(request, number, executor, ending, None);
     }
 
     pub fn end_with(
         &mut self,
         request: u64,
-        go: usize,
+        number: usize,
         executor: usize,
         ending: AttemptOutcome,
-        word: Option<LoadReport>,
+        message: Option<LoadReport>,
     ) {
-        let id = AttemptId { request: RequestId(request), number: go };
+        let id = AttemptId { request: RequestId(request), number };
         let finished = ending == AttemptOutcome::Served;
-        self.node.attempt_ended(self.now, id, ExecutorId(executor), ending, finished, word);
+        self.node.attempt_ended(self.now, id, ExecutorId(executor), ending, finished, message);
     }
 
-    pub fn start_of(&mut self, request: u64, go: usize, executor: usize) {
+    pub fn start_of(&mut self, request: u64, number: usize, executor: usize) {
         self.node.attempt_progressed(
             self.now,
-            AttemptId { request: RequestId(request), number: go },
+            AttemptId { request: RequestId(request), number },
             ExecutorId(executor),
         );
     }
 
     /// What was said since the last look, without the alarms.
-    pub fn heard(&mut self) -> Vec<Said> {
-        let mut said = self.said.0.take();
-        said.retain(|s| !matches!(s, Said::Wake(..)));
-        said
+    pub fn actions(&mut self) -> Vec<Action> {
+        let mut host = self.host.0.take();
+        host.retain(|s| !matches!(s, Action::SetTimer(..)));
+        host
     }
 
     /// The executor that the one thing said was an attempt to.
     pub fn sent_to(&mut self) -> usize {
-        match self.heard()[..] {
-            [Said::Allocate(_, executor, _)] => executor,
+        match self.actions()[..] {
+            [Action::Allocate(_, executor, _)] => executor,
             ref other => panic!("expected one allocation, heard {other:?}"),
         }
     }
