--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -1,15 +1,10 @@
 //! The decisions of a node: which executor gets a request, and what becomes of it.
 //!
-//! An owner builds one [`Dispatcher`] (`builder`), hands it a [`Host`] to act through, calls `start`, and then one
-//! method for each event, with its time. Nothing else drives it: no clock, no I/O. All randomness comes from one seeded
-//! generator, so equal events give equal decisions.
-//!
-//! The design is SITA-E (`docs/design.md`): the size of a request picks a lane by cut-offs that equalise the summed
-//! size per worker (`lanes`); inside the lane a random pick is weighted by one minus the utilisation (`selection`).
-//! Six mechanisms stand beside it: the executor list (`executor_list`), outlier ejection (`health`), slow start
-//! (`executor`), retries and hedges (`retry`), rejection with fair shares of customers (`selection`, `pending`), and
-//! load by own evidence (`executor`) and by load sharing (`load_sharing`). `placement` follows a request from its
-//! arrival to its final answer.
+//! A [`Dispatcher`] (constructed in `builder`) acts through its [`Host`], one method for each event, with its time.
+//! Nothing else drives it. The design is SITA-E (`docs/design.md`): the size of a request picks a lane by cut-offs
+//! (`lanes`), and in it a random pick is weighted by one minus the utilisation (`selection`). Beside it stand the
+//! executor list, outlier ejection (`health`), slow start (`executor`), retries and hedges (`retry`), rejection with
+//! fair shares (`selection`, `pending`), and load sharing. `placement` follows a request to its final answer.
 
 mod builder;
 mod executor;
@@ -28,24 +23,23 @@
 use executor::Executor;
 use grebeusher_sizing::CutOffs;
 use load_sharing::LoadSharing;
-use pending::{PendingRequest, QuotaShare};
+use pending::{Pending, QuotaShare};
 use rand::Rng;
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, VecDeque};
 
 const HEARTBEAT_TIMER: u64 = 0;
 const WATCH_TIMER: u64 = 1;
-const FIRST_REQUEST_TIMER: u64 = 2;
+const REQUEST_TIMERS: u64 = 2;
 /// Housekeeping runs this often: well under the seconds after which reports and lists change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// The final answer is due this long before the deadline ends: a few batches of any caller.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// Progress is reported at a steady interval: so many without a report are no chance.
-const MAX_SILENT_INTERVALS: f64 = 2.5;
+const MAX_SILENCE: f64 = 2.5;
 /// Below this many sizes one lane holds every worker (design page).
 const MIN_SAMPLES: usize = 50;
-/// What is sent is on its way to whoever counts it for so long at most, or they count it a little later than
-/// this node: two that are a window apart here may come closer together there.
+/// By how much others may count later what this node sends: two that are a window apart here may be closer there.
 const RECEIPT_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// The decisions of one node, with all that it knows.
@@ -59,13 +53,13 @@
     policy: AttemptPolicy,
     slow_start: SlowStart,
     signals: ExecutorSignals,
-    load_sharing: LoadSharing,
+    sharing: LoadSharing,
     quota_shares: Vec<QuotaShare>,
     executors: Vec<Executor>,
     /// The ready executors in the order in which this node uses them.
     ready_order: Vec<usize>,
     out: usize,
-    requests: BTreeMap<RequestId, PendingRequest>,
+    requests: BTreeMap<RequestId, Pending>,
     /// When requests came and retries were sent, as far as their budget looks back.
     arrival_times: VecDeque<Instant>,
     retry_times: VecDeque<Instant>,
@@ -79,13 +73,11 @@
 impl<H: Host> Dispatcher<H> {
     /// Begins; no other event may come before.
     pub fn start(&mut self, now: Instant) {
-        (self.recut, self.load_sharing.last_received, self.slow_start.from) =
+        (self.recut, self.sharing.last_received, self.slow_start.from) =
             (now, now, now + self.slow_start.fall_window);
         // Nodes that start together must not do their housekeeping together.
-        self.host.set_timer(
-            Duration::from_seconds(HEARTBEAT_INTERVAL.seconds() * self.rng.random::<f64>()),
-            HEARTBEAT_TIMER,
-        );
+        let first = Duration::from_seconds(HEARTBEAT_INTERVAL.seconds() * self.rng.random::<f64>());
+        self.host.set_timer(first, HEARTBEAT_TIMER);
         if self.signals.must_watch_executors {
             self.host.watch_executors();
         }
@@ -96,7 +88,7 @@
         match timer {
             HEARTBEAT_TIMER => self.housekeep(now),
             WATCH_TIMER => self.host.watch_executors(),
-            _ => self.review(now, RequestId(timer - FIRST_REQUEST_TIMER)),
+            _ => self.review(now, RequestId(timer - REQUEST_TIMERS)),
         }
     }
 
@@ -111,15 +103,14 @@
         self.host.set_timer(HEARTBEAT_INTERVAL, HEARTBEAT_TIMER);
         // While one is cold a node that knows few sizes learns paces, slots and the mean at each round of housekeeping. Guards
         // against nodes restarted together that leave cold executors idle, as they take a request for too much.
-        let learns = |e: &Executor| {
-            self.known.count() < MIN_SAMPLES && e.slow_start_budget(&self.slow_start, now).is_some()
-        };
-        if now.since(self.recut) >= CUT_OFF_INTERVAL || self.ready().any(learns) {
+        let warming = |e: &Executor| e.slow_start_budget(&self.slow_start, now).is_some();
+        let learns = self.known.count() < MIN_SAMPLES && self.ready().any(warming);
+        if now.since(self.recut) >= CUT_OFF_INTERVAL || learns {
             self.recut = now;
             self.recompute_cut_offs();
             self.form_lanes(now);
         }
-        if self.load_sharing.allowed {
+        if self.sharing.allowed {
             self.exchange_load(now);
         }
         self.serve_pending(now);
--- a/crates/dispatch/src/decide/builder.rs
+++ b/crates/dispatch/src/decide/builder.rs
@@ -22,7 +22,7 @@
             policy: AttemptPolicy::default(),
             slow_start: SlowStart::default(),
             signals: ExecutorSignals::default(),
-            load_sharing: LoadSharing::default(),
+            sharing: LoadSharing::default(),
             quota_shares: Vec::new(),
             executors: Vec::new(),
             ready_order: Vec::new(),
@@ -65,7 +65,7 @@
 
     /// Whether nodes may send each other load messages.
     pub fn with_load_sharing(mut self, peers: bool) -> Self {
-        self.load_sharing.allowed = peers && self.nodes > 1;
+        self.sharing.allowed = peers && self.nodes > 1;
         self
     }
 
--- a/crates/dispatch/src/decide/executor.rs
+++ b/crates/dispatch/src/decide/executor.rs
@@ -5,7 +5,7 @@
 use crate::{AttemptId, Duration, ExecutorStatus, Instant, SlowStart};
 
 /// An attempt that is still out, as its executor's record keeps it.
-pub(super) struct InFlightAttempt {
+pub(super) struct InFlight {
     pub(super) id: AttemptId,
     pub(super) size: f64,
     pub(super) slots: f64,
@@ -41,7 +41,7 @@
     /// of a while ago, so room goes by the first, and what all nodes together may send by both.
     pub(super) slots: f64,
     pub(super) most_free: f64,
-    pub(super) in_flight: Vec<InFlightAttempt>,
+    pub(super) in_flight: Vec<InFlight>,
     /// Slots that other nodes fill here by load sharing, and as of when; and what this one sent them last.
     pub(super) others: Option<(Instant, f64)>,
     pub(super) reported_slots: u8,
@@ -58,7 +58,7 @@
     pub(super) last_wait: f64,
     pub(super) last_start: Instant,
     /// When something was sent here while it was cold.
-    pub(super) sent_while_warming: Vec<Instant>,
+    pub(super) warming_sends: Vec<Instant>,
 }
 
 impl Executor {
@@ -122,34 +122,26 @@
     }
 
     /// The work that all nodes together may send here within a window, while it is cold.
-    pub(super) fn slow_start_budget(&self, slow_start: &SlowStart, now: Instant) -> Option<f64> {
-        let started = self.warming_since.max(self.died).filter(|&at| now < at + slow_start.warm_up)?;
-        Some(slow_start.least(now.since(started)) * self.capacity * slow_start.fall_factor)
+    pub(super) fn slow_start_budget(&self, limits: &SlowStart, now: Instant) -> Option<f64> {
+        let started = self.warming_since.max(self.died).filter(|&at| now < at + limits.warm_up)?;
+        Some(limits.least(now.since(started)) * self.capacity * limits.fall_factor)
     }
 
     /// Whether a cold executor can take one more request, of `mean` size: it falls by their number more
     /// than by their size. Its budget is split among as many nodes as get a request each of it, one at least:
     /// those nearest after its fixed hash; the others leave it alone until it is warm. Guards against all
     /// nodes together pushing it over, and against one that idles since the few that may use it see little.
-    pub(super) fn slow_start_admits(
-        &self,
-        slow_start: &SlowStart,
-        nodes: u64,
-        now: Instant,
-        mean: f64,
-    ) -> bool {
+    pub(super) fn slow_start_admits(&self, limits: &SlowStart, nodes: u64, now: Instant, mean: f64) -> bool {
         const USED: f64 = 0.8; // of the budget: the rest covers one slower than its kind
         const FIRST: usize = 3; // in flight before any answer: a long one must not keep all others out
-        let Some(requests) = self.slow_start_budget(slow_start, now).map(|budget| budget * USED / mean)
-        else {
-            return true;
-        };
-        let owners = (requests as u64).clamp(1, nodes);
-        let window = slow_start.fall_window + RECEIPT_TIMEOUT;
-        let sent = self.sent_while_warming.iter().filter(|&&at| now.since(at) <= window).count();
-        now >= slow_start.from
+        let Some(budget) = self.slow_start_budget(limits, now) else { return true };
+        let most = budget * USED / mean;
+        let owners = (most as u64).clamp(1, nodes);
+        let window = limits.fall_window + RECEIPT_TIMEOUT;
+        let sent = self.warming_sends.iter().filter(|&&at| now.since(at) <= window).count();
+        now >= limits.from
             && self.distance < owners
             && self.in_flight.len() < FIRST + self.answers
-            && (sent + 1) as f64 <= requests / owners as f64
+            && (sent + 1) as f64 <= most / owners as f64
     }
 }
--- a/crates/dispatch/src/decide/executor_list.rs
+++ b/crates/dispatch/src/decide/executor_list.rs
@@ -17,9 +17,9 @@
         for entry in entries {
             let index = entry.executor.0;
             // What is known of its kind holds for a new one: while it is cold its budget goes by that.
-            let same_kind = self.executors.iter().find(|e| e.kind == entry.kind);
+            let peer = self.executors.iter().find(|e| e.kind == entry.kind);
             let (capacity, pace, most_free) =
-                same_kind.map_or((1., 1., 0.), |e| (e.capacity, e.pace, e.most_free));
+                peer.map_or((1., 1., 0.), |e| (e.capacity, e.pace, e.most_free));
             let new = || Executor { capacity, pace, most_free, slots: 1.0, ..Executor::default() };
             self.executors.resize_with(self.executors.len().max(index + 1), new);
             let e = &mut self.executors[index];
@@ -32,21 +32,19 @@
             if entry.started > e.started {
                 // A restarted process is cold and owes nothing to its past.
                 e.started = entry.started;
-                e.warming_since =
-                    entry.started.map(|at| at.max(now.min(at + self.slow_start.start_time_error)));
+                let error = self.slow_start.start_time_error;
+                e.warming_since = entry.started.map(|at| at.max(now.min(at + error)));
                 (e.reported, e.utilisation, e.answers) = (None, 0.0, 0);
                 e.ejected_until = Instant(0);
-                e.sent_while_warming.clear();
+                e.warming_sends.clear();
             }
         }
         self.form_lanes(now);
         self.serve_pending(now);
     }
 
-    /// All that discovery had at `as_of` is known here; `answered`: discovery said so itself.
-    ///
-    /// Once what it had later counts as announced, and the grace is over, nothing goes to executors whose status
-    /// comes from the list alone.
+    /// All that discovery had at `as_of` is known here; `answered`: discovery said so itself. Once what it had
+    /// later counts as announced, and the grace is over, nothing goes by the list alone.
     pub fn executor_list_confirmed(&mut self, as_of: Instant, answered: bool) {
         self.watch_attempts *= u32::from(!answered);
         const NOTIFICATION_TIMEOUT: Duration = Duration::from_millis(6000); // whatever became of the node's calls
@@ -71,9 +69,8 @@
         (listed.clone().count(), listed.filter(out).count())
     }
 
-    /// Whether an attempt that waited for a connection may still go to its executor. Guards against one
-    /// that begins after a drain was announced, or of an age of the list that may hide one, or after its
-    /// deduplication window.
+    /// Whether an attempt that waited for a connection may still go to its executor. Guards against one that begins
+    /// after a drain was announced or may have been, or after its deduplication window.
     pub fn may_send_now(&self, now: Instant, id: AttemptId, executor: ExecutorId) -> bool {
         let (e, Some(work)) = (&self.executors[executor.0], self.requests.get(&id.request)) else {
             return false;
--- a/crates/dispatch/src/decide/health.rs
+++ b/crates/dispatch/src/decide/health.rs
@@ -1,6 +1,6 @@
 //! What starts, outcomes and reports say of executors, and outlier ejection.
 
-use super::{Dispatcher, executor::InFlightAttempt, pending::Attempt};
+use super::{Dispatcher, executor::InFlight, pending::Attempt};
 use crate::time::DurationExt;
 use crate::{AttemptId, AttemptOutcome, Duration, ExecutorId, Host, Instant, LoadReport};
 use rand::Rng;
@@ -12,9 +12,7 @@
         if let Some(attempt) = e.in_flight.iter_mut().find(|f| f.id == id) {
             if attempt.started.is_none() {
                 // Where starts are not reported the first report of progress proves one, a pace ago at most.
-                let unreported =
-                    self.signals.progress.filter(|_| !self.signals.reports_starts).unwrap_or_default();
-                let started = attempt.sent.max(now - unreported);
+                let started = attempt.sent.max(now - self.signals.start_lag().unwrap_or_default());
                 attempt.started = Some(started);
                 (e.last_wait, e.last_start) = (started.since(attempt.sent).seconds(), started);
             }
@@ -26,9 +24,7 @@
         let others = work.attempts.iter().enumerate().filter(|(n, a)| *n != id.number && a.is_out());
         let others: Vec<usize> = others.map(|(number, _)| number).collect();
         if work.attempts.get(id.number).is_some_and(Attempt::is_out) {
-            others
-                .into_iter()
-                .for_each(|number| self.cancel_attempt(AttemptId { request: id.request, number }));
+            others.into_iter().for_each(|number| self.cancel_attempt(AttemptId { number, ..id }));
         }
     }
 
@@ -44,13 +40,12 @@
     ) {
         self.load_reported(now, executor, report);
         self.record_outcome(now, id, executor, outcome);
-        let request = id.request;
-        if let Some(work) = self.requests.get_mut(&request) {
+        if let Some(work) = self.requests.get_mut(&id.request) {
             if let Some(attempt) = work.attempts.get_mut(id.number) {
                 attempt.open = false;
                 attempt.may_have_run = !outcome.proves_not_executed();
             }
-            if finished { self.finish(request) } else { self.retry_or_answer(now, request, outcome) }
+            if finished { self.finish(id.request) } else { self.retry_or_answer(now, id.request, outcome) }
         }
         self.serve_pending(now);
     }
@@ -83,12 +78,12 @@
             AttemptOutcome::Served => {
                 e.answers += 1;
                 match attempt {
-                    Some(InFlightAttempt { started: Some(at), size, slots, .. }) => {
+                    Some(InFlight { started: Some(at), size, slots, .. }) => {
                         (e.done, e.ran) = (e.done + size, e.ran + now.since(at).seconds() * slots);
                     }
                     // Where neither starts nor other nodes tell, the answer tells the wait: all that it took
                     // beyond its own run. Guards against queues unseen as work runs for less than a pace.
-                    Some(f) if !self.signals.reports_starts && !self.load_sharing.allowed => {
+                    Some(f) if !self.signals.reports_starts && !self.sharing.allowed => {
                         let run = f.size / f.slots / e.pace.max(1.0);
                         let took = now.since(f.sent).seconds();
                         // Paces only from one that is half idle, where next to nothing waits; and a run of a
--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -25,10 +25,10 @@
         for (&i, lane) in self.ready_order.iter().zip(lanes) {
             self.executors[i].lane = lane;
         }
-        if self.load_sharing.allowed {
-            self.load_sharing.order.clone_from(&self.ready_order);
-            self.load_sharing.order.sort_by_key(|&i| short_hash(self.executors[i].hash));
-            self.load_sharing.list = short_hash(self.ready().fold(0, |sum, e| sum ^ mixed(e.hash)));
+        if self.sharing.allowed {
+            self.sharing.order.clone_from(&self.ready_order);
+            self.sharing.order.sort_by_key(|&i| short_hash(self.executors[i].hash));
+            self.sharing.list = short_hash(self.ready().fold(0, |sum, e| sum ^ mixed(e.hash)));
         }
         // The own zone comes six times as far to the front: crossing costs, yet a zone must not be left to
         // itself, since neither workers nor clients are spread evenly. Before all come the cold ones that
--- a/crates/dispatch/src/decide/load_sharing.rs
+++ b/crates/dispatch/src/decide/load_sharing.rs
@@ -1,6 +1,4 @@
 //! Load sharing: nodes that may message each other sum up the slots that they fill.
-//!
-//! Each node sends what it has in flight to one aggregator, which sends the sums to all. Messages may get lost.
 
 use super::Dispatcher;
 use crate::load_message::{LoadMessage, MAX_COUNTS_PER_MESSAGE, short_hash};
@@ -23,16 +21,16 @@
 impl<H: Host> Dispatcher<H> {
     /// Another node sent a load message.
     pub fn load_message_received(&mut self, now: Instant, node: u64, message: &[u8]) {
-        let load_sharing = &mut self.load_sharing;
-        match LoadMessage::decode(message).filter(|_| load_sharing.allowed) {
-            Some(LoadMessage::Own { filled }) => drop(load_sharing.received.insert(node, (now, filled))),
+        let sharing = &mut self.sharing;
+        match LoadMessage::decode(message).filter(|_| sharing.allowed) {
+            Some(LoadMessage::Own { filled }) => drop(sharing.received.insert(node, (now, filled))),
             // An aggregator that returns after the others found another receives nothing from them: it joins them.
             Some(LoadMessage::All { list, first, filled })
-                if node <= load_sharing.aggregator
-                    || load_sharing.aggregator == self.node && load_sharing.received.is_empty() =>
+                if node <= sharing.aggregator
+                    || sharing.aggregator == self.node && sharing.received.is_empty() =>
             {
-                (load_sharing.aggregator, load_sharing.last_received) = (node, now);
-                if list == load_sharing.list {
+                (sharing.aggregator, sharing.last_received) = (node, now);
+                if list == sharing.list {
                     self.learn(now, first, &filled);
                 }
             }
@@ -44,10 +42,9 @@
     /// The first node aggregates while its messages come, else the next; without any the own evidence is left.
     pub(super) fn exchange_load(&mut self, now: Instant) {
         const MESSAGE_TTL: Duration = Duration::from_millis(2000); // several messages in a row
-        let load_sharing = &mut self.load_sharing;
-        if load_sharing.aggregator != self.node && now.since(load_sharing.last_received) > MESSAGE_TTL {
-            (load_sharing.aggregator, load_sharing.last_received) =
-                ((load_sharing.aggregator + 1) % self.nodes, now);
+        let sharing = &mut self.sharing;
+        if sharing.aggregator != self.node && now.since(sharing.last_received) > MESSAGE_TTL {
+            (sharing.aggregator, sharing.last_received) = ((sharing.aggregator + 1) % self.nodes, now);
         }
         let mut filled = Vec::new();
         for e in &mut self.executors {
@@ -56,35 +53,32 @@
                 filled.push((short_hash(e.hash), e.reported_slots));
             }
         }
-        load_sharing.received.retain(|_, (at, _)| now.since(*at) <= MESSAGE_TTL);
-        if load_sharing.aggregator != self.node {
-            self.host.send_load(
-                Some(load_sharing.aggregator),
-                &LoadMessage::Own { filled: filled.clone() }.encode(),
-            );
+        sharing.received.retain(|_, (at, _)| now.since(*at) <= MESSAGE_TTL);
+        if sharing.aggregator != self.node {
+            let own = LoadMessage::Own { filled: filled.clone() };
+            self.host.send_load(Some(sharing.aggregator), &own.encode());
         }
-        if load_sharing.received.is_empty() {
+        if sharing.received.is_empty() {
             return;
         }
-        let mut sums = vec![0_u8; load_sharing.order.len()];
-        for &(named, count) in load_sharing.received.values().flat_map(|(_, filled)| filled).chain(&filled) {
-            if let Ok(at) =
-                load_sharing.order.binary_search_by_key(&named, |&at| short_hash(self.executors[at].hash))
-            {
+        let mut sums = vec![0_u8; sharing.order.len()];
+        for &(named, count) in sharing.received.values().flat_map(|(_, filled)| filled).chain(&filled) {
+            let hash = |&at: &usize| short_hash(self.executors[at].hash);
+            if let Ok(at) = sharing.order.binary_search_by_key(&named, hash) {
                 sums[at] = sums[at].saturating_add(count);
             }
         }
         for (number, chunk) in sums.chunks(MAX_COUNTS_PER_MESSAGE).enumerate() {
-            let (list, first) = (self.load_sharing.list, number * MAX_COUNTS_PER_MESSAGE);
+            let (list, first) = (self.sharing.list, number * MAX_COUNTS_PER_MESSAGE);
             self.host.send_load(None, &LoadMessage::All { list, first, filled: chunk.to_vec() }.encode());
-            if self.load_sharing.aggregator == self.node {
+            if self.sharing.aggregator == self.node {
                 self.learn(now, first, chunk);
             }
         }
     }
 
     fn learn(&mut self, now: Instant, first: usize, filled: &[u8]) {
-        for (&at, count) in self.load_sharing.order.iter().skip(first).zip(filled) {
+        for (&at, count) in self.sharing.order.iter().skip(first).zip(filled) {
             let e = &mut self.executors[at];
             e.others = Some((now, f64::from(count.saturating_sub(e.reported_slots))));
         }
--- a/crates/dispatch/src/decide/pending.rs
+++ b/crates/dispatch/src/decide/pending.rs
@@ -20,10 +20,10 @@
 
 /// A request that still owes its final answer.
 #[derive(Default)]
-pub(super) struct PendingRequest {
+pub(super) struct Pending {
     pub(super) class: usize,
     pub(super) asked: Instant,
-    pub(super) latency_objective: Duration,
+    pub(super) objective: Duration,
     pub(super) deadline: Instant,
     pub(super) size: f64,
     pub(super) slots: f64,
@@ -34,10 +34,10 @@
     pub(super) over_share: bool,
 }
 
-impl PendingRequest {
+impl Pending {
     /// Seconds left for waiting if the latency objective is to be kept.
     pub(super) fn slack(&self, now: Instant) -> f64 {
-        (self.asked + self.latency_objective).since(now).seconds() - self.size / self.slots
+        (self.asked + self.objective).since(now).seconds() - self.size / self.slots
     }
 }
 
--- a/crates/dispatch/src/decide/placement.rs
+++ b/crates/dispatch/src/decide/placement.rs
@@ -1,11 +1,7 @@
 //! The course of a request: it arrives, is sent, queued or rejected, and has exactly one final answer.
 
-use super::pending::{Attempt, PendingRequest};
-use super::selection::Selection;
-use super::{
-    ANSWER_MARGIN, Dispatcher, FIRST_REQUEST_TIMER, MAX_SILENT_INTERVALS, MIN_SAMPLES, RECEIPT_TIMEOUT,
-    executor::InFlightAttempt,
-};
+use super::{ANSWER_MARGIN, Dispatcher, MAX_SILENCE, MIN_SAMPLES, RECEIPT_TIMEOUT, REQUEST_TIMERS};
+use super::{executor::InFlight, pending::Attempt, pending::Pending, selection::Selection};
 use crate::time::DurationExt;
 use crate::{Arrival, AttemptId, Duration, Effect, ExecutorId, Host, Instant, RequestId};
 
@@ -36,20 +32,11 @@
         // The latency objective runs from a client's first attempt. Guards against late repeats taking the place of
         // what can still be in time.
         let asked = if arrival.repeat { now.min(deadline - terms.deadline) } else { now };
-        let latency_objective =
-            terms.latency_objective + Duration::from_seconds(terms.stretch * size / slots);
+        let objective = terms.latency_objective + Duration::from_seconds(terms.stretch * size / slots);
         let over_share = self.quota_shares.get_mut(arrival.customer).is_some_and(|a| a.exceeds_share(now));
-        let work = PendingRequest {
-            class,
-            asked,
-            latency_objective,
-            deadline,
-            size,
-            slots,
-            over_share,
-            ..PendingRequest::default()
-        };
-        self.requests.insert(request, work);
+        let new =
+            Pending { class, asked, objective, deadline, size, slots, over_share, ..Default::default() };
+        self.requests.insert(request, new);
         if arrival.over_budget { self.answer(request) } else { self.place(now, request) }
     }
 
@@ -69,8 +56,8 @@
         }
         match picked {
             Some(Selection { executor, wait, .. }) => {
-                let (first, fresh) =
-                    (work.attempts.is_empty(), work.attempts.iter().all(|a| !a.may_have_run));
+                let first = work.attempts.is_empty();
+                let fresh = work.attempts.iter().all(|a| !a.may_have_run);
                 let spent = !first && !self.may_retry(now);
                 let wait_too_long = fresh && self.wait_too_long(now, &self.requests[&request], wait);
                 if spent || wait_too_long {
@@ -82,7 +69,7 @@
                 }
             }
             None => {
-                let until = (now + MAX_QUEUE_TIME).min(work.asked + work.latency_objective);
+                let until = (now + MAX_QUEUE_TIME).min(work.asked + work.objective);
                 self.queue(now, request, until)
             }
         }
@@ -93,7 +80,7 @@
         let Some(work) = self.requests.get_mut(&request).filter(|work| !work.pending) else { return };
         work.pending = true;
         work.pending_until = until.min(work.deadline - ANSWER_MARGIN);
-        self.host.set_timer(work.pending_until.since(now), FIRST_REQUEST_TIMER + request.0);
+        self.host.set_timer(work.pending_until.since(now), REQUEST_TIMERS + request.0);
     }
 
     /// Sends one attempt of the request, and sees to it that it is reviewed where it may be retried.
@@ -104,8 +91,7 @@
         let Some(work) = self.requests.get_mut(&request) else { return };
         let e = &mut self.executors[executor.0];
         (work.pending, self.out) = (false, self.out + 1);
-        let sent = Attempt { executor, sent: now, open: true, may_have_run: true, cancelled: false };
-        work.attempts.push(sent);
+        work.attempts.push(Attempt { executor, sent: now, open: true, may_have_run: true, cancelled: false });
         if work.attempts.len() > 1 && self.policy.retry_budget.is_some() {
             self.retry_times.push_back(now);
         }
@@ -119,18 +105,10 @@
             None => Instant(u64::MAX),
         };
         let id = AttemptId { request, number: work.attempts.len() - 1 };
-        e.in_flight.push(InFlightAttempt {
-            id,
-            size,
-            slots,
-            sent: now,
-            start_due,
-            started: None,
-            last_report: now,
-        });
+        e.in_flight.push(InFlight { id, size, slots, sent: now, start_due, started: None, last_report: now });
         if e.slow_start_budget(&self.slow_start, now).is_some() {
-            e.sent_while_warming.retain(|&at| now.since(at) <= self.slow_start.fall_window + RECEIPT_TIMEOUT);
-            e.sent_while_warming.push(now);
+            e.warming_sends.retain(|&at| now.since(at) <= self.slow_start.fall_window + RECEIPT_TIMEOUT);
+            e.warming_sends.push(now);
         }
         let last_report = e.reported.unwrap_or_default().max(e.asked);
         if self.signals.may_probe && now.since(last_report) >= PROBE_INTERVAL {
@@ -139,11 +117,9 @@
         }
         self.host.allocate(request, executor, time_out);
         if self.classes[work.class].effect != Effect::NonIdempotent {
-            let unreported = self.signals.progress.filter(|_| !self.signals.reports_starts);
-            self.host.set_timer(
-                unreported.map_or(REVIEW_DELAY, |pace| pace.scaled(MAX_SILENT_INTERVALS)),
-                FIRST_REQUEST_TIMER + request.0,
-            );
+            let lag = self.signals.start_lag();
+            let delay = lag.map_or(REVIEW_DELAY, |interval| interval.scaled(MAX_SILENCE));
+            self.host.set_timer(delay, REQUEST_TIMERS + request.0);
         }
     }
 
@@ -171,13 +147,9 @@
 
     /// Tries the queued requests again, oldest first, and answers those whose time in the queue is over.
     pub fn serve_pending(&mut self, now: Instant) {
-        let pending = self
-            .requests
-            .iter()
-            .filter(|(_, work)| work.pending)
-            .map(|(&request, work)| (request, work.pending_until));
-        for (request, pending_until) in pending.collect::<Vec<_>>() {
-            if pending_until <= now { self.answer(request) } else { self.place(now, request) }
+        let pending = self.requests.iter().filter(|(_, w)| w.pending).map(|(&id, w)| (id, w.pending_until));
+        for (request, until) in pending.collect::<Vec<_>>() {
+            if until <= now { self.answer(request) } else { self.place(now, request) }
         }
     }
 }
--- a/crates/dispatch/src/decide/retry.rs
+++ b/crates/dispatch/src/decide/retry.rs
@@ -1,6 +1,6 @@
 //! Retries and hedges: when a request may be sent again, and how many may be.
 
-use super::{ANSWER_MARGIN, Dispatcher, FIRST_REQUEST_TIMER, MAX_SILENT_INTERVALS, RECEIPT_TIMEOUT};
+use super::{ANSWER_MARGIN, Dispatcher, MAX_SILENCE, RECEIPT_TIMEOUT, REQUEST_TIMERS};
 use super::{executor::Executor, pending::Attempt};
 use crate::time::DurationExt;
 use crate::{AttemptId, AttemptOutcome, Duration, Effect, Host, Instant, RequestId};
@@ -32,16 +32,15 @@
         let latest = in_flight.max_by_key(|(_, f)| (f.started.is_some(), f.sent));
         let Some((executor, attempt)) = latest else { return };
         let id = attempt.id;
-        let silent_at =
-            self.signals.progress.map(|pace| attempt.last_report + pace.scaled(MAX_SILENT_INTERVALS));
+        let silent_at = self.signals.progress.map(|pace| attempt.last_report + pace.scaled(MAX_SILENCE));
         let silent = attempt.started.is_some() && silent_at.is_some_and(|at| at < now);
         // Without hedging a cancelled one may run on, and where starts are not reported any may have started
         // long before.
         let unstarted = self.signals.reports_starts && attempt.started.is_none();
         let hedging = self.policy.hedging;
         let waits = unstarted && now > attempt.sent && (hedging || self.policy.cancel_dequeues);
-        let lost =
-            waits && hedging && work.slack(now) < 0.0 && self.classes[work.class].effect.client_may_retry();
+        let late = work.slack(now) < 0.0;
+        let lost = waits && hedging && late && self.classes[work.class].effect.client_may_retry();
         if silent {
             self.eject(now, executor);
         }
@@ -70,7 +69,7 @@
             Some(at) => at.since(now).max(REVIEW_INTERVAL),
             None => return,
         };
-        self.host.set_timer(next, FIRST_REQUEST_TIMER + request.0);
+        self.host.set_timer(next, REQUEST_TIMERS + request.0);
     }
 
     /// Cancels an attempt: without hedging its request goes elsewhere when that has ended.
--- a/crates/dispatch/src/executor.rs
+++ b/crates/dispatch/src/executor.rs
@@ -67,6 +67,13 @@
     pub progress: Option<Duration>,
 }
 
+impl ExecutorSignals {
+    /// Where starts are not reported: how long after a start the first report of progress proves it.
+    pub fn start_lag(&self) -> Option<Duration> {
+        self.progress.filter(|_| !self.reports_starts)
+    }
+}
+
 /// The values of a load report that the decisions use; any may be absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
