--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -695,6 +695,7 @@
         scenario
     }
 
+    #[expect(clippy::too_many_lines, reason = "one check after the other; to be split by section")]
     fn check(&self) -> Result<(), String> {
         const LONG_S: f64 = 1e6;
         const LONG_MS: f64 = 1e9;
--- a/crates/node-config/tests/settings.rs
+++ b/crates/node-config/tests/settings.rs
@@ -42,6 +42,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one line for each refusal")]
 fn each_wrong_setting_is_refused_by_its_key_and_what_was_expected() {
     let wrong = [
         ("caps/second_copies", json!("yes"), "caps.second_copies: expected true or false, found \"yes\""),
