--- a/Makefile
+++ b/Makefile
@@ -14,6 +14,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
 # Starts a node by the file that GW_CONFIG names.
 run: build
