--- a/crates/batch/src/submission/parse.rs
+++ b/crates/batch/src/submission/parse.rs
@@ -50,7 +50,7 @@
 /// Why a submission is rejected. All of these are the client's fault (400).
 #[derive(Debug, Snafu)]
 pub enum SubmissionError {
-    /// The body exceeds [`MAX_SUBMISSION_BYTES`].
+    /// The body exceeds `MAX_SUBMISSION_BYTES`.
     #[snafu(display("the body of {bytes} bytes is too large"))]
     TooLarge {
         /// The size of the body.
--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -1,4 +1,7 @@
 //! The leader of a partition runs its items at executors, in the room that live requests leave.
+//!
+//! `ItemRuns` owns the runs in flight, by number. What is to run, and what becomes of a run, is up to the `Runner` of the
+//! partition; this module only sends and reads.
 
 use crate::node::Node;
 use crate::requests::header_names as names;
--- a/crates/tier/src/batch/partition.rs
+++ b/crates/tier/src/batch/partition.rs
@@ -1,4 +1,7 @@
 //! Partitions 1 and on: batch jobs. Every replica applies the log; the leader admits jobs, runs items and answers readers.
+//!
+//! A `BatchPartition` owns the state of one partition: jobs (changed by committed entries only), admission and runner (used by
+//! the leader only), and the reads that wait for new results.
 
 use crate::batch::page_size::max_page_bytes;
 use crate::control::partitions::{Application, Waiter};
--- a/crates/tier/src/control/active_configuration.rs
+++ b/crates/tier/src/control/active_configuration.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration as this node serves by it, and how it gets here from its leader.
 //!
-//! [`ServedConfiguration`] owns the configuration in force, the limits that follow from it, and the state of fetching a newer
+//! `ServedConfiguration` owns the configuration in force, the limits that follow from it, and the state of fetching a newer
 //! one. Versions only rise within one incarnation of the process.
 
 use crate::control::api::CONFIGURATION_PARTITION;
--- a/crates/tier/src/control/bootstrap.rs
+++ b/crates/tier/src/control/bootstrap.rs
@@ -4,7 +4,7 @@
 //! bootstraps; the others step in, one after the other, only if no partition has shown a leader for long. A replica accepts one
 //! bootstrap in its lifetime, so a second one changes nothing where the first was received.
 //!
-//! [`Bootstrapper`] owns the groups that this node has chosen and which voters have confirmed. It decides by the members that
+//! `Bootstrapper` owns the groups that this node has chosen and which voters have confirmed. It decides by the members that
 //! it is given and returns the requests that are to be sent.
 
 use crate::batch::api::BATCH_PARTITIONS;
--- a/crates/tier/src/control/executor_hints.rs
+++ b/crates/tier/src/control/executor_hints.rs
@@ -1,6 +1,6 @@
 //! The executors that this node knew before its restart: a hint on its disk, so that it serves before their next heartbeats.
 //!
-//! [`ExecutorHints`] owns when the hint was written and of which generation of the registry it is.
+//! `ExecutorHints` owns when the hint was written and of which generation of the registry it is.
 
 use crate::runtime::io::World;
 use grebeusher_registry::Registry;
--- a/crates/tier/src/links/calls.rs
+++ b/crates/tier/src/links/calls.rs
@@ -1,7 +1,7 @@
 //! Calls between nodes: a number, a time limit, and another node when one does not answer or does not lead the partition.
 //!
-//! [`PendingCalls`] is a state machine apart from the links: it owns the calls that wait for a reply and the nodes that left one
-//! unanswered. Each of its operations takes the time and the known peers by [`PeerDirectory`] and returns the [`CallStep`]
+//! `PendingCalls` is a state machine apart from the links: it owns the calls that wait for a reply and the nodes that left one
+//! unanswered. Each of its operations takes the time and the known peers by `PeerDirectory` and returns the `CallStep`
 //! that the node is to take: send a frame, set a timer, or end the call.
 
 use crate::control::active_configuration::FetchSource;
--- a/crates/tier/src/links/connections.rs
+++ b/crates/tier/src/links/connections.rs
@@ -1,6 +1,6 @@
 //! The connections of a node: what each is for, and how they are found, opened and closed.
 //!
-//! [`ConnectionTable`] owns every connection, the pool of idle ones to executors and the list of those with unread input.
+//! `ConnectionTable` owns every connection, the pool of idle ones to executors and the list of those with unread input.
 //! It knows nothing of requests and links: what a connection carries is up to its [`Role`]. An index may be given to another
 //! connection after a close, so whoever keeps an index over a call that may close it compares the serial number.
 
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -1,7 +1,7 @@
 //! Links to the peers: one outgoing connection to each node that this one sends to, incoming ones from any.
 //!
-//! [`PeerLinks`] owns which address has which link, which links have unwritten frames, and when a peer may be dialled again.
-//! Its sockets stand in the [`ConnectionTable`] and its timers in the loop's alarms; both come in by [`LinkContext`]. It is the
+//! `PeerLinks` owns which address has which link, which links have unwritten frames, and when a peer may be dialled again.
+//! Its sockets stand in the `ConnectionTable` and its timers in the loop's alarms; both come in by `LinkContext`. It is the
 //! only one that opens or closes links. What a frame means is up to [`dispatch`](crate::links::dispatch).
 
 use crate::links::connections::{ConnectionTable, Role};
--- a/crates/tier/src/requests/exchange.rs
+++ b/crates/tier/src/requests/exchange.rs
@@ -1,4 +1,8 @@
 //! One client request on its way: the attempts at executors, and the one answer that the client gets.
+//!
+//! An `Exchange` owns what is known of one request: its body, its deadline, the attempt in flight and the answer so far. It asks
+//! [`routing`](crate::requests::routing) for executors and [`upstream`](crate::requests::upstream) for connections; only
+//! this module decides what the client gets.
 
 use crate::node::Node;
 use crate::requests::event_buffer::EventBuffer;
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -1,4 +1,7 @@
 //! What the data plane's decisions are fed with: services of the configuration, executors of the registry, requests.
+//!
+//! `Routing` owns the `Gateway` and the table of services and executors that it was built from; the table is rebuilt from the
+//! configuration and the registry when one of them has changed, and nothing else writes it.
 
 use crate::node::Node;
 use crate::requests::header_names as names;
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -1,5 +1,8 @@
 //! Connections of clients, executors, operators and the platform's checks: requests are read complete, one at a time, and
 //! passed to the dispatch of the address that they came to.
+//!
+//! A `ServerConnection` owns the input and the unwritten output of one connection. Others write to it only by its index and
+//! serial, so that a late answer never reaches whoever has the connection next.
 
 use crate::links::connections::{Connection, Role};
 use crate::links::socket::{Reading, Socket};
