--- a/crates/tier/src/requests/event_buffer.rs
+++ b/crates/tier/src/requests/event_buffer.rs
@@ -1,23 +1,26 @@
-//! Cuts an event stream into complete events, so that a break never leaves half an event with the client.
+//! Splits an event stream (`text/event-stream`) into complete events, so that a broken connection to the executor never
+//! leaves the client with part of an event.
 
-/// An event longer than this is passed on in pieces and the stream can't be resumed any more (bytes).
-const MAX_EVENT: usize = 256 * 1024;
+/// The longest event, in bytes, that is buffered. A longer one is relayed in pieces, and its stream can no longer be resumed.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Holds back the part of an event that has not wholly come.
+/// Buffers the incomplete event at the end of the received bytes.
 #[derive(Debug, Default)]
 pub struct EventBuffer {
     buffered: Vec<u8>,
+    /// The id of the last complete event.
     last_id: Option<u64>,
+    /// Whether an event was longer than `MAX_EVENT_BYTES`.
     oversized: bool,
 }
 
 impl EventBuffer {
-    /// A cutter of a stream whose reader has seen everything up to event `last_id`.
+    /// Creates the buffer of a stream whose reader has received all events up to `last_id`.
     pub fn after(last_id: Option<u64>) -> EventBuffer {
         EventBuffer { buffered: Vec::new(), last_id, oversized: false }
     }
 
-    /// Takes the next bytes and appends what is complete by now to `out`.
+    /// Adds received bytes and moves the events that are now complete to `out`.
     pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<u8>) {
         self.buffered.extend_from_slice(bytes);
         let complete = end_of_last_event(&self.buffered);
@@ -25,18 +28,18 @@
             self.last_id = Some(id);
         }
         out.extend(self.buffered.drain(..complete));
-        if self.buffered.len() > MAX_EVENT {
+        if self.buffered.len() > MAX_EVENT_BYTES {
             self.oversized = true;
             out.append(&mut self.buffered);
         }
     }
 
-    /// What is left at the proper end of the stream: it is passed on as it is.
+    /// Moves the remaining bytes to `out` when the stream has ended regularly.
     pub fn finish(&mut self, out: &mut Vec<u8>) {
         out.append(&mut self.buffered);
     }
 
-    /// Drops half an event after a break.
+    /// Drops the incomplete event after the connection broke.
     pub fn discard_partial(&mut self) {
         self.buffered.clear();
     }
@@ -46,13 +49,13 @@
         self.last_id
     }
 
-    /// Whether all that was passed on ends with a complete event.
+    /// Whether the relayed bytes end with a complete event, so that another attempt can continue the stream.
     pub fn can_resume(&self) -> bool {
         !self.oversized
     }
 }
 
-/// Where the last complete event ends: behind an empty line.
+/// The index after the last complete event, which ends with an empty line. Returns 0 if no event is complete.
 fn end_of_last_event(bytes: &[u8]) -> usize {
     let mut index = bytes.len();
     while index >= 2 {
@@ -67,7 +70,7 @@
     0
 }
 
-/// The number in the last `id:` line.
+/// The number in the last `id:` line that has one.
 fn last_event_id(events: &[u8]) -> Option<u64> {
     let mut last = None;
     for line in events.split(|&byte| byte == b'\n') {
--- a/crates/tier/src/requests/header_names.rs
+++ b/crates/tier/src/requests/header_names.rs
@@ -1,26 +1,26 @@
-//! Names of the headers that the tier reads or writes.
+//! Names of the HTTP headers that the tier reads or writes.
 
-/// The id of a client's try.
+/// The client's id for one attempt; executors copy it into the response, by which a response is matched to its request.
 pub const ATTEMPT_ID: &str = "X-Grebeusher-Attempt-Id";
-/// How long the client will wait, in milliseconds.
+/// How long the client waits for the response, in milliseconds.
 pub const DEADLINE_MS: &str = "X-Grebeusher-Deadline-Ms";
-/// The incarnation that a request is meant for.
+/// The instance id of the executor process that a request is for; any other process rejects it.
 pub const TARGET_INSTANCE: &str = "X-Grebeusher-Target-Instance";
-/// The executor's stamp on an answer.
+/// Set by executors on their responses. A 2xx response without it comes from some other server and is not relayed.
 pub const SERVER_SEAL: &str = "X-Grebeusher-Server-Seal";
-/// The executor did not run the request.
+/// States that the executor did not run the request.
 pub const NOT_EXECUTED: &str = "X-Grebeusher-Not-Executed";
-/// Running, waiting and slots of an executor.
+/// The executor's load: its running requests, its waiting requests and its slots.
 pub const SERVER_LOAD: &str = "X-Grebeusher-Server-Load";
-/// The last event that a reader has.
+/// The id of the last event that the reader of an event stream has received.
 pub const LAST_EVENT_ID: &str = "Last-Event-Id";
-/// Tokens of the prompt, and the most that come out.
+/// The number of prompt tokens and the maximum number of output tokens.
 pub const TOKEN_COUNT: &str = "X-Grebeusher-Token-Count";
-/// The part of a prompt.
+/// The segments of a prompt in order, each with its length in tokens. Other requests may share all but the last.
 pub const PROMPT_PREFIX: &str = "X-Grebeusher-Prompt-Prefix";
-/// The longest that a read of results is held, in milliseconds.
+/// How long a read of batch results may wait for new results, in milliseconds.
 pub const HOLD_MS: &str = "X-Grebeusher-Hold-Ms";
-/// The version that a configuration builds on.
+/// The configuration version that a replacement was derived from.
 pub const BASE_VERSION: &str = "X-Grebeusher-Base-Version";
-/// The model that a request is for.
+/// The name of the model that a request is for.
 pub const MODEL_NAME: &str = "X-Grebeusher-Model-Name";
--- a/crates/tier/src/requests/mod.rs
+++ b/crates/tier/src/requests/mod.rs
@@ -1,9 +1,12 @@
-//! Live requests: from a client's connection to an executor's and back.
+//! Live requests: a client's request is read, sent to an executor, and the executor's response is written back to the client.
 //!
-//! `plane` has the type that owns their state, and `dispatch` alone joins it with the other planes in `impl Node`.
-//! [`server`] accepts connections and writes answers, [`server_connection`] is one of them as it reads requests, [`exchange`] is
-//! one request with its attempts, [`upstream`] sends calls to executors over [`upstream_connection`]s, and [`routing`] asks the `gateway` crate which
-//! executor is next, of those that [`version_permissions`] lets through. [`prefix_popularity`] shares which beginnings of prompts are popular.
+//! - `plane` defines the type that owns the state of live requests; `dispatch` connects it to the rest of the node
+//!   in `impl Node`.
+//! - [`server`] accepts connections and writes responses; [`server_connection`] parses the requests of one connection.
+//! - [`exchange`] is one client request with its attempts at executors.
+//! - [`upstream`] sends calls to executors on [`upstream_connection`]s.
+//! - [`routing`] asks the `gateway` crate for an executor; [`version_permissions`] says which executors it may use.
+//! - [`prefix_popularity`] shares with the other nodes which prompt prefixes are popular.
 
 pub(crate) mod dispatch;
 pub mod event_buffer;
--- a/crates/tier/src/requests/not_executed.rs
+++ b/crates/tier/src/requests/not_executed.rs
@@ -1,6 +1,6 @@
-//! Statuses that promise that a request has not been executed and never will be.
+//! The HTTP statuses that tell a client that its request was not executed and never will be.
 
-/// Whether an answer with this status promises that.
+/// Whether a response with this status promises that the request was not executed and never will be.
 pub fn promises_not_executed(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
--- a/crates/tier/src/requests/plane.rs
+++ b/crates/tier/src/requests/plane.rs
@@ -1,7 +1,7 @@
-//! The requests plane: what a node keeps of live requests.
+//! The state that a node keeps for live requests.
 //!
-//! [`Requests`] owns the exchanges, the routing and the listeners. What it needs beside, it is lent with each call by a
-//! [`RequestContext`]; it knows nothing of partitions, items and links.
+//! [`Requests`] owns the exchanges, the routing and the client listeners. Its methods borrow the other parts of the node
+//! that they need through a [`RequestContext`]. This module does not depend on partitions, batch items or node links.
 
 use crate::control::active_configuration::ServedConfiguration;
 use crate::links::connections::ConnectionTable;
@@ -14,54 +14,56 @@
 use grebeusher_transport::alarms::Alarms;
 use slab::Slab;
 
-/// Counters since the start of a process, for its status and its log.
+/// Counts of requests and connections since the process started; the status page and the log show them.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests for executors.
+    /// Client requests that were to be sent to an executor.
     pub requests: u64,
-    /// Of these, refused for want of capacity.
+    /// Requests that were refused because no executor had capacity.
     pub refused: u64,
-    /// Of these, ended without an answer of an executor.
+    /// Requests that ended without a response from an executor.
     pub failed: u64,
-    /// Messages that could not be understood.
+    /// Requests and node messages that could not be parsed.
     pub malformed: u64,
-    /// Connections that were closed at once, for want of descriptors.
+    /// Client connections that were closed on accept because the node had its maximum of connections, which leaves file
+    /// descriptors for its other uses.
     pub connections_refused: u64,
 }
 
-/// What a node keeps of live requests.
+/// The exchanges, the routing and the client listeners of a node.
 pub(crate) struct Requests {
     pub(super) listeners: ClientListeners,
+    /// The client requests that are in flight.
     pub(super) exchanges: Slab<Exchange>,
-    /// Which executor is next; items of batch jobs ask it, too.
+    /// Chooses executors, for client requests and for items of batch jobs.
     pub(crate) routing: Routing,
-    /// What was served and refused.
+    /// Counts of requests and connections.
     pub(crate) counters: Counters,
 }
 
-/// What the requests plane uses of the node.
+/// The parts of the node that the methods of [`Requests`] borrow.
 pub(crate) struct RequestContext<'a> {
-    /// The time of this turn.
+    /// The time at which the current iteration of the event loop began.
     pub now: Instant,
-    /// Opens connections.
+    /// Opens connections and reads and writes files.
     pub world: &'a dyn World,
     /// All connections of the node.
     pub connections: &'a mut ConnectionTable,
-    /// Its timers.
+    /// The timers of the node.
     pub alarms: &'a mut Alarms<Timer>,
-    /// The configuration that it serves by.
+    /// The configuration in use.
     pub configuration: &'a ServedConfiguration,
-    /// Whether the process got SIGTERM.
+    /// Whether the process has received SIGTERM.
     pub stopping: bool,
 }
 
 impl Requests {
-    /// No requests yet.
+    /// Creates the state of a node that has no requests yet.
     pub fn new(listeners: ClientListeners, routing: Routing) -> Requests {
         Requests { listeners, exchanges: Slab::new(), routing, counters: Counters::default() }
     }
 
-    /// How many requests are in flight.
+    /// The number of client requests in flight.
     pub fn exchange_count(&self) -> usize {
         self.exchanges.len()
     }
--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -1,7 +1,7 @@
-//! The popular prefixes that the nodes know together: sent down the relay tree, and kept as a hint on the disk.
+//! Shares the counts of popular prompt prefixes with the other nodes, and keeps them on the disk across restarts.
 //!
-//! No rule rests on whether anybody receives them, or whether they are on the disk: they only say where shared parts of prompts
-//! are cached. The counts are the gateway's; `PrefixPopularity` owns when they were last written, and only it writes them.
+//! Correctness never depends on these counts, neither on their delivery nor on the file: they only tell where shared parts of
+//! prompts are cached. The gateway owns the counts; `PrefixPopularity` sends and saves them.
 
 use crate::requests::routing::Routing;
 use crate::runtime::io::World;
@@ -13,41 +13,42 @@
 use std::path::Path;
 use tracing::{debug, warn};
 
-/// The name of the hint on the disk. It is written beside the former one and takes its place whole, with a checksum.
-const NAME: &str = "popularity";
-/// It is written this often, as each time waits for the disk; a restart forgets at most what was counted in that time.
-const WRITE_INTERVAL: Duration = Duration::from_millis(20_000);
-/// How many prefixes operators are shown.
-const SHOWN: usize = 24;
+/// The name of the file with the counts. It has a checksum and is replaced atomically.
+const HINT_NAME: &str = "popularity";
+/// How often the counts are saved. Each save blocks on the disk; a restart loses at most the counts of this time.
+const SAVE_INTERVAL: Duration = Duration::from_millis(20_000);
+/// The number of prefixes on the status page.
+const MAX_SHOWN_PREFIXES: usize = 24;
 
-/// A register of counts on its way to other nodes.
+/// The counts of one node, to be sent to other nodes.
 pub(crate) struct Announcement {
-    /// Who is to get it.
+    /// The addresses of the receivers.
     pub to: Vec<SocketAddrV4>,
-    /// Its bytes.
+    /// The encoded counts.
     pub payload: Vec<u8>,
 }
 
 impl Announcement {
-    /// For the children of its origin in the relay tree.
-    fn of(contribution: &Contribution, registry: &Registry) -> Announcement {
+    /// Addresses the counts to this node's children in the relay tree of the node that made them.
+    fn to_relay_children(contribution: &Contribution, registry: &Registry) -> Announcement {
         let to = registry.relay_children_of(NodeId(contribution.origin)).unwrap_or_default();
         Announcement { to, payload: contribution.encode() }
     }
 }
 
-/// Why a register of another node was not taken.
+/// The counts received from another node could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MalformedRegister;
 
-/// What a node does for the popular prefixes that all nodes know together.
+/// Sends, receives and saves the counts of popular prefixes.
 #[derive(Debug, Default)]
 pub(crate) struct PrefixPopularity {
-    written: Instant,
+    /// When the counts were last written to the disk.
+    last_saved: Instant,
 }
 
 impl PrefixPopularity {
-    /// Begins with what an earlier process of this node knew.
+    /// Turns on the sharing of counts and restores those that an earlier process of this node saved.
     pub fn start(
         now: Instant,
         routing: &mut Routing,
@@ -60,7 +61,9 @@
         let own = Contributor { origin: member.id().0, incarnation: member.incarnation };
         routing.gateway.share_prefixes(now, own, Settings::default());
         let Some(popularity) = routing.gateway.popularity_mut() else { return started };
-        let Some(bytes) = folder.and_then(|folder| world.read_hint(folder, NAME)) else { return started };
+        let Some(bytes) = folder.and_then(|folder| world.read_hint(folder, HINT_NAME)) else {
+            return started;
+        };
         match popularity.restore(now, &bytes) {
             Ok(count) => debug!(count, "popular prefixes restored"),
             Err(error) => warn!(%error, "popular prefixes unreadable"),
@@ -68,7 +71,7 @@
         started
     }
 
-    /// What this node announces of its requests to all others, when that is due.
+    /// This node's own counts, when it is time to send them.
     pub fn due_announcement(
         &self,
         now: Instant,
@@ -76,13 +79,14 @@
         registry: &Registry,
     ) -> Option<Announcement> {
         let contribution = routing.gateway.popularity_mut()?.tick(now)?;
-        Some(Announcement::of(&contribution, registry))
+        Some(Announcement::to_relay_children(&contribution, registry))
     }
 
-    /// Another node's register came, from it or on the way down its tree. Returns what is to be passed on.
+    /// Merges the counts of another node, which came from that node or from its relay tree. Returns what is to be relayed
+    /// further.
     ///
     /// # Errors
-    /// The bytes are no register.
+    /// The bytes could not be decoded.
     pub fn receive(
         &self,
         now: Instant,
@@ -91,57 +95,58 @@
         payload: &[u8],
     ) -> Result<Option<Announcement>, MalformedRegister> {
         let contribution = Contribution::decode(payload).map_err(|_| MalformedRegister)?;
-        // Registers of strangers would take memory and be passed on for nothing.
+        // Counts of nodes that are not members would take memory and be relayed for nothing.
         if registry.relay_children_of(NodeId(contribution.origin)).is_none() {
             return Ok(None);
         }
         let popularity = routing.gateway.popularity_mut();
         let merged = popularity.map(|popularity| popularity.merge(now, contribution.clone()));
         let is_new = merged == Some(MergeOutcome::Merged);
-        Ok(is_new.then(|| Announcement::of(&contribution, registry)))
+        Ok(is_new.then(|| Announcement::to_relay_children(&contribution, registry)))
     }
 
-    /// Writes what is popular to the disk, now and then.
+    /// Saves the counts to the disk if the last save was long enough ago.
     pub fn save(&mut self, now: Instant, routing: &Routing, world: &dyn World, folder: &Path) {
         let Some(popularity) = routing.gateway.popularity() else { return };
-        if now < self.written + WRITE_INTERVAL || popularity.popular(1).is_empty() {
+        if now < self.last_saved + SAVE_INTERVAL || popularity.popular(1).is_empty() {
             return;
         }
-        self.written = now;
-        if let Err(error) = world.keep_hint(folder, NAME, &popularity.snapshot()) {
+        self.last_saved = now;
+        if let Err(error) = world.keep_hint(folder, HINT_NAME, &popularity.snapshot()) {
             warn!(%error, "popular prefixes not written");
         }
     }
 }
 
-/// Why requests went where they did, and what is popular where, a line each.
+/// Writes the status lines on routing: how often each rule chose the executor, and each popular prefix with its homes, the
+/// executors that requests with this prefix go to.
 pub(crate) fn write_choices(routing: &Routing, text: &mut String) -> std::fmt::Result {
-    let chosen = routing.gateway.decisions();
+    let decisions = routing.gateway.decisions();
     writeln!(
         text,
         "chosen by pick {} home {} next home {} kept {} out of lane {} queued {} in doubt {} refused {} nobody {}",
-        chosen.weighted_pick,
-        chosen.prefix_home,
-        chosen.next_prefix_home,
-        chosen.cached_prefix,
-        chosen.out_of_lane,
-        chosen.queued,
-        chosen.unhealthy,
-        chosen.rejected,
-        chosen.no_executor,
+        decisions.weighted_pick,
+        decisions.prefix_home,
+        decisions.next_prefix_home,
+        decisions.cached_prefix,
+        decisions.out_of_lane,
+        decisions.queued,
+        decisions.unhealthy,
+        decisions.rejected,
+        decisions.no_executor,
     )?;
     let Some(popularity) = routing.gateway.popularity() else {
         return writeln!(text, "popular prefixes: each node judges alone");
     };
     let sizes = popularity.sizes();
-    let (counted, heard) = (sizes.tracked_prefixes, sizes.contributors);
+    let (tracked_prefixes, contributors) = (sizes.tracked_prefixes, sizes.contributors);
     let counters = popularity.counters();
     writeln!(
         text,
-        "popular prefixes: counted {counted} nodes heard {heard} told {} merged {} known {} homes added {} removed {}",
+        "popular prefixes: counted {tracked_prefixes} nodes heard {contributors} told {} merged {} known {} homes added {} removed {}",
         counters.sent, counters.merged, counters.ignored, counters.homes_added, counters.homes_removed,
     )?;
-    for view in routing.gateway.popular(SHOWN) {
+    for view in routing.gateway.popular(MAX_SHOWN_PREFIXES) {
         let (key, rate) = (view.popular.key.0, view.popular.tokens_per_s);
         let service = view.service.as_deref().unwrap_or("-");
         write!(text, "popular {key:08x} {service} prefix {} tokens, asked {rate:.0} tokens/s", view.tokens)?;
