--- a/crates/tier/src/requests/dispatch.rs
+++ b/crates/tier/src/requests/dispatch.rs
@@ -1,22 +1,22 @@
-//! Where the requests plane meets the others in the node: requests that were read go to the interface of their address, and what
-//! executors send goes to the exchange or the item that it is for.
+//! Connects [`Requests`] to the rest of the node: passes each request to the handler of its listener, and each event of a call to
+//! the exchange or batch item that started the call.
 //!
-//! This module owns nothing. It is the only one that lends [`Requests`] what it needs of the node.
+//! This module owns no state. It alone makes the [`RequestContext`] that lends [`Requests`] other parts of the node.
 
 use crate::links::socket::Reading;
 use crate::node::Node;
 use crate::requests::exchange::ClientRequest;
 use crate::requests::plane::{RequestContext, Requests};
-use crate::requests::server::Admitted;
+use crate::requests::server::AcceptOutcome;
 use crate::requests::server_connection::ListenerKind;
 use crate::requests::upstream::{UpstreamEvent, close_failed};
-use crate::requests::upstream_connection::{AnswerEnd, Parsed, UpstreamUser};
+use crate::requests::upstream_connection::{Parsed, ResponseEnd, UpstreamUser};
 
-/// Most connections that one turn of the loop takes in.
-const ACCEPTED_AT_ONCE: usize = 64;
+/// The most connections that a listener accepts in one iteration of the event loop.
+const MAX_ACCEPTS_PER_ITERATION: usize = 64;
 
 impl Node {
-    /// Lets the requests plane do something with what it uses of the node.
+    /// Calls `act` with the state of live requests and the parts of the node that it borrows.
     pub(crate) fn with_requests<T>(
         &mut self,
         act: impl FnOnce(&mut Requests, &mut RequestContext<'_>) -> T,
@@ -32,92 +32,92 @@
         act(&mut self.requests, &mut context)
     }
 
-    /// Answers a request complete; one whose connection has ended since is answered by nobody.
+    /// Writes a complete response and ends the request. Does nothing if the connection was closed since.
     pub(crate) fn answer(&mut self, connection: usize, serial: u64, bytes: Vec<u8>) {
-        self.with_requests(|requests, context| requests.answer(context, connection, serial, bytes));
+        self.with_requests(|requests, context| requests.respond(context, connection, serial, bytes));
     }
 
-    /// Takes in whoever waits to connect.
-    pub(crate) fn accept(&mut self, entrance: ListenerKind) {
-        for _ in 0..ACCEPTED_AT_ONCE {
-            match self.with_requests(|requests, context| requests.accept(context, entrance)) {
-                Admitted::Nobody => return,
-                Admitted::Refused => {}
-                // What the client sent with its first packet is often there already.
-                Admitted::Connection(index) => self.server_readable(index),
+    /// Accepts the pending connections of a listener.
+    pub(crate) fn accept(&mut self, listener: ListenerKind) {
+        for _ in 0..MAX_ACCEPTS_PER_ITERATION {
+            match self.with_requests(|requests, context| requests.accept(context, listener)) {
+                AcceptOutcome::NonePending => return,
+                AcceptOutcome::Refused => {}
+                // The client's first request has often been received already.
+                AcceptOutcome::Connection(index) => self.read_server(index),
             }
         }
     }
 
-    /// Something can be done on a server connection.
+    /// Handles that an accepted HTTP connection is readable or writable.
     pub(crate) fn server_ready(&mut self, index: usize, readable: bool, writable: bool) {
         if writable && !self.with_requests(|requests, context| requests.flush_server(context, index)) {
             return;
         }
         if readable {
-            self.server_readable(index);
+            self.read_server(index);
         }
     }
 
-    fn server_readable(&mut self, index: usize) {
+    fn read_server(&mut self, index: usize) {
         let read = self.with_requests(|requests, context| requests.read_server(context, index));
         match read {
             None => {}
-            Some(Ok(Reading::Open { .. })) => self.server_input(index),
+            Some(Ok(Reading::Open { .. })) => self.dispatch_requests(index),
             Some(Ok(Reading::Ended { .. })) => {
-                self.server_input(index);
-                self.with_requests(|requests, context| requests.server_ended(context, index));
+                self.dispatch_requests(index);
+                self.with_requests(|requests, context| requests.handle_peer_end(context, index));
             }
-            Some(Err(_)) => self.with_requests(|requests, context| requests.server_gone(context, index)),
+            Some(Err(_)) => self.with_requests(|requests, context| requests.drop_connection(context, index)),
         }
     }
 
-    /// Serves the requests that have come complete, as far as each is answered at once.
-    fn server_input(&mut self, index: usize) {
-        while let Some((entrance, request)) =
+    /// Dispatches the complete requests of a connection, until one is not answered at once.
+    fn dispatch_requests(&mut self, index: usize) {
+        while let Some((listener, request)) =
             self.with_requests(|requests, context| requests.next_request(context, index))
         {
-            self.serve(entrance, index, request);
+            self.dispatch_request(listener, index, request);
         }
     }
 
-    fn serve(&mut self, entrance: ListenerKind, index: usize, request: ClientRequest) {
-        match entrance {
+    fn dispatch_request(&mut self, listener: ListenerKind, index: usize, request: ClientRequest) {
+        match listener {
             ListenerKind::Frontend => self.client_request(index, request),
             ListenerKind::Readiness => self.readiness_request(index, &request),
             ListenerKind::Control => self.control_request(index, request),
         }
     }
 
-    /// Takes up requests that came while another one was answered.
+    /// Dispatches requests that were received while their connection was busy with an earlier one.
     pub(crate) fn serve_waiting_input(&mut self) {
         for index in self.connections.take_unread_input() {
-            self.server_input(index);
+            self.dispatch_requests(index);
         }
     }
 
-    /// A dialled connection did not come up in time.
+    /// Fails the call on a connection that is still being opened when its timeout expires.
     pub(crate) fn connect_expired(&mut self, index: usize) {
-        let connecting =
+        let is_connecting =
             self.connections.upstream_mut(index).is_some_and(|(socket, _)| socket.is_connecting());
-        if connecting {
+        if is_connecting {
             self.fail_upstream(index);
         }
     }
 
-    /// Something can be done on a connection to an executor.
+    /// Handles that a connection to an executor is open, readable or writable.
     pub(crate) fn upstream_ready(&mut self, index: usize, readable: bool, writable: bool) {
         let Some((socket, upstream)) = self.connections.upstream_mut(index) else { return };
         if upstream.is_connecting() {
             match socket.connected() {
-                Ok(true) => upstream.connected(),
+                Ok(true) => upstream.set_connected(),
                 Ok(false) => return,
                 Err(_) => return self.fail_upstream(index),
             }
         }
         let Some((socket, _)) = self.connections.upstream_mut(index) else { return };
         if (writable || socket.waiting() > 0) && socket.flush().is_err() {
-            // What the executor answered before it closed may still be read.
+            // The executor may have sent a response before it closed the connection.
             return self.read_upstream(index);
         }
         if readable {
@@ -130,7 +130,7 @@
         let Some((socket, _)) = self.connections.upstream_mut(index) else { return };
         let reading = socket.read();
         let bytes = socket.take_input();
-        let consumed = self.upstream_bytes(index, serial, &bytes);
+        let consumed = self.process_upstream_bytes(index, serial, &bytes);
         if self.serial(index) != serial {
             return;
         }
@@ -138,19 +138,19 @@
         socket.restore_input(bytes, consumed);
         match reading {
             Ok(Reading::Open { .. }) => {}
-            Ok(Reading::Ended { .. }) => self.upstream_ended(index),
+            Ok(Reading::Ended { .. }) => self.handle_upstream_end(index),
             Err(_) => self.fail_upstream(index),
         }
     }
 
-    /// Parses what came; how many bytes are done with. The connection may be closed on the way.
-    fn upstream_bytes(&mut self, index: usize, serial: u64, bytes: &[u8]) -> usize {
+    /// Parses received bytes and delivers the events. Returns the number of bytes consumed. The connection may be closed by then.
+    fn process_upstream_bytes(&mut self, index: usize, serial: u64, bytes: &[u8]) -> usize {
         let now = self.now;
-        let mut at = 0;
-        while at < bytes.len() && self.serial(index) == serial {
+        let mut offset = 0;
+        while offset < bytes.len() && self.serial(index) == serial {
             let limits = *self.configuration.http_limits();
             let Some((_, upstream)) = self.connections.upstream_mut(index) else { break };
-            let parsed = upstream.parse(&bytes[at..], &limits, now);
+            let parsed = upstream.parse(&bytes[offset..], &limits, now);
             let consumed = match parsed {
                 Ok(Parsed::Incomplete) => break,
                 Ok(Parsed::Unexpected) => {
@@ -170,17 +170,17 @@
                         );
                     }
                     if is_complete && self.serial(index) == serial {
-                        self.upstream_answer_done(index);
+                        self.end_upstream_response(index);
                     }
                     consumed
                 }
                 Ok(Parsed::Body { consumed, user, data, is_complete }) => {
                     for range in data {
                         let Some(user) = user.filter(|_| self.serial(index) == serial) else { break };
-                        self.deliver(user, UpstreamEvent::Data(&bytes[at..][range]));
+                        self.deliver(user, UpstreamEvent::Data(&bytes[offset..][range]));
                     }
                     if is_complete && self.serial(index) == serial {
-                        self.upstream_answer_done(index);
+                        self.end_upstream_response(index);
                     }
                     consumed
                 }
@@ -188,20 +188,21 @@
             if consumed == 0 {
                 break;
             }
-            at += consumed;
+            offset += consumed;
         }
-        at
+        offset
     }
 
-    fn upstream_answer_done(&mut self, index: usize) {
+    /// Ends a complete response: the connection is pooled or closed, and the user of the call is notified.
+    fn end_upstream_response(&mut self, index: usize) {
         let Some((socket, upstream)) = self.connections.upstream_mut(index) else { return };
-        match upstream.end_answer() {
-            AnswerEnd::Surplus { closes: true } => self.fail_upstream(index),
-            AnswerEnd::Surplus { closes: false } => {}
-            AnswerEnd::Call { user, closes } => {
+        match upstream.end_response() {
+            ResponseEnd::Stale { must_close: true } => self.fail_upstream(index),
+            ResponseEnd::Stale { must_close: false } => {}
+            ResponseEnd::Call { user, must_close } => {
                 let instance = upstream.instance().clone();
                 // An executor may answer before it has read the complete request, and then wait for the rest of it.
-                if closes || socket.waiting() > 0 {
+                if must_close || socket.waiting() > 0 {
                     self.connections.close(index);
                 } else {
                     self.connections.put_idle(instance, index);
@@ -213,16 +214,17 @@
         }
     }
 
-    fn upstream_ended(&mut self, index: usize) {
+    /// Handles that the executor has closed its sending side.
+    fn handle_upstream_end(&mut self, index: usize) {
         let Some((_, upstream)) = self.connections.upstream_mut(index) else { return };
         if upstream.is_complete_at_close() {
-            self.upstream_answer_done(index);
+            self.end_upstream_response(index);
         } else {
             self.fail_upstream(index);
         }
     }
 
-    /// The connection is of no more use; its user, if it has one, is notified.
+    /// Closes a connection that failed or can't be used any longer. The user of its call, if it has one, is notified.
     fn fail_upstream(&mut self, index: usize) {
         if let Some((user, failure)) = close_failed(&mut self.connections, index) {
             self.deliver(user, UpstreamEvent::Failed(failure));
@@ -232,7 +234,7 @@
     fn deliver(&mut self, user: UpstreamUser, event: UpstreamEvent<'_>) {
         match user {
             UpstreamUser::Exchange(key) => {
-                self.with_requests(|requests, context| requests.exchange_event(context, key, event));
+                self.with_requests(|requests, context| requests.handle_call_event(context, key, event));
             }
             UpstreamUser::Item(run) => self.item_event(run, event),
         }
--- a/crates/tier/src/requests/exchange/attempt.rs
+++ b/crates/tier/src/requests/exchange/attempt.rs
@@ -1,46 +1,50 @@
-//! One attempt of an exchange at an executor, and how it ended.
+//! One attempt to have a request served by an executor, and its outcome.
 
 use crate::requests::upstream_connection::Failure;
 use grebeusher_gateway::{AttemptOutcome, AttemptToken};
 use grebeusher_time::Instant;
 
-/// The attempt that is in flight.
+/// An attempt in flight.
 pub(super) struct Attempt {
+    /// The index of the connection to the executor.
     pub(super) connection: usize,
-    pub(super) flight: AttemptToken,
+    /// The gateway's token for the attempt.
+    pub(super) token: AttemptToken,
+    /// The HTTP status of the response; 0 before its head is received.
     pub(super) status: u16,
-    /// When anything last came of it.
+    /// When the request was sent or the last part of the response was received.
     pub(super) last_activity: Instant,
-    pub(super) head_seen: bool,
-    /// An answer that is buffered until it is complete.
-    pub(super) buffered: Option<BufferedAnswer>,
-    /// The executor says that it did not run the request.
+    pub(super) head_received: bool,
+    /// The response, if it is relayed to the client only when it is complete.
+    pub(super) buffered: Option<BufferedResponse>,
+    /// The outcome, if the executor has stated that it did not run the request.
     pub(super) refusal: Option<AttemptOutcome>,
 }
 
-/// An answer that is passed on complete.
-pub(super) struct BufferedAnswer {
+/// A response that is relayed to the client only when it is complete.
+pub(super) struct BufferedResponse {
     pub(super) status: u16,
+    /// The status line and the headers for the client, without `Content-Length` and the empty line.
     pub(super) head: String,
     pub(super) body: Vec<u8>,
 }
 
 impl Attempt {
-    /// An attempt that was just sent.
-    pub(super) fn sent(connection: usize, flight: AttemptToken, now: Instant) -> Attempt {
+    /// Creates an attempt whose request was just handed to `connection`.
+    pub(super) fn new(connection: usize, token: AttemptToken, now: Instant) -> Attempt {
         Attempt {
             connection,
-            flight,
+            token,
             status: 0,
             last_activity: now,
-            head_seen: false,
+            head_received: false,
             buffered: None,
             refusal: None,
         }
     }
 
-    /// How it ended with a complete answer.
-    pub(super) fn outcome(&self) -> AttemptOutcome {
+    /// The outcome of the attempt when its response is complete.
+    pub(super) fn complete_outcome(&self) -> AttemptOutcome {
         match self.refusal {
             Some(refusal) => refusal,
             None if self.status >= 500 => AttemptOutcome::AnsweredFailure,
@@ -50,8 +54,8 @@
     }
 }
 
-/// How an attempt ended whose connection failed.
-pub(super) fn outcome_of(failure: Failure, streaming: bool, can_resume: bool) -> AttemptOutcome {
+/// The outcome of an attempt whose connection failed.
+pub(super) fn failed_outcome(failure: Failure, streaming: bool, can_resume: bool) -> AttemptOutcome {
     match failure {
         Failure::NeverSent => AttemptOutcome::NeverSent,
         Failure::BeforeHead if streaming && can_resume => AttemptOutcome::BrokenMidStream,
--- a/crates/tier/src/requests/exchange/messages.rs
+++ b/crates/tier/src/requests/exchange/messages.rs
@@ -1,6 +1,6 @@
-//! Bytes of an exchange: the request as executors get it, the answer as the client gets it.
+//! Builds the bytes of the request to an executor and of the response to the client.
 
-use super::attempt::BufferedAnswer;
+use super::attempt::BufferedResponse;
 use super::state::Exchange;
 use crate::requests::header_names as names;
 use crate::requests::upstream_connection::Target;
@@ -8,17 +8,18 @@
 use grebeusher_transport::headers::Headers;
 use grebeusher_transport::http;
 
-/// The request as an executor gets it.
+/// Builds the request to an executor, with the time left as its deadline.
 pub(super) fn executor_request(exchange: &Exchange, target: &Target, now: Instant) -> Vec<u8> {
-    const OWN: [&str; 3] = [names::DEADLINE_MS, names::TARGET_INSTANCE, names::LAST_EVENT_ID];
+    const REPLACED_HEADERS: [&str; 3] = [names::DEADLINE_MS, names::TARGET_INSTANCE, names::LAST_EVENT_ID];
     let head = &exchange.request.head;
     let left_ms = (exchange.deadline.since(now).nanos() / 1_000_000).max(1);
     let mut text = format!("{} {} HTTP/1.1\r\n", head.method, head.target);
-    text += &head.headers.passed_on(&OWN);
+    text += &head.headers.passed_on(&REPLACED_HEADERS);
     text += &format!("{}: {left_ms}\r\n", names::DEADLINE_MS);
     text += &format!("{}: {}\r\n", names::TARGET_INSTANCE, target.instance);
-    let last_event = if exchange.streaming { exchange.events.last_id() } else { exchange.client_last_event };
-    if let Some(id) = last_event {
+    let last_event_id =
+        if exchange.streaming { exchange.event_buffer.last_id() } else { exchange.client_last_event_id };
+    if let Some(id) = last_event_id {
         text += &format!("{}: {id}\r\n", names::LAST_EVENT_ID);
     }
     text += &format!("Content-Length: {}\r\n\r\n", exchange.request.body.len());
@@ -27,15 +28,15 @@
     bytes
 }
 
-/// The head of an answer as the client gets it, without its framing and the empty line.
-pub(super) fn answer_head(status: u16, headers: &Headers) -> String {
+/// Builds the head of a response to the client, without `Content-Length` or `Transfer-Encoding` and without the empty line.
+pub(super) fn response_head(status: u16, headers: &Headers) -> String {
     let mut text = format!("HTTP/1.1 {status} {}\r\n", http::reason(status));
     text += &headers.passed_on(&[]);
     text
 }
 
-/// A complete answer as the client gets it.
-pub(super) fn buffered_answer(buffered: BufferedAnswer) -> Vec<u8> {
+/// Builds the response to the client from a buffered one.
+pub(super) fn buffered_response(buffered: BufferedResponse) -> Vec<u8> {
     let mut head = buffered.head;
     head += &format!("Content-Length: {}\r\n\r\n", buffered.body.len());
     let mut bytes = head.into_bytes();
--- a/crates/tier/src/requests/exchange/state.rs
+++ b/crates/tier/src/requests/exchange/state.rs
@@ -1,9 +1,9 @@
-//! What is known of one exchange, and its time limits.
+//! The state of one exchange and its time limits.
 
 use super::attempt::Attempt;
 use crate::requests::event_buffer::EventBuffer;
 use crate::requests::header_names as names;
-use crate::requests::routing::{Hints, Question};
+use crate::requests::routing::{Hints, RoutingQuery};
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_gateway::{Attempts, ExecutorId, RetryClass};
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -11,84 +11,95 @@
 use grebeusher_transport::http::RequestHead;
 use std::rc::Rc;
 
-/// A deadline that the client doesn't name (milliseconds).
+/// The deadline of a request whose client sets none, in milliseconds after its receipt.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// An idempotent request is sent to another executor after this many objectives without a byte.
-const SILENT_OBJECTIVES: f64 = 4.0;
-/// It is never taken for silent sooner than this.
-const MIN_SILENCE: Duration = Duration::from_millis(900);
-/// A resumable stream that pauses for this many of its aims for pauses goes on at another executor: the client gives it
-/// up after eight of them.
-const SILENT_PAUSES: f64 = 3.0;
-/// A pause is never taken for silence sooner than this.
-const MIN_PAUSE: Duration = Duration::from_millis(700);
+/// An idempotent request is sent to another executor if nothing was received for this many times the route's target latency.
+const RESPONSE_TIMEOUT_TARGETS: f64 = 4.0;
+/// The shortest response timeout.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
+/// A resumable stream that has begun is resumed at another executor if nothing was received for this many times the route's
+/// target for the gap between events. The client gives the stream up after eight times that target.
+const EVENT_TIMEOUT_GAPS: f64 = 3.0;
+/// The shortest timeout between the events of a stream.
+const MIN_EVENT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// A request as the client sent it.
 pub struct ClientRequest {
-    /// Method, target and headers.
+    /// The method, the target and the headers.
     pub head: RequestHead,
-    /// The complete body.
+    /// The complete body, without its transfer encoding.
     pub body: Vec<u8>,
 }
 
-/// One exchange of a life of the process: its index, and a serial that no other exchange has, as indices are used again.
+/// Identifies an exchange while the process runs: its index, and a serial number that is never used again, as indices are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExchangeKey {
     pub(super) index: usize,
     pub(super) serial: u64,
 }
 
-/// One client request.
+/// A client request that is in flight.
 pub struct Exchange {
+    /// The serial number, which no other exchange of the process has.
     pub(super) serial: u64,
+    /// The index of the client's connection.
     pub(super) client: usize,
+    /// The serial number of the client's connection.
     pub(super) client_serial: u64,
     pub(super) request: ClientRequest,
     pub(super) hints: Hints,
     pub(super) route: Rc<Route>,
+    /// The service that was drawn by the weights of the route.
     pub(super) service: String,
     pub(super) retry_class: RetryClass,
-    pub(super) accepted: Instant,
+    pub(super) accepted_at: Instant,
+    /// When the time for the response is over.
     pub(super) deadline: Instant,
-    pub(super) tried: Vec<ExecutorId>,
+    /// The executors that already got an attempt.
+    pub(super) tried_executors: Vec<ExecutorId>,
+    /// The outcomes of the attempts so far, by which the gateway decides whether another attempt follows.
     pub(super) attempts: Attempts,
-    pub(super) attempt: Option<Attempt>,
-    /// How many attempts were begun.
-    pub(super) begun: u32,
-    /// Whether the head of a stream went to the client.
+    /// The attempt in flight.
+    pub(super) current_attempt: Option<Attempt>,
+    /// The number of attempts that were started.
+    pub(super) attempts_started: u32,
+    /// Whether the head of a streamed response was written to the client.
     pub(super) streaming: bool,
-    pub(super) events: EventBuffer,
-    pub(super) client_last_event: Option<u64>,
+    /// The part of a streamed response that is not yet a complete event.
+    pub(super) event_buffer: EventBuffer,
+    /// The id of the last event that the client had received before it sent the request.
+    pub(super) client_last_event_id: Option<u64>,
 }
 
 impl Exchange {
-    /// What the gateway is asked.
-    pub(super) fn question(&self) -> Question<'_> {
-        Question {
+    /// What routing needs to know to choose the next executor.
+    pub(super) fn routing_query(&self) -> RoutingQuery<'_> {
+        RoutingQuery {
             route: &self.route,
             service: &self.service,
             retry_class: self.retry_class,
             hints: &self.hints,
-            accepted: self.accepted,
+            accepted_at: self.accepted_at,
             deadline: self.deadline,
-            tried: &self.tried,
+            tried_executors: &self.tried_executors,
             may_have_run: self.streaming || self.attempts.may_have_run(),
         }
     }
 
-    /// How long an attempt may be silent before the request goes to another executor.
+    /// How long nothing may be received from an attempt before the request is sent to another executor.
     pub(super) fn response_timeout(&self) -> Duration {
-        let begun = self.attempt.as_ref().is_some_and(|attempt| attempt.head_seen);
+        let has_started = self.current_attempt.as_ref().is_some_and(|attempt| attempt.head_received);
         match self.route.event_gap_target_ms {
-            Some(gap_ms) if begun => MIN_PAUSE.max(Duration::from_millis(gap_ms).scaled(SILENT_PAUSES)),
-            _ => {
-                MIN_SILENCE.max(Duration::from_millis(self.route.target_latency_ms).scaled(SILENT_OBJECTIVES))
+            Some(gap_ms) if has_started => {
+                MIN_EVENT_TIMEOUT.max(Duration::from_millis(gap_ms).scaled(EVENT_TIMEOUT_GAPS))
             }
+            _ => MIN_RESPONSE_TIMEOUT
+                .max(Duration::from_millis(self.route.target_latency_ms).scaled(RESPONSE_TIMEOUT_TARGETS)),
         }
     }
 }
 
-/// How a request of a route may be repeated.
+/// How the requests of a route may be repeated.
 pub(super) fn retry_class(route: &Route) -> RetryClass {
     match route.route_type {
         RouteType::Idempotent => RetryClass::Idempotent,
@@ -97,8 +108,8 @@
     }
 }
 
-/// How long a request may take, by its client and its route.
+/// How long the response may take: the client's deadline, limited by the route's timeout.
 pub fn time_allowed(headers: &Headers, route: &Route) -> Duration {
-    let asked_ms = headers.get(names::DEADLINE_MS).and_then(|text| text.trim().parse().ok());
-    Duration::from_millis(asked_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(route.timeout_ms))
+    let client_ms = headers.get(names::DEADLINE_MS).and_then(|text| text.trim().parse().ok());
+    Duration::from_millis(client_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(route.timeout_ms))
 }
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -1,12 +1,12 @@
-//! What the data plane's decisions are fed with: services of the configuration, executors of the registry, requests.
+//! Connects the `Gateway`, which chooses executors, to the configuration, the registry and the requests of this node.
 //!
-//! `Routing` owns the `Gateway` and the table of services and executors that it was built from; the table is rebuilt from the
-//! configuration and the registry when one of them has changed, and nothing else writes it.
+//! `Routing` owns the `Gateway` and the ids of its executors. The services and executors of the gateway are updated here only,
+//! when the configuration or the registry has changed.
 
 use crate::control::active_configuration::ActiveConfiguration;
 use crate::requests::header_names as names;
 use crate::requests::upstream_connection::Target;
-use crate::requests::version_permissions::{VersionPermissions, VersionVerdict};
+use crate::requests::version_permissions::{VersionDecision, VersionPermissions};
 use grebeusher_batch::RunOrder;
 use grebeusher_configuration::configuration::Route;
 use grebeusher_gateway::{
@@ -20,40 +20,42 @@
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 
-/// A service whose configuration names no bound gets this many connections, of all callers together.
-const DEFAULT_CONNECTIONS: u32 = 64;
+/// The number of connections, from all callers together, to a service whose configuration sets no maximum.
+const DEFAULT_MAX_CONNECTIONS: u32 = 64;
 
-/// Executors beat about every second, so that long after its start a node knows them all.
-const STARTUP_DURATION: Duration = Duration::from_millis(2000);
-/// What a client is told to wait by a node that has just started.
+/// The time after its start within which a node may not yet know all executors. Executors send a heartbeat about once a
+/// second.
+const EXECUTOR_DISCOVERY_TIME: Duration = Duration::from_millis(2000);
+/// The `Retry-After` time of a node that has just started.
 pub const STARTING_RETRY: Duration = Duration::from_millis(700);
 
-/// A leader of a batch partition may have one of so many parts of an executor's connections.
-const LEADERS_SHARES: u32 = 3;
-/// By how much more than their number the edge nodes divide the connections, as leaders have a third of them.
-const EDGE_SHARES: f64 = 1.5;
+/// The leader of a batch partition may use one of this many equal shares of an executor's connections.
+const LEADER_SHARES: u32 = 3;
+/// An executor's connections are divided into this many shares for each edge node: leaders have a third of the connections,
+/// and the edge nodes divide the other two thirds.
+const SHARES_PER_EDGE_NODE: f64 = 1.5;
 
-/// Where an attempt goes.
+/// The executor that was chosen for an attempt.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Its key among the gateway's executors.
+    /// The gateway's id of the executor.
     pub executor: ExecutorId,
-    /// Its incarnation and address.
+    /// The instance id and the address of the executor.
     pub target: Target,
 }
 
-/// What becomes of a request now.
+/// Whether a request is sent to an executor.
 pub enum RouteChoice {
-    /// It goes to this executor.
+    /// The request is sent to this executor.
     Send(Candidate),
-    /// It is refused, and may come back after this long.
+    /// The request is refused; the client may retry.
     Refuse {
-        /// When room is expected.
+        /// The time after which capacity is expected.
         retry_after: Duration,
     },
 }
 
-/// The hints that a request's headers give.
+/// What the headers of a request tell about its model, size and prompt.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Hints {
     model: Option<ModelKey>,
@@ -62,7 +64,7 @@
 }
 
 impl Hints {
-    /// Reads the hints; what can't be read is as if it were not there.
+    /// Reads the hints from the headers. A header that can't be parsed is ignored.
     pub fn of(headers: &Headers) -> Hints {
         Hints {
             model: headers.get(names::MODEL_NAME).map(ModelKey::of),
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The hints of an item of a batch job.
+    /// Reads the hints from the headers of an item of a batch job.
     pub fn of_item(order: &RunOrder) -> Hints {
         let value = |name: &str| {
             let found = order.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
@@ -90,83 +92,86 @@
     }
 }
 
-/// A request that looks for an executor.
-pub struct Question<'a> {
-    /// Its route.
+/// What routing needs to know about a request to choose an executor.
+pub struct RoutingQuery<'a> {
+    /// The route of the request.
     pub route: &'a Route,
-    /// The service that the route's weights picked.
+    /// The service that was drawn by the weights of the route.
     pub service: &'a str,
-    /// How it may be repeated.
+    /// How the request may be repeated.
     pub retry_class: RetryClass,
-    /// Its size and prompt.
+    /// The model, size and prompt of the request.
     pub hints: &'a Hints,
-    /// When it came.
-    pub accepted: Instant,
-    /// When its time is over.
+    /// When the request was received.
+    pub accepted_at: Instant,
+    /// When the time for the response is over.
     pub deadline: Instant,
-    /// Executors that had it.
-    pub tried: &'a [ExecutorId],
-    /// Whether it may have run already, so that it can't be refused any more.
+    /// The executors that already got an attempt.
+    pub tried_executors: &'a [ExecutorId],
+    /// Whether an executor may have run the request already, so that it can't be refused any more.
     pub may_have_run: bool,
 }
 
-/// The gateway with the names that it does not keep.
+/// The gateway and the state of what was copied into it from the registry and the configuration.
 pub struct Routing {
-    /// The decisions.
+    /// Chooses executors.
     pub gateway: Gateway,
-    known: FxHashMap<String, ExecutorId>,
-    generation: u64,
-    /// The revision of the versions of services by which the executors were taken over, and whether proof was awaited.
-    versions: (u64, bool),
-    /// Whether the leader may know more of the versions of executors that are up.
+    /// The gateway's id of each executor, by instance id.
+    executor_ids: FxHashMap<String, ExecutorId>,
+    /// The generation of the registry's executors at the last update.
+    registry_generation: u64,
+    /// The revision of the version policy at the last update, and `VersionPermissions::awaits_proof` at that time.
+    applied_versions: (u64, bool),
+    /// Whether the leader may know more than this node about the versions of executors that are up.
     has_versions_in_question: bool,
-    configured: u64,
+    /// The version of the configuration at the last update.
+    configuration_version: u64,
 }
 
 impl Routing {
-    /// No executors yet.
+    /// Creates a gateway without services and executors, for a node in `zone`.
     pub fn new(zone: &str, seed: u64) -> Routing {
         Routing {
             gateway: Gateway::new(grebeusher_gateway::GatewayConfig::default(), ZoneKey::of(zone), seed),
-            known: FxHashMap::default(),
-            generation: 0,
-            versions: (0, false),
+            executor_ids: FxHashMap::default(),
+            registry_generation: 0,
+            applied_versions: (0, false),
             has_versions_in_question: false,
-            configured: 0,
+            configuration_version: 0,
         }
     }
 
-    /// Which executor a request goes to.
-    pub fn choose(&mut self, now: Instant, question: &Question<'_>) -> RouteChoice {
-        let request = self.request(now, question);
+    /// Chooses the executor for a request.
+    pub fn choose(&mut self, now: Instant, query: &RoutingQuery<'_>) -> RouteChoice {
+        let request = self.gateway_request(now, query);
         match self.gateway.choose(now, &request) {
             RoutingDecision::Forward { executor, address } => match self.candidate(now, executor, address) {
                 Some(candidate) => RouteChoice::Send(candidate),
                 None => RouteChoice::Refuse { retry_after: Duration::from_millis(100) },
             },
             RoutingDecision::Reject { retry_after } => RouteChoice::Refuse { retry_after },
-            // A node that has just started hears of the executors by their next heartbeats.
-            RoutingDecision::NoExecutor { retry_after } if now < Instant(0) + STARTUP_DURATION => {
+            // A node that has just started learns of the executors from their next heartbeats.
+            RoutingDecision::NoExecutor { retry_after } if now < Instant(0) + EXECUTOR_DISCOVERY_TIME => {
                 RouteChoice::Refuse { retry_after: retry_after.max(STARTING_RETRY) }
             }
             RoutingDecision::NoExecutor { retry_after } => RouteChoice::Refuse { retry_after },
         }
     }
 
-    /// The request as the gateway takes it.
-    pub fn request<'a>(&mut self, now: Instant, question: &'a Question<'_>) -> Request<'a> {
-        let service = self.gateway.service(question.service);
+    /// Converts the query to the gateway's form of a request.
+    pub fn gateway_request<'a>(&mut self, now: Instant, query: &'a RoutingQuery<'_>) -> Request<'a> {
+        let service = self.gateway.service(query.service);
         Request {
-            priority: u8::try_from(question.route.priority_level).unwrap_or(u8::MAX),
-            retry_class: question.retry_class,
-            model: question.hints.model,
-            tokens: question.hints.tokens,
-            prompt: question.hints.prompt,
-            excluded: question.tried,
-            latency_objective: Duration::from_millis(question.route.target_latency_ms),
-            elapsed: now.since(question.accepted),
-            until_deadline: question.deadline.since(now),
-            may_have_run: question.may_have_run,
+            priority: u8::try_from(query.route.priority_level).unwrap_or(u8::MAX),
+            retry_class: query.retry_class,
+            model: query.hints.model,
+            tokens: query.hints.tokens,
+            prompt: query.hints.prompt,
+            excluded: query.tried_executors,
+            latency_objective: Duration::from_millis(query.route.target_latency_ms),
+            elapsed: now.since(query.accepted_at),
+            until_deadline: query.deadline.since(now),
+            may_have_run: query.may_have_run,
             ..Request::to(service)
         }
     }
@@ -177,7 +182,7 @@
         Some(Candidate { executor, target: Target { instance, address } })
     }
 
-    /// Whether a service has an executor with room for a batch item, whatever its size.
+    /// Whether an executor of the service has capacity for a batch item. The size of the item is ignored.
     pub fn has_batch_room(&mut self, now: Instant, service: &str) -> bool {
         let service = self.gateway.service(service);
         let item = BatchItem {
@@ -191,7 +196,7 @@
         self.gateway.choose_for_batch(now, &item).is_some()
     }
 
-    /// The executor that an item goes to, and the item as the gateway counts it.
+    /// Chooses the executor for a batch item. Also returns the gateway's form of the item.
     pub fn choose_for_item(
         &mut self,
         now: Instant,
@@ -222,7 +227,8 @@
         Some((candidate, request))
     }
 
-    /// Takes over what has changed in the registry and in the configuration. Returns the executors that are gone.
+    /// Copies changes of the registry and the configuration into the gateway. Returns the instance ids of the executors that no
+    /// longer exist.
     pub fn update(
         &mut self,
         registry: &Registry,
@@ -235,27 +241,27 @@
         let generation = registry.generation().executors;
         let mut gone = Vec::new();
         let versions = (permissions.policy.revision(), permissions.awaits_proof);
-        if self.generation != generation || self.versions != versions {
-            self.generation = generation;
-            self.versions = versions;
+        if self.registry_generation != generation || self.applied_versions != versions {
+            self.registry_generation = generation;
+            self.applied_versions = versions;
             gone = self.update_executors(registry, permissions);
         }
         self.gateway.set_nodes(connection_shares(registry));
-        let nodes = registry.live_members().count();
+        let live_nodes = registry.live_members().count();
         if let Some(popularity) = self.gateway.popularity_mut() {
-            popularity.set_nodes(nodes);
+            popularity.set_nodes(live_nodes);
         }
         gone
     }
 
     fn update_services(&mut self, active: &ActiveConfiguration) {
-        if self.configured == active.version {
+        if self.configuration_version == active.version {
             return;
         }
-        self.configured = active.version;
+        self.configuration_version = active.version;
         for service in &active.routes.configuration().services {
             let settings = ServiceSettings {
-                max_connections: service.max_connections.unwrap_or(DEFAULT_CONNECTIONS),
+                max_connections: service.max_connections.unwrap_or(DEFAULT_MAX_CONNECTIONS),
                 kv_capacity_tokens: service
                     .engine_type
                     .as_ref()
@@ -265,20 +271,20 @@
         }
     }
 
-    /// Whether the leader may know more of the versions of executors that are up.
+    /// Whether the leader may know more than this node about the versions of executors that are up.
     pub fn has_versions_in_question(&self) -> bool {
         self.has_versions_in_question
     }
 
     fn update_executors(&mut self, registry: &Registry, permissions: &VersionPermissions<'_>) -> Vec<String> {
-        let gone = self.remove_executors_that_are_gone(registry);
-        let seen = permissions.seen(registry);
+        let gone = self.remove_gone_executors(registry);
+        let versions = permissions.observed_versions(registry);
         self.has_versions_in_question = false;
         for executor in registry.executors().filter(|executor| executor.exists()) {
-            let VersionVerdict { is_permitted, is_in_question } = permissions.verdict(executor, &seen);
-            self.has_versions_in_question |= is_in_question && takes_requests(executor);
-            // One that got requests before finishes them.
-            if !is_permitted && !self.known.contains_key(&executor.report.id) {
+            let VersionDecision { is_permitted, is_unconfirmed } = permissions.decide(executor, &versions);
+            self.has_versions_in_question |= is_unconfirmed && accepts_requests(executor);
+            // An executor that is not permitted but got requests before stays in the gateway, as draining, to finish them.
+            if !is_permitted && !self.executor_ids.contains_key(&executor.report.id) {
                 continue;
             }
             let models: Vec<ModelKey> =
@@ -286,24 +292,25 @@
             let id = self.gateway.upsert(&ExecutorDescriptor {
                 instance: &executor.report.id,
                 service: &executor.report.service,
-                address: address_of(executor),
+                address: socket_address(executor),
                 zone: ZoneKey::of(&executor.report.zone),
                 slots: executor.report.slot_count,
-                state: if is_permitted { state_of(executor, registry) } else { ExecutorState::Draining },
+                state: if is_permitted { gateway_state(executor, registry) } else { ExecutorState::Draining },
                 models: &models,
             });
-            if !self.known.contains_key(&executor.report.id) {
-                self.known.insert(executor.report.id.clone(), id);
+            if !self.executor_ids.contains_key(&executor.report.id) {
+                self.executor_ids.insert(executor.report.id.clone(), id);
             }
         }
         gone
     }
 
-    fn remove_executors_that_are_gone(&mut self, registry: &Registry) -> Vec<String> {
+    fn remove_gone_executors(&mut self, registry: &Registry) -> Vec<String> {
         let exists = |instance: &str| registry.executor(instance).is_some_and(Executor::exists);
-        let gone: Vec<String> = self.known.keys().filter(|instance| !exists(instance)).cloned().collect();
+        let gone: Vec<String> =
+            self.executor_ids.keys().filter(|instance| !exists(instance)).cloned().collect();
         for instance in &gone {
-            if let Some(id) = self.known.remove(instance) {
+            if let Some(id) = self.executor_ids.remove(instance) {
                 self.gateway.remove(id);
             }
         }
@@ -311,24 +318,25 @@
     }
 }
 
-/// Into how many parts an executor's connections are divided. The leaders of batch partitions, few and with most of the
-/// requests in flight, have a third; the rest is for the edge nodes, whose requests are spread evenly.
+/// The number of shares that an executor's connections are divided into, of which this node may use one. The leaders of batch
+/// partitions, which are few and have most of the requests in flight, have a third of the connections; the rest is divided
+/// among the edge nodes, whose requests are spread evenly.
 fn connection_shares(registry: &Registry) -> u32 {
     if registry.own_member().class == Class::Storage {
-        return LEADERS_SHARES;
+        return LEADER_SHARES;
     }
-    let edges = registry.live_members().filter(|member| member.class == Class::Edge).count();
-    let shares = edges.max(1) as f64 * EDGE_SHARES;
+    let edge_nodes = registry.live_members().filter(|member| member.class == Class::Edge).count();
+    let shares = edge_nodes.max(1) as f64 * SHARES_PER_EDGE_NODE;
     shares.ceil() as u32
 }
 
-/// Whether an executor would get requests if its version were in force.
-fn takes_requests(executor: &Executor) -> bool {
+/// Whether an executor would get new requests if its version were in force.
+fn accepts_requests(executor: &Executor) -> bool {
     executor.report.state == RegisteredState::Up && !executor.unresponsive
 }
 
-/// The state of an executor as the gateway takes it.
-fn state_of(executor: &Executor, registry: &Registry) -> ExecutorState {
+/// Converts the registered state of an executor to the gateway's.
+fn gateway_state(executor: &Executor, registry: &Registry) -> ExecutorState {
     match executor.report.state {
         RegisteredState::Draining | RegisteredState::Gone => ExecutorState::Draining,
         RegisteredState::Up if registry.is_only_restored(&executor.report.id) => ExecutorState::Draining,
@@ -337,7 +345,7 @@
     }
 }
 
-fn address_of(executor: &Executor) -> SocketAddr {
+fn socket_address(executor: &Executor) -> SocketAddr {
     let address: SocketAddrV4 = executor.report.address;
     SocketAddr::V4(address)
 }
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -1,50 +1,50 @@
-//! Connections of clients, executors, operators and the platform's checks: requests that were read complete are passed to the
-//! dispatch of the address that they came to, and answers are written.
+//! The HTTP connections that clients, executors, operators and the platform's health checks open to this node. Complete requests
+//! are returned to the caller, which dispatches them by listener; responses are written here.
 //!
-//! The state of a connection is its [`ServerConnection`]. Others write to it only by its index and serial, so that a late
-//! answer never reaches whoever has the connection next.
+//! The state of a connection is its [`ServerConnection`]. Other modules address a connection by its index and serial number, so
+//! that a late response is never written to another connection that was given the same index.
 
 use crate::links::connections::{Connection, ConnectionTable, Role};
 use crate::links::socket::{Reading, Socket};
 use crate::requests::exchange::ClientRequest;
 use crate::requests::plane::{RequestContext, Requests};
 use crate::requests::server_connection::{
-    AfterAnswer, ConnectionTimeouts, ListenerKind, Overdue, ServerConnection, Waiting, first_limits,
+    AfterResponse, ConnectionTimeouts, ListenerKind, Overdue, ServerConnection, Waiting, first_limits,
 };
-use crate::requests::upstream::MAX_UNWRITTEN;
+use crate::requests::upstream::MAX_UNWRITTEN_BYTES;
 use crate::runtime::io::World;
 use grebeusher_time::Duration;
 use grebeusher_transport::http::{self, Limits, Malformed};
 use std::io;
 
-/// What became of a peer that waited to connect.
-pub(super) enum Admitted {
-    /// Nobody waits.
-    Nobody,
-    /// There is no room for it, or it is gone.
+/// The result of accepting a connection.
+pub(super) enum AcceptOutcome {
+    /// No connection is pending.
+    NonePending,
+    /// The connection was closed, as the node has its maximum of connections or the connection can't be watched.
     Refused,
-    /// It has this connection.
+    /// The connection was accepted and has this index.
     Connection(usize),
 }
 
 impl Requests {
-    /// Takes in the next peer that waits to connect.
-    pub(super) fn accept(&mut self, context: &mut RequestContext<'_>, entrance: ListenerKind) -> Admitted {
-        let Some(listener) = self.listeners.get(entrance) else { return Admitted::Nobody };
-        let Ok(arrival) = listener.accept() else { return Admitted::Nobody };
-        if context.connections.is_full() && entrance == ListenerKind::Frontend {
+    /// Accepts the next pending connection of a listener.
+    pub(super) fn accept(&mut self, context: &mut RequestContext<'_>, kind: ListenerKind) -> AcceptOutcome {
+        let Some(listener) = self.listeners.get(kind) else { return AcceptOutcome::NonePending };
+        let Ok(accepted) = listener.accept() else { return AcceptOutcome::NonePending };
+        if context.connections.is_full() && kind == ListenerKind::Frontend {
             self.counters.connections_refused += 1;
-            return Admitted::Refused;
+            return AcceptOutcome::Refused;
         }
-        let connection = Role::Server(ServerConnection::new(entrance, context.now));
-        let open = |_: &dyn World, key| Socket::accepted(arrival, key);
-        match context.connections.add(context.world, open, connection) {
-            Ok(index) => Admitted::Connection(index),
-            Err(_) => Admitted::Refused,
+        let role = Role::Server(ServerConnection::new(kind, context.now));
+        let open = |_: &dyn World, key| Socket::accepted(accepted, key);
+        match context.connections.add(context.world, open, role) {
+            Ok(index) => AcceptOutcome::Connection(index),
+            Err(_) => AcceptOutcome::Refused,
         }
     }
 
-    /// Reads what a peer has sent.
+    /// Reads from a connection into its input buffer.
     pub(super) fn read_server(
         &self,
         context: &mut RequestContext<'_>,
@@ -54,17 +54,17 @@
         Some(socket.read())
     }
 
-    /// The next request that has come complete on a connection, with the address that it came to. A malformed one is refused.
+    /// The next complete request of a connection, with the listener that accepted the connection. A malformed request is refused.
     pub(super) fn next_request(
         &mut self,
         context: &mut RequestContext<'_>,
         index: usize,
     ) -> Option<(ListenerKind, ClientRequest)> {
-        let limits = self.limits_at(context, index);
+        let limits = self.http_limits(context, index);
         let now = context.now;
         let (socket, server) = context.connections.server_mut(index)?;
         match server.read_request(socket, &limits, now) {
-            Ok(request) => Some((server.entrance(), request?)),
+            Ok(request) => Some((server.listener(), request?)),
             Err(Malformed(status)) => {
                 self.refuse_malformed(context, index, status);
                 None
@@ -72,50 +72,52 @@
         }
     }
 
-    /// Answers a request complete.
-    pub(crate) fn answer(
+    /// Writes a complete response and ends the request.
+    pub(crate) fn respond(
         &mut self,
         context: &mut RequestContext<'_>,
         index: usize,
         serial: u64,
         bytes: Vec<u8>,
     ) {
-        self.write_own_answer(context, index, serial, bytes);
-        self.client_answered(context, index, serial, true);
+        self.write_local_response(context, index, serial, bytes);
+        self.finish_client_request(context, index, serial, true);
     }
 
-    /// Writes what waits; whether the connection is still there.
+    /// Writes buffered output. Returns whether the connection is still open.
     pub(super) fn flush_server(&mut self, context: &mut RequestContext<'_>, index: usize) -> bool {
         let Some((socket, server)) = context.connections.server_mut(index) else { return false };
         if socket.flush().is_err() {
-            self.server_gone(context, index);
+            self.drop_connection(context, index);
             return false;
         }
-        let waiting = socket.waiting();
-        let resumes = if waiting < MAX_UNWRITTEN / 2 { server.take_held_back() } else { None };
-        let ends = waiting == 0 && server.is_ending();
-        if let Some(upstream) = resumes {
+        let unwritten_bytes = socket.waiting();
+        let resumed_upstream =
+            if unwritten_bytes < MAX_UNWRITTEN_BYTES / 2 { server.take_paused_upstream() } else { None };
+        let is_finished = unwritten_bytes == 0 && server.is_closing();
+        if let Some(upstream) = resumed_upstream {
             context.connections.pause(upstream, false);
         }
-        if ends {
+        if is_finished {
             context.connections.close(index);
             return false;
         }
         true
     }
 
-    /// The peer will send no more: what is under way is of no use to it.
-    pub(super) fn server_ended(&mut self, context: &mut RequestContext<'_>, index: usize) {
+    /// Handles that a peer has closed its sending side, which counts as a disconnect: its request is dropped. If the last response
+    /// is still being written, the connection stays open until that is done.
+    pub(super) fn handle_peer_end(&mut self, context: &mut RequestContext<'_>, index: usize) {
         let Some((socket, server)) = context.connections.server_mut(index) else { return };
-        if socket.waiting() > 0 && server.is_ending() {
+        if socket.waiting() > 0 && server.is_closing() {
             let _ = socket.pause(true);
             return;
         }
-        self.server_gone(context, index);
+        self.drop_connection(context, index);
     }
 
-    /// The peer is gone.
-    pub(super) fn server_gone(&mut self, context: &mut RequestContext<'_>, index: usize) {
+    /// Closes the connection of a peer that has disconnected, and drops its request.
+    pub(super) fn drop_connection(&mut self, context: &mut RequestContext<'_>, index: usize) {
         let exchange = context.connections.server_mut(index).and_then(|(_, server)| server.exchange());
         context.connections.close(index);
         if let Some(exchange) = exchange {
@@ -123,34 +125,36 @@
         }
     }
 
-    /// The bounds on a request: the operator's for clients, the program's own for executors and the operator.
-    fn limits_at(&mut self, context: &mut RequestContext<'_>, index: usize) -> Limits {
+    /// The limits on a request: those of the configuration for clients, the built-in ones for executors, operators and health
+    /// checks.
+    fn http_limits(&mut self, context: &mut RequestContext<'_>, index: usize) -> Limits {
         match context.connections.server_mut(index) {
-            Some((_, server)) if server.entrance() == ListenerKind::Frontend => {
+            Some((_, server)) if server.listener() == ListenerKind::Frontend => {
                 *context.configuration.http_limits()
             }
             _ => first_limits(),
         }
     }
 
+    /// Answers a malformed or slow request with `status` and closes the connection after it.
     pub(super) fn refuse_malformed(&mut self, context: &mut RequestContext<'_>, index: usize, status: u16) {
         self.counters.malformed += 1;
         let Some((socket, server)) = context.connections.server_mut(index) else { return };
         socket.take_input();
         server.refuse_request();
         let serial = context.connections.serial(index);
-        self.answer(context, index, serial, http::answer(status, &[], b""));
+        self.respond(context, index, serial, http::answer(status, &[], b""));
     }
 
-    /// An exchange has the client's request.
-    pub fn client_waits_for(&mut self, context: &mut RequestContext<'_>, index: usize, exchange: usize) {
+    /// Makes a client's connection wait for an exchange.
+    pub fn wait_for_exchange(&mut self, context: &mut RequestContext<'_>, index: usize, exchange: usize) {
         if let Some((_, server)) = context.connections.server_mut(index) {
             server.wait_for_exchange(exchange);
         }
     }
 
-    /// Puts a complete answer of this node's own on its way; it says so where the connection ends behind it.
-    pub fn write_own_answer(
+    /// Writes a complete response, with `Connection: close` if the connection is closed after it.
+    pub fn write_local_response(
         &mut self,
         context: &mut RequestContext<'_>,
         index: usize,
@@ -160,21 +164,21 @@
         if context.connections.serial(index) != serial {
             return;
         }
-        if !self.closing_line(context, index).is_empty() {
+        if !self.connection_close_line(context, index).is_empty() {
             http::add_header(&mut bytes, http::CLOSE);
         }
         self.write_client(context, index, serial, &bytes);
     }
 
-    /// The header line of an answer behind which its connection ends: the client asked for it, or this process is about to
-    /// end, and the client had better use another connection next.
-    pub fn closing_line(&mut self, context: &mut RequestContext<'_>, index: usize) -> &'static str {
+    /// The `Connection: close` header line if the connection is closed after the current response, else an empty string. It is
+    /// closed if the client asked for it, or if this process is stopping, so that the client uses another connection next.
+    pub fn connection_close_line(&mut self, context: &mut RequestContext<'_>, index: usize) -> &'static str {
         let stopping = context.stopping;
         let Some((_, server)) = context.connections.server_mut(index) else { return "" };
         if server.will_close(stopping) { "Connection: close\r\n" } else { "" }
     }
 
-    /// Puts bytes of an answer on their way.
+    /// Writes bytes of a response.
     pub fn write_client(
         &mut self,
         context: &mut RequestContext<'_>,
@@ -187,11 +191,13 @@
         }
         let Some((socket, _)) = context.connections.server_mut(index) else { return };
         socket.put(bytes);
-        // A peer that is gone is noticed by the loop's next event; here the exchange is in the middle of its step.
+        // The error of a broken connection is ignored, as the caller still works on the exchange. The next event of the connection
+        // reports it.
         let _ = socket.flush();
     }
 
-    /// The same as one chunk of a chunked body; nothing for no bytes.
+    /// Writes bytes of a response as one chunk of a chunked body. Writes nothing if `bytes` is empty, as an empty chunk would end
+    /// the body.
     pub fn write_client_chunk(
         &mut self,
         context: &mut RequestContext<'_>,
@@ -209,50 +215,50 @@
         let _ = socket.flush();
     }
 
-    /// How much a client has not taken yet.
-    pub fn unwritten(&mut self, context: &mut RequestContext<'_>, index: usize) -> usize {
+    /// The number of bytes that wait to be written to a client.
+    pub fn unwritten_bytes(&mut self, context: &mut RequestContext<'_>, index: usize) -> usize {
         context.connections.server_mut(index).map_or(0, |(socket, _)| socket.waiting())
     }
 
-    /// Remembers that a connection to an executor waits for this client.
-    pub fn paused_by_client(&mut self, context: &mut RequestContext<'_>, index: usize, upstream: usize) {
+    /// Notes that the connection `upstream` to an executor is not read until this client has received more of its response.
+    pub fn note_paused_upstream(&mut self, context: &mut RequestContext<'_>, index: usize, upstream: usize) {
         if let Some((_, server)) = context.connections.server_mut(index) {
-            server.hold_back(upstream);
+            server.note_paused_upstream(upstream);
         }
     }
 
-    /// The request is over. `complete`: its answer is complete, and the connection may carry another one.
-    pub fn client_answered(
+    /// Ends a request. If its response is complete, the connection may carry another request; otherwise it is closed.
+    pub fn finish_client_request(
         &mut self,
         context: &mut RequestContext<'_>,
         index: usize,
         serial: u64,
-        complete: bool,
+        response_complete: bool,
     ) {
         if context.connections.serial(index) != serial {
             return;
         }
         let stopping = context.stopping;
         let now = context.now;
-        if !complete {
+        if !response_complete {
             return context.connections.close(index);
         }
         let Some((socket, server)) = context.connections.server_mut(index) else { return };
-        match server.answered(now, stopping) {
-            AfterAnswer::Ends if socket.waiting() == 0 => {
+        match server.finish_request(now, stopping) {
+            AfterResponse::Close if socket.waiting() == 0 => {
                 socket.end_writing();
                 context.connections.close(index);
             }
-            // The client may have sent its next request already.
-            AfterAnswer::Continues if !socket.input().is_empty() => {
+            // The client may have sent its next request before this response was complete.
+            AfterResponse::KeepOpen if !socket.input().is_empty() => {
                 context.connections.note_unread_input(index);
             }
-            AfterAnswer::Ends | AfterAnswer::Continues => {}
+            AfterResponse::Close | AfterResponse::KeepOpen => {}
         }
     }
 
-    /// Closes peers that are idle or slow for longer than the limits say. Idle clients are closed without an
-    /// answer; one that has begun a request hears 408.
+    /// Closes connections that were idle or slow for longer than the configured timeouts. Idle connections are closed without a
+    /// response; a request that was received in part is answered with 408.
     pub fn sweep_servers(&mut self, context: &mut RequestContext<'_>) {
         let now = context.now;
         let limits = context.configuration.client_limits();
@@ -272,19 +278,19 @@
     }
 }
 
-/// Closes idle connections of clients; for a process that is about to end.
+/// Closes the idle connections of peers, when the process is stopping.
 pub(crate) fn close_idle_servers(connections: &mut ConnectionTable) {
     let idle = connections.iter().filter(|(_, connection)| is_idle(connection) == Some(true));
     let idle: Vec<usize> = idle.map(|(index, _)| index).collect();
     idle.into_iter().for_each(|index| connections.close(index));
 }
 
-/// How many requests of any kind are being read or answered.
+/// The number of connections with a request that is being read or processed.
 pub(crate) fn busy_servers(connections: &ConnectionTable) -> usize {
     connections.iter().filter(|(_, connection)| is_idle(connection) == Some(false)).count()
 }
 
-/// Whose requests are being answered.
+/// What the responses to the current requests depend on.
 pub(crate) fn waiting_clients(connections: &ConnectionTable) -> Vec<Waiting> {
     let waiting = connections.iter().filter_map(|(index, connection)| match &connection.role {
         Role::Server(server) => server.waiting(index),
@@ -293,8 +299,8 @@
     waiting.collect()
 }
 
-/// Whether no request is under way on a connection, and none was read that waits for its turn. `None` for connections that
-/// are no server's.
+/// Whether no request is in progress on a connection and no further one has been received. `None` for connections that this
+/// node has opened and for node links.
 fn is_idle(connection: &Connection) -> Option<bool> {
     let Role::Server(server) = &connection.role else { return None };
     Some(server.is_idle(&connection.socket))
--- a/crates/tier/src/requests/server_connection.rs
+++ b/crates/tier/src/requests/server_connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a client, an executor, an operator or the platform's checks: a state machine that reads requests complete,
-//! one at a time. It answers nothing itself.
+//! The server side of one HTTP connection, which a client, an executor, an operator or the platform's health check has opened:
+//! a state machine that reads one complete request at a time. It writes only the interim response `100 Continue` itself.
 
 use crate::links::socket::Socket;
 use crate::requests::exchange::ClientRequest;
@@ -7,93 +7,100 @@
 use grebeusher_transport::body::{self, BodyReader, Framing};
 use grebeusher_transport::http::{self, Limits, Malformed, RequestHead};
 
-/// The address that a connection came to.
+/// The listener that accepted a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerKind {
-    /// Clients.
+    /// The listener for clients.
     Frontend,
-    /// The platform's checks.
+    /// The listener for the platform's health checks.
     Readiness,
-    /// Executors and operators.
+    /// The listener for executors and operators.
     Control,
 }
 
 enum State {
-    /// No request is under way.
+    /// No request is in progress.
     Idle,
-    /// A head has begun to come.
+    /// A part of a request head has been received.
     Head,
-    /// A body is coming.
+    /// The head has been received, and the body is being received.
     Body { head: Box<RequestHead>, reader: BodyReader, body: Vec<u8> },
-    /// The request is being answered; the exchange, if it is one.
+    /// The request is being processed, by an exchange if `exchange` has its index.
     Busy { exchange: Option<usize> },
-    /// The answer goes out, then the connection ends.
-    Ending,
+    /// The last response is being written; the connection is closed after it.
+    Closing,
 }
 
-/// What a client, executor or operator waits for.
+/// What the response to a request depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiting {
-    /// The end of an exchange.
+    /// The exchange with this index.
     Exchange(usize),
-    /// The reply to a call, on the connection at an index.
+    /// A call to another node. The value is the index of the connection that waits for the response.
     Call(usize),
 }
 
-/// What becomes of a connection whose request was answered complete.
+/// Whether a connection stays open after a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AfterAnswer {
-    /// It may carry another request.
-    Continues,
-    /// It ends once the answer is written.
-    Ends,
+pub(crate) enum AfterResponse {
+    /// The connection may carry another request.
+    KeepOpen,
+    /// The connection is closed once the response is written.
+    Close,
 }
 
-/// The time-outs of a connection.
+/// The timeouts of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConnectionTimeouts {
-    /// How long a head may take.
+    /// The maximum time from the first byte of a request head to its last.
     pub header: Duration,
-    /// How long the peer may send nothing between requests, or within a body.
+    /// The maximum time between two requests, and from the first byte of a request to the last byte of its body.
     pub idle: Duration,
 }
 
-/// What a time-out means for its connection.
+/// The timeout that a connection has exceeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Overdue {
-    /// No request is under way: it is closed without an answer.
+    /// No request is in progress: the connection is closed without a response.
     Idle,
-    /// A request has begun to come: the peer hears that it was too slow.
+    /// A request was received in part: it is answered with 408.
     SlowRequest,
 }
 
-/// The server's part of a connection.
+/// The protocol state of a connection that this node has accepted.
 pub struct ServerConnection {
-    entrance: ListenerKind,
+    listener: ListenerKind,
     state: State,
-    /// When the state began: idle or slow peers are closed.
+    /// When the last response was complete or the first byte of the current request was received. Timeouts count from then.
     since: Instant,
-    closes: bool,
-    /// A connection to an executor that waits until this client has taken what it was sent.
-    holds_back: Option<usize>,
+    /// Whether the connection is closed after the current response.
+    must_close: bool,
+    /// The index of a connection to an executor that is not read until this peer has received more of its response.
+    paused_upstream: Option<usize>,
 }
 
 impl ServerConnection {
-    /// A connection that was just accepted.
-    pub(crate) fn new(entrance: ListenerKind, now: Instant) -> ServerConnection {
-        ServerConnection { entrance, state: State::Idle, since: now, closes: false, holds_back: None }
+    /// Creates the state of a connection that was just accepted.
+    pub(crate) fn new(listener: ListenerKind, now: Instant) -> ServerConnection {
+        ServerConnection {
+            listener,
+            state: State::Idle,
+            since: now,
+            must_close: false,
+            paused_upstream: None,
+        }
     }
 
-    /// The address that it came to.
-    pub(crate) fn entrance(&self) -> ListenerKind {
-        self.entrance
+    /// The listener that accepted the connection.
+    pub(crate) fn listener(&self) -> ListenerKind {
+        self.listener
     }
 
-    /// The next request, if it has come complete. From then on the connection is busy until the request is answered; what
-    /// comes meanwhile stays in the socket.
+    /// Reads the next request. Returns `None` until it is complete. After that the connection is busy until the response is
+    /// complete; bytes received meanwhile stay in the socket's input.
     ///
     /// # Errors
-    /// The status by which a malformed request is answered.
+    /// The request is malformed; the error has the status of the response.
     pub(crate) fn read_request(
         &mut self,
         socket: &mut Socket,
@@ -111,7 +118,7 @@
             }
             State::Body { .. } => {}
             State::Busy { .. } => return Ok(None),
-            State::Ending => {
+            State::Closing => {
                 socket.take_input();
                 return Ok(None);
             }
@@ -119,7 +126,7 @@
         self.read_body(socket, limits)
     }
 
-    /// Reads a head; whether it is complete.
+    /// Reads the request head. Returns whether it is complete.
     fn read_head(&mut self, socket: &mut Socket, limits: &Limits, now: Instant) -> Result<bool, Malformed> {
         if matches!(self.state, State::Idle) {
             self.state = State::Head;
@@ -136,13 +143,13 @@
         if head.headers.get("Expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue")) {
             socket.put(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
-        self.closes = head.headers.closes;
+        self.must_close = head.headers.closes;
         let reader = BodyReader::new(framing);
         self.state = State::Body { head: Box::new(head), reader, body: Vec::new() };
         Ok(true)
     }
 
-    /// Reads on in a body; the request once it is complete.
+    /// Reads the next part of the body. Returns the request once it is complete.
     fn read_body(
         &mut self,
         socket: &mut Socket,
@@ -155,9 +162,9 @@
             for range in &progress.data {
                 body.extend_from_slice(&bytes[range.clone()]);
             }
-            let too_long = body.len() > limits.most_body;
+            let is_too_long = body.len() > limits.most_body;
             socket.restore_input(bytes, progress.consumed);
-            if too_long {
+            if is_too_long {
                 return Err(Malformed(413));
             }
         }
@@ -170,18 +177,18 @@
         }
     }
 
-    /// The request is malformed or too slow: it is answered, and the connection ends.
+    /// Makes the connection wait for the response to a malformed or slow request, after which it is closed.
     pub(crate) fn refuse_request(&mut self) {
-        self.closes = true;
+        self.must_close = true;
         self.state = State::Busy { exchange: None };
     }
 
-    /// An exchange has the request.
+    /// Makes the connection wait for an exchange.
     pub(crate) fn wait_for_exchange(&mut self, exchange: usize) {
         self.state = State::Busy { exchange: Some(exchange) };
     }
 
-    /// The exchange that has the request, if one has.
+    /// The index of the exchange that processes the current request, if one does.
     pub(crate) fn exchange(&self) -> Option<usize> {
         match self.state {
             State::Busy { exchange } => exchange,
@@ -189,55 +196,55 @@
         }
     }
 
-    /// Whose answer the peer waits for, on the connection at `index`.
+    /// What the response to the current request depends on. `index` is the index of this connection.
     pub(crate) fn waiting(&self, index: usize) -> Option<Waiting> {
         let State::Busy { exchange } = self.state else { return None };
         Some(exchange.map_or(Waiting::Call(index), Waiting::Exchange))
     }
 
-    /// Whether the connection ends behind its present answer: its peer asked for it, or the process is stopping.
+    /// Whether the connection is closed after the current response: its peer asked for it, or the process is stopping.
     pub(crate) fn will_close(&mut self, stopping: bool) -> bool {
-        self.closes |= stopping;
-        self.closes
+        self.must_close |= stopping;
+        self.must_close
     }
 
-    /// The answer is complete.
-    pub(crate) fn answered(&mut self, now: Instant, stopping: bool) -> AfterAnswer {
+    /// Ends the current request, whose response is complete. Returns whether the connection stays open.
+    pub(crate) fn finish_request(&mut self, now: Instant, stopping: bool) -> AfterResponse {
         self.since = now;
-        self.holds_back = None;
-        if self.closes || stopping {
-            self.state = State::Ending;
-            return AfterAnswer::Ends;
+        self.paused_upstream = None;
+        if self.must_close || stopping {
+            self.state = State::Closing;
+            return AfterResponse::Close;
         }
         self.state = State::Idle;
-        AfterAnswer::Continues
+        AfterResponse::KeepOpen
     }
 
-    /// Whether it ends once all is written.
-    pub(crate) fn is_ending(&self) -> bool {
-        matches!(self.state, State::Ending)
+    /// Whether the connection is closed once its output is written.
+    pub(crate) fn is_closing(&self) -> bool {
+        matches!(self.state, State::Closing)
     }
 
-    /// Whether no request is under way, and none was read that waits for its turn.
+    /// Whether no request is in progress and no further one has been received.
     pub(crate) fn is_idle(&self, socket: &Socket) -> bool {
         matches!(self.state, State::Idle) && socket.input().is_empty()
     }
 
-    /// A connection to an executor is not read until this client has taken what it was sent.
-    pub(crate) fn hold_back(&mut self, upstream: usize) {
-        self.holds_back = Some(upstream);
+    /// Notes that the connection `upstream` to an executor is not read until this peer has received more of its response.
+    pub(crate) fn note_paused_upstream(&mut self, upstream: usize) {
+        self.paused_upstream = Some(upstream);
     }
 
-    /// The connection to an executor that may be read again.
-    pub(crate) fn take_held_back(&mut self) -> Option<usize> {
-        self.holds_back.take()
+    /// Takes the index of the connection to an executor that was paused for this peer.
+    pub(crate) fn take_paused_upstream(&mut self) -> Option<usize> {
+        self.paused_upstream.take()
     }
 
-    /// Whether the peer has been idle or slow for too long.
+    /// The timeout that the peer has exceeded, if any.
     pub(crate) fn overdue(&self, now: Instant, timeouts: &ConnectionTimeouts) -> Option<Overdue> {
         let elapsed = now.since(self.since);
         match self.state {
-            State::Idle | State::Ending if elapsed > timeouts.idle => Some(Overdue::Idle),
+            State::Idle | State::Closing if elapsed > timeouts.idle => Some(Overdue::Idle),
             State::Head if elapsed > timeouts.header => Some(Overdue::SlowRequest),
             State::Body { .. } if elapsed > timeouts.idle => Some(Overdue::SlowRequest),
             _ => None,
@@ -245,7 +252,7 @@
     }
 }
 
-/// The limits on heads and bodies before a configuration says others.
+/// The limits on request heads and bodies, as long as no configuration sets others.
 pub fn first_limits() -> Limits {
     Limits { most_head: 64 * 1024, most_headers: 96, most_body: 8 * 1024 * 1024 }
 }
--- a/crates/tier/src/requests/upstream.rs
+++ b/crates/tier/src/requests/upstream.rs
@@ -1,7 +1,7 @@
-//! Calls to executors: each on an idle connection or a new one. What comes back on it is delivered by
-//! `requests/dispatch.rs`.
+//! Starts and aborts calls to executors. A call uses an idle connection or opens a new one; `requests/dispatch.rs` delivers
+//! the response.
 //!
-//! The state of a connection is its [`Upstream`]; the pool of idle ones is the connection table's.
+//! The state of a connection is its [`Upstream`]; the connection table has the pool of idle connections.
 
 use crate::links::connections::{ConnectionTable, Role};
 use crate::links::socket::Socket;
@@ -12,33 +12,35 @@
 use grebeusher_time::Duration;
 use grebeusher_transport::headers::Headers;
 
-/// A connection that has not come up by then is given up: nothing was sent on it. Links have a few milliseconds.
+/// The timeout for opening a connection. Nothing was sent on a connection that is not open, so another executor can get the
+/// request. A network round trip takes a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Reads of an answer are held back while its client has this much unwritten (bytes).
-pub const MAX_UNWRITTEN: usize = 256 * 1024;
+/// A response is not read from its executor while more than this many bytes of it wait to be written to the client.
+pub const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
 
-/// What the user of a connection is notified of.
+/// An event of a call, for the exchange or batch item that started it.
 pub enum UpstreamEvent<'a> {
-    /// The answer's head.
+    /// The head of the response has been received.
     Head {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// Its headers.
+        /// The headers.
         headers: &'a Headers,
     },
-    /// Bytes of the answer's body.
+    /// Bytes of the response body have been received.
     Data(&'a [u8]),
-    /// The answer is complete.
+    /// The response is complete.
     End,
-    /// There will be no (further) answer.
+    /// The call has failed: nothing more of the response will be received.
     Failed(Failure),
 }
 
 impl Requests {
-    /// Sends a request to an executor, by an idle connection if there is one. Returns the connection's index.
+    /// Sends a request to an executor, on an idle connection if there is one. Returns the index of the connection.
     ///
     /// # Errors
-    /// `Failure::NeverSent` where no connection could even be begun.
+    /// `Failure::NeverSent` if no connection could be opened, `Failure::BeforeHead` if an idle connection broke after a part of
+    /// the request was written.
     pub fn start_call(
         &mut self,
         context: &mut RequestContext<'_>,
@@ -54,7 +56,7 @@
             if socket.flush().is_ok() {
                 return Ok(index);
             }
-            // The write failed at once, before a byte went out: the executor had closed the connection.
+            // If the write failed before a byte was sent, the executor had already closed the idle connection.
             let nothing_sent = socket.waiting() == request.len();
             upstream.take_user();
             context.connections.close(index);
@@ -62,10 +64,10 @@
                 return Err(Failure::BeforeHead);
             }
         }
-        self.dial_call(context, user, target, attempt_id, request)
+        self.start_call_on_new_connection(context, user, target, attempt_id, request)
     }
 
-    fn dial_call(
+    fn start_call_on_new_connection(
         &mut self,
         context: &mut RequestContext<'_>,
         user: UpstreamUser,
@@ -87,7 +89,7 @@
         Ok(index)
     }
 
-    /// Gives up a call: its connection is closed, and the user hears no more of it.
+    /// Aborts a call by closing its connection. No further events of the call are delivered.
     pub fn abort_call(&mut self, context: &mut RequestContext<'_>, index: usize) {
         if let Some((_, upstream)) = context.connections.upstream_mut(index) {
             upstream.take_user();
@@ -96,8 +98,8 @@
     }
 }
 
-/// A connection to an executor is of no more use: it is closed. Returns the user of its call, if it has one, and where the
-/// call has failed.
+/// Closes a connection to an executor that failed or can't be used any longer. If it carries a call, returns its user and the
+/// point at which it failed.
 pub(super) fn close_failed(
     connections: &mut ConnectionTable,
     index: usize,
--- a/crates/tier/src/requests/upstream_connection.rs
+++ b/crates/tier/src/requests/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an executor: a state machine over the answers that come back on it. It delivers nothing itself.
+//! One connection to an executor: a state machine that parses the responses. `requests/dispatch.rs` delivers them.
 
 use crate::requests::exchange::ExchangeKey;
 use crate::requests::header_names as names;
@@ -10,37 +10,38 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// An idle connection is not used this close to the end of the time that `Keep-Alive` promised.
+/// An idle connection is not used within this time before the end of the timeout in the executor's `Keep-Alive` header: the
+/// executor might close it while the request is sent.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1000);
-/// How long an idle connection is kept where the executor says nothing.
+/// How long an idle connection may be used if the executor sent no `Keep-Alive` timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(8000);
 
-/// Whose call a connection carries.
+/// The exchange or batch item whose call a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamUser {
-    /// A client's request.
+    /// The exchange of a client request.
     Exchange(ExchangeKey),
-    /// An item of a batch job, by the number of its run.
+    /// An item of a batch job, identified by the number of its run.
     Item(u64),
 }
 
-/// Which executor a call is for.
+/// The executor that a call is sent to.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// The executor's incarnation.
+    /// The instance id, which each process of an executor has for itself.
     pub instance: Arc<str>,
-    /// Where it listens.
+    /// The address at which it accepts requests.
     pub address: SocketAddrV4,
 }
 
-/// Where a call failed.
+/// The point at which a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Provably not a byte of it was sent.
+    /// No byte of the request was sent.
     NeverSent,
-    /// It was sent and nothing came back.
+    /// The request was sent, at least in part, and no complete head of a response was received.
     BeforeHead,
-    /// The answer ended early.
+    /// The body of the response was cut off.
     MidBody,
 }
 
@@ -48,47 +49,51 @@
     Idle,
     Connecting,
     AwaitingHead,
-    /// `surplus`: the answer belongs to an earlier request; it is read and dropped.
+    /// A body is being received. If `stale`, the response belongs to an earlier request and is dropped.
     Body {
         reader: BodyReader,
-        surplus: bool,
+        stale: bool,
     },
 }
 
-/// What the next bytes of a connection are.
+/// What was parsed from the received bytes.
 pub(crate) enum Parsed {
-    /// Not yet enough for anything.
+    /// The bytes are not yet a complete head.
     Incomplete,
-    /// Nobody has asked for them.
+    /// No response is expected.
     Unexpected,
-    /// An interim head, which only announces another one.
+    /// The head of an interim (1xx) response; the final response follows.
     Interim { consumed: usize },
-    /// The head of an answer; `user`, unless the answer is surplus.
+    /// The head of a response. `user` is `None` for a stale response.
     Head { consumed: usize, user: Option<UpstreamUser>, head: ResponseHead, is_complete: bool },
-    /// Parts of a body, and whether it is complete; `user`, unless the answer is surplus.
+    /// Ranges of body data in the parsed bytes. `user` is `None` for a stale response.
     Body { consumed: usize, user: Option<UpstreamUser>, data: Vec<Range<usize>>, is_complete: bool },
 }
 
-/// What an answer that is complete leaves behind.
-pub(crate) enum AnswerEnd {
-    /// A surplus answer was dropped: that of the present call follows, if the connection stays open.
-    Surplus { closes: bool },
-    /// The call is over.
-    Call { user: Option<UpstreamUser>, closes: bool },
+/// What a complete response ends, and whether the connection has to be closed.
+pub(crate) enum ResponseEnd {
+    /// A stale response was dropped. That of the current call follows if the connection stays open.
+    Stale { must_close: bool },
+    /// The current call is over.
+    Call { user: Option<UpstreamUser>, must_close: bool },
 }
 
-/// The part of a connection to an executor that is about the calls on it.
+/// The protocol state of a connection to an executor.
 pub struct Upstream {
     target: Target,
     state: State,
+    /// The user of the current call.
     user: Option<UpstreamUser>,
+    /// The attempt id of the current call; a response with another one is stale.
     attempt_id: String,
+    /// The time until which the connection may be used while it is idle.
     usable_until: Instant,
-    closes: bool,
+    /// Whether the connection has to be closed after the current response.
+    must_close: bool,
 }
 
 impl Upstream {
-    /// A connection that is being opened for a call.
+    /// Creates the state of a connection that is being opened for a call.
     pub(crate) fn connecting(target: Target, user: UpstreamUser, attempt_id: &str, now: Instant) -> Upstream {
         Upstream {
             target,
@@ -96,57 +101,57 @@
             user: Some(user),
             attempt_id: attempt_id.to_owned(),
             usable_until: now + DEFAULT_IDLE_TIMEOUT,
-            closes: false,
+            must_close: false,
         }
     }
 
-    /// An idle connection takes a call.
+    /// Starts a call on an idle connection.
     pub(crate) fn start_call(&mut self, user: UpstreamUser, attempt_id: &str) {
         self.user = Some(user);
         attempt_id.clone_into(&mut self.attempt_id);
         self.state = State::AwaitingHead;
     }
 
-    /// Whether it is not yet open.
+    /// Whether the connection is still being opened.
     pub(crate) fn is_connecting(&self) -> bool {
         matches!(self.state, State::Connecting)
     }
 
-    /// It is open now.
-    pub(crate) fn connected(&mut self) {
+    /// The connection has been opened.
+    pub(crate) fn set_connected(&mut self) {
         self.state = State::AwaitingHead;
     }
 
-    /// The instance id of the executor.
+    /// The instance id of the executor process.
     pub(crate) fn instance(&self) -> &Arc<str> {
         &self.target.instance
     }
 
-    /// Whether the executor keeps the idle connection open, as far as it has said.
+    /// Whether the executor is expected to keep the idle connection open.
     pub(crate) fn is_usable(&self, now: Instant) -> bool {
         now < self.usable_until
     }
 
-    /// Whether it carries a call.
+    /// Whether the connection carries a call.
     pub fn is_busy(&self) -> bool {
         self.user.is_some()
     }
 
-    /// The user hears no more of its call.
+    /// Takes the user of the current call, which gets no further events.
     pub(crate) fn take_user(&mut self) -> Option<UpstreamUser> {
         self.user.take()
     }
 
-    /// Reads the next head, or on in a body.
+    /// Parses the next head or the next part of a body.
     ///
     /// # Errors
-    /// The bytes are no answer, so that nothing after them can be understood.
+    /// The bytes are not a valid response, so that nothing after them can be parsed.
     pub(crate) fn parse(&mut self, bytes: &[u8], limits: &Limits, now: Instant) -> Result<Parsed, Malformed> {
         match &mut self.state {
             State::Idle | State::Connecting => Ok(Parsed::Unexpected),
             State::AwaitingHead => self.parse_head(bytes, limits, now),
-            State::Body { reader, surplus } => {
-                let user = self.user.filter(|_| !*surplus);
+            State::Body { reader, stale } => {
+                let user = self.user.filter(|_| !*stale);
                 let progress = reader.read(bytes)?;
                 let (consumed, data, is_complete) = (progress.consumed, progress.data, progress.done);
                 Ok(Parsed::Body { consumed, user, data, is_complete })
@@ -162,54 +167,54 @@
             return Ok(Parsed::Interim { consumed });
         }
         let framing = body::response_framing(head.status, &head.headers, "POST")?;
-        self.closes = head.headers.closes;
+        self.must_close = head.headers.closes;
         self.usable_until = usable_until(&head.headers, now);
-        let surplus = head.headers.get(names::ATTEMPT_ID).is_some_and(|id| id != self.attempt_id);
+        let stale = head.headers.get(names::ATTEMPT_ID).is_some_and(|id| id != self.attempt_id);
         let reader = BodyReader::new(framing);
-        // An answer without a body is complete with its head.
+        // A response without a body is complete with its head.
         let is_complete = reader.is_done();
-        self.state = State::Body { reader, surplus };
-        Ok(Parsed::Head { consumed, user: self.user.filter(|_| !surplus), head, is_complete })
+        self.state = State::Body { reader, stale };
+        Ok(Parsed::Head { consumed, user: self.user.filter(|_| !stale), head, is_complete })
     }
 
-    /// The present answer is complete.
-    pub(crate) fn end_answer(&mut self) -> AnswerEnd {
-        if let State::Body { surplus: true, .. } = self.state {
+    /// Ends the current response, which is complete.
+    pub(crate) fn end_response(&mut self) -> ResponseEnd {
+        if let State::Body { stale: true, .. } = self.state {
             self.state = State::AwaitingHead;
-            return AnswerEnd::Surplus { closes: self.closes };
+            return ResponseEnd::Stale { must_close: self.must_close };
         }
         self.state = State::Idle;
-        AnswerEnd::Call { user: self.user.take(), closes: self.closes }
+        ResponseEnd::Call { user: self.user.take(), must_close: self.must_close }
     }
 
-    /// The executor has closed the connection: whether that completes the answer to the call.
+    /// Whether the response to the current call is complete now that the executor has closed the connection.
     pub(crate) fn is_complete_at_close(&mut self) -> bool {
         let is_complete = match &mut self.state {
-            State::Body { reader, surplus: false } => reader.is_complete_at_close(),
+            State::Body { reader, stale: false } => reader.is_complete_at_close(),
             _ => false,
         };
-        self.closes |= is_complete;
+        self.must_close |= is_complete;
         is_complete
     }
 
-    /// Where a call fails whose connection breaks now.
+    /// The point at which the current call fails if the connection breaks now.
     pub(crate) fn failure(&self) -> Failure {
         match self.state {
             State::Connecting => Failure::NeverSent,
-            State::Body { surplus: false, .. } => Failure::MidBody,
+            State::Body { stale: false, .. } => Failure::MidBody,
             _ => Failure::BeforeHead,
         }
     }
 }
 
-/// Until when the connection may be used once it is idle.
+/// The time until which the connection may be used while it is idle.
 fn usable_until(headers: &Headers, now: Instant) -> Instant {
     let Some(seconds) = keep_alive_seconds(headers) else { return now + DEFAULT_IDLE_TIMEOUT };
     let until = now + Duration::from_millis(seconds * 1000);
     if seconds * 1000 > KEEP_ALIVE_MARGIN.nanos() / 1_000_000 { until - KEEP_ALIVE_MARGIN } else { now }
 }
 
-/// The `timeout` that an answer's `Keep-Alive` tells, in seconds.
+/// The `timeout` parameter of the `Keep-Alive` header, in seconds.
 fn keep_alive_seconds(headers: &Headers) -> Option<u64> {
     let value = headers.get("Keep-Alive")?;
     value.split(',').find_map(|parameter| parameter.trim().strip_prefix("timeout=")?.trim().parse().ok())
