--- a/crates/tier/tests/sent_twice.rs
+++ b/crates/tier/tests/sent_twice.rs
@@ -1,5 +1,5 @@
-//! What is sent again after which trouble: a request that must not run twice goes to a second executor only if the first
-//! provably did not run it.
+//! Which requests are sent again after which faults. Guards against a request that must not run twice being sent to a second
+//! executor although the first may have run it.
 
 mod single_node;
 
@@ -8,162 +8,178 @@
 use single_node::network::Line;
 use single_node::{SingleNode, answer, plain_answer, status_of};
 
-/// What happens to each attempt.
+/// What happens to each attempt at an executor.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     /// The connection is refused.
     Refused,
-    /// The connection does not come up.
-    NeverUp,
-    /// A part of the request is taken, then the connection is reset.
+    /// The connection is never established.
+    NeverConnected,
+    /// The executor reads a part of the request, then resets the connection.
     PartSentThenReset,
-    /// All of it is taken, then the connection is reset: the executor may have it.
+    /// The executor reads the complete request, which it may run, then resets the connection.
     SentThenReset,
-    SentThenEnded,
-    /// All of it is taken, and nothing comes.
+    /// The executor reads the complete request, then closes its side of the connection.
+    SentThenClosed,
+    /// The executor reads the complete request and sends nothing.
     SentThenSilence,
-    /// A part of the answer's head comes.
+    /// The executor sends a part of the response head, then resets the connection.
     PartOfHead,
-    /// A part of the answer's body comes.
+    /// The executor sends a part of the response body, then resets the connection.
     PartOfBody,
-    /// 421: another instance lives there.
+    /// The executor responds 421, as another instance has its address now.
     Misdirected,
-    /// 503 with the promise that it did not run.
+    /// The executor responds 503 and states that it did not run the request.
     NotExecuted,
-    /// 503 or 429 without that promise.
-    BusyWithoutPromise(u16),
-    /// 500.
-    Failure,
-    /// Bytes that are no answer.
+    /// The executor responds with this status and does not state that it did not run the request.
+    BusyMayHaveRun(u16),
+    /// The executor responds 500.
+    InternalError,
+    /// The executor sends bytes that are not an HTTP response.
     Garbage,
-    /// The answer of another request, and then the end.
-    AnotherAnswer,
+    /// The executor sends the response to another request, then closes its side of the connection.
+    OtherResponse,
 }
 
-use Trouble::*;
+use Fault::*;
 
-/// What came of a request whose every attempt met the same trouble.
-struct Played {
-    /// Attempts of which any byte was sent.
-    sent: usize,
-    /// What the client heard at last; none if its connection was cut.
+/// The result of a request whose attempts all met the same fault.
+struct Outcome {
+    /// The number of attempts of which at least one byte was sent.
+    attempts_sent: usize,
+    /// The status that the client received; `None` if its connection was closed without a response.
     status: Option<u16>,
 }
 
-fn strike(single: &mut SingleNode, line: Line, trouble: Trouble) {
-    let unasked = "X-Grebeusher-Attempt-Id: one\r\n";
-    match trouble {
-        Refused | NeverUp | PartSentThenReset => {}
-        SentThenReset => single.reset(line),
-        SentThenEnded => single.end(line),
+/// Makes the executor's side of a connection fail.
+fn inject_fault(harness: &mut SingleNode, connection: Line, fault: Fault) {
+    let attempt_header = "X-Grebeusher-Attempt-Id: one\r\n";
+    match fault {
+        Refused | NeverConnected | PartSentThenReset => {}
+        SentThenReset => harness.reset(connection),
+        SentThenClosed => harness.end(connection),
         SentThenSilence => {}
         PartOfHead => {
-            single.send(line, b"HTTP/1.1 200 OK\r\nX-Greb");
-            single.reset(line);
+            harness.send(connection, b"HTTP/1.1 200 OK\r\nX-Greb");
+            harness.reset(connection);
         }
         PartOfBody => {
             let bytes = answer("one", "a body");
-            single.send(line, &bytes[..bytes.len() - 1]);
-            single.reset(line);
+            harness.send(connection, &bytes[..bytes.len() - 1]);
+            harness.reset(connection);
         }
-        Misdirected => single.send(line, &plain_answer(421, unasked)),
+        Misdirected => harness.send(connection, &plain_answer(421, attempt_header)),
         NotExecuted => {
-            single.send(line, &plain_answer(503, &format!("{unasked}X-Grebeusher-Not-Executed: 1\r\n")));
+            harness.send(
+                connection,
+                &plain_answer(503, &format!("{attempt_header}X-Grebeusher-Not-Executed: 1\r\n")),
+            );
         }
-        BusyWithoutPromise(status) => single.send(line, &plain_answer(status, unasked)),
-        Failure => single.send(line, &plain_answer(500, unasked)),
-        Garbage => single.send(line, b"\x16\x03\x01 what is this\r\n\r\n"),
-        AnotherAnswer => {
-            single.send(line, &answer("other", "of another"));
-            single.end(line);
+        BusyMayHaveRun(status) => harness.send(connection, &plain_answer(status, attempt_header)),
+        InternalError => harness.send(connection, &plain_answer(500, attempt_header)),
+        Garbage => harness.send(connection, b"\x16\x03\x01 what is this\r\n\r\n"),
+        OtherResponse => {
+            harness.send(connection, &answer("other", "of another"));
+            harness.end(connection);
         }
     }
 }
 
-/// A request on a route, each of whose attempts at four executors meets a trouble.
-fn play(route: &str, trouble: Trouble) -> Played {
-    let mut single = SingleNode::with_executors(4);
-    single.network.borrow_mut().comes_up = false;
-    let client = single.client(route, "one", &[b'x'; 5_000]);
-    let mut read = Vec::new();
-    let mut sent = 0;
+/// Sends a request on a route to a node with four executors. Each attempt meets the fault.
+fn send_with_fault(route: &str, fault: Fault) -> Outcome {
+    let mut harness = SingleNode::with_executors(4);
+    harness.network.borrow_mut().comes_up = false;
+    let client = harness.client(route, "one", &[b'x'; 5_000]);
+    let mut received = Vec::new();
+    let mut attempts_sent = 0;
     for _ in 0..12 {
-        while let Some(line) = single.executor_line() {
-            let up = !matches!(trouble, Refused | NeverUp);
-            let room = matches!(trouble, PartSentThenReset).then_some(700);
-            single.network.borrow_mut().limit(line, room);
-            if !matches!(trouble, NeverUp) {
-                single.network.borrow_mut().answer_dial(line, up);
+        while let Some(connection) = harness.executor_line() {
+            let connects = !matches!(fault, Refused | NeverConnected);
+            let max_sent_bytes = matches!(fault, PartSentThenReset).then_some(700);
+            harness.network.borrow_mut().limit(connection, max_sent_bytes);
+            if !matches!(fault, NeverConnected) {
+                harness.network.borrow_mut().answer_dial(connection, connects);
             }
-            single.turn();
-            sent += usize::from(!single.take(line).is_empty());
-            if matches!(trouble, PartSentThenReset) {
-                single.reset(line);
+            harness.turn();
+            attempts_sent += usize::from(!harness.take(connection).is_empty());
+            if matches!(fault, PartSentThenReset) {
+                harness.reset(connection);
             }
-            strike(&mut single, line, trouble);
+            inject_fault(&mut harness, connection, fault);
         }
-        single.pass(Duration::from_millis(500));
-        read.extend(single.take(client));
+        harness.pass(Duration::from_millis(500));
+        received.extend(harness.take(client));
     }
-    assert!(status_of(&read).is_some() || single.is_closed(client), "the client is left waiting");
-    Played { sent, status: status_of(&read) }
+    assert!(
+        status_of(&received).is_some() || harness.is_closed(client),
+        "the client has neither a response nor a closed connection"
+    );
+    Outcome { attempts_sent, status: status_of(&received) }
 }
 
 #[rstest]
-fn what_provably_did_not_run_is_offered_elsewhere_and_then_refused(
+fn a_request_that_provably_did_not_run_is_retried_and_then_refused(
     #[values("idempotent", "non_idempotent", "streaming", "resumable")] route: &str,
-    #[values(Refused, NeverUp, Misdirected, NotExecuted)] trouble: Trouble,
+    #[values(Refused, NeverConnected, Misdirected, NotExecuted)] fault: Fault,
 ) {
-    // Given executors that take no byte of it, or say that they have not run it, when a request of any kind comes,
-    let played = play(route, trouble);
-    // then each executor is asked at most once, and the client hears that it has not run.
-    assert!(played.sent <= 4, "{} attempts", played.sent);
-    assert_eq!(played.status, Some(503));
+    // Given executors that receive no byte of a request, or state that they did not run it, when a request of any kind is sent,
+    let outcome = send_with_fault(route, fault);
+    // then each executor gets at most one attempt, and the client is told that the request did not run.
+    assert!(outcome.attempts_sent <= 4, "{} attempts", outcome.attempts_sent);
+    assert_eq!(outcome.status, Some(503));
 }
 
 #[rstest]
-fn what_may_have_run_is_sent_no_second_time(
+fn a_request_that_must_not_run_twice_is_not_retried_once_it_may_have_run(
     #[values("non_idempotent", "streaming")] route: &str,
     #[values(
         PartSentThenReset,
         SentThenReset,
-        SentThenEnded,
+        SentThenClosed,
         SentThenSilence,
         PartOfHead,
         Garbage,
-        AnotherAnswer,
-        Failure,
-        BusyWithoutPromise(503),
-        BusyWithoutPromise(429),
-        BusyWithoutPromise(408)
+        OtherResponse,
+        InternalError,
+        BusyMayHaveRun(503),
+        BusyMayHaveRun(429),
+        BusyMayHaveRun(408)
     )]
-    trouble: Trouble,
+    fault: Fault,
 ) {
-    // Given a request that must not run twice, when its executor may have had any of it,
-    let played = play(route, trouble);
-    // then no other gets it, and the client is given no promise that it has not run.
-    assert_eq!(played.sent, 1);
-    assert!(matches!(played.status, Some(500 | 502 | 504)), "{:?}", played.status);
+    // Given a request that must not run twice, when its executor may have received any part of it,
+    let outcome = send_with_fault(route, fault);
+    // then no other executor gets the request, and the response does not promise that it has not run.
+    assert_eq!(outcome.attempts_sent, 1);
+    assert!(matches!(outcome.status, Some(500 | 502 | 504)), "{:?}", outcome.status);
 }
 
 #[test]
-fn an_answer_that_broke_within_its_body_is_sent_no_second_time() {
-    // Given a request that must not run twice, when the body of its answer breaks off, then it is sent once.
-    let plain = play("non_idempotent", PartOfBody);
-    assert_eq!((plain.sent, plain.status), (1, Some(502)));
-    // A stream's head is out by then, so that it can only be cut.
-    let stream = play("streaming", PartOfBody);
-    assert_eq!((stream.sent, stream.status), (1, Some(200)));
+fn a_request_whose_response_breaks_off_in_its_body_is_not_retried() {
+    // Given a request that must not run twice, when the body of its response breaks off, then it is sent once.
+    let plain = send_with_fault("non_idempotent", PartOfBody);
+    assert_eq!((plain.attempts_sent, plain.status), (1, Some(502)));
+    // The head of a stream has been relayed by then, so that the stream can only be cut off.
+    let stream = send_with_fault("streaming", PartOfBody);
+    assert_eq!((stream.attempts_sent, stream.status), (1, Some(200)));
 }
 
 #[rstest]
-fn what_may_run_again_is_sent_as_often_as_its_route_says(
+fn a_request_that_may_run_again_is_sent_as_often_as_its_route_allows(
     #[values("idempotent", "resumable")] route: &str,
-    #[values(PartSentThenReset, SentThenReset, SentThenEnded, SentThenSilence, PartOfHead, Garbage, Failure)]
-    trouble: Trouble,
+    #[values(
+        PartSentThenReset,
+        SentThenReset,
+        SentThenClosed,
+        SentThenSilence,
+        PartOfHead,
+        Garbage,
+        InternalError
+    )]
+    fault: Fault,
 ) {
-    // Given a route of three attempts, when each of them fails, then there is no fourth.
-    let played = play(route, trouble);
-    assert_eq!(played.sent, 3);
-    assert!(matches!(played.status, Some(500 | 502 | 504)), "{:?}", played.status);
+    // Given a route with at most three attempts, when each of them fails, then there is no fourth.
+    let outcome = send_with_fault(route, fault);
+    assert_eq!(outcome.attempts_sent, 3);
+    assert!(matches!(outcome.status, Some(500 | 502 | 504)), "{:?}", outcome.status);
 }
