--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -8,8 +8,8 @@
 use crate::node::Node;
 use crate::requests::header_names as names;
 use crate::requests::routing::Hints;
-use crate::requests::upstream::UpstreamEvent;
-use crate::requests::upstream_connection::{Failure, UpstreamUser};
+use crate::requests::upstream::CallEvent;
+use crate::requests::upstream_connection::{CallFailure, CallOwner};
 use crate::runtime::timers::Timer;
 use grebeusher_batch::{EventDisposition, EventReader, RouteIndex, RunId, RunOrder, RunOutcome};
 use grebeusher_gateway::{AttemptOutcome, AttemptToken, ServerLoad};
@@ -192,8 +192,8 @@
         let key = self.next_serial();
         let bytes = item_request(&order, &candidate.target.instance);
         let begun = self.with_requests(|requests, context| {
-            let user = UpstreamUser::Item(key);
-            requests.start_call(context, user, &candidate.target, &order.attempt_id, &bytes)
+            let owner = CallOwner::Item(key);
+            requests.start_call(context, owner, &candidate.target, &order.attempt_id, &bytes)
         });
         match begun {
             Ok(connection) => {
@@ -238,19 +238,19 @@
     }
 
     /// Something came back from the executor of an item.
-    pub fn item_event(&mut self, key: u64, event: UpstreamEvent<'_>) {
+    pub fn item_event(&mut self, key: u64, event: CallEvent<'_>) {
         let now = self.now;
         let Some(active) = self.items.active.get_mut(&key) else { return };
         active.last_activity = now;
         match event {
-            UpstreamEvent::Head { status, headers } => self.item_head(key, status, headers),
-            UpstreamEvent::Data(bytes) => self.item_data(key, bytes),
-            UpstreamEvent::End => self.item_end(key),
-            UpstreamEvent::Failed(failure) => {
+            CallEvent::Head { status, headers } => self.item_head(key, status, headers),
+            CallEvent::Data(bytes) => self.item_data(key, bytes),
+            CallEvent::End => self.item_end(key),
+            CallEvent::Failed(failure) => {
                 let outcome = match failure {
-                    Failure::NeverSent => (AttemptOutcome::NeverSent, RunOutcome::NotExecuted),
-                    Failure::BeforeHead => (AttemptOutcome::BrokenBeforeHead, RunOutcome::Broken),
-                    Failure::MidBody => (AttemptOutcome::BrokenMidStream, RunOutcome::Broken),
+                    CallFailure::NeverSent => (AttemptOutcome::NeverSent, RunOutcome::NotExecuted),
+                    CallFailure::BeforeHead => (AttemptOutcome::BrokenBeforeHead, RunOutcome::Broken),
+                    CallFailure::MidBody => (AttemptOutcome::BrokenMidStream, RunOutcome::Broken),
                 };
                 self.item_over(key, outcome.0, outcome.1);
             }
--- a/crates/tier/src/links/connections.rs
+++ b/crates/tier/src/links/connections.rs
@@ -8,7 +8,7 @@
 use crate::links::socket::Socket;
 use crate::node::keys;
 use crate::requests::server_connection::ServerConnection;
-use crate::requests::upstream_connection::Upstream;
+use crate::requests::upstream_connection::UpstreamConnection;
 use crate::runtime::io::World;
 use grebeusher_time::Instant;
 use rustc_hash::FxHashMap;
@@ -21,7 +21,7 @@
     /// Somebody calls this node over HTTP.
     Server(ServerConnection),
     /// This node calls an executor.
-    Upstream(Upstream),
+    Upstream(UpstreamConnection),
     /// A link that another node speaks on.
     Incoming(IncomingLink),
     /// A link that this node speaks on.
@@ -128,7 +128,7 @@
     }
 
     /// The connection at an index, if it is a connection to an executor.
-    pub fn upstream_mut(&mut self, index: usize) -> Option<(&mut Socket, &mut Upstream)> {
+    pub fn upstream_mut(&mut self, index: usize) -> Option<(&mut Socket, &mut UpstreamConnection)> {
         match self.entries.get_mut(index)? {
             Connection { socket, role: Role::Upstream(upstream), .. } => Some((socket, upstream)),
             _ => None,
--- a/crates/tier/src/requests/dispatch.rs
+++ b/crates/tier/src/requests/dispatch.rs
@@ -9,8 +9,8 @@
 use crate::requests::plane::{RequestContext, Requests};
 use crate::requests::server::AcceptOutcome;
 use crate::requests::server_connection::ListenerKind;
-use crate::requests::upstream::{UpstreamEvent, close_failed};
-use crate::requests::upstream_connection::{Parsed, ResponseEnd, UpstreamUser};
+use crate::requests::upstream::{CallEvent, close_failed};
+use crate::requests::upstream_connection::{CallOwner, Parsed, ResponseEnd};
 
 /// The most connections that a listener accepts in one iteration of the event loop.
 const MAX_ACCEPTS_PER_ITERATION: usize = 64;
@@ -162,22 +162,19 @@
                     break;
                 }
                 Ok(Parsed::Interim { consumed }) => consumed,
-                Ok(Parsed::Head { consumed, user, head, is_complete }) => {
-                    if let Some(user) = user {
-                        self.deliver(
-                            user,
-                            UpstreamEvent::Head { status: head.status, headers: &head.headers },
-                        );
+                Ok(Parsed::Head { consumed, owner, head, is_complete }) => {
+                    if let Some(owner) = owner {
+                        self.deliver(owner, CallEvent::Head { status: head.status, headers: &head.headers });
                     }
                     if is_complete && self.serial(index) == serial {
                         self.end_upstream_response(index);
                     }
                     consumed
                 }
-                Ok(Parsed::Body { consumed, user, data, is_complete }) => {
+                Ok(Parsed::Body { consumed, owner, data, is_complete }) => {
                     for range in data {
-                        let Some(user) = user.filter(|_| self.serial(index) == serial) else { break };
-                        self.deliver(user, UpstreamEvent::Data(&bytes[offset..][range]));
+                        let Some(owner) = owner.filter(|_| self.serial(index) == serial) else { break };
+                        self.deliver(owner, CallEvent::Data(&bytes[offset..][range]));
                     }
                     if is_complete && self.serial(index) == serial {
                         self.end_upstream_response(index);
@@ -193,13 +190,13 @@
         offset
     }
 
-    /// Ends a complete response: the connection is pooled or closed, and the user of the call is notified.
+    /// Ends a complete response: the connection is pooled or closed, and the owner of the call is notified.
     fn end_upstream_response(&mut self, index: usize) {
         let Some((socket, upstream)) = self.connections.upstream_mut(index) else { return };
         match upstream.end_response() {
             ResponseEnd::Stale { must_close: true } => self.fail_upstream(index),
             ResponseEnd::Stale { must_close: false } => {}
-            ResponseEnd::Call { user, must_close } => {
+            ResponseEnd::Call { owner, must_close } => {
                 let instance = upstream.instance().clone();
                 // An executor may answer before it has read the complete request, and then wait for the rest of it.
                 if must_close || socket.waiting() > 0 {
@@ -207,8 +204,8 @@
                 } else {
                     self.connections.put_idle(instance, index);
                 }
-                if let Some(user) = user {
-                    self.deliver(user, UpstreamEvent::End);
+                if let Some(owner) = owner {
+                    self.deliver(owner, CallEvent::End);
                 }
             }
         }
@@ -224,19 +221,19 @@
         }
     }
 
-    /// Closes a connection that failed or can't be used any longer. The user of its call, if it has one, is notified.
+    /// Closes a connection that failed or can't be used any longer. The owner of its call, if it has one, is notified.
     fn fail_upstream(&mut self, index: usize) {
-        if let Some((user, failure)) = close_failed(&mut self.connections, index) {
-            self.deliver(user, UpstreamEvent::Failed(failure));
+        if let Some((owner, failure)) = close_failed(&mut self.connections, index) {
+            self.deliver(owner, CallEvent::Failed(failure));
         }
     }
 
-    fn deliver(&mut self, user: UpstreamUser, event: UpstreamEvent<'_>) {
-        match user {
-            UpstreamUser::Exchange(key) => {
+    fn deliver(&mut self, owner: CallOwner, event: CallEvent<'_>) {
+        match owner {
+            CallOwner::Exchange(key) => {
                 self.with_requests(|requests, context| requests.handle_call_event(context, key, event));
             }
-            UpstreamUser::Item(run) => self.item_event(run, event),
+            CallOwner::Item(run) => self.item_event(run, event),
         }
     }
 }
--- a/crates/tier/src/requests/exchange/attempt.rs
+++ b/crates/tier/src/requests/exchange/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt to have a request served by an executor, and its outcome.
 
-use crate::requests::upstream_connection::Failure;
+use crate::requests::upstream_connection::CallFailure;
 use grebeusher_gateway::{AttemptOutcome, AttemptToken};
 use grebeusher_time::Instant;
 
@@ -55,14 +55,14 @@
 }
 
 /// The outcome of an attempt whose connection failed.
-pub(super) fn failed_outcome(failure: Failure, streaming: bool, can_resume: bool) -> AttemptOutcome {
+pub(super) fn failed_outcome(failure: CallFailure, streaming: bool, can_resume: bool) -> AttemptOutcome {
     match failure {
-        Failure::NeverSent => AttemptOutcome::NeverSent,
-        Failure::BeforeHead if streaming && can_resume => AttemptOutcome::BrokenMidStream,
-        Failure::BeforeHead if streaming => AttemptOutcome::BrokenMidBody,
-        Failure::BeforeHead => AttemptOutcome::BrokenBeforeHead,
-        Failure::MidBody if streaming && can_resume => AttemptOutcome::BrokenMidStream,
-        Failure::MidBody if streaming => AttemptOutcome::BrokenMidBody,
-        Failure::MidBody => AttemptOutcome::BrokenBeforeRelay,
+        CallFailure::NeverSent => AttemptOutcome::NeverSent,
+        CallFailure::BeforeHead if streaming && can_resume => AttemptOutcome::BrokenMidStream,
+        CallFailure::BeforeHead if streaming => AttemptOutcome::BrokenMidBody,
+        CallFailure::BeforeHead => AttemptOutcome::BrokenBeforeHead,
+        CallFailure::MidBody if streaming && can_resume => AttemptOutcome::BrokenMidStream,
+        CallFailure::MidBody if streaming => AttemptOutcome::BrokenMidBody,
+        CallFailure::MidBody => AttemptOutcome::BrokenBeforeRelay,
     }
 }
--- a/crates/tier/src/requests/exchange/messages.rs
+++ b/crates/tier/src/requests/exchange/messages.rs
@@ -3,13 +3,13 @@
 use super::attempt::BufferedResponse;
 use super::state::Exchange;
 use crate::requests::header_names as names;
-use crate::requests::upstream_connection::Target;
+use crate::requests::upstream_connection::ExecutorTarget;
 use grebeusher_time::{DurationExt, Instant};
 use grebeusher_transport::headers::Headers;
 use grebeusher_transport::http;
 
 /// Builds the request to an executor, with the time left as its deadline.
-pub(super) fn executor_request(exchange: &Exchange, target: &Target, now: Instant) -> Vec<u8> {
+pub(super) fn executor_request(exchange: &Exchange, target: &ExecutorTarget, now: Instant) -> Vec<u8> {
     const REPLACED_HEADERS: [&str; 3] = [names::DEADLINE_MS, names::TARGET_INSTANCE, names::LAST_EVENT_ID];
     let head = &exchange.request.head;
     let left_ms = (exchange.deadline.since(now).nanos() / 1_000_000).max(1);
--- a/crates/tier/src/requests/exchange/mod.rs
+++ b/crates/tier/src/requests/exchange/mod.rs
@@ -17,8 +17,8 @@
 use crate::requests::not_executed::promises_not_executed;
 use crate::requests::plane::{RequestContext, Requests};
 use crate::requests::routing::{Candidate, Hints, RouteChoice};
-use crate::requests::upstream::{MAX_UNWRITTEN_BYTES, UpstreamEvent};
-use crate::requests::upstream_connection::{Failure, UpstreamUser};
+use crate::requests::upstream::{CallEvent, MAX_UNWRITTEN_BYTES};
+use crate::requests::upstream_connection::{CallFailure, CallOwner};
 use crate::runtime::timers::Timer;
 use attempt::{Attempt, BufferedResponse, failed_outcome};
 use grebeusher_configuration::configuration::{Route, RouteType};
@@ -120,8 +120,8 @@
         exchange.attempts_started += 1;
         let bytes = executor_request(exchange, &candidate.target, now);
         let attempt_id = exchange.request.head.headers.get(names::ATTEMPT_ID).unwrap_or_default().to_owned();
-        let user = UpstreamUser::Exchange(ExchangeKey { index, serial: exchange.serial });
-        match self.start_call(context, user, &candidate.target, &attempt_id, &bytes) {
+        let owner = CallOwner::Exchange(ExchangeKey { index, serial: exchange.serial });
+        match self.start_call(context, owner, &candidate.target, &attempt_id, &bytes) {
             Ok(connection) => {
                 self.exchanges[index].current_attempt = Some(Attempt::new(connection, token, now));
                 self.set_response_timeout(context, index);
@@ -157,19 +157,19 @@
         &mut self,
         context: &mut RequestContext<'_>,
         key: ExchangeKey,
-        event: UpstreamEvent<'_>,
+        event: CallEvent<'_>,
     ) {
         let index = key.index;
         if self.exchanges.get(index).is_none_or(|exchange| exchange.serial != key.serial) {
             return;
         }
         match event {
-            UpstreamEvent::Head { status, headers } => {
+            CallEvent::Head { status, headers } => {
                 self.handle_response_head(context, index, status, headers);
             }
-            UpstreamEvent::Data(bytes) => self.handle_response_data(context, index, bytes),
-            UpstreamEvent::End => self.handle_response_end(context, index),
-            UpstreamEvent::Failed(failure) => self.handle_call_failure(context, index, failure),
+            CallEvent::Data(bytes) => self.handle_response_data(context, index, bytes),
+            CallEvent::End => self.handle_response_end(context, index),
+            CallEvent::Failed(failure) => self.handle_call_failure(context, index, failure),
         }
     }
 
@@ -201,7 +201,7 @@
             // Executors set this header, so some other server has sent the response.
             let connection = attempt.connection;
             self.abort_call(context, connection);
-            return self.handle_call_failure(context, index, Failure::BeforeHead);
+            return self.handle_call_failure(context, index, CallFailure::BeforeHead);
         }
         let mut head = response_head(status, headers);
         if !is_success || exchange.route.route_type != RouteType::Streaming {
@@ -258,7 +258,7 @@
         self.retry_or_finish(context, index, outcome, attempt.buffered);
     }
 
-    fn handle_call_failure(&mut self, context: &mut RequestContext<'_>, index: usize, failure: Failure) {
+    fn handle_call_failure(&mut self, context: &mut RequestContext<'_>, index: usize, failure: CallFailure) {
         let now = context.now;
         let Some(exchange) = self.exchanges.get_mut(index) else { return };
         exchange.event_buffer.discard_partial();
@@ -310,7 +310,7 @@
             return self.set_response_timeout(context, index);
         }
         let connection = attempt.connection;
-        let failure = if attempt.head_received { Failure::MidBody } else { Failure::BeforeHead };
+        let failure = if attempt.head_received { CallFailure::MidBody } else { CallFailure::BeforeHead };
         self.abort_call(context, connection);
         self.handle_call_failure(context, index, failure);
     }
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -5,7 +5,7 @@
 
 use crate::control::active_configuration::ActiveConfiguration;
 use crate::requests::header_names as names;
-use crate::requests::upstream_connection::Target;
+use crate::requests::upstream_connection::ExecutorTarget;
 use crate::requests::version_permissions::{VersionDecision, VersionPermissions};
 use grebeusher_batch::RunOrder;
 use grebeusher_configuration::configuration::Route;
@@ -41,7 +41,7 @@
     /// The gateway's id of the executor.
     pub executor: ExecutorId,
     /// The instance id and the address of the executor.
-    pub target: Target,
+    pub target: ExecutorTarget,
 }
 
 /// Whether a request is sent to an executor.
@@ -179,7 +179,7 @@
     fn candidate(&self, now: Instant, executor: ExecutorId, address: SocketAddr) -> Option<Candidate> {
         let SocketAddr::V4(address) = address else { return None };
         let instance: Arc<str> = self.gateway.executor_view(now, executor)?.instance;
-        Some(Candidate { executor, target: Target { instance, address } })
+        Some(Candidate { executor, target: ExecutorTarget { instance, address } })
     }
 
     /// Whether an executor of the service has capacity for a batch item. The size of the item is ignored.
--- a/crates/tier/src/requests/upstream.rs
+++ b/crates/tier/src/requests/upstream.rs
@@ -1,12 +1,12 @@
 //! Starts and aborts calls to executors. A call uses an idle connection or opens a new one; `requests/dispatch.rs` delivers
 //! the response.
 //!
-//! The state of a connection is its [`Upstream`]; the connection table has the pool of idle connections.
+//! The state of a connection is its [`UpstreamConnection`]; the connection table has the pool of idle connections.
 
 use crate::links::connections::{ConnectionTable, Role};
 use crate::links::socket::Socket;
 use crate::requests::plane::{RequestContext, Requests};
-use crate::requests::upstream_connection::{Failure, Target, Upstream, UpstreamUser};
+use crate::requests::upstream_connection::{CallFailure, CallOwner, ExecutorTarget, UpstreamConnection};
 use crate::runtime::io::World;
 use crate::runtime::timers::Timer;
 use grebeusher_time::Duration;
@@ -19,7 +19,7 @@
 pub const MAX_UNWRITTEN_BYTES: usize = 256 * 1024;
 
 /// An event of a call, for the exchange or batch item that started it.
-pub enum UpstreamEvent<'a> {
+pub enum CallEvent<'a> {
     /// The head of the response has been received.
     Head {
         /// The HTTP status.
@@ -32,53 +32,53 @@
     /// The response is complete.
     End,
     /// The call has failed: nothing more of the response will be received.
-    Failed(Failure),
+    Failed(CallFailure),
 }
 
 impl Requests {
     /// Sends a request to an executor, on an idle connection if there is one. Returns the index of the connection.
     ///
     /// # Errors
-    /// `Failure::NeverSent` if no connection could be opened, `Failure::BeforeHead` if an idle connection broke after a part of
-    /// the request was written.
+    /// `CallFailure::NeverSent` if no connection could be opened, `CallFailure::BeforeHead` if an idle connection broke after a
+    /// part of the request was written.
     pub fn start_call(
         &mut self,
         context: &mut RequestContext<'_>,
-        user: UpstreamUser,
-        target: &Target,
+        owner: CallOwner,
+        target: &ExecutorTarget,
         attempt_id: &str,
         request: &[u8],
-    ) -> Result<usize, Failure> {
+    ) -> Result<usize, CallFailure> {
         while let Some(index) = context.connections.take_idle(&target.instance, context.now) {
             let Some((socket, upstream)) = context.connections.upstream_mut(index) else { continue };
-            upstream.start_call(user, attempt_id);
+            upstream.start_call(owner, attempt_id);
             socket.put(request);
             if socket.flush().is_ok() {
                 return Ok(index);
             }
             // If the write failed before a byte was sent, the executor had already closed the idle connection.
             let nothing_sent = socket.waiting() == request.len();
-            upstream.take_user();
+            upstream.take_owner();
             context.connections.close(index);
             if !nothing_sent {
-                return Err(Failure::BeforeHead);
+                return Err(CallFailure::BeforeHead);
             }
         }
-        self.start_call_on_new_connection(context, user, target, attempt_id, request)
+        self.start_call_on_new_connection(context, owner, target, attempt_id, request)
     }
 
     fn start_call_on_new_connection(
         &mut self,
         context: &mut RequestContext<'_>,
-        user: UpstreamUser,
-        target: &Target,
+        owner: CallOwner,
+        target: &ExecutorTarget,
         attempt_id: &str,
         request: &[u8],
-    ) -> Result<usize, Failure> {
-        let upstream = Upstream::connecting(target.clone(), user, attempt_id, context.now);
+    ) -> Result<usize, CallFailure> {
+        let upstream = UpstreamConnection::connecting(target.clone(), owner, attempt_id, context.now);
         let open = |world: &dyn World, key| Socket::dial(world, target.address, key);
         let added = context.connections.add(context.world, open, Role::Upstream(upstream));
-        let index = added.map_err(|_| Failure::NeverSent)?;
+        let index = added.map_err(|_| CallFailure::NeverSent)?;
         if let Some((socket, _)) = context.connections.upstream_mut(index) {
             socket.put(request);
         }
@@ -92,22 +92,22 @@
     /// Aborts a call by closing its connection. No further events of the call are delivered.
     pub fn abort_call(&mut self, context: &mut RequestContext<'_>, index: usize) {
         if let Some((_, upstream)) = context.connections.upstream_mut(index) {
-            upstream.take_user();
+            upstream.take_owner();
             context.connections.close(index);
         }
     }
 }
 
-/// Closes a connection to an executor that failed or can't be used any longer. If it carries a call, returns its user and the
-/// point at which it failed.
+/// Closes a connection to an executor that failed or can't be used any longer. If it carries a call, returns the call's owner
+/// and the point at which the call failed.
 pub(super) fn close_failed(
     connections: &mut ConnectionTable,
     index: usize,
-) -> Option<(UpstreamUser, Failure)> {
+) -> Option<(CallOwner, CallFailure)> {
     let (socket, upstream) = connections.upstream_mut(index)?;
     let failure = upstream.failure();
-    debug_assert!(failure != Failure::NeverSent || socket.is_connecting());
-    let user = upstream.take_user();
+    debug_assert!(failure != CallFailure::NeverSent || socket.is_connecting());
+    let owner = upstream.take_owner();
     connections.close(index);
-    Some((user?, failure))
+    Some((owner?, failure))
 }
--- a/crates/tier/src/requests/upstream_connection.rs
+++ b/crates/tier/src/requests/upstream_connection.rs
@@ -18,7 +18,7 @@
 
 /// The exchange or batch item whose call a connection carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UpstreamUser {
+pub enum CallOwner {
     /// The exchange of a client request.
     Exchange(ExchangeKey),
     /// An item of a batch job, identified by the number of its run.
@@ -27,7 +27,7 @@
 
 /// The executor that a call is sent to.
 #[derive(Clone, Debug)]
-pub struct Target {
+pub struct ExecutorTarget {
     /// The instance id, which each process of an executor has for itself.
     pub instance: Arc<str>,
     /// The address at which it accepts requests.
@@ -36,7 +36,7 @@
 
 /// The point at which a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum CallFailure {
     /// No byte of the request was sent.
     NeverSent,
     /// The request was sent, at least in part, and no complete head of a response was received.
@@ -64,10 +64,10 @@
     Unexpected,
     /// The head of an interim (1xx) response; the final response follows.
     Interim { consumed: usize },
-    /// The head of a response. `user` is `None` for a stale response.
-    Head { consumed: usize, user: Option<UpstreamUser>, head: ResponseHead, is_complete: bool },
-    /// Ranges of body data in the parsed bytes. `user` is `None` for a stale response.
-    Body { consumed: usize, user: Option<UpstreamUser>, data: Vec<Range<usize>>, is_complete: bool },
+    /// The head of a response. `owner` is `None` for a stale response.
+    Head { consumed: usize, owner: Option<CallOwner>, head: ResponseHead, is_complete: bool },
+    /// Ranges of body data in the parsed bytes. `owner` is `None` for a stale response.
+    Body { consumed: usize, owner: Option<CallOwner>, data: Vec<Range<usize>>, is_complete: bool },
 }
 
 /// What a complete response ends, and whether the connection has to be closed.
@@ -75,15 +75,15 @@
     /// A stale response was dropped. That of the current call follows if the connection stays open.
     Stale { must_close: bool },
     /// The current call is over.
-    Call { user: Option<UpstreamUser>, must_close: bool },
+    Call { owner: Option<CallOwner>, must_close: bool },
 }
 
 /// The protocol state of a connection to an executor.
-pub struct Upstream {
-    target: Target,
+pub struct UpstreamConnection {
+    target: ExecutorTarget,
     state: State,
-    /// The user of the current call.
-    user: Option<UpstreamUser>,
+    /// The owner of the current call.
+    owner: Option<CallOwner>,
     /// The attempt id of the current call; a response with another one is stale.
     attempt_id: String,
     /// The time until which the connection may be used while it is idle.
@@ -92,13 +92,18 @@
     must_close: bool,
 }
 
-impl Upstream {
+impl UpstreamConnection {
     /// Creates the state of a connection that is being opened for a call.
-    pub(crate) fn connecting(target: Target, user: UpstreamUser, attempt_id: &str, now: Instant) -> Upstream {
-        Upstream {
+    pub(crate) fn connecting(
+        target: ExecutorTarget,
+        owner: CallOwner,
+        attempt_id: &str,
+        now: Instant,
+    ) -> UpstreamConnection {
+        UpstreamConnection {
             target,
             state: State::Connecting,
-            user: Some(user),
+            owner: Some(owner),
             attempt_id: attempt_id.to_owned(),
             usable_until: now + DEFAULT_IDLE_TIMEOUT,
             must_close: false,
@@ -106,8 +111,8 @@
     }
 
     /// Starts a call on an idle connection.
-    pub(crate) fn start_call(&mut self, user: UpstreamUser, attempt_id: &str) {
-        self.user = Some(user);
+    pub(crate) fn start_call(&mut self, owner: CallOwner, attempt_id: &str) {
+        self.owner = Some(owner);
         attempt_id.clone_into(&mut self.attempt_id);
         self.state = State::AwaitingHead;
     }
@@ -134,12 +139,12 @@
 
     /// Whether the connection carries a call.
     pub fn is_busy(&self) -> bool {
-        self.user.is_some()
+        self.owner.is_some()
     }
 
-    /// Takes the user of the current call, which gets no further events.
-    pub(crate) fn take_user(&mut self) -> Option<UpstreamUser> {
-        self.user.take()
+    /// Takes the owner of the current call, which gets no further events.
+    pub(crate) fn take_owner(&mut self) -> Option<CallOwner> {
+        self.owner.take()
     }
 
     /// Parses the next head or the next part of a body.
@@ -151,10 +156,10 @@
             State::Idle | State::Connecting => Ok(Parsed::Unexpected),
             State::AwaitingHead => self.parse_head(bytes, limits, now),
             State::Body { reader, stale } => {
-                let user = self.user.filter(|_| !*stale);
+                let owner = self.owner.filter(|_| !*stale);
                 let progress = reader.read(bytes)?;
                 let (consumed, data, is_complete) = (progress.consumed, progress.data, progress.done);
-                Ok(Parsed::Body { consumed, user, data, is_complete })
+                Ok(Parsed::Body { consumed, owner, data, is_complete })
             }
         }
     }
@@ -174,7 +179,7 @@
         // A response without a body is complete with its head.
         let is_complete = reader.is_done();
         self.state = State::Body { reader, stale };
-        Ok(Parsed::Head { consumed, user: self.user.filter(|_| !stale), head, is_complete })
+        Ok(Parsed::Head { consumed, owner: self.owner.filter(|_| !stale), head, is_complete })
     }
 
     /// Ends the current response, which is complete.
@@ -184,7 +189,7 @@
             return ResponseEnd::Stale { must_close: self.must_close };
         }
         self.state = State::Idle;
-        ResponseEnd::Call { user: self.user.take(), must_close: self.must_close }
+        ResponseEnd::Call { owner: self.owner.take(), must_close: self.must_close }
     }
 
     /// Whether the response to the current call is complete now that the executor has closed the connection.
@@ -198,11 +203,11 @@
     }
 
     /// The point at which the current call fails if the connection breaks now.
-    pub(crate) fn failure(&self) -> Failure {
+    pub(crate) fn failure(&self) -> CallFailure {
         match self.state {
-            State::Connecting => Failure::NeverSent,
-            State::Body { stale: false, .. } => Failure::MidBody,
-            _ => Failure::BeforeHead,
+            State::Connecting => CallFailure::NeverSent,
+            State::Body { stale: false, .. } => CallFailure::MidBody,
+            _ => CallFailure::BeforeHead,
         }
     }
 }
