--- a/crates/tier/src/batch/api.rs
+++ b/crates/tier/src/batch/api.rs
@@ -6,7 +6,7 @@
 use crate::node::Node;
 use crate::requests::exchange::ClientRequest;
 use crate::requests::header_names as names;
-use crate::requests::routing::STARTING_RETRY;
+use crate::requests::routing::STARTUP_RETRY_AFTER;
 use grebeusher_batch::{JobId, SubmissionHead, read_submission};
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_hash::fixed_hash;
@@ -67,7 +67,7 @@
     pub fn client_request(&mut self, connection: usize, request: ClientRequest) {
         let serial = self.serial(connection);
         let Some(active) = self.configuration.active().cloned() else {
-            let seconds = format!("{:.1}", STARTING_RETRY.seconds());
+            let seconds = format!("{:.1}", STARTUP_RETRY_AFTER.seconds());
             let answer = http::answer(503, &[("Retry-After", &seconds)], b"");
             return self.answer(connection, serial, answer);
         };
--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -7,7 +7,7 @@
 use crate::links::messages::Channel;
 use crate::node::Node;
 use crate::requests::header_names as names;
-use crate::requests::routing::Hints;
+use crate::requests::routing::RoutingHints;
 use crate::requests::upstream::CallEvent;
 use crate::requests::upstream_connection::{CallFailure, CallOwner};
 use crate::runtime::timers::Timer;
@@ -164,7 +164,7 @@
         let mut with_room: Vec<RouteIndex> = Vec::new();
         for (index, route) in active.routes.bulk_routes() {
             let mut services = route.traffic.services();
-            if services.any(|service| self.requests.routing.has_batch_room(now, service.as_str())) {
+            if services.any(|service| self.requests.routing.has_batch_capacity(now, service.as_str())) {
                 with_room.push(index);
             }
         }
@@ -178,7 +178,7 @@
         let point = self.random_point();
         let Some(active) = self.configuration.active().cloned() else { return };
         let route = active.routes.bulk(&order.host, &order.path);
-        let hints = Hints::of_item(&order);
+        let hints = RoutingHints::from_batch_item(&order);
         let chosen = route.and_then(|route| {
             self.requests.routing.choose_for_item(now, route.pick_service(point).as_str(), &hints)
         });
--- a/crates/tier/src/control/rollout_sync.rs
+++ b/crates/tier/src/control/rollout_sync.rs
@@ -75,8 +75,8 @@
 
     /// What the routing goes by now.
     pub fn permissions(&self, now: Instant) -> VersionPermissions<'_> {
-        let awaits_proof = self.enforced && !self.proven && now < Instant(0) + PROOF_TIMEOUT;
-        VersionPermissions { policy: &self.policy, enforced: self.enforced, awaits_proof }
+        let awaits_leader_reply = self.enforced && !self.proven && now < Instant(0) + PROOF_TIMEOUT;
+        VersionPermissions { policy: &self.policy, enforced: self.enforced, awaits_leader_reply }
     }
 
     /// The versions of all services, as far as they are known.
@@ -129,12 +129,12 @@
     }
 
     /// When the leader is to be asked next, from now on; `None`: there is nothing to ask.
-    fn interval(&self, has_versions_in_question: bool) -> Option<Duration> {
+    fn interval(&self, has_unconfirmed_versions: bool) -> Option<Duration> {
         let has_active_rollout = self.policy.state().has_active_rollout();
         if has_active_rollout || (self.enforced && !self.proven) {
             Some(SYNC_INTERVAL)
         } else {
-            has_versions_in_question.then_some(IDLE_SYNC_INTERVAL)
+            has_unconfirmed_versions.then_some(IDLE_SYNC_INTERVAL)
         }
     }
 }
@@ -163,8 +163,8 @@
 
     /// Has the leader asked soon, if there is anything to ask.
     pub(crate) fn schedule_rollout_sync(&mut self) {
-        let has_versions_in_question = self.requests.routing.has_versions_in_question();
-        let Some(interval) = self.rollouts.interval(has_versions_in_question) else { return };
+        let has_unconfirmed_versions = self.requests.routing.has_unconfirmed_versions();
+        let Some(interval) = self.rollouts.interval(has_unconfirmed_versions) else { return };
         if self.rollouts.is_scheduled || self.stopping() {
             return;
         }
--- a/crates/tier/src/requests/exchange/mod.rs
+++ b/crates/tier/src/requests/exchange/mod.rs
@@ -16,7 +16,7 @@
 use crate::requests::header_names as names;
 use crate::requests::not_executed::promises_not_executed;
 use crate::requests::plane::{RequestContext, Requests};
-use crate::requests::routing::{Candidate, Hints, RouteChoice};
+use crate::requests::routing::{Candidate, RouteChoice, RoutingHints};
 use crate::requests::upstream::{CallEvent, MAX_UNWRITTEN_BYTES};
 use crate::requests::upstream_connection::{CallFailure, CallOwner};
 use crate::runtime::timers::Timer;
@@ -58,7 +58,7 @@
             serial,
             client,
             client_serial: context.connections.serial(client),
-            hints: Hints::of(headers),
+            hints: RoutingHints::from_headers(headers),
             request,
             service,
             retry_class,
--- a/crates/tier/src/requests/exchange/state.rs
+++ b/crates/tier/src/requests/exchange/state.rs
@@ -3,7 +3,7 @@
 use super::attempt::Attempt;
 use crate::requests::event_buffer::EventBuffer;
 use crate::requests::header_names as names;
-use crate::requests::routing::{Hints, RoutingQuery};
+use crate::requests::routing::{RoutingHints, RoutingQuery};
 use grebeusher_configuration::configuration::{Route, RouteType};
 use grebeusher_gateway::{Attempts, ExecutorId, RetryClass};
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -47,7 +47,7 @@
     /// The serial number of the client's connection.
     pub(super) client_serial: u64,
     pub(super) request: ClientRequest,
-    pub(super) hints: Hints,
+    pub(super) hints: RoutingHints,
     pub(super) route: Rc<Route>,
     /// The service that was drawn by the weights of the route.
     pub(super) service: String,
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -27,7 +27,7 @@
 /// second.
 const EXECUTOR_DISCOVERY_TIME: Duration = Duration::from_millis(2000);
 /// The `Retry-After` time of a node that has just started.
-pub const STARTING_RETRY: Duration = Duration::from_millis(700);
+pub const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(700);
 
 /// The leader of a batch partition may use one of this many equal shares of an executor's connections.
 const LEADER_SHARES: u32 = 3;
@@ -57,16 +57,16 @@
 
 /// What the headers of a request tell about its model, size and prompt.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Hints {
+pub struct RoutingHints {
     model: Option<ModelKey>,
     tokens: Option<TokenCount>,
     prompt: PromptSegments,
 }
 
-impl Hints {
+impl RoutingHints {
     /// Reads the hints from the headers. A header that can't be parsed is ignored.
-    pub fn of(headers: &Headers) -> Hints {
-        Hints {
+    pub fn from_headers(headers: &Headers) -> RoutingHints {
+        RoutingHints {
             model: headers.get(names::MODEL_NAME).map(ModelKey::of),
             tokens: headers.get(names::TOKEN_COUNT).and_then(|text| TokenCount::parse(text).ok()),
             prompt: headers
@@ -77,12 +77,12 @@
     }
 
     /// Reads the hints from the headers of an item of a batch job.
-    pub fn of_item(order: &RunOrder) -> Hints {
+    pub fn from_batch_item(order: &RunOrder) -> RoutingHints {
         let value = |name: &str| {
             let found = order.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
             found.map(|header| header.value.as_str())
         };
-        Hints {
+        RoutingHints {
             model: value(names::MODEL_NAME).map(ModelKey::of),
             tokens: value(names::TOKEN_COUNT).and_then(|text| TokenCount::parse(text).ok()),
             prompt: value(names::PROMPT_PREFIX)
@@ -101,7 +101,7 @@
     /// How the request may be repeated.
     pub retry_class: RetryClass,
     /// The model, size and prompt of the request.
-    pub hints: &'a Hints,
+    pub hints: &'a RoutingHints,
     /// When the request was received.
     pub accepted_at: Instant,
     /// When the time for the response is over.
@@ -120,10 +120,10 @@
     executor_ids: FxHashMap<String, ExecutorId>,
     /// The generation of the registry's executors at the last update.
     registry_generation: u64,
-    /// The revision of the version policy at the last update, and `VersionPermissions::awaits_proof` at that time.
+    /// The revision of the version policy at the last update, and `VersionPermissions::awaits_leader_reply` at that time.
     applied_versions: (u64, bool),
     /// Whether the leader may know more than this node about the versions of executors that are up.
-    has_versions_in_question: bool,
+    has_unconfirmed_versions: bool,
     /// The version of the configuration at the last update.
     configuration_version: u64,
 }
@@ -136,7 +136,7 @@
             executor_ids: FxHashMap::default(),
             registry_generation: 0,
             applied_versions: (0, false),
-            has_versions_in_question: false,
+            has_unconfirmed_versions: false,
             configuration_version: 0,
         }
     }
@@ -152,7 +152,7 @@
             RoutingDecision::Reject { retry_after } => RouteChoice::Refuse { retry_after },
             // A node that has just started learns of the executors from their next heartbeats.
             RoutingDecision::NoExecutor { retry_after } if now < Instant(0) + EXECUTOR_DISCOVERY_TIME => {
-                RouteChoice::Refuse { retry_after: retry_after.max(STARTING_RETRY) }
+                RouteChoice::Refuse { retry_after: retry_after.max(STARTUP_RETRY_AFTER) }
             }
             RoutingDecision::NoExecutor { retry_after } => RouteChoice::Refuse { retry_after },
         }
@@ -183,7 +183,7 @@
     }
 
     /// Whether an executor of the service has capacity for a batch item. The size of the item is ignored.
-    pub fn has_batch_room(&mut self, now: Instant, service: &str) -> bool {
+    pub fn has_batch_capacity(&mut self, now: Instant, service: &str) -> bool {
         let service = self.gateway.service(service);
         let item = BatchItem {
             service,
@@ -201,7 +201,7 @@
         &mut self,
         now: Instant,
         service: &str,
-        hints: &Hints,
+        hints: &RoutingHints,
     ) -> Option<(Candidate, Request<'static>)> {
         let service = self.gateway.service(service);
         let item: BatchItem<'static> = BatchItem {
@@ -240,7 +240,7 @@
         }
         let generation = registry.generation().executors;
         let mut gone = Vec::new();
-        let versions = (permissions.policy.revision(), permissions.awaits_proof);
+        let versions = (permissions.policy.revision(), permissions.awaits_leader_reply);
         if self.registry_generation != generation || self.applied_versions != versions {
             self.registry_generation = generation;
             self.applied_versions = versions;
@@ -272,17 +272,17 @@
     }
 
     /// Whether the leader may know more than this node about the versions of executors that are up.
-    pub fn has_versions_in_question(&self) -> bool {
-        self.has_versions_in_question
+    pub fn has_unconfirmed_versions(&self) -> bool {
+        self.has_unconfirmed_versions
     }
 
     fn update_executors(&mut self, registry: &Registry, permissions: &VersionPermissions<'_>) -> Vec<String> {
         let gone = self.remove_gone_executors(registry);
         let versions = permissions.observed_versions(registry);
-        self.has_versions_in_question = false;
+        self.has_unconfirmed_versions = false;
         for executor in registry.executors().filter(|executor| executor.exists()) {
             let VersionDecision { is_permitted, is_unconfirmed } = permissions.decide(executor, &versions);
-            self.has_versions_in_question |= is_unconfirmed && accepts_requests(executor);
+            self.has_unconfirmed_versions |= is_unconfirmed && accepts_requests(executor);
             // An executor that is not permitted but got requests before stays in the gateway, as draining, to finish them.
             if !is_permitted && !self.executor_ids.contains_key(&executor.report.id) {
                 continue;
--- a/crates/tier/src/requests/version_permissions.rs
+++ b/crates/tier/src/requests/version_permissions.rs
@@ -11,7 +11,7 @@
     /// Whether executors of a service without a version in force get requests only if all of them have the same version.
     pub enforced: bool,
     /// Whether this node has just started and may still learn from the leader which version is in force.
-    pub awaits_proof: bool,
+    pub awaits_leader_reply: bool,
 }
 
 /// For each service the version that all its executors have, or `None` if they have several.
@@ -63,7 +63,7 @@
             Permission::InForce => return VersionDecision { is_permitted: true, is_unconfirmed: false },
             Permission::Withheld => return VersionDecision { is_permitted: false, is_unconfirmed: true },
             Permission::Unrestricted if self.enforced => {
-                !self.awaits_proof && versions.has_single_version(&report.service)
+                !self.awaits_leader_reply && versions.has_single_version(&report.service)
             }
             Permission::Unrestricted => true,
         };
