--- a/crates/tier/src/batch/api.rs
+++ b/crates/tier/src/batch/api.rs
@@ -96,7 +96,7 @@
         }
         let point = self.random_point();
         self.with_requests(|requests, context| {
-            requests.begin_exchange(context, connection, request, route, point);
+            requests.start_exchange(context, connection, request, route, point);
         });
     }
 
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -21,7 +21,7 @@
 use crate::requests::plane::Requests;
 use crate::requests::prefix_popularity::{Announcement, MalformedRegister, PrefixPopularity};
 use crate::requests::routing::Routing;
-use crate::requests::server_connection::{ListenerKind, first_limits};
+use crate::requests::server_connection::{ListenerKind, default_limits};
 use crate::runtime::io::SharedWorld;
 use crate::runtime::start::{Start, StartError};
 use crate::runtime::stop::GracefulShutdown;
@@ -119,7 +119,7 @@
             popularity: PrefixPopularity::default(),
             acknowledgements: PendingAcknowledgements::default(),
             routing_changed: true,
-            configuration: ServedConfiguration::new(first_limits()),
+            configuration: ServedConfiguration::new(default_limits()),
             calls,
             retire_requests: RetireRequests::default(),
             rollouts,
@@ -188,7 +188,7 @@
         }
         // Nothing is begun any more by a process that ends with this turn.
         if !self.exit {
-            self.serve_waiting_input();
+            self.dispatch_unread_input();
         }
         self.pump_registry();
         self.pump_partitions()?;
@@ -246,11 +246,13 @@
                 }
             }
             Timer::ExchangeDeadline { exchange, serial } => {
-                self.with_requests(|requests, context| requests.exchange_expired(context, exchange, serial));
+                self.with_requests(|requests, context| {
+                    requests.handle_exchange_deadline(context, exchange, serial);
+                });
             }
             Timer::ExchangeResponseTimeout { exchange, serial, attempt } => {
                 self.with_requests(|requests, context| {
-                    requests.exchange_response_timeout(context, exchange, serial, attempt);
+                    requests.handle_response_timeout(context, exchange, serial, attempt);
                 });
             }
             Timer::LinkExpires { connection, serial } => {
@@ -317,7 +319,7 @@
 
     fn sweep(&mut self) {
         self.alarms.set(self.now + SWEEP_INTERVAL, Timer::Sweep);
-        self.with_requests(Requests::sweep_servers);
+        self.with_requests(Requests::close_overdue_connections);
         self.connections.close_expired_idle(self.now);
         self.with_links(PeerLinks::sweep);
         self.calls.sweep(self.now);
--- a/crates/tier/src/requests/dispatch.rs
+++ b/crates/tier/src/requests/dispatch.rs
@@ -90,7 +90,7 @@
     }
 
     /// Dispatches requests that were received while their connection was busy with an earlier one.
-    pub(crate) fn serve_waiting_input(&mut self) {
+    pub(crate) fn dispatch_unread_input(&mut self) {
         for index in self.connections.take_unread_input() {
             self.dispatch_requests(index);
         }
--- a/crates/tier/src/requests/exchange/mod.rs
+++ b/crates/tier/src/requests/exchange/mod.rs
@@ -10,7 +10,7 @@
 mod messages;
 mod state;
 
-pub use state::{ClientRequest, Exchange, ExchangeKey, time_allowed};
+pub use state::{ClientRequest, Exchange, ExchangeKey, allowed_response_time};
 
 use crate::requests::event_buffer::EventBuffer;
 use crate::requests::header_names as names;
@@ -38,7 +38,7 @@
 impl Requests {
     /// Starts an exchange for a complete request from the connection `client`. `service_point`, a uniform random number from 0 to
     /// below 1, selects the service by the weights of the route.
-    pub fn begin_exchange(
+    pub fn start_exchange(
         &mut self,
         context: &mut RequestContext<'_>,
         client: usize,
@@ -53,7 +53,7 @@
         let retry_class = retry_class(&route);
         let service = route.pick_service(service_point).as_str().to_owned();
         let serial = context.connections.next_serial();
-        let deadline = now + time_allowed(headers, &route);
+        let deadline = now + allowed_response_time(headers, &route);
         let exchange = Exchange {
             serial,
             client,
@@ -86,7 +86,7 @@
             let now = context.now;
             let Some(exchange) = self.exchanges.get(index) else { return };
             if now + MIN_ATTEMPT_TIME >= exchange.deadline {
-                return self.give_up(context, index);
+                return self.stop_exchange(context, index);
             }
             let candidate = match self.routing.choose(now, &exchange.routing_query()) {
                 RouteChoice::Send(candidate) => candidate,
@@ -288,7 +288,7 @@
 
     /// Aborts the attempt `attempt_number` if nothing was received from it for the response timeout, so that the request is sent
     /// to another executor. Otherwise sets the timer again.
-    pub fn exchange_response_timeout(
+    pub fn handle_response_timeout(
         &mut self,
         context: &mut RequestContext<'_>,
         index: usize,
@@ -316,15 +316,14 @@
     }
 
     /// Ends an exchange whose deadline has passed.
-    pub fn exchange_expired(&mut self, context: &mut RequestContext<'_>, index: usize, serial: u64) {
+    pub fn handle_exchange_deadline(&mut self, context: &mut RequestContext<'_>, index: usize, serial: u64) {
         if self.exchanges.get(index).is_some_and(|exchange| exchange.serial == serial) {
-            self.give_up(context, index);
+            self.stop_exchange(context, index);
         }
     }
 
-    /// Ends an exchange without waiting any longer for an executor: aborts the attempt in flight and sends the client its
-    /// response.
-    pub(crate) fn give_up(&mut self, context: &mut RequestContext<'_>, index: usize) {
+    /// Makes no further attempts: aborts the attempt in flight, if there is one, as timed out, and sends the client its response.
+    pub(crate) fn stop_exchange(&mut self, context: &mut RequestContext<'_>, index: usize) {
         let now = context.now;
         let exchange = &mut self.exchanges[index];
         let response = match exchange.current_attempt.take() {
@@ -353,7 +352,7 @@
     ) {
         let exchange = &self.exchanges[index];
         if exchange.streaming || exchange.attempts.may_have_run() {
-            return self.give_up(context, index);
+            return self.stop_exchange(context, index);
         }
         let (client, serial) = (exchange.client, exchange.client_serial);
         let seconds = format!("{:.3}", retry_after.seconds());
--- a/crates/tier/src/requests/exchange/state.rs
+++ b/crates/tier/src/requests/exchange/state.rs
@@ -109,7 +109,7 @@
 }
 
 /// How long the response may take: the client's deadline, limited by the route's timeout.
-pub fn time_allowed(headers: &Headers, route: &Route) -> Duration {
+pub fn allowed_response_time(headers: &Headers, route: &Route) -> Duration {
     let client_ms = headers.get(names::DEADLINE_MS).and_then(|text| text.trim().parse().ok());
     Duration::from_millis(client_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(route.timeout_ms))
 }
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -9,7 +9,8 @@
 use crate::requests::exchange::ClientRequest;
 use crate::requests::plane::{RequestContext, Requests};
 use crate::requests::server_connection::{
-    AfterResponse, ConnectionTimeouts, ListenerKind, Overdue, ServerConnection, Waiting, first_limits,
+    AfterResponse, ConnectionTimeouts, ListenerKind, Overdue, PendingResponse, ServerConnection,
+    default_limits,
 };
 use crate::requests::upstream::MAX_UNWRITTEN_BYTES;
 use crate::runtime::io::World;
@@ -132,7 +133,7 @@
             Some((_, server)) if server.listener() == ListenerKind::Frontend => {
                 *context.configuration.http_limits()
             }
-            _ => first_limits(),
+            _ => default_limits(),
         }
     }
 
@@ -259,7 +260,7 @@
 
     /// Closes connections that were idle or slow for longer than the configured timeouts. Idle connections are closed without a
     /// response; a request that was received in part is answered with 408.
-    pub fn sweep_servers(&mut self, context: &mut RequestContext<'_>) {
+    pub fn close_overdue_connections(&mut self, context: &mut RequestContext<'_>) {
         let now = context.now;
         let limits = context.configuration.client_limits();
         let timeouts = ConnectionTimeouts {
@@ -279,24 +280,24 @@
 }
 
 /// Closes the idle connections of peers, when the process is stopping.
-pub(crate) fn close_idle_servers(connections: &mut ConnectionTable) {
+pub(crate) fn close_idle_connections(connections: &mut ConnectionTable) {
     let idle = connections.iter().filter(|(_, connection)| is_idle(connection) == Some(true));
     let idle: Vec<usize> = idle.map(|(index, _)| index).collect();
     idle.into_iter().for_each(|index| connections.close(index));
 }
 
 /// The number of connections with a request that is being read or processed.
-pub(crate) fn busy_servers(connections: &ConnectionTable) -> usize {
+pub(crate) fn busy_connection_count(connections: &ConnectionTable) -> usize {
     connections.iter().filter(|(_, connection)| is_idle(connection) == Some(false)).count()
 }
 
 /// What the responses to the current requests depend on.
-pub(crate) fn waiting_clients(connections: &ConnectionTable) -> Vec<Waiting> {
-    let waiting = connections.iter().filter_map(|(index, connection)| match &connection.role {
-        Role::Server(server) => server.waiting(index),
+pub(crate) fn pending_responses(connections: &ConnectionTable) -> Vec<PendingResponse> {
+    let pending = connections.iter().filter_map(|(index, connection)| match &connection.role {
+        Role::Server(server) => server.pending_response(index),
         _ => None,
     });
-    waiting.collect()
+    pending.collect()
 }
 
 /// Whether no request is in progress on a connection and no further one has been received. `None` for connections that this
--- a/crates/tier/src/requests/server_connection.rs
+++ b/crates/tier/src/requests/server_connection.rs
@@ -33,7 +33,7 @@
 
 /// What the response to a request depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
+pub enum PendingResponse {
     /// The exchange with this index.
     Exchange(usize),
     /// A call to another node. The value is the index of the connection that waits for the response.
@@ -197,9 +197,9 @@
     }
 
     /// What the response to the current request depends on. `index` is the index of this connection.
-    pub(crate) fn waiting(&self, index: usize) -> Option<Waiting> {
+    pub(crate) fn pending_response(&self, index: usize) -> Option<PendingResponse> {
         let State::Busy { exchange } = self.state else { return None };
-        Some(exchange.map_or(Waiting::Call(index), Waiting::Exchange))
+        Some(exchange.map_or(PendingResponse::Call(index), PendingResponse::Exchange))
     }
 
     /// Whether the connection is closed after the current response: its peer asked for it, or the process is stopping.
@@ -253,6 +253,6 @@
 }
 
 /// The limits on request heads and bodies, as long as no configuration sets others.
-pub fn first_limits() -> Limits {
+pub fn default_limits() -> Limits {
     Limits { most_head: 64 * 1024, most_headers: 96, most_body: 8 * 1024 * 1024 }
 }
--- a/crates/tier/src/runtime/stop.rs
+++ b/crates/tier/src/runtime/stop.rs
@@ -5,9 +5,9 @@
 
 use crate::control::partitions::HandOver;
 use crate::node::Node;
-use crate::requests::exchange::{ClientRequest, time_allowed};
-use crate::requests::server::{busy_servers, close_idle_servers, waiting_clients};
-use crate::requests::server_connection::Waiting;
+use crate::requests::exchange::{ClientRequest, allowed_response_time};
+use crate::requests::server::{busy_connection_count, close_idle_connections, pending_responses};
+use crate::requests::server_connection::PendingResponse;
 use crate::runtime::io::World;
 use crate::runtime::start::losses_of;
 use grebeusher_configuration::configuration::{Route, RouteType};
@@ -122,7 +122,7 @@
         route: &Route,
     ) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
-        let time_left = time_allowed(&request.head.headers, route);
+        let time_left = allowed_response_time(&request.head.headers, route);
         if shutdown.accepts(self.now, route, time_left) {
             return false;
         }
@@ -150,8 +150,8 @@
         if !self.shutdown.is_some_and(|shutdown| shutdown.may_exit(self.now)) {
             return;
         }
-        close_idle_servers(&mut self.connections);
-        if busy_servers(&self.connections) == 0 && self.requests.exchange_count() == 0 {
+        close_idle_connections(&mut self.connections);
+        if busy_connection_count(&self.connections) == 0 && self.requests.exchange_count() == 0 {
             self.exit_now();
         }
     }
@@ -159,13 +159,13 @@
     /// The last turn: who still waits gets an answer, and the others hear that this process has left, so that nobody waits
     /// for it.
     pub(crate) fn exit_now(&mut self) {
-        for waiting in waiting_clients(&self.connections) {
-            match waiting {
-                Waiting::Exchange(exchange) => {
-                    self.with_requests(|requests, context| requests.give_up(context, exchange));
+        for pending in pending_responses(&self.connections) {
+            match pending {
+                PendingResponse::Exchange(exchange) => {
+                    self.with_requests(|requests, context| requests.stop_exchange(context, exchange));
                 }
                 // What was asked of another node may have been done there.
-                Waiting::Call(connection) => {
+                PendingResponse::Call(connection) => {
                     let serial = self.serial(connection);
                     self.answer(connection, serial, http::answer(504, &[], b""));
                 }
