--- a/crates/tier/src/control/status.rs
+++ b/crates/tier/src/control/status.rs
@@ -3,7 +3,7 @@
 use crate::batch::api::BATCH_PARTITIONS;
 use crate::control::partition_host::Application;
 use crate::node::Node;
-use crate::requests::prefix_popularity::write_choices;
+use crate::requests::prefix_popularity::write_routing_status;
 use grebeusher_rollout::{Rollout, ServiceVersions};
 use grebeusher_time::{Duration, DurationExt};
 use std::fmt::{self, Write};
@@ -38,7 +38,7 @@
         self.write_executors(text)?;
         self.write_versions(text)?;
         self.write_counters(text)?;
-        write_choices(&self.requests.routing, text)
+        write_routing_status(&self.requests.routing, text)
     }
 
     fn write_members(&self, text: &mut String) -> fmt::Result {
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -19,7 +19,7 @@
 use crate::links::messages::{CallNumbers, Channel};
 use crate::links::peer_links::PeerLinks;
 use crate::requests::plane::Requests;
-use crate::requests::prefix_popularity::{Announcement, MalformedRegister, PrefixPopularity};
+use crate::requests::prefix_popularity::{ContributionMessage, MalformedContribution, PrefixPopularity};
 use crate::requests::routing::Routing;
 use crate::requests::server_connection::{ListenerKind, default_limits};
 use crate::runtime::io::SharedWorld;
@@ -275,13 +275,13 @@
     /// Another node's counts of popular prefixes have come.
     pub(crate) fn receive_popularity(&mut self, payload: &[u8]) {
         match self.popularity.receive(self.now, &mut self.requests.routing, &self.registry, payload) {
-            Ok(announcement) => self.send_popularity(announcement),
-            Err(MalformedRegister) => self.requests.counters.malformed += 1,
+            Ok(message) => self.send_popularity(message),
+            Err(MalformedContribution) => self.requests.counters.malformed += 1,
         }
     }
 
-    fn send_popularity(&mut self, announcement: Option<Announcement>) {
-        let Some(Announcement { to, payload }) = announcement else { return };
+    fn send_popularity(&mut self, message: Option<ContributionMessage>) {
+        let Some(ContributionMessage { to, payload }) = message else { return };
         for peer in to {
             self.send_frame(peer, Channel::Popularity, &payload);
         }
@@ -326,9 +326,8 @@
         if let Some(folder) = self.settings.data_path.as_deref().filter(|_| !self.stopping()) {
             self.executor_hints.save(&*self.world, folder, &self.registry, self.now);
         }
-        let announcement =
-            self.popularity.due_announcement(self.now, &mut self.requests.routing, &self.registry);
-        self.send_popularity(announcement);
+        let message = self.popularity.due_message(self.now, &mut self.requests.routing, &self.registry);
+        self.send_popularity(message);
         if let Some(folder) = self.settings.data_path.as_deref().filter(|_| !self.stopping()) {
             self.popularity.save(self.now, &self.requests.routing, &*self.world, folder);
         }
--- a/crates/tier/src/requests/plane.rs
+++ b/crates/tier/src/requests/plane.rs
@@ -16,7 +16,7 @@
 
 /// Counts of requests and connections since the process started; the status page and the log show them.
 #[derive(Debug, Default)]
-pub struct Counters {
+pub struct RequestCounters {
     /// Client requests that were to be sent to an executor.
     pub requests: u64,
     /// Requests that were refused because no executor had capacity.
@@ -38,7 +38,7 @@
     /// Chooses executors, for client requests and for items of batch jobs.
     pub(crate) routing: Routing,
     /// Counts of requests and connections.
-    pub(crate) counters: Counters,
+    pub(crate) counters: RequestCounters,
 }
 
 /// The parts of the node that the methods of [`Requests`] borrow.
@@ -60,7 +60,7 @@
 impl Requests {
     /// Creates the state of a node that has no requests yet.
     pub fn new(listeners: ClientListeners, routing: Routing) -> Requests {
-        Requests { listeners, exchanges: Slab::new(), routing, counters: Counters::default() }
+        Requests { listeners, exchanges: Slab::new(), routing, counters: RequestCounters::default() }
     }
 
     /// The number of client requests in flight.
--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -21,24 +21,24 @@
 const MAX_SHOWN_PREFIXES: usize = 24;
 
 /// The counts of one node, to be sent to other nodes.
-pub(crate) struct Announcement {
+pub(crate) struct ContributionMessage {
     /// The addresses of the receivers.
     pub to: Vec<SocketAddrV4>,
     /// The encoded counts.
     pub payload: Vec<u8>,
 }
 
-impl Announcement {
+impl ContributionMessage {
     /// Addresses the counts to this node's children in the relay tree of the node that made them.
-    fn to_relay_children(contribution: &Contribution, registry: &Registry) -> Announcement {
+    fn to_relay_children(contribution: &Contribution, registry: &Registry) -> ContributionMessage {
         let to = registry.relay_children_of(NodeId(contribution.origin)).unwrap_or_default();
-        Announcement { to, payload: contribution.encode() }
+        ContributionMessage { to, payload: contribution.encode() }
     }
 }
 
 /// The counts received from another node could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct MalformedRegister;
+pub(crate) struct MalformedContribution;
 
 /// Sends, receives and saves the counts of popular prefixes.
 #[derive(Debug, Default)]
@@ -72,14 +72,14 @@
     }
 
     /// This node's own counts, when it is time to send them.
-    pub fn due_announcement(
+    pub fn due_message(
         &self,
         now: Instant,
         routing: &mut Routing,
         registry: &Registry,
-    ) -> Option<Announcement> {
+    ) -> Option<ContributionMessage> {
         let contribution = routing.gateway.popularity_mut()?.tick(now)?;
-        Some(Announcement::to_relay_children(&contribution, registry))
+        Some(ContributionMessage::to_relay_children(&contribution, registry))
     }
 
     /// Merges the counts of another node, which came from that node or from its relay tree. Returns what is to be relayed
@@ -93,8 +93,8 @@
         routing: &mut Routing,
         registry: &Registry,
         payload: &[u8],
-    ) -> Result<Option<Announcement>, MalformedRegister> {
-        let contribution = Contribution::decode(payload).map_err(|_| MalformedRegister)?;
+    ) -> Result<Option<ContributionMessage>, MalformedContribution> {
+        let contribution = Contribution::decode(payload).map_err(|_| MalformedContribution)?;
         // Counts of nodes that are not members would take memory and be relayed for nothing.
         if registry.relay_children_of(NodeId(contribution.origin)).is_none() {
             return Ok(None);
@@ -102,7 +102,7 @@
         let popularity = routing.gateway.popularity_mut();
         let merged = popularity.map(|popularity| popularity.merge(now, contribution.clone()));
         let is_new = merged == Some(MergeOutcome::Merged);
-        Ok(is_new.then(|| Announcement::to_relay_children(&contribution, registry)))
+        Ok(is_new.then(|| ContributionMessage::to_relay_children(&contribution, registry)))
     }
 
     /// Saves the counts to the disk if the last save was long enough ago.
@@ -120,7 +120,7 @@
 
 /// Writes the status lines on routing: how often each rule chose the executor, and each popular prefix with its homes, the
 /// executors that requests with this prefix go to.
-pub(crate) fn write_choices(routing: &Routing, text: &mut String) -> std::fmt::Result {
+pub(crate) fn write_routing_status(routing: &Routing, text: &mut String) -> std::fmt::Result {
     let decisions = routing.gateway.decisions();
     writeln!(
         text,
