--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -15,7 +15,8 @@
 
 /// The name of the file with the counts. It has a checksum and is replaced atomically.
 const HINT_NAME: &str = "popularity";
-/// How often the counts are saved. Each save blocks on the disk; a restart loses at most the counts of this time.
+/// How often the counts are saved. Each save blocks on the disk; a restart loses at most what was counted since
+/// the last save.
 const SAVE_INTERVAL: Duration = Duration::from_millis(20_000);
 /// The number of prefixes on the status page.
 const MAX_SHOWN_PREFIXES: usize = 24;
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -106,8 +106,8 @@
         true
     }
 
-    /// Handles that a peer has closed its sending side, which counts as a disconnect: its request is dropped. If the last response
-    /// is still being written, the connection stays open until that is done.
+    /// Handles that a peer has closed its sending side. This counts as a disconnect, so its request is dropped. If the last
+    /// response is still being written, the connection stays open until that is done.
     pub(super) fn handle_peer_end(&mut self, context: &mut RequestContext<'_>, index: usize) {
         let Some((socket, server)) = context.connections.server_mut(index) else { return };
         if socket.waiting() > 0 && server.is_closing() {
@@ -192,8 +192,8 @@
         }
         let Some((socket, _)) = context.connections.server_mut(index) else { return };
         socket.put(bytes);
-        // The error of a broken connection is ignored, as the caller still works on the exchange. The next event of the connection
-        // reports it.
+        // The error of a broken connection is ignored, as the caller still works on the exchange. The next event of the
+        // connection reports it.
         let _ = socket.flush();
     }
 
--- a/crates/tier/src/requests/server_connection.rs
+++ b/crates/tier/src/requests/server_connection.rs
@@ -71,7 +71,8 @@
 pub struct ServerConnection {
     listener: ListenerKind,
     state: State,
-    /// When the last response was complete or the first byte of the current request was received. Timeouts count from then.
+    /// When the connection was accepted, its last response was complete or the first byte of the current request was received,
+    /// whichever was last. Timeouts count from then.
     since: Instant,
     /// Whether the connection is closed after the current response.
     must_close: bool,
