--- a/crates/node/src/life/node.rs
+++ b/crates/node/src/life/node.rs
@@ -1,15 +1,15 @@
 //! The node: one loop, and the phases from start to exit.
 
-use crate::exchange::{Beside, Closed, Exchange};
+use crate::coordinator::{ClosedExecutors, Coordinator, OptionalComponents};
+use crate::interfaces::{DescriptorHolder, FaktoryFrontend, PeerMessenger, SiblingProcesses};
 use crate::life::limits;
-use crate::memory::clock::{self, Clock};
-use crate::memory::counters::Counters;
-use crate::memory::figures::{Figures, Gauges};
-use crate::memory::ledger::Ledger;
-use crate::memory::list::Version;
-use crate::memory::spares::Spares;
-use crate::memory::units::UnitIds;
-use crate::sides::{Pushes, Relatives, Room, Talk};
+use crate::state::clock::{self, Clock};
+use crate::state::counters::Counters;
+use crate::state::executor_list::ExecutorListUpdate;
+use crate::state::job_log::JobLog;
+use crate::state::metrics::{Gauges, MetricsText};
+use crate::state::requests::RequestIds;
+use crate::state::reserved_descriptors::ReservedDescriptors;
 use crate::wire::calls;
 use crate::wire::checks::Checks;
 use crate::wire::clients::Clients;
@@ -157,8 +157,8 @@
     relieves: bool,
     executors: Rc<Executors>,
     discovery: Rc<Discovery>,
-    spares: Rc<Spares>,
-    exchange: Exchange,
+    reserved_descriptors: Rc<ReservedDescriptors>,
+    coordinator: Coordinator,
     /// From word to stop to the last answers.
     answers_within: Duration,
     /// Its clients are sent away as a plan has it that its own machine goes out for work.
@@ -175,9 +175,9 @@
         if let Some(fleet) = &fleet {
             posting.settings.recalls_stop(fleet.executors.recalls_stop_waiting);
         }
-        let known =
-            Version::deserialize(&posting.known).map_err(|e| format!("{}: known: {e}", posted.display()))?;
-        let clock = Clock::start(env::var(clock::OFF).ok().as_deref())?;
+        let known = ExecutorListUpdate::deserialize(&posting.known)
+            .map_err(|e| format!("{}: known: {e}", posted.display()))?;
+        let clock = Clock::start(env::var(clock::OFFSET_VARIABLE).ok().as_deref())?;
         let counters = Rc::new(Counters::default());
         let poller = Rc::new(Poller::new().map_err(|e| format!("no poller: {e}"))?);
         let common = (&poller, clock, &counters);
@@ -201,13 +201,13 @@
             + fleet.as_ref().and_then(|fleet| fleet.peers.as_ref()).map_or(0, |_| fellows::DESCRIPTORS)
             + fronts.faktory.as_ref().map_or(0, |posted| posted.max_connections() + 1);
         let (from_outside, to_executors) = limits::connections(posting.sockets, further);
-        let unit_ids = UnitIds::default();
+        let request_ids = RequestIds::default();
         let listener = inherited.map_or_else(|| listen::listen(posting.listen), Ok);
         let clients = listener.and_then(|listener| {
             Clients::listen(
                 listener,
                 settings,
-                &unit_ids,
+                &request_ids,
                 (from_outside, room),
                 (LISTENER, key::<OUTSIDE>),
                 common,
@@ -223,16 +223,20 @@
         let console = console.transpose()?;
         let retire_after = retire_after(settings.idle);
         let times = (settings.connect_timeout, retire_after);
-        let spares = Rc::new(Spares::held(clock));
-        let others = vec![clients.clone() as Rc<dyn Room>, spares.clone()];
+        let reserved_descriptors = Rc::new(ReservedDescriptors::open(clock));
+        let others = vec![clients.clone() as Rc<dyn DescriptorHolder>, reserved_descriptors.clone()];
         let executors = Rc::new(Executors::new(others, to_executors, times, key::<EXECUTOR>, common));
-        let others = vec![executors.clone() as Rc<dyn Room>, clients.clone(), spares.clone()];
+        let others = vec![
+            executors.clone() as Rc<dyn DescriptorHolder>,
+            clients.clone(),
+            reserved_descriptors.clone(),
+        ];
         let discovery =
             Rc::new(Discovery::new(others, posting.discovery, &known, [DISCOVERY, DISCOVERY_AGAIN], common));
-        let sides = (clients.clone() as _, executors.clone() as _, discovery.clone() as _);
+        let interfaces = (clients.clone() as _, executors.clone() as _, discovery.clone() as _);
         let faktory = fronts.faktory.as_ref().map(|posted| {
             let keys = (FAKTORY, key::<PEER> as fn(usize) -> usize);
-            let faktory = Faktory::listen(posted, settings, (posting.seed, &unit_ids), keys, common);
+            let faktory = Faktory::listen(posted, settings, (posting.seed, &request_ids), keys, common);
             faktory.map(Rc::new).map_err(|e| format!("faktory.listen: {}: {e}", posted.listen))
         });
         let faktory = faktory.transpose()?;
@@ -241,11 +245,11 @@
             Checks::listen(posted, keys, (&poller, clock)).map(Rc::new)
         });
         let checks = checks.transpose()?;
-        let ledger = fronts.job_log.as_ref().map(|posted| {
-            let ledger = Ledger::open(posted, settings.progress(), clock).map(Rc::new);
-            ledger.map_err(|e| format!("ledger.folder: {}: {e}", posted.folder.display()))
+        let job_log = fronts.job_log.as_ref().map(|posted| {
+            let job_log = JobLog::open(posted, settings.progress(), clock).map(Rc::new);
+            job_log.map_err(|e| format!("ledger.folder: {}: {e}", posted.folder.display()))
         });
-        let ledger = ledger.transpose()?;
+        let job_log = job_log.transpose()?;
         let fellows = fleet.as_ref().and_then(|fleet| Some((fleet, fleet.peers.as_ref()?)));
         let fellows = fellows.map(|(fleet, posted)| {
             let by = (FELLOWS, &poller, clock, &counters);
@@ -256,23 +260,23 @@
             fellows.map(Rc::new)
         });
         let fellows = fellows.transpose()?;
-        let beside = Beside {
-            siblings: siblings.clone().map(|siblings| siblings as Rc<dyn Relatives>),
-            faktory: faktory.clone().map(|faktory| faktory as Rc<dyn Pushes>),
-            ledger,
-            fellows: fellows.clone().map(|fellows| fellows as Rc<dyn Talk>),
+        let optional = OptionalComponents {
+            siblings: siblings.clone().map(|siblings| siblings as Rc<dyn SiblingProcesses>),
+            faktory: faktory.clone().map(|faktory| faktory as Rc<dyn FaktoryFrontend>),
+            job_log,
+            peers: fellows.clone().map(|fellows| fellows as Rc<dyn PeerMessenger>),
         };
-        let mut exchange =
-            Exchange::open(posting.seed, settings, &unit_ids, sides, beside, (clock, &counters));
-        exchange.start();
+        let mut coordinator =
+            Coordinator::new(posting.seed, settings, &request_ids, interfaces, optional, (clock, &counters));
+        coordinator.start();
         if fellows.as_ref().is_some_and(|fellows| !fellows.has_word()) {
-            exchange.closes(Closed::All);
+            coordinator.set_closed_executors(ClosedExecutors::All);
         }
-        exchange.listed(&known);
+        coordinator.executor_list_received(&known);
         // What it was told to know is gone by from now on no longer than any list. Guards against a node that hears nothing
         // of discovery ever, and goes by that for good.
-        exchange.list_proved(clock.now(), false);
-        exchange.recover();
+        coordinator.executor_list_confirmed(clock.now(), false);
+        coordinator.recover();
         say_what_sockets_lack(settings, fellows.is_some());
         if let Some(console) = &console {
             info!("console at {}", console.address().map_err(|e| e.to_string())?);
@@ -309,8 +313,8 @@
             relieves,
             executors,
             discovery,
-            spares,
-            exchange,
+            reserved_descriptors,
+            coordinator,
             answers_within,
             goes_by_plan: false,
         })
@@ -333,7 +337,7 @@
                 _ => {}
             }
             if let Some(fellows) = &self.fellows {
-                fellows.wakes(&mut self.exchange);
+                fellows.wakes(&mut self.coordinator);
             }
             // The staff first. Guards against calls that wait until a crowd of clients has had its turn.
             for staff in [true, false] {
@@ -341,25 +345,25 @@
                     self.stirred(event.key, slept)?;
                 }
             }
-            self.exchange.due();
-            self.executors.due(&mut self.exchange);
-            self.discovery.due(&mut self.exchange);
+            self.coordinator.handle_timeouts();
+            self.executors.due(&mut self.coordinator);
+            self.discovery.due(&mut self.coordinator);
             if let Some(siblings) = &self.siblings {
-                siblings.due(&mut self.exchange);
+                siblings.due(&mut self.coordinator);
             }
             if let Some(faktory) = &self.faktory {
-                faktory.due(&mut self.exchange);
+                faktory.due(&mut self.coordinator);
             }
             if let Some(checks) = &self.checks {
                 checks.due();
             }
             if let Some(fellows) = &self.fellows {
-                fellows.due(&mut self.exchange);
+                fellows.due(&mut self.coordinator);
             }
-            if self.clients.wants_room() && !self.executors.makes_room() {
-                self.spares.makes_room();
+            if self.clients.wants_room() && !self.executors.release_descriptor() {
+                self.reserved_descriptors.release_descriptor();
             }
-            self.spares.take_back();
+            self.reserved_descriptors.replenish();
             self.clients.due();
             self.move_on();
         }
@@ -379,7 +383,7 @@
             _ => None,
         };
         let dues = [
-            self.exchange.next_due(),
+            self.coordinator.next_timeout(),
             self.executors.next_due(),
             self.discovery.next_due(),
             self.clients.next_due(),
@@ -397,10 +401,10 @@
         match (key, connection(key)) {
             (LISTENER, _) => self.clients.accept(),
             (SIGNALS, _) => self.told()?,
-            (DISCOVERY, _) => self.discovery.stirred(0, slept, &mut self.exchange),
-            (DISCOVERY_AGAIN, _) => self.discovery.stirred(1, slept, &mut self.exchange),
-            (_, Some((OUTSIDE, place))) => self.clients.stirred(place, &mut self.exchange),
-            (_, Some((EXECUTOR, place))) => self.executors.stirred(place, &mut self.exchange),
+            (DISCOVERY, _) => self.discovery.stirred(0, slept, &mut self.coordinator),
+            (DISCOVERY_AGAIN, _) => self.discovery.stirred(1, slept, &mut self.coordinator),
+            (_, Some((OUTSIDE, place))) => self.clients.stirred(place, &mut self.coordinator),
+            (_, Some((EXECUTOR, place))) => self.executors.stirred(place, &mut self.coordinator),
             (SIBLINGS, _) => {
                 if let Some(siblings) = &self.siblings {
                     siblings.accept();
@@ -408,7 +412,7 @@
             }
             (_, Some((SIBLING, place))) => {
                 if let Some(siblings) = &self.siblings {
-                    siblings.stirred(place, &mut self.exchange);
+                    siblings.stirred(place, &mut self.coordinator);
                 }
             }
             (AGENT | HEALTH, _) | (_, Some((AGENT_CHECK | HEALTH_CALL, _))) => {
@@ -418,7 +422,7 @@
             }
             (FELLOWS, _) => {
                 if let Some(fellows) = &self.fellows {
-                    fellows.stirred(&mut self.exchange);
+                    fellows.stirred(&mut self.coordinator);
                 }
             }
             (FAKTORY, _) => {
@@ -428,7 +432,7 @@
             }
             (_, Some((PEER, place))) => {
                 if let Some(faktory) = &self.faktory {
-                    faktory.stirred(place, &mut self.exchange);
+                    faktory.stirred(place, &mut self.coordinator);
                 }
             }
             (_, kind) => {
@@ -459,7 +463,7 @@
             _ => Stands::Leaving,
         };
         let see = || {
-            let (listed, passed_over) = self.exchange.listing();
+            let (listed, passed_over) = self.coordinator.executor_counts();
             let c = &self.counters;
             let failed = [&c.ended_error, &c.ended_reset, &c.ended_timed_out, &c.ended_refused];
             Seen {
@@ -468,8 +472,8 @@
                 most_open: self.clients.most_units(),
                 listed,
                 passed_over,
-                fulfilled: c.fulfilled.all(),
-                failed: failed.into_iter().map(super::super::memory::counters::Count::all).sum(),
+                fulfilled: c.fulfilled.total(),
+                failed: failed.into_iter().map(crate::state::counters::Counter::total).sum(),
             }
         };
         self.fitness.verdict(self.clock.now(), see, stands)
@@ -509,7 +513,7 @@
             .map_err(|error| error.to_string())
             .and_then(|fleet| fellows.reads(&fleet))
         {
-            self.counters.postings_bad.up();
+            self.counters.postings_bad.increment();
             error!("what the nodes are told to do together stays as it is: {what}");
         }
     }
@@ -520,12 +524,12 @@
         self.reload_fleet();
         match NodeSettings::of_file(&self.posted) {
             Ok(posting) => {
-                self.counters.postings_read.up();
+                self.counters.postings_read.increment();
                 info!("the posting was read anew: discovery is at {}", posting.discovery);
-                self.discovery.moved(posting.discovery, &mut self.exchange);
+                self.discovery.moved(posting.discovery, &mut self.coordinator);
             }
             Err(what) => {
-                self.counters.postings_bad.up();
+                self.counters.postings_bad.increment();
                 error!("the posting that is in force stays: {what}");
             }
         }
@@ -545,7 +549,7 @@
             self.executors.hold(to_executors / part);
         }
         if before.1 != shares.1 {
-            self.exchange.cold_elsewhere(shares.1);
+            self.coordinator.set_slow_start_elsewhere(shares.1);
         }
     }
 
@@ -554,7 +558,7 @@
         let told =
             !self.relieves || self.discovery.was_heard() || self.clock.now() >= self.started + UPDATE_TIMEOUT;
         let has_word = self.fellows.as_ref().is_none_or(|fellows| fellows.has_word());
-        told && has_word && self.exchange.knows_executors()
+        told && has_word && self.coordinator.has_listed_executors()
     }
 
     /// A plan may have it that this node's own machine goes: then its clients are sent away as by its staff, and taken back if it is
@@ -571,7 +575,7 @@
                     && self.clients.open_units() == 0
                     && self.owes_no_push() =>
             {
-                fellows.is_through(&mut self.exchange);
+                fellows.is_through(&mut self.coordinator);
             }
             (false, Phase::Drained { .. }) if self.goes_by_plan => {
                 self.goes_by_plan = false;
@@ -640,19 +644,19 @@
     }
 
     fn figures(&self) -> String {
-        let (listed, passed_over) = self.exchange.listing();
+        let (listed, passed_over) = self.coordinator.executor_counts();
         let pushed = self.faktory.as_ref().map_or(0, |faktory| faktory.open_units());
         let gauges = Gauges {
-            open: self.clients.open_units() + pushed + self.exchange.lasting_open(),
-            listed,
-            passed_over,
-            fellows: self.fellows.as_ref().map(|fellows| fellows.count()),
-            settled: self.fellows.as_ref().map_or((None, None), |fellows| fellows.settled()),
-            parts: self.fellows.as_ref().map_or_else(Vec::new, |fellows| fellows.parts()),
-            editions: self.fellows.as_ref().and_then(|fellows| fellows.editions()),
+            open_requests: self.clients.open_units() + pushed + self.coordinator.open_durable_jobs(),
+            listed_executors: listed,
+            out_of_rotation: passed_over,
+            peers: self.fellows.as_ref().map(|fellows| fellows.count()),
+            voters: self.fellows.as_ref().map_or((None, None), |fellows| fellows.settled()),
+            budgets: self.fellows.as_ref().map_or_else(Vec::new, |fellows| fellows.parts()),
+            budget_editions: self.fellows.as_ref().and_then(|fellows| fellows.editions()),
         };
-        let (counters, tariffs) = (&*self.counters, self.clients.tariffs());
-        Figures { counters, tariffs, gauges }.to_string()
+        let (counters, classes) = (&*self.counters, self.clients.tariffs());
+        MetricsText { counters, classes, gauges }.to_string()
     }
 
     fn fleet(&self) -> Option<String> {
@@ -675,7 +679,7 @@
             "submit" => {
                 let text = std::str::from_utf8(body).map_err(|_| "expected a plan in UTF-8".to_owned())?;
                 let mut plan = grebeusher_node_config::plan::read(text).map_err(|error| error.to_string())?;
-                self.exchange.completes(&mut plan)?;
+                self.coordinator.resolve_plan(&mut plan)?;
                 Command::Submit(Box::new(plan))
             }
             "pause" => Command::Pause,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,10 +1,10 @@
-//! A grebeusher node: takes work units from clients on sockets and hands them to executors, as the decisions of
-//! `grebeusher-dispatch` say.
+//! A grebeusher node: accepts requests from clients over the network and sends them to the executors that the
+//! dispatcher of `grebeusher-dispatch` chooses.
 
-mod exchange;
+mod coordinator;
+mod interfaces;
 mod life;
-mod memory;
-mod sides;
+mod state;
 mod wire;
 
 use grebeusher_transport::signals::Signals;
@@ -16,23 +16,26 @@
 use std::process::ExitCode;
 use tracing::error;
 
-/// Names the file that tells a node all it needs to know, at start and when it is told to read it anew.
-const POSTING: &str = "GW_CONFIG";
+/// The environment variable with the path of the node's configuration file, which is read at start and again on
+/// `SIGHUP`.
+const CONFIG_PATH_VARIABLE: &str = "GW_CONFIG";
 
 fn serve() -> Result<(), String> {
-    let inherited = upgrade::inherited()?;
-    let signals = Signals::catch().map_err(|e| format!("no signals: {e}"))?;
-    let path = env::var_os(POSTING).ok_or_else(|| format!("{POSTING} is not set"))?;
-    Node::start(PathBuf::from(path), signals, inherited)?.run().map_err(|e| format!("the loop ended: {e}"))
+    let inherited_listener = upgrade::inherited()?;
+    let signals = Signals::catch().map_err(|e| format!("cannot install signal handlers: {e}"))?;
+    let config_path =
+        env::var_os(CONFIG_PATH_VARIABLE).ok_or_else(|| format!("{CONFIG_PATH_VARIABLE} is not set"))?;
+    let node = Node::start(PathBuf::from(config_path), signals, inherited_listener)?;
+    node.run().map_err(|e| format!("event loop failed: {e}"))
 }
 
 fn main() -> ExitCode {
-    let said = |name: &str| env::var(name).ok();
-    logger::start(said(logger::LEVEL).as_deref(), said(logger::FORM).as_deref());
+    let variable = |name: &str| env::var(name).ok();
+    logger::start(variable(logger::LEVEL).as_deref(), variable(logger::FORM).as_deref());
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            error!("{what}");
+        Err(error) => {
+            error!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/node/src/memory/list.rs
+++ b/crates/node/src/state/executor_list.rs
@@ -1,14 +1,15 @@
-//! The list of executors as discovery words it.
+//! The executor list in discovery's JSON format.
 
-use crate::memory::counters::Counters;
+use crate::state::counters::Counters;
 use grebeusher_dispatch::ExecutorStatus;
 use serde::Deserialize;
 use serde_json::Value;
 use tracing::warn;
 
-/// One version of the list, or what changed since the one before.
+/// One update of the list: all of it if `reset` is set, and otherwise the entries that changed since the previous
+/// generation.
 #[derive(Default, Deserialize)]
-pub struct Version {
+pub struct ExecutorListUpdate {
     #[serde(default)]
     pub generation: u64,
     #[serde(default)]
@@ -17,10 +18,9 @@
     instances: Vec<Value>,
 }
 
-/// An entry of it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Entry {
+pub struct ListEntry {
     pub instance_id: String,
     pub host_port: String,
     pub lifecycle: Lifecycle,
@@ -30,6 +30,7 @@
     pub machine_type: String,
     pub cell: Option<f64>,
     pub weight: Option<f64>,
+    /// Milliseconds since the Unix epoch.
     pub started_at_ms: Option<f64>,
 }
 
@@ -51,17 +52,17 @@
     }
 }
 
-impl Version {
-    /// The entries that can be read; the others are counted and skipped.
-    pub fn entries(&self, counters: &Counters) -> Vec<Entry> {
-        let read = |entry: &Value| match Entry::deserialize(entry) {
+impl ExecutorListUpdate {
+    /// The valid entries; invalid ones are counted, logged and skipped.
+    pub fn entries(&self, counters: &Counters) -> Vec<ListEntry> {
+        let parse = |value: &Value| match ListEntry::deserialize(value) {
             Ok(entry) => Some(entry),
             Err(e) => {
-                counters.list_bad.up();
-                warn!("an entry of the list can't be read: {e}");
+                counters.list_bad.increment();
+                warn!("skipping an invalid entry of the executor list: {e}");
                 None
             }
         };
-        self.instances.iter().filter_map(read).collect()
+        self.instances.iter().filter_map(parse).collect()
     }
 }
--- /dev/null
+++ b/crates/node/src/state/replicated_state.rs
@@ -0,0 +1,91 @@
+//! The state machine that the voters of the fleet replicate with Raft: the shares of budgets and the maintenance plan.
+
+use grebeusher_budgets::{Ask, Division, Entry, Grant, Wholes};
+use grebeusher_dispatch::ids::fixed_hash;
+use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
+use grebeusher_maintenance::{self as maintenance, Moved, Permit, Works};
+use grebeusher_volatile_raft::StateMachine;
+use serde::{Deserialize, Serialize};
+
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct ReplicatedState {
+    budgets: Division,
+    pub maintenance: Works,
+    /// Microseconds of elapsed time that are not yet applied, as the parts count whole milliseconds.
+    remainder_us: u64,
+}
+
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub enum StateCommand {
+    /// A node asks for a share of a budget.
+    BudgetAsk(Ask),
+    /// The budgets of a node's file, which replace those of an older edition.
+    Budgets(Wholes),
+    Maintenance(maintenance::Step),
+}
+
+/// A result of applied commands.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub enum Outcome {
+    BudgetGrant(Grant),
+    Permit(Permit),
+    /// The maintenance plan has made progress.
+    Moved(Moved),
+}
+
+impl Outcome {
+    /// The number of the node that gets this outcome; `None` if it is meant for the leader.
+    pub fn node(&self) -> Option<u32> {
+        match self {
+            Outcome::BudgetGrant(grant) => Some(grant.holder.number),
+            Outcome::Permit(permit) => Some(permit.holder.number),
+            Outcome::Moved(_) => None,
+        }
+    }
+}
+
+impl ReplicatedState {
+    /// The initial state of a new Raft group. Grants of an earlier group that was lost may still be in use, so no
+    /// share is granted before their leases have expired.
+    pub fn empty(fleet_budgets: Wholes, lease: Duration, maintenance: Works) -> ReplicatedState {
+        let mut budgets = Division::new(lease, true);
+        budgets.apply(&Entry { wholes: Some(fleet_budgets), ..Entry::default() });
+        ReplicatedState { budgets, maintenance, remainder_us: 0 }
+    }
+}
+
+impl StateMachine for ReplicatedState {
+    type Command = StateCommand;
+    type Outcome = Outcome;
+
+    fn apply(&mut self, elapsed: Duration, commands: Vec<StateCommand>) -> Vec<Outcome> {
+        let elapsed_us = self.remainder_us + elapsed.nanos() / 1000;
+        self.remainder_us = elapsed_us % 1000;
+        let passed_ms = elapsed_us / 1000;
+        let (mut asks, mut steps, mut wholes) = (Vec::new(), Vec::new(), None);
+        for command in commands {
+            match command {
+                StateCommand::BudgetAsk(ask) => asks.push(ask),
+                StateCommand::Budgets(newer) => {
+                    wholes = wholes.into_iter().chain([newer]).max_by_key(|wholes: &Wholes| wholes.edition);
+                }
+                StateCommand::Maintenance(step) => steps.push(step),
+            }
+        }
+        let grants = self.budgets.apply(&Entry { passed_ms, wholes, asks });
+        let maintenance_outcomes = self.maintenance.apply(passed_ms, steps, fixed_hash).into_iter();
+        let maintenance_outcomes = maintenance_outcomes.map(|outcome| match outcome {
+            maintenance::Outcome::Permit(permit) => Outcome::Permit(permit),
+            maintenance::Outcome::Moved(moved) => Outcome::Moved(moved),
+        });
+        grants.into_iter().map(Outcome::BudgetGrant).chain(maintenance_outcomes).collect()
+    }
+
+    fn depends_on_time(&self) -> bool {
+        self.maintenance.waits() || self.budgets.waits()
+    }
+
+    fn bootstrapped(&mut self, at: Instant) {
+        self.budgets.numbers_beyond(at.0 / 1000);
+    }
+}
--- a/crates/node/src/wire/calls.rs
+++ b/crates/node/src/wire/calls.rs
@@ -1,8 +1,8 @@
 //! Short calls: one to a connection, answered in the turn of the loop in which it is whole, or on connecting where nothing
 //! is asked. Descriptors of their own, so that a crowd of clients shuts no caller out.
 
-use crate::memory::clock::Clock;
-use crate::memory::connection::Connection;
+use crate::state::clock::Clock;
+use crate::state::connection::Connection;
 use crate::wire::LIMITS;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_transport::buffer::Reading;
@@ -125,9 +125,9 @@
             first.inspect(|&place| drop(visitors.remove(place)));
         }
         let place = visitors.vacant_entry();
-        match Connection::watched(stream, &self.poller, (self.key)(place.key())) {
+        match Connection::from_stream(stream, &self.poller, (self.key)(place.key())) {
             Ok(mut connection) => {
-                connection.bear(MAX_CALL);
+                connection.set_max_unread(MAX_CALL);
                 let answered = unasked.is_some();
                 if let Some(text) = unasked {
                     connection.buffer.put(&text);
@@ -154,7 +154,7 @@
     /// Reads what came, answers the call if it is whole, and writes; an error when the connection is over.
     fn moved(&mut self, answer: impl FnOnce(&Request) -> Vec<u8>) -> io::Result<()> {
         let reading =
-            if self.answered { self.connection.read_and_drop()? } else { self.connection.read()? };
+            if self.answered { self.connection.read_and_discard()? } else { self.connection.read()? };
         if !self.answered {
             let unread = self.connection.buffer.unread();
             let whole = match http::request(unread, &LIMITS) {
@@ -184,7 +184,7 @@
             if reading == Reading::Ended {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
-            self.connection.end_writing()?;
+            self.connection.shutdown_write()?;
         }
         self.connection.watch(false)
     }
--- a/crates/node/src/wire/checks.rs
+++ b/crates/node/src/wire/checks.rs
@@ -1,6 +1,6 @@
 //! Where other balancers ask whether the node should get traffic: a line of text on connecting, or an HTTP health call.
 
-use crate::memory::clock::Clock;
+use crate::state::clock::Clock;
 use crate::wire::calls::Calls;
 use grebeusher_dispatch::time::Instant;
 use grebeusher_health_reporting::Verdict;
--- a/crates/node/src/wire/clients.rs
+++ b/crates/node/src/wire/clients.rs
@@ -1,12 +1,12 @@
 //! The server side: those who connect to this node. Clients bring work units and wait for their answers;
 //! executors call back on the same address.
 
-use crate::exchange::Exchange;
-use crate::memory::clock::Clock;
-use crate::memory::connection::{Connection, MAX_UNREAD};
-use crate::memory::counters::Counters;
-use crate::memory::units::{Errand, UnitIds};
-use crate::sides::{CallerId, Front, Room};
+use crate::coordinator::Coordinator;
+use crate::interfaces::{CallerId, ClientResponder, DescriptorHolder};
+use crate::state::clock::Clock;
+use crate::state::connection::{Connection, MAX_UNREAD};
+use crate::state::counters::Counters;
+use crate::state::requests::{RequestContent, RequestIds};
 use crate::wire::LIMITS;
 use crate::wire::call_backs::{self, CallBack};
 use grebeusher_dispatch::Arrival;
@@ -127,7 +127,7 @@
     fn take_in(&mut self) -> io::Result<Reading> {
         let reading = if self.drops { Reading::Open } else { self.connection.read()? };
         self.bear_no_flood();
-        if self.drops && reading == Reading::Open { self.connection.read_and_drop() } else { Ok(reading) }
+        if self.drops && reading == Reading::Open { self.connection.read_and_discard() } else { Ok(reading) }
     }
 
     /// What somebody sends beyond the beginning of a next request, while one is in hand, is dropped, and the connection
@@ -163,7 +163,7 @@
             self.lingers_until = Some(now + LINGER_BRIEFLY);
             slow.set(now + LINGER_BRIEFLY, (place, self.serial));
         }
-        self.connection.end_writing().is_ok()
+        self.connection.shutdown_write().is_ok()
     }
 }
 
@@ -190,7 +190,7 @@
     takes_in: Cell<bool>,
     settings: DeploymentSettings,
     callers: RefCell<Callers>,
-    unit_ids: UnitIds,
+    request_ids: RequestIds,
     ready: Cell<bool>,
     /// Answers ask for the end of their connections.
     winding_down: Cell<bool>,
@@ -210,7 +210,7 @@
     pub fn listen(
         listener: TcpListener,
         settings: &DeploymentSettings,
-        unit_ids: &UnitIds,
+        request_ids: &RequestIds,
         (most, room): (usize, usize),
         (listener_key, key): (usize, fn(usize) -> usize),
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
@@ -233,7 +233,7 @@
                 slow: Alarms::default(),
                 next_serial: 0,
             }),
-            unit_ids: unit_ids.clone(),
+            request_ids: request_ids.clone(),
             ready: Cell::new(false),
             winding_down: Cell::new(false),
             ends: Cell::new(None),
@@ -303,7 +303,7 @@
             caller.calls_back
                 || goes_on(caller)
                 || now.since(caller.last_used) < idle_for
-                || (caller.lingers_until.is_none() && caller.connection.is_stirred())
+                || (caller.lingers_until.is_none() && caller.connection.has_pending_input())
         });
     }
 
@@ -341,9 +341,9 @@
                 Err(e) => {
                     // No room for another descriptor. Guards against a loop that turns on a listener it
                     // can't serve: make room, and look again after a breather.
-                    self.counters.accepts_failed.up();
+                    self.counters.accepts_failed.increment();
                     warn!("connections can't be taken in: {e}");
-                    if !self.makes_room() {
+                    if !self.release_descriptor() {
                         self.wants_room.set(true);
                     }
                     self.paused_until.set(Some(self.clock.now() + BREATHER));
@@ -368,9 +368,9 @@
         let serial = *next_serial;
         *next_serial += 1;
         let place = kept.vacant_entry();
-        match Connection::watched(stream, &self.poller, (self.key)(place.key())) {
+        match Connection::from_stream(stream, &self.poller, (self.key)(place.key())) {
             Ok(connection) => {
-                self.counters.callers_accepted.up();
+                self.counters.callers_accepted.increment();
                 slow.set(now + REQUEST_TIMEOUT, (place.key(), serial));
                 place.insert(Caller {
                     connection,
@@ -391,7 +391,7 @@
                 });
             }
             Err(e) => {
-                self.counters.accepts_failed.up();
+                self.counters.accepts_failed.increment();
                 warn!("a connection can't be watched: {e}");
             }
         }
@@ -405,7 +405,7 @@
     }
 
     fn shed(&self, place: usize) {
-        self.counters.callers_shed.up();
+        self.counters.callers_shed.increment();
         self.callers.borrow_mut().kept.remove(place);
     }
 
@@ -446,7 +446,7 @@
     }
 
     /// Something can be read from or written to a connection.
-    pub fn stirred(&self, place: usize, exchange: &mut Exchange) {
+    pub fn stirred(&self, place: usize, coordinator: &mut Coordinator) {
         let reading = {
             let mut callers = self.callers.borrow_mut();
             let Some(caller) = callers.kept.get_mut(place) else { return };
@@ -457,30 +457,30 @@
             // clients that have left meanwhile: their requests and their ends are read together.
             let left = !matches!(reading, Ok(Reading::Open));
             if left && request.method == "POST" && is_work(&request.target) {
-                self.counters.withdrawn_unread.up();
+                self.counters.withdrawn_unread.increment();
                 continue;
             }
-            self.serve(place, request, exchange);
+            self.serve(place, request, coordinator);
         }
         match reading {
-            Ok(Reading::Open) => self.carry_on(place, exchange),
+            Ok(Reading::Open) => self.carry_on(place, coordinator),
             // Whoever has closed waits for nothing any more.
-            Ok(Reading::Ended) | Err(_) => self.lost(place, exchange),
+            Ok(Reading::Ended) | Err(_) => self.lost(place, coordinator),
         }
     }
 
-    fn carry_on(&self, place: usize, exchange: &mut Exchange) {
+    fn carry_on(&self, place: usize, coordinator: &mut Coordinator) {
         let goes_on = {
             let Callers { kept, slow, .. } = &mut *self.callers.borrow_mut();
             kept.get_mut(place).is_none_or(|caller| caller.carry_on(self.clock.now(), slow, place))
         };
         if !goes_on {
-            self.lost(place, exchange);
+            self.lost(place, coordinator);
         }
     }
 
     /// A connection is gone, and with it whoever waited there.
-    fn lost(&self, place: usize, exchange: &mut Exchange) {
+    fn lost(&self, place: usize, coordinator: &mut Coordinator) {
         let left = {
             let mut callers = self.callers.borrow_mut();
             let Some(caller) = callers.kept.try_remove(place) else { return };
@@ -489,8 +489,8 @@
             })
         };
         if let Some(unit) = left {
-            self.counters.withdrawn.up();
-            exchange.withdrawn(unit);
+            self.counters.withdrawn.increment();
+            coordinator.request_withdrawn(unit);
         }
     }
 
@@ -537,7 +537,7 @@
 
     /// Answers what is no request, and closes.
     fn reject(&self, place: usize, Malformed(status): Malformed) {
-        self.counters.bad_requests.up();
+        self.counters.bad_requests.increment();
         debug!("caller {place} is answered {status} and closed");
         {
             let mut callers = self.callers.borrow_mut();
@@ -553,7 +553,7 @@
         self.write(place, status, None, b"");
     }
 
-    fn serve(&self, place: usize, request: Request, exchange: &mut Exchange) {
+    fn serve(&self, place: usize, request: Request, coordinator: &mut Coordinator) {
         let path = request.target.split('?').next().unwrap_or_default();
         match (request.method.as_str(), path) {
             ("GET", "/ready") if self.ready.get() => self.write(place, 200, None, b"ready\n"),
@@ -562,46 +562,48 @@
                 let text = self.counters.to_string();
                 self.write(place, 200, None, text.as_bytes());
             }
-            ("GET", path) if path.starts_with(LASTING) && exchange.has_ledger() => {
-                let (status, result) = exchange.lasting(&path[LASTING.len()..]);
+            ("GET", path) if path.starts_with(LASTING) && coordinator.has_job_log() => {
+                let (status, result) = coordinator.durable_job_result(&path[LASTING.len()..]);
                 self.write(place, status, None, &result);
             }
-            ("POST", path) if path.starts_with(LASTING) && exchange.has_ledger() => {
+            ("POST", path) if path.starts_with(LASTING) && coordinator.has_job_log() => {
                 match self.brought(request, true) {
-                    Ok((errand, arrival)) => self.arrived_to_last(place, errand, &arrival, exchange),
+                    Ok((content, arrival)) => self.arrived_to_last(place, content, &arrival, coordinator),
                     Err(malformed) => self.reject(place, malformed),
                 }
             }
-            ("POST", call_backs::PATH) => self.call_back(place, &request, exchange),
+            ("POST", call_backs::PATH) => self.call_back(place, &request, coordinator),
             ("POST", _) => match self.brought(request, false) {
-                Ok((errand, arrival)) => self.arrived(place, errand, &arrival, exchange),
+                Ok((content, arrival)) => self.arrived(place, content, &arrival, coordinator),
                 Err(malformed) => self.reject(place, malformed),
             },
             _ => self.reject(place, Malformed(404)),
         }
     }
 
-    fn call_back(&self, place: usize, request: &Request, exchange: &mut Exchange) {
-        self.counters.call_backs.up();
+    fn call_back(&self, place: usize, request: &Request, coordinator: &mut Coordinator) {
+        self.counters.call_backs.increment();
         trace!("call-back {}", String::from_utf8_lossy(&request.body));
         match serde_json::from_slice::<CallBack>(&request.body) {
             Ok(call) => {
                 {
                     let mut callers = self.callers.borrow_mut();
                     let Some(caller) = callers.kept.get_mut(place) else { return };
-                    caller.calls_back |= exchange.knows(&call.from);
+                    caller.calls_back |= coordinator.knows_executor(&call.from);
                     let id = (place, caller.serial);
-                    if !exchange.has_in_hand(&call.id) && exchange.pass_on(id, &request.body) {
+                    if !coordinator.has_open_request(&call.id)
+                        && coordinator.forward_callback(id, &request.body)
+                    {
                         caller.passed_on = true;
                         return;
                     }
                 }
                 // Answered whatever it names: an executor asks again until it is.
                 self.write(place, 204, None, b"");
-                exchange.called_back(call);
+                coordinator.callback_received(call);
             }
             Err(e) => {
-                self.counters.call_backs_bad.up();
+                self.counters.call_backs_bad.increment();
                 debug!("a call-back can't be read: {e}");
                 self.reject(place, Malformed(400));
             }
@@ -609,10 +611,10 @@
     }
 
     /// What a request for work says, in the words of the decisions; the units of the wire end here.
-    /// One that `lasts` outlives the process, and so does the patience for it.
-    fn brought(&self, request: Request, lasts: bool) -> Result<(Errand, Arrival), Malformed> {
+    /// One that is `durable` outlives the process, and so does the patience for it.
+    fn brought(&self, request: Request, durable: bool) -> Result<(RequestContent, Arrival), Malformed> {
         let Request { mut target, headers, body, .. } = request;
-        if lasts {
+        if durable {
             // What is left is what executors get.
             target.drain(..LASTING.len() - 1);
         }
@@ -640,7 +642,7 @@
         let now = self.clock.now();
         let asks_until = now + patience;
         let cut =
-            self.ends.get().filter(|(from, _)| now >= *from && !lasts).map_or(asks_until, |(_, last)| last);
+            self.ends.get().filter(|(from, _)| now >= *from && !durable).map_or(asks_until, |(_, last)| last);
         let patience_ends = asks_until.min(cut);
         let customer = self.settings.customer(header("X-Caller"));
         let hint_us = header("X-Call-Cost").and_then(|us| us.parse::<f64>().ok());
@@ -661,21 +663,40 @@
             slots: slots.unwrap_or(1.0),
             over_budget: false,
         };
-        let binding = self.settings.is_binding(tariff);
-        let (call_id, of) = (call_id.into(), (tariff, arrival.customer));
-        let tariff = named.to_owned();
-        let headers = headers.passed_on(&OWN_HEADERS);
-        Ok((Errand { call_id, tariff, target, headers, body, binding, of, lasts, pushed: None }, arrival))
+        let content = RequestContent {
+            call_id: call_id.into(),
+            class: named.to_owned(),
+            target,
+            headers: headers.passed_on(&OWN_HEADERS),
+            body,
+            non_idempotent: self.settings.is_binding(tariff),
+            scope: (tariff, arrival.customer),
+            durable,
+            faktory_job: None,
+        };
+        Ok((content, arrival))
     }
 
     /// Takes work that outlives the process: the client hears that it is taken, and asks for its end later.
-    fn arrived_to_last(&self, place: usize, errand: Errand, arrival: &Arrival, exchange: &mut Exchange) {
-        let status = exchange.take_to_last(errand, arrival);
+    fn arrived_to_last(
+        &self,
+        place: usize,
+        content: RequestContent,
+        arrival: &Arrival,
+        coordinator: &mut Coordinator,
+    ) {
+        let status = coordinator.accept_durable(content, arrival);
         self.write(place, status, None, b"");
     }
 
-    fn arrived(&self, place: usize, errand: Errand, arrival: &Arrival, exchange: &mut Exchange) {
-        if exchange.has_in_hand(&errand.call_id) {
+    fn arrived(
+        &self,
+        place: usize,
+        content: RequestContent,
+        arrival: &Arrival,
+        coordinator: &mut Coordinator,
+    ) {
+        if coordinator.has_open_request(&content.call_id) {
             // An id is new with every request: one that is still in hand would be told from the other by
             // nothing, here and at the executors.
             return self.reject(place, Malformed(409));
@@ -685,29 +706,29 @@
         let crowded = {
             let callers = self.callers.borrow();
             callers.by_unit.len() * 3 >= self.most.get() * 2
-                || (errand.body.len() > LARGE && !self.has_room(&callers.kept))
+                || (content.body.len() > LARGE && !self.has_room(&callers.kept))
         };
         if crowded {
             // Nothing has run of this one.
-            self.counters.units.up();
-            self.counters.turned_back.up(arrival.class);
+            self.counters.units.increment();
+            self.counters.turned_back.increment(arrival.class);
             if let Some(caller) = self.callers.borrow_mut().kept.get_mut(place) {
                 caller.closes |= self.winding_down.get();
             }
             return self.write(place, 503, None, b"");
         }
-        let unit = self.unit_ids.take();
+        let unit = self.request_ids.next_id();
         {
             let mut callers = self.callers.borrow_mut();
             callers.by_unit.insert(unit, place);
             if let Some(caller) = callers.kept.get_mut(place) {
                 (caller.in_hand, caller.tariff) = (Some(unit), arrival.class);
-                (caller.body, caller.is_usual) = (errand.body.len(), true);
-                caller.connection.bear(BESIDE);
+                (caller.body, caller.is_usual) = (content.body.len(), true);
+                caller.connection.set_max_unread(BESIDE);
             }
         }
-        self.counters.units.up();
-        exchange.arrived(unit, errand, arrival);
+        self.counters.units.increment();
+        coordinator.request_arrived(unit, content, arrival);
     }
 
     /// Whether requests leave memory for more. Guards against large or endless ones, hundreds at once, that end the
@@ -741,39 +762,39 @@
     }
 }
 
-impl Room for Clients {
-    fn makes_room(&self) -> bool {
+impl DescriptorHolder for Clients {
+    fn release_descriptor(&self) -> bool {
         let spared = self.first_to_shed();
         spared.inspect(|&place| self.shed(place)).is_some()
     }
 }
 
-impl Front for Clients {
+impl ClientResponder for Clients {
     /// The final answer to a work unit; the one place where one is given.
-    fn answer(&self, unit: RequestId, status: u16, come_back: Option<Duration>, body: &[u8]) {
+    fn respond(&self, unit: RequestId, status: u16, come_back: Option<Duration>, body: &[u8]) {
         let (place, tariff) = {
             let mut callers = self.callers.borrow_mut();
             let Some(place) = callers.by_unit.remove(&unit) else { return };
             let Some(caller) = callers.kept.get_mut(place) else { return };
             (caller.in_hand, caller.body, caller.last_used) = (None, 0, self.clock.now());
-            caller.connection.bear(MAX_UNREAD);
+            caller.connection.set_max_unread(MAX_UNREAD);
             caller.closes |= self.winding_down.get();
             (place, caller.tariff)
         };
-        self.counters.answered(tariff, status);
+        self.counters.responded(tariff, status);
         self.write(place, status, come_back.map(Duration::seconds), body);
     }
 
     /// Looks at the connection itself, whose end the loop may not have come to. What did not come by a client's connection
     /// is waited for.
-    fn waits(&self, unit: RequestId) -> bool {
+    fn is_waiting(&self, unit: RequestId) -> bool {
         let callers = &mut *self.callers.borrow_mut();
         let caller = callers.by_unit.get(&unit).and_then(|&place| callers.kept.get_mut(place));
         caller.is_none_or(|caller| matches!(caller.take_in(), Ok(Reading::Open)))
     }
 
     /// A call-back that was passed on has its answer.
-    fn passed_on(&self, (place, serial): CallerId, status: u16) {
+    fn callback_forwarded(&self, (place, serial): CallerId, status: u16) {
         match self.callers.borrow_mut().kept.get_mut(place) {
             Some(caller) if caller.serial == serial => caller.passed_on = false,
             _ => return,
--- a/crates/node/src/wire/console.rs
+++ b/crates/node/src/wire/console.rs
@@ -1,6 +1,6 @@
 //! The console: a second address at which the staff ask how the node is and send its clients away.
 
-use crate::memory::clock::Clock;
+use crate::state::clock::Clock;
 use crate::wire::calls::Calls;
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::Duration;
--- a/crates/node/src/wire/discovery.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -1,11 +1,11 @@
 //! The list of executors: a watch at discovery that holds one JSON object a line.
 
-use crate::exchange::Exchange;
-use crate::memory::clock::Clock;
-use crate::memory::connection::Connection;
-use crate::memory::counters::Counters;
-use crate::memory::list::Version;
-use crate::sides::{List, Room};
+use crate::coordinator::Coordinator;
+use crate::interfaces::{DescriptorHolder, ExecutorListSource};
+use crate::state::clock::Clock;
+use crate::state::connection::Connection;
+use crate::state::counters::Counters;
+use crate::state::executor_list::ExecutorListUpdate;
 use crate::wire::LIMITS;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_transport::buffer::Reading;
@@ -78,15 +78,15 @@
     /// The first failure since the last line.
     failing_since: Cell<Option<Instant>>,
     /// Whom a watch without a descriptor asks for one.
-    others: Vec<Rc<dyn Room>>,
+    others: Vec<Rc<dyn DescriptorHolder>>,
 }
 
 impl Discovery {
     /// `version`: what is known of the list from before.
     pub fn new(
-        others: Vec<Rc<dyn Room>>,
+        others: Vec<Rc<dyn DescriptorHolder>>,
         address: SocketAddr,
-        version: &Version,
+        version: &ExecutorListUpdate,
         keys: [usize; CALLS],
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
     ) -> Discovery {
@@ -108,16 +108,16 @@
 
     /// Discovery is at this address from now on. What the watch at the old one has said is taken in first, and
     /// the new one goes on from there. Guards against losing word of a drain between the two.
-    pub fn moved(&self, address: SocketAddr, exchange: &mut Exchange) {
+    pub fn moved(&self, address: SocketAddr, coordinator: &mut Coordinator) {
         if self.address.replace(address) == address {
             return;
         }
         for place in 0..CALLS {
-            self.stirred(place, self.proved.get(), exchange);
+            self.stirred(place, self.proved.get(), coordinator);
         }
         *self.calls.borrow_mut() = Default::default();
-        self.proves(self.proved.get().min(self.clock.now() - MOVED), false, exchange);
-        self.follow();
+        self.proves(self.proved.get().min(self.clock.now() - MOVED), false, coordinator);
+        self.watch();
     }
 
     /// Whether it has said anything since the start of this process, be it that nothing has changed.
@@ -130,7 +130,7 @@
         calls.iter().flat_map(|call| [call.silent_at, call.ask_again_at]).flatten().min()
     }
 
-    pub fn due(&self, exchange: &mut Exchange) {
+    pub fn due(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         for place in 0..CALLS {
             let (silent, slow) = {
@@ -139,34 +139,34 @@
                 (call.silent_at.is_some_and(|at| at <= now), slow)
             };
             if silent {
-                self.broken(place, "it is silent", exchange);
+                self.broken(place, "it is silent", coordinator);
             } else if slow {
-                exchange.list_broken();
+                coordinator.executor_list_lost();
             }
         }
     }
 
-    fn broken(&self, place: usize, what: &str, exchange: &mut Exchange) {
+    fn broken(&self, place: usize, what: &str, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         let call = std::mem::take(&mut self.calls.borrow_mut()[place]);
-        self.counters.watches_broken.up();
+        self.counters.watches_broken.increment();
         info!("watch of the executor list ended after {:.1} s: {what}", now.since(call.called).seconds());
         let since = self.failing_since.get().unwrap_or(now);
         self.failing_since.set(Some(since));
         if now.since(since) >= UNREACHABLE_TIMEOUT && call.called > self.proved.get() {
-            self.proves(call.called, false, exchange);
+            self.proves(call.called, false, coordinator);
         }
-        exchange.list_broken();
+        coordinator.executor_list_lost();
     }
 
     /// All that discovery had then is known here, as it said or as nobody could have been told more.
-    fn proves(&self, as_of: Instant, heard: bool, exchange: &mut Exchange) {
+    fn proves(&self, as_of: Instant, heard: bool, coordinator: &mut Coordinator) {
         self.proved.set(as_of);
-        exchange.list_proved(as_of, heard);
+        coordinator.executor_list_confirmed(as_of, heard);
     }
 
     /// Something can be read, or the connection has come up; what can be read now came after `as_of`.
-    pub fn stirred(&self, place: usize, as_of: Instant, exchange: &mut Exchange) {
+    pub fn stirred(&self, place: usize, as_of: Instant, coordinator: &mut Coordinator) {
         let (mut ended, refused) = {
             let watch = &mut self.calls.borrow_mut()[place];
             match watch.advance(self.clock.now()) {
@@ -180,15 +180,15 @@
         self.turns_away.set(self.turns_away.get() | self.calls.borrow()[place].turned_away);
         // Where nobody listens nobody has been told of anything.
         if let Some(called) = refused.filter(|called| *called > self.proved.get()) {
-            self.proves(called, false, exchange);
+            self.proves(called, false, coordinator);
         }
         let mut missed_some = false;
         // What came before the end still counts.
-        // The borrow must end before the exchange is told, which may open the watch anew.
+        // The borrow must end before the coordinator is told, which may open the watch anew.
         while let Some(line) = { self.calls.borrow_mut()[place].next_line() } {
             let known = self.version.get();
             if line.is_some() {
-                self.counters.list_lines.up();
+                self.counters.list_lines.increment();
             }
             let missed = match line {
                 None => None,
@@ -198,14 +198,14 @@
                 }
                 Some(Ok(version)) => {
                     self.version.set(version.generation);
-                    exchange.listed(&version);
+                    coordinator.executor_list_received(&version);
                     None
                 }
                 Some(Err(e)) => Some(format!("a line can't be read: {e}")),
             };
             if let Some(what) = missed {
                 // What it said is missing from now on: the whole list is asked for.
-                self.counters.list_bad.up();
+                self.counters.list_bad.increment();
                 warn!("the list: {what}");
                 self.version.set(0);
                 (ended, missed_some) = (Some("a line could not be used".to_owned()), true);
@@ -216,14 +216,14 @@
             self.heard.set(true);
             self.failing_since.set(None);
             self.turns_away.set(false);
-            self.proves(as_of.max(self.proved.get()), true, exchange);
+            self.proves(as_of.max(self.proved.get()), true, coordinator);
         }
         if let Some(what) = ended {
             // Up to the end of a watch that was not silent all was told.
             if self.calls.borrow()[place].lives && as_of > self.proved.get() && !missed_some {
-                self.proves(as_of, false, exchange);
+                self.proves(as_of, false, coordinator);
             }
-            self.broken(place, &what, exchange);
+            self.broken(place, &what, coordinator);
         }
     }
 
@@ -242,7 +242,7 @@
 
 impl Watch {
     /// The next line that has come; nothing stands in it if it only says that all is well.
-    fn next_line(&mut self) -> Option<Option<serde_json::Result<Version>>> {
+    fn next_line(&mut self) -> Option<Option<serde_json::Result<ExecutorListUpdate>>> {
         let buffer = &mut self.connection.as_mut()?.buffer;
         let line = buffer.unread()[..self.plain].split_inclusive(|&byte| byte == b'\n').next()?;
         let (length, text) = (line.len(), line.strip_suffix(b"\n")?.trim_ascii());
@@ -256,7 +256,7 @@
     fn advance(&mut self, now: Instant) -> io::Result<bool> {
         let Some(connection) = &mut self.connection else { return Ok(false) };
         if self.dialling {
-            if !connection.is_up()? {
+            if !connection.is_connected()? {
                 connection.watch(true)?;
                 return Ok(false);
             }
@@ -294,9 +294,9 @@
     }
 }
 
-impl List for Discovery {
+impl ExecutorListSource for Discovery {
     /// Calls for the watch, unless it lives or as many calls wait for it as may.
-    fn follow(&self) {
+    fn watch(&self) {
         let mut calls = self.calls.borrow_mut();
         if calls.iter().any(|call| call.lives) {
             return;
@@ -305,20 +305,19 @@
         let Some(place) = vacant else { return };
         let watch = &mut calls[place];
         let address = self.address.get();
-        self.counters.watches.up();
+        self.counters.watches.increment();
         let text = format!(
             "GET /v1/endpoints?stream=1&index={} HTTP/1.1\r\nHost: {}\r\n\r\n",
             self.version.get(),
             address
         );
         // Guards against a node that hears of no drain since its table is full.
-        let opened = Connection::dial_among(&self.others, address, &self.poller, self.keys[place]).map(
-            |mut connection| {
+        let opened = Connection::dial_with_reclaim(&self.others, address, &self.poller, self.keys[place])
+            .map(|mut connection| {
                 connection.buffer.put(text.as_bytes());
-                connection.bear(MAX_LINE);
+                connection.set_max_unread(MAX_LINE);
                 connection
-            },
-        );
+            });
         let now = self.clock.now();
         watch.called = now;
         match opened {
--- a/crates/node/src/wire/executors.rs
+++ b/crates/node/src/wire/executors.rs
@@ -1,11 +1,11 @@
 //! The client side: connections to executors, on which allocations are sent and given up, and probes made.
 
-use crate::exchange::Exchange;
-use crate::memory::clock::Clock;
-use crate::memory::connection::{Connection, no_descriptor};
-use crate::memory::counters::Counters;
-use crate::memory::units::Errand;
-use crate::sides::{Room, Workers};
+use crate::coordinator::Coordinator;
+use crate::interfaces::{DescriptorHolder, ExecutorTransport};
+use crate::state::clock::Clock;
+use crate::state::connection::{Connection, is_descriptor_exhaustion};
+use crate::state::counters::Counters;
+use crate::state::requests::RequestContent;
 use crate::wire::LIMITS;
 use crate::wire::load;
 use grebeusher_dispatch::AttemptOutcome;
@@ -80,12 +80,12 @@
     retire_after: Duration,
     lines: RefCell<Lines>,
     /// Whom a dial without a descriptor asks for one.
-    others: Vec<Rc<dyn Room>>,
+    others: Vec<Rc<dyn DescriptorHolder>>,
 }
 
 impl Executors {
     pub fn new(
-        others: Vec<Rc<dyn Room>>,
+        others: Vec<Rc<dyn DescriptorHolder>>,
         most: usize,
         (dial_time_out, retire_after): (Duration, Duration),
         key: fn(usize) -> usize,
@@ -132,7 +132,7 @@
             Ok(place) => place,
             Err(e) => {
                 debug!("no connection to executor {}: {e}", executor.0);
-                self.counters.dials_failed.up();
+                self.counters.dials_failed.increment();
                 let ending = if none_left(&e) { AttemptOutcome::CutOff } else { AttemptOutcome::Refused };
                 return lines.untold.push((executor, used, ending));
             }
@@ -188,10 +188,12 @@
             Err(e) if none_left(&e) && drop_oldest_idle(lines).is_some() => {
                 Connection::dial(address, &self.poller, (self.key)(lines.kept.vacant_key()))?
             }
-            Err(e) if none_left(&e) => Connection::dial_among(&self.others, address, &self.poller, key)?,
+            Err(e) if none_left(&e) => {
+                Connection::dial_with_reclaim(&self.others, address, &self.poller, key)?
+            }
             dialled => dialled?,
         };
-        self.counters.dials.up();
+        self.counters.dials.increment();
         Ok(lines.kept.insert(Line {
             connection: dialled,
             executor,
@@ -211,7 +213,7 @@
     }
 
     /// What fell due: connections that never came up, silence, and idle connections to be retired.
-    pub fn due(&self, exchange: &mut Exchange) {
+    pub fn due(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         loop {
             let Some((place, serial)) = ({ self.lines.borrow_mut().dues.due(now) }) else { break };
@@ -225,18 +227,18 @@
             }
             // A last look. Guards against an answer that has come while others had their turn: an executor that has said
             // that it took a job is not told otherwise by the end of a connection, and another would be a second copy.
-            self.stirred(place, exchange);
+            self.stirred(place, coordinator);
             if waits_for() != before {
                 continue;
             }
             let mut lines = self.lines.borrow_mut();
             let line = lines.kept.remove(place);
             match line.used {
-                Use::Idle => self.counters.idle_retired.up(),
+                Use::Idle => self.counters.idle_retired.increment(),
                 used => {
                     let ending = match broken(&line) {
                         _ if line.dialling => {
-                            self.counters.dials_failed.up();
+                            self.counters.dials_failed.increment();
                             AttemptOutcome::Refused
                         }
                         // Nothing came back, and nothing broke. Its sisters may be as silent: the next dial shows
@@ -251,10 +253,10 @@
                 }
             }
         }
-        self.tell(exchange);
+        self.tell(coordinator);
     }
 
-    fn tell(&self, exchange: &mut Exchange) {
+    fn tell(&self, coordinator: &mut Coordinator) {
         loop {
             let Some((executor, used, ending)) = ({
                 let mut lines = self.lines.borrow_mut();
@@ -266,25 +268,25 @@
                 Use::Allocation(id, _)
                     if matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Reset) =>
                 {
-                    exchange.not_taken(id, ending);
+                    coordinator.attempt_unacknowledged(id, ending);
                 }
-                Use::Allocation(id, _) => exchange.ended(id, ending, None),
-                Use::GivingUp(id) => exchange.not_given_up(id),
+                Use::Allocation(id, _) => coordinator.attempt_ended(id, ending, None),
+                Use::GivingUp(id) => coordinator.cancellation_failed(id),
                 // Nobody is there, or stands still.
-                Use::AskingBack(id, before) => exchange.ended(id, before, None),
-                Use::Probe => exchange.probed(executor, None),
+                Use::AskingBack(id, before) => coordinator.attempt_ended(id, before, None),
+                Use::Probe => coordinator.probe_completed(executor, None),
                 Use::Idle => {}
             }
         }
     }
 
     /// Something can be read from or written to a connection, or it has come up.
-    pub fn stirred(&self, place: usize, exchange: &mut Exchange) {
+    pub fn stirred(&self, place: usize, coordinator: &mut Coordinator) {
         let answer = {
             let mut lines = self.lines.borrow_mut();
             let Lines { kept, dues, .. } = &mut *lines;
             let Some(line) = kept.get_mut(place) else { return };
-            match self.advance(place, line, dues, exchange) {
+            match self.advance(place, line, dues, coordinator) {
                 Ok(None) => return,
                 Ok(Some(response)) => {
                     let (executor, used) = (line.executor, line.used);
@@ -301,7 +303,7 @@
                         debug!("connection to executor {} broke: {e}", line.executor.0);
                     }
                     if line.dialling {
-                        self.counters.dials_failed.up();
+                        self.counters.dials_failed.increment();
                     }
                     let refused = line.dialling && e.kind() == ErrorKind::ConnectionRefused;
                     let ending = if refused { AttemptOutcome::Refused } else { broken(&line) };
@@ -310,13 +312,13 @@
             }
         };
         if let Err((executor, _, AttemptOutcome::Refused)) = &answer {
-            exchange.process_gone(*executor);
+            coordinator.executor_down(*executor);
         }
         match answer {
-            Ok((executor, used, response)) => self.answered(executor, used, &response, exchange),
+            Ok((executor, used, response)) => self.answered(executor, used, &response, coordinator),
             Err(ended) => {
                 self.lines.borrow_mut().untold.push(ended);
-                self.tell(exchange);
+                self.tell(coordinator);
             }
         }
     }
@@ -327,15 +329,15 @@
         place: usize,
         line: &mut Line,
         dues: &mut Alarms<(usize, u64)>,
-        exchange: &mut Exchange,
+        coordinator: &mut Coordinator,
     ) -> io::Result<Option<Response>> {
         if line.dialling {
-            if !line.connection.is_up()? {
+            if !line.connection.is_connected()? {
                 line.connection.watch(true)?;
                 return Ok(None);
             }
             if let Use::Allocation(id, _) = line.used
-                && !exchange.may_begin(id, line.executor)
+                && !coordinator.may_send(id, line.executor)
             {
                 return Err(io::Error::other("it came up too late"));
             }
@@ -373,7 +375,7 @@
         if line.unsent && !line.connection.buffer.waits_to_write() {
             line.unsent = false;
             if let Use::Allocation(..) = line.used {
-                self.counters.relayed.up();
+                self.counters.relayed.increment();
             }
         }
         Ok(())
@@ -412,24 +414,26 @@
     }
 
     /// What the answer to a request means, by the protocol's table.
-    fn answered(&self, executor: ExecutorId, used: Use, response: &Response, exchange: &mut Exchange) {
+    fn answered(&self, executor: ExecutorId, used: Use, response: &Response, coordinator: &mut Coordinator) {
         trace!("{used:?} at executor {}: {response:?}", executor.0);
-        let report = response.headers.get(load::HEADER).and_then(|text| exchange.reports().text(text));
+        let report = response.headers.get(load::HEADER).and_then(|text| coordinator.reports().text(text));
         let unstarted = response.headers.get("X-Rejected") == Some("1");
         match (used, response.status) {
-            (Use::Allocation(id, _), 202) => exchange.accepted(id),
+            (Use::Allocation(id, _), 202) => coordinator.attempt_accepted(id),
             (Use::Allocation(id, _), 503 | 504) if unstarted => {
-                exchange.ended(id, AttemptOutcome::Full, report);
+                coordinator.attempt_ended(id, AttemptOutcome::Full, report);
             }
             // The client's fault, not the executor's: an id that is another's, say.
-            (Use::Allocation(id, _), 400..500) => exchange.ended(id, AttemptOutcome::Unusable, report),
-            (Use::Allocation(id, _), _) => exchange.ended(id, AttemptOutcome::Error, report),
-            (Use::GivingUp(id), ..500) => exchange.ended(id, AttemptOutcome::Cancelled, None),
-            (Use::GivingUp(id), _) => exchange.not_given_up(id),
-            (Use::AskingBack(id, before), _) => exchange.ended(id, before, None),
+            (Use::Allocation(id, _), 400..500) => {
+                coordinator.attempt_ended(id, AttemptOutcome::Unusable, report);
+            }
+            (Use::Allocation(id, _), _) => coordinator.attempt_ended(id, AttemptOutcome::Error, report),
+            (Use::GivingUp(id), ..500) => coordinator.attempt_ended(id, AttemptOutcome::Cancelled, None),
+            (Use::GivingUp(id), _) => coordinator.cancellation_failed(id),
+            (Use::AskingBack(id, before), _) => coordinator.attempt_ended(id, before, None),
             (Use::Probe, _) => {
-                let report = report.or_else(|| exchange.reports().body(&response.body));
-                exchange.probed(executor, report);
+                let report = report.or_else(|| coordinator.reports().body(&response.body));
+                coordinator.probe_completed(executor, report);
             }
             (Use::Idle, _) => {}
         }
@@ -446,7 +450,7 @@
 
 /// Whether a connection is lacking on this side: the node's own number is used up, or the system's descriptors.
 fn none_left(e: &io::Error) -> bool {
-    e.kind() == ErrorKind::QuotaExceeded || no_descriptor(e)
+    e.kind() == ErrorKind::QuotaExceeded || is_descriptor_exhaustion(e)
 }
 
 fn wait(place: usize, line: &mut Line, dues: &mut Alarms<(usize, u64)>, until: Instant) {
@@ -461,8 +465,8 @@
     Some(())
 }
 
-fn deletion(errand: &Errand, address: Option<SocketAddr>) -> Vec<u8> {
-    let (id, host) = (&errand.call_id, host(address));
+fn deletion(content: &RequestContent, address: Option<SocketAddr>) -> Vec<u8> {
+    let (id, host) = (&content.call_id, host(address));
     format!("DELETE /jobs/{id} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n").into_bytes()
 }
 
@@ -472,69 +476,69 @@
 
 /// An idle connection gives up its descriptor to a client. Guards against work that waits outside until its patience is
 /// over while connections to executors stand idle.
-impl Room for Executors {
-    fn makes_room(&self) -> bool {
+impl DescriptorHolder for Executors {
+    fn release_descriptor(&self) -> bool {
         drop_oldest_idle(&mut self.lines.borrow_mut()).is_some()
     }
 }
 
-impl Workers for Executors {
-    fn allocate(
+impl ExecutorTransport for Executors {
+    fn send_attempt(
         &self,
         id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
-        errand: &Errand,
+        content: &RequestContent,
         time_out: Duration,
     ) {
-        let Errand { call_id, tariff, target, headers, body, binding, .. } = errand;
+        let RequestContent { call_id, class, target, headers, body, non_idempotent, .. } = content;
         let (budget, length) = (time_out.nanos() / 1_000_000, body.len());
         let head = format!(
-            "POST {target} HTTP/1.1\r\nHost: {}\r\nX-Call-Id: {call_id}\r\nX-Call-Class: {tariff}\r\n\
+            "POST {target} HTTP/1.1\r\nHost: {}\r\nX-Call-Id: {call_id}\r\nX-Call-Class: {class}\r\n\
              X-Budget-Ms: {budget}\r\n{headers}Content-Length: {length}\r\n\r\n",
             host(address)
         );
         let mut message = head.into_bytes();
         message.extend_from_slice(body);
-        self.counters.allocations.up();
-        self.speak(executor, address, Use::Allocation(id, *binding), &message);
+        self.counters.allocations.increment();
+        self.speak(executor, address, Use::Allocation(id, *non_idempotent), &message);
     }
 
     /// Gives up an allocation: before it was taken by closing its connection, later by asking for it.
-    fn give_up(
+    fn cancel_attempt(
         &self,
         id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
-        errand: &Errand,
+        content: &RequestContent,
         accepted: bool,
     ) {
-        let used = Use::Allocation(id, errand.binding);
+        let used = Use::Allocation(id, content.non_idempotent);
         if !accepted && !self.closes(used) {
             return self.lines.borrow_mut().untold.push((executor, used, AttemptOutcome::Cancelled));
         }
-        self.speak(executor, address, Use::GivingUp(id), &deletion(errand, address));
+        self.speak(executor, address, Use::GivingUp(id), &deletion(content, address));
     }
 
-    fn ask_back(
+    fn cancel_unacknowledged(
         &self,
         id: AttemptId,
         executor: ExecutorId,
         address: Option<SocketAddr>,
-        errand: &Errand,
+        content: &RequestContent,
         ending: AttemptOutcome,
     ) {
-        self.speak(executor, address, Use::AskingBack(id, ending), &deletion(errand, address));
+        self.speak(executor, address, Use::AskingBack(id, ending), &deletion(content, address));
     }
 
     fn probe(&self, executor: ExecutorId, address: Option<SocketAddr>) {
-        self.counters.probes.up();
+        self.counters.probes.increment();
         let message = format!("GET /status/load HTTP/1.1\r\nHost: {}\r\n\r\n", host(address));
         self.speak(executor, address, Use::Probe, message.as_bytes());
     }
 
     /// Connections to an executor that has left, or has moved, are of no more use.
-    fn forget(&self, executor: ExecutorId, but: Option<SocketAddr>) {
+    fn close_idle_connections(&self, executor: ExecutorId, but: Option<SocketAddr>) {
         let mut lines = self.lines.borrow_mut();
         lines.kept.retain(|_, line| {
             line.executor != executor || line.used != Use::Idle || Some(line.address) == but
--- a/crates/node/src/wire/faktory.rs
+++ b/crates/node/src/wire/faktory.rs
@@ -1,12 +1,12 @@
 //! The Faktory front: clients push jobs and wait for the final answer, workers fetch them. A worker is an executor to the
 //! decisions; a job that they send to it waits here for its next fetch.
 
-use crate::exchange::Exchange;
-use crate::memory::clock::Clock;
-use crate::memory::connection::Connection;
-use crate::memory::counters::Counters;
-use crate::memory::units::{Errand, Pushed, UnitIds};
-use crate::sides::Pushes;
+use crate::coordinator::Coordinator;
+use crate::interfaces::FaktoryFrontend;
+use crate::state::clock::Clock;
+use crate::state::connection::Connection;
+use crate::state::counters::Counters;
+use crate::state::requests::{FaktoryJob, RequestContent, RequestIds};
 use grebeusher_dispatch::ids::{AttemptId, RequestId};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_dispatch::{Arrival, AttemptOutcome};
@@ -92,7 +92,7 @@
     password: Option<String>,
     reserve_for: Duration,
     settings: DeploymentSettings,
-    unit_ids: UnitIds,
+    request_ids: RequestIds,
     /// The node sends its clients away: nothing new is taken or handed out.
     leaves: Cell<bool>,
     salt: Cell<u64>,
@@ -103,7 +103,7 @@
     pub fn listen(
         posted: &FaktorySettings,
         settings: &DeploymentSettings,
-        (seed, unit_ids): (u64, &UnitIds),
+        (seed, request_ids): (u64, &RequestIds),
         (listener_key, key): (usize, fn(usize) -> usize),
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
     ) -> io::Result<Faktory> {
@@ -120,7 +120,7 @@
             password: posted.password.clone(),
             reserve_for: posted.reservation(),
             settings: settings.clone(),
-            unit_ids: unit_ids.clone(),
+            request_ids: request_ids.clone(),
             leaves: Cell::new(false),
             salt: Cell::new(seed),
             inside: RefCell::new(Inside {
@@ -173,9 +173,9 @@
             return;
         }
         let place = peers.vacant_entry();
-        match Connection::watched(stream, &self.poller, (self.key)(place.key())) {
+        match Connection::from_stream(stream, &self.poller, (self.key)(place.key())) {
             Ok(mut connection) => {
-                connection.bear(MAX_LINE + 2);
+                connection.set_max_unread(MAX_LINE + 2);
                 let greeting = self.greeting();
                 connection.buffer.put(&greeting.says().bytes());
                 let serial = *next_serial;
@@ -218,7 +218,7 @@
 
     /// What fell due: fetches that found nothing, silent peers, jobs that nobody fetched, reservations that are over,
     /// workers without a heartbeat.
-    pub fn due(&self, exchange: &mut Exchange) {
+    pub fn due(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         while let Some((place, serial)) = { self.inside.borrow_mut().dues.due(now) } {
             let mut inside = self.inside.borrow_mut();
@@ -232,51 +232,51 @@
                 now.since(begun) >= if peer.admitted { LINE_TIMEOUT } else { HANDSHAKE_TIMEOUT }
             }) {
                 drop(inside);
-                self.lost(place, exchange);
+                self.lost(place, coordinator);
             }
         }
         let (ended, silent) = self.inside.borrow_mut().table.due(now);
         self.inside.borrow_mut().ended(ended);
         for worker in silent {
             info!("worker {} fell silent", self.inside.borrow().table.wid(worker));
-            self.stands(worker, exchange);
+            self.stands(worker, coordinator);
         }
-        self.tell(exchange);
+        self.tell(coordinator);
     }
 
-    fn tell(&self, exchange: &mut Exchange) {
+    fn tell(&self, coordinator: &mut Coordinator) {
         let untold = std::mem::take(&mut self.inside.borrow_mut().untold);
         for told in untold {
             match told {
-                Untold::Fetched(id) => exchange.fetched(id),
-                Untold::Ended(id, AttemptOutcome::Served) => exchange.fulfilled(id, b""),
-                Untold::Ended(id, ending) => exchange.ended(id, ending, None),
+                Untold::Fetched(id) => coordinator.attempt_fetched(id),
+                Untold::Ended(id, AttemptOutcome::Served) => coordinator.attempt_completed(id, b""),
+                Untold::Ended(id, ending) => coordinator.attempt_ended(id, ending, None),
             }
         }
     }
 
     /// Tells the decisions how a worker stands.
-    fn stands(&self, worker: usize, exchange: &mut Exchange) {
+    fn stands(&self, worker: usize, coordinator: &mut Coordinator) {
         let (wid, standing) = {
             let inside = self.inside.borrow();
             (inside.table.wid(worker).to_owned(), inside.table.standing(worker))
         };
-        exchange.worker_stands(worker, &wid, standing);
+        coordinator.worker_status_changed(worker, &wid, standing);
     }
 
     /// Something can be read from or written to a connection.
-    pub fn stirred(&self, place: usize, exchange: &mut Exchange) {
+    pub fn stirred(&self, place: usize, coordinator: &mut Coordinator) {
         let reading = match self.inside.borrow_mut().peers.get_mut(place) {
             Some(peer) => peer.connection.write().and_then(|()| peer.connection.read()),
             None => return,
         };
         while let Some(command) = self.next_command(place) {
-            self.serve(place, command, exchange);
+            self.serve(place, command, coordinator);
         }
         let over = {
             let mut inside = self.inside.borrow_mut();
             match (reading, inside.peers.get_mut(place)) {
-                (_, None) => return self.tell(exchange),
+                (_, None) => return self.tell(coordinator),
                 (Ok(Reading::Open), Some(peer)) => {
                     let done = peer.closes && !peer.connection.buffer.waits_to_write();
                     done || peer.connection.watch(false).is_err()
@@ -285,9 +285,9 @@
             }
         };
         if over {
-            self.lost(place, exchange);
+            self.lost(place, coordinator);
         }
-        self.tell(exchange);
+        self.tell(coordinator);
     }
 
     /// The next whole command; an error for what is none.
@@ -324,7 +324,7 @@
         }
     }
 
-    fn serve(&self, place: usize, command: Result<Command, String>, exchange: &mut Exchange) {
+    fn serve(&self, place: usize, command: Result<Command, String>, coordinator: &mut Coordinator) {
         debug!("peer {place}: {command:?}");
         let now = self.clock.now();
         let (admitted, worker) = match self.inside.borrow().peers.get(place) {
@@ -342,7 +342,7 @@
             (Ok(Command::Hello(hello)), _) if !admitted => {
                 let admits = self.inside.borrow().peers[place].greeting.admits(&hello);
                 if admits.is_ok() {
-                    self.admitted(place, hello.wid.as_deref(), exchange);
+                    self.admitted(place, hello.wid.as_deref(), coordinator);
                 } else {
                     self.inside.borrow_mut().peers[place].closes = true;
                 }
@@ -350,7 +350,7 @@
             }
             (Ok(Command::Hello(_)), _) => Err("said hello before".to_owned()),
             _ if !admitted => Err("say HELLO first".to_owned()),
-            (Ok(Command::Push(job)), _) => self.push(place, *job, exchange),
+            (Ok(Command::Push(job)), _) => self.push(place, *job, coordinator),
             (Ok(Command::Info), _) => Ok(Some(Answer::Bulk(self.info()))),
             (Ok(Command::Fetch(queues)), Some(_)) => {
                 let mut inside = self.inside.borrow_mut();
@@ -368,7 +368,7 @@
                 self.settle(worker, &failure.jid, End::Failed)
             }
             (Ok(Command::Beat(beat)), Some(worker)) => {
-                self.beat(worker, &beat.wid, beat.current_state, exchange)
+                self.beat(worker, &beat.wid, beat.current_state, coordinator)
             }
             (Ok(_), None) => Err("only workers do so: say HELLO with a wid".to_owned()),
         };
@@ -376,13 +376,13 @@
             Ok(Some(answer)) => self.inside.borrow_mut().say(place, &answer),
             Ok(None) => {}
             Err(what) => {
-                self.counters.faktory_errors.up();
+                self.counters.faktory_errors.increment();
                 self.inside.borrow_mut().say(place, &Answer::Error(what));
             }
         }
     }
 
-    fn admitted(&self, place: usize, wid: Option<&str>, exchange: &mut Exchange) {
+    fn admitted(&self, place: usize, wid: Option<&str>, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         let worker = {
             let mut inside = self.inside.borrow_mut();
@@ -397,7 +397,7 @@
         };
         if let Some((worker, _)) = worker {
             info!("worker {} is there", wid.unwrap_or_default());
-            self.stands(worker, exchange);
+            self.stands(worker, coordinator);
         }
     }
 
@@ -413,7 +413,7 @@
         worker: usize,
         wid: &str,
         says: Option<WorkerState>,
-        exchange: &mut Exchange,
+        coordinator: &mut Coordinator,
     ) -> Result<Option<Answer>, String> {
         if self.inside.borrow().table.worker(wid) != Some(worker) {
             return Err("a heartbeat is of the worker that said HELLO here".to_owned());
@@ -422,7 +422,7 @@
         let ended = self.inside.borrow_mut().table.beat(self.clock.now(), worker, says);
         self.inside.borrow_mut().ended(ended);
         if self.inside.borrow().table.standing(worker) != stood {
-            self.stands(worker, exchange);
+            self.stands(worker, coordinator);
         }
         let quiet = json!({"state": "quiet"}).to_string();
         Ok(Some(if self.leaves.get() { Answer::Bulk(quiet) } else { Answer::Ok }))
@@ -433,13 +433,13 @@
         let (waiting, fetched) = inside.table.counts();
         let c = &self.counters;
         json!({"faktory": {"total_enqueued": waiting, "total_working": fetched,
-            "total_processed": c.fulfilled.all(), "total_failures": c.forfeited.all(),
+            "total_processed": c.fulfilled.total(), "total_failures": c.forfeited.total(),
             "connections": inside.peers.len(), "workers": inside.table.present().count()}})
         .to_string()
     }
 
     /// A client pushes a job, and waits for its final answer.
-    fn push(&self, place: usize, job: Job, exchange: &mut Exchange) -> Result<Option<Answer>, String> {
+    fn push(&self, place: usize, job: Job, coordinator: &mut Coordinator) -> Result<Option<Answer>, String> {
         let names = &self.settings.tariff_names;
         let tariff = names.iter().position(|name| *name == job.queue);
         let tariff = tariff
@@ -451,16 +451,16 @@
         {
             return Err(format!("custom.{wrong}: expected a whole number above 0"));
         }
-        if exchange.has_in_hand(&job.jid) {
+        if coordinator.has_open_request(&job.jid) {
             return Err(format!("job {} is in hand", job.jid));
         }
         let line = job.text;
         if line.len() > MAX_BODY {
             return Err(format!("a job has {MAX_BODY} bytes at most"));
         }
-        self.counters.units.up();
+        self.counters.units.increment();
         if self.leaves.get() {
-            self.counters.turned_back.up(tariff);
+            self.counters.turned_back.increment(tariff);
             return Err("turned back: this node is leaving, pushing it elsewhere is harmless".to_owned());
         }
         let now = self.clock.now();
@@ -475,33 +475,33 @@
             slots: 1.0,
             over_budget: false,
         };
-        let errand = Errand {
+        let content = RequestContent {
             call_id: job.jid.as_str().into(),
-            tariff: job.queue.clone(),
+            class: job.queue.clone(),
             target: format!("/{}", job.queue),
             headers: String::new(),
             body: line.clone().into_bytes(),
-            binding: self.settings.is_binding(tariff),
-            of: (tariff, arrival.customer),
-            lasts: false,
-            pushed: Some(Pushed {
-                line,
+            non_idempotent: self.settings.is_binding(tariff),
+            scope: (tariff, arrival.customer),
+            durable: false,
+            faktory_job: Some(FaktoryJob {
+                json: line,
                 priority: job.priority,
                 reserve_for: job.reserve_for.map(|s| Duration::from_millis(s.saturating_mul(1000).max(1000))),
             }),
         };
-        let unit = self.unit_ids.take();
+        let unit = self.request_ids.next_id();
         {
             let mut inside = self.inside.borrow_mut();
             inside.by_unit.insert(unit, (place, tariff));
             inside.peers[place].waits = Waits::Push(unit);
         }
-        exchange.arrived(unit, errand, &arrival);
+        coordinator.request_arrived(unit, content, &arrival);
         Ok(None)
     }
 
     /// A connection is gone, and with it whoever waited there, and what its worker had if it was the last one.
-    fn lost(&self, place: usize, exchange: &mut Exchange) {
+    fn lost(&self, place: usize, coordinator: &mut Coordinator) {
         let (unit, worker) = {
             let mut inside = self.inside.borrow_mut();
             let Some(peer) = inside.peers.try_remove(place) else { return };
@@ -516,14 +516,14 @@
             (unit, worker)
         };
         if let Some(unit) = unit {
-            self.counters.withdrawn.up();
-            exchange.withdrawn(unit);
+            self.counters.withdrawn.increment();
+            coordinator.request_withdrawn(unit);
         }
         if let Some(worker) = worker
             && self.inside.borrow().table.standing(worker) == Standing::Gone
         {
             info!("worker {} is gone", self.inside.borrow().table.wid(worker));
-            self.stands(worker, exchange);
+            self.stands(worker, coordinator);
         }
     }
 }
@@ -563,19 +563,19 @@
 }
 
 /// What came by HTTP, as a job for a worker.
-fn brought(errand: &Errand, reserve_for: Duration) -> String {
-    let body = String::from_utf8_lossy(&errand.body);
-    json!({"jid": &*errand.call_id, "jobtype": errand.tariff, "queue": errand.tariff, "args": [body],
-        "reserve_for": reserve_for.nanos() / 1_000_000_000, "custom": {"target": errand.target}})
+fn brought(content: &RequestContent, reserve_for: Duration) -> String {
+    let body = String::from_utf8_lossy(&content.body);
+    json!({"jid": &*content.call_id, "jobtype": content.class, "queue": content.class, "args": [body],
+        "reserve_for": reserve_for.nanos() / 1_000_000_000, "custom": {"target": content.target}})
     .to_string()
 }
 
-impl Pushes for Faktory {
+impl FaktoryFrontend for Faktory {
     /// The final answer, if the unit was pushed here.
-    fn answer(&self, unit: RequestId, status: u16) -> bool {
+    fn respond(&self, unit: RequestId, status: u16) -> bool {
         let mut inside = self.inside.borrow_mut();
         let Some((place, tariff)) = inside.by_unit.remove(&unit) else { return false };
-        self.counters.answered(tariff, status);
+        self.counters.responded(tariff, status);
         if inside.peers.contains(place) {
             let answer = match status {
                 200 => Answer::Ok,
@@ -589,18 +589,18 @@
     }
 
     /// The decisions send a unit to a worker; `false` if it can't have it, or nothing is handed out any more.
-    fn hand(&self, worker: usize, id: AttemptId, errand: &Errand, time_out: Duration) -> bool {
+    fn assign(&self, worker: usize, id: AttemptId, content: &RequestContent, time_out: Duration) -> bool {
         if self.leaves.get() {
             return false;
         }
         let now = self.clock.now();
-        let pushed = errand.pushed.as_ref();
+        let pushed = content.faktory_job.as_ref();
         let reserve_for = pushed.and_then(|p| p.reserve_for).unwrap_or(self.reserve_for).min(time_out);
-        let body = pushed.map_or_else(|| brought(errand, reserve_for), |p| p.line.clone());
+        let body = pushed.map_or_else(|| brought(content, reserve_for), |p| p.json.clone());
         let job = Handed {
             token: id,
-            jid: errand.call_id.to_string(),
-            queue: errand.tariff.clone(),
+            jid: content.call_id.to_string(),
+            queue: content.class.clone(),
             priority: pushed.map_or(5, |p| p.priority),
             body,
             reserve_for,
@@ -611,7 +611,7 @@
         }
         // Whoever of this worker waits for such a job has it at once.
         let waits = |peer: &Peer| {
-            let fits = |queues: &[String]| queues.contains(&errand.tariff);
+            let fits = |queues: &[String]| queues.contains(&content.class);
             peer.worker == Some(worker) && matches!(&peer.waits, Waits::Fetch(queues, _) if fits(queues))
         };
         let place = inside.peers.iter().find(|(_, peer)| waits(peer)).map(|(place, _)| place);
@@ -622,13 +622,13 @@
     }
 
     /// A worker could not have what the decisions sent to it: nothing of it has run.
-    fn not_handed(&self, id: AttemptId) {
+    fn assignment_failed(&self, id: AttemptId) {
         self.inside.borrow_mut().untold.push(Untold::Ended(id, AttemptOutcome::Full));
     }
 
     /// Nobody waits any more for what was handed to a worker. One that has fetched it can't be told, and what it says
     /// of it later is answered with an error.
-    fn withdraw(&self, id: AttemptId) {
+    fn cancel_attempt(&self, id: AttemptId) {
         let mut inside = self.inside.borrow_mut();
         if inside.table.withdraw(id).is_some() {
             inside.untold.push(Untold::Ended(id, AttemptOutcome::Cancelled));
--- a/crates/node/src/wire/fellows.rs
+++ b/crates/node/src/wire/fellows.rs
@@ -1,12 +1,12 @@
 //! The other nodes of the fleet: one UDP socket for who is there, for what each has seen of executors' starts, and for the
 //! words of the decisions. Each datagram is marked with the fleet's secret; what is not is dropped and counted.
 
-use crate::exchange::{Closed, Exchange, Lesson};
-use crate::memory::clock::Clock;
-use crate::memory::counters::Counters;
-use crate::memory::parts::{self, Of, Parts, Spends};
-use crate::memory::settlement::{Outcome, Settlement, Step};
-use crate::sides::Talk;
+use crate::coordinator::{ClosedExecutors, Coordinator, LearnedEstimates};
+use crate::interfaces::PeerMessenger;
+use crate::state::budget_shares::{self, BudgetScope, BudgetShares, BudgetUse};
+use crate::state::clock::Clock;
+use crate::state::counters::Counters;
+use crate::state::replicated_state::{Outcome, ReplicatedState, StateCommand};
 use crate::wire::settling::Settling;
 use grebeusher_budgets::{Holder, Wholes};
 use grebeusher_dispatch::ids::fixed_hash;
@@ -132,9 +132,9 @@
 impl Post {
     fn say(&self, to: SocketAddr, kind: u8, body: &[u8]) {
         match self.socket.send_to(&self.frame.around(kind, body), to) {
-            Ok(_) => self.counters.datagrams_sent.up(),
+            Ok(_) => self.counters.datagrams_sent.increment(),
             // Lost on the way or here is the same.
-            Err(_) => self.counters.datagrams_failed.up(),
+            Err(_) => self.counters.datagrams_failed.increment(),
         }
     }
 
@@ -184,7 +184,7 @@
             start = generation,
             "node {number} is there, at {address}, start {generation}"
         );
-        self.post.counters.fellows_came.up();
+        self.post.counters.fellows_came.increment();
         self.newcomers.borrow_mut().push(fellow.number);
         self.post.addresses.borrow_mut().insert(fellow.number, fellow.address);
         if let Some(keeper) = self.post.keepers.borrow_mut().get_mut(&fellow.number) {
@@ -195,7 +195,7 @@
     fn member_down(&mut self, fellow: Member) {
         let Member { number, generation, .. } = fellow;
         info!(fellow = number, start = generation, "node {number} is gone, start {generation}");
-        self.post.counters.fellows_went.up();
+        self.post.counters.fellows_went.increment();
         let mut addresses = self.post.addresses.borrow_mut();
         if addresses.get(&fellow.number) == Some(&fellow.address) {
             addresses.remove(&fellow.number);
@@ -220,7 +220,7 @@
     membership: RefCell<Membership<Hand>>,
     school: Cell<School>,
     settling: Option<RefCell<Settling>>,
-    parts: Option<RefCell<Parts>>,
+    parts: Option<RefCell<BudgetShares>>,
     /// When the keepers are told next of budgets that they do not go by yet, and how often they are without a word back.
     tells_budgets: Cell<(Instant, u32)>,
     works: Option<Office>,
@@ -287,7 +287,7 @@
         let fellow = Member { address: post.own.1, number: post.own.0, generation: now.0 / 1_000_000 };
         let holder = Holder { number: fellow.number, generation: fellow.generation };
         let budgets = fleet.budgets.as_ref();
-        let parts = budgets.map(|posted| Parts::new(now, posted, names, holder).map(RefCell::new));
+        let parts = budgets.map(|posted| BudgetShares::new(now, posted, names, holder).map(RefCell::new));
         let parts = parts.transpose()?;
         let permission = fleet
             .maintenance
@@ -306,10 +306,10 @@
         let settling = keepers.map(|keepers| {
             let (wholes, lease) = budgets.map_or_else(
                 || (Wholes::default(), Duration::from_nanos(0)),
-                |posted| (parts::wholes(posted), posted.lease()),
+                |posted| (budget_shares::fleet_budgets(posted), posted.lease()),
             );
             let empty =
-                Settlement::empty(wholes, lease, Works::empty(permission, count as u32, &keepers.nodes));
+                ReplicatedState::empty(wholes, lease, Works::empty(permission, count as u32, &keepers.nodes));
             let settling = Settling::new(now, &keepers.nodes, fellow.number, seed ^ now.0, empty, &post);
             RefCell::new(settling)
         });
@@ -348,7 +348,7 @@
     /// Of each budget what this node may spend, and what it has.
     pub fn parts(&self) -> Vec<(String, u32, usize)> {
         let now = self.clock.now();
-        self.parts.as_ref().map_or_else(Vec::new, |parts| parts.borrow_mut().figures(now))
+        self.parts.as_ref().map_or_else(Vec::new, |parts| parts.borrow_mut().usage(now))
     }
 
     /// The edition of the budgets in this node's file, and of those by which the keepers have answered it last.
@@ -367,7 +367,7 @@
         };
         let now = self.clock.now();
         let before = parts.borrow().editions().0;
-        parts.borrow_mut().reads(now, posted)?;
+        parts.borrow_mut().reload(now, posted)?;
         if parts.borrow().editions().0 > before {
             let edition = posted.edition;
             info!(edition, "budgets: edition {edition} was read, before it {before}");
@@ -386,11 +386,11 @@
             return;
         }
         self.tells_budgets.set((now + BUDGETS_TOLD_APART, times.saturating_sub(1)));
-        settling.borrow_mut().ask(now, Step::Budgets(parts.borrow().wholes()));
+        settling.borrow_mut().ask(now, StateCommand::Budgets(parts.borrow().fleet_budgets()));
     }
 
     pub fn next_due(&self) -> Option<Instant> {
-        let asks = self.parts.as_ref().and_then(|parts| parts.borrow().next_due(self.clock.now()));
+        let asks = self.parts.as_ref().and_then(|parts| parts.borrow().next_timeout(self.clock.now()));
         let settles = self.settling.as_ref().and_then(|settling| settling.borrow().next_due());
         let works = self.works.as_ref().and_then(|works| works.next_due(self.leads()));
         let school = Some(self.school.get()).filter(|school| !school.is_over && self.count() > 0);
@@ -418,33 +418,36 @@
 
     /// This node is to go, and its clients are sent away. Once nothing that it sent may still run and it has no part of a budget it sends
     /// nothing any more, and says so.
-    pub fn is_through(&self, exchange: &mut Exchange) {
+    pub fn is_through(&self, coordinator: &mut Coordinator) {
         let Some(works) = self.works.as_ref().filter(|works| !works.is_through.get()) else { return };
         let longest = works.permission.borrow().longest_unit();
-        let holds = self.parts.as_ref().is_some_and(|parts| parts.borrow().holds_any(self.clock.now()));
-        if !holds && exchange.in_hand(longest).is_empty() && !exchange.anybody_waits() {
+        let holds = self.parts.as_ref().is_some_and(|parts| parts.borrow().holds_grants(self.clock.now()));
+        if !holds
+            && coordinator.outstanding_by_executor(longest).is_empty()
+            && !coordinator.has_requests_awaiting_budget()
+        {
             info!("this node is through: it may go out for work");
             works.is_through.set(true);
             works.permission.borrow_mut().hurry();
-            works.closes(self.clock.now(), exchange);
+            works.closes(self.clock.now(), coordinator);
         }
     }
 
     /// A turn of the loop begins. Guards against a node that stood still while its permission ran out, and sends to a machine
     /// that is out by now as it goes on with what has come meanwhile.
-    pub fn wakes(&self, exchange: &mut Exchange) {
+    pub fn wakes(&self, coordinator: &mut Coordinator) {
         if let Some(works) = &self.works {
-            works.wakes(self.clock.now(), exchange);
+            works.wakes(self.clock.now(), coordinator);
         }
     }
 
     /// What is asked of the keepers, and what whoever leads tells of the list.
-    fn works(&self, exchange: &mut Exchange) {
+    fn works(&self, coordinator: &mut Coordinator) {
         let Some((works, settling)) = self.works.as_ref().zip(self.settling.as_ref()) else { return };
         let now = self.clock.now();
-        works.wakes(now, exchange);
-        if let Some(ask) = works.ask(now, exchange, &self.post.counters) {
-            settling.borrow_mut().ask(now, Step::Works(maintenance::Step::Asks(ask)));
+        works.wakes(now, coordinator);
+        if let Some(ask) = works.ask(now, coordinator, &self.post.counters) {
+            settling.borrow_mut().ask(now, StateCommand::Maintenance(maintenance::Step::Asks(ask)));
         }
         if settling.borrow_mut().has_moved() && works.nudges_at.get().is_none() {
             works.nudges_at.set(Some(now + NUDGES_APART));
@@ -458,20 +461,20 @@
             return;
         }
         let seen = settling.borrow().where_it_leads(|state| {
-            (state.works.view().clone(), state.works.watched().collect::<Vec<u64>>())
+            (state.maintenance.view().clone(), state.maintenance.watched().collect::<Vec<u64>>())
         });
         let Some((seen, watched)) = seen else { return };
         works.viewed.set(now);
-        let view = exchange.view(watched.into_iter());
+        let view = coordinator.maintenance_view(watched.into_iter());
         if view != seen {
-            settling.borrow_mut().ask(now, Step::Works(maintenance::Step::Sees(view)));
+            settling.borrow_mut().ask(now, StateCommand::Maintenance(maintenance::Step::Sees(view)));
         }
     }
 
     /// Hands a command of the staff to the keepers, under a name by which it is answered and done once.
     pub fn says(&self, name: u64, command: Command) {
         if let Some(settling) = &self.settling {
-            let step = Step::Works(maintenance::Step::Says(name, command));
+            let step = StateCommand::Maintenance(maintenance::Step::Says(name, command));
             settling.borrow_mut().ask(self.clock.now(), step);
         }
     }
@@ -501,12 +504,12 @@
     fn asks(&self) {
         let Some((parts, settling)) = self.parts.as_ref().zip(self.settling.as_ref()) else { return };
         let now = self.clock.now();
-        for ask in parts.borrow_mut().asks(now) {
-            settling.borrow_mut().ask(now, Step::Part(ask));
+        for ask in parts.borrow_mut().due_asks(now) {
+            settling.borrow_mut().ask(now, StateCommand::BudgetAsk(ask));
         }
     }
 
-    pub fn due(&self, exchange: &mut Exchange) {
+    pub fn due(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         self.membership.borrow_mut().handle_timeout(now);
         if let Some(settling) = &self.settling {
@@ -515,33 +518,33 @@
         self.asks();
         self.tells_budgets(now);
         self.asks_missed(now);
-        self.works(exchange);
-        self.hand_on(exchange);
+        self.works(coordinator);
+        self.hand_on(coordinator);
     }
 
-    pub fn stirred(&self, exchange: &mut Exchange) {
+    pub fn stirred(&self, coordinator: &mut Coordinator) {
         let mut datagram = self.datagram.borrow_mut();
         for _ in 0..AT_ONCE {
             match self.post.socket.recv_from(&mut datagram) {
-                Ok((length, _)) => self.hears(&datagram[..length], exchange),
+                Ok((length, _)) => self.hears(&datagram[..length], coordinator),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 // What one sent earlier met nobody there.
                 Err(_) => {}
             }
         }
-        self.hand_on(exchange);
+        self.hand_on(coordinator);
         if let Err(e) = self.poller.modify(&self.post.socket, Event::readable(self.key)) {
             warn!("fellows are not heard any more: {e}");
         }
     }
 
-    fn hears(&self, datagram: &[u8], exchange: &mut Exchange) {
-        self.post.counters.datagrams_came.up();
+    fn hears(&self, datagram: &[u8], coordinator: &mut Coordinator) {
+        self.post.counters.datagrams_came.increment();
         let understood = match self.post.frame.inside(datagram) {
             Some((MEMBERSHIP, body)) => self.membership.borrow_mut().receive(self.clock.now(), body).is_ok(),
             Some((WORD, body)) => match body.split_first_chunk() {
                 Some((from, word)) => {
-                    exchange.told(u64::from(u32::from_be_bytes(*from)), word);
+                    coordinator.load_message_received(u64::from(u32::from_be_bytes(*from)), word);
                     true
                 }
                 None => false,
@@ -555,14 +558,14 @@
             },
             Some((ASKS_MISSED, body)) => match postcard::from_bytes::<SocketAddr>(body) {
                 Ok(newcomer) => {
-                    self.teaches(newcomer, exchange);
+                    self.teaches(newcomer, coordinator);
                     true
                 }
                 Err(_) => false,
             },
             Some((LEARNT, body)) => match postcard::from_bytes(body) {
                 Ok(lesson) => {
-                    self.learns(&lesson, exchange);
+                    self.learns(&lesson, coordinator);
                     true
                 }
                 Err(_) => false,
@@ -579,32 +582,32 @@
             _ => false,
         };
         if !understood {
-            self.post.counters.datagrams_bad.up();
+            self.post.counters.datagrams_bad.increment();
         }
     }
 
     /// What was heard of executors goes to the decisions, and what was settled to whom it is for.
-    fn hand_on(&self, exchange: &mut Exchange) {
+    fn hand_on(&self, coordinator: &mut Coordinator) {
         let settled = self.settling.as_ref().map(|settling| settling.borrow_mut().outcomes());
         for outcome in settled.into_iter().flatten() {
             match (outcome, &self.parts, &self.works) {
-                (Outcome::Part(grant), Some(parts), _) => parts.borrow_mut().granted(&grant),
+                (Outcome::BudgetGrant(grant), Some(parts), _) => parts.borrow_mut().apply_grant(&grant),
                 (Outcome::Permit(permit), _, Some(works)) => {
-                    works.granted(self.clock.now(), permit, exchange);
+                    works.granted(self.clock.now(), permit, coordinator);
                 }
                 _ => {}
             }
         }
         let words = std::mem::take(&mut *self.words.borrow_mut());
         for ExecutorObservation { executor, at_ms, gone } in words {
-            exchange.heard_of(executor, Instant(at_ms.saturating_mul(1_000_000)), gone);
+            coordinator.executor_observed(executor, Instant(at_ms.saturating_mul(1_000_000)), gone);
         }
-        self.tells_newcomers(exchange);
-        exchange.parts_came();
+        self.tells_newcomers(coordinator);
+        coordinator.budget_granted();
     }
 
     /// Who has just come has not heard what was told before: the next few by their numbers tell it.
-    fn tells_newcomers(&self, exchange: &Exchange) {
+    fn tells_newcomers(&self, coordinator: &Coordinator) {
         let newcomers = std::mem::take(&mut *self.newcomers.borrow_mut());
         let (own, count) = (u64::from(self.own), self.count.max(1));
         let mine = |node: &u32| (1..=TELLERS).contains(&((own + count - u64::from(*node) % count) % count));
@@ -612,19 +615,19 @@
         if mine.is_empty() {
             return;
         }
-        let missed = Self::missed(exchange);
+        let missed = Self::missed(coordinator);
         if !missed.is_empty() {
             mine.into_iter().for_each(|node| self.post.say_to(node, MISSED, &missed));
         }
     }
 
-    fn missed(exchange: &Exchange) -> Vec<ExecutorObservation> {
+    fn missed(coordinator: &Coordinator) -> Vec<ExecutorObservation> {
         let word = |(executor, at, gone): (u64, Instant, bool)| ExecutorObservation {
             executor,
             at_ms: at.0 / 1_000_000,
             gone,
         };
-        exchange.seen_lately(RECENT).map(word).collect()
+        coordinator.recent_observations(RECENT).map(word).collect()
     }
 
     /// Asks a few others, each time the next ones, for what it has missed and what they know of work. Guards against a node that
@@ -650,18 +653,18 @@
         self.school.set(School { asks_at: now + apart, asked: asked + 1, is_over });
     }
 
-    fn teaches(&self, newcomer: SocketAddr, exchange: &Exchange) {
-        let missed = Self::missed(exchange);
+    fn teaches(&self, newcomer: SocketAddr, coordinator: &Coordinator) {
+        let missed = Self::missed(coordinator);
         if !missed.is_empty() {
             self.post.say_what(newcomer, MISSED, &missed);
         }
-        self.post.say_what(newcomer, LEARNT, &exchange.learnt());
+        self.post.say_what(newcomer, LEARNT, &coordinator.learned_estimates());
     }
 
-    fn learns(&self, lesson: &Lesson, exchange: &mut Exchange) {
+    fn learns(&self, lesson: &LearnedEstimates, coordinator: &mut Coordinator) {
         let school = self.school.get();
         if !school.is_over {
-            let is_over = exchange.taught(lesson) >= KNOWS_ENOUGH;
+            let is_over = coordinator.merge_learned(lesson) >= KNOWS_ENOUGH;
             self.school.set(School { is_over, ..school });
         }
     }
@@ -679,27 +682,32 @@
         [views, asks, self.changes_at.get(), self.nudges_at.get()].into_iter().flatten().min()
     }
 
-    fn wakes(&self, now: Instant, exchange: &mut Exchange) {
+    fn wakes(&self, now: Instant, coordinator: &mut Coordinator) {
         if self.changes_at.get().is_some_and(|at| now >= at) {
             let for_s = self.permission.borrow().for_long(now).seconds();
             warn!(
                 for_s,
                 "no permission of the keepers since {for_s:.1} s: machines of the plan are kept away from"
             );
-            self.closes(now, exchange);
+            self.closes(now, coordinator);
         }
     }
 
-    fn closes(&self, now: Instant, exchange: &mut Exchange) {
+    fn closes(&self, now: Instant, coordinator: &mut Coordinator) {
         let permission = self.permission.borrow();
         self.changes_at.set(permission.changes_at(now));
-        exchange.closes(match permission.has_word() && !self.is_through.get() {
-            true => Closed::These(permission.closed(now).collect()),
-            false => Closed::All,
+        coordinator.set_closed_executors(match permission.has_word() && !self.is_through.get() {
+            true => ClosedExecutors::Only(permission.closed(now).collect()),
+            false => ClosedExecutors::All,
         });
     }
 
-    fn ask(&self, now: Instant, exchange: &mut Exchange, counters: &Counters) -> Option<maintenance::Ask> {
+    fn ask(
+        &self,
+        now: Instant,
+        coordinator: &mut Coordinator,
+        counters: &Counters,
+    ) -> Option<maintenance::Ask> {
         let mut permission = self.permission.borrow_mut();
         let shows = self.looked.get().is_some_and(|at| now.since(at) < LOOK);
         if shows {
@@ -708,26 +716,26 @@
         if permission.next_due() > now {
             return None;
         }
-        let in_hand = exchange.in_hand(permission.longest_unit());
-        let tide = (counters.units.all(), counters.turned_back.all());
+        let in_hand = coordinator.outstanding_by_executor(permission.longest_unit());
+        let tide = (counters.units.total(), counters.turned_back.total());
         let says = (self.is_through.get(), shows);
         permission.ask(now, |machine| in_hand.get(&machine).copied().unwrap_or(0), tide, says)
     }
 
-    fn granted(&self, now: Instant, mut permit: Permit, exchange: &mut Exchange) {
+    fn granted(&self, now: Instant, mut permit: Permit, coordinator: &mut Coordinator) {
         if let Some(shown) = permit.shown.take() {
             *self.shown.borrow_mut() = Some((now, shown));
         }
         let changed = self.permission.borrow_mut().granted(&permit);
         if changed {
             self.is_through.set(self.is_through.get() && self.permission.borrow().goes());
-            self.closes(now, exchange);
+            self.closes(now, coordinator);
         }
     }
 }
 
-impl Talk for Fellows {
-    fn tell(&self, node: Option<u64>, word: &[u8]) {
+impl PeerMessenger for Fellows {
+    fn send_load_message(&self, node: Option<u64>, word: &[u8]) {
         let mut body = self.own.to_be_bytes().to_vec();
         body.extend_from_slice(word);
         let addresses = self.post.addresses.borrow();
@@ -741,17 +749,19 @@
         }
     }
 
-    fn may_spend(&self, spends: Spends, of: Of) -> bool {
+    fn try_spend(&self, budget_use: BudgetUse, scope: BudgetScope) -> bool {
         let now = self.clock.now();
-        self.parts.as_ref().is_none_or(|parts| parts.borrow_mut().may_spend(now, spends, of))
+        self.parts.as_ref().is_none_or(|parts| parts.borrow_mut().try_spend(now, budget_use, scope))
     }
 
-    fn may_spend_after_all(&self, spends: Spends, of: Of) -> bool {
+    fn try_spend_after_wait(&self, budget_use: BudgetUse, scope: BudgetScope) -> bool {
         let now = self.clock.now();
-        self.parts.as_ref().is_none_or(|parts| parts.borrow_mut().may_spend_after_all(now, spends, of))
+        self.parts
+            .as_ref()
+            .is_none_or(|parts| parts.borrow_mut().try_spend_after_wait(now, budget_use, scope))
     }
 
-    fn has_seen(&self, executor: u64, at: Instant, gone: bool) {
+    fn broadcast_observation(&self, executor: u64, at: Instant, gone: bool) {
         if self.clock.now().since(at) < RECENT {
             self.membership
                 .borrow_mut()
--- a/crates/node/src/wire/settling.rs
+++ b/crates/node/src/wire/settling.rs
@@ -1,7 +1,7 @@
 //! Where steps go that the keepers are to settle, and what comes back: through this node's own keeper, if it is one, or to
 //! whichever leads.
 
-use crate::memory::settlement::{Outcome, Settlement, Step};
+use crate::state::replicated_state::{Outcome, ReplicatedState, StateCommand};
 use crate::wire::fellows::{KEEPER, OUTCOME, Post, STEP};
 use grebeusher_budgets::{Ask, Grant};
 use grebeusher_dispatch::time::Instant;
@@ -26,7 +26,7 @@
     moved: bool,
 }
 
-impl Host<Settlement> for Hand {
+impl Host<ReplicatedState> for Hand {
     fn send(&mut self, place: usize, datagram: &[u8]) {
         self.post.say_bytes(self.keepers[place], KEEPER, datagram);
     }
@@ -56,14 +56,14 @@
     fn leader_changed(&mut self, place: usize, term: u64) {
         let leader = self.keepers[place];
         info!(leader, term, "keepers: node {leader} leads, term {term}");
-        self.post.counters.leaders.up();
+        self.post.counters.leaders.increment();
     }
 }
 
 pub struct Settling {
     post: Rc<Post>,
     keepers: Rc<[u32]>,
-    keeper: Option<Voter<Settlement, Hand>>,
+    keeper: Option<Voter<ReplicatedState, Hand>>,
     /// The keeper that is asked, by its place, and how often since it answered.
     asked: usize,
     unanswered: u32,
@@ -78,7 +78,7 @@
         keepers: &[u32],
         own: u32,
         seed: u64,
-        empty: Settlement,
+        empty: ReplicatedState,
         post: &Rc<Post>,
     ) -> Settling {
         let keepers: Rc<[u32]> = keepers.into();
@@ -117,12 +117,12 @@
     }
 
     /// Wants a step settled; it may get lost.
-    pub fn ask(&mut self, now: Instant, step: Step) {
+    pub fn ask(&mut self, now: Instant, step: StateCommand) {
         if self.keeper.is_some() {
             return self.hands_on(now, self.post.own, step, true);
         }
         self.unanswered += 1;
-        if let Step::Part(Ask { budget, wants, keeps, ask, .. }) = &step {
+        if let StateCommand::BudgetAsk(Ask { budget, wants, keeps, ask, .. }) = &step {
             let (to, unanswered) = (self.keepers[self.asked], self.unanswered);
             debug!(budget, wants, keeps, ask, unanswered, "keepers: node {to} is asked for {wants} units");
         }
@@ -133,7 +133,7 @@
     }
 
     /// To whoever leads. What another keeper has handed on goes no further: the two may be of different minds.
-    fn hands_on(&mut self, now: Instant, from: (u32, SocketAddr), step: Step, further: bool) {
+    fn hands_on(&mut self, now: Instant, from: (u32, SocketAddr), step: StateCommand, further: bool) {
         let Some(keeper) = &mut self.keeper else { return };
         if keeper.is_leader() {
             // A step that is rejected is lost like any other; who asked asks again.
@@ -159,7 +159,7 @@
                 if place < self.keepers.len() {
                     (self.asked, self.unanswered) = (place, 0);
                 }
-                if let Outcome::Part(Grant { budget, number, units, ask, .. }) = &outcome {
+                if let Outcome::BudgetGrant(Grant { budget, number, units, ask, .. }) = &outcome {
                     debug!(budget, grant = number, units, ask, "keepers: {units} units by grant {number}");
                 }
                 self.outcomes.push(outcome);
@@ -169,7 +169,7 @@
     }
 
     /// The state as it is settled here, if this node leads.
-    pub fn where_it_leads<R>(&self, reads: impl FnOnce(&Settlement) -> R) -> Option<R> {
+    pub fn where_it_leads<R>(&self, reads: impl FnOnce(&ReplicatedState) -> R) -> Option<R> {
         self.keeper.as_ref().filter(|keeper| keeper.is_leader())?.with_state(reads)
     }
 
--- a/crates/node/src/wire/sibling.rs
+++ b/crates/node/src/wire/sibling.rs
@@ -2,10 +2,10 @@
 //! executors and to the limits: each listens on a socket file in a folder that they share, a new one calls on those
 //! that it finds there, and they tell each other what the other needs, one JSON object a line.
 
-use crate::exchange::Exchange;
-use crate::memory::clock::Clock;
-use crate::memory::connection::Connection;
-use crate::sides::{CallerId, Relatives};
+use crate::coordinator::Coordinator;
+use crate::interfaces::{CallerId, SiblingProcesses};
+use crate::state::clock::Clock;
+use crate::state::connection::Connection;
 use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_transport::alarms::Alarms;
 use grebeusher_transport::buffer::Reading;
@@ -160,9 +160,9 @@
         let serial = links.next_serial;
         links.next_serial += 1;
         let key = (self.key)(links.kept.vacant_key());
-        match Connection::over(socket, &self.poller, key) {
+        match Connection::from_socket(socket, &self.poller, key) {
             Ok(mut connection) => {
-                connection.bear(MAX_LINE);
+                connection.set_max_unread(MAX_LINE);
                 let link = Link { connection, serial, elder, greeted: false, leaves: false, missed: 0 };
                 let place = links.kept.insert(link);
                 links.ungreeted.set(self.clock.now() + HANDSHAKE_TIMEOUT, serial);
@@ -204,7 +204,7 @@
 
     /// What falls due: siblings that never said who they are, and call-backs that they did not answer. Guards against
     /// one that is silent, which costs its bounded wait and nothing else.
-    pub fn due(&self, exchange: &mut Exchange) {
+    pub fn due(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         let mut links = self.links.borrow_mut();
         while let Some(serial) = links.ungreeted.due(now) {
@@ -223,23 +223,23 @@
             }
         }
         drop(links);
-        self.tell(exchange);
+        self.tell(coordinator);
     }
 
-    fn tell(&self, exchange: &mut Exchange) {
+    fn tell(&self, coordinator: &mut Coordinator) {
         let settled = std::mem::take(&mut self.links.borrow_mut().settled);
-        settled.into_iter().for_each(|(caller, taken)| exchange.passed_on(caller, taken));
+        settled.into_iter().for_each(|(caller, taken)| coordinator.callback_forwarded(caller, taken));
     }
 
     /// Something can be read from or written to a link.
-    pub fn stirred(&self, place: usize, exchange: &mut Exchange) {
+    pub fn stirred(&self, place: usize, coordinator: &mut Coordinator) {
         let reading = match self.links.borrow_mut().kept.get_mut(place) {
             Some(link) => link.connection.write().and_then(|()| link.connection.read()),
             None => return,
         };
-        // The borrow must end before the exchange is told.
+        // The borrow must end before the coordinator is told.
         while let Some(word) = { self.links.borrow_mut().next_word(place) } {
-            self.told(place, word, exchange);
+            self.told(place, word, coordinator);
         }
         {
             let mut links = self.links.borrow_mut();
@@ -257,13 +257,13 @@
                 Err(e) => links.drop(place, &e.to_string()),
             }
         }
-        self.tell(exchange);
+        self.tell(coordinator);
     }
 
-    fn told(&self, place: usize, word: serde_json::Result<Word>, exchange: &mut Exchange) {
+    fn told(&self, place: usize, word: serde_json::Result<Word>, coordinator: &mut Coordinator) {
         match word {
             Ok(Word::CallBack { ask, body }) => {
-                let taken = exchange.take_passed(body.as_bytes());
+                let taken = coordinator.take_forwarded_callback(body.as_bytes());
                 self.links.borrow_mut().say(place, &Word::Taken { ask, taken });
             }
             Ok(Word::Taken { ask, taken }) => self.links.borrow_mut().answered(place, ask, taken),
@@ -356,10 +356,10 @@
     Ok(socket)
 }
 
-impl Relatives for Siblings {
+impl SiblingProcesses for Siblings {
     /// Asks the siblings to take a call-back for a unit that this process does not have; `false` where none is
     /// there. Whoever called is answered when they have answered.
-    fn pass_on(&self, caller: CallerId, body: &[u8]) -> bool {
+    fn forward_callback(&self, caller: CallerId, body: &[u8]) -> bool {
         let mut links = self.links.borrow_mut();
         let met = links.kept.iter().filter(|(_, link)| link.greeted || link.elder);
         let met: Vec<(usize, u64)> = met.map(|(place, link)| (place, link.serial)).collect();
