--- a/crates/node/tests/fake/mod.rs
+++ b/crates/node/tests/fake/mod.rs
@@ -223,42 +223,43 @@
         client
     }
 
-    /// With a ledger in this folder, at this address if one is given: a node that may be killed and started anew.
-    pub fn lasting(executors: &[&TcpListener], ledger: &Folder, at: Option<SocketAddr>) -> World {
+    /// Starts a node with a job log in this folder, listening on `address` if one is given, so that a node that was
+    /// killed can be started again.
+    pub fn with_job_log(executors: &[&TcpListener], job_log: &Folder, address: Option<SocketAddr>) -> World {
         let discovery = listener();
         let mut settings = settings();
         settings["family_info"]["progress_ns"] = json!(200e6);
         let mut posting = posting(executors, &discovery, settings, json!({"sockets": 1024}));
-        if let Some(at) = at {
-            posting["listen"] = json!(at.to_string());
+        if let Some(address) = address {
+            posting["listen"] = json!(address.to_string());
         }
-        let fronts = format!("[ledger]\nfolder = \"{}\"\n", ledger.0.join("jobs").display());
+        let fronts = format!("[ledger]\nfolder = \"{}\"\n", job_log.0.join("jobs").display());
         World::started(discovery, posting, Rc::new(Folder::new()), 1024, None, Some(&fronts))
     }
 
-    /// Hands in work that outlives the process, and tells the status.
-    pub fn bring_to_last(&self, id: &str, tariff: &str, patience_ms: u64) -> u16 {
+    /// Submits a durable job and returns the HTTP status.
+    pub fn submit_durable(&self, id: &str, tariff: &str, patience_ms: u64) -> u16 {
         let mut client = self.call();
         client.say(&unit(id, tariff, patience_ms).replacen("POST /", "POST /durable/", 1));
         client.hear().status()
     }
 
-    /// What became of it.
-    pub fn lasting_end(&self, id: &str) -> Message {
+    /// Asks for the result of a durable job; the status is 202 as long as there is none.
+    pub fn durable_result(&self, id: &str) -> Message {
         let mut anyone = self.call();
         anyone.say(&format!("GET /durable/{id} HTTP/1.1\r\n\r\n"));
         anyone.hear()
     }
 
-    /// Waits for its end.
-    pub fn lasting_ends(&self, id: &str) -> Message {
+    /// Waits for the result of a durable job.
+    pub fn wait_for_durable_result(&self, id: &str) -> Message {
         let started = Instant::now();
         loop {
-            let message = self.lasting_end(id);
+            let message = self.durable_result(id);
             if message.status() != 202 {
                 return message;
             }
-            assert!(started.elapsed() < FAR_TOO_LONG, "{id} has no end");
+            assert!(started.elapsed() < FAR_TOO_LONG, "{id} has no result");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
--- a/crates/node/tests/stories.rs
+++ b/crates/node/tests/stories.rs
@@ -1,9 +1,9 @@
 //! Short stories of a node on sockets, one for each promise and each failure met.
 
 mod checks;
+mod durable_jobs;
 mod fake;
 mod faktory;
-mod ledger;
 
 use fake::*;
 use grebeusher_migrate::{Shape, counterpart};
