--- a/crates/node/src/coordinator.rs
+++ b/crates/node/src/coordinator.rs
@@ -237,6 +237,7 @@
     started: Option<Instant>,
     /// The start of its process by the list alone.
     listed_start: Option<Instant>,
+    /// The indices of its kind and zone among the coordinator's names.
     kind: usize,
     zone: usize,
     cell: usize,
@@ -290,7 +291,7 @@
 /// names, as each node numbers them on its own.
 #[derive(Serialize, Deserialize)]
 pub struct LearnedEstimates {
-    /// The same as [`LearnedState::sizes`], in seconds.
+    /// The entries of [`LearnedState::sizes`], in seconds.
     sizes: Vec<(f32, f32)>,
     /// The name of each kind, and the fields of its [`LearnedKind`] in their order.
     kinds: Vec<(String, (f32, f32, f32))>,
@@ -409,8 +410,9 @@
         }
     }
 
-    /// How many attempts are open or may still be running at each executor, by the hash of its name. An attempt whose
-    /// outcome is unknown counts for `longest`, the longest time that a request may run.
+    /// How many attempts are open or may still be running at each executor, by the hash of its name. An attempt
+    /// that may still be running counts until `longest`, the longest time that a request may run, has passed since it
+    /// ended here.
     pub fn outstanding_by_executor(&mut self, longest: Duration) -> BTreeMap<u64, u16> {
         // 10 minutes: few requests run longer than that after their attempt has ended here.
         const MIN_RETENTION: Duration = Duration::from_millis(600_000);
@@ -1017,8 +1019,8 @@
         }
     }
 
-    /// An executor refused a connection: its process is down, and will be cold when it is back. The peers are told long
-    /// before the list says so. Guards against overload of the executor by all nodes that do not know yet.
+    /// An executor refused a connection: its process is down, and will be in slow start when it is back. Tells the
+    /// peers, long before the list says so. Guards against overload of the executor by all nodes that do not know yet.
     pub fn executor_down(&mut self, executor: ExecutorId) {
         let now = self.host.clock.now();
         self.observe_executor(now, executor, true);
--- a/crates/node/src/state/clock.rs
+++ b/crates/node/src/state/clock.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Milliseconds ahead, and the rate.
+/// Parses the value of [`OFFSET_VARIABLE`] into the milliseconds ahead and the rate.
 fn parse_offset(offset: &str) -> Result<(i64, f64), String> {
     const DAY_MS: i64 = 86_400_000;
     let (ahead_ms, rate) = offset.split_once(' ').unwrap_or((offset, "1"));
--- a/crates/node/src/state/executor_list.rs
+++ b/crates/node/src/state/executor_list.rs
@@ -18,6 +18,7 @@
     instances: Vec<Value>,
 }
 
+/// One executor in the list.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ListEntry {
@@ -30,7 +31,7 @@
     pub machine_type: String,
     pub cell: Option<f64>,
     pub weight: Option<f64>,
-    /// Milliseconds since the Unix epoch.
+    /// When the executor's process started, in milliseconds since the Unix epoch.
     pub started_at_ms: Option<f64>,
 }
 
--- a/crates/node/src/state/job_log.rs
+++ b/crates/node/src/state/job_log.rs
@@ -26,7 +26,7 @@
 
 struct JobLogState {
     log: Log,
-    /// By the ID of the job.
+    /// The unresolved jobs by their IDs.
     unresolved: HashMap<String, UnresolvedJob>,
     /// The IDs of unresolved jobs, at the times at which they may time out.
     timeouts: Alarms<String>,
@@ -42,19 +42,21 @@
     state: RefCell<JobLogState>,
 }
 
-/// What the log says about a job ID.
+/// What the log says about the job with some ID.
 pub enum JobStatus {
     Unknown,
+    /// The job was accepted and has no final answer yet.
     Open,
+    /// The job has its final answer: an HTTP status and a result.
     Answered(Answer),
 }
 
-/// Milliseconds since the Unix epoch.
+/// Converts a time of the node's clock to milliseconds since the Unix epoch.
 pub fn unix_ms(at: Instant) -> u64 {
     at.0 / 1_000_000
 }
 
-/// The inverse of [`unix_ms`].
+/// Converts milliseconds since the Unix epoch to a time of the node's clock.
 pub fn from_unix_ms(ms: u64) -> Instant {
     Instant(0) + Duration::from_millis(ms)
 }
@@ -66,9 +68,10 @@
         progress_interval: Option<Duration>,
         clock: Clock,
     ) -> io::Result<JobLog> {
-        // In progress intervals, as the dispatcher has it: so many without a report are not due to chance.
+        // The progress timeout in progress intervals, the same as in the dispatcher: that many missing reports are not due to
+        // chance.
         const MAX_SILENT_INTERVALS: f64 = 2.5;
-        /// Where executors report no progress.
+        // The progress timeout where executors report no progress.
         const DEFAULT_PROGRESS_TIMEOUT: Duration = Duration::from_millis(2000);
         let log = Log::open(&settings.folder)?;
         if log.torn > 0 {
--- a/crates/node/src/state/reserved_descriptors.rs
+++ b/crates/node/src/state/reserved_descriptors.rs
@@ -10,7 +10,7 @@
 /// two a request can be served. Its callback can come in on the second, which is free again once the executor has
 /// accepted the request.
 const RESERVED_COUNT: usize = 2;
-/// How long after a release descriptors are reserved again: if the shortage is over by then, others have closed theirs.
+/// How long after a release descriptors are reserved again: a shortage that is over by then has freed other descriptors.
 const REPLENISH_DELAY: Duration = Duration::from_millis(1000);
 
 /// Guards against a node that has no connection to close when its descriptors run out, and accepts nobody from then on.
