--- a/crates/node/src/state/job_log.rs
+++ b/crates/node/src/state/job_log.rs
@@ -156,7 +156,7 @@
                 recovered.push((job, action));
                 continue;
             }
-            let attempt = page.sendings.iter().find(|s| s.open).map_or(0, |s| s.number);
+            let attempt = page.sendings.iter().find(|sent| sent.open).map_or(0, |sent| sent.number);
             let deadline = from_unix_ms(job.ends_ms);
             let timeout = if job.binding { deadline } else { deadline.min(now + self.progress_timeout) };
             timeouts.set(timeout, job.id.clone());
