--- a/crates/batch/src/admission.rs
+++ b/crates/batch/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission by the leader of a partition: the token quota of each route and the memory of the partition, pending jobs
-//! included.
+//! Admission control by the leader of a partition. It enforces the token quota of each route and the memory limit of
+//! the partition. Jobs that are proposed but not applied yet count too.
 
 use std::collections::BTreeMap;
 
@@ -8,56 +8,57 @@
 use crate::runner::{JobOrigin, JobRoute};
 use crate::submission::Submission;
 
-/// What becomes of a submission.
+/// The decision on a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is to be proposed, and counts from now on. The answer is 202 once its entry is applied. After the proposal
-    /// no answer may promise that the job was rejected: its entry may be committed without the leader's knowledge.
+    /// The leader has to propose the job, which counts against the limits from now on. The client gets a 202 once the
+    /// entry is applied. After the proposal no response may say that the job was rejected: its entry may be committed
+    /// without the leader's knowledge.
     Propose,
-    /// The job is committed already: 202 at once.
+    /// The job is committed already: the client gets a 202 at once.
     AlreadyAccepted,
-    /// The same job was proposed and is not applied yet: answered together with that one.
+    /// The same job is proposed and not applied yet: both submissions get their response when it is applied.
     Pending,
-    /// The job exceeds the route's quota of waiting tokens: 429.
+    /// The job would exceed the route's quota of waiting tokens: the client gets a 429.
     QueueFull {
-        /// The tokens that wait on the route.
+        /// The number of tokens that wait on the route.
         waiting: u64,
-        /// The most tokens that may wait on it.
+        /// The maximum number of tokens that may wait on the route.
         limit: u64,
     },
-    /// The partition has no memory for it: 503.
+    /// The job would exceed the partition's memory limit: the client gets a 503.
     OutOfMemory,
 }
 
-/// A job that asks for admission, by its name and size.
+/// The properties of a job that its admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'a> {
-    /// The job.
+    /// The id of the job.
     pub job: &'a JobId,
-    /// The route that it counts on.
+    /// The route whose quota the job counts against.
     pub route: JobRoute<'a>,
-    /// The tokens of all its items.
+    /// The sum of the tokens of all items of the job.
     pub tokens: u64,
-    /// The most tokens that may wait on the route; 0: no limit.
+    /// The maximum number of tokens that may wait on the route; 0 means no limit.
     pub queue_token_limit: u64,
 }
 
-/// The jobs of a partition that are committed.
+/// The committed jobs of a partition.
 pub trait CommittedJobs {
-    /// Whether the job is known.
+    /// Whether the job is committed.
     fn contains(&self, job: &JobId) -> bool;
 
-    /// The route that a job counts on.
+    /// The route whose quota a job counts against.
     fn route_of<'o>(&self, origin: JobOrigin<'o>) -> JobRoute<'o>;
 
-    /// The tokens of the items that are neither listed nor of a job that has ended, of the jobs that count on a route.
+    /// The sum of the tokens of all open items of the jobs that count against the quota of a route.
     fn waiting_tokens(&self, route: &JobRoute<'_>) -> u64;
 
-    /// About the bytes that all jobs take in memory.
+    /// The approximate memory use of all jobs, in bytes.
     fn cost(&self) -> usize;
 }
 
-/// Jobs alone, without a configuration: they count by the names that their routes had when they were submitted.
+/// Without a configuration, jobs count against quotas by the name that their route had when they were submitted.
 impl CommittedJobs for Jobs {
     fn contains(&self, job: &JobId) -> bool {
         self.contains(job)
@@ -76,24 +77,26 @@
     }
 }
 
-/// The jobs that the leader of a partition has proposed and that are not applied yet. Made anew for each term of the
-/// leader, after all entries of earlier terms are applied.
+/// Tracks the jobs that the leader of a partition has proposed and that are not applied yet. Each term of a leader
+/// starts with a new one, after all entries of earlier terms are applied.
 #[derive(Clone, Debug)]
 pub struct AdmissionControl {
-    max_cost: usize,
+    max_memory_bytes: usize,
     pending: BTreeMap<JobId, PendingJob>,
-    /// The sum over the pending jobs.
-    pending_cost: usize,
+    /// The approximate memory use of all pending jobs, in bytes.
+    pending_memory_bytes: usize,
 }
 
-/// A job that is not applied yet, and what its route is found by: the configuration may change meanwhile.
+/// A job that is proposed and not applied yet. It keeps the properties that determine its route, because the
+/// configuration may change in the meantime.
 #[derive(Clone, Debug)]
 struct PendingJob {
     route: String,
     host: String,
     path: String,
     tokens: u64,
-    cost: usize,
+    /// The approximate memory use of the job's items, in bytes.
+    memory_bytes: usize,
 }
 
 impl PendingJob {
@@ -103,12 +106,12 @@
 }
 
 impl AdmissionControl {
-    /// Admission to a partition whose jobs may take about `max_cost` bytes of memory.
-    pub fn new(max_cost: usize) -> AdmissionControl {
-        AdmissionControl { max_cost, pending: BTreeMap::new(), pending_cost: 0 }
+    /// Creates the admission control of a partition whose jobs may use about `max_memory_bytes` bytes of memory.
+    pub fn new(max_memory_bytes: usize) -> AdmissionControl {
+        AdmissionControl { max_memory_bytes, pending: BTreeMap::new(), pending_memory_bytes: 0 }
     }
 
-    /// What would become of a job, regardless of memory. Reserves nothing.
+    /// Decides on a job without regard to memory. Reserves nothing.
     pub fn check(&self, jobs: &impl CommittedJobs, request: &AdmissionRequest<'_>) -> Admission {
         if jobs.contains(request.job) {
             return Admission::AlreadyAccepted;
@@ -124,8 +127,8 @@
         Admission::Propose
     }
 
-    /// Decides on a submission, and reserves quota and memory for one that is to be proposed. `queue_token_limit` is
-    /// the route's; 0: none.
+    /// Decides on a submission, and reserves quota and memory if the result is [`Admission::Propose`].
+    /// `queue_token_limit` is the maximum number of tokens that may wait on the route; 0 means no limit.
     pub fn admit(
         &mut self,
         jobs: &impl CommittedJobs,
@@ -140,9 +143,9 @@
         if admission != Admission::Propose {
             return admission;
         }
-        let cost = submission.items.iter().map(super::submission::ItemSpec::cost).sum();
-        let used = jobs.cost().saturating_add(self.pending_cost);
-        if used.saturating_add(cost) > self.max_cost {
+        let memory_bytes = submission.items.iter().map(super::submission::ItemSpec::memory_bytes).sum();
+        let used = jobs.cost().saturating_add(self.pending_memory_bytes);
+        if used.saturating_add(memory_bytes) > self.max_memory_bytes {
             return Admission::OutOfMemory;
         }
         let JobOrigin { route, host, path } = origin;
@@ -151,36 +154,36 @@
             host: host.to_owned(),
             path: path.to_owned(),
             tokens,
-            cost,
+            memory_bytes,
         };
         self.pending.insert(submission.job.clone(), pending);
-        self.pending_cost = self.pending_cost.saturating_add(cost);
+        self.pending_memory_bytes = self.pending_memory_bytes.saturating_add(memory_bytes);
         Admission::Propose
     }
 
-    /// The tokens that wait on a route, those of pending jobs included.
+    /// The sum of the tokens that wait on a route, including those of pending jobs.
     pub fn waiting_tokens(&self, jobs: &impl CommittedJobs, route: &JobRoute<'_>) -> u64 {
-        let counts = |job: &&PendingJob| jobs.route_of(job.origin()).shares_quota_with(route);
-        let pending = self.pending.values().filter(counts);
+        let is_on_route = |job: &&PendingJob| jobs.route_of(job.origin()).shares_quota_with(route);
+        let pending = self.pending.values().filter(is_on_route);
         pending.fold(jobs.waiting_tokens(route), |sum, job| sum.saturating_add(job.tokens))
     }
 
-    /// Whether the job is proposed and not applied yet.
+    /// Whether the job is proposed but not applied yet.
     pub fn is_pending(&self, job: &JobId) -> bool {
         self.pending.contains_key(job)
     }
 
-    /// Takes note of an applied entry.
+    /// Ends the reservation of a job whose entry was applied.
     pub fn applied(&mut self, applied: &Applied) {
         if let Applied::Submitted { job, .. } = applied {
             self.release(job);
         }
     }
 
-    /// Releases what is reserved for a job whose entry can never be committed, as it was not proposed after all.
+    /// Releases the reservation of a job whose entry can never be committed, because the proposal failed.
     pub fn release(&mut self, job: &JobId) {
         if let Some(pending) = self.pending.remove(job) {
-            self.pending_cost = self.pending_cost.saturating_sub(pending.cost);
+            self.pending_memory_bytes = self.pending_memory_bytes.saturating_sub(pending.memory_bytes);
         }
     }
 }
--- a/crates/batch/src/events.rs
+++ b/crates/batch/src/events.rs
@@ -1,29 +1,31 @@
-//! Parsing a stream of events (`text/event-stream`) that comes in chunks with any boundaries.
+//! Parses a stream of server-sent events (`text/event-stream`) that arrives in chunks with arbitrary boundaries.
 
 use snafu::{OptionExt, Snafu, ensure};
 
-/// The largest event, all its lines together, and so about the most that a reader holds.
+/// The maximum size of an event in bytes, including ignored lines. It also bounds the memory use of a reader.
 pub const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// A line buffer up to this capacity is reused for the next line. Streams are many, so larger ones are freed.
-const MAX_SPARE_LINE_BYTES: usize = 4 << 10;
+/// A line buffer is reused for the next line up to this capacity, in bytes. Larger buffers are freed, because a node
+/// reads many streams at a time.
+const MAX_REUSED_LINE_BYTES: usize = 4 << 10;
 
 /// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// The number in its `id` line.
+    /// The number in the `id` line of the event.
     pub id: u64,
-    /// Its data, several lines of which are joined by line feeds.
+    /// The values of the `data` lines of the event, joined by line feeds.
     pub data: String,
 }
 
-/// Why a stream can't be read further. The run counts as broken.
+/// Why a stream can't be read any further. The run of the item then ends with
+/// [`RunOutcome::Broken`](crate::RunOutcome::Broken).
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum EventError {
     /// An event exceeds [`MAX_EVENT_BYTES`].
     #[snafu(display("an event is larger than {MAX_EVENT_BYTES} bytes"))]
     TooLarge,
-    /// An event has data but no id, or its id is not a number.
+    /// An event has data but no id, or an id that is not a number.
     #[snafu(display("an event has no id that is a number"))]
     NoId,
     /// The data of an event is not UTF-8.
@@ -37,17 +39,21 @@
     Failed,
 }
 
-/// Splits a stream into events. Lines end with LF or CRLF, events with an empty line. Lines other than `id` and
-/// `data` (comments, `event`, an engine's description of its weights) are ignored.
+/// Splits a stream into events. A line ends with LF or CRLF, an event with an empty line. Lines other than `id` and
+/// `data` are ignored: comments, `event`, and the versions of its model weights that an inference engine sends.
 #[derive(Debug, Default)]
 pub struct EventReader {
-    /// The line that has begun.
+    /// The incomplete line at the end of the bytes that were pushed.
     line: Vec<u8>,
-    /// Bytes of the event that has begun, ignored lines included.
+    /// The size of the incomplete event in bytes, including ignored lines.
     event_bytes: usize,
-    started: bool,
+    /// Whether the first line of the stream is complete. Only that line may start with a byte order mark.
+    first_line_read: bool,
+    /// The `id` of the incomplete event.
     id: IdField,
+    /// The `data` of the incomplete event; `None` if it has no `data` line so far.
     data: Option<Vec<u8>>,
+    /// Whether an earlier call failed.
     failed: bool,
 }
 
@@ -56,7 +62,7 @@
     #[default]
     Missing,
     Number(u64),
-    Unreadable,
+    NotANumber,
 }
 
 impl EventReader {
@@ -65,35 +71,37 @@
         EventReader::default()
     }
 
-    /// Takes the next bytes of the stream and hands each event that they complete to `take`, in order.
+    /// Parses the next bytes of the stream and calls `on_event` for each event that they complete, in order.
     ///
     /// # Errors
-    /// When the stream can't be read on; events before the fault have been handed over. Later calls fail too.
-    pub fn push(&mut self, mut bytes: &[u8], mut take: impl FnMut(Event)) -> Result<(), EventError> {
+    /// Fails if the stream is invalid, after calling `on_event` for the events before the error. All later calls fail
+    /// too.
+    pub fn push(&mut self, mut bytes: &[u8], mut on_event: impl FnMut(Event)) -> Result<(), EventError> {
         ensure!(!self.failed, FailedSnafu);
         while !bytes.is_empty() {
-            let result = self.step(&mut bytes);
+            let result = self.read_line(&mut bytes);
             self.failed = result.is_err();
             if let Some(event) = result? {
-                take(event);
+                on_event(event);
             }
         }
         Ok(())
     }
 
-    /// Checks that the stream may end here: no event is incomplete.
+    /// Checks that the stream does not end inside an event.
     ///
     /// # Errors
-    /// When an event has begun, or the stream was unreadable before.
+    /// Fails if an event is incomplete, or if an earlier call failed.
     pub fn finish(&self) -> Result<(), EventError> {
         ensure!(!self.failed, FailedSnafu);
-        let has_begun = !self.line.is_empty() || self.data.is_some() || self.id != IdField::Missing;
-        ensure!(!has_begun, UnfinishedSnafu);
+        let is_inside_event = !self.line.is_empty() || self.data.is_some() || self.id != IdField::Missing;
+        ensure!(!is_inside_event, UnfinishedSnafu);
         Ok(())
     }
 
-    /// Consumes the rest of the line, or all of the bytes.
-    fn step(&mut self, bytes: &mut &[u8]) -> Result<Option<Event>, EventError> {
+    /// Consumes `bytes` up to the next line end, or all of them if there is none. Returns the event that this
+    /// completes.
+    fn read_line(&mut self, bytes: &mut &[u8]) -> Result<Option<Event>, EventError> {
         let end = bytes.iter().position(|&byte| byte == b'\n');
         let (chunk, rest) = match end {
             Some(end) => (&bytes[..end], &bytes[end + 1..]),
@@ -107,27 +115,27 @@
             return Ok(None);
         }
         if self.line.is_empty() {
-            return self.take_line(chunk);
+            return self.parse_line(chunk);
         }
         let mut line = std::mem::take(&mut self.line);
         line.extend_from_slice(chunk);
-        let event = self.take_line(&line);
-        if line.capacity() <= MAX_SPARE_LINE_BYTES {
+        let event = self.parse_line(&line);
+        if line.capacity() <= MAX_REUSED_LINE_BYTES {
             line.clear();
             self.line = line;
         }
         event
     }
 
-    fn take_line(&mut self, line: &[u8]) -> Result<Option<Event>, EventError> {
+    fn parse_line(&mut self, line: &[u8]) -> Result<Option<Event>, EventError> {
         let mut line = line.strip_suffix(b"\r").unwrap_or(line);
-        if !std::mem::replace(&mut self.started, true) {
+        if !std::mem::replace(&mut self.first_line_read, true) {
             line = line.strip_prefix("\u{feff}".as_bytes()).unwrap_or(line);
         }
         if line.is_empty() {
-            return self.end_event();
+            return self.finish_event();
         }
-        if let Some(value) = field(line, b"data") {
+        if let Some(value) = field_value(line, b"data") {
             match &mut self.data {
                 Some(data) => {
                     data.push(b'\n');
@@ -135,21 +143,22 @@
                 }
                 None => self.data = Some(value.to_vec()),
             }
-        } else if let Some(value) = field(line, b"id") {
+        } else if let Some(value) = field_value(line, b"id") {
             let number = std::str::from_utf8(value).ok().and_then(|text| text.trim().parse().ok());
-            self.id = number.map_or(IdField::Unreadable, IdField::Number);
+            self.id = number.map_or(IdField::NotANumber, IdField::Number);
         }
         Ok(None)
     }
 
-    /// An empty line. An event with an id but no data counts as one of empty data; lines of neither are none.
-    fn end_event(&mut self) -> Result<Option<Event>, EventError> {
+    /// Ends the event at an empty line. Without an `id` and a `data` line there is no event. An event that has only an
+    /// id has empty data.
+    fn finish_event(&mut self) -> Result<Option<Event>, EventError> {
         self.event_bytes = 0;
         let (id, data) = (std::mem::take(&mut self.id), self.data.take());
         let id = match (id, &data) {
             (IdField::Missing, None) => return Ok(None),
             (IdField::Number(id), _) => Some(id),
-            (IdField::Missing | IdField::Unreadable, _) => None,
+            (IdField::Missing | IdField::NotANumber, _) => None,
         };
         let id = id.context(NoIdSnafu)?;
         let data = String::from_utf8(data.unwrap_or_default()).ok().context(NotTextSnafu)?;
@@ -157,8 +166,8 @@
     }
 }
 
-/// The value of a line, if it is one of this field: what follows the colon, less one blank.
-fn field<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
+/// The value of a line if it belongs to the field `name`: the bytes after the colon, without one leading space.
+fn field_value<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let rest = line.strip_prefix(name)?;
     if rest.is_empty() {
         return Some(rest);
--- a/crates/batch/src/jobs.rs
+++ b/crates/batch/src/jobs.rs
@@ -1,7 +1,11 @@
-//! The batch jobs of one partition: a state machine to which every replica applies the same committed entries, and so
-//! comes to the same state. It reads no clock.
+//! The batch jobs of one partition, as a replicated state machine. Every replica applies the same committed entries and
+//! so reaches the same state. The state machine reads no clock.
 //!
-//! `entry` and `snapshot` have the stored bytes, which must not change; `result_page` has the bytes that readers see.
+//! An item is open until its result is committed or its job has ended. The result of an item then has a position in the
+//! `result_list` of its job, which never changes; such an item is listed.
+//!
+//! `entry` and `snapshot` define the stored bytes, which must not change. `result_page` defines the JSON that clients
+//! read.
 
 mod entry;
 mod job;
@@ -23,35 +27,35 @@
 /// What an applied entry changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The job is accepted. Answered 202 either way.
+    /// The job is accepted. The client gets a 202, whether an earlier entry accepted the job or not.
     Submitted {
-        /// The job.
+        /// The id of the job.
         job: JobId,
-        /// Whether it was accepted by an earlier entry.
+        /// Whether an earlier entry had accepted the job.
         already: bool,
     },
-    /// These items got positions in the results. Results of items that had one, or of jobs that have ended, are not
-    /// among them.
+    /// The results of these items were added. Results of items that had one, and of jobs that have ended, were ignored
+    /// and are not included.
     Listed(Vec<(JobId, ItemIndex)>),
     /// The client ended its job.
     Ended {
-        /// The job.
+        /// The id of the job.
         job: JobId,
-        /// What the entry met.
+        /// The effect of the entry.
         outcome: EndOutcome,
     },
-    /// So many items progressed.
+    /// The number of items whose progress advanced.
     Progressed(usize),
-    /// These jobs are no longer known.
+    /// These jobs were removed.
     Forgotten(Vec<JobId>),
 }
 
-/// What the end of a job met.
+/// The effect of an entry that ends a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndOutcome {
-    /// The job had not ended before; answered 200.
+    /// The job ended. The client gets a 200.
     Ended,
-    /// The job had ended before; answered 200.
+    /// The job had ended before. The client gets a 200.
     AlreadyEnded,
     /// There is no such job.
     UnknownJob,
@@ -60,11 +64,11 @@
 /// The progress of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobStatus {
-    /// Its items.
+    /// The number of items of the job.
     pub total: usize,
-    /// Those that have positions in the results.
+    /// The number of items whose result is committed.
     pub listed: usize,
-    /// Whether its client ended it.
+    /// Whether the client has ended the job.
     pub has_ended: bool,
 }
 
@@ -72,12 +76,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Jobs {
     jobs: BTreeMap<JobId, Job>,
-    /// About the bytes that all jobs take in memory.
-    cost: usize,
+    /// The approximate memory use of all jobs, in bytes.
+    memory_bytes: usize,
 }
 
 impl Jobs {
-    /// No jobs yet.
+    /// Creates a state without jobs.
     pub fn new() -> Jobs {
         Jobs::default()
     }
@@ -86,7 +90,7 @@
     pub fn apply(&mut self, entry: Entry) -> Applied {
         match entry {
             Entry::Submit { submission, settings } => self.submit(submission, settings),
-            Entry::Results(batches) => self.list(batches),
+            Entry::Results(results) => self.add_results(results),
             Entry::Progress(items) => Applied::Progressed(self.advance(items)),
             Entry::Ended { job } => self.end(job),
             Entry::Forget { jobs } => self.forget(jobs),
@@ -99,18 +103,18 @@
             return Applied::Submitted { job: id, already: true };
         }
         let job = Job::new(submission, settings);
-        self.cost = self.cost.saturating_add(job.cost());
+        self.memory_bytes = self.memory_bytes.saturating_add(job.memory_bytes());
         self.jobs.insert(id.clone(), job);
         Applied::Submitted { job: id, already: false }
     }
 
-    fn list(&mut self, batches: Vec<JobResults>) -> Applied {
+    fn add_results(&mut self, results_by_job: Vec<JobResults>) -> Applied {
         let mut listed = Vec::new();
-        for JobResults { job: id, results } in batches {
+        for JobResults { job: id, results } in results_by_job {
             self.change(&id, |job| {
                 for result in results {
                     let item = result.item;
-                    if job.list(result) {
+                    if job.add_result(result) {
                         listed.push((id.clone(), item));
                     }
                 }
@@ -137,7 +141,7 @@
         Applied::Ended { job: id, outcome }
     }
 
-    /// Open jobs stay, whatever the entry says: their results may still be asked for.
+    /// Removes jobs, except open ones, whose results a client may still request.
     fn forget(&mut self, ids: Vec<JobId>) -> Applied {
         let mut forgotten = Vec::new();
         for id in ids {
@@ -145,29 +149,29 @@
                 continue;
             }
             if let Some(job) = self.jobs.remove(&id) {
-                self.cost = self.cost.saturating_sub(job.cost());
+                self.memory_bytes = self.memory_bytes.saturating_sub(job.memory_bytes());
                 forgotten.push(id);
             }
         }
         Applied::Forgotten(forgotten)
     }
 
-    /// Changes a job and keeps the sum of costs right.
+    /// Changes a job and updates the memory use of all jobs.
     fn change<T>(&mut self, id: &JobId, change: impl FnOnce(&mut Job) -> T) -> Option<T> {
         let job = self.jobs.get_mut(id)?;
-        let cost = job.cost();
+        let bytes_before = job.memory_bytes();
         let result = change(job);
-        self.cost = self.cost.saturating_sub(cost).saturating_add(job.cost());
+        self.memory_bytes = self.memory_bytes.saturating_sub(bytes_before).saturating_add(job.memory_bytes());
         Some(result)
     }
 
-    /// The results of a job from position `resume_after` on, as many as fit a response of `max_bytes`, and at least one
-    /// if there is one. `None` if there is no such job.
+    /// The results of a job from position `resume_after` on, as many as fit a response of `max_bytes`, but at least one
+    /// if there are any. `None` if there is no such job.
     pub fn read(&self, job: &JobId, resume_after: usize, max_bytes: usize) -> Option<Page<'_>> {
         self.jobs.get(job).map(|job| job.page(resume_after, max_bytes))
     }
 
-    /// The decoded body of an item that is not listed, of a job that has not ended.
+    /// The decoded body of an open item. `None` if the job has no open item of this id.
     pub fn item_body(&self, job: &JobId, item_id: &str) -> Option<&[u8]> {
         self.jobs.get(job)?.item_body(item_id)
     }
@@ -177,36 +181,35 @@
         self.jobs.get(job).map(Job::status)
     }
 
-    /// Whether the job is known.
+    /// Whether there is such a job.
     pub fn contains(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job)
     }
 
-    /// Whether results may still be listed: the job has not ended and items are not listed.
+    /// Whether the job is open: it has not ended and has open items, so that results may still be added.
     pub fn is_open(&self, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(Job::is_open)
     }
 
-    /// Whether the job was ended by its client.
+    /// Whether the client has ended the job.
     pub fn has_ended(&self, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(Job::has_ended)
     }
 
-    /// The tokens of the items that are neither listed nor of a job that has ended, of the jobs whose route had this
-    /// name when they were submitted.
+    /// The sum of the tokens of all open items of the jobs whose route had this name when they were submitted.
     pub fn waiting_tokens(&self, route: &str) -> u64 {
         let jobs = self.jobs.values().filter(|job| job.route() == route);
         jobs.map(Job::waiting_tokens).fold(0, u64::saturating_add)
     }
 
-    /// About the bytes that all jobs take in memory.
+    /// The approximate memory use of all jobs, in bytes.
     pub fn cost(&self) -> usize {
-        self.cost
+        self.memory_bytes
     }
 
-    /// About the bytes that a job takes in memory.
+    /// The approximate memory use of a job, in bytes. `None` if there is no such job.
     pub fn job_cost(&self, job: &JobId) -> Option<usize> {
-        self.jobs.get(job).map(Job::cost)
+        self.jobs.get(job).map(Job::memory_bytes)
     }
 
     /// The number of jobs.
@@ -219,7 +222,7 @@
         self.jobs.is_empty()
     }
 
-    /// The names of all jobs, in their order.
+    /// The ids of all jobs in ascending order.
     pub fn names(&self) -> impl Iterator<Item = &JobId> {
         self.jobs.keys()
     }
--- a/crates/batch/src/jobs/entry.rs
+++ b/crates/batch/src/jobs/entry.rs
@@ -1,35 +1,35 @@
-//! The entries of a partition's log, and their stored bytes.
+//! The log entries of a partition, and their encoding on disk.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
 use crate::codec::{
-    DecodeShared, malformed, put_bytes, put_list, put_number, put_optional_number, take_byte, take_list,
-    take_number, take_optional_number, take_shared_list, take_shared_text, take_small, take_text,
+    DecodeShared, malformed, put_bytes, put_list, put_optional_varint, put_varint, take_byte, take_list,
+    take_optional_varint, take_shared_list, take_shared_text, take_text, take_varint, take_varint_as,
 };
 use crate::names::{ItemIndex, JobId};
 use crate::shared_bytes::{SharedBytes, SharedText};
 use crate::submission::{MAX_ITEMS, Submission};
 
-/// The most jobs in one entry.
+/// The maximum number of jobs, or of progress reports, in one entry.
 pub(crate) const MAX_JOBS_IN_ENTRY: usize = 4096;
 
-/// What the route's configuration said when the job was accepted.
+/// The settings of the job's route at the time when the job was accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobSettings {
-    /// By the wall clock of the leader that accepted the job, in ms since 1970. A hint to its successors for the order
-    /// of jobs. Nothing is given up by it, as wall clocks jump.
+    /// The wall clock time at which the leader accepted the job, in milliseconds since 1970. Later leaders use it only
+    /// as a hint for the order of jobs. It never decides whether an item is given up, because wall clocks jump.
     pub accepted_at_wall_ms: u64,
-    /// How long the job had been in the tier when it was accepted, in ms.
+    /// How long the submission had been in the tier when the job was accepted, in milliseconds.
     pub age_at_acceptance_ms: u64,
-    /// How long after the first send every result is due, in ms.
+    /// The time after the first submission at which all results are due, in milliseconds.
     pub completion_target_ms: u64,
-    /// How long after the first send an item may be given up, in ms.
+    /// The time after the first submission from which items may be given up, in milliseconds; 0 means never.
     pub retention_ms: u64,
-    /// The responses of 500 after which an item may be given up; 0 counts as 1.
+    /// The number of 500 responses after which an item may be given up; 0 counts as 1.
     pub max_attempts: u32,
-    /// The most tokens that may wait on the route; 0: no limit.
+    /// The maximum number of tokens that may wait on the route; 0 means no limit.
     pub queue_token_limit: u64,
-    /// How soon the 202 was due, in ms.
+    /// The target latency of the 202 response to the submission, in milliseconds.
     pub target_latency_ms: u64,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl ResultState {
-    /// The state as readers get it.
+    /// The state as it is written in result pages.
     pub fn as_str(self) -> &'static str {
         match self {
             ResultState::Complete => "complete",
@@ -55,74 +55,75 @@
 /// The result of one item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemResult {
-    /// The item.
+    /// The index of the item in its job.
     pub item: ItemIndex,
-    /// How it ended.
+    /// How the item ended.
     pub state: ResultState,
-    /// The data of all events in order, joined by line feeds.
+    /// The data of all events of the item in order, joined by line feeds.
     pub text: SharedText,
 }
 
-/// Results of items of one job, in the order of their positions.
+/// Results of items of one job, in the order in which they get their positions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobResults {
-    /// The job.
+    /// The id of the job.
     pub job: JobId,
-    /// The results.
+    /// The results of items of the job.
     pub results: Vec<ItemResult>,
 }
 
-/// Events that continue an item's text.
+/// Consecutive events that extend the text of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventChunk {
-    /// The event that the chunk follows; `None`: the chunk begins the text.
+    /// The id of the event before the chunk; `None` if the chunk starts the text.
     pub after: Option<u64>,
-    /// The last event in the chunk.
+    /// The id of the last event in the chunk.
     pub last: u64,
     /// The data of the events after `after` up to `last`, joined by line feeds.
     pub text: String,
 }
 
-/// The progress of an item that is not listed.
+/// The progress of an open item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemProgress {
-    /// The job of the item.
+    /// The id of the item's job.
     pub job: JobId,
-    /// The item.
+    /// The index of the item in its job.
     pub item: ItemIndex,
-    /// All responses of 500 so far.
+    /// The number of 500 responses to the item so far.
     pub failed_attempts: u32,
-    /// Events since those that are committed.
+    /// The events after the committed ones; `None` if only `failed_attempts` changed.
     pub events: Option<EventChunk>,
 }
 
-/// A step of the partition's state, applied once it is committed.
+/// A change of the partition's state, which replicas apply once it is committed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Entry {
     /// A job is accepted.
     Submit {
         /// The job with its items.
         submission: Submission,
-        /// What its route's configuration said.
+        /// The settings of the job's route.
         settings: JobSettings,
     },
-    /// Items have ended. One entry has all that did in one turn of the leader's loop.
+    /// Results of items. One entry contains the results of all items that finished in one iteration of the leader's
+    /// event loop, as far as they fit.
     Results(Vec<JobResults>),
-    /// Items have progressed, so that a later leader need not run them from the start.
+    /// Progress of items, so that a later leader need not run them from the start.
     Progress(Vec<ItemProgress>),
     /// The client ended its job.
     Ended {
-        /// The job.
+        /// The id of the job.
         job: JobId,
     },
-    /// Jobs that nobody may ask for any longer.
+    /// Removes jobs whose results are no longer served.
     Forget {
-        /// The jobs.
+        /// The ids of the jobs.
         jobs: Vec<JobId>,
     },
 }
 
-// The first byte of an entry.
+// The values of the first byte of an entry, which tells its kind.
 const SUBMIT: u8 = 1;
 const RESULTS: u8 = 2;
 const PROGRESS: u8 = 3;
@@ -137,9 +138,9 @@
                 submission.ser_bin(out);
                 settings.ser_bin(out);
             }
-            Entry::Results(batches) => {
+            Entry::Results(results) => {
                 out.push(RESULTS);
-                put_list(out, batches);
+                put_list(out, results);
             }
             Entry::Progress(items) => {
                 out.push(PROGRESS);
@@ -158,26 +159,26 @@
 }
 
 impl Entry {
-    /// Reads an entry from the bytes in the log. Bodies and texts are not copied: they refer to these bytes.
+    /// Decodes an entry from the bytes in the log. Bodies and texts are not copied, but refer to these bytes.
     ///
     /// # Errors
-    /// The bytes do not begin with an entry.
+    /// Fails if the bytes do not begin with an entry.
     pub fn from_shared(bytes: &SharedBytes) -> Result<Entry, DeBinErr> {
-        Entry::take(&mut 0, bytes)
+        Entry::decode(&mut 0, bytes)
     }
 }
 
 impl DeBin for Entry {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Entry, DeBinErr> {
-        Entry::take_copied(offset, bytes)
+        Entry::decode_copied(offset, bytes)
     }
 }
 
 impl DecodeShared for Entry {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Entry, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<Entry, DeBinErr> {
         match take_byte(offset, bytes)? {
             SUBMIT => Ok(Entry::Submit {
-                submission: Submission::take(offset, bytes)?,
+                submission: Submission::decode(offset, bytes)?,
                 settings: JobSettings::de_bin(offset, bytes)?,
             }),
             RESULTS => take_shared_list(offset, bytes, MAX_JOBS_IN_ENTRY).map(Entry::Results),
@@ -191,26 +192,26 @@
 
 impl SerBin for JobSettings {
     fn ser_bin(&self, out: &mut Vec<u8>) {
-        put_number(out, self.accepted_at_wall_ms);
-        put_number(out, self.age_at_acceptance_ms);
-        put_number(out, self.completion_target_ms);
-        put_number(out, self.retention_ms);
-        put_number(out, u64::from(self.max_attempts));
-        put_number(out, self.queue_token_limit);
-        put_number(out, self.target_latency_ms);
+        put_varint(out, self.accepted_at_wall_ms);
+        put_varint(out, self.age_at_acceptance_ms);
+        put_varint(out, self.completion_target_ms);
+        put_varint(out, self.retention_ms);
+        put_varint(out, u64::from(self.max_attempts));
+        put_varint(out, self.queue_token_limit);
+        put_varint(out, self.target_latency_ms);
     }
 }
 
 impl DeBin for JobSettings {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<JobSettings, DeBinErr> {
         Ok(JobSettings {
-            accepted_at_wall_ms: take_number(offset, bytes)?,
-            age_at_acceptance_ms: take_number(offset, bytes)?,
-            completion_target_ms: take_number(offset, bytes)?,
-            retention_ms: take_number(offset, bytes)?,
-            max_attempts: take_small(offset, bytes)?,
-            queue_token_limit: take_number(offset, bytes)?,
-            target_latency_ms: take_number(offset, bytes)?,
+            accepted_at_wall_ms: take_varint(offset, bytes)?,
+            age_at_acceptance_ms: take_varint(offset, bytes)?,
+            completion_target_ms: take_varint(offset, bytes)?,
+            retention_ms: take_varint(offset, bytes)?,
+            max_attempts: take_varint_as(offset, bytes)?,
+            queue_token_limit: take_varint(offset, bytes)?,
+            target_latency_ms: take_varint(offset, bytes)?,
         })
     }
 }
@@ -243,7 +244,7 @@
 }
 
 impl DecodeShared for ItemResult {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<ItemResult, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<ItemResult, DeBinErr> {
         Ok(ItemResult {
             item: ItemIndex::de_bin(offset, bytes)?,
             state: ResultState::de_bin(offset, bytes)?,
@@ -260,7 +261,7 @@
 }
 
 impl DecodeShared for JobResults {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<JobResults, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<JobResults, DeBinErr> {
         let job = JobId::de_bin(offset, bytes)?;
         Ok(JobResults { job, results: take_shared_list(offset, bytes, MAX_ITEMS)? })
     }
@@ -268,8 +269,8 @@
 
 impl SerBin for EventChunk {
     fn ser_bin(&self, out: &mut Vec<u8>) {
-        put_optional_number(out, self.after);
-        put_number(out, self.last);
+        put_optional_varint(out, self.after);
+        put_varint(out, self.last);
         put_bytes(out, self.text.as_bytes());
     }
 }
@@ -277,8 +278,8 @@
 impl DeBin for EventChunk {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<EventChunk, DeBinErr> {
         Ok(EventChunk {
-            after: take_optional_number(offset, bytes)?,
-            last: take_number(offset, bytes)?,
+            after: take_optional_varint(offset, bytes)?,
+            last: take_varint(offset, bytes)?,
             text: take_text(offset, bytes)?.to_owned(),
         })
     }
@@ -288,7 +289,7 @@
     fn ser_bin(&self, out: &mut Vec<u8>) {
         self.job.ser_bin(out);
         self.item.ser_bin(out);
-        put_number(out, u64::from(self.failed_attempts));
+        put_varint(out, u64::from(self.failed_attempts));
         self.events.ser_bin(out);
     }
 }
@@ -298,7 +299,7 @@
         Ok(ItemProgress {
             job: JobId::de_bin(offset, bytes)?,
             item: ItemIndex::de_bin(offset, bytes)?,
-            failed_attempts: take_small(offset, bytes)?,
+            failed_attempts: take_varint_as(offset, bytes)?,
             events: DeBin::de_bin(offset, bytes)?,
         })
     }
--- a/crates/batch/src/jobs/job.rs
+++ b/crates/batch/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! One batch job: its items until their results are listed, its results from then on.
+//! The committed state of one batch job: its open items and its results.
 
 use super::JobStatus;
 use super::entry::{EventChunk, ItemProgress, ItemResult, JobSettings};
@@ -9,20 +9,20 @@
 /// The committed progress of an item.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// The last event in `text`; `None`: no text yet.
+    /// The id of the last event in `text`; `None` if there is no text yet.
     pub last_event: Option<u64>,
-    /// The data of the events so far, joined by line feeds.
+    /// The data of the committed events, joined by line feeds.
     pub text: String,
-    /// Responses of 500.
+    /// The number of 500 responses to the item.
     pub failed_attempts: u32,
 }
 
-/// An item that is not listed, of a job that has not ended.
+/// An open item: its result is not committed, and its job has not ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenItem {
     /// The item as it was submitted.
     pub spec: ItemSpec,
-    /// Its committed progress.
+    /// The committed progress of the item.
     pub progress: Progress,
 }
 
@@ -32,97 +32,120 @@
     pub(super) service: String,
     pub(super) host: String,
     pub(super) settings: JobSettings,
-    /// By item index; `None` once listed, or dropped at the end of the job.
-    pub(super) open: Vec<Option<Box<OpenItem>>>,
-    /// By position.
-    pub(super) listed: Vec<ListedResult>,
+    /// The open items by item index. An item is `None` once its result is committed or the job has ended.
+    pub(super) open_items: Vec<Option<Box<OpenItem>>>,
+    /// The committed results by position.
+    pub(super) results: Vec<ListedResult>,
+    /// Whether the client has ended the job.
     pub(super) ended: bool,
-    /// The tokens of the open items.
+    /// The sum of the tokens of the open items.
     waiting_tokens: u64,
-    /// About the bytes that the job takes in memory.
-    cost: usize,
+    /// The approximate memory use of the job, in bytes.
+    memory_bytes: usize,
 }
 
-/// What is known of a job when it is read from a snapshot.
+/// The fields of a job from which the others can be computed. A snapshot contains only these.
 pub(super) struct JobParts {
     pub route: String,
     pub service: String,
     pub host: String,
     pub settings: JobSettings,
-    pub open: Vec<Option<Box<OpenItem>>>,
-    pub listed: Vec<ListedResult>,
+    pub open_items: Vec<Option<Box<OpenItem>>>,
+    pub results: Vec<ListedResult>,
     pub ended: bool,
 }
 
 impl Job {
     pub(super) fn new(submission: Submission, settings: JobSettings) -> Job {
         let Submission { route, service, host, items, job: _ } = submission;
-        let open = items
+        let open_items = items
             .into_iter()
             .map(|spec| Some(Box::new(OpenItem { spec, progress: Progress::default() })))
             .collect();
-        Job::from_parts(JobParts { route, service, host, settings, open, listed: Vec::new(), ended: false })
+        Job::from_parts(JobParts {
+            route,
+            service,
+            host,
+            settings,
+            open_items,
+            results: Vec::new(),
+            ended: false,
+        })
     }
 
     pub(super) fn from_parts(parts: JobParts) -> Job {
-        let JobParts { route, service, host, settings, open, listed, ended } = parts;
-        let mut job = Job { route, service, host, settings, open, listed, ended, waiting_tokens: 0, cost: 0 };
+        let JobParts { route, service, host, settings, open_items, results, ended } = parts;
+        let mut job = Job {
+            route,
+            service,
+            host,
+            settings,
+            open_items,
+            results,
+            ended,
+            waiting_tokens: 0,
+            memory_bytes: 0,
+        };
         job.waiting_tokens =
             job.open_items().fold(0, |sum, (_, item)| sum.saturating_add(item.spec.token_count));
-        job.cost = job.counted_cost();
+        job.memory_bytes = job.compute_memory_bytes();
         job
     }
 
-    fn counted_cost(&self) -> usize {
-        let names = self.route.len() + self.service.len() + self.host.len();
-        let open: usize = self.open_items().map(|(_, item)| item.cost()).sum();
-        let listed: usize = self.listed.iter().map(ListedResult::cost).sum();
-        size_of::<Job>() + names + self.open.len() * size_of::<Option<Box<OpenItem>>>() + open + listed
+    fn compute_memory_bytes(&self) -> usize {
+        let name_bytes = self.route.len() + self.service.len() + self.host.len();
+        let open_bytes: usize = self.open_items().map(|(_, item)| item.memory_bytes()).sum();
+        let result_bytes: usize = self.results.iter().map(ListedResult::memory_bytes).sum();
+        let slot_bytes = self.open_items.len() * size_of::<Option<Box<OpenItem>>>();
+        size_of::<Job>() + name_bytes + slot_bytes + open_bytes + result_bytes
     }
 
-    /// Gives the item the next position, unless it has one or the job has ended.
-    pub(super) fn list(&mut self, result: ItemResult) -> bool {
-        let Some(item) = self.open.get_mut(result.item.as_usize()).and_then(Option::take) else {
+    /// Adds the result of an item at the next position, unless the item has a result or the job has ended. Returns
+    /// whether the result was added.
+    pub(super) fn add_result(&mut self, result: ItemResult) -> bool {
+        let Some(item) = self.open_items.get_mut(result.item.as_usize()).and_then(Option::take) else {
             return false;
         };
-        self.drop_open(&item);
-        let listing = ListedResult::new(item.spec.id, result.state, result.text);
-        self.cost += listing.cost();
-        self.listed.push(listing);
+        self.subtract_item(&item);
+        let result = ListedResult::new(item.spec.id, result.state, result.text);
+        self.memory_bytes += result.memory_bytes();
+        self.results.push(result);
         true
     }
 
-    /// Merges newer progress: a higher count, events that follow the last. Whether anything was newer.
+    /// Merges progress that is newer: a higher count of failed attempts, and events that follow the last one. Returns
+    /// whether anything was newer.
     pub(super) fn advance(&mut self, progress: ItemProgress) -> bool {
-        let Some(item) = self.open.get_mut(progress.item.as_usize()).and_then(Option::as_mut) else {
+        let Some(item) = self.open_items.get_mut(progress.item.as_usize()).and_then(Option::as_mut) else {
             return false;
         };
         let known = &mut item.progress;
-        let counted = progress.failed_attempts > known.failed_attempts;
+        let has_new_failures = progress.failed_attempts > known.failed_attempts;
         known.failed_attempts = known.failed_attempts.max(progress.failed_attempts);
-        let before = known.text.len();
-        let extended = progress.events.is_some_and(|chunk| known.append(chunk));
-        self.cost += known.text.len() - before;
-        counted || extended
+        let bytes_before = known.text.len();
+        let has_new_events = progress.events.is_some_and(|chunk| known.append(chunk));
+        self.memory_bytes += known.text.len() - bytes_before;
+        has_new_failures || has_new_events
     }
 
-    /// Ends the job and drops its items that are not listed. Whether it had not ended before.
+    /// Ends the job and drops its open items. Returns whether the job had not ended before.
     pub(super) fn end(&mut self) -> bool {
-        for index in 0..self.open.len() {
-            if let Some(item) = self.open[index].take() {
-                self.drop_open(&item);
+        for index in 0..self.open_items.len() {
+            if let Some(item) = self.open_items[index].take() {
+                self.subtract_item(&item);
             }
         }
         !std::mem::replace(&mut self.ended, true)
     }
 
-    fn drop_open(&mut self, item: &OpenItem) {
-        self.cost = self.cost.saturating_sub(item.cost());
+    /// Subtracts an item that is no longer open from the sums.
+    fn subtract_item(&mut self, item: &OpenItem) {
+        self.memory_bytes = self.memory_bytes.saturating_sub(item.memory_bytes());
         self.waiting_tokens = self.waiting_tokens.saturating_sub(item.spec.token_count);
     }
 
     pub(super) fn page(&self, resume_after: usize, max_bytes: usize) -> Page<'_> {
-        Page::of(self.open.len(), &self.listed, resume_after, max_bytes)
+        Page::of(self.open_items.len(), &self.results, resume_after, max_bytes)
     }
 
     pub(super) fn item_body(&self, item_id: &str) -> Option<&[u8]> {
@@ -134,8 +157,8 @@
         self.waiting_tokens
     }
 
-    pub(super) fn cost(&self) -> usize {
-        self.cost
+    pub(super) fn memory_bytes(&self) -> usize {
+        self.memory_bytes
     }
 
     pub(crate) fn route(&self) -> &str {
@@ -155,7 +178,7 @@
     }
 
     pub(super) fn status(&self) -> JobStatus {
-        JobStatus { total: self.open.len(), listed: self.listed.len(), has_ended: self.ended }
+        JobStatus { total: self.open_items.len(), listed: self.results.len(), has_ended: self.ended }
     }
 
     pub(super) fn has_ended(&self) -> bool {
@@ -163,26 +186,27 @@
     }
 
     pub(crate) fn is_open(&self) -> bool {
-        !self.ended && self.listed.len() < self.open.len()
+        !self.ended && self.results.len() < self.open_items.len()
     }
 
     pub(crate) fn open_item(&self, item: ItemIndex) -> Option<&OpenItem> {
-        self.open.get(item.as_usize())?.as_deref()
+        self.open_items.get(item.as_usize())?.as_deref()
     }
 
     pub(crate) fn open_items(&self) -> impl Iterator<Item = (ItemIndex, &OpenItem)> {
-        let items = self.open.iter().enumerate();
-        items.filter_map(|(index, item)| Some((ItemIndex::at(index), item.as_deref()?)))
+        let items = self.open_items.iter().enumerate();
+        items.filter_map(|(index, item)| Some((ItemIndex::from_usize(index), item.as_deref()?)))
     }
 }
 
 impl OpenItem {
-    fn cost(&self) -> usize {
-        size_of::<Progress>() + self.spec.cost() + self.progress.text.len()
+    fn memory_bytes(&self) -> usize {
+        size_of::<Progress>() + self.spec.memory_bytes() + self.progress.text.len()
     }
 }
 
 impl Progress {
+    /// Appends a chunk if it follows the last event. Returns whether it does.
     fn append(&mut self, chunk: EventChunk) -> bool {
         let is_next = chunk.after == self.last_event && chunk.after.is_none_or(|after| after < chunk.last);
         if !is_next {
--- a/crates/batch/src/jobs/result_page.rs
+++ b/crates/batch/src/jobs/result_page.rs
@@ -1,22 +1,23 @@
-//! The pages of results that readers of a job get.
+//! Pages of results, the JSON responses to clients that read the results of a job.
 
 use super::entry::ResultState;
 use crate::shared_bytes::SharedText;
 
-/// The most bytes of a response to a reader: 1 MB less some slack for its head.
+/// The maximum size of the body of a response, in bytes: 1 MB minus a margin for the head of the response.
 pub const MAX_PAGE_BYTES: usize = 1_000_000 - 4_096;
-/// `{"total":200,"next_token":200,"result_list":[]}` and space for longer numbers.
+/// An upper bound on the size of a page without results, in bytes: `{"total":200,"next_token":200,"result_list":[]}`
+/// with space for longer numbers.
 const FRAME_BYTES: usize = 96;
-/// The bytes around a result's name, state and text, and the comma after it.
+/// The size of a result's JSON in bytes, without its id, state and text, and with the comma that follows it.
 const RESULT_FRAME_BYTES: usize = r#"{"instance_id":"","state":"","text":""},"#.len();
 
-/// A result at its position.
+/// A committed result, which has a position in the `result_list` of its job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedResult {
     item_id: Box<str>,
     state: ResultState,
     text: SharedText,
-    /// The bytes of its JSON with a comma.
+    /// The size of the result's JSON in bytes, including a comma.
     json_bytes: usize,
 }
 
@@ -27,22 +28,23 @@
         ListedResult { item_id: item_id.into(), state, text, json_bytes }
     }
 
-    /// The name of the item.
+    /// The id of the item.
     pub fn item_id(&self) -> &str {
         &self.item_id
     }
 
-    /// How it ended.
+    /// How the item ended.
     pub fn state(&self) -> ResultState {
         self.state
     }
 
-    /// The data of all events in order, joined by line feeds.
+    /// The data of all events of the item in order, joined by line feeds.
     pub fn text(&self) -> &str {
         self.text.as_str()
     }
 
-    pub(super) fn cost(&self) -> usize {
+    /// The approximate memory use of the result, in bytes.
+    pub(super) fn memory_bytes(&self) -> usize {
         size_of::<ListedResult>() + self.item_id.len() + self.text.len()
     }
 
@@ -57,14 +59,14 @@
     }
 }
 
-/// Results of a job from a position on.
+/// Consecutive results of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Page<'a> {
-    /// The items of the job.
+    /// The number of items of the job.
     pub total: usize,
-    /// The position after the last of `results`; where they begin if there are none.
+    /// The position after the last of `results`, or the requested position if there are none.
     pub next_token: usize,
-    /// In the order of their positions.
+    /// The results in the order of their positions.
     pub results: &'a [ListedResult],
 }
 
@@ -76,20 +78,20 @@
         max_bytes: usize,
     ) -> Page<'a> {
         let rest = listed.get(resume_after..).unwrap_or(&[]);
-        let mut remaining = max_bytes.saturating_sub(FRAME_BYTES);
+        let mut remaining_bytes = max_bytes.saturating_sub(FRAME_BYTES);
         let fits = |result: &&ListedResult| {
-            let after = remaining.checked_sub(result.json_bytes);
-            remaining = after.unwrap_or(0);
-            after.is_some()
+            let bytes_left = remaining_bytes.checked_sub(result.json_bytes);
+            remaining_bytes = bytes_left.unwrap_or(0);
+            bytes_left.is_some()
         };
         let count = rest.iter().take_while(fits).count().max(1).min(rest.len());
         Page { total, next_token: resume_after.saturating_add(count), results: &rest[..count] }
     }
 
-    /// The body of the response.
+    /// The JSON body of the response.
     pub fn to_json(&self) -> String {
-        let results: usize = self.results.iter().map(|result| result.json_bytes).sum();
-        let mut out = String::with_capacity(FRAME_BYTES + results);
+        let results_bytes: usize = self.results.iter().map(|result| result.json_bytes).sum();
+        let mut out = String::with_capacity(FRAME_BYTES + results_bytes);
         out.push_str(&format!(
             r#"{{"total":{},"next_token":{},"result_list":["#,
             self.total, self.next_token
@@ -105,7 +107,7 @@
     }
 }
 
-/// The bytes that a byte of text takes in JSON.
+/// The number of bytes that a byte of text takes in a JSON string.
 fn escaped_width(byte: u8) -> usize {
     match byte {
         b'"' | b'\\' | b'\n' | b'\r' | b'\t' => 2,
@@ -118,15 +120,16 @@
     text.bytes().map(escaped_width).sum()
 }
 
-/// Runs of plain bytes are copied at once. Escaped bytes are ASCII, so the runs end between characters.
+/// Writes the content of a JSON string. Bytes between two escaped ones are copied at once. Escaped bytes are ASCII, so
+/// the slices end at character boundaries.
 fn write_escaped(out: &mut String, text: &str) {
-    let mut plain_from = 0;
+    let mut unescaped_start = 0;
     for (offset, byte) in text.bytes().enumerate() {
         if escaped_width(byte) == 1 {
             continue;
         }
-        out.push_str(&text[plain_from..offset]);
-        plain_from = offset + 1;
+        out.push_str(&text[unescaped_start..offset]);
+        unescaped_start = offset + 1;
         match byte {
             b'"' => out.push_str("\\\""),
             b'\\' => out.push_str("\\\\"),
@@ -136,5 +139,5 @@
             control => out.push_str(&format!("\\u{control:04x}")),
         }
     }
-    out.push_str(&text[plain_from..]);
+    out.push_str(&text[unescaped_start..]);
 }
--- a/crates/batch/src/jobs/snapshot.rs
+++ b/crates/batch/src/jobs/snapshot.rs
@@ -1,4 +1,4 @@
-//! The complete state in bytes, for a replica that is behind and for the disk.
+//! Snapshots: the encoding of the complete state, which is stored on disk and sent to replicas that lag behind.
 
 use std::collections::HashSet;
 
@@ -10,86 +10,86 @@
 use super::job::{Job, JobParts, OpenItem, Progress};
 use super::result_page::ListedResult;
 use crate::codec::{
-    DecodeShared, malformed, put_bytes, put_list, put_number, put_optional_number, take_byte,
-    take_optional_number, take_shared_list, take_shared_text, take_small, take_text,
+    DecodeShared, malformed, put_bytes, put_list, put_optional_varint, put_varint, take_byte,
+    take_optional_varint, take_shared_list, take_shared_text, take_text, take_varint_as,
 };
-use crate::names::{JobId, is_name};
+use crate::names::{JobId, is_valid_id};
 use crate::shared_bytes::SharedBytes;
 use crate::submission::{ItemSpec, MAX_ITEMS};
 
-/// The version of the format. Readers reject others.
+/// The version of the snapshot format. Snapshots of other versions are rejected.
 const VERSION: u8 = 1;
-/// The most jobs in a snapshot.
+/// The maximum number of jobs in a snapshot.
 const MAX_JOBS: usize = 1 << 20;
 
 /// Why a snapshot can't be read.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
-    /// It has another version of the format.
+    /// The snapshot has another version of the format.
     #[snafu(display("the snapshot has form {version}, not {VERSION}"))]
     OtherVersion {
-        /// Its version.
+        /// The version of the snapshot.
         version: u8,
     },
-    /// Its bytes are not a snapshot.
+    /// The bytes are not a snapshot.
     #[snafu(display("the snapshot is malformed"))]
     Malformed {
-        /// Where they are not.
+        /// The error of the decoder, with its position.
         source: DeBinErr,
     },
-    /// More bytes follow it.
-    #[snafu(display("{bytes} bytes follow the snapshot"))]
-    Surplus {
-        /// Their number.
+    /// The bytes continue after the end of the snapshot.
+    #[snafu(display("{bytes} unexpected bytes follow the snapshot"))]
+    TrailingBytes {
+        /// The number of bytes after the end of the snapshot.
         bytes: usize,
     },
-    /// A job is in it twice.
-    #[snafu(display("a job stands in the snapshot twice"))]
-    JobTwice,
+    /// The snapshot contains a job twice.
+    #[snafu(display("the snapshot contains a job twice"))]
+    DuplicateJob,
 }
 
 impl Jobs {
-    /// The complete state. The same state gives the same bytes.
+    /// Encodes the complete state. Equal states give equal bytes.
     pub fn to_snapshot(&self) -> Vec<u8> {
-        // Jobs take more bytes in memory than in a snapshot, so that the buffer never grows.
-        let mut out = Vec::with_capacity(self.cost);
+        // Jobs take more bytes in memory than in a snapshot, so the buffer never has to grow.
+        let mut out = Vec::with_capacity(self.memory_bytes);
         self.write_snapshot(&mut out);
         out
     }
 
-    /// Appends the bytes of [`Jobs::to_snapshot`].
+    /// Appends the bytes of [`Jobs::to_snapshot`] to a buffer.
     pub fn write_snapshot(&self, out: &mut Vec<u8>) {
         out.push(VERSION);
-        put_number(out, self.jobs.len() as u64);
+        put_varint(out, self.jobs.len() as u64);
         for (id, job) in &self.jobs {
             id.ser_bin(out);
             job.ser_bin(out);
         }
     }
 
-    /// The state that was written.
+    /// Decodes a snapshot.
     ///
     /// # Errors
-    /// When the bytes are not a complete snapshot of this version.
+    /// Fails if the bytes are not a complete snapshot of this version.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Jobs, SnapshotError> {
         Jobs::from_shared_snapshot(&SharedBytes::from(bytes))
     }
 
-    /// The state that was written, which refers to these bytes for bodies and texts.
+    /// Decodes a snapshot. Bodies and texts are not copied, but refer to these bytes.
     ///
     /// # Errors
-    /// As [`Jobs::from_snapshot`].
+    /// Fails if the bytes are not a complete snapshot of this version.
     pub fn from_shared_snapshot(bytes: &SharedBytes) -> Result<Jobs, SnapshotError> {
         let malformed_at = |source| SnapshotError::Malformed { source };
         let mut offset = 0;
         let version = take_byte(&mut offset, bytes).map_err(malformed_at)?;
         ensure!(version == VERSION, OtherVersionSnafu { version });
         let records: Vec<JobRecord> = take_shared_list(&mut offset, bytes, MAX_JOBS).map_err(malformed_at)?;
-        ensure!(offset == bytes.len(), SurplusSnafu { bytes: bytes.len() - offset });
+        ensure!(offset == bytes.len(), TrailingBytesSnafu { bytes: bytes.len() - offset });
         let mut jobs = Jobs::new();
         for JobRecord { id, job } in records {
-            jobs.cost = jobs.cost.saturating_add(job.cost());
-            ensure!(jobs.jobs.insert(id, job).is_none(), JobTwiceSnafu);
+            jobs.memory_bytes = jobs.memory_bytes.saturating_add(job.memory_bytes());
+            ensure!(jobs.jobs.insert(id, job).is_none(), DuplicateJobSnafu);
         }
         Ok(jobs)
     }
@@ -101,8 +101,8 @@
 }
 
 impl DecodeShared for JobRecord {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<JobRecord, DeBinErr> {
-        Ok(JobRecord { id: JobId::de_bin(offset, bytes)?, job: Job::take(offset, bytes)? })
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<JobRecord, DeBinErr> {
+        Ok(JobRecord { id: JobId::de_bin(offset, bytes)?, job: Job::decode(offset, bytes)? })
     }
 }
 
@@ -113,53 +113,54 @@
         put_bytes(out, self.host.as_bytes());
         self.settings.ser_bin(out);
         self.ended.ser_bin(out);
-        put_number(out, self.open.len() as u64);
-        for item in &self.open {
+        put_varint(out, self.open_items.len() as u64);
+        for item in &self.open_items {
             item.is_some().ser_bin(out);
             if let Some(item) = item {
                 item.ser_bin(out);
             }
         }
-        put_list(out, &self.listed);
+        put_list(out, &self.results);
     }
 }
 
 impl DecodeShared for Job {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Job, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<Job, DeBinErr> {
         let route = take_text(offset, bytes)?.to_owned();
         let service = take_text(offset, bytes)?.to_owned();
         let host = take_text(offset, bytes)?.to_owned();
         let settings = JobSettings::de_bin(offset, bytes)?;
         let ended = bool::de_bin(offset, bytes)?;
-        let open: Vec<OpenRecord> = take_shared_list(offset, bytes, MAX_ITEMS)?;
-        let open: Vec<_> = open.into_iter().map(|record| record.0).collect();
-        let listed: Vec<ListedResult> = take_shared_list(offset, bytes, MAX_ITEMS)?;
-        if !is_sound(&open, &listed, ended) {
+        let open_items: Vec<OpenRecord> = take_shared_list(offset, bytes, MAX_ITEMS)?;
+        let open_items: Vec<_> = open_items.into_iter().map(|record| record.0).collect();
+        let results: Vec<ListedResult> = take_shared_list(offset, bytes, MAX_ITEMS)?;
+        if !is_consistent(&open_items, &results, ended) {
             return Err(malformed(*offset, 0, bytes));
         }
-        Ok(Job::from_parts(JobParts { route, service, host, settings, open, listed, ended }))
+        Ok(Job::from_parts(JobParts { route, service, host, settings, open_items, results, ended }))
     }
 }
 
-/// Whether each item is either open or listed (or dropped by the end), and none is twice.
-fn is_sound(open: &[Option<Box<OpenItem>>], listed: &[ListedResult], ended: bool) -> bool {
-    let unlisted = open.iter().flatten().count();
-    let counts_fit = if ended {
-        unlisted == 0 && listed.len() <= open.len()
+/// Whether each item is either open or has a result, unless the end of the job dropped it, and no item occurs twice.
+fn is_consistent(open_items: &[Option<Box<OpenItem>>], results: &[ListedResult], ended: bool) -> bool {
+    let open_count = open_items.iter().flatten().count();
+    let counts_match = if ended {
+        open_count == 0 && results.len() <= open_items.len()
     } else {
-        unlisted + listed.len() == open.len()
+        open_count + results.len() == open_items.len()
     };
-    let mut names = HashSet::new();
-    let open_names = open.iter().flatten().map(|item| item.spec.id.as_str());
-    counts_fit && open_names.chain(listed.iter().map(ListedResult::item_id)).all(|name| names.insert(name))
+    let mut seen_ids = HashSet::new();
+    let open_ids = open_items.iter().flatten().map(|item| item.spec.id.as_str());
+    counts_match && open_ids.chain(results.iter().map(ListedResult::item_id)).all(|id| seen_ids.insert(id))
 }
 
+/// An open item, or `None` in the place of an item that is not open.
 struct OpenRecord(Option<Box<OpenItem>>);
 
 impl DecodeShared for OpenRecord {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<OpenRecord, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<OpenRecord, DeBinErr> {
         Ok(OpenRecord(match bool::de_bin(offset, bytes)? {
-            true => Some(Box::new(OpenItem::take(offset, bytes)?)),
+            true => Some(Box::new(OpenItem::decode(offset, bytes)?)),
             false => None,
         }))
     }
@@ -168,20 +169,20 @@
 impl SerBin for OpenItem {
     fn ser_bin(&self, out: &mut Vec<u8>) {
         self.spec.ser_bin(out);
-        put_optional_number(out, self.progress.last_event);
+        put_optional_varint(out, self.progress.last_event);
         put_bytes(out, self.progress.text.as_bytes());
-        put_number(out, u64::from(self.progress.failed_attempts));
+        put_varint(out, u64::from(self.progress.failed_attempts));
     }
 }
 
 impl DecodeShared for OpenItem {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<OpenItem, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<OpenItem, DeBinErr> {
         Ok(OpenItem {
-            spec: ItemSpec::take(offset, bytes)?,
+            spec: ItemSpec::decode(offset, bytes)?,
             progress: Progress {
-                last_event: take_optional_number(offset, bytes)?,
+                last_event: take_optional_varint(offset, bytes)?,
                 text: take_text(offset, bytes)?.to_owned(),
-                failed_attempts: take_small(offset, bytes)?,
+                failed_attempts: take_varint_as(offset, bytes)?,
             },
         })
     }
@@ -196,9 +197,9 @@
 }
 
 impl DecodeShared for ListedResult {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<ListedResult, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<ListedResult, DeBinErr> {
         let id = take_text(offset, bytes)?;
-        if !is_name(id) {
+        if !is_valid_id(id) {
             return Err(malformed(*offset, 0, bytes));
         }
         let state = ResultState::de_bin(offset, bytes)?;
--- a/crates/batch/src/names.rs
+++ b/crates/batch/src/names.rs
@@ -1,25 +1,25 @@
-//! The names of a batch job and of its items.
+//! The ids of batch jobs and of their items.
 
 use std::fmt;
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-use crate::codec::{malformed, put_bytes, put_number, take_small, take_text};
+use crate::codec::{malformed, put_bytes, put_varint, take_text, take_varint_as};
 
-/// The longest name of a job or an item, in bytes. They travel in headers and paths.
+/// The maximum length of the id of a job or an item, in bytes. These ids are sent in headers and paths.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// The name that a client gave its batch job: 1 to [`MAX_NAME_BYTES`] visible ASCII characters.
+/// The id that a client chose for its batch job: 1 to [`MAX_NAME_BYTES`] visible ASCII characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(Box<str>);
 
 impl JobId {
-    /// The name, if it is valid.
+    /// Creates the id, or returns `None` if `name` is not a valid one.
     pub fn new(name: &str) -> Option<JobId> {
-        is_name(name).then(|| JobId(name.into()))
+        is_valid_id(name).then(|| JobId(name.into()))
     }
 
-    /// The name as text.
+    /// The id as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -31,8 +31,8 @@
     }
 }
 
-/// Whether the text can stand in a header and in a path as a name.
-pub(crate) fn is_name(text: &str) -> bool {
+/// Whether the text is a valid id, which can be sent in a header and in a path.
+pub(crate) fn is_valid_id(text: &str) -> bool {
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
@@ -49,30 +49,30 @@
     }
 }
 
-/// The index of an item in its job as it was submitted, from 0. Not its position among the results.
+/// The index of an item in its job's submission, from 0. It differs from the position of the item's result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ItemIndex(pub u16);
 
 impl ItemIndex {
-    /// The index for slices.
+    /// The index of the item in a slice of all items.
     pub fn as_usize(self) -> usize {
         usize::from(self.0)
     }
 
-    /// An index below [`MAX_ITEMS`](crate::MAX_ITEMS), which fits.
-    pub(crate) fn at(index: usize) -> ItemIndex {
+    /// Creates the index of an item. Each index is below [`MAX_ITEMS`](crate::MAX_ITEMS), so it always fits.
+    pub(crate) fn from_usize(index: usize) -> ItemIndex {
         ItemIndex(u16::try_from(index).unwrap_or(u16::MAX))
     }
 }
 
 impl SerBin for ItemIndex {
     fn ser_bin(&self, out: &mut Vec<u8>) {
-        put_number(out, u64::from(self.0));
+        put_varint(out, u64::from(self.0));
     }
 }
 
 impl DeBin for ItemIndex {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<ItemIndex, DeBinErr> {
-        take_small(offset, bytes).map(ItemIndex)
+        take_varint_as(offset, bytes).map(ItemIndex)
     }
 }
--- a/crates/batch/src/shared_bytes.rs
+++ b/crates/batch/src/shared_bytes.rs
@@ -1,4 +1,5 @@
-//! Slices of shared buffers: a payload of the log and the state made from it have the bytes in memory once.
+//! Slices of shared buffers, so that a payload of the log and the state that was decoded from it share one copy of the
+//! bytes.
 
 use std::fmt;
 use std::ops::{Deref, Range};
@@ -8,18 +9,18 @@
 #[derive(Clone, Default)]
 pub struct SharedBytes {
     buffer: Arc<[u8]>,
-    /// Always within the buffer.
+    /// The part of the buffer that belongs to the slice, in bytes. It is always within the buffer.
     range: Range<u32>,
 }
 
 impl SharedBytes {
-    /// The bytes.
+    /// The bytes of the slice.
     pub fn as_slice(&self) -> &[u8] {
         let range = self.range.start as usize..self.range.end as usize;
         self.buffer.get(range).unwrap_or_default()
     }
 
-    /// A part of this slice, if the range is within it. An empty slice refers to no buffer and so keeps none alive.
+    /// A part of this slice, or `None` if the range is not within it. An empty slice keeps no buffer alive.
     pub fn slice(&self, range: Range<usize>) -> Option<SharedBytes> {
         if range.start > range.end || range.end > self.len() {
             return None;
@@ -27,19 +28,22 @@
         if range.is_empty() {
             return Some(SharedBytes::default());
         }
-        // Both are within the range of this slice, which fits.
-        let position = |offset: usize| self.range.start + offset as u32;
-        Some(SharedBytes { buffer: self.buffer.clone(), range: position(range.start)..position(range.end) })
+        // Both offsets are within this slice, whose range fits u32.
+        let to_buffer_offset = |offset: usize| self.range.start + offset as u32;
+        Some(SharedBytes {
+            buffer: self.buffer.clone(),
+            range: to_buffer_offset(range.start)..to_buffer_offset(range.end),
+        })
     }
 
-    /// All but the first `count` bytes; nothing if there are no more.
+    /// The slice without its first `count` bytes; an empty one if it has no more than that.
     pub fn skip(&self, count: usize) -> SharedBytes {
         self.slice(count..self.len()).unwrap_or_default()
     }
 }
 
 impl From<Arc<[u8]>> for SharedBytes {
-    /// All of a buffer; of one above 4 GiB, which no entry or snapshot has, the first 4 GiB.
+    /// A slice of the whole buffer. It is cut at 4 GiB; entries and snapshots are smaller.
     fn from(buffer: Arc<[u8]>) -> SharedBytes {
         let end = u32::try_from(buffer.len()).unwrap_or(u32::MAX);
         SharedBytes { buffer, range: 0..end }
@@ -80,36 +84,36 @@
     }
 }
 
-/// A slice of a shared buffer that is UTF-8.
+/// A slice of a shared buffer that contains UTF-8 text.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct SharedText(SharedBytes);
 
 impl SharedText {
-    /// The bytes as text.
+    /// Creates a text from bytes.
     ///
     /// # Errors
-    /// They are not UTF-8.
+    /// Fails if the bytes are not UTF-8.
     pub fn new(bytes: SharedBytes) -> Result<SharedText, std::str::Utf8Error> {
         std::str::from_utf8(&bytes)?;
         Ok(SharedText(bytes))
     }
 
-    /// The text. It was checked when it was made, and is checked again here, as there is no unsafe code in this crate.
+    /// The text as a string slice. The bytes are checked again on each call, because this crate has no unsafe code.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or_default()
     }
 
-    /// Its bytes.
+    /// The bytes of the text.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The number of its bytes.
+    /// The length of the text in bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is no text.
+    /// Whether the text is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/batch/src/submission.rs
+++ b/crates/batch/src/submission.rs
@@ -1,4 +1,4 @@
-//! A batch job as its client submits it.
+//! Submissions: the batch jobs that clients send.
 
 mod parse;
 
@@ -9,66 +9,69 @@
 pub use parse::{SubmissionError, SubmissionHead, read_submission};
 
 use crate::codec::{
-    DecodeShared, malformed, put_bytes, put_list, put_number, take_number, take_shared_bytes,
-    take_shared_list, take_shared_text, take_text,
+    DecodeShared, malformed, put_bytes, put_list, put_varint, take_shared_bytes, take_shared_list,
+    take_shared_text, take_text, take_varint,
 };
-use crate::names::{JobId, is_name};
+use crate::names::{JobId, is_valid_id};
 use crate::shared_bytes::{SharedBytes, SharedText};
 
-/// The most items in a job.
+/// The maximum number of items in a job.
 pub const MAX_ITEMS: usize = 200;
-/// The most headers of an item.
+/// The maximum number of headers of an item.
 pub const MAX_HEADERS: usize = 64;
-/// The header that states an item's tokens: those of the prompt, a comma, the most of the output.
+/// The header that states the tokens of an item as two numbers, separated by a comma: the tokens of the prompt, and the
+/// maximum number of tokens of the output.
 pub const TOKEN_HEADER: &str = "X-Grebeusher-Token-Count";
 
-/// A header of an item, checked: the name is a token, the value has no control characters.
+/// A header of an item. The parser has checked that the name is an HTTP token, and that the value has no control
+/// characters other than tabs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Its name, an HTTP token.
+    /// The name of the header.
     pub name: SharedText,
-    /// Its value.
+    /// The value of the header.
     pub value: SharedText,
 }
 
-/// An item of a batch job: one request that is run later. Its large fields may refer to the entry that it came by, which
-/// then stays in memory as long as the item.
+/// An item of a batch job: one request that is sent to an executor later. Its large fields may refer to the buffer of
+/// the log entry that it was decoded from. The buffer then stays in memory as long as the item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ItemSpec {
-    /// Its name, which is also the id of its attempts.
+    /// The id of the item, which is also the attempt id of its requests.
     pub id: String,
-    /// The path of its request, from the first slash, with its query.
+    /// The path of the request, with its query. It starts with a slash.
     pub path: SharedText,
-    /// Its headers, without those that concern one connection and those that the tier sets itself.
+    /// The headers of the request, without those that concern a single connection and those that the tier sets itself.
     pub headers: Vec<Header>,
-    /// The decoded body.
+    /// The decoded body of the request.
     pub body: SharedBytes,
-    /// The tokens of the prompt and the most tokens of the output together.
+    /// The tokens of the prompt plus the maximum number of tokens of the output.
     pub token_count: u64,
 }
 
-/// The tokens of an item, divided as far as its header states.
+/// The tokens of an item, split into prompt and output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tokens {
-    /// The tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub prompt: u64,
-    /// The most tokens of the output.
+    /// The maximum number of tokens of the output.
     pub output: u64,
 }
 
 impl ItemSpec {
-    /// The tokens by the item's header; all of `token_count` are the prompt's if it has none that can be read.
+    /// The tokens that the item's [`TOKEN_HEADER`] states. Without a valid header, all of `token_count` is attributed to
+    /// the prompt.
     pub fn tokens(&self) -> Tokens {
         let header = self.headers.iter().find(|header| header.name.eq_ignore_ascii_case(TOKEN_HEADER));
-        let divided = header.and_then(|header| {
+        let split = header.and_then(|header| {
             let (prompt, output) = header.value.split_once(',')?;
             Some(Tokens { prompt: prompt.trim().parse().ok()?, output: output.trim().parse().ok()? })
         });
-        divided.unwrap_or(Tokens { prompt: self.token_count, output: 0 })
+        split.unwrap_or(Tokens { prompt: self.token_count, output: 0 })
     }
 
-    /// About the bytes that the item takes in memory.
-    pub(crate) fn cost(&self) -> usize {
+    /// The approximate memory use of the item, in bytes.
+    pub(crate) fn memory_bytes(&self) -> usize {
         let headers: usize =
             self.headers.iter().map(|header| header.name.len() + header.value.len()).sum::<usize>()
                 + self.headers.len() * size_of::<Header>();
@@ -76,29 +79,29 @@
     }
 }
 
-/// The index of the first item that has the name of an earlier one.
-fn first_repeated(items: &[ItemSpec]) -> Option<usize> {
-    let mut names = HashSet::with_capacity(items.len());
-    items.iter().position(|item| !names.insert(item.id.as_str()))
+/// The index of the first item that has the same id as an earlier one.
+fn first_duplicate(items: &[ItemSpec]) -> Option<usize> {
+    let mut ids = HashSet::with_capacity(items.len());
+    items.iter().position(|item| !ids.insert(item.id.as_str()))
 }
 
-/// A batch job as it was submitted, with the route that it came in on.
+/// A batch job as it was submitted, with the route that its submission matched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Submission {
-    /// The name of the job.
+    /// The id of the job.
     pub job: JobId,
     /// The name of the route in the configuration.
     pub route: String,
     /// The service that the route led to when the job was accepted.
     pub service: String,
-    /// The host of the route, for the items' requests.
+    /// The host of the route, to which the items' requests are addressed.
     pub host: String,
-    /// Its items, at most [`MAX_ITEMS`], with different names.
+    /// The items of the job, at most [`MAX_ITEMS`], with distinct ids.
     pub items: Vec<ItemSpec>,
 }
 
 impl Submission {
-    /// The tokens of all items.
+    /// The sum of the tokens of all items.
     pub fn tokens(&self) -> u64 {
         self.items.iter().fold(0, |sum, item| sum.saturating_add(item.token_count))
     }
@@ -112,7 +115,7 @@
 }
 
 impl DecodeShared for Header {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Header, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<Header, DeBinErr> {
         let name = take_shared_text(offset, bytes)?;
         Ok(Header { name, value: take_shared_text(offset, bytes)? })
     }
@@ -124,14 +127,14 @@
         put_bytes(out, self.path.as_bytes());
         put_list(out, &self.headers);
         put_bytes(out, &self.body);
-        put_number(out, self.token_count);
+        put_varint(out, self.token_count);
     }
 }
 
 impl DecodeShared for ItemSpec {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<ItemSpec, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<ItemSpec, DeBinErr> {
         let id = take_text(offset, bytes)?;
-        if !is_name(id) {
+        if !is_valid_id(id) {
             return Err(malformed(*offset, 0, bytes));
         }
         Ok(ItemSpec {
@@ -139,7 +142,7 @@
             path: take_shared_text(offset, bytes)?,
             headers: take_shared_list(offset, bytes, MAX_HEADERS)?,
             body: take_shared_bytes(offset, bytes)?,
-            token_count: take_number(offset, bytes)?,
+            token_count: take_varint(offset, bytes)?,
         })
     }
 }
@@ -156,13 +159,13 @@
 
 impl DeBin for Submission {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Submission, DeBinErr> {
-        Submission::take_copied(offset, bytes)
+        Submission::decode_copied(offset, bytes)
     }
 }
 
-/// The names outlive the items and are copied.
+/// The names of the route, service and host are copied, because they stay in memory longer than the items do.
 impl DecodeShared for Submission {
-    fn take(offset: &mut usize, bytes: &SharedBytes) -> Result<Submission, DeBinErr> {
+    fn decode(offset: &mut usize, bytes: &SharedBytes) -> Result<Submission, DeBinErr> {
         let submission = Submission {
             job: JobId::de_bin(offset, bytes)?,
             route: take_text(offset, bytes)?.to_owned(),
@@ -170,7 +173,7 @@
             host: take_text(offset, bytes)?.to_owned(),
             items: take_shared_list(offset, bytes, MAX_ITEMS)?,
         };
-        match first_repeated(&submission.items) {
+        match first_duplicate(&submission.items) {
             Some(_) => Err(malformed(*offset, 0, bytes)),
             None => Ok(submission),
         }
--- a/crates/batch/src/submission/parse.rs
+++ b/crates/batch/src/submission/parse.rs
@@ -1,5 +1,5 @@
-//! Parsing and validation of the body of a submission. Everything that could change a request on its way to an executor
-//! (a line end in a header, a blank in a path) is rejected here, so that no later stage has to check again.
+//! Parses and validates the body of a submission. Everything that could alter a request on its way to an executor, such
+//! as a line end in a header or a space in a path, is rejected here, so that no later stage has to check again.
 
 use std::collections::HashMap;
 
@@ -9,21 +9,22 @@
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use tinyjson::JsonValue;
 
-use super::{Header, ItemSpec, MAX_HEADERS, MAX_ITEMS, Submission, first_repeated};
-use crate::names::{JobId, is_name};
+use super::{Header, ItemSpec, MAX_HEADERS, MAX_ITEMS, Submission, first_duplicate};
+use crate::names::{JobId, is_valid_id};
 
-/// The largest body of a submission.
+/// The maximum size of the body of a submission, in bytes.
 pub const MAX_SUBMISSION_BYTES: usize = 4 << 20;
-/// The most levels of nested values. A submission needs four; the JSON parser recurses for each.
+/// The maximum nesting depth of JSON values. A submission needs four levels; the JSON parser recurses for each one.
 const MAX_DEPTH: usize = 16;
-/// The longest path of an item.
+/// The maximum length of the path of an item, in bytes.
 const MAX_PATH_BYTES: usize = 8 << 10;
-/// The most bytes of an item's headers, names and values together.
+/// The maximum total length of the names and values of an item's headers, in bytes.
 const MAX_HEADERS_BYTES: usize = 16 << 10;
-/// Integers up to here are exact in a JSON number.
+/// The largest integer up to which a JSON number is exact, as it is parsed as `f64`.
 const MAX_EXACT_NUMBER: f64 = 9_007_199_254_740_992.0;
 
-/// Headers that concern one connection or the length of a body, or that the sender of an item sets itself.
+/// Headers that are removed from an item. They concern a single connection or the length of a body, or the tier sets
+/// them itself when it sends the item.
 const DROPPED_HEADERS: [&str; 14] = [
     "connection",
     "content-length",
@@ -41,13 +42,13 @@
     "x-grebeusher-target-instance",
 ];
 
-/// Padding may be omitted: the bytes are unambiguous without it.
+/// Accepts base64 without padding too, because the encoding is unambiguous without it.
 const BASE64: GeneralPurpose = GeneralPurpose::new(
     &STANDARD,
     GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
 
-/// Why a submission is rejected. All of these are the client's fault (400).
+/// Why a submission is rejected. All of these are errors of the client, which gets a 400.
 #[derive(Debug, Snafu)]
 pub enum SubmissionError {
     /// The body exceeds `MAX_SUBMISSION_BYTES`.
@@ -59,16 +60,16 @@
     /// The body is not UTF-8.
     #[snafu(display("the body is no UTF-8"))]
     NotText {
-        /// Where it is not.
+        /// The position of the first invalid byte.
         source: std::str::Utf8Error,
     },
-    /// Values are nested too deeply.
+    /// The JSON values are nested too deeply.
     #[snafu(display("values stand in each other too deeply"))]
     TooDeep,
     /// The body is not JSON.
     #[snafu(display("the body is no JSON"))]
     NotJson {
-        /// Where it is not.
+        /// The error of the JSON parser, with its position.
         source: tinyjson::JsonParseError,
     },
     /// The body is not an object.
@@ -80,7 +81,7 @@
         /// The name of the field.
         key: &'static str,
     },
-    /// The body has more than [`MAX_ITEMS`].
+    /// The body has more than [`MAX_ITEMS`] items.
     #[snafu(display("{count} items, more than {MAX_ITEMS}"))]
     TooManyItems {
         /// The number of items.
@@ -100,15 +101,15 @@
         /// The name of the field.
         key: &'static str,
     },
-    /// The name of an item is invalid.
+    /// The id of an item is invalid.
     #[snafu(display("the name of item {item} can't be one"))]
     ItemName {
         /// The index of the item.
         item: usize,
     },
-    /// Two items have the same name.
+    /// Two items have the same id.
     #[snafu(display("the name of item {item} is an earlier one's"))]
-    ItemTwice {
+    DuplicateItem {
         /// The index of the item.
         item: usize,
     },
@@ -129,28 +130,28 @@
     ItemPayload {
         /// The index of the item.
         item: usize,
-        /// Where it is not.
+        /// The error of the decoder, with its position.
         source: base64::DecodeError,
     },
 }
 
-/// What is known of a submission before its body is read.
+/// The part of a submission that is known before its body is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubmissionHead {
-    /// From the header that carries the id of attempts.
+    /// The id of the job, from the attempt id header of the submission.
     pub job: JobId,
     /// The name of the route.
     pub route: String,
     /// The service that the route leads to.
     pub service: String,
-    /// The host of the route.
+    /// The host of the route, to which the items' requests are addressed.
     pub host: String,
 }
 
-/// Reads the body of a submission.
+/// Parses and validates the body of a submission.
 ///
 /// # Errors
-/// See [`SubmissionError`]; the answer is 400.
+/// Fails if the submission is invalid, see [`SubmissionError`]. The client then gets a 400.
 pub fn read_submission(head: SubmissionHead, body: &[u8]) -> Result<Submission, SubmissionError> {
     ensure!(body.len() <= MAX_SUBMISSION_BYTES, TooLargeSnafu { bytes: body.len() });
     let text = std::str::from_utf8(body).context(NotTextSnafu)?;
@@ -166,8 +167,8 @@
     for (item, value) in values.into_iter().enumerate() {
         items.push(read_item(item, value)?);
     }
-    if let Some(item) = first_repeated(&items) {
-        return ItemTwiceSnafu { item }.fail();
+    if let Some(item) = first_duplicate(&items) {
+        return DuplicateItemSnafu { item }.fail();
     }
     let SubmissionHead { job, route, service, host } = head;
     Ok(Submission { job, route, service, host, items })
@@ -178,7 +179,7 @@
 fn read_item(item: usize, value: JsonValue) -> Result<ItemSpec, SubmissionError> {
     let JsonValue::Object(mut fields) = value else { return ItemNotAnObjectSnafu { item }.fail() };
     let id = take_string(item, &mut fields, "instance_id")?;
-    ensure!(is_name(&id), ItemNameSnafu { item });
+    ensure!(is_valid_id(&id), ItemNameSnafu { item });
     let path = take_string(item, &mut fields, "path")?;
     ensure!(is_path(&path), ItemPathSnafu { item });
     let headers = read_headers(item, fields.remove("header_map"))?;
@@ -202,39 +203,40 @@
 }
 
 fn read_headers(item: usize, value: Option<JsonValue>) -> Result<Vec<Header>, SubmissionError> {
-    let Some(JsonValue::Object(map)) = value else {
+    let Some(JsonValue::Object(header_map)) = value else {
         return ItemFieldSnafu { item, key: "header_map" }.fail();
     };
-    let mut headers = Vec::with_capacity(map.len().min(MAX_HEADERS));
-    let mut bytes = 0;
-    for (name, value) in map {
+    let mut headers = Vec::with_capacity(header_map.len().min(MAX_HEADERS));
+    let mut total_bytes = 0;
+    for (name, value) in header_map {
         let JsonValue::String(value) = value else {
             return ItemFieldSnafu { item, key: "header_map" }.fail();
         };
-        bytes += name.len() + value.len();
-        ensure!(is_token(&name) && is_header_value(&value), ItemHeadersSnafu { item });
+        total_bytes += name.len() + value.len();
+        ensure!(is_http_token(&name) && is_header_value(&value), ItemHeadersSnafu { item });
         if !DROPPED_HEADERS.iter().any(|dropped| name.eq_ignore_ascii_case(dropped)) {
             headers.push(Header { name: name.into(), value: value.into() });
         }
     }
-    ensure!(headers.len() <= MAX_HEADERS && bytes <= MAX_HEADERS_BYTES, ItemHeadersSnafu { item });
-    headers.sort_unstable_by(|one, other| one.name.as_bytes().cmp(other.name.as_bytes()));
+    ensure!(headers.len() <= MAX_HEADERS && total_bytes <= MAX_HEADERS_BYTES, ItemHeadersSnafu { item });
+    headers.sort_unstable_by(|left, right| left.name.as_bytes().cmp(right.name.as_bytes()));
     Ok(headers)
 }
 
-/// What HTTP calls a token, which every name of a header is.
-fn is_token(name: &str) -> bool {
+/// Whether the text is an HTTP token, which the name of a header must be.
+fn is_http_token(name: &str) -> bool {
     let is_token_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     !name.is_empty() && name.bytes().all(is_token_byte)
 }
 
-/// No control characters but the tab, and no blank at either end, which a receiver would take away.
+/// Whether the text is a valid header value: it has no control characters except tabs, and no spaces or tabs at its
+/// ends, which a receiver would remove.
 fn is_header_value(value: &str) -> bool {
     value.trim_matches([' ', '\t']).len() == value.len()
         && value.bytes().all(|byte| byte == b'\t' || (byte >= b' ' && byte != 0x7f))
 }
 
-/// A path from the root, of visible ASCII characters, without a fragment.
+/// Whether the text is an absolute path of visible ASCII characters without a fragment.
 fn is_path(path: &str) -> bool {
     path.starts_with('/')
         && path.len() <= MAX_PATH_BYTES
--- a/crates/batch/tests/batches/replay.rs
+++ b/crates/batch/tests/batches/replay.rs
@@ -122,7 +122,7 @@
             prop_assert!(Jobs::from_snapshot(&bytes[..end]).is_err(), "cut at {}", end);
         }
         bytes.push(0);
-        let is_surplus = matches!(Jobs::from_snapshot(&bytes), Err(SnapshotError::Surplus { bytes: 1 }));
+        let is_surplus = matches!(Jobs::from_snapshot(&bytes), Err(SnapshotError::TrailingBytes { bytes: 1 }));
         prop_assert!(is_surplus);
     }
 
--- a/crates/batch/tests/batches/submission.rs
+++ b/crates/batch/tests/batches/submission.rs
@@ -147,7 +147,7 @@
 
 #[test]
 fn duplicate_items_are_rejected() {
-    assert!(matches!(read(&items(3, |place| place % 2)), Err(SubmissionError::ItemTwice { item: 2 })));
+    assert!(matches!(read(&items(3, |place| place % 2)), Err(SubmissionError::DuplicateItem { item: 2 })));
 }
 
 #[test]
