--- a/crates/batch/src/jobs.rs
+++ b/crates/batch/src/jobs.rs
@@ -1,8 +1,8 @@
 //! The batch jobs of one partition, as a replicated state machine. Every replica applies the same committed entries and
 //! so reaches the same state. The state machine reads no clock.
 //!
-//! An item is open until its result is committed or its job has ended. The result of an item then has a position in the
-//! `result_list` of its job, which never changes; such an item is listed.
+//! An item is open until its result is committed or its job has ended. A committed result has a position in the
+//! `result_list` of its job, which never changes; its item is called listed.
 //!
 //! `entry` and `snapshot` define the stored bytes, which must not change. `result_page` defines the JSON that clients
 //! read.
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,23 +1,23 @@
-//! Batch jobs: how they are stored, how their items are run, what readers see.
+//! Batch jobs: their storage, the scheduling of their items, and the result pages that clients read.
 //!
-//! All of it is a set of state machines without I/O and without a clock; `grebeusher-tier` drives them. The path of a
-//! job:
+//! The crate consists of state machines that do no I/O and read no clock; `grebeusher-tier` drives them. A job is
+//! processed in these steps:
 //!
-//! 1. [`read_submission`] validates what a client submitted.
-//! 2. [`AdmissionControl`], on the leader, applies the route's quota and the partition's memory bound.
-//! 3. [`Jobs`] applies the committed entries of the partition's log ([`Entry`]), the same on each replica, and serves
-//!    readers.
-//! 4. [`Runner`], on the leader, says which item runs next, takes the events that [`EventReader`] parses from the
+//! 1. [`read_submission`] parses and validates the submission of a client.
+//! 2. [`AdmissionControl`], on the leader, enforces the route's quota and the partition's memory limit.
+//! 3. [`Jobs`], on each replica, applies the committed entries of the partition's log ([`Entry`]) and provides the
+//!    result pages.
+//! 4. [`Runner`], on the leader, chooses the item that runs next, takes the events that [`EventReader`] parses from the
 //!    executor's stream, and proposes results to the log. [`FairShare`] divides the executors' capacity among leaders.
 //!
-//! The log itself is `grebeusher-quorum`, and the choice of an executor is `grebeusher-gateway`.
+//! `grebeusher-quorum` implements the log, and `grebeusher-gateway` chooses the executor of an item.
 //!
 //! ```
 //! use grebeusher_batch::*;
 //! use grebeusher_time::Instant;
 //! use std::rc::Rc;
 //!
-//! /// The configuration in force: one bulk route.
+//! /// A configuration with a single bulk route.
 //! #[derive(Debug)]
 //! struct OneRoute;
 //!
@@ -29,17 +29,17 @@
 //!
 //! let now = Instant(0);
 //! let head = SubmissionHead {
-//!     job: JobId::new("job-1").expect("a name"),
+//!     job: JobId::new("job-1").expect("a valid id"),
 //!     route: "lots".into(),
 //!     service: "models".into(),
 //!     host: "lots.example".into(),
 //! };
 //! let body = br#"{"batch_items":[{"instance_id":"a","path":"/lots/a","header_map":{},
 //!     "payload":"q80=","token_count":940}]}"#;
-//! let submission = read_submission(head, body).expect("a proper submission");
+//! let submission = read_submission(head, body).expect("a valid submission");
 //! let job = submission.job.clone();
 //!
-//! // The leader admits the job, proposes it, applies it once it is committed, and answers 202.
+//! // The leader admits the job, proposes it, applies it once it is committed, and responds with 202.
 //! let (mut jobs, mut admission, mut runner) = (Jobs::new(), AdmissionControl::new(1 << 20), Runner::new(1));
 //! runner.set_routes(&jobs, Rc::new(OneRoute));
 //! runner.start_leading(&jobs, now, 0);
@@ -50,18 +50,18 @@
 //! runner.applied(&jobs, &applied, now);
 //! assert_eq!(jobs.item_body(&job, "a"), Some(&[0xab, 0xcd][..]));
 //!
-//! // An executor has capacity: the item is sent there, and its stream is read.
+//! // An executor has capacity. The item is sent there, and its event stream is read.
 //! let order = runner.next_item(&jobs, now, &|_: RouteIndex| Some(10_000)).expect("an item");
 //! let mut events = EventReader::new();
 //! events
 //!     .push(b"id: 0\ndata: one\n\nid: 1\ndata: two\n\n", |event| {
 //!         assert_eq!(runner.run_event(order.run, event.id, &event.data, now), EventDisposition::Accepted);
 //!     })
-//!     .expect("proper events");
-//! events.finish().expect("no event begun");
+//!     .expect("valid events");
+//! events.finish().expect("a complete stream");
 //! runner.run_ended(order.run, RunOutcome::Complete, now);
 //!
-//! // The result is proposed, and readers see it once it is committed.
+//! // The result is proposed, and clients can read it once it is committed.
 //! while let Some(entry) = runner.next_proposal() {
 //!     let applied = jobs.apply(entry);
 //!     runner.applied(&jobs, &applied, now);
--- a/crates/batch/src/runner.rs
+++ b/crates/batch/src/runner.rs
@@ -1,10 +1,13 @@
-//! Running the items of a partition, which its leader does: which item runs next, what became of each run, what is to
-//! be proposed to the log. No I/O and no clock. Which executor an item goes to is decided elsewhere.
+//! The scheduler by which the leader of a partition runs its items. It chooses the item that runs next, processes the
+//! events and the outcome of each run, and creates the log entries that the leader proposes. It does no I/O and reads
+//! no clock. The choice of the executor is made elsewhere.
 //!
-//! [`Runner`] owns the state. Each concern extends it in a module of its own: `leadership` begins and ends the runs of
-//! a term, `dispatch` starts items, `run_reports` takes events and outcomes, `abandonment` gives items up, `proposals`
-//! makes log entries, `unproposed_results` keeps the results until they are in one, `routes` tells which route a job
-//! and an item belong to.
+//! [`Runner`] owns the state. Each concern extends it in a module of its own: `leadership` starts and ends the terms of
+//! a leader, `dispatch` starts items, `run_reports` processes events and outcomes, `abandonment` gives up items,
+//! `proposals` creates log entries, `unproposed_results` holds results until they are proposed, and `routes` determines
+//! the routes of jobs and items.
+//!
+//! A run is one attempt to execute an item. An item is open until its result is committed or its job has ended.
 
 mod abandonment;
 mod backoff;
@@ -39,41 +42,43 @@
 pub use routes::{JobOrigin, JobRoute, RouteIndex, RouteLookup, RoutedJobs};
 pub use run::{Capacity, EventDisposition, RunId, RunOrder, RunOutcome};
 
-/// The item that a run belongs to.
+/// The job and the index of an item.
 #[derive(Clone, Debug)]
 struct ItemKey {
     job: JobId,
     item: ItemIndex,
 }
 
-/// What the leader of a partition knows of its items. It exists on each replica, as each tracks the ages of jobs; it
+/// The scheduling state of a partition's items. Each replica has one, because each replica tracks the ages of jobs. It
 /// runs items only between [`Runner::start_leading`] and [`Runner::stop_leading`].
 #[derive(Debug)]
 pub struct Runner {
     is_leader: bool,
-    /// When each job was first seen here, on the monotonic clock: no earlier than its first send.
+    /// The time at which this replica first saw each job, on the monotonic clock. It is never before the first
+    /// submission of the job.
     first_seen: BTreeMap<JobId, Instant>,
-    /// The jobs with items that are not listed; empty unless leading.
+    /// The jobs that have open items. Empty unless this replica is the leader.
     jobs: BTreeMap<JobId, JobRun>,
     /// The routes of the configuration in force.
     routes: Rc<dyn RouteLookup>,
-    /// The runs in progress. Each is of an item in `jobs` that is running.
+    /// The runs in progress, each with its item in `jobs`.
     runs: HashMap<RunId, ItemKey>,
-    last_run: u64,
-    /// Counts the items started, for the fair turns.
-    turns: u64,
-    /// Results to be proposed.
-    results: UnproposedResults,
-    /// Items with a new count of failures to be proposed.
-    failures: VecDeque<ItemKey>,
-    /// Runs whose connections are to be closed.
+    /// The number in the id of the latest run.
+    last_run_number: u64,
+    /// The number of items that were started. Every few turns, [`Turn::Fair`](priority::Turn::Fair) applies.
+    turn_count: u64,
+    /// Results that are not proposed yet.
+    unproposed_results: UnproposedResults,
+    /// Items whose count of failed attempts has changed since it was last proposed.
+    changed_failure_counts: VecDeque<ItemKey>,
+    /// Runs whose connections have to be closed.
     cancelled: Vec<RunId>,
     jitter: BackoffJitter,
     run_duration: RunDurationEstimate,
 }
 
 impl Runner {
-    /// A runner that runs nothing yet and knows no routes. `seed` determines the jitter of backoffs.
+    /// Creates a runner that has no routes and is not the leader. `seed` determines the jitter of backoffs.
     pub fn new(seed: u64) -> Runner {
         Runner {
             is_leader: false,
@@ -81,59 +86,60 @@
             jobs: BTreeMap::new(),
             routes: Rc::new(NoRoutes),
             runs: HashMap::new(),
-            last_run: 0,
-            turns: 0,
-            results: UnproposedResults::default(),
-            failures: VecDeque::new(),
+            last_run_number: 0,
+            turn_count: 0,
+            unproposed_results: UnproposedResults::default(),
+            changed_failure_counts: VecDeque::new(),
             cancelled: Vec::new(),
             jitter: BackoffJitter::new(seed),
             run_duration: RunDurationEstimate::default(),
         }
     }
 
-    /// Whether this replica leads the partition.
+    /// Whether this replica is the leader of the partition.
     pub fn is_leader(&self) -> bool {
         self.is_leader
     }
 
-    /// The runs whose connections are to be closed at once. No outcome of them need be reported.
+    /// Returns the runs that were cancelled since the last call. Their connections have to be closed at once, and their
+    /// outcomes need not be reported.
     pub fn take_cancelled(&mut self) -> Vec<RunId> {
         std::mem::take(&mut self.cancelled)
     }
 
-    /// When something changes by itself: a backoff ends or a job is given up.
+    /// The time of the next scheduled change: a backoff ends, or a job reaches the end of its retention.
     pub fn next_wake(&self) -> Option<Instant> {
         self.jobs.values().filter_map(JobRun::next_wake).min()
     }
 
-    /// How many items run.
+    /// The number of running items.
     pub fn running_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether items are not listed; none unless leading.
+    /// Whether there are open items. Always false unless this replica is the leader.
     pub fn has_unlisted_items(&self) -> bool {
         !self.jobs.is_empty()
     }
 
-    /// How many items have a result that is not listed, proposed or not.
+    /// The number of items that have a result which is not committed yet, whether it is proposed or not.
     pub fn finished_count(&self) -> usize {
         self.jobs.values().map(JobRun::finished_count).sum()
     }
 
-    /// How many items run, and how many could if there were capacity.
+    /// The number of items that run, and of those that could run now if there were capacity.
     pub fn load(&self) -> PartitionLoad {
-        let count = |items: usize| u32::try_from(items).unwrap_or(u32::MAX);
+        let saturate = |items: usize| u32::try_from(items).unwrap_or(u32::MAX);
         let waiting = self.jobs.values().map(JobRun::ready_count).sum();
-        PartitionLoad { running: count(self.runs.len()), waiting: count(waiting) }
+        PartitionLoad { running: saturate(self.runs.len()), waiting: saturate(waiting) }
     }
 
-    /// The tokens of a route's items that are neither running nor finished.
+    /// The sum of the tokens of a route's items that are ready to run or in a backoff.
     pub fn idle_tokens(&self, route: RouteIndex) -> u64 {
         self.jobs.values().fold(0, |sum, job| sum.saturating_add(job.idle_tokens(route)))
     }
 
-    fn running(&mut self, run: RunId) -> Option<&mut ItemRun> {
+    fn running_item_mut(&mut self, run: RunId) -> Option<&mut ItemRun> {
         let key = self.runs.get(&run)?;
         self.jobs.get_mut(&key.job)?.item_mut(key.item)
     }
--- a/crates/batch/src/runner/abandonment.rs
+++ b/crates/batch/src/runner/abandonment.rs
@@ -1,4 +1,5 @@
-//! What is given up: items past their retention, items without a route, and jobs that nobody may ask for any longer.
+//! Gives up items past their retention and items without a route, and determines the jobs whose results are no longer
+//! served.
 
 use grebeusher_time::{Duration, Instant};
 
@@ -10,16 +11,17 @@
 use crate::names::JobId;
 
 impl Runner {
-    /// Gives up what is past its retention. To be called now and then, see [`Runner::next_wake`].
+    /// Gives up the items of all jobs that are past their retention. The caller has to call this regularly, see
+    /// [`Runner::next_wake`].
     pub fn tick(&mut self, now: Instant) {
-        let late = self.jobs.iter().filter(|(_, job)| job.is_given_up(now));
-        let late: Vec<JobId> = late.map(|(id, _)| id.clone()).collect();
-        for id in late {
+        let expired = self.jobs.iter().filter(|(_, job)| job.is_past_retention(now));
+        let expired: Vec<JobId> = expired.map(|(id, _)| id.clone()).collect();
+        for id in expired {
             self.give_up_items(&id, |_| true);
         }
     }
 
-    /// Gives up the items that match no route of the configuration in force, for good.
+    /// Permanently gives up the items that match no route of the active configuration.
     pub fn give_up_unrouted(&mut self) {
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
@@ -27,19 +29,21 @@
         }
     }
 
-    fn give_up_items(&mut self, id: &JobId, is_given_up: impl Fn(&ItemRun) -> bool) {
+    /// Gives up the unfinished items of a job for which `selects` returns true.
+    fn give_up_items(&mut self, id: &JobId, selects: impl Fn(&ItemRun) -> bool) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        for (item, phase) in job.give_up(is_given_up) {
+        for (item, phase) in job.give_up(selects) {
             if let Phase::Running(run) = phase {
                 self.cancel(run);
             }
-            self.results.push(PendingResult { job: id.clone(), result: dead_letter(item) });
+            self.unproposed_results.push(PendingResult { job: id.clone(), result: dead_letter(item) });
         }
     }
 
-    /// The jobs that nobody may ask for any longer: not open, and first seen here `status_ttl` ago or more.
+    /// The jobs whose results are no longer served: those that are not open, and that this replica first saw at least
+    /// `status_ttl` ago.
     pub fn expired_jobs(&self, jobs: &Jobs, now: Instant, status_ttl: Duration) -> Vec<JobId> {
-        let old = self.first_seen.iter().filter(|(_, seen)| now.since(**seen) >= status_ttl);
+        let old = self.first_seen.iter().filter(|(_, seen_at)| now.since(**seen_at) >= status_ttl);
         let closed = old.filter(|(job, _)| jobs.contains(job) && !jobs.is_open(job));
         closed.map(|(job, _)| job.clone()).take(MAX_JOBS_IN_ENTRY).collect()
     }
--- a/crates/batch/src/runner/leadership.rs
+++ b/crates/batch/src/runner/leadership.rs
@@ -1,4 +1,4 @@
-//! Terms of the leader, and what each replica does with applied entries.
+//! Starts and ends the terms of the leader, and updates the state of each replica after applied entries.
 
 use grebeusher_time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 use crate::names::{ItemIndex, JobId};
 
 impl Runner {
-    /// Tracks the jobs that came by a snapshot or from the disk: their ages begin now.
+    /// Starts tracking the jobs that were loaded from a snapshot or from disk. The ages of new ones count from `now`.
     pub fn track_jobs(&mut self, jobs: &Jobs, now: Instant) {
         self.first_seen.retain(|job, _| jobs.contains(job));
         for job in jobs.names() {
@@ -17,9 +17,8 @@
         }
     }
 
-    /// This replica leads the partition from now on, and all entries of earlier terms are applied. Items that are not
-    /// listed start again, from what is committed of them. `wall_ms`, the wall clock in ms since 1970, is only a hint
-    /// to which of the jobs are urgent.
+    /// Starts a term as the leader. All entries of earlier terms must be applied. Open items run again, from their
+    /// committed progress. `wall_ms`, the wall clock in milliseconds since 1970, only affects the order of jobs.
     pub fn start_leading(&mut self, jobs: &Jobs, now: Instant, wall_ms: u64) {
         self.cancel_all();
         self.track_jobs(jobs, now);
@@ -30,8 +29,8 @@
         }
     }
 
-    /// This replica no longer leads: all runs are cancelled, see [`Runner::take_cancelled`]. Results that are not
-    /// committed are left to the next leader.
+    /// Ends the term as the leader and cancels all runs, see [`Runner::take_cancelled`]. Results that are not committed
+    /// are dropped; the next leader runs their items again.
     pub fn stop_leading(&mut self) {
         self.cancel_all();
         self.is_leader = false;
@@ -40,18 +39,18 @@
     fn cancel_all(&mut self) {
         self.cancelled.extend(self.runs.drain().map(|(run, _)| run));
         self.jobs.clear();
-        self.results.clear();
-        self.failures.clear();
+        self.unproposed_results.clear();
+        self.changed_failure_counts.clear();
     }
 
     fn add_job(&mut self, jobs: &Jobs, id: &JobId, now: Instant, age_by_wall_clock: Duration) {
         let Some(job) = jobs.job(id) else { return };
         let first_seen = self.first_seen.get(id).copied().unwrap_or(now);
-        let run = JobRun::new(job, &*self.routes, first_seen, age_by_wall_clock, now, self.turns);
+        let run = JobRun::new(job, &*self.routes, first_seen, age_by_wall_clock, now, self.turn_count);
         self.jobs.insert(id.clone(), run);
     }
 
-    /// Takes note of an applied entry, on every replica.
+    /// Updates the state after an applied entry. To be called on every replica.
     pub fn applied(&mut self, jobs: &Jobs, applied: &Applied, now: Instant) {
         match applied {
             Applied::Submitted { job, already: false } => {
@@ -92,6 +91,6 @@
         for run in job.runs() {
             self.cancel(run);
         }
-        self.results.remove_job(id);
+        self.unproposed_results.remove_job(id);
     }
 }
--- a/crates/batch/src/runner/priority.rs
+++ b/crates/batch/src/runner/priority.rs
@@ -1,31 +1,35 @@
-//! The order of jobs: those that can still be in time by their due time, then the late ones. Every few turns the job
-//! that has waited longest for a turn goes first, so that none starves behind those that are more urgent.
+//! The order in which jobs run items. Jobs that can still complete in time come first, ordered by their due time, then
+//! jobs that are late. Every few turns the job whose last turn is the longest ago comes first instead, so that no job
+//! starves behind more urgent ones. A turn is the start of one item.
 
 use grebeusher_time::Instant;
 
-/// One turn in so many is a fair one.
+/// One turn out of this many is a [`Turn::Fair`] one.
 const FAIR_TURN_INTERVAL: u64 = 8;
 
-/// What a turn orders jobs by.
+/// The rule by which a turn orders jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Turn {
-    /// By due time, late ones last.
+    /// Jobs are ordered by their due time, with late jobs last.
     Urgency,
-    /// By the time since a job's last turn.
+    /// The job whose last turn is the longest ago comes first.
     Fair,
 }
 
 impl Turn {
-    /// The kind of the turn after so many.
-    pub fn of(turns: u64) -> Turn {
-        if turns % FAIR_TURN_INTERVAL == FAIR_TURN_INTERVAL - 1 { Turn::Fair } else { Turn::Urgency }
+    /// The rule of the turn that follows `turn_count` earlier ones.
+    pub fn nth(turn_count: u64) -> Turn {
+        if turn_count % FAIR_TURN_INTERVAL == FAIR_TURN_INTERVAL - 1 { Turn::Fair } else { Turn::Urgency }
     }
 }
 
-/// The position of a job in the order: the lowest goes first.
+/// The priority of a job. The job with the lowest value comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Priority {
+    /// Whether the job can no longer complete in time.
     pub is_late: bool,
-    pub due: Instant,
+    /// The time at which all results of the job are due.
+    pub due_at: Instant,
+    /// The latest turn in which an item of the job started.
     pub last_turn: u64,
 }
--- a/crates/batch/src/runner/proposals.rs
+++ b/crates/batch/src/runner/proposals.rs
@@ -1,79 +1,86 @@
-//! Log entries that the leader proposes: results, counts of failures, and checkpoints of unfinished texts.
+//! Creates the log entries that the leader proposes: results, counts of failed attempts, and checkpoints of unfinished
+//! texts.
 
 use super::unproposed_results::{MAX_ENTRY_TEXT_BYTES, PendingResult};
 use super::{ItemKey, Runner};
 use crate::jobs::{Entry, ItemProgress, JobResults, MAX_JOBS_IN_ENTRY};
 
 impl Runner {
-    /// The next entry to be proposed: results of items that have finished, as many as fit one, and after all results
-    /// the counts of failures. `None` if nothing is to be proposed.
+    /// Returns the next entry to propose. Results of finished items come first, as many as fit an entry, then changed
+    /// counts of failed attempts. `None` if there is nothing to propose.
     ///
-    /// Only what is in the entry leaves the runner. If the log does not take it, see [`Runner::not_proposed`].
+    /// The content of the entry is removed from the runner. If the log does not accept the entry, the caller has to
+    /// return it with [`Runner::not_proposed`].
     pub fn next_proposal(&mut self) -> Option<Entry> {
-        let results = self.results.take_entry();
+        let results = self.unproposed_results.take_entry();
         if !results.is_empty() {
             return Some(Entry::Results(results));
         }
-        self.next_failures()
+        self.next_failure_counts()
     }
 
-    fn next_failures(&mut self) -> Option<Entry> {
+    fn next_failure_counts(&mut self) -> Option<Entry> {
         let mut progress = Vec::new();
         while progress.len() < MAX_JOBS_IN_ENTRY {
-            let Some(key) = self.failures.pop_front() else { break };
-            progress.extend(self.failure_progress(key));
+            let Some(key) = self.changed_failure_counts.pop_front() else { break };
+            progress.extend(self.failure_count(key));
         }
         (!progress.is_empty()).then_some(Entry::Progress(progress))
     }
 
-    fn failure_progress(&self, key: ItemKey) -> Option<ItemProgress> {
+    fn failure_count(&self, key: ItemKey) -> Option<ItemProgress> {
         let failed_attempts = self.jobs.get(&key.job)?.item(key.item)?.unfinished_failures()?;
         Some(ItemProgress { job: key.job, item: key.item, failed_attempts, events: None })
     }
 
-    /// Whether something is to be proposed. If the log refuses it, [`Runner::next_proposal`] is to be called again after
-    /// a while, even when nothing else happens.
+    /// Whether there is something to propose. If the log refuses an entry, the caller has to call
+    /// [`Runner::next_proposal`] again after a delay, even if nothing else happens.
     pub fn has_proposals(&self) -> bool {
-        !self.results.is_empty() || !self.failures.is_empty()
+        !self.unproposed_results.is_empty() || !self.changed_failure_counts.is_empty()
     }
 
-    /// How many results wait to be proposed.
+    /// The number of results that wait to be proposed.
     pub fn unproposed_count(&self) -> usize {
-        self.results.len()
+        self.unproposed_results.len()
     }
 
-    /// The entry that [`Runner::next_proposal`] or [`Runner::checkpoint`] returned last can never be committed, although
-    /// this replica still leads. Results and counts are proposed again, before all others; texts are in the next
-    /// checkpoint.
+    /// Takes back the entry that [`Runner::next_proposal`] or [`Runner::checkpoint`] returned last, if it can never be
+    /// committed although this replica is still the leader. Its results and counts are proposed again before all others;
+    /// its texts are included in the next checkpoint.
     pub fn not_proposed(&mut self, entry: Entry) {
         if !self.is_leader {
             return;
         }
         match entry {
-            Entry::Results(batches) => batches.into_iter().rev().for_each(|batch| self.propose_again(batch)),
-            Entry::Progress(items) => items.into_iter().rev().for_each(|item| self.progress_again(item)),
+            Entry::Results(results) => {
+                results.into_iter().rev().for_each(|batch| self.requeue_results(batch));
+            }
+            Entry::Progress(items) => items.into_iter().rev().for_each(|item| self.requeue_progress(item)),
             Entry::Submit { .. } | Entry::Ended { .. } | Entry::Forget { .. } => {}
         }
     }
 
-    fn propose_again(&mut self, batch: JobResults) {
+    fn requeue_results(&mut self, batch: JobResults) {
         let JobResults { job, results } = batch;
         let Some(run) = self.jobs.get(&job) else { return };
-        let unlisted = results.into_iter().filter(|result| run.is_finished(result.item));
-        self.results.put_back(unlisted.map(|result| PendingResult { job: job.clone(), result }));
+        let uncommitted = results.into_iter().filter(|result| run.is_finished(result.item));
+        self.unproposed_results
+            .put_back(uncommitted.map(|result| PendingResult { job: job.clone(), result }));
     }
 
-    fn progress_again(&mut self, progress: ItemProgress) {
+    fn requeue_progress(&mut self, progress: ItemProgress) {
         let ItemProgress { job, item, events, .. } = progress;
-        let Some(events) = events else { return self.failures.push_front(ItemKey { job, item }) };
+        let Some(events) = events else {
+            return self.changed_failure_counts.push_front(ItemKey { job, item });
+        };
         if let Some(run) = self.jobs.get_mut(&job).and_then(|run| run.item_mut(item)) {
             run.checkpoint_refused(&events);
         }
     }
 
-    /// Unfinished texts as far as they are not committed, for a planned change of the leader: the next one resumes from
-    /// there. To be called until it returns `None`; what was returned counts as committed. If the log does not take it,
-    /// see [`Runner::not_proposed`].
+    /// Returns an entry with the uncommitted parts of unfinished texts, from which the next leader resumes after a
+    /// planned change of leader. The caller has to call this until it returns `None`. Texts that were returned count as
+    /// committed; if the log does not accept the entry, the caller has to return it with [`Runner::not_proposed`].
     pub fn checkpoint(&mut self) -> Option<Entry> {
         let mut progress = Vec::new();
         let mut text_bytes = 0;
--- a/crates/batch/src/runner/routes.rs
+++ b/crates/batch/src/runner/routes.rs
@@ -1,7 +1,7 @@
-//! The routes that jobs and items belong to: those of the configuration in force that their requests match.
+//! Determines the routes of jobs and items, which are the routes of the active configuration that their requests match.
 //!
-//! The name of a route is no identity. The operator may rename a route, give its name to another one, or use one name
-//! for two routes. Where a request may go is decided by its host and path alone.
+//! The name of a route does not identify it. The operator may rename a route, give its name to another one, or use one
+//! name for two routes. Only the host and path of a request decide where it may be sent.
 
 use std::fmt;
 use std::rc::Rc;
@@ -13,17 +13,18 @@
 use crate::names::JobId;
 use crate::submission::Submission;
 
-/// A route of the configuration in force, by its index there. Another configuration has other indices.
+/// The index of a route in the active configuration. Another configuration may have other indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteIndex(pub usize);
 
 /// The routes of a configuration.
 pub trait RouteLookup: fmt::Debug {
-    /// The bulk route that a request to this host and path matches; `None` if it matches none, or one of another type.
+    /// The bulk route that a request to this host and path matches. `None` if it matches no route, or one of another
+    /// type.
     fn bulk_route(&self, host: &str, path: &str) -> Option<RouteIndex>;
 }
 
-/// What is known before the first configuration.
+/// The routes before the first configuration is set: there are none.
 #[derive(Debug)]
 pub(super) struct NoRoutes;
 
@@ -33,46 +34,46 @@
     }
 }
 
-/// What the route of a job is found by.
+/// The properties of a job that determine its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JobOrigin<'a> {
     /// The name of the route when the job was submitted.
     pub route: &'a str,
-    /// The host of its requests.
+    /// The host of the requests of the job.
     pub host: &'a str,
-    /// The path of its first item.
+    /// The path of the first item of the job.
     pub path: &'a str,
 }
 
 impl<'a> JobOrigin<'a> {
-    /// The origin of a job that is submitted.
+    /// The origin of a submitted job.
     pub fn of(submission: &'a Submission) -> JobOrigin<'a> {
         let Submission { route, host, items, .. } = submission;
         let path: &str = items.first().map_or("", |item| &item.path);
         JobOrigin { route, host, path }
     }
 
-    /// The route that the job counts on.
+    /// The route whose quota the job counts against.
     pub fn route_in(self, routes: &dyn RouteLookup) -> JobRoute<'a> {
         JobRoute { index: routes.bulk_route(self.host, self.path), name: self.route }
     }
 }
 
-/// The route whose quota a job counts on.
+/// The route whose quota a job counts against.
 #[derive(Clone, Copy, Debug)]
 pub struct JobRoute<'a> {
-    /// The route that its requests match now.
+    /// The route that the requests of the job match in the active configuration.
     pub index: Option<RouteIndex>,
-    /// The name of its route when it was submitted. Jobs without a route count by it: another node may serve by a
-    /// configuration that has their route, and admits further jobs on it.
+    /// The name of the route when the job was submitted. Jobs that match no route share a quota by this name, because
+    /// another node may have a configuration that contains their route, and may admit further jobs on it.
     pub name: &'a str,
 }
 
 impl JobRoute<'_> {
-    /// Whether jobs of both count on one quota.
+    /// Whether the jobs of both routes count against the same quota.
     pub fn shares_quota_with(&self, other: &JobRoute<'_>) -> bool {
         match (self.index, other.index) {
-            (Some(one), Some(other)) => one == other,
+            (Some(index), Some(other_index)) => index == other_index,
             (None, None) => self.name == other.name,
             (Some(_), None) | (None, Some(_)) => false,
         }
@@ -80,7 +81,7 @@
 }
 
 impl Runner {
-    /// Another configuration is in force: each job and item that is run here belongs to the route that it has there.
+    /// Sets the routes of a new active configuration, and assigns each job and open item to the route that it matches.
     pub fn set_routes(&mut self, jobs: &Jobs, routes: Rc<dyn RouteLookup>) {
         self.routes = routes;
         for (id, run) in &mut self.jobs {
@@ -90,28 +91,29 @@
         }
     }
 
-    /// The tokens of the items that are neither listed nor of a job that has ended, of the jobs that count on a route.
+    /// The sum of the tokens of all open items of the jobs that count against the quota of a route.
     pub fn waiting_tokens(&self, jobs: &Jobs, route: &JobRoute<'_>) -> u64 {
-        let counted = self.jobs.iter().filter_map(|(id, run)| {
+        let job_tokens = self.jobs.iter().filter_map(|(id, run)| {
             let job = jobs.job(id)?;
             let job_route = JobRoute { index: run.route(), name: job.route() };
             job_route.shares_quota_with(route).then(|| job.waiting_tokens())
         });
-        counted.fold(0, u64::saturating_add)
+        job_tokens.fold(0, u64::saturating_add)
     }
 
-    /// How many items match no route and wait for one.
+    /// The number of waiting items that match no route.
     pub fn unrouted_count(&self) -> usize {
         self.jobs.values().map(JobRun::unrouted_count).sum()
     }
 }
 
-/// The jobs of a partition as their leader admits further ones: by the routes that they belong to now.
+/// The committed jobs of a partition, with the routes that they match in the active configuration. Used by the leader to
+/// admit further jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct RoutedJobs<'a> {
-    /// What is committed.
+    /// The committed jobs.
     pub jobs: &'a Jobs,
-    /// Who runs it.
+    /// The runner, which has the routes.
     pub runner: &'a Runner,
 }
 
--- a/crates/batch/src/runner/run_duration.rs
+++ b/crates/batch/src/runner/run_duration.rs
@@ -1,13 +1,13 @@
-//! How long a run is expected to take.
+//! Estimates the duration of a run.
 
 use grebeusher_time::{Duration, DurationExt};
 
-/// The expected duration before any run has been seen.
+/// The expected duration before any run has completed.
 const INITIAL_DURATION: Duration = Duration::from_millis(1_000);
 /// The weight of the newest run in the mean.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// The running mean of complete runs.
+/// The exponentially weighted mean duration of completed runs.
 #[derive(Debug)]
 pub(super) struct RunDurationEstimate {
     mean: Duration,
@@ -20,11 +20,12 @@
 }
 
 impl RunDurationEstimate {
-    /// A complete run took so long.
+    /// Records the duration of a completed run.
     pub fn observe(&mut self, duration: Duration) {
         self.mean = self.mean.scaled(1.0 - NEWEST_WEIGHT) + duration.scaled(NEWEST_WEIGHT);
     }
 
+    /// The expected duration of a run.
     pub fn expected(&self) -> Duration {
         self.mean
     }
--- a/crates/batch/src/runner/run_reports.rs
+++ b/crates/batch/src/runner/run_reports.rs
@@ -1,4 +1,5 @@
-//! Events and outcomes of runs: results, retries with backoff, and items that can't succeed.
+//! Processes the events and outcomes of runs: it creates results, schedules retries after a backoff, and gives up items
+//! that can't succeed.
 
 use grebeusher_time::Instant;
 
@@ -12,9 +13,9 @@
 use crate::shared_bytes::SharedText;
 
 impl Runner {
-    /// A complete event of a run has come.
+    /// Processes a complete event of a run.
     pub fn run_event(&mut self, run: RunId, id: u64, data: &str, now: Instant) -> EventDisposition {
-        let Some(item) = self.running(run) else { return EventDisposition::UnknownRun };
+        let Some(item) = self.running_item_mut(run) else { return EventDisposition::UnknownRun };
         if item.append_event(id, data) {
             return EventDisposition::Accepted;
         }
@@ -23,9 +24,9 @@
         EventDisposition::OutOfOrder
     }
 
-    /// A run has ended. Cancelled and unknown runs are ignored.
+    /// Processes the end of a run. Cancelled and unknown runs are ignored.
     pub fn run_ended(&mut self, run: RunId, outcome: RunOutcome, now: Instant) {
-        let Some(item) = self.running(run) else { return };
+        let Some(item) = self.running_item_mut(run) else { return };
         match outcome {
             RunOutcome::Complete if item.last_event().is_some() => self.complete(run, now),
             RunOutcome::Complete | RunOutcome::Broken => self.back_off(run, backoff::BROKEN, now),
@@ -42,14 +43,14 @@
         let Some(item) = self.jobs.get_mut(&key.job).and_then(|job| job.finish(key.item)) else { return };
         self.run_duration.observe(now.since(item.started_at));
         let result = ItemResult { item: key.item, state: ResultState::Complete, text: item.text.into() };
-        self.results.push(PendingResult { job: key.job, result });
+        self.unproposed_results.push(PendingResult { job: key.job, result });
     }
 
     fn give_up_item(&mut self, run: RunId) {
         let Some(key) = self.runs.remove(&run) else { return };
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         job.finish(key.item);
-        self.results.push(PendingResult { result: dead_letter(key.item), job: key.job });
+        self.unproposed_results.push(PendingResult { result: dead_letter(key.item), job: key.job });
     }
 
     fn count_failure(&mut self, run: RunId, now: Instant) {
@@ -58,7 +59,7 @@
         if job.count_failure(key.item) {
             return self.give_up_item(run);
         }
-        self.failures.push_back(key);
+        self.changed_failure_counts.push_back(key);
         self.back_off(run, backoff::FAILED, now);
     }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// The result of an item that was given up.
+/// The result of an item that is given up.
 pub(super) fn dead_letter(item: ItemIndex) -> ItemResult {
     ItemResult { item, state: ResultState::DeadLetter, text: SharedText::default() }
 }
--- a/crates/batch/src/runner/unproposed_results.rs
+++ b/crates/batch/src/runner/unproposed_results.rs
@@ -1,25 +1,25 @@
-//! Results that are not in the partition's log yet, in the order in which their items finished.
+//! The queue of results that are not proposed to the partition's log yet, in the order in which their items finished.
 
 use std::collections::VecDeque;
 
 use crate::jobs::{ItemResult, JobResults, MAX_JOBS_IN_ENTRY};
 use crate::names::JobId;
 
-/// The bytes of text after which results go into a further entry.
+/// The maximum total text size of an entry with several results, in bytes. Further results go into another entry.
 pub(super) const MAX_ENTRY_TEXT_BYTES: usize = 512 << 10;
 
-/// A result that is to be proposed.
+/// A result that has to be proposed.
 #[derive(Clone, Debug)]
 pub(super) struct PendingResult {
     pub job: JobId,
     pub result: ItemResult,
 }
 
-/// All of them. A result leaves only with the entry that takes it.
+/// The queue of unproposed results. A result is removed only when it is put into an entry.
 #[derive(Debug, Default)]
 pub(super) struct UnproposedResults {
     results: VecDeque<PendingResult>,
-    /// Of all their texts.
+    /// The total size of the texts of `results`, in bytes.
     text_bytes: usize,
 }
 
@@ -29,7 +29,7 @@
         self.results.push_back(pending);
     }
 
-    /// Puts results back that were taken last, before all others.
+    /// Puts the results that were removed last back to the front of the queue.
     pub fn put_back(&mut self, batch: impl DoubleEndedIterator<Item = PendingResult>) {
         for pending in batch.rev() {
             self.text_bytes += pending.result.text.len();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes as many results as fit one entry; none if there are none.
+    /// Removes as many results as fit one entry and returns them. The list is empty if there are none.
     pub fn take_entry(&mut self) -> Vec<JobResults> {
         let mut batch = ResultBatch::default();
         while let Some(pending) = self.results.pop_front() {
@@ -52,7 +52,7 @@
         batch.jobs
     }
 
-    /// Drops the results of a job.
+    /// Removes the results of a job.
     pub fn remove_job(&mut self, job: &JobId) {
         self.results.retain(|pending| pending.job != *job);
         self.text_bytes = self.results.iter().map(|pending| pending.result.text.len()).sum();
@@ -76,20 +76,22 @@
     }
 }
 
-/// The results of one entry as they are collected.
+/// Collects the results of one entry.
 #[derive(Default)]
 struct ResultBatch {
     jobs: Vec<JobResults>,
+    /// The total size of the texts of the results, in bytes.
     text_bytes: usize,
 }
 
 impl ResultBatch {
-    fn is_full(&self, more_text_bytes: usize) -> bool {
-        let is_long = self.text_bytes > 0 && self.text_bytes + more_text_bytes > MAX_ENTRY_TEXT_BYTES;
-        is_long || self.jobs.len() >= MAX_JOBS_IN_ENTRY
+    /// Whether the entry has no space for a result with a text of this size.
+    fn is_full(&self, added_text_bytes: usize) -> bool {
+        let exceeds_bytes = self.text_bytes > 0 && self.text_bytes + added_text_bytes > MAX_ENTRY_TEXT_BYTES;
+        exceeds_bytes || self.jobs.len() >= MAX_JOBS_IN_ENTRY
     }
 
-    /// Results of one job share its name.
+    /// Adds a result to those of its job, so that the entry contains the id of each job once.
     fn add(&mut self, pending: PendingResult) {
         let PendingResult { job, result } = pending;
         self.text_bytes += result.text.len();
--- a/crates/batch/src/runner/waiting_items.rs
+++ b/crates/batch/src/runner/waiting_items.rs
@@ -1,4 +1,4 @@
-//! The items of a job that wait for capacity, by the routes that their requests match.
+//! The items of a job that wait for capacity, grouped by the routes that their requests match.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,10 +7,10 @@
 use super::run::Capacity;
 use crate::names::ItemIndex;
 
-/// Orders items that may run: the largest first, as they take longest and have the most value.
+/// The sort key of ready items. The largest item comes first, because it takes longest and has the most value.
 type ReadyKey = (Reverse<u64>, ItemIndex);
 
-/// An item that waits. One that matches no route may not run, and is in no queue.
+/// A waiting item. Items that match no route must not run, and are in no queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct WaitingItem {
     pub route: RouteIndex,
@@ -24,12 +24,12 @@
     }
 }
 
-/// The items of one route.
+/// The waiting items of one route.
 #[derive(Debug, Default)]
 struct RouteQueue {
-    /// Those that may run now.
+    /// The items that may run now.
     ready: BTreeSet<ReadyKey>,
-    /// The tokens of those that may run now or after a backoff.
+    /// The sum of the tokens of the items that may run now or after a backoff.
     idle_tokens: u64,
 }
 
@@ -39,25 +39,25 @@
     }
 }
 
-/// All of them.
+/// The waiting items of a job.
 #[derive(Debug, Default)]
 pub(super) struct WaitingItems {
     queues: BTreeMap<RouteIndex, RouteQueue>,
 }
 
 impl WaitingItems {
-    /// The item waits, and may run once it is [`ready`](WaitingItems::ready).
+    /// Adds an item, which may run once it is marked with [`WaitingItems::mark_ready`].
     pub fn add(&mut self, item: WaitingItem) {
         let queue = self.queues.entry(item.route).or_default();
         queue.idle_tokens = queue.idle_tokens.saturating_add(item.tokens);
     }
 
-    /// An item that waits may run now.
-    pub fn ready(&mut self, item: WaitingItem) {
+    /// Marks a waiting item as ready to run.
+    pub fn mark_ready(&mut self, item: WaitingItem) {
         self.queues.entry(item.route).or_default().ready.insert(item.key());
     }
 
-    /// The item waits no longer.
+    /// Removes an item that no longer waits.
     pub fn remove(&mut self, item: WaitingItem) {
         if let Some(queue) = self.queues.get_mut(&item.route) {
             queue.ready.remove(&item.key());
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Nothing waits any longer.
+    /// Removes all items.
     pub fn clear(&mut self) {
         self.queues.clear();
     }
 
-    /// The largest item that may run now and fits the capacity of its route.
+    /// The largest ready item that fits the capacity of its route.
     pub fn largest_within(&self, capacity: &impl Capacity) -> Option<WaitingItem> {
         let fitting = self.queues.iter().filter(|(_, queue)| !queue.ready.is_empty());
         let largest = fitting.filter_map(|(route, queue)| {
@@ -80,8 +80,8 @@
         largest.min().map(|((Reverse(tokens), index), route)| WaitingItem { route, tokens, index })
     }
 
-    /// The tokens of the largest item of a route that may run now.
-    pub fn largest_ready(&self, route: RouteIndex) -> Option<u64> {
+    /// The tokens of the largest ready item of a route.
+    pub fn largest_ready_tokens(&self, route: RouteIndex) -> Option<u64> {
         let (Reverse(tokens), _) = self.queues.get(&route)?.ready.first()?;
         Some(*tokens)
     }
