--- a/crates/batch/tests/batches/abandonment.rs
+++ b/crates/batch/tests/batches/abandonment.rs
@@ -1,39 +1,39 @@
-//! Items that are given up without a failed run.
+//! Items that are given up without a failed run: after their retention, without a route, and at the end of their job.
 
 use grebeusher_batch::*;
 
 use crate::fixture::*;
 use crate::partition::Partition;
 
-/// MIXED: not before the retention, by the steady clock.
+/// Guards against giving up an item before the end of its retention on the monotonic clock.
 #[test]
 fn items_past_their_retention_are_given_up() {
     let mut partition = Partition::with_job("j", 2);
     let order = partition.next();
-    partition.pass(59_999);
+    partition.advance_ms(59_999);
     partition.runner.tick(partition.now);
-    assert_eq!((partition.settle(), partition.runner.take_cancelled()), (0, vec![]));
+    assert_eq!((partition.commit_proposals(), partition.runner.take_cancelled()), (0, vec![]));
     assert!(partition.runner.next_wake() <= Some(at(61_000)));
-    partition.pass(1);
-    assert_eq!(partition.try_next(), None, "before the tick too");
+    partition.advance_ms(1);
+    assert_eq!(partition.try_next(), None, "no item starts past the retention, even before the tick");
     partition.runner.tick(partition.now);
     assert_eq!(partition.try_next(), None);
-    assert_eq!(partition.settle(), 1);
+    assert_eq!(partition.commit_proposals(), 1);
     assert_eq!(partition.runner.take_cancelled(), [order.run]);
-    assert!(texts(&partition.jobs, "j").iter().all(|one| one.1 == ResultState::DeadLetter));
-    assert_eq!(texts(&partition.jobs, "j").len(), 2);
+    assert!(listed_results(&partition.jobs, "j").iter().all(|result| result.1 == ResultState::DeadLetter));
+    assert_eq!(listed_results(&partition.jobs, "j").len(), 2);
     partition.runner.tick(partition.now);
-    assert_eq!(partition.settle(), 0);
+    assert_eq!(partition.commit_proposals(), 0);
 }
 
 #[test]
 fn without_a_retention_nothing_is_given_up() {
-    let mut partition = Partition::led();
+    let mut partition = Partition::with_leader();
     let settings = JobSettings { retention_ms: 0, ..settings() };
     partition.commit(Entry::Submit { submission: submission("j", 1), settings });
-    partition.pass(10_000_000);
+    partition.advance_ms(10_000_000);
     partition.runner.tick(partition.now);
-    assert_eq!(partition.settle(), 0);
+    assert_eq!(partition.commit_proposals(), 0);
     partition.next();
 }
 
@@ -46,15 +46,15 @@
     assert_eq!(order.job, job("j"));
     partition.set_prefixes(&[OTHER_PREFIX]);
     partition.runner.give_up_unrouted();
-    partition.settle();
+    partition.commit_proposals();
     assert_eq!(partition.runner.take_cancelled(), [order.run]);
-    assert_eq!(texts(&partition.jobs, "j").len(), 2);
-    assert_eq!(partition.next().job, job("k"), "others run on");
+    assert_eq!(listed_results(&partition.jobs, "j").len(), 2);
+    assert_eq!(partition.next().job, job("k"), "items on other routes still run");
     partition.runner.give_up_unrouted();
-    assert_eq!(partition.settle(), 0);
+    assert_eq!(partition.commit_proposals(), 0);
 }
 
-/// UNASKED: nothing of a job runs once its end is applied.
+/// Guards against running items of a job whose end is applied.
 #[test]
 fn ending_a_job_cancels_its_runs() {
     let mut partition = Partition::with_job("j", 3);
@@ -66,6 +66,9 @@
     assert_eq!(partition.try_next(), None);
     assert_eq!(partition.event(&second, 0, "a"), EventDisposition::UnknownRun);
     partition.end_run(&second, RunOutcome::Broken);
-    partition.pass(10_000);
-    assert_eq!((partition.try_next(), partition.settle(), partition.runner.running_count()), (None, 0, 0));
+    partition.advance_ms(10_000);
+    assert_eq!(
+        (partition.try_next(), partition.commit_proposals(), partition.runner.running_count()),
+        (None, 0, 0)
+    );
 }
--- a/crates/batch/tests/batches/fixture.rs
+++ b/crates/batch/tests/batches/fixture.rs
@@ -1,4 +1,4 @@
-//! Jobs and entries to tell stories with.
+//! Jobs, entries and routes that the tests share.
 
 use std::rc::Rc;
 
@@ -6,16 +6,16 @@
 use grebeusher_time::{Duration, Instant};
 
 pub const HOST: &str = "lots.example";
-/// The route of most jobs: its name, its prefix, and its index where no other routes are given.
+/// The name, the path prefix and the index of the route of most jobs. A test that sets other routes has other indices.
 pub const ROUTE: &str = "r-lots";
 pub const PREFIX: &str = "/lots/";
 pub const INDEX: RouteIndex = RouteIndex(0);
-/// A second route of the same host.
+/// The name, the path prefix and the index of a second route of the same host.
 pub const OTHER_ROUTE: &str = "r-other";
 pub const OTHER_PREFIX: &str = "/other/";
 pub const OTHER_INDEX: RouteIndex = RouteIndex(1);
 
-/// A configuration: the prefixes of the bulk routes of [`HOST`], in their order.
+/// The routes of a configuration: the path prefixes of the bulk routes of [`HOST`], by index.
 #[derive(Debug)]
 pub struct Prefixes(pub Vec<&'static str>);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A runner that knows the two routes.
+/// A runner that has both routes.
 pub fn runner(seed: u64) -> Runner {
     let mut runner = Runner::new(seed);
     runner.set_routes(&Jobs::new(), Rc::new(Prefixes(vec![PREFIX, OTHER_PREFIX])));
@@ -34,21 +34,22 @@
 }
 
 pub fn job(name: &str) -> JobId {
-    JobId::new(name).expect("a proper name")
+    JobId::new(name).expect("a valid id")
 }
 
+/// The time on the monotonic clock that many milliseconds after its start.
 pub fn at(ms: u64) -> Instant {
     Instant::default() + Duration::from_millis(ms)
 }
 
-/// The item's body tells which it is, so that mixed up bodies are seen.
-pub fn item(job: &str, place: usize, token_count: u64) -> ItemSpec {
-    item_below(PREFIX, job, place, token_count)
+/// An item whose body contains its id, so that tests notice swapped bodies.
+pub fn item(job: &str, index: usize, token_count: u64) -> ItemSpec {
+    item_below(PREFIX, job, index, token_count)
 }
 
-/// The same with a path below a prefix.
-pub fn item_below(prefix: &str, job: &str, place: usize, token_count: u64) -> ItemSpec {
-    let id = format!("{job}-{place}");
+/// As [`item`], with a path below `prefix`.
+pub fn item_below(prefix: &str, job: &str, index: usize, token_count: u64) -> ItemSpec {
+    let id = format!("{job}-{index}");
     ItemSpec {
         path: format!("{prefix}3/{id}").into(),
         headers: vec![Header {
@@ -71,7 +72,7 @@
         items: tokens
             .iter()
             .enumerate()
-            .map(|(place, tokens)| item_below(prefix, name, place, *tokens))
+            .map(|(index, tokens)| item_below(prefix, name, index, *tokens))
             .collect(),
     }
 }
@@ -96,26 +97,28 @@
     Entry::Submit { submission: submission(name, items), settings: settings() }
 }
 
-pub fn result(place: u16, state: ResultState, text: &str) -> ItemResult {
-    ItemResult { item: ItemIndex(place), state, text: text.into() }
+pub fn result(index: u16, state: ResultState, text: &str) -> ItemResult {
+    ItemResult { item: ItemIndex(index), state, text: text.into() }
 }
 
-pub fn complete(name: &str, place: u16, text: &str) -> Entry {
-    let results = vec![result(place, ResultState::Complete, text)];
+pub fn complete_item(name: &str, index: u16, text: &str) -> Entry {
+    let results = vec![result(index, ResultState::Complete, text)];
     Entry::Results(vec![JobResults { job: job(name), results }])
 }
 
-pub fn texts(jobs: &Jobs, name: &str) -> Vec<(String, ResultState, String)> {
+/// The results of a job by position: the item id, the state and the text.
+pub fn listed_results(jobs: &Jobs, name: &str) -> Vec<(String, ResultState, String)> {
     let page = jobs.read(&job(name), 0, MAX_PAGE_BYTES).expect("the job is known");
-    page.results.iter().map(|one| (one.item_id().into(), one.state(), one.text().into())).collect()
+    let results = page.results.iter();
+    results.map(|result| (result.item_id().into(), result.state(), result.text().into())).collect()
 }
 
-/// Room for anything.
+/// Unlimited capacity on all routes.
 pub fn any_capacity(_: RouteIndex) -> Option<u64> {
     Some(u64::MAX)
 }
 
-/// All that the runner would propose, if the log takes it.
+/// All entries that the runner proposes if the log accepts each of them.
 pub fn proposals(runner: &mut Runner) -> Vec<Entry> {
     std::iter::from_fn(|| runner.next_proposal()).collect()
 }
--- a/crates/batch/tests/batches/leader_change.rs
+++ b/crates/batch/tests/batches/leader_change.rs
@@ -1,4 +1,4 @@
-//! The leader changes in the middle of everything.
+//! Changes of the leader while jobs are running.
 
 use grebeusher_batch::*;
 use grebeusher_time::Duration;
@@ -6,14 +6,14 @@
 use crate::fixture::*;
 use crate::partition::Partition;
 
-/// The same log on another replica, which takes over.
-fn successor(of: &Partition, log: &[Entry], wall_ms: u64) -> Partition {
-    let mut partition = Partition { jobs: Jobs::new(), runner: runner(8), now: of.now };
+/// Another replica that applies the same log and then becomes the leader.
+fn successor(old: &Partition, log: &[Entry], wall_ms: u64) -> Partition {
+    let mut partition = Partition { jobs: Jobs::new(), runner: runner(8), now: old.now };
     for entry in log {
         partition.commit(entry.clone());
     }
     assert_eq!(partition.try_next(), None, "a replica that isn't the leader runs nothing");
-    assert_eq!(partition.jobs, of.jobs);
+    assert_eq!(partition.jobs, old.jobs);
     partition.runner.start_leading(&partition.jobs, partition.now, wall_ms);
     partition
 }
@@ -30,8 +30,8 @@
         assert_eq!(new.event(run, 0, "a"), EventDisposition::Accepted);
         new.end_run(run, RunOutcome::Complete);
     }
-    new.settle();
-    assert_eq!(texts(&new.jobs, "j").len(), 2);
+    new.commit_proposals();
+    assert_eq!(listed_results(&new.jobs, "j").len(), 2);
 }
 
 #[test]
@@ -60,25 +60,29 @@
     assert_eq!(partition.event(&first, 0, "a"), EventDisposition::UnknownRun);
     partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let again = [partition.next(), partition.next()];
-    assert!(again.iter().all(|order| ![first.run, second.run].contains(&order.run)), "runs are told apart");
+    assert!(
+        again.iter().all(|order| ![first.run, second.run].contains(&order.run)),
+        "the new runs have other ids"
+    );
     assert_eq!(partition.event(&first, 0, "a"), EventDisposition::UnknownRun);
 }
 
-/// TWICE: both leaders' results reach the log.
+/// Guards against a second result of an item when the results of both leaders reach the log.
 #[test]
 fn a_result_committed_by_the_predecessor_is_final() {
     let old = Partition::with_job("j", 1);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000);
     let order = new.next();
     new.event(&order, 0, "a");
-    new.commit(complete("j", 0, "the predecessor's"));
+    new.commit(complete_item("j", 0, "the predecessor's"));
     assert_eq!(new.runner.take_cancelled(), [order.run]);
     new.end_run(&order, RunOutcome::Complete);
-    assert_eq!((new.settle(), new.try_next()), (0, None));
-    assert_eq!(texts(&new.jobs, "j")[0].2, "the predecessor's");
+    assert_eq!((new.commit_proposals(), new.try_next()), (0, None));
+    assert_eq!(listed_results(&new.jobs, "j")[0].2, "the predecessor's");
 }
 
-/// MIXED: answers of 500 that were committed count on, those that weren't are requested again.
+/// Guards against a wrong number of attempts after a change of leader: committed 500 responses count, others don't, and
+/// their items run again.
 #[test]
 fn committed_failures_count_for_the_successor() {
     let mut old = Partition::with_job("j", 1);
@@ -89,49 +93,49 @@
         log.push(entry.clone());
         old.commit(entry);
     }
-    old.pass(5_000);
+    old.advance_ms(5_000);
     let order = old.next();
     old.end_run(&order, RunOutcome::Failed500);
     let mut new = successor(&old, &log, 1_000_000);
     for attempt in 2..=3 {
-        new.pass(5_000);
+        new.advance_ms(5_000);
         let order = new.next();
         new.end_run(&order, RunOutcome::Failed500);
-        new.settle();
-        assert_eq!(texts(&new.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
+        new.commit_proposals();
+        assert_eq!(listed_results(&new.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
     }
 }
 
-/// A checkpoint that the log refuses counts as not made: the next one must not leave a gap, or the successor resumes from
-/// before both and runs again what executors have done.
+/// Guards against a gap after a checkpoint that the log refuses. The next checkpoint must include the refused events, or
+/// the successor resumes before both and repeats work that executors have done.
 #[test]
 fn the_checkpoint_after_a_refused_one_has_its_texts_too() {
     let mut old = Partition::with_job("j", 1);
     let order = old.next();
     let mut log = vec![submit("j", 1)];
     old.event(&order, 0, "a");
-    let taken = old.runner.checkpoint().expect("text is unfinished");
-    log.push(taken.clone());
-    old.commit(taken);
+    let accepted = old.runner.checkpoint().expect("text is unfinished");
+    log.push(accepted.clone());
+    old.commit(accepted);
     for (id, data) in [(1, "b"), (2, "c")] {
         old.event(&order, id, data);
         let refused = old.runner.checkpoint().expect("an event more");
         old.runner.not_proposed(refused);
     }
-    let again = old.runner.checkpoint().expect("nothing of it was taken");
+    let again = old.runner.checkpoint().expect("the refused events");
     assert_eq!(old.runner.checkpoint(), None, "nothing new");
-    assert!(!old.runner.has_proposals(), "no failure was counted");
+    assert!(!old.runner.has_proposals(), "no failed attempt to propose");
     log.push(again.clone());
     old.commit(again);
     let mut new = successor(&old, &log, 1_000_000);
     let resumed = new.next();
     assert_eq!(resumed.last_event_id, Some(2));
     new.end_run(&resumed, RunOutcome::Complete);
-    new.settle();
-    assert_eq!(texts(&new.jobs, "j")[0].2, "a\nb\nc");
+    new.commit_proposals();
+    assert_eq!(listed_results(&new.jobs, "j")[0].2, "a\nb\nc");
 }
 
-/// ORDER: the successor continues from what is committed, with `Last-Event-Id`.
+/// Guards against texts with missing or repeated events: the successor resumes after the last committed event.
 #[test]
 fn the_successor_resumes_from_a_checkpoint() {
     let mut old = Partition::with_job("j", 2);
@@ -156,11 +160,11 @@
     let third = new.runner.checkpoint().expect("an event more");
     new.commit(third);
     new.end_run(resumed, RunOutcome::Complete);
-    new.settle();
-    assert_eq!(texts(&new.jobs, "j")[0].2, "a\nb\nc\nd");
+    new.commit_proposals();
+    assert_eq!(listed_results(&new.jobs, "j")[0].2, "a\nb\nc\nd");
 }
 
-/// Checkpoints of many long texts come in several entries, all of which can be read.
+/// Checkpoints of many long texts are split into several entries of bounded size.
 #[test]
 fn checkpoints_are_bounded() {
     let mut partition = Partition::with_job("j", 10);
@@ -178,81 +182,85 @@
     assert_eq!(resumed, vec![Some(0); 10]);
 }
 
-/// MIXED: a clock that jumps by a day gives nothing up and forgets nothing.
+/// Guards against giving up items because the wall clock jumps ahead by a day.
 #[test]
 fn a_wall_clock_jump_gives_nothing_up() {
     let mut old = Partition::with_job("j", 1);
-    old.pass(1_000);
+    old.advance_ms(1_000);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 86_400_000);
     new.runner.tick(new.now);
-    assert_eq!((new.settle(), new.runner.take_cancelled()), (0, vec![]));
-    new.pass(59_999);
+    assert_eq!((new.commit_proposals(), new.runner.take_cancelled()), (0, vec![]));
+    new.advance_ms(59_999);
     new.runner.tick(new.now);
-    assert_eq!(new.settle(), 0, "the successor saw the job for less than its retention");
-    new.pass(1);
+    assert_eq!(new.commit_proposals(), 0, "the successor first saw the job less than its retention ago");
+    new.advance_ms(1);
     new.runner.tick(new.now);
-    assert_eq!(new.settle(), 1);
+    assert_eq!(new.commit_proposals(), 1);
 }
 
-/// MIXED: nor does one that is ahead by less than the retention.
+/// Guards against giving up items early because the wall clock is ahead by less than the retention.
 #[test]
 fn a_fast_wall_clock_gives_nothing_up_early() {
     let old = Partition::with_job("j", 1);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 30_000);
-    new.pass(59_999);
+    new.advance_ms(59_999);
     new.runner.tick(new.now);
-    assert_eq!((new.settle(), new.runner.next_wake()), (0, Some(at(61_000))));
+    assert_eq!((new.commit_proposals(), new.runner.next_wake()), (0, Some(at(61_000))));
 }
 
-/// The wall clock only tells the successor which job is due first.
+/// A successor knows the ages of jobs only from the wall clock, and uses them for the order of jobs.
 #[test]
 fn a_successor_orders_jobs_by_the_wall_clock() {
-    let old = Partition::led();
+    let old = Partition::with_leader();
     let mut newer = settings();
     newer.accepted_at_wall_ms += 3_000;
     let mut jobs = Jobs::new();
     jobs.apply(Entry::Submit { submission: submission("a-newer", 1), settings: newer });
     jobs.apply(submit("b-older", 1));
-    let jobs = Jobs::from_snapshot(&jobs.to_snapshot()).expect("whole");
+    let jobs = Jobs::from_snapshot(&jobs.to_snapshot()).expect("valid bytes");
     let mut new = Partition { jobs, runner: runner(1), now: old.now };
     new.runner.start_leading(&new.jobs, new.now, 1_004_000);
     assert_eq!([new.next().job, new.next().job], ["b-older", "a-newer"].map(job));
 }
 
-/// A job that is taken now is new, whatever the wall clock says of it.
+/// A job that is accepted in this term is new, whatever its age according to the wall clock.
 #[test]
 fn an_incredible_age_by_the_wall_clock_is_ignored() {
-    let mut partition = Partition::led();
-    partition.pass(30_000);
+    let mut partition = Partition::with_leader();
+    partition.advance_ms(30_000);
     let jumped = JobSettings { accepted_at_wall_ms: 0, ..settings() };
     partition.commit(Entry::Submit { submission: submission("b-jumped", 1), settings: jumped });
     let loose = JobSettings { completion_target_ms: 20_000, ..settings() };
     partition.commit(Entry::Submit { submission: submission("a-loose", 1), settings: loose });
-    assert_eq!(partition.next().job, job("b-jumped"), "it isn't late");
+    assert_eq!(partition.next().job, job("b-jumped"), "it is not late");
 }
 
-/// LOST: forgotten only so long after this replica first saw the job, and not while it is open.
+/// Guards against removing a job too early: it must be closed, and this replica must have first seen it long enough ago.
 #[test]
 fn jobs_expire_by_the_monotonic_clock() {
-    let status = Duration::from_millis(120_000);
+    let status_ttl = Duration::from_millis(120_000);
     let mut partition = Partition::with_job("open", 1);
     partition.commit(submit("done", 1));
-    partition.commit(complete("done", 0, "text"));
-    partition.pass(119_999);
-    assert_eq!(partition.runner.expired_jobs(&partition.jobs, partition.now, status), []);
-    let mut late = Partition { jobs: partition.jobs.clone(), runner: runner(1), now: partition.now };
-    late.runner.track_jobs(&late.jobs, late.now);
-    partition.pass(1);
-    late.pass(1);
-    let expired_jobs = partition.runner.expired_jobs(&partition.jobs, partition.now, status);
+    partition.commit(complete_item("done", 0, "text"));
+    partition.advance_ms(119_999);
+    assert_eq!(partition.runner.expired_jobs(&partition.jobs, partition.now, status_ttl), []);
+    let mut new_replica = Partition { jobs: partition.jobs.clone(), runner: runner(1), now: partition.now };
+    new_replica.runner.track_jobs(&new_replica.jobs, new_replica.now);
+    partition.advance_ms(1);
+    new_replica.advance_ms(1);
+    let expired_jobs = partition.runner.expired_jobs(&partition.jobs, partition.now, status_ttl);
     assert_eq!(expired_jobs, [job("done")]);
-    assert_eq!(late.runner.expired_jobs(&late.jobs, late.now, status), [], "it saw the job a moment ago");
+    assert_eq!(
+        new_replica.runner.expired_jobs(&new_replica.jobs, new_replica.now, status_ttl),
+        [],
+        "it first saw the job 1 ms ago"
+    );
     partition.commit(Entry::Forget { jobs: expired_jobs });
-    assert_eq!(partition.runner.expired_jobs(&partition.jobs, partition.now, status), []);
+    assert_eq!(partition.runner.expired_jobs(&partition.jobs, partition.now, status_ttl), []);
     assert!(!partition.jobs.contains(&job("done")) && partition.jobs.contains(&job("open")));
 }
 
-/// MIXED: a count that comes late takes nothing back.
+/// Guards against an outdated progress entry that lowers the count of failed attempts.
 #[test]
 fn a_lower_failure_count_is_ignored() {
     let mut partition = Partition::with_job("j", 1);
@@ -265,6 +273,6 @@
     partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let order = partition.next();
     partition.end_run(&order, RunOutcome::Failed500);
-    partition.settle();
-    assert_eq!(texts(&partition.jobs, "j").len(), 1, "it was the third");
+    partition.commit_proposals();
+    assert_eq!(listed_results(&partition.jobs, "j").len(), 1, "the third failed attempt");
 }
--- a/crates/batch/tests/batches/main.rs
+++ b/crates/batch/tests/batches/main.rs
@@ -1,4 +1,4 @@
-//! Batch jobs over in-memory partitions, a file for each concern.
+//! Tests of batch jobs in in-memory partitions, with a module for each concern.
 
 mod abandonment;
 mod admission;
--- a/crates/batch/tests/batches/memory_sharing.rs
+++ b/crates/batch/tests/batches/memory_sharing.rs
@@ -1,4 +1,5 @@
-//! Memory: the jobs refer to what the log holds and copy none of it, and let it go when they are done with it.
+//! Sharing of memory between the log and the jobs: jobs refer to the payloads of log entries without copying them, and
+//! release them when they are no longer needed.
 
 use std::sync::Arc;
 
@@ -7,10 +8,11 @@
 
 use crate::fixture::*;
 
-/// The payload of an entry as a log holds it. A second count of it is a reference of the jobs.
+/// Applies an entry that refers to its payload, as the log does, and returns the payload. A reference count above one
+/// means that the jobs still refer to it.
 fn committed(jobs: &mut Jobs, entry: Entry) -> Arc<[u8]> {
     let payload: Arc<[u8]> = entry.serialize_bin().into();
-    let read = Entry::from_shared(&SharedBytes::from(payload.clone())).expect("whole");
+    let read = Entry::from_shared(&SharedBytes::from(payload.clone())).expect("valid bytes");
     assert_eq!(read, entry);
     jobs.apply(read);
     payload
@@ -20,15 +22,15 @@
     Arc::strong_count(payload) == 1
 }
 
-fn refers_to(piece: &[u8], payload: &Arc<[u8]>) -> bool {
-    payload.as_ptr_range().contains(&piece.as_ptr())
+fn refers_to(slice: &[u8], payload: &Arc<[u8]>) -> bool {
+    payload.as_ptr_range().contains(&slice.as_ptr())
 }
 
 #[test]
 fn bodies_and_texts_refer_to_the_payloads() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 2));
-    let results = committed(&mut jobs, complete("j", 0, "a text"));
+    let results = committed(&mut jobs, complete_item("j", 0, "a text"));
     let body = jobs.item_body(&job("j"), "j-1").expect("it waits");
     assert_eq!(body, b"body of j-1");
     assert!(refers_to(body, &submission));
@@ -41,23 +43,23 @@
 fn a_submission_is_released_when_its_last_item_is_listed() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 3));
-    for place in [2, 0] {
-        committed(&mut jobs, complete("j", place, "text"));
-        assert!(!is_released(&submission), "items wait");
+    for index in [2, 0] {
+        committed(&mut jobs, complete_item("j", index, "text"));
+        assert!(!is_released(&submission), "some items are open");
     }
-    committed(&mut jobs, complete("j", 1, "text"));
+    committed(&mut jobs, complete_item("j", 1, "text"));
     assert!(is_released(&submission));
-    assert_eq!(texts(&jobs, "j").len(), 3);
+    assert_eq!(listed_results(&jobs, "j").len(), 3);
 }
 
 #[test]
 fn a_submission_is_released_when_its_job_ends() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 3));
-    let results = committed(&mut jobs, complete("j", 0, "text"));
+    let results = committed(&mut jobs, complete_item("j", 0, "text"));
     committed(&mut jobs, Entry::Ended { job: job("j") });
     assert!(is_released(&submission));
-    assert!(!is_released(&results), "what is listed is still read");
+    assert!(!is_released(&results), "clients still read the results");
     committed(&mut jobs, Entry::Forget { jobs: vec![job("j")] });
     assert!(is_released(&results));
 }
@@ -67,8 +69,8 @@
     let mut jobs = Jobs::new();
     committed(&mut jobs, submit("j", 1));
     assert!(is_released(&committed(&mut jobs, submit("j", 1))), "the job is known");
-    committed(&mut jobs, complete("j", 0, "text"));
-    assert!(is_released(&committed(&mut jobs, complete("j", 0, "another"))), "the item is listed");
+    committed(&mut jobs, complete_item("j", 0, "text"));
+    assert!(is_released(&committed(&mut jobs, complete_item("j", 0, "another"))), "the item is listed");
 }
 
 #[test]
@@ -77,11 +79,11 @@
     committed(&mut jobs, submit("j", 1));
     let results = vec![result(0, ResultState::DeadLetter, "")];
     let payload = committed(&mut jobs, Entry::Results(vec![JobResults { job: job("j"), results }]));
-    assert_eq!(texts(&jobs, "j").len(), 1);
+    assert_eq!(listed_results(&jobs, "j").len(), 1);
     assert!(is_released(&payload));
 }
 
-/// Unfinished texts grow piece by piece, so they are the jobs' own.
+/// Unfinished texts grow with each progress entry, so the jobs have their own copies.
 #[test]
 fn progress_is_copied() {
     let mut jobs = Jobs::new();
@@ -99,7 +101,7 @@
     runner.start_leading(&jobs, at(0), 0);
     let order = runner.next_item(&jobs, at(0), &any_capacity).expect("it may run");
     assert!(refers_to(&order.body, &submission));
-    committed(&mut jobs, complete("j", 0, "text"));
+    committed(&mut jobs, complete_item("j", 0, "text"));
     assert!(!is_released(&submission));
     drop(order);
     assert!(is_released(&submission));
@@ -109,9 +111,9 @@
 fn restored_jobs_refer_to_the_snapshot_alone() {
     let mut jobs = Jobs::new();
     let submission = committed(&mut jobs, submit("j", 2));
-    let results = committed(&mut jobs, complete("j", 0, "a text"));
+    let results = committed(&mut jobs, complete_item("j", 0, "a text"));
     let snapshot: Arc<[u8]> = jobs.to_snapshot().into();
-    let restored = Jobs::from_shared_snapshot(&SharedBytes::from(snapshot.clone())).expect("whole");
+    let restored = Jobs::from_shared_snapshot(&SharedBytes::from(snapshot.clone())).expect("valid bytes");
     assert_eq!(restored, jobs);
     jobs = restored;
     assert!(is_released(&submission) && is_released(&results));
@@ -138,13 +140,13 @@
     let inner = bytes.slice(2..8).expect("it holds it");
     assert_eq!(inner.as_slice(), b"234567");
     assert_eq!(inner.slice(1..6).expect("it holds it").as_slice(), b"34567");
-    assert_eq!(inner.slice(1..7), None, "the buffer goes on, the piece doesn't");
+    assert_eq!(inner.slice(1..7), None, "within the buffer, but not within the slice");
     #[expect(clippy::reversed_empty_ranges)]
     let reversed = inner.slice(3..2);
     assert_eq!(reversed, None);
     assert_eq!(inner.skip(4).as_slice(), b"67");
     assert!(inner.skip(6).is_empty() && inner.skip(7).is_empty());
-    assert_eq!(inner, SharedBytes::from(b"234567".to_vec()), "equal by what they hold");
+    assert_eq!(inner, SharedBytes::from(b"234567".to_vec()), "slices with equal bytes are equal");
 }
 
 #[test]
--- a/crates/batch/tests/batches/partition.rs
+++ b/crates/batch/tests/batches/partition.rs
@@ -1,4 +1,4 @@
-//! One partition with one leader, whose proposals are committed at once.
+//! A partition with a single leader, whose proposals are committed at once.
 
 use std::rc::Rc;
 
@@ -14,19 +14,21 @@
 }
 
 impl Partition {
-    pub fn led() -> Partition {
+    /// A partition without jobs, whose replica is the leader.
+    pub fn with_leader() -> Partition {
         let mut partition = Partition { jobs: Jobs::new(), runner: runner(7), now: at(1_000) };
         partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
         partition
     }
 
+    /// A partition with one job, whose replica is the leader.
     pub fn with_job(name: &str, items: usize) -> Partition {
-        let mut partition = Partition::led();
+        let mut partition = Partition::with_leader();
         partition.commit(submit(name, items));
         partition
     }
 
-    /// Another configuration is in force, with these prefixes.
+    /// Sets a configuration whose bulk routes have these path prefixes.
     pub fn set_prefixes(&mut self, prefixes: &[&'static str]) {
         self.runner.set_routes(&self.jobs, Rc::new(Prefixes(prefixes.to_vec())));
     }
@@ -37,8 +39,8 @@
         applied
     }
 
-    /// Commits all that the runner proposes; how many entries those were.
-    pub fn settle(&mut self) -> usize {
+    /// Commits all entries that the runner proposes, and returns their number.
+    pub fn commit_proposals(&mut self) -> usize {
         let entries = proposals(&mut self.runner);
         let count = entries.len();
         for entry in entries {
@@ -47,14 +49,17 @@
         count
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the monotonic clock.
+    pub fn advance_ms(&mut self, ms: u64) {
         self.now = self.now + grebeusher_time::Duration::from_millis(ms);
     }
 
+    /// Starts the next item, if any may run, with unlimited capacity.
     pub fn try_next(&mut self) -> Option<RunOrder> {
         self.runner.next_item(&self.jobs, self.now, &any_capacity)
     }
 
+    /// Starts the next item, with unlimited capacity. Panics if none may run.
     pub fn next(&mut self) -> RunOrder {
         self.try_next().expect("an item may run")
     }
--- a/crates/batch/tests/batches/proposals.rs
+++ b/crates/batch/tests/batches/proposals.rs
@@ -5,17 +5,20 @@
 use crate::fixture::*;
 use crate::partition::Partition;
 
-/// Results that come out together are one entry.
+/// Results of items that finish before the next proposal share one entry.
 #[test]
-fn results_of_one_turn_are_one_entry() {
+fn results_that_finish_together_are_one_entry() {
     let mut partition = Partition::with_job("j", 20);
     partition.commit(submit("k", 20));
     while let Some(order) = partition.try_next() {
         partition.event(&order, 0, "text");
         partition.end_run(&order, RunOutcome::Complete);
     }
-    assert_eq!(partition.settle(), 1);
-    assert_eq!((texts(&partition.jobs, "j").len(), texts(&partition.jobs, "k").len()), (20, 20));
+    assert_eq!(partition.commit_proposals(), 1);
+    assert_eq!(
+        (listed_results(&partition.jobs, "j").len(), listed_results(&partition.jobs, "k").len()),
+        (20, 20)
+    );
 }
 
 #[test]
@@ -25,7 +28,7 @@
         partition.event(&order, 0, &"x".repeat(300_000));
         partition.end_run(&order, RunOutcome::Complete);
     }
-    assert_eq!(partition.settle(), 4);
+    assert_eq!(partition.commit_proposals(), 4);
     assert_eq!(partition.jobs.status(&job("j")).map(|status| status.listed), Some(4));
 }
 
@@ -48,10 +51,13 @@
         partition.runner.not_proposed(entry);
     }
     let again = proposals(&mut partition.runner);
-    assert!(!again.iter().any(|entry| matches!(entry, Entry::Results(_))), "it is listed: {again:?}");
+    assert!(
+        !again.iter().any(|entry| matches!(entry, Entry::Results(_))),
+        "the result is committed: {again:?}"
+    );
 }
 
-/// Finishes all items of a job, each with a text of so many bytes.
+/// Runs items until none may start, each with a text of `text_bytes` bytes. Returns the number of finished items.
 fn finish_all(partition: &mut Partition, text_bytes: usize) -> usize {
     let mut finished = 0;
     while let Some(order) = partition.try_next() {
@@ -62,7 +68,8 @@
     finished
 }
 
-/// LOST: the log takes nothing for a while, and what is behind the entry that it refuses must not be dropped.
+/// Guards against lost results when the log refuses entries for a while: the results that wait behind a refused entry
+/// must stay in the queue.
 #[test]
 fn results_behind_a_refused_entry_are_proposed_later() {
     let mut partition = Partition::with_job("j", 4);
@@ -73,13 +80,13 @@
         partition.runner.not_proposed(refused);
     }
     assert_eq!(partition.runner.unproposed_count(), 5);
-    partition.settle();
+    partition.commit_proposals();
     let listed = |name| partition.jobs.status(&job(name)).map(|status| status.listed);
     assert_eq!((listed("j"), listed("k")), (Some(4), Some(1)));
     assert!(!partition.runner.has_proposals());
 }
 
-/// MIXED: an item would get more attempts than it may if counts of failures behind a refused entry were dropped.
+/// Guards against lost counts of failed attempts behind a refused entry, with which an item would get too many attempts.
 #[test]
 fn failures_behind_a_refused_entry_are_proposed_later() {
     let mut partition = Partition::with_job("j", 2);
@@ -93,7 +100,7 @@
     assert!(matches!(&entries[..], [Entry::Results(_), Entry::Progress(_)]), "{entries:?}");
 }
 
-/// Results that come out while others wait keep the order in which the items finished.
+/// Results keep the order in which their items finished, also when an entry is refused.
 #[test]
 fn a_refused_entry_is_proposed_before_later_results() {
     let mut partition = Partition::with_job("j", 2);
@@ -104,22 +111,23 @@
     partition.event(&second, 0, "second");
     partition.end_run(&second, RunOutcome::Complete);
     partition.runner.not_proposed(refused);
-    partition.settle();
-    let listed: Vec<String> = texts(&partition.jobs, "j").into_iter().map(|(_, _, text)| text).collect();
+    partition.commit_proposals();
+    let listed: Vec<String> =
+        listed_results(&partition.jobs, "j").into_iter().map(|(_, _, text)| text).collect();
     assert_eq!(listed, ["first", "second"]);
 }
 
-/// A log that takes no results for long must not fill the leader's memory with them.
+/// Guards against unbounded memory use of the leader while the log accepts no results.
 #[test]
 fn no_item_starts_while_many_results_wait_to_be_proposed() {
     let mut partition = Partition::with_job("j", 40);
     let finished = finish_all(&mut partition, 400_000);
     assert!((10..20).contains(&finished), "{finished} items of 0.4 MB have run");
-    partition.settle();
-    assert!(partition.try_next().is_some(), "the log takes results again");
+    partition.commit_proposals();
+    assert!(partition.try_next().is_some(), "items start again once results are committed");
 }
 
-/// Entries of an earlier term that come back are none of this one's.
+/// Entries of an earlier term that the log refuses later have no effect on the current term.
 #[test]
 fn proposals_of_an_earlier_term_are_not_repeated() {
     let mut partition = Partition::with_job("j", 1);
@@ -135,5 +143,5 @@
     assert_eq!(proposals(&mut partition.runner), []);
     partition.event(&again, 0, "text");
     partition.end_run(&again, RunOutcome::Complete);
-    assert_eq!(partition.settle(), 1);
+    assert_eq!(partition.commit_proposals(), 1);
 }
--- a/crates/batch/tests/batches/replay.rs
+++ b/crates/batch/tests/batches/replay.rs
@@ -1,4 +1,4 @@
-//! Replicas that apply the same entries come to the same state, by whatever way.
+//! Replicas that apply the same entries reach the same state, from the log or from a snapshot.
 
 use grebeusher_batch::*;
 use nanoserde::{DeBin, SerBin};
@@ -11,9 +11,9 @@
 }
 
 fn item_result() -> impl Strategy<Value = ItemResult> {
-    (0u16..5, any::<bool>(), ".{0,6}").prop_map(|(place, is_complete, text)| {
+    (0u16..5, any::<bool>(), ".{0,6}").prop_map(|(index, is_complete, text)| {
         let state = if is_complete { ResultState::Complete } else { ResultState::DeadLetter };
-        result(place, state, &text)
+        result(index, state, &text)
     })
 }
 
@@ -22,7 +22,7 @@
         .prop_map(|(name, results)| JobResults { job: job(&name), results })
 }
 
-fn piece() -> impl Strategy<Value = EventChunk> {
+fn event_chunk() -> impl Strategy<Value = EventChunk> {
     (prop::option::of(0u64..4), 0u64..5, "[a-z]{0,3}").prop_map(|(after, last, text)| EventChunk {
         after,
         last,
@@ -31,10 +31,10 @@
 }
 
 fn progress() -> impl Strategy<Value = ItemProgress> {
-    (name(), 0u16..5, 0u32..4, prop::option::of(piece())).prop_map(
-        |(name, place, failed_attempts, events)| ItemProgress {
+    (name(), 0u16..5, 0u32..4, prop::option::of(event_chunk())).prop_map(
+        |(name, index, failed_attempts, events)| ItemProgress {
             job: job(&name),
-            item: ItemIndex(place),
+            item: ItemIndex(index),
             failed_attempts,
             events,
         },
@@ -56,12 +56,12 @@
     entries.iter().map(|entry| jobs.apply(entry.clone())).collect()
 }
 
-/// What waits, counted anew from what readers can ask for.
-fn counted_waiting(jobs: &Jobs) -> u64 {
+/// The tokens of open items, computed from the bodies that are readable. Each item has 100 tokens.
+fn expected_waiting_tokens(jobs: &Jobs) -> u64 {
     let names: Vec<String> = jobs.names().map(|job| job.as_str().to_owned()).collect();
     let waits =
-        |name: &String, place: usize| jobs.item_body(&job(name), &format!("{name}-{place}")).is_some();
-    names.iter().map(|name| (0..5).filter(|place| waits(name, *place)).count() as u64 * 100).sum()
+        |name: &String, index: usize| jobs.item_body(&job(name), &format!("{name}-{index}")).is_some();
+    names.iter().map(|name| (0..5).filter(|index| waits(name, *index)).count() as u64 * 100).sum()
 }
 
 proptest! {
@@ -74,24 +74,24 @@
         let (mut whole, mut behind) = (Jobs::new(), Jobs::new());
         let results = apply_all(&mut whole, &entries);
         apply_all(&mut behind, &entries[..cut]);
-        let mut restored = Jobs::from_snapshot(&behind.to_snapshot()).expect("whole");
+        let mut restored = Jobs::from_snapshot(&behind.to_snapshot()).expect("valid bytes");
         prop_assert_eq!(&restored, &behind);
         prop_assert_eq!(apply_all(&mut restored, &entries[cut..]), &results[cut..]);
-        prop_assert_eq!(&restored, &whole, "the costs and the sums too");
+        prop_assert_eq!(&restored, &whole, "including the sums");
         prop_assert_eq!(restored.to_snapshot(), whole.to_snapshot());
     }
 
     #[test]
     fn entries_round_trip_through_bytes(entry in entry()) {
         let bytes = entry.serialize_bin();
-        prop_assert_eq!(&Entry::deserialize_bin(&bytes).expect("whole"), &entry);
+        prop_assert_eq!(&Entry::deserialize_bin(&bytes).expect("valid bytes"), &entry);
         for end in 0..bytes.len() {
             prop_assert!(Entry::deserialize_bin(&bytes[..end]).is_err(), "cut at {}", end);
         }
     }
 
-    /// TWICE and LOST over any entries: what stood at a position stands there until the job is forgotten, each
-    /// item stands at one, and the sum of what waits is right.
+    /// Guards against lost, changed and duplicate results with any entries: a result keeps its position until the job is
+    /// removed, each item has at most one result, and the sum of waiting tokens is correct.
     #[test]
     fn positions_never_change(entries in prop::collection::vec(entry(), 0..80)) {
         let mut jobs = Jobs::new();
@@ -109,7 +109,7 @@
                 names.dedup();
                 prop_assert_eq!(names.len(), new.results.len());
             }
-            prop_assert_eq!(jobs.waiting_tokens(ROUTE), counted_waiting(&jobs));
+            prop_assert_eq!(jobs.waiting_tokens(ROUTE), expected_waiting_tokens(&jobs));
         }
     }
 
@@ -129,14 +129,14 @@
     #[test]
     fn a_corrupt_snapshot_does_not_panic(
         entries in prop::collection::vec(entry(), 5..20),
-        place in any::<prop::sample::Index>(),
+        index in any::<prop::sample::Index>(),
         byte in any::<u8>(),
     ) {
         let mut jobs = Jobs::new();
         apply_all(&mut jobs, &entries);
         let mut bytes = jobs.to_snapshot();
-        let place = place.index(bytes.len());
-        bytes[place] = byte;
+        let index = index.index(bytes.len());
+        bytes[index] = byte;
         let _ = Jobs::from_snapshot(&bytes);
     }
 }
@@ -153,32 +153,32 @@
 fn progress_must_follow_the_last_event() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 1));
-    let piece = |after, last, text: &str| {
+    let chunk = |after, last, text: &str| {
         let events = Some(EventChunk { after, last, text: text.into() });
         Entry::Progress(vec![ItemProgress { job: job("j"), item: ItemIndex(0), failed_attempts: 0, events }])
     };
-    assert_eq!(jobs.apply(piece(Some(0), 2, "not yet")), Applied::Progressed(0));
-    assert_eq!(jobs.apply(piece(None, 1, "a\nb")), Applied::Progressed(1));
-    assert_eq!(jobs.apply(piece(None, 1, "a\nb")), Applied::Progressed(0), "doubled");
-    assert_eq!(jobs.apply(piece(Some(0), 2, "c")), Applied::Progressed(0), "overlapping");
-    assert_eq!(jobs.apply(piece(Some(2), 3, "d")), Applied::Progressed(0), "with a gap");
-    assert_eq!(jobs.apply(piece(Some(1), 1, "d")), Applied::Progressed(0), "going nowhere");
-    assert_eq!(jobs.apply(piece(Some(1), 2, "c")), Applied::Progressed(1));
+    assert_eq!(jobs.apply(chunk(Some(0), 2, "not yet")), Applied::Progressed(0));
+    assert_eq!(jobs.apply(chunk(None, 1, "a\nb")), Applied::Progressed(1));
+    assert_eq!(jobs.apply(chunk(None, 1, "a\nb")), Applied::Progressed(0), "repeated");
+    assert_eq!(jobs.apply(chunk(Some(0), 2, "c")), Applied::Progressed(0), "overlapping");
+    assert_eq!(jobs.apply(chunk(Some(2), 3, "d")), Applied::Progressed(0), "with a gap");
+    assert_eq!(jobs.apply(chunk(Some(1), 1, "d")), Applied::Progressed(0), "without a new event");
+    assert_eq!(jobs.apply(chunk(Some(1), 2, "c")), Applied::Progressed(1));
 }
 
-/// TWICE: a snapshot in which an item stands twice, or is neither open nor listed, is not taken.
+/// Guards against a snapshot with an item that occurs twice, or with more items than the job has.
 #[test]
 fn an_inconsistent_snapshot_is_rejected() {
     let mut jobs = Jobs::new();
     jobs.apply(submit("j", 2));
     let mut open = jobs.to_snapshot();
-    jobs.apply(complete("j", 0, "text"));
-    jobs.apply(complete("j", 1, "text"));
+    jobs.apply(complete_item("j", 0, "text"));
+    jobs.apply(complete_item("j", 1, "text"));
     let mut listed = jobs.to_snapshot();
-    let place = listed.windows(3).rposition(|bytes| bytes == b"j-1").expect("it is listed");
-    listed[place + 2] = b'0';
+    let index = listed.windows(3).rposition(|bytes| bytes == b"j-1").expect("it is listed");
+    listed[index + 2] = b'0';
     assert!(Jobs::from_snapshot(&listed).is_err(), "one item at two positions");
     assert_eq!(open.pop(), Some(0), "no item is listed");
     open.extend([1, 3, b'j', b'-', b'2', 0, 0]);
-    assert!(Jobs::from_snapshot(&open).is_err(), "two open and one listed are three");
+    assert!(Jobs::from_snapshot(&open).is_err(), "two open items and one result in a job of two items");
 }
--- a/crates/batch/tests/batches/retries.rs
+++ b/crates/batch/tests/batches/retries.rs
@@ -1,4 +1,4 @@
-//! Failed runs: retries with backoff, and items that are given up after them.
+//! Failed runs: retries after a backoff, and items that are given up after too many failed attempts.
 
 use grebeusher_batch::*;
 use grebeusher_time::DurationExt;
@@ -7,7 +7,7 @@
 use crate::fixture::*;
 use crate::partition::Partition;
 
-/// MIXED: nothing but a proper end makes a result complete.
+/// Guards against a complete result after a run that did not end with a complete stream.
 #[rstest]
 #[case(RunOutcome::Broken)]
 #[case(RunOutcome::NotExecuted)]
@@ -18,14 +18,14 @@
     let order = partition.next();
     partition.event(&order, 0, "a");
     partition.end_run(&order, outcome);
-    partition.settle();
-    assert_eq!(texts(&partition.jobs, "j"), []);
-    assert_eq!(partition.try_next(), None, "it pauses");
-    partition.pass(5_000);
+    partition.commit_proposals();
+    assert_eq!(listed_results(&partition.jobs, "j"), []);
+    assert_eq!(partition.try_next(), None, "the item is in a backoff");
+    partition.advance_ms(5_000);
     assert_eq!(partition.next().last_event_id, Some(0));
 }
 
-/// Executors that never go on where they should: the item starts again from nothing.
+/// If executors repeatedly fail to continue after the last event, the item runs from the start and its text is discarded.
 #[test]
 fn an_item_that_cannot_be_resumed_runs_from_the_start() {
     let mut partition = Partition::with_job("j", 1);
@@ -33,37 +33,41 @@
     partition.event(&order, 0, "a");
     partition.end_run(&order, RunOutcome::Broken);
     for _ in 0..2 {
-        partition.pass(5_000);
+        partition.advance_ms(5_000);
         let order = partition.next();
         assert_eq!(order.last_event_id, Some(0));
         assert_eq!(partition.event(&order, 0, "other"), EventDisposition::OutOfOrder);
     }
-    partition.pass(5_000);
+    partition.advance_ms(5_000);
     let order = partition.next();
     assert_eq!(order.last_event_id, None);
     partition.event(&order, 0, "x");
     partition.event(&order, 1, "y");
-    assert_eq!(partition.runner.checkpoint(), None, "two runs are not joined in what is committed");
+    assert_eq!(partition.runner.checkpoint(), None, "the committed text stems from another run");
     partition.end_run(&order, RunOutcome::Complete);
-    partition.settle();
-    assert_eq!(texts(&partition.jobs, "j")[0].2, "x\ny", "nothing of the first run is left");
+    partition.commit_proposals();
+    assert_eq!(listed_results(&partition.jobs, "j")[0].2, "x\ny", "the text of the first run is discarded");
 }
 
-/// MIXED: given up only after all of its answers of 500.
+/// Guards against giving up an item before its maximum number of 500 responses.
 #[test]
 fn an_item_is_given_up_after_its_last_attempt() {
     let mut partition = Partition::with_job("j", 1);
     for attempt in 1..=3 {
-        partition.pass(5_000);
+        partition.advance_ms(5_000);
         let order = partition.next();
         partition.end_run(&order, RunOutcome::Failed500);
-        partition.settle();
-        assert_eq!(texts(&partition.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
+        partition.commit_proposals();
+        assert_eq!(
+            listed_results(&partition.jobs, "j").len(),
+            usize::from(attempt == 3),
+            "attempt {attempt}"
+        );
     }
-    assert_eq!(texts(&partition.jobs, "j")[0].1, ResultState::DeadLetter);
+    assert_eq!(listed_results(&partition.jobs, "j")[0].1, ResultState::DeadLetter);
 }
 
-/// MIXED: breaks, full executors and wrong ones are no answers of 500, however many.
+/// Guards against counting broken streams, rejections and misdirected requests as failed attempts.
 #[rstest]
 #[case(RunOutcome::Broken)]
 #[case(RunOutcome::NotExecuted)]
@@ -72,24 +76,24 @@
 fn only_a_500_counts_as_a_failed_attempt(#[case] outcome: RunOutcome) {
     let mut partition = Partition::with_job("j", 1);
     for _ in 0..10 {
-        partition.pass(2_500);
+        partition.advance_ms(2_500);
         let order = partition.next();
         partition.end_run(&order, outcome);
-        partition.settle();
+        partition.commit_proposals();
     }
-    assert_eq!(texts(&partition.jobs, "j"), []);
+    assert_eq!(listed_results(&partition.jobs, "j"), []);
 }
 
 #[test]
 fn zero_allowed_attempts_count_as_one() {
-    let mut partition = Partition::led();
+    let mut partition = Partition::with_leader();
     let settings = JobSettings { max_attempts: 0, ..settings() };
     partition.commit(Entry::Submit { submission: submission("j", 1), settings });
-    assert_eq!(texts(&partition.jobs, "j"), []);
+    assert_eq!(listed_results(&partition.jobs, "j"), []);
     let order = partition.next();
     partition.end_run(&order, RunOutcome::Failed500);
-    partition.settle();
-    assert_eq!(texts(&partition.jobs, "j").len(), 1);
+    partition.commit_proposals();
+    assert_eq!(listed_results(&partition.jobs, "j").len(), 1);
 }
 
 #[test]
@@ -97,48 +101,48 @@
     let mut partition = Partition::with_job("j", 2);
     let order = partition.next();
     partition.end_run(&order, RunOutcome::Rejected422);
-    partition.settle();
-    let listed = texts(&partition.jobs, "j");
+    partition.commit_proposals();
+    let listed = listed_results(&partition.jobs, "j");
     assert_eq!(listed, [(order.attempt_id.clone(), ResultState::DeadLetter, String::new())]);
     assert_ne!(partition.next().attempt_id, order.attempt_id);
 }
 
-/// Pauses grow, differ and stay bounded.
+/// Backoffs grow up to a bound, and vary at random.
 #[test]
 fn the_backoff_of_retries_grows() {
-    let mut partition = Partition::led();
+    let mut partition = Partition::with_leader();
     let settings = JobSettings { max_attempts: u32::MAX, retention_ms: 0, ..settings() };
     partition.commit(Entry::Submit { submission: submission("j", 1), settings });
-    let mut pauses = Vec::new();
+    let mut delays_s = Vec::new();
     for _ in 0..12 {
         let order = partition.next();
         partition.end_run(&order, RunOutcome::Failed500);
-        let until = partition.runner.next_wake().expect("it pauses");
-        pauses.push(until.since(partition.now).seconds());
+        let until = partition.runner.next_wake().expect("it delays_s");
+        delays_s.push(until.since(partition.now).seconds());
         partition.now = until;
     }
-    assert!((0.05..=0.1).contains(&pauses[0]), "{pauses:?}");
-    assert!(pauses[6..].iter().all(|pause| (1.0..=2.0).contains(pause)), "{pauses:?}");
-    assert!(pauses[6..].windows(2).all(|pair| pair[0] != pair[1]), "{pauses:?}");
+    assert!((0.05..=0.1).contains(&delays_s[0]), "{delays_s:?}");
+    assert!(delays_s[6..].iter().all(|delay_s| (1.0..=2.0).contains(delay_s)), "{delays_s:?}");
+    assert!(delays_s[6..].windows(2).all(|pair| pair[0] != pair[1]), "{delays_s:?}");
 }
 
 #[test]
 fn an_event_resets_the_backoff() {
     let mut partition = Partition::with_job("j", 1);
-    let mut pause_after = |data: Option<u64>| {
+    let mut delay_after_s = |data: Option<u64>| {
         let order = partition.next();
         if let Some(id) = data {
             partition.event(&order, id, "x");
         }
         partition.end_run(&order, RunOutcome::Broken);
-        let until = partition.runner.next_wake().expect("it pauses");
-        let pause = until.since(partition.now).seconds();
+        let until = partition.runner.next_wake().expect("it delays_s");
+        let delay_s = until.since(partition.now).seconds();
         partition.now = until;
-        pause
+        delay_s
     };
     for _ in 0..6 {
-        pause_after(None);
+        delay_after_s(None);
     }
-    assert!(pause_after(None) > 0.4);
-    assert!(pause_after(Some(0)) <= 0.025);
+    assert!(delay_after_s(None) > 0.4);
+    assert!(delay_after_s(Some(0)) <= 0.025);
 }
--- a/crates/batch/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -1,4 +1,4 @@
-//! Runs of items: what is sent, how events become text, what completes an item.
+//! Runs of items: the request, the text from the events, and the completion.
 
 use grebeusher_batch::*;
 use rstest::rstest;
@@ -15,7 +15,7 @@
     assert_eq!(order.host.as_str(), "lots.example");
     assert_eq!((order.headers, order.body, order.last_event_id), (spec.headers, spec.body, None));
     assert_eq!((order.token_count, order.tokens), (100, Tokens { prompt: 60, output: 40 }));
-    assert_eq!(partition.try_next(), None, "it runs once at a time");
+    assert_eq!(partition.try_next(), None, "an item has one run at a time");
 }
 
 #[test]
@@ -26,8 +26,11 @@
         assert_eq!(partition.event(&order, id, data), EventDisposition::Accepted);
     }
     partition.end_run(&order, RunOutcome::Complete);
-    assert_eq!(partition.settle(), 1);
-    assert_eq!(texts(&partition.jobs, "j"), [("j-0".into(), ResultState::Complete, "a\n\nb\nc".into())]);
+    assert_eq!(partition.commit_proposals(), 1);
+    assert_eq!(
+        listed_results(&partition.jobs, "j"),
+        [("j-0".into(), ResultState::Complete, "a\n\nb\nc".into())]
+    );
     assert_eq!(
         (partition.try_next(), partition.runner.running_count(), partition.runner.next_wake()),
         (None, 0, None)
@@ -41,11 +44,11 @@
     partition.event(&order, 0, "");
     partition.event(&order, 1, "a");
     partition.end_run(&order, RunOutcome::Complete);
-    partition.settle();
-    assert_eq!(texts(&partition.jobs, "j")[0].2, "\na");
+    partition.commit_proposals();
+    assert_eq!(listed_results(&partition.jobs, "j")[0].2, "\na");
 }
 
-/// ORDER: a run that broke continues after the last whole event.
+/// Guards against missing or repeated events: after a broken run, the next run resumes after the last complete event.
 #[test]
 fn a_broken_run_resumes_after_its_last_event() {
     let mut partition = Partition::with_job("j", 1);
@@ -53,16 +56,16 @@
     partition.event(&order, 0, "a");
     partition.event(&order, 1, "b");
     partition.end_run(&order, RunOutcome::Broken);
-    assert_eq!(partition.event(&order, 2, "late"), EventDisposition::UnknownRun, "the old run is over");
+    assert_eq!(partition.event(&order, 2, "late"), EventDisposition::UnknownRun, "the run has ended");
     partition.end_run(&order, RunOutcome::Complete);
-    assert_eq!(partition.settle(), 0, "nor can it end a second time");
-    partition.pass(2_000);
+    assert_eq!(partition.commit_proposals(), 0, "a run can't end a second time");
+    partition.advance_ms(2_000);
     let order = partition.next();
     assert_eq!(order.last_event_id, Some(1));
     assert_eq!(partition.event(&order, 2, "c"), EventDisposition::Accepted);
     partition.end_run(&order, RunOutcome::Complete);
-    partition.settle();
-    assert_eq!(texts(&partition.jobs, "j")[0].2, "a\nb\nc");
+    partition.commit_proposals();
+    assert_eq!(listed_results(&partition.jobs, "j")[0].2, "a\nb\nc");
 }
 
 #[test]
@@ -70,28 +73,28 @@
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.end_run(&order, RunOutcome::Complete);
-    assert_eq!(partition.settle(), 0);
-    partition.pass(5_000);
+    assert_eq!(partition.commit_proposals(), 0);
+    partition.advance_ms(5_000);
     assert_eq!(partition.next().last_event_id, None);
 }
 
-/// All events had come when the stream broke: the next run only has to say that there are no more.
+/// If the stream breaks after the last event, the next run completes the text without further events.
 #[test]
 fn a_resumed_run_without_events_completes_the_text() {
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     partition.event(&order, 0, "a");
     partition.end_run(&order, RunOutcome::Broken);
-    partition.pass(5_000);
+    partition.advance_ms(5_000);
     let order = partition.next();
     partition.end_run(&order, RunOutcome::Complete);
-    partition.settle();
-    assert_eq!(texts(&partition.jobs, "j")[0].2, "a");
+    partition.commit_proposals();
+    assert_eq!(listed_results(&partition.jobs, "j")[0].2, "a");
 }
 
-/// ORDER: an event that doesn't follow is never taken, and cuts its run off.
+/// Guards against accepting an event that doesn't follow the last one. Such an event ends its run.
 #[rstest]
-#[case::doubled(1)]
+#[case::repeated(1)]
 #[case::before(0)]
 #[case::gap(3)]
 #[case::far(u64::MAX)]
@@ -103,8 +106,8 @@
     assert_eq!(partition.event(&order, id, "x"), EventDisposition::OutOfOrder);
     assert_eq!(partition.event(&order, 2, "x"), EventDisposition::UnknownRun);
     partition.end_run(&order, RunOutcome::Complete);
-    assert_eq!(partition.settle(), 0);
-    partition.pass(5_000);
+    assert_eq!(partition.commit_proposals(), 0);
+    partition.advance_ms(5_000);
     assert_eq!(partition.next().last_event_id, Some(1));
 }
 
@@ -113,7 +116,7 @@
     let mut partition = Partition::with_job("j", 1);
     let order = partition.next();
     let data = "x".repeat(1_000);
-    let taken =
+    let accepted =
         (0..).take_while(|id| partition.event(&order, *id, &data) == EventDisposition::Accepted).count();
-    assert!((400..=MAX_TEXT_BYTES / 1_000).contains(&taken));
+    assert!((400..=MAX_TEXT_BYTES / 1_000).contains(&accepted));
 }
--- a/crates/batch/tests/batches/scheduling.rs
+++ b/crates/batch/tests/batches/scheduling.rs
@@ -1,4 +1,4 @@
-//! Which item runs next, and what waits.
+//! The choice of the item that runs next, the tokens that wait, and the time of the next wake-up.
 
 use grebeusher_batch::*;
 use rstest::rstest;
@@ -6,52 +6,52 @@
 use crate::fixture::*;
 use crate::partition::Partition;
 
-/// Of jobs that can be in time, the one due first; of jobs that are late, those after them.
+/// Jobs that can complete in time come first, ordered by their due time. Late jobs come after them.
 #[test]
 fn the_most_urgent_job_that_can_be_in_time_goes_first() {
-    let mut partition = Partition::led();
-    for (name, completion_target_ms) in [("late", 500), ("loose", 30_000), ("tight", 9_000)] {
+    let mut partition = Partition::with_leader();
+    for (name, completion_target_ms) in [("late", 500), ("distant", 30_000), ("tight", 9_000)] {
         let settings = JobSettings { completion_target_ms, ..settings() };
         partition.commit(Entry::Submit { submission: submission(name, 1), settings });
     }
     let order: Vec<JobId> = std::iter::from_fn(|| partition.try_next()).map(|order| order.job).collect();
-    assert_eq!(order, ["tight", "loose", "late"].map(job));
+    assert_eq!(order, ["tight", "distant", "late"].map(job));
 }
 
 #[test]
 fn the_time_before_acceptance_counts() {
-    let mut partition = Partition::led();
+    let mut partition = Partition::with_leader();
     let older = JobSettings { age_at_acceptance_ms: 3_000, completion_target_ms: 10_000, ..settings() };
     partition.commit(Entry::Submit { submission: submission("a", 1), settings: settings() });
     partition.commit(Entry::Submit { submission: submission("older", 1), settings: older });
     assert_eq!(partition.next().job, job("older"));
 }
 
-/// A late job, and a loose one, behind an endless supply of urgent ones.
+/// Guards against starvation: a late job, or one with a distant due time, runs although there are always more urgent jobs.
 #[rstest]
 #[case::late(1)]
-#[case::loose(50_000)]
+#[case::distant(50_000)]
 fn no_job_starves(#[case] completion_target_ms: u64) {
-    let mut partition = Partition::led();
+    let mut partition = Partition::with_leader();
     let settings = JobSettings { completion_target_ms, ..settings() };
-    partition.commit(Entry::Submit { submission: submission("patient", 2), settings });
-    let mut patient = 0;
+    partition.commit(Entry::Submit { submission: submission("starved", 2), settings });
+    let mut started = 0;
     for number in 0..40 {
         partition.commit(submit(&format!("urgent{number}"), 1));
         partition.commit(submit(&format!("pressing{number}"), 1));
-        patient += usize::from(partition.next().job == job("patient"));
+        started += usize::from(partition.next().job == job("starved"));
     }
-    assert_eq!(patient, 2, "both items ran within 40 turns");
+    assert_eq!(started, 2, "both items ran while 40 items started");
 }
 
 #[test]
 fn the_largest_item_that_fits_goes_first() {
-    let mut partition = Partition::led();
+    let mut partition = Partition::with_leader();
     let submission = submission_on(ROUTE, "j", &[100, 900, 500, 500]);
     partition.commit(Entry::Submit { submission, settings: settings() });
-    let room = |tokens| move |_: RouteIndex| Some(tokens);
+    let capacity = |tokens| move |_: RouteIndex| Some(tokens);
     let mut next = |tokens| {
-        let order = partition.runner.next_item(&partition.jobs, partition.now, &room(tokens));
+        let order = partition.runner.next_item(&partition.jobs, partition.now, &capacity(tokens));
         order.map(|order| order.item.0)
     };
     assert_eq!([next(99), next(600), next(100), next(10_000)], [None, Some(2), Some(0), Some(1)]);
@@ -61,26 +61,26 @@
 #[test]
 fn items_listed_while_waiting_do_not_run() {
     let mut partition = Partition::with_job("j", 3);
-    partition.commit(complete("j", 0, "the predecessor's"));
+    partition.commit(complete_item("j", 0, "the predecessor's"));
     let order = partition.next();
     assert_eq!(order.item, ItemIndex(1));
     partition.end_run(&order, RunOutcome::NotExecuted);
-    assert!(partition.runner.next_wake() < Some(at(2_000)), "it pauses");
-    partition.commit(complete("j", 1, "the predecessor's"));
+    assert!(partition.runner.next_wake() < Some(at(2_000)), "the item is in a backoff");
+    partition.commit(complete_item("j", 1, "the predecessor's"));
     assert_eq!(partition.runner.next_wake(), Some(at(61_000)));
     assert_eq!(partition.next().item, ItemIndex(2));
 }
 
 #[test]
-fn the_tokens_of_the_next_item_are_reported() {
-    let mut partition = Partition::led();
-    let loose = JobSettings { completion_target_ms: 50_000, ..settings() };
-    partition.commit(Entry::Submit { submission: submission_on(ROUTE, "a", &[9_000]), settings: loose });
+fn the_tokens_of_the_next_item_are_known() {
+    let mut partition = Partition::with_leader();
+    let distant = JobSettings { completion_target_ms: 50_000, ..settings() };
+    partition.commit(Entry::Submit { submission: submission_on(ROUTE, "a", &[9_000]), settings: distant });
     partition
         .commit(Entry::Submit { submission: submission_on(ROUTE, "b", &[100, 700]), settings: settings() });
-    let mut lines = Vec::new();
+    let mut tokens_by_route = Vec::new();
     loop {
-        lines.push((
+        tokens_by_route.push((
             partition.runner.next_item_tokens(INDEX, partition.now),
             partition.runner.next_item_tokens(OTHER_INDEX, partition.now),
         ));
@@ -88,7 +88,7 @@
             break;
         }
     }
-    assert_eq!(lines, [(Some(700), None), (Some(100), None), (Some(9_000), None), (None, None)]);
+    assert_eq!(tokens_by_route, [(Some(700), None), (Some(100), None), (Some(9_000), None), (None, None)]);
 }
 
 #[test]
@@ -96,10 +96,10 @@
     let mut partition = Partition::with_job("j", 1);
     let settings = JobSettings { completion_target_ms: 50_000, ..settings() };
     partition.commit(Entry::Submit { submission: submission_on(OTHER_ROUTE, "k", &[100]), settings });
-    let room = |route: RouteIndex| (route == OTHER_INDEX).then_some(1_000);
-    let order = partition.runner.next_item(&partition.jobs, partition.now, &room);
+    let capacity = |route: RouteIndex| (route == OTHER_INDEX).then_some(1_000);
+    let order = partition.runner.next_item(&partition.jobs, partition.now, &capacity);
     assert_eq!(order.map(|order| order.job), Some(job("k")));
-    assert_eq!(partition.runner.next_item(&partition.jobs, partition.now, &room), None);
+    assert_eq!(partition.runner.next_item(&partition.jobs, partition.now, &capacity), None);
 }
 
 #[test]
@@ -110,8 +110,8 @@
     assert_eq!(partition.runner.idle_tokens(INDEX), 200);
     partition.end_run(&order, RunOutcome::NotExecuted);
     assert_eq!(partition.runner.idle_tokens(INDEX), 300);
-    partition.commit(complete("j", order.item.0, "the predecessor's"));
-    assert_eq!(partition.runner.idle_tokens(INDEX), 200, "listed while it paused");
+    partition.commit(complete_item("j", order.item.0, "the predecessor's"));
+    assert_eq!(partition.runner.idle_tokens(INDEX), 200, "the item was listed during its backoff");
     let order = partition.next();
     partition.event(&order, 0, "text");
     partition.end_run(&order, RunOutcome::Complete);
@@ -121,18 +121,18 @@
     assert_eq!((partition.runner.idle_tokens(INDEX), partition.runner.next_wake()), (0, None));
 }
 
-/// While anything is undecided there is a moment to look again, and none once all is decided.
+/// There is a time of the next wake-up until all items are finished.
 #[test]
 fn there_is_a_next_wake_while_anything_is_unfinished() {
     let mut partition = Partition::with_job("j", 2);
     let (first, second) = (partition.next(), partition.next());
-    let given_up = Some(at(61_000));
-    assert_eq!(partition.runner.next_wake(), given_up);
+    let retention_end = Some(at(61_000));
+    assert_eq!(partition.runner.next_wake(), retention_end);
     partition.event(&first, 0, "text");
     partition.end_run(&first, RunOutcome::Complete);
-    assert_eq!(partition.runner.next_wake(), given_up);
-    partition.settle();
-    assert_eq!(partition.runner.next_wake(), given_up);
+    assert_eq!(partition.runner.next_wake(), retention_end);
+    partition.commit_proposals();
+    assert_eq!(partition.runner.next_wake(), retention_end);
     partition.end_run(&second, RunOutcome::Rejected422);
     assert_eq!(partition.runner.next_wake(), None);
 }
--- a/crates/batch/tests/batches/submission.rs
+++ b/crates/batch/tests/batches/submission.rs
@@ -1,4 +1,4 @@
-//! What a submission must be, and what of it is rejected before it can do harm.
+//! The parser of submissions, and their encoding in the log.
 
 use grebeusher_batch::*;
 use nanoserde::{DeBin, SerBin};
@@ -20,7 +20,7 @@
     read_submission(head(), body.as_bytes())
 }
 
-/// A submission of one item, with one field given otherwise.
+/// The body of a submission with one valid item, in which the field `key` has another value.
 fn one_item(key: &str, value: &str) -> String {
     let fields = [
         ("instance_id", r#""e5b2""#),
@@ -29,8 +29,9 @@
         ("payload", r#""q83vEjRWeJA=""#),
         ("token_count", "940"),
     ];
-    let fields =
-        fields.map(|(name, usual)| format!(r#""{name}":{}"#, if name == key { value } else { usual }));
+    let fields = fields.map(|(name, default_value)| {
+        format!(r#""{name}":{}"#, if name == key { value } else { default_value })
+    });
     format!(r#"{{"batch_items":[{{{}}}]}}"#, fields.join(","))
 }
 
@@ -40,7 +41,7 @@
         {"X-B":"2 3","Host":"other.example","X-A":"é","Content-Length":"0","Last-Event-Id":"4"},
         "payload":"q83vEjRWeJA=","token_count":940}, {"instance_id":"0","path":"/","header_map":{},
         "payload":"","token_count":0}]}"#;
-    let submission = read(body).expect("a proper submission");
+    let submission = read(body).expect("a valid submission");
     assert_eq!((submission.route.as_str(), submission.host.as_str()), (ROUTE, "lots.example"));
     let first = &submission.items[0];
     assert_eq!(
@@ -52,20 +53,20 @@
     assert_eq!(
         first.headers,
         [header("X-A", "é"), header("X-B", "2 3")],
-        "connection's headers are left out"
+        "headers that concern the connection are removed"
     );
     assert_eq!(submission.items[1].body.as_slice(), b"");
     assert_eq!(submission.tokens(), 940);
 }
 
 #[rstest]
-#[case::divided("540,400", Tokens { prompt: 540, output: 400 })]
-#[case::blanks("540, 400", Tokens { prompt: 540, output: 400 })]
-#[case::not_divided("940", Tokens { prompt: 940, output: 0 })]
+#[case::split("540,400", Tokens { prompt: 540, output: 400 })]
+#[case::with_space("540, 400", Tokens { prompt: 540, output: 400 })]
+#[case::not_split("940", Tokens { prompt: 940, output: 0 })]
 #[case::unreadable("a,b", Tokens { prompt: 940, output: 0 })]
-fn tokens_are_divided_by_the_header(#[case] value: &str, #[case] tokens: Tokens) {
+fn tokens_are_split_by_the_header(#[case] value: &str, #[case] tokens: Tokens) {
     let body = one_item("header_map", &format!(r#"{{"x-grebeusher-token-count":"{value}"}}"#));
-    assert_eq!(read(&body).expect("a proper submission").items[0].tokens(), tokens);
+    assert_eq!(read(&body).expect("a valid submission").items[0].tokens(), tokens);
 }
 
 #[rstest]
@@ -87,11 +88,11 @@
 #[case::no_base64("payload", r#""q83v*""#)]
 #[case::payload_is_null("payload", "null")]
 #[case::negative_tokens("token_count", "-1")]
-#[case::parts_of_tokens("token_count", "1.5")]
-#[case::endless_tokens("token_count", "1e300")]
+#[case::fractional_tokens("token_count", "1.5")]
+#[case::too_many_tokens("token_count", "1e300")]
 #[case::tokens_as_text("token_count", r#""940""#)]
 fn invalid_items_are_rejected(#[case] key: &str, #[case] value: &str) {
-    assert!(read(&one_item("none", "")).is_ok(), "the rest is proper");
+    assert!(read(&one_item("none", "")).is_ok(), "the other fields are valid");
     assert!(read(&one_item(key, value)).is_err());
 }
 
@@ -102,7 +103,7 @@
 #[case::items_are_an_object(r#"{"batch_items":{}}"#)]
 #[case::item_is_a_list(r#"{"batch_items":[[]]}"#)]
 #[case::truncated(r#"{"batch_items":["#)]
-#[case::more_after_it(r#"{"batch_items":[]} {}"#)]
+#[case::trailing_bytes(r#"{"batch_items":[]} {}"#)]
 fn invalid_submissions_are_rejected(#[case] body: &str) {
     assert!(read(body).is_err());
 }
@@ -116,10 +117,10 @@
 }
 
 fn items(count: usize, id: impl Fn(usize) -> usize) -> String {
-    let item = |place| {
+    let item = |index| {
         format!(
             r#"{{"instance_id":"i{}","path":"/","header_map":{{}},"payload":"","token_count":1}}"#,
-            id(place)
+            id(index)
         )
     };
     let items: Vec<String> = (0..count).map(item).collect();
@@ -127,27 +128,27 @@
 }
 
 #[rstest]
-#[case::as_many_as_may_be(64, 10, true)]
+#[case::the_most_headers(64, 10, true)]
 #[case::too_many(65, 10, false)]
-#[case::as_large_as_may_be(4, 4_000, true)]
+#[case::the_largest_headers(4, 4_000, true)]
 #[case::too_large(4, 4_100, false)]
-fn headers_are_bounded(#[case] count: usize, #[case] value_bytes: usize, #[case] is_proper: bool) {
+fn headers_are_bounded(#[case] count: usize, #[case] value_bytes: usize, #[case] is_valid: bool) {
     let value = "x".repeat(value_bytes);
     let headers: Vec<String> = (0..count).map(|number| format!(r#""X-{number}":"{value}""#)).collect();
     let body = one_item("header_map", &format!("{{{}}}", headers.join(",")));
-    assert_eq!(read(&body).is_ok(), is_proper);
+    assert_eq!(read(&body).is_ok(), is_valid);
 }
 
 #[test]
 fn the_number_of_items_is_bounded() {
-    assert_eq!(read(&items(200, |place| place)).expect("a proper submission").items.len(), 200);
-    assert!(matches!(read(&items(201, |place| place)), Err(SubmissionError::TooManyItems { count: 201 })));
-    assert!(read(&items(0, |place| place)).expect("nothing to do is proper").items.is_empty());
+    assert_eq!(read(&items(200, |index| index)).expect("a valid submission").items.len(), 200);
+    assert!(matches!(read(&items(201, |index| index)), Err(SubmissionError::TooManyItems { count: 201 })));
+    assert!(read(&items(0, |index| index)).expect("a valid submission without items").items.is_empty());
 }
 
 #[test]
 fn duplicate_items_are_rejected() {
-    assert!(matches!(read(&items(3, |place| place % 2)), Err(SubmissionError::DuplicateItem { item: 2 })));
+    assert!(matches!(read(&items(3, |index| index % 2)), Err(SubmissionError::DuplicateItem { item: 2 })));
 }
 
 #[test]
@@ -184,9 +185,9 @@
     let mut submission = submission("j", 1);
     submission.items[0].token_count = u64::MAX;
     let mut bytes = submission.serialize_bin();
-    assert_eq!(Submission::deserialize_bin(&bytes).expect("whole"), submission);
-    assert_eq!(bytes.pop(), Some(1), "the 64th bit");
-    assert!(Submission::deserialize_bin(&[&bytes[..], &[2]].concat()).is_err(), "a 65th");
+    assert_eq!(Submission::deserialize_bin(&bytes).expect("valid bytes"), submission);
+    assert_eq!(bytes.pop(), Some(1), "the byte with the 64th bit");
+    assert!(Submission::deserialize_bin(&[&bytes[..], &[2]].concat()).is_err(), "a 65th bit");
     assert!(Submission::deserialize_bin(&[&bytes[..], &[0x81, 0]].concat()).is_err(), "an eleventh byte");
 }
 
@@ -202,7 +203,7 @@
 }
 
 proptest! {
-    /// Whatever comes is rejected or read, and what is read survives its binary form.
+    /// Any body is either rejected or read, without a panic.
     #[test]
     fn any_body_is_rejected_or_read(body in r#"[\[\]{}":,a-z0-9\\ ]{0,60}"#) {
         let _ = read(&body);
@@ -219,18 +220,18 @@
             item.token_count = tokens;
         }
         let bytes = submission.serialize_bin();
-        prop_assert_eq!(&Submission::deserialize_bin(&bytes).expect("whole"), &submission);
+        prop_assert_eq!(&Submission::deserialize_bin(&bytes).expect("valid bytes"), &submission);
         for end in 0..bytes.len() {
             prop_assert!(Submission::deserialize_bin(&bytes[..end]).is_err(), "cut at {}", end);
         }
     }
 
-    /// Lengths that lie set nothing aside and end in an error, not in a panic.
+    /// Corrupt bytes, such as wrong lengths, never cause a panic.
     #[test]
-    fn corrupt_bytes_do_not_panic(place in 0usize..400, byte in any::<u8>()) {
+    fn corrupt_bytes_do_not_panic(index in 0usize..400, byte in any::<u8>()) {
         let mut bytes = submit("j", 3).serialize_bin();
-        let place = place % bytes.len();
-        bytes[place] = byte;
+        let index = index % bytes.len();
+        bytes[index] = byte;
         let _ = Entry::deserialize_bin(&bytes);
     }
 
--- a/crates/batch/tests/fair_share.rs
+++ b/crates/batch/tests/fair_share.rs
@@ -1,4 +1,4 @@
-//! How leaders of partitions share the room for items.
+//! The division of the executors' capacity among the leaders of partitions.
 
 use grebeusher_batch::{FairShare, PartitionLoad};
 use grebeusher_time::{Duration, Instant};
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_partition_takes_all_capacity_while_no_other_waits() {
-    // Given other partitions whose items all run, when a partition has many runs, then it may begin more.
+    // No other partition has waiting items, so a partition with many runs may start more.
     let shares = with_reports(&[(2, load(100, 0)), (3, load(100, 0))]);
     assert!(shares.may_start(NOW, 1, load(800, 400)));
     assert!(FairShare::default().may_start(NOW, 1, load(800, 400)));
@@ -26,10 +26,11 @@
 
 #[test]
 fn a_partition_with_a_short_queue_yields_to_one_with_a_long_queue() {
-    // Given a partition with 61 runs and 700 items that wait, when another one has 415 runs and few items left,
+    // One partition has 61 running and 700 waiting items. Another one with 415 running and only 60 waiting items exceeds
+    // its share and may start none.
     let shares = with_reports(&[(2, load(61, 700))]);
-    // then that one begins none until its share is its own, and the first begins at once.
     assert!(!shares.may_start(NOW, 3, load(415, 60)));
+    // The first partition may start items at once.
     assert!(with_reports(&[(3, load(415, 60))]).may_start(NOW, 2, load(61, 700)));
 }
 
@@ -37,14 +38,14 @@
 #[case::from_nothing(0)]
 #[case::when_busy(200)]
 fn equal_partitions_grow_into_new_capacity(#[case] running: u32) {
-    // Given three partitions alike, when there is capacity, then each may begin more beside the others.
-    let alike = load(running, 500);
-    assert!(with_reports(&[(2, alike), (3, alike)]).may_start(NOW, 1, alike));
+    // Three partitions with the same load may all start more items when there is new capacity.
+    let same_load = load(running, 500);
+    assert!(with_reports(&[(2, same_load), (3, same_load)]).may_start(NOW, 1, same_load));
 }
 
 #[test]
 fn an_expired_report_has_no_effect() {
-    // Given a leader that told of a long queue and was heard of no more, when others go on, then they take its room.
+    // A leader reported a long queue and then no more loads. Once its report has expired, the others may use its share.
     let shares = with_reports(&[(2, load(61, 700))]);
     assert!(shares.may_start(NOW + Duration::from_millis(1000), 3, load(415, 60)));
 }
--- a/crates/batch/tests/stable_bytes.rs
+++ b/crates/batch/tests/stable_bytes.rs
@@ -1,7 +1,7 @@
-//! Bytes written by earlier versions that this one must read and write unchanged.
+//! Samples of bytes that earlier versions wrote, and that this version must read and write unchanged.
 //!
-//! A partition's log, its snapshots and the calls between the processes hold these bytes. None of them may be edited to make
-//! a test pass: a changed form needs a new kind or a new version beside the old one.
+//! The log and the snapshots of a partition and the messages between processes contain these bytes. No sample may be
+//! edited to make a test pass: a changed format needs a new kind of entry or a new version beside the old one.
 
 use grebeusher_batch::{
     Entry, EventChunk, Header, ItemIndex, ItemProgress, ItemResult, ItemSpec, JobId, JobResults, JobSettings,
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 const SUBMISSION: &[u8] = b"\x05job-1\x04lots\x06models\x0clots.example\x03\x01a\x07/lots/a\x02\x06Accept\x11text/event-stream\x18X-Grebeusher-Token-Count\x06940,60\x03\x00\xab\xff\xe8\x07\x01b\x07/lots/b\x00\x00\x00\x01c\x07/lots/c\x00\x05third\x7f";
-const TERMS: &[u8] = b"\xfb\xd0\x95\xff\xbc1\x7f\x80\x01\x80\x80\x01\xff\xff\xff\xff\x0f\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x00";
+const SETTINGS: &[u8] = b"\xfb\xd0\x95\xff\xbc1\x7f\x80\x01\x80\x80\x01\xff\xff\xff\xff\x0f\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x00";
 const SUBMIT: &[u8] = b"\x01\x05job-1\x04lots\x06models\x0clots.example\x03\x01a\x07/lots/a\x02\x06Accept\x11text/event-stream\x18X-Grebeusher-Token-Count\x06940,60\x03\x00\xab\xff\xe8\x07\x01b\x07/lots/b\x00\x00\x00\x01c\x07/lots/c\x00\x05third\x7f\xfb\xd0\x95\xff\xbc1\x7f\x80\x01\x80\x80\x01\xff\xff\xff\xff\x0f\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x00";
 const RESULTS: &[u8] = b"\x02\x02\x05job-1\x02\x00\x00\none\ntwo \xc3\xa9\xc7\x01\x01\x00\x05job-2\x00";
 const PROGRESS: &[u8] = b"\x03\x03\x05job-1\x00\x00\x01\x00\x00\x03one\x05job-1\x01\x02\x00\x05job-1\x02\xac\x02\x01\x01\x07\xc8\x01\neight\nnine";
@@ -20,7 +20,7 @@
 const NO_JOBS: &[u8] = b"\x01\x00";
 const JOBS: &[u8] = b"\x01\x02\x05job-1\x04lots\x06models\x0clots.example\xfb\xd0\x95\xff\xbc1\x7f\x80\x01\x80\x80\x01\xff\xff\xff\xff\x0f\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x00\x00\x03\x01\x01a\x07/lots/a\x02\x06Accept\x11text/event-stream\x18X-Grebeusher-Token-Count\x06940,60\x03\x00\xab\xff\xe8\x07\x00\x00\x00\x00\x01\x01c\x07/lots/c\x00\x05third\x7f\x01\xc8\x01\x06so far\x03\x01\x01b\x01\x04half\x05job-2\x04lots\x06models\x0clots.example\x00\x00\x00\x00\x00\x00\x00\x01\x03\x00\x00\x00\x02\x01c\x00\x05whole\x01a\x01\x00";
 
-/// The bytes of each kind. A kind that is added needs its own here.
+/// The sample of each kind of entry. A new kind needs a new sample here.
 fn stable_bytes(entry: &Entry) -> &'static [u8] {
     match entry {
         Entry::Submit { .. } => SUBMIT,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The byte of each state. A state that is added needs its own here.
+/// The byte of each state. A new state needs a new byte here.
 fn stable_state(state: ResultState) -> u8 {
     match state {
         ResultState::Complete => 0,
@@ -40,7 +40,7 @@
 }
 
 fn job(name: &str) -> JobId {
-    JobId::new(name).expect("a name")
+    JobId::new(name).expect("a valid id")
 }
 
 fn item(id: &str, headers: &[(&str, &str)], body: &[u8], token_count: u64) -> ItemSpec {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Numbers of one byte, of two, and the longest.
+/// Settings whose numbers are encoded in one byte, in several bytes, and in the maximum number of bytes.
 fn settings() -> JobSettings {
     JobSettings {
         accepted_at_wall_ms: 1_700_000_000_123,
@@ -97,17 +97,17 @@
 }
 
 fn progress() -> Entry {
-    let further = |item, failed_attempts, events| ItemProgress {
+    let item_progress = |item, failed_attempts, events| ItemProgress {
         job: job("job-1"),
         item: ItemIndex(item),
         failed_attempts,
         events,
     };
-    let piece = |after, last, text: &str| Some(EventChunk { after, last, text: text.to_owned() });
+    let chunk = |after, last, text: &str| Some(EventChunk { after, last, text: text.to_owned() });
     Entry::Progress(vec![
-        further(0, 0, piece(None, 0, "one")),
-        further(1, 2, None),
-        further(2, 300, piece(Some(7), 200, "eight\nnine")),
+        item_progress(0, 0, chunk(None, 0, "one")),
+        item_progress(1, 2, None),
+        item_progress(2, 300, chunk(Some(7), 200, "eight\nnine")),
     ])
 }
 
@@ -119,10 +119,10 @@
 #[case::forget(Entry::Forget { jobs: vec![job("job-1"), job("job-2")] })]
 fn an_entry_of_each_kind_keeps_its_bytes(#[case] entry: Entry) {
     let bytes = stable_bytes(&entry);
-    // Written as ever,
+    // The entry is written as the sample.
     let written = SerBin::serialize_bin(&entry);
     assert_eq!(written.escape_ascii().to_string(), bytes.escape_ascii().to_string());
-    // and read as ever, from the log and from a message.
+    // The sample is read as the entry, from the log and from a message.
     assert_eq!(Entry::from_shared(&SharedBytes::from(bytes)).expect("an entry"), entry);
     assert_eq!(<Entry as DeBin>::deserialize_bin(bytes).expect("an entry"), entry);
 }
@@ -150,13 +150,13 @@
 }
 
 #[test]
-fn the_terms_of_a_job_keep_their_bytes() {
+fn the_settings_of_a_job_keep_their_bytes() {
     let written = SerBin::serialize_bin(&settings());
-    assert_eq!(written.escape_ascii().to_string(), TERMS.escape_ascii().to_string());
-    assert_eq!(<JobSettings as DeBin>::deserialize_bin(TERMS).expect("terms"), settings());
+    assert_eq!(written.escape_ascii().to_string(), SETTINGS.escape_ascii().to_string());
+    assert_eq!(<JobSettings as DeBin>::deserialize_bin(SETTINGS).expect("settings"), settings());
 }
 
-/// A job that is under way with all that an item may be, and one that has ended.
+/// An open job with items in all possible states, and a job that has ended.
 fn jobs() -> Jobs {
     let mut jobs = Jobs::new();
     let mut second = submission();
@@ -164,11 +164,12 @@
     jobs.apply(Entry::Submit { submission: submission(), settings: settings() });
     jobs.apply(Entry::Submit { submission: second, settings: JobSettings::default() });
     let result = |item, state, text: &str| ItemResult { item: ItemIndex(item), state, text: text.into() };
-    let of_first = vec![result(1, ResultState::DeadLetter, "half")];
-    let of_second = vec![result(2, ResultState::Complete, "whole"), result(0, ResultState::DeadLetter, "")];
+    let first_results = vec![result(1, ResultState::DeadLetter, "half")];
+    let second_results =
+        vec![result(2, ResultState::Complete, "whole"), result(0, ResultState::DeadLetter, "")];
     jobs.apply(Entry::Results(vec![
-        JobResults { job: job("job-1"), results: of_first },
-        JobResults { job: job("job-2"), results: of_second },
+        JobResults { job: job("job-1"), results: first_results },
+        JobResults { job: job("job-2"), results: second_results },
     ]));
     jobs.apply(Entry::Progress(vec![ItemProgress {
         job: job("job-1"),
@@ -184,12 +185,12 @@
 #[case::nothing(Jobs::new(), NO_JOBS)]
 #[case::two_jobs(jobs(), JOBS)]
 fn a_snapshot_keeps_its_bytes(#[case] jobs: Jobs, #[case] bytes: &[u8]) {
-    // Written as ever, also behind other bytes,
+    // The state is written as the sample, also behind other bytes.
     assert_eq!(jobs.to_snapshot().escape_ascii().to_string(), bytes.escape_ascii().to_string());
-    let mut behind = b"head".to_vec();
-    jobs.write_snapshot(&mut behind);
-    assert_eq!(behind, [b"head", bytes].concat());
-    // and read as ever.
+    let mut appended = b"head".to_vec();
+    jobs.write_snapshot(&mut appended);
+    assert_eq!(appended, [b"head", bytes].concat());
+    // The sample is read as the state.
     let read = Jobs::from_snapshot(bytes).expect("a snapshot");
     assert_eq!(read, jobs);
     assert_eq!(read.to_snapshot(), bytes);
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn a_snapshot_of_another_form_is_refused_by_its_number() {
+fn a_snapshot_of_another_version_is_rejected_by_its_number() {
     let bytes = [&[2], &JOBS[1..]].concat();
     let error = Jobs::from_snapshot(&bytes).expect_err("is refused");
     assert_eq!(error.to_string(), "the snapshot has form 2, not 1");
--- a/crates/batch/tests/stable_words.rs
+++ b/crates/batch/tests/stable_words.rs
@@ -1,4 +1,4 @@
-//! Words that clients write and read, which every version must keep.
+//! Field names, values and messages that clients write and read, and that every version must keep.
 
 use grebeusher_batch::{
     Entry, Event, EventReader, ItemIndex, ItemResult, JobId, JobResults, JobSettings, Jobs, MAX_PAGE_BYTES,
@@ -9,7 +9,7 @@
 const BODY: &str = r#"{"batch_items":[{"instance_id":"a","path":"/lots/a","header_map":{"Accept":"text/plain","X-Grebeusher-Token-Count":"940,60","X-Grebeusher-Attempt-Id":"t","X-Grebeusher-Deadline-Ms":"5","X-Grebeusher-Target-Instance":"i","Last-Event-Id":"3"},"payload":"q80=","token_count":1000}]}"#;
 
 fn job() -> JobId {
-    JobId::new("job-1").expect("a name")
+    JobId::new("job-1").expect("a valid id")
 }
 
 fn head() -> SubmissionHead {
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn the_keys_of_a_submission_stay() {
+fn the_field_names_of_a_submission_are_stable() {
     let submission = submission();
     let [item] = &submission.items[..] else { panic!("one item") };
     assert_eq!((item.id.as_str(), &*item.path, item.token_count), ("a", "/lots/a", 1_000));
     assert_eq!(&*item.body, [0xab, 0xcd]);
-    // What the sender of an item sets itself is left out.
+    // The headers that the tier sets itself when it sends an item are removed.
     let headers: Vec<_> = item.headers.iter().map(|header| (&*header.name, &*header.value)).collect();
     assert_eq!(headers, [("Accept", "text/plain"), ("X-Grebeusher-Token-Count", "940,60")]);
     assert_eq!(item.tokens(), Tokens { prompt: 940, output: 60 });
@@ -45,11 +45,11 @@
 #[case::headers("header_map", "`header_map` of item 0 is missing or of another kind")]
 #[case::payload("payload", "`payload` of item 0 is missing or of another kind")]
 #[case::tokens("token_count", "`token_count` of item 0 is missing or of another kind")]
-fn a_misspelt_key_of_a_submission_is_named(#[case] key: &str, #[case] line: &str) {
+fn a_missing_field_of_a_submission_is_named(#[case] key: &str, #[case] message: &str) {
     let body = BODY.replacen(&format!("\"{key}\""), &format!("\"{key}s\""), 1);
     assert_ne!(body, BODY);
     let error = read_submission(head(), body.as_bytes()).expect_err("is refused");
-    assert_eq!(error.to_string(), line);
+    assert_eq!(error.to_string(), message);
 }
 
 #[rstest]
@@ -60,21 +60,21 @@
 #[case::path(&BODY.replacen("/lots/a", "lots/a", 1), "the path of item 0 can't be one")]
 #[case::header(&BODY.replacen("Accept", "Acc ept", 1), "the headers of item 0 can't be sent")]
 #[case::payload(&BODY.replacen("q80=", "q", 1), "the payload of item 0 is no base64")]
-fn a_wrong_submission_is_refused_by_one_line(#[case] body: &str, #[case] line: &str) {
+fn an_invalid_submission_is_rejected_with_a_message(#[case] body: &str, #[case] message: &str) {
     let error = read_submission(head(), body.as_bytes()).expect_err("is refused");
-    assert_eq!(error.to_string(), line);
+    assert_eq!(error.to_string(), message);
 }
 
 #[test]
-fn a_submission_beyond_the_bounds_is_refused_by_one_line() {
-    let refusal = |body: &[u8]| read_submission(head(), body).expect_err("is refused").to_string();
-    assert_eq!(refusal(b"\xff"), "the body is no UTF-8");
-    assert_eq!(refusal("[".repeat(1_000).as_bytes()), "values stand in each other too deeply");
+fn a_submission_beyond_the_limits_is_rejected_with_a_message() {
+    let message = |body: &[u8]| read_submission(head(), body).expect_err("is refused").to_string();
+    assert_eq!(message(b"\xff"), "the body is no UTF-8");
+    assert_eq!(message("[".repeat(1_000).as_bytes()), "values stand in each other too deeply");
     let item = BODY.trim_start_matches("{\"batch_items\":[").trim_end_matches("]}");
     let twice = format!("{{\"batch_items\":[{item},{item}]}}");
-    assert_eq!(refusal(twice.as_bytes()), "the name of item 1 is an earlier one's");
+    assert_eq!(message(twice.as_bytes()), "the name of item 1 is an earlier one's");
     let many = format!("{{\"batch_items\":[{}]}}", vec!["0"; 201].join(","));
-    assert_eq!(refusal(many.as_bytes()), "201 items, more than 200");
+    assert_eq!(message(many.as_bytes()), "201 items, more than 200");
 }
 
 #[test]
@@ -103,7 +103,7 @@
     );
 }
 
-/// The word of each state. A state that is added needs its own here.
+/// The name of each state in result pages. A new state needs a new name here.
 fn stable_word(state: ResultState) -> &'static str {
     match state {
         ResultState::Complete => "complete",
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_fields_of_an_event_stay() {
+fn the_field_names_of_an_event_are_stable() {
     let stream =
         b": a comment\nevent: other\nid: 0\ndata: one\ndata: more\n\nid:1\r\ndata:two\r\n\r\nid: 2\n\n";
     let mut events = Vec::new();
@@ -131,17 +131,17 @@
 #[rstest]
 #[case::no_id("data: one\n\n", "an event has no id that is a number")]
 #[case::another_id("id: first\ndata: one\n\n", "an event has no id that is a number")]
-fn a_wrong_event_is_refused_by_one_line(#[case] stream: &str, #[case] line: &str) {
+fn an_invalid_event_is_rejected_with_a_message(#[case] stream: &str, #[case] message: &str) {
     let error = EventReader::new().push(stream.as_bytes(), |_| ()).expect_err("is refused");
-    assert_eq!(error.to_string(), line);
+    assert_eq!(error.to_string(), message);
 }
 
 #[test]
-fn a_stream_that_can_t_be_read_on_is_refused_by_one_line() {
-    let refusal =
+fn an_invalid_stream_is_rejected_with_a_message() {
+    let message =
         |stream: &[u8]| EventReader::new().push(stream, |_| ()).expect_err("is refused").to_string();
-    assert_eq!(refusal(b"id: 0\ndata: \xff\n\n"), "an event is no UTF-8");
-    assert_eq!(refusal(&vec![b'a'; (256 << 10) + 1]), "an event is larger than 262144 bytes");
+    assert_eq!(message(b"id: 0\ndata: \xff\n\n"), "an event is no UTF-8");
+    assert_eq!(message(&vec![b'a'; (256 << 10) + 1]), "an event is larger than 262144 bytes");
     let mut reader = EventReader::new();
     reader.push(b"id: 0\n", |_| ()).expect("half an event");
     assert_eq!(reader.finish().expect_err("half an event").to_string(), "the stream ends inside an event");
