--- a/crates/batch/tests/batches/retries.rs
+++ b/crates/batch/tests/batches/retries.rs
@@ -117,7 +117,7 @@
     for _ in 0..12 {
         let order = partition.next();
         partition.end_run(&order, RunOutcome::Failed500);
-        let until = partition.runner.next_wake().expect("it delays_s");
+        let until = partition.runner.next_wake().expect("the item is in a backoff");
         delays_s.push(until.since(partition.now).seconds());
         partition.now = until;
     }
@@ -135,7 +135,7 @@
             partition.event(&order, id, "x");
         }
         partition.end_run(&order, RunOutcome::Broken);
-        let until = partition.runner.next_wake().expect("it delays_s");
+        let until = partition.runner.next_wake().expect("the item is in a backoff");
         let delay_s = until.since(partition.now).seconds();
         partition.now = until;
         delay_s
--- a/crates/batch/tests/batches/scheduling.rs
+++ b/crates/batch/tests/batches/scheduling.rs
@@ -34,12 +34,12 @@
 fn no_job_starves(#[case] completion_target_ms: u64) {
     let mut partition = Partition::with_leader();
     let settings = JobSettings { completion_target_ms, ..settings() };
-    partition.commit(Entry::Submit { submission: submission("starved", 2), settings });
+    partition.commit(Entry::Submit { submission: submission("long-waiting", 2), settings });
     let mut started = 0;
     for number in 0..40 {
         partition.commit(submit(&format!("urgent{number}"), 1));
         partition.commit(submit(&format!("pressing{number}"), 1));
-        started += usize::from(partition.next().job == job("starved"));
+        started += usize::from(partition.next().job == job("long-waiting"));
     }
     assert_eq!(started, 2, "both items ran while 40 items started");
 }
--- a/crates/rollout/src/entry.rs
+++ b/crates/rollout/src/entry.rs
@@ -1,73 +1,73 @@
-//! The log entries that change the state of roll-outs.
+//! The log entries that change the replicated state of roll-outs, and their encoding.
 
 use crate::order::RolloutOrder;
 use nanoserde::{DeBin, SerBin};
 use snafu::Snafu;
 
-/// The first byte of an entry. The entries of the configuration, which stand in the same log, begin with another one.
+/// The first byte of an encoded entry. Entries of the configuration, which are in the same log, start with another byte.
 pub const ENTRY_FORMAT: u8 = 2;
 
-/// A change of the state.
+/// A change of the replicated state.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum Entry {
-    /// The version that the executors of a service have before any roll-out.
+    /// Sets the version that the executors of a service have before its first roll-out.
     VersionInForce {
-        /// The service.
+        /// The name of the service.
         service: String,
-        /// The version.
+        /// The version in force.
         version: String,
     },
-    /// An operator's order is taken.
+    /// Starts a roll-out by an operator's order.
     Begin {
         /// The order.
         order: RolloutOrder,
-        /// The version in force, if that was not known before; empty if nobody knows it.
+        /// The version in force. It is used if the state has none yet, and empty if the leader does not know it.
         in_force: String,
-        /// When the order was taken, by the leader's time of day (milliseconds since 1970).
+        /// The wall clock time at which the leader accepted the order, in milliseconds since 1970.
         begun_ms: u64,
     },
-    /// A roll-out that is under way ends: the version before it stays in force.
+    /// Ends an active roll-out. The version in force stays the same.
     Revert {
-        /// The service.
+        /// The name of the service.
         service: String,
-        /// The version that it was to have.
+        /// The target version of the roll-out.
         target_version: String,
     },
 }
 
-/// Why bytes are not an entry.
+/// Why bytes can't be decoded as an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum EntryError {
-    /// They are of another format.
+    /// The entry has another format.
     #[snafu(display("a roll-out entry of format {format} instead of {ENTRY_FORMAT}"))]
     Format {
-        /// The format they begin with; 0 if there are none.
+        /// The first byte of the entry, or 0 if there are no bytes.
         format: u8,
     },
-    /// They can't be read.
+    /// The bytes are incomplete, invalid, or followed by others.
     #[snafu(display("a damaged roll-out entry"))]
     Damaged,
 }
 
 impl Entry {
-    /// The binary form.
+    /// Encodes the entry.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![ENTRY_FORMAT];
         self.ser_bin(&mut bytes);
         bytes
     }
 
-    /// Reads the binary form.
+    /// Decodes an entry.
     ///
     /// # Errors
-    /// The bytes are of another format or damaged.
+    /// Fails if the entry has another format or is damaged.
     pub fn decode(bytes: &[u8]) -> Result<Entry, EntryError> {
         let format = bytes.first().copied().unwrap_or_default();
         if format != ENTRY_FORMAT {
             return Err(EntryError::Format { format });
         }
-        let mut at = 1;
-        let entry = Entry::de_bin(&mut at, bytes).map_err(|_| EntryError::Damaged)?;
-        if at == bytes.len() { Ok(entry) } else { Err(EntryError::Damaged) }
+        let mut offset = 1;
+        let entry = Entry::de_bin(&mut offset, bytes).map_err(|_| EntryError::Damaged)?;
+        if offset == bytes.len() { Ok(entry) } else { Err(EntryError::Damaged) }
     }
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,16 +1,17 @@
-//! Roll-outs: the operators bring a new version of a service in while requests go on.
+//! Roll-outs, by which operators introduce a new version of a service while requests continue.
 //!
-//! Executors of the new version come beside those of the version in force. Which version may get requests is replicated
-//! state, so it doesn't follow from what a node happens to see: without an order no other version gets any, and an order
-//! by itself permits none. Nothing permits a new version yet: a roll-out is reverted when its time is over.
+//! The version in force of a service is the one whose executors get requests. During a roll-out, executors of the new
+//! version, the target, run next to them. The versions that may get requests are replicated state, so they don't depend
+//! on the executors that a node happens to see. Without an order no other version gets requests, and an order alone
+//! doesn't permit its target either. Nothing permits a target version yet: a roll-out is reverted when its time is over.
 //!
-//! - [`RolloutOrder`] is the operator's order, read from JSON.
-//! - [`Rollouts`] is the replicated state machine: which version of each service is in force, and how far its roll-out is.
-//!   Its [`Entry`] stands in the log of the configuration's partition.
-//! - [`VersionPolicy`] is what one node goes by: the newest state that it has heard of, and which executors it permits.
+//! - [`RolloutOrder`] is the operator's order, parsed from JSON.
+//! - [`Rollouts`] is the replicated state machine. It holds the version in force and the latest roll-out of each service.
+//!   An [`Entry`] in the log of the configuration's partition changes it.
+//! - [`VersionPolicy`] decides, on each node, which executors may get requests, by the newest state that the node has.
 //!
-//! Nothing here does I/O or reads a clock. `grebeusher-tier` runs the state machine on its configuration's partition,
-//! brings the state to all nodes and asks the policy before a request goes to an executor.
+//! The crate does no I/O and reads no clock. `grebeusher-tier` runs the state machine in the partition of its
+//! configuration, distributes the state to all nodes, and checks the policy before it sends a request to an executor.
 //!
 //! ```
 //! use grebeusher_rollout::{Applied, Entry, RolloutOrder, Rollouts};
@@ -21,7 +22,7 @@
 //! let in_force = Entry::VersionInForce { service: "catalogue".into(), version: "v1".into() };
 //! assert_eq!(rollouts.apply(in_force), Applied::Accepted);
 //! assert_eq!(rollouts.apply(Entry::Begin { order: order.clone(), in_force: "v1".into(), begun_ms: 0 }), Applied::Accepted);
-//! // Sent again, as its acknowledgement was lost.
+//! // The operator sends the order again, because the acknowledgement was lost.
 //! assert_eq!(rollouts.apply(Entry::Begin { order, in_force: "v1".into(), begun_ms: 0 }), Applied::AlreadyAccepted);
 //! assert_eq!(rollouts.version_in_force("catalogue"), Some("v1"));
 //! # Ok::<(), grebeusher_rollout::OrderError>(())
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,62 +1,62 @@
-//! An operator's order, read from JSON.
+//! The operator's order of a roll-out, parsed from JSON.
 
 use nanoserde::{DeBin, SerBin};
 use snafu::Snafu;
 use std::collections::HashMap;
 use tinyjson::JsonValue;
 
-/// The longest body that is read (bytes).
+/// The maximum size of the body of an order, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024;
-/// How deep a body may nest.
+/// The maximum nesting depth of JSON values in the body.
 const MAX_DEPTH: usize = 16;
-/// The longest name of a service or version (bytes).
+/// The maximum length of the name of a service or a version, in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// The longest time that a roll-out may be given (seconds): a week.
+/// The maximum duration of a roll-out, in seconds: a week.
 const MAX_RAMP_S: f64 = 604_800.0;
 
-/// An order to move a service's requests to executors of another version.
+/// An order to move the requests of a service to executors of another version.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct RolloutOrder {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// The version that it is to have.
+    /// The version that the requests are to be moved to.
     pub target_version: String,
-    /// The time for it (milliseconds).
+    /// The duration of the roll-out, in milliseconds.
     pub ramp_ms: u64,
 }
 
-/// Why a body is no order.
+/// Why a body is not a valid order.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum OrderError {
-    /// It is too long, nests too deep, or is no JSON object.
-    #[snafu(display("not an object in JSON of at most {MAX_BODY_BYTES} bytes"))]
+    /// The body is too large, nested too deeply, or not a JSON object.
+    #[snafu(display("expected a JSON object of at most {MAX_BODY_BYTES} bytes"))]
     NotAnObject,
-    /// A field is missing or wrong.
+    /// A field is missing or invalid.
     #[snafu(display("{field}: expected {expected}"))]
     Field {
-        /// Its name.
+        /// The name of the field.
         field: &'static str,
-        /// What should stand there.
+        /// A description of the values that the field may have.
         expected: &'static str,
     },
 }
 
 impl RolloutOrder {
-    /// Reads the body of an order. Unknown fields are ignored.
+    /// Parses the body of an order. Unknown fields are ignored.
     ///
     /// # Errors
-    /// Says what is wrong with a body that is no order.
+    /// Fails if the body is not a valid order.
     pub fn read(body: &[u8]) -> Result<RolloutOrder, OrderError> {
-        let fields = read_object(body).ok_or(OrderError::NotAnObject)?;
+        let fields = parse_object(body).ok_or(OrderError::NotAnObject)?;
         Ok(RolloutOrder {
-            service: name(&fields, "service")?,
-            target_version: name(&fields, "target_version")?,
-            ramp_ms: ramp_ms(&fields)?,
+            service: parse_name(&fields, "service")?,
+            target_version: parse_name(&fields, "target_version")?,
+            ramp_ms: parse_ramp_ms(&fields)?,
         })
     }
 }
 
-fn read_object(body: &[u8]) -> Option<HashMap<String, JsonValue>> {
+fn parse_object(body: &[u8]) -> Option<HashMap<String, JsonValue>> {
     if body.len() > MAX_BODY_BYTES || !grebeusher_json_depth::is_shallow(body, MAX_DEPTH) {
         return None;
     }
@@ -64,16 +64,18 @@
     value.try_into().ok()
 }
 
-fn name(fields: &HashMap<String, JsonValue>, field: &'static str) -> Result<String, OrderError> {
+fn parse_name(fields: &HashMap<String, JsonValue>, field: &'static str) -> Result<String, OrderError> {
     let text = fields.get(field).and_then(|value| value.get::<String>());
     let text = text.filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES);
-    text.cloned().ok_or(OrderError::Field { field, expected: "a text of 1 to 256 bytes" })
+    text.cloned().ok_or(OrderError::Field { field, expected: "a string of 1 to 256 bytes" })
 }
 
-fn ramp_ms(fields: &HashMap<String, JsonValue>) -> Result<u64, OrderError> {
+fn parse_ramp_ms(fields: &HashMap<String, JsonValue>) -> Result<u64, OrderError> {
     let seconds = fields.get("ramp_s").and_then(|value| value.get::<f64>()).copied();
     let seconds = seconds.filter(|seconds| *seconds > 0.0 && *seconds <= MAX_RAMP_S);
-    let seconds =
-        seconds.ok_or(OrderError::Field { field: "ramp_s", expected: "seconds above 0, at most a week" })?;
+    let seconds = seconds.ok_or(OrderError::Field {
+        field: "ramp_s",
+        expected: "a number of seconds above 0, at most a week",
+    })?;
     Ok((seconds * 1000.0) as u64)
 }
--- a/crates/rollout/src/policy.rs
+++ b/crates/rollout/src/policy.rs
@@ -1,44 +1,46 @@
-//! What one node goes by: the newest state that it has heard of.
+//! The policy by which one node decides which executors may get requests. It depends on the newest state that the node
+//! has received.
 //!
-//! A node that hasn't heard of an order refuses its executors all the same, as their version is not the one in force.
+//! A node that has not received an order yet sends no requests to executors of its target version either, because that
+//! version is not in force.
 
 use crate::state::Rollouts;
 
-/// Whether an executor gets requests.
+/// Whether executors of a version may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// Nothing is known of its service's versions.
+    /// They may get requests, because the version in force of their service is unknown.
     Unrestricted,
-    /// It has the version in force.
+    /// They may get requests, because their version is in force.
     InForce,
-    /// It gets nothing new.
+    /// They get no new requests.
     Withheld,
 }
 
-/// Which versions a node permits.
+/// The versions whose executors may get requests from a node.
 #[derive(Debug, Default)]
 pub struct VersionPolicy {
-    /// Empty before the first state has come.
+    /// The newest state that the node has received; empty before the first one.
     state: Rollouts,
 }
 
 impl VersionPolicy {
-    /// Nothing is known yet.
+    /// Creates the policy of a node that has not received any state.
     pub fn new() -> VersionPolicy {
         VersionPolicy::default()
     }
 
-    /// The newest state; empty before the first one has come.
+    /// The newest state that the node has received; empty before the first one.
     pub fn state(&self) -> &Rollouts {
         &self.state
     }
 
-    /// The revision of the newest state; 0 if there is none.
+    /// The revision of the newest state; 0 before the first one.
     pub fn revision(&self) -> u64 {
         self.state.revision()
     }
 
-    /// Takes a state over if it is newer. Whether it is.
+    /// Replaces the state if `state` is newer. Returns whether it is.
     pub fn update(&mut self, state: Rollouts) -> bool {
         let is_newer = self.state.revision() < state.revision();
         if is_newer {
@@ -56,7 +58,7 @@
         if !versions.in_force.is_empty() {
             return Permission::Withheld;
         }
-        // Only the target is known: any other version may be the one in force.
+        // The version in force is unknown. It can be any version except the target.
         let is_target = versions.rollout.as_ref().is_some_and(|rollout| rollout.target_version == version);
         if is_target { Permission::Withheld } else { Permission::Unrestricted }
     }
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -1,47 +1,48 @@
-//! The replicated state: the version in force of each service, and how far its roll-out is.
+//! The replicated state of roll-outs: the version in force and the latest roll-out of each service.
 //!
-//! The same entries in the same order give the same state at every replica. A roll-out that is over never becomes active again,
-//! so that an entry which comes late or twice changes nothing.
+//! Every replica applies the same entries in the same order and so reaches the same state. A roll-out that has ended
+//! never becomes active again, so an entry that is applied late or twice changes nothing.
 
 use crate::entry::Entry;
 use crate::order::RolloutOrder;
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-/// The targets of earlier roll-outs that are remembered for each service, so that an order sent again is known.
+/// The maximum number of targets of earlier roll-outs that are kept for each service, to recognize repeated orders.
 const MAX_ENDED: usize = 64;
 
-/// How far a roll-out is.
+/// The state of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub enum RolloutState {
-    /// The order is kept. No executor of the new version gets a request.
+    /// The roll-out is in progress. No executor of the target version gets requests.
     Active,
-    /// It is over, and the version before it stays in force.
+    /// The roll-out has ended, and the earlier version is still in force.
     Reverted,
 }
 
 /// The roll-out of a service.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct Rollout {
-    /// The version that the service is to have.
+    /// The version that the requests of the service are to be moved to.
     pub target_version: String,
-    /// The time for it (milliseconds).
+    /// The duration of the roll-out, in milliseconds.
     pub ramp_ms: u64,
-    /// When the order was taken, by that leader's time of day (milliseconds since 1970). Clocks may differ and be set.
+    /// The wall clock time at which the leader accepted the order, in milliseconds since 1970. The clocks of nodes may
+    /// differ, and may be set.
     pub begun_ms: u64,
-    /// How far it is.
+    /// The state of the roll-out.
     pub state: RolloutState,
 }
 
 /// The versions of a service.
 #[derive(Clone, Debug, PartialEq, Eq, SerBin, DeBin)]
 pub struct ServiceVersions {
-    /// Its name.
+    /// The name of the service.
     pub service: String,
-    /// The version in force; empty if nobody knows it.
+    /// The version in force; empty if it is unknown.
     pub in_force: String,
-    /// Its newest roll-out.
+    /// The latest roll-out of the service.
     pub rollout: Option<Rollout>,
-    /// The targets of the roll-outs before it, the newest last.
+    /// The target versions of earlier roll-outs, from the oldest to the newest.
     pub ended: Vec<String>,
 }
 
@@ -55,11 +56,12 @@
         }
     }
 
-    /// The roll-out that is under way.
+    /// The latest roll-out if it is active.
     pub fn active_rollout(&self) -> Option<&Rollout> {
         self.rollout.as_ref().filter(|rollout| rollout.state == RolloutState::Active)
     }
 
+    /// Whether the target is that of the latest or of a recent earlier roll-out.
     fn was_ordered(&self, target: &str) -> bool {
         let is_newest = self.rollout.as_ref().is_some_and(|rollout| rollout.target_version == target);
         is_newest || self.ended.iter().any(|ended| ended == target)
@@ -69,52 +71,53 @@
 /// The versions of all services.
 #[derive(Clone, Debug, Default, PartialEq, Eq, SerBin, DeBin)]
 pub struct Rollouts {
+    /// The number of entries that changed the state.
     revision: u64,
-    /// In the order of their names.
+    /// The versions of each known service, sorted by name.
     services: Vec<ServiceVersions>,
 }
 
-/// What is to be done with an order.
+/// The decision on an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Propose it.
+    /// The leader has to propose the order.
     Accept,
-    /// It was taken before: acknowledge it again.
+    /// The same order was accepted before. The leader has to acknowledge it again.
     AlreadyAccepted,
-    /// A roll-out to another version is under way.
+    /// A roll-out of the service to another version is active.
     OtherUnderWay,
-    /// The version is in force, and no order brought it.
+    /// The target version is already in force, without an order for it.
     InForce,
 }
 
-/// What became of a committed entry.
+/// The effect of a committed entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It changed the state.
+    /// The entry changed the state.
     Accepted,
-    /// It had been applied before.
+    /// An earlier entry had the same effect.
     AlreadyAccepted,
-    /// Another entry went before it, and the two can't both hold.
+    /// The entry was ignored, because it contradicts an earlier one.
     Conflict,
 }
 
 impl Rollouts {
-    /// Rises with every change.
+    /// The revision of the state, which increases with every change.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether nothing is known of any service.
+    /// Whether no service is known.
     pub fn is_empty(&self) -> bool {
         self.services.is_empty()
     }
 
-    /// All services of which something is known, in the order of their names.
+    /// The versions of all known services, sorted by name.
     pub fn services(&self) -> &[ServiceVersions] {
         &self.services
     }
 
-    /// What is known of a service.
+    /// The versions of a service, if it is known.
     pub fn service(&self, name: &str) -> Option<&ServiceVersions> {
         self.services.get(self.position(name).ok()?)
     }
@@ -124,12 +127,12 @@
         self.service(service).map(|versions| versions.in_force.as_str()).filter(|version| !version.is_empty())
     }
 
-    /// Whether a roll-out of any service is under way.
+    /// Whether a roll-out of any service is active.
     pub fn has_active_rollout(&self) -> bool {
         self.services.iter().any(|versions| versions.active_rollout().is_some())
     }
 
-    /// Judges an order by what is committed.
+    /// Decides on an order by the committed state.
     pub fn judge(&self, order: &RolloutOrder) -> Verdict {
         let Some(versions) = self.service(&order.service) else { return Verdict::Accept };
         if versions.was_ordered(&order.target_version) {
@@ -182,10 +185,10 @@
             begun_ms,
             state: RolloutState::Active,
         };
-        if let Some(before) = versions.rollout.replace(rollout) {
-            versions.ended.push(before.target_version);
-            let surplus = versions.ended.len().saturating_sub(MAX_ENDED);
-            versions.ended.drain(..surplus);
+        if let Some(earlier) = versions.rollout.replace(rollout) {
+            versions.ended.push(earlier.target_version);
+            let excess = versions.ended.len().saturating_sub(MAX_ENDED);
+            versions.ended.drain(..excess);
         }
         Applied::Accepted
     }
@@ -202,27 +205,29 @@
         }
     }
 
+    /// The index of a service in `services`, or the index at which it would be inserted.
     fn position(&self, service: &str) -> Result<usize, usize> {
         self.services.binary_search_by(|versions| versions.service.as_str().cmp(service))
     }
 
+    /// The versions of a service, which is added if it is not known.
     fn versions_mut(&mut self, service: &str) -> &mut ServiceVersions {
-        let position = self.position(service).unwrap_or_else(|place| {
-            self.services.insert(place, ServiceVersions::new(service));
-            place
+        let position = self.position(service).unwrap_or_else(|insert_at| {
+            self.services.insert(insert_at, ServiceVersions::new(service));
+            insert_at
         });
         &mut self.services[position]
     }
 
-    /// The binary form of the whole state.
+    /// Encodes the complete state.
     pub fn encode(&self) -> Vec<u8> {
         SerBin::serialize_bin(self)
     }
 
-    /// Reads the binary form.
+    /// Decodes a state.
     ///
     /// # Errors
-    /// The bytes are damaged.
+    /// Fails if the bytes are damaged.
     pub fn decode(bytes: &[u8]) -> Result<Rollouts, DeBinErr> {
         DeBin::deserialize_bin(bytes)
     }
--- a/crates/rollout/tests/stable_bytes.rs
+++ b/crates/rollout/tests/stable_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes in the log and in snapshots of the configuration's partition. None may be edited to make a test pass: a changed form
-//! needs a format of its own beside the old one.
+//! Samples of bytes in the log and in the snapshots of the configuration's partition. No sample may be edited to make a
+//! test pass: a changed format needs a number of its own beside the old one.
 
 use grebeusher_rollout::{Entry, RolloutOrder, Rollouts};
 use rstest::rstest;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_entry_that_is_damaged_is_rejected_by_one_line() {
+fn a_damaged_entry_is_rejected_with_a_message() {
     let error = |bytes: &[u8]| Entry::decode(bytes).expect_err("is refused").to_string();
     let bytes = revert().encode();
     assert_eq!(error(&bytes[..bytes.len() - 1]), "a damaged roll-out entry");
--- a/crates/rollout/tests/state.rs
+++ b/crates/rollout/tests/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: orders that come again, and ends that stay.
+//! The replicated state and the policy: repeated orders, late entries, and reverted roll-outs.
 
 use grebeusher_rollout::{Applied, Entry, Permission, RolloutOrder, Rollouts, Verdict, VersionPolicy};
 use rstest::rstest;
@@ -15,11 +15,11 @@
     Entry::Revert { service: "s".to_owned(), target_version: target.to_owned() }
 }
 
-/// `v1` is in force, and then come these entries, each of which changes the state.
+/// A state in which `v1` is in force, and to which these entries were applied. Each of them changes the state.
 fn after(entries: &[Entry]) -> Rollouts {
     let mut rollouts = Rollouts::default();
-    let first = Entry::VersionInForce { service: "s".to_owned(), version: "v1".to_owned() };
-    for entry in [first].iter().chain(entries) {
+    let initial = Entry::VersionInForce { service: "s".to_owned(), version: "v1".to_owned() };
+    for entry in [initial].iter().chain(entries) {
         assert_eq!(rollouts.apply(entry.clone()), Applied::Accepted, "{entry:?}");
     }
     rollouts
@@ -37,7 +37,7 @@
 #[case::reverted(reverted(), "v2", Verdict::AlreadyAccepted)]
 #[case::after_a_revert(reverted(), "v3", Verdict::Accept)]
 #[case::repeated_much_later([reverted(), vec![begin("v3")]].concat(), "v2", Verdict::AlreadyAccepted)]
-fn an_order_is_judged_by_what_is_committed(
+fn an_order_is_decided_on_by_the_committed_state(
     #[case] before: Vec<Entry>,
     #[case] target: &str,
     #[case] verdict: Verdict,
@@ -45,7 +45,7 @@
     assert_eq!(after(&before).judge(&order(target)), verdict);
 }
 
-/// Guards against a version that was reverted and is active again, and against a repeated order that starts anew.
+/// Guards against a reverted roll-out that becomes active again, and against a repeated order that starts another roll-out.
 #[rstest]
 #[case::order_again(reverted(), begin("v2"), Applied::AlreadyAccepted)]
 #[case::another_order_beside_it(vec![begin("v2")], begin("v3"), Applied::Conflict)]
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn a_state_is_read_as_it_was_written() {
+fn a_state_round_trips_through_bytes() {
     let rollouts = after(&reverted());
-    assert_eq!(Rollouts::decode(&rollouts.encode()).expect("whole"), rollouts);
+    assert_eq!(Rollouts::decode(&rollouts.encode()).expect("valid bytes"), rollouts);
 }
 
 #[rstest]
 #[case::in_force("s", "v1", Permission::InForce)]
 #[case::ordered("s", "v2", Permission::Withheld)]
-#[case::unheard_of("s", "v3", Permission::Withheld)]
+#[case::unknown_version("s", "v3", Permission::Withheld)]
 #[case::unknown_service("t", "v1", Permission::Unrestricted)]
 fn a_node_permits_the_version_in_force_alone(
     #[case] service: &str,
@@ -102,7 +102,7 @@
     assert_eq!(policy.permission(service, version), permission);
 }
 
-/// Guards against an order for a service whose version nobody knows, by which its target would get requests.
+/// Guards against requests to the target of an order while the version in force of the service is unknown.
 #[test]
 fn the_target_of_an_order_is_withheld_though_the_version_in_force_is_unknown() {
     let mut rollouts = Rollouts::default();
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_older_state_never_takes_the_place_of_a_newer_one() {
+fn an_older_state_never_replaces_a_newer_one() {
     let mut policy = VersionPolicy::new();
     assert!(policy.update(after(&reverted())));
     assert!(!policy.update(after(&[begin("v2")])));
