--- a/crates/batch/src/admission.rs
+++ b/crates/batch/src/admission.rs
@@ -55,7 +55,7 @@
     fn waiting_tokens(&self, route: &JobRoute<'_>) -> u64;
 
     /// The approximate memory use of all jobs, in bytes.
-    fn cost(&self) -> usize;
+    fn memory_bytes(&self) -> usize;
 }
 
 /// Without a configuration, jobs count against quotas by the name that their route had when they were submitted.
@@ -72,8 +72,8 @@
         self.waiting_tokens(route.name)
     }
 
-    fn cost(&self) -> usize {
-        self.cost()
+    fn memory_bytes(&self) -> usize {
+        self.memory_bytes()
     }
 }
 
@@ -144,7 +144,7 @@
             return admission;
         }
         let memory_bytes = submission.items.iter().map(super::submission::ItemSpec::memory_bytes).sum();
-        let used = jobs.cost().saturating_add(self.pending_memory_bytes);
+        let used = jobs.memory_bytes().saturating_add(self.pending_memory_bytes);
         if used.saturating_add(memory_bytes) > self.max_memory_bytes {
             return Admission::OutOfMemory;
         }
@@ -174,7 +174,7 @@
     }
 
     /// Ends the reservation of a job whose entry was applied.
-    pub fn applied(&mut self, applied: &Applied) {
+    pub fn on_applied(&mut self, applied: &Applied) {
         if let Applied::Submitted { job, .. } = applied {
             self.release(job);
         }
--- a/crates/batch/src/jobs.rs
+++ b/crates/batch/src/jobs.rs
@@ -32,7 +32,7 @@
         /// The id of the job.
         job: JobId,
         /// Whether an earlier entry had accepted the job.
-        already: bool,
+        already_accepted: bool,
     },
     /// The results of these items were added. Results of items that had one, and of jobs that have ended, were ignored
     /// and are not included.
@@ -47,7 +47,7 @@
     /// The number of items whose progress advanced.
     Progressed(usize),
     /// These jobs were removed.
-    Forgotten(Vec<JobId>),
+    Removed(Vec<JobId>),
 }
 
 /// The effect of an entry that ends a job.
@@ -93,19 +93,19 @@
             Entry::Results(results) => self.add_results(results),
             Entry::Progress(items) => Applied::Progressed(self.advance(items)),
             Entry::Ended { job } => self.end(job),
-            Entry::Forget { jobs } => self.forget(jobs),
+            Entry::Remove { jobs } => self.remove(jobs),
         }
     }
 
     fn submit(&mut self, submission: Submission, settings: JobSettings) -> Applied {
         let id = submission.job.clone();
         if self.jobs.contains_key(&id) {
-            return Applied::Submitted { job: id, already: true };
+            return Applied::Submitted { job: id, already_accepted: true };
         }
         let job = Job::new(submission, settings);
         self.memory_bytes = self.memory_bytes.saturating_add(job.memory_bytes());
         self.jobs.insert(id.clone(), job);
-        Applied::Submitted { job: id, already: false }
+        Applied::Submitted { job: id, already_accepted: false }
     }
 
     fn add_results(&mut self, results_by_job: Vec<JobResults>) -> Applied {
@@ -142,18 +142,18 @@
     }
 
     /// Removes jobs, except open ones, whose results a client may still request.
-    fn forget(&mut self, ids: Vec<JobId>) -> Applied {
-        let mut forgotten = Vec::new();
+    fn remove(&mut self, ids: Vec<JobId>) -> Applied {
+        let mut removed = Vec::new();
         for id in ids {
             if self.jobs.get(&id).is_none_or(Job::is_open) {
                 continue;
             }
             if let Some(job) = self.jobs.remove(&id) {
                 self.memory_bytes = self.memory_bytes.saturating_sub(job.memory_bytes());
-                forgotten.push(id);
+                removed.push(id);
             }
         }
-        Applied::Forgotten(forgotten)
+        Applied::Removed(removed)
     }
 
     /// Changes a job and updates the memory use of all jobs.
@@ -203,12 +203,12 @@
     }
 
     /// The approximate memory use of all jobs, in bytes.
-    pub fn cost(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.memory_bytes
     }
 
     /// The approximate memory use of a job, in bytes. `None` if there is no such job.
-    pub fn job_cost(&self, job: &JobId) -> Option<usize> {
+    pub fn job_memory_bytes(&self, job: &JobId) -> Option<usize> {
         self.jobs.get(job).map(Job::memory_bytes)
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// The ids of all jobs in ascending order.
-    pub fn names(&self) -> impl Iterator<Item = &JobId> {
+    pub fn ids(&self) -> impl Iterator<Item = &JobId> {
         self.jobs.keys()
     }
 
--- a/crates/batch/src/jobs/entry.rs
+++ b/crates/batch/src/jobs/entry.rs
@@ -117,7 +117,7 @@
         job: JobId,
     },
     /// Removes jobs whose results are no longer served.
-    Forget {
+    Remove {
         /// The ids of the jobs.
         jobs: Vec<JobId>,
     },
@@ -128,7 +128,7 @@
 const RESULTS: u8 = 2;
 const PROGRESS: u8 = 3;
 const ENDED: u8 = 4;
-const FORGET: u8 = 5;
+const REMOVE: u8 = 5;
 
 impl SerBin for Entry {
     fn ser_bin(&self, out: &mut Vec<u8>) {
@@ -150,8 +150,8 @@
                 out.push(ENDED);
                 job.ser_bin(out);
             }
-            Entry::Forget { jobs } => {
-                out.push(FORGET);
+            Entry::Remove { jobs } => {
+                out.push(REMOVE);
                 put_list(out, jobs);
             }
         }
@@ -184,7 +184,7 @@
             RESULTS => take_shared_list(offset, bytes, MAX_JOBS_IN_ENTRY).map(Entry::Results),
             PROGRESS => take_list(offset, bytes, MAX_JOBS_IN_ENTRY).map(Entry::Progress),
             ENDED => JobId::de_bin(offset, bytes).map(|job| Entry::Ended { job }),
-            FORGET => take_list(offset, bytes, MAX_JOBS_IN_ENTRY).map(|jobs| Entry::Forget { jobs }),
+            REMOVE => take_list(offset, bytes, MAX_JOBS_IN_ENTRY).map(|jobs| Entry::Remove { jobs }),
             _ => Err(malformed(*offset, 0, bytes)),
         }
     }
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -46,25 +46,25 @@
 //! assert_eq!(admission.admit(&jobs, &submission, 1_000), Admission::Propose);
 //! let settings = JobSettings { completion_target_ms: 8_000, retention_ms: 60_000, ..JobSettings::default() };
 //! let applied = jobs.apply(Entry::Submit { submission, settings });
-//! admission.applied(&applied);
-//! runner.applied(&jobs, &applied, now);
+//! admission.on_applied(&applied);
+//! runner.on_applied(&jobs, &applied, now);
 //! assert_eq!(jobs.item_body(&job, "a"), Some(&[0xab, 0xcd][..]));
 //!
 //! // An executor has capacity. The item is sent there, and its event stream is read.
-//! let order = runner.next_item(&jobs, now, &|_: RouteIndex| Some(10_000)).expect("an item");
+//! let request = runner.next_item(&jobs, now, &|_: RouteIndex| Some(10_000)).expect("an item");
 //! let mut events = EventReader::new();
 //! events
 //!     .push(b"id: 0\ndata: one\n\nid: 1\ndata: two\n\n", |event| {
-//!         assert_eq!(runner.run_event(order.run, event.id, &event.data, now), EventDisposition::Accepted);
+//!         assert_eq!(runner.run_event(request.run, event.id, &event.data, now), EventDisposition::Accepted);
 //!     })
 //!     .expect("valid events");
 //! events.finish().expect("a complete stream");
-//! runner.run_ended(order.run, RunOutcome::Complete, now);
+//! runner.run_ended(request.run, RunOutcome::Complete, now);
 //!
 //! // The result is proposed, and clients can read it once it is committed.
 //! while let Some(entry) = runner.next_proposal() {
 //!     let applied = jobs.apply(entry);
-//!     runner.applied(&jobs, &applied, now);
+//!     runner.on_applied(&jobs, &applied, now);
 //! }
 //! let page = jobs.read(&job, 0, MAX_PAGE_BYTES).expect("the job");
 //! assert_eq!(
@@ -95,7 +95,7 @@
 pub use names::{ItemIndex, JobId, MAX_NAME_BYTES};
 pub use runner::{
     Capacity, EventDisposition, JobOrigin, JobRoute, MAX_TEXT_BYTES, RouteIndex, RouteLookup, RoutedJobs,
-    RunId, RunOrder, RunOutcome, Runner,
+    RunId, RunOutcome, RunRequest, Runner,
 };
 pub use shared_bytes::{SharedBytes, SharedText};
 pub use submission::{
--- a/crates/batch/src/runner.rs
+++ b/crates/batch/src/runner.rs
@@ -40,7 +40,7 @@
 
 pub use item_run::MAX_TEXT_BYTES;
 pub use routes::{JobOrigin, JobRoute, RouteIndex, RouteLookup, RoutedJobs};
-pub use run::{Capacity, EventDisposition, RunId, RunOrder, RunOutcome};
+pub use run::{Capacity, EventDisposition, RunId, RunOutcome, RunRequest};
 
 /// The job and the index of an item.
 #[derive(Clone, Debug)]
@@ -118,7 +118,7 @@
     }
 
     /// Whether there are open items. Always false unless this replica is the leader.
-    pub fn has_unlisted_items(&self) -> bool {
+    pub fn has_open_items(&self) -> bool {
         !self.jobs.is_empty()
     }
 
@@ -135,8 +135,8 @@
     }
 
     /// The sum of the tokens of a route's items that are ready to run or in a backoff.
-    pub fn idle_tokens(&self, route: RouteIndex) -> u64 {
-        self.jobs.values().fold(0, |sum, job| sum.saturating_add(job.idle_tokens(route)))
+    pub fn queued_tokens(&self, route: RouteIndex) -> u64 {
+        self.jobs.values().fold(0, |sum, job| sum.saturating_add(job.queued_tokens(route)))
     }
 
     fn running_item_mut(&mut self, run: RunId) -> Option<&mut ItemRun> {
--- a/crates/batch/src/runner/abandonment.rs
+++ b/crates/batch/src/runner/abandonment.rs
@@ -13,7 +13,7 @@
 impl Runner {
     /// Gives up the items of all jobs that are past their retention. The caller has to call this regularly, see
     /// [`Runner::next_wake`].
-    pub fn tick(&mut self, now: Instant) {
+    pub fn give_up_expired_items(&mut self, now: Instant) {
         let expired = self.jobs.iter().filter(|(_, job)| job.is_past_retention(now));
         let expired: Vec<JobId> = expired.map(|(id, _)| id.clone()).collect();
         for id in expired {
--- a/crates/batch/src/runner/dispatch.rs
+++ b/crates/batch/src/runner/dispatch.rs
@@ -5,7 +5,7 @@
 
 use super::priority::Turn;
 use super::routes::RouteIndex;
-use super::run::{Capacity, RunId, RunOrder};
+use super::run::{Capacity, RunId, RunRequest};
 use super::{ItemKey, Runner};
 use crate::jobs::{Job, Jobs, OpenItem};
 use crate::names::{ItemIndex, JobId};
@@ -17,7 +17,7 @@
 impl Runner {
     /// Starts the item that has to run next within this capacity. Returns `None` if there is none, or while too many
     /// results wait to be proposed.
-    pub fn next_item(&mut self, jobs: &Jobs, now: Instant, capacity: &impl Capacity) -> Option<RunOrder> {
+    pub fn next_item(&mut self, jobs: &Jobs, now: Instant, capacity: &impl Capacity) -> Option<RunRequest> {
         if self.unproposed_results.text_bytes() >= MAX_UNPROPOSED_TEXT_BYTES {
             return None;
         }
@@ -38,7 +38,7 @@
         id: &JobId,
         now: Instant,
         capacity: &impl Capacity,
-    ) -> Option<RunOrder> {
+    ) -> Option<RunRequest> {
         let job = jobs.job(id)?;
         let run = RunId(self.last_run_number + 1);
         let job_run = self.jobs.get_mut(id)?;
@@ -51,7 +51,7 @@
         self.last_run_number += 1;
         self.turn_count += 1;
         self.runs.insert(run, ItemKey { job: id.clone(), item });
-        Some(RunOrder { last_event_id, ..run_order(run, id, item, job, open) })
+        Some(RunRequest { last_event_id, ..run_request(run, id, item, job, open) })
     }
 
     /// The tokens of the item of a route that would run next if there were capacity for every item. Callers reserve
@@ -67,10 +67,10 @@
     }
 }
 
-/// The order to run an item from its first event.
-fn run_order(run: RunId, id: &JobId, item: ItemIndex, job: &Job, open: &OpenItem) -> RunOrder {
+/// The request to run an item from its first event.
+fn run_request(run: RunId, id: &JobId, item: ItemIndex, job: &Job, open: &OpenItem) -> RunRequest {
     let spec = &open.spec;
-    RunOrder {
+    RunRequest {
         run,
         job: id.clone(),
         item,
--- a/crates/batch/src/runner/job_run.rs
+++ b/crates/batch/src/runner/job_run.rs
@@ -287,8 +287,8 @@
     }
 
     /// The sum of the tokens of a route's items that are ready to run or in a backoff.
-    pub fn idle_tokens(&self, route: RouteIndex) -> u64 {
-        self.waiting.idle_tokens(route)
+    pub fn queued_tokens(&self, route: RouteIndex) -> u64 {
+        self.waiting.queued_tokens(route)
     }
 }
 
--- a/crates/batch/src/runner/leadership.rs
+++ b/crates/batch/src/runner/leadership.rs
@@ -12,7 +12,7 @@
     /// Starts tracking the jobs that were loaded from a snapshot or from disk. The ages of new ones count from `now`.
     pub fn track_jobs(&mut self, jobs: &Jobs, now: Instant) {
         self.first_seen.retain(|job, _| jobs.contains(job));
-        for job in jobs.names() {
+        for job in jobs.ids() {
             self.first_seen.entry(job.clone()).or_insert(now);
         }
     }
@@ -51,9 +51,9 @@
     }
 
     /// Updates the state after an applied entry. To be called on every replica.
-    pub fn applied(&mut self, jobs: &Jobs, applied: &Applied, now: Instant) {
+    pub fn on_applied(&mut self, jobs: &Jobs, applied: &Applied, now: Instant) {
         match applied {
-            Applied::Submitted { job, already: false } => {
+            Applied::Submitted { job, already_accepted: false } => {
                 self.first_seen.insert(job.clone(), now);
                 if self.is_leader && jobs.is_open(job) {
                     self.add_job(jobs, job, now, Duration::default());
@@ -65,8 +65,8 @@
                 }
             }
             Applied::Ended { job, outcome: EndOutcome::Ended } => self.remove_job(job),
-            Applied::Forgotten(forgotten) => {
-                for job in forgotten {
+            Applied::Removed(removed) => {
+                for job in removed {
                     self.first_seen.remove(job);
                     self.remove_job(job);
                 }
--- a/crates/batch/src/runner/proposals.rs
+++ b/crates/batch/src/runner/proposals.rs
@@ -56,7 +56,7 @@
                 results.into_iter().rev().for_each(|batch| self.requeue_results(batch));
             }
             Entry::Progress(items) => items.into_iter().rev().for_each(|item| self.requeue_progress(item)),
-            Entry::Submit { .. } | Entry::Ended { .. } | Entry::Forget { .. } => {}
+            Entry::Submit { .. } | Entry::Ended { .. } | Entry::Remove { .. } => {}
         }
     }
 
--- a/crates/batch/src/runner/routes.rs
+++ b/crates/batch/src/runner/routes.rs
@@ -130,7 +130,7 @@
         self.runner.waiting_tokens(self.jobs, route)
     }
 
-    fn cost(&self) -> usize {
-        self.jobs.cost()
+    fn memory_bytes(&self) -> usize {
+        self.jobs.memory_bytes()
     }
 }
--- a/crates/batch/src/runner/run.rs
+++ b/crates/batch/src/runner/run.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunId(pub u64);
 
-/// The instruction to send an item to an executor now, as a `POST` request.
+/// The request of an item, which has to be sent to an executor now as a `POST`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunOrder {
+pub struct RunRequest {
     /// The id of the run, by which its events and outcome are reported.
     pub run: RunId,
     /// The id of the item's job.
--- a/crates/batch/src/runner/waiting_items.rs
+++ b/crates/batch/src/runner/waiting_items.rs
@@ -30,7 +30,7 @@
     /// The items that may run now.
     ready: BTreeSet<ReadyKey>,
     /// The sum of the tokens of the items that may run now or after a backoff.
-    idle_tokens: u64,
+    queued_tokens: u64,
 }
 
 impl RouteQueue {
@@ -49,7 +49,7 @@
     /// Adds an item, which may run once it is marked with [`WaitingItems::mark_ready`].
     pub fn add(&mut self, item: WaitingItem) {
         let queue = self.queues.entry(item.route).or_default();
-        queue.idle_tokens = queue.idle_tokens.saturating_add(item.tokens);
+        queue.queued_tokens = queue.queued_tokens.saturating_add(item.tokens);
     }
 
     /// Marks a waiting item as ready to run.
@@ -61,7 +61,7 @@
     pub fn remove(&mut self, item: WaitingItem) {
         if let Some(queue) = self.queues.get_mut(&item.route) {
             queue.ready.remove(&item.key());
-            queue.idle_tokens = queue.idle_tokens.saturating_sub(item.tokens);
+            queue.queued_tokens = queue.queued_tokens.saturating_sub(item.tokens);
         }
     }
 
@@ -90,7 +90,7 @@
         self.queues.values().map(|queue| queue.ready.len()).sum()
     }
 
-    pub fn idle_tokens(&self, route: RouteIndex) -> u64 {
-        self.queues.get(&route).map_or(0, |queue| queue.idle_tokens)
+    pub fn queued_tokens(&self, route: RouteIndex) -> u64 {
+        self.queues.get(&route).map_or(0, |queue| queue.queued_tokens)
     }
 }
--- a/crates/batch/tests/batches/abandonment.rs
+++ b/crates/batch/tests/batches/abandonment.rs
@@ -9,20 +9,20 @@
 #[test]
 fn items_past_their_retention_are_given_up() {
     let mut partition = Partition::with_job("j", 2);
-    let order = partition.next();
+    let request = partition.next();
     partition.advance_ms(59_999);
-    partition.runner.tick(partition.now);
+    partition.runner.give_up_expired_items(partition.now);
     assert_eq!((partition.commit_proposals(), partition.runner.take_cancelled()), (0, vec![]));
     assert!(partition.runner.next_wake() <= Some(at(61_000)));
     partition.advance_ms(1);
     assert_eq!(partition.try_next(), None, "no item starts past the retention, even before the tick");
-    partition.runner.tick(partition.now);
+    partition.runner.give_up_expired_items(partition.now);
     assert_eq!(partition.try_next(), None);
     assert_eq!(partition.commit_proposals(), 1);
-    assert_eq!(partition.runner.take_cancelled(), [order.run]);
+    assert_eq!(partition.runner.take_cancelled(), [request.run]);
     assert!(listed_results(&partition.jobs, "j").iter().all(|result| result.1 == ResultState::DeadLetter));
     assert_eq!(listed_results(&partition.jobs, "j").len(), 2);
-    partition.runner.tick(partition.now);
+    partition.runner.give_up_expired_items(partition.now);
     assert_eq!(partition.commit_proposals(), 0);
 }
 
@@ -32,7 +32,7 @@
     let settings = JobSettings { retention_ms: 0, ..settings() };
     partition.commit(Entry::Submit { submission: submission("j", 1), settings });
     partition.advance_ms(10_000_000);
-    partition.runner.tick(partition.now);
+    partition.runner.give_up_expired_items(partition.now);
     assert_eq!(partition.commit_proposals(), 0);
     partition.next();
 }
@@ -42,12 +42,12 @@
     let mut partition = Partition::with_job("j", 2);
     partition
         .commit(Entry::Submit { submission: submission_on(OTHER_ROUTE, "k", &[100]), settings: settings() });
-    let order = partition.next();
-    assert_eq!(order.job, job("j"));
+    let request = partition.next();
+    assert_eq!(request.job, job("j"));
     partition.set_prefixes(&[OTHER_PREFIX]);
     partition.runner.give_up_unrouted();
     partition.commit_proposals();
-    assert_eq!(partition.runner.take_cancelled(), [order.run]);
+    assert_eq!(partition.runner.take_cancelled(), [request.run]);
     assert_eq!(listed_results(&partition.jobs, "j").len(), 2);
     assert_eq!(partition.next().job, job("k"), "items on other routes still run");
     partition.runner.give_up_unrouted();
--- a/crates/batch/tests/batches/admission.rs
+++ b/crates/batch/tests/batches/admission.rs
@@ -10,7 +10,7 @@
 
 fn apply(jobs: &mut Jobs, admission: &mut AdmissionControl, entry: Entry) {
     let applied = jobs.apply(entry);
-    admission.applied(&applied);
+    admission.on_applied(&applied);
 }
 
 #[test]
--- a/crates/batch/tests/batches/leader_change.rs
+++ b/crates/batch/tests/batches/leader_change.rs
@@ -21,11 +21,11 @@
 #[test]
 fn unlisted_items_run_again() {
     let mut old = Partition::with_job("j", 2);
-    let order = old.next();
-    old.event(&order, 0, "a");
+    let request = old.next();
+    old.event(&request, 0, "a");
     let mut new = successor(&old, &[submit("j", 2)], 1_000_000);
     let runs = [new.next(), new.next()];
-    assert!(runs.iter().all(|order| order.last_event_id.is_none()));
+    assert!(runs.iter().all(|request| request.last_event_id.is_none()));
     for run in &runs {
         assert_eq!(new.event(run, 0, "a"), EventDisposition::Accepted);
         new.end_run(run, RunOutcome::Complete);
@@ -37,9 +37,9 @@
 #[test]
 fn uncommitted_results_are_left_to_the_successor() {
     let mut old = Partition::with_job("j", 1);
-    let order = old.next();
-    old.event(&order, 0, "a");
-    old.end_run(&order, RunOutcome::Complete);
+    let request = old.next();
+    old.event(&request, 0, "a");
+    old.end_run(&request, RunOutcome::Complete);
     let running = Partition::with_job("k", 1).next();
     old.runner.stop_leading();
     assert_eq!(proposals(&mut old.runner), []);
@@ -61,7 +61,7 @@
     partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let again = [partition.next(), partition.next()];
     assert!(
-        again.iter().all(|order| ![first.run, second.run].contains(&order.run)),
+        again.iter().all(|request| ![first.run, second.run].contains(&request.run)),
         "the new runs have other ids"
     );
     assert_eq!(partition.event(&first, 0, "a"), EventDisposition::UnknownRun);
@@ -72,11 +72,11 @@
 fn a_result_committed_by_the_predecessor_is_final() {
     let old = Partition::with_job("j", 1);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000);
-    let order = new.next();
-    new.event(&order, 0, "a");
+    let request = new.next();
+    new.event(&request, 0, "a");
     new.commit(complete_item("j", 0, "the predecessor's"));
-    assert_eq!(new.runner.take_cancelled(), [order.run]);
-    new.end_run(&order, RunOutcome::Complete);
+    assert_eq!(new.runner.take_cancelled(), [request.run]);
+    new.end_run(&request, RunOutcome::Complete);
     assert_eq!((new.commit_proposals(), new.try_next()), (0, None));
     assert_eq!(listed_results(&new.jobs, "j")[0].2, "the predecessor's");
 }
@@ -87,20 +87,20 @@
 fn committed_failures_count_for_the_successor() {
     let mut old = Partition::with_job("j", 1);
     let mut log = vec![submit("j", 1)];
-    let order = old.next();
-    old.end_run(&order, RunOutcome::Failed500);
+    let request = old.next();
+    old.end_run(&request, RunOutcome::Failed500);
     for entry in proposals(&mut old.runner) {
         log.push(entry.clone());
         old.commit(entry);
     }
     old.advance_ms(5_000);
-    let order = old.next();
-    old.end_run(&order, RunOutcome::Failed500);
+    let request = old.next();
+    old.end_run(&request, RunOutcome::Failed500);
     let mut new = successor(&old, &log, 1_000_000);
     for attempt in 2..=3 {
         new.advance_ms(5_000);
-        let order = new.next();
-        new.end_run(&order, RunOutcome::Failed500);
+        let request = new.next();
+        new.end_run(&request, RunOutcome::Failed500);
         new.commit_proposals();
         assert_eq!(listed_results(&new.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
     }
@@ -111,14 +111,14 @@
 #[test]
 fn the_checkpoint_after_a_refused_one_has_its_texts_too() {
     let mut old = Partition::with_job("j", 1);
-    let order = old.next();
+    let request = old.next();
     let mut log = vec![submit("j", 1)];
-    old.event(&order, 0, "a");
+    old.event(&request, 0, "a");
     let accepted = old.runner.checkpoint().expect("text is unfinished");
     log.push(accepted.clone());
     old.commit(accepted);
     for (id, data) in [(1, "b"), (2, "c")] {
-        old.event(&order, id, data);
+        old.event(&request, id, data);
         let refused = old.runner.checkpoint().expect("an event more");
         old.runner.not_proposed(refused);
     }
@@ -139,22 +139,22 @@
 #[test]
 fn the_successor_resumes_from_a_checkpoint() {
     let mut old = Partition::with_job("j", 2);
-    let order = old.next();
-    old.event(&order, 0, "a");
-    old.event(&order, 1, "b");
+    let request = old.next();
+    old.event(&request, 0, "a");
+    old.event(&request, 1, "b");
     let mut log = vec![submit("j", 2)];
     let first = old.runner.checkpoint().expect("text is unfinished");
     log.push(first.clone());
     old.commit(first);
     assert_eq!(old.runner.checkpoint(), None, "nothing new");
-    old.event(&order, 2, "c");
+    old.event(&request, 2, "c");
     let second = old.runner.checkpoint().expect("an event more");
     log.push(second.clone());
     old.commit(second);
-    old.event(&order, 3, "not committed");
+    old.event(&request, 3, "not committed");
     let mut new = successor(&old, &log, 1_000_000);
-    let orders = [new.next(), new.next()];
-    let resumed = orders.iter().find(|new| new.item == order.item).expect("both run");
+    let requests = [new.next(), new.next()];
+    let resumed = requests.iter().find(|new| new.item == request.item).expect("both run");
     assert_eq!(resumed.last_event_id, Some(2));
     assert_eq!(new.event(resumed, 3, "d"), EventDisposition::Accepted);
     let third = new.runner.checkpoint().expect("an event more");
@@ -168,8 +168,8 @@
 #[test]
 fn checkpoints_are_bounded() {
     let mut partition = Partition::with_job("j", 10);
-    while let Some(order) = partition.try_next() {
-        partition.event(&order, 0, &"x".repeat(200_000));
+    while let Some(request) = partition.try_next() {
+        partition.event(&request, 0, &"x".repeat(200_000));
     }
     let entries: Vec<Entry> = std::iter::from_fn(|| partition.runner.checkpoint()).collect();
     assert_eq!(entries.len(), 4);
@@ -178,7 +178,7 @@
     }
     partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let resumed: Vec<_> =
-        std::iter::from_fn(|| partition.try_next()).map(|order| order.last_event_id).collect();
+        std::iter::from_fn(|| partition.try_next()).map(|request| request.last_event_id).collect();
     assert_eq!(resumed, vec![Some(0); 10]);
 }
 
@@ -188,13 +188,13 @@
     let mut old = Partition::with_job("j", 1);
     old.advance_ms(1_000);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 86_400_000);
-    new.runner.tick(new.now);
+    new.runner.give_up_expired_items(new.now);
     assert_eq!((new.commit_proposals(), new.runner.take_cancelled()), (0, vec![]));
     new.advance_ms(59_999);
-    new.runner.tick(new.now);
+    new.runner.give_up_expired_items(new.now);
     assert_eq!(new.commit_proposals(), 0, "the successor first saw the job less than its retention ago");
     new.advance_ms(1);
-    new.runner.tick(new.now);
+    new.runner.give_up_expired_items(new.now);
     assert_eq!(new.commit_proposals(), 1);
 }
 
@@ -204,7 +204,7 @@
     let old = Partition::with_job("j", 1);
     let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 30_000);
     new.advance_ms(59_999);
-    new.runner.tick(new.now);
+    new.runner.give_up_expired_items(new.now);
     assert_eq!((new.commit_proposals(), new.runner.next_wake()), (0, Some(at(61_000))));
 }
 
@@ -255,7 +255,7 @@
         [],
         "it first saw the job 1 ms ago"
     );
-    partition.commit(Entry::Forget { jobs: expired_jobs });
+    partition.commit(Entry::Remove { jobs: expired_jobs });
     assert_eq!(partition.runner.expired_jobs(&partition.jobs, partition.now, status_ttl), []);
     assert!(!partition.jobs.contains(&job("done")) && partition.jobs.contains(&job("open")));
 }
@@ -271,8 +271,8 @@
     assert_eq!(partition.commit(count(2)), Applied::Progressed(1));
     assert_eq!(partition.commit(count(1)), Applied::Progressed(0));
     partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
-    let order = partition.next();
-    partition.end_run(&order, RunOutcome::Failed500);
+    let request = partition.next();
+    partition.end_run(&request, RunOutcome::Failed500);
     partition.commit_proposals();
     assert_eq!(listed_results(&partition.jobs, "j").len(), 1, "the third failed attempt");
 }
--- a/crates/batch/tests/batches/memory_sharing.rs
+++ b/crates/batch/tests/batches/memory_sharing.rs
@@ -60,7 +60,7 @@
     committed(&mut jobs, Entry::Ended { job: job("j") });
     assert!(is_released(&submission));
     assert!(!is_released(&results), "clients still read the results");
-    committed(&mut jobs, Entry::Forget { jobs: vec![job("j")] });
+    committed(&mut jobs, Entry::Remove { jobs: vec![job("j")] });
     assert!(is_released(&results));
 }
 
@@ -99,11 +99,11 @@
     let submission = committed(&mut jobs, submit("j", 1));
     let mut runner = runner(7);
     runner.start_leading(&jobs, at(0), 0);
-    let order = runner.next_item(&jobs, at(0), &any_capacity).expect("it may run");
-    assert!(refers_to(&order.body, &submission));
+    let request = runner.next_item(&jobs, at(0), &any_capacity).expect("it may run");
+    assert!(refers_to(&request.body, &submission));
     committed(&mut jobs, complete_item("j", 0, "text"));
     assert!(!is_released(&submission));
-    drop(order);
+    drop(request);
     assert!(is_released(&submission));
 }
 
@@ -121,7 +121,7 @@
     let page = jobs.read(&job("j"), 0, MAX_PAGE_BYTES).expect("the job is known");
     assert!(refers_to(page.results[0].text().as_bytes(), &snapshot));
     jobs.apply(Entry::Ended { job: job("j") });
-    jobs.apply(Entry::Forget { jobs: vec![job("j")] });
+    jobs.apply(Entry::Remove { jobs: vec![job("j")] });
     assert!(is_released(&snapshot));
 }
 
--- a/crates/batch/tests/batches/pages.rs
+++ b/crates/batch/tests/batches/pages.rs
@@ -65,10 +65,10 @@
 #[test]
 fn a_job_is_accepted_once() {
     let mut jobs = Jobs::new();
-    assert_eq!(jobs.apply(submit("j", 2)), Applied::Submitted { job: job("j"), already: false });
+    assert_eq!(jobs.apply(submit("j", 2)), Applied::Submitted { job: job("j"), already_accepted: false });
     jobs.apply(complete_item("j", 0, "text"));
     let before = jobs.clone();
-    assert_eq!(jobs.apply(submit("j", 5)), Applied::Submitted { job: job("j"), already: true });
+    assert_eq!(jobs.apply(submit("j", 5)), Applied::Submitted { job: job("j"), already_accepted: true });
     assert_eq!(jobs, before);
 }
 
@@ -113,8 +113,8 @@
     jobs.apply(complete_item("listed", 0, "text"));
     jobs.apply(Entry::Ended { job: job("ended") });
     let all = ["open", "listed", "ended", "unknown"].map(job).to_vec();
-    let forgotten = Applied::Forgotten(vec![job("listed"), job("ended")]);
-    assert_eq!(jobs.apply(Entry::Forget { jobs: all }), forgotten);
+    let removed = Applied::Removed(vec![job("listed"), job("ended")]);
+    assert_eq!(jobs.apply(Entry::Remove { jobs: all }), removed);
     assert!(jobs.contains(&job("open")) && jobs.len() == 1);
 }
 
@@ -124,13 +124,13 @@
     let mut submission = submission("j", 2);
     submission.items[0].body = vec![0; 100_000].into();
     jobs.apply(Entry::Submit { submission, settings: settings() });
-    assert!(jobs.cost() > 100_000);
+    assert!(jobs.memory_bytes() > 100_000);
     jobs.apply(complete_item("j", 0, "text"));
-    assert!(jobs.cost() < 5_000, "the body is dropped: {}", jobs.cost());
-    assert_eq!(jobs.job_cost(&job("j")), Some(jobs.cost()));
+    assert!(jobs.memory_bytes() < 5_000, "the body is dropped: {}", jobs.memory_bytes());
+    assert_eq!(jobs.job_memory_bytes(&job("j")), Some(jobs.memory_bytes()));
     jobs.apply(complete_item("j", 1, "text"));
-    jobs.apply(Entry::Forget { jobs: vec![job("j")] });
-    assert_eq!(jobs.cost(), 0);
+    jobs.apply(Entry::Remove { jobs: vec![job("j")] });
+    assert_eq!(jobs.memory_bytes(), 0);
 }
 
 #[test]
--- a/crates/batch/tests/batches/partition.rs
+++ b/crates/batch/tests/batches/partition.rs
@@ -35,7 +35,7 @@
 
     pub fn commit(&mut self, entry: Entry) -> Applied {
         let applied = self.jobs.apply(entry);
-        self.runner.applied(&self.jobs, &applied, self.now);
+        self.runner.on_applied(&self.jobs, &applied, self.now);
         applied
     }
 
@@ -55,20 +55,20 @@
     }
 
     /// Starts the next item, if any may run, with unlimited capacity.
-    pub fn try_next(&mut self) -> Option<RunOrder> {
+    pub fn try_next(&mut self) -> Option<RunRequest> {
         self.runner.next_item(&self.jobs, self.now, &any_capacity)
     }
 
     /// Starts the next item, with unlimited capacity. Panics if none may run.
-    pub fn next(&mut self) -> RunOrder {
+    pub fn next(&mut self) -> RunRequest {
         self.try_next().expect("an item may run")
     }
 
-    pub fn event(&mut self, order: &RunOrder, id: u64, data: &str) -> EventDisposition {
-        self.runner.run_event(order.run, id, data, self.now)
+    pub fn event(&mut self, request: &RunRequest, id: u64, data: &str) -> EventDisposition {
+        self.runner.run_event(request.run, id, data, self.now)
     }
 
-    pub fn end_run(&mut self, order: &RunOrder, outcome: RunOutcome) {
-        self.runner.run_ended(order.run, outcome, self.now);
+    pub fn end_run(&mut self, request: &RunRequest, outcome: RunOutcome) {
+        self.runner.run_ended(request.run, outcome, self.now);
     }
 }
--- a/crates/batch/tests/batches/proposals.rs
+++ b/crates/batch/tests/batches/proposals.rs
@@ -10,9 +10,9 @@
 fn results_that_finish_together_are_one_entry() {
     let mut partition = Partition::with_job("j", 20);
     partition.commit(submit("k", 20));
-    while let Some(order) = partition.try_next() {
-        partition.event(&order, 0, "text");
-        partition.end_run(&order, RunOutcome::Complete);
+    while let Some(request) = partition.try_next() {
+        partition.event(&request, 0, "text");
+        partition.end_run(&request, RunOutcome::Complete);
     }
     assert_eq!(partition.commit_proposals(), 1);
     assert_eq!(
@@ -24,9 +24,9 @@
 #[test]
 fn large_results_are_several_entries() {
     let mut partition = Partition::with_job("j", 4);
-    while let Some(order) = partition.try_next() {
-        partition.event(&order, 0, &"x".repeat(300_000));
-        partition.end_run(&order, RunOutcome::Complete);
+    while let Some(request) = partition.try_next() {
+        partition.event(&request, 0, &"x".repeat(300_000));
+        partition.end_run(&request, RunOutcome::Complete);
     }
     assert_eq!(partition.commit_proposals(), 4);
     assert_eq!(partition.jobs.status(&job("j")).map(|status| status.listed), Some(4));
@@ -60,9 +60,9 @@
 /// Runs items until none may start, each with a text of `text_bytes` bytes. Returns the number of finished items.
 fn finish_all(partition: &mut Partition, text_bytes: usize) -> usize {
     let mut finished = 0;
-    while let Some(order) = partition.try_next() {
-        partition.event(&order, 0, &"x".repeat(text_bytes));
-        partition.end_run(&order, RunOutcome::Complete);
+    while let Some(request) = partition.try_next() {
+        partition.event(&request, 0, &"x".repeat(text_bytes));
+        partition.end_run(&request, RunOutcome::Complete);
         finished += 1;
     }
     finished
@@ -131,9 +131,9 @@
 #[test]
 fn proposals_of_an_earlier_term_are_not_repeated() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.event(&order, 0, "text");
-    partition.end_run(&order, RunOutcome::Complete);
+    let request = partition.next();
+    partition.event(&request, 0, "text");
+    partition.end_run(&request, RunOutcome::Complete);
     let entries = proposals(&mut partition.runner);
     partition.runner.start_leading(&partition.jobs, partition.now, 1_000_000);
     let again = partition.next();
--- a/crates/batch/tests/batches/random_faults.rs
+++ b/crates/batch/tests/batches/random_faults.rs
@@ -47,7 +47,7 @@
 
 /// A run at an executor.
 struct Run {
-    order: RunOrder,
+    request: RunRequest,
     /// The id of the event that the executor sends next.
     next_event: u64,
     /// Whether an event was skipped or repeated. The runner has to reject the next event, and the executor never
@@ -125,9 +125,9 @@
         let replica = &mut self.replicas[number];
         for entry in &self.log[replica.applied..] {
             let applied = replica.jobs.apply(entry.clone());
-            replica.runner.applied(&replica.jobs, &applied, self.now);
+            replica.runner.on_applied(&replica.jobs, &applied, self.now);
             if number == self.leader {
-                self.admission.applied(&applied);
+                self.admission.on_applied(&applied);
             }
         }
         replica.applied = self.log.len();
@@ -199,11 +199,13 @@
         let free_slots = 1 + self.random.below(4) as usize;
         let replica = &mut self.replicas[self.leader];
         while self.runs.len() < 8 + free_slots {
-            let Some(order) = replica.runner.next_item(&replica.jobs, self.now, &any_capacity) else { break };
-            assert_eq!(order.body.as_slice(), format!("body of {}", order.attempt_id).as_bytes());
-            assert!(!replica.jobs.has_ended(&order.job), "a job that has ended runs no item");
-            let next_event = order.last_event_id.map_or(0, |last| last + 1);
-            self.runs.push(Run { order, next_event, has_gap: false });
+            let Some(request) = replica.runner.next_item(&replica.jobs, self.now, &any_capacity) else {
+                break;
+            };
+            assert_eq!(request.body.as_slice(), format!("body of {}", request.attempt_id).as_bytes());
+            assert!(!replica.jobs.has_ended(&request.job), "a job that has ended runs no item");
+            let next_event = request.last_event_id.map_or(0, |last| last + 1);
+            self.runs.push(Run { request, next_event, has_gap: false });
         }
     }
 
@@ -213,23 +215,23 @@
             return;
         }
         let run_index = self.random.below(self.runs.len() as u64) as usize;
-        let order = self.runs[run_index].order.clone();
+        let request = self.runs[run_index].request.clone();
         let outcome = match self.random.below(40) {
             0 => Some(RunOutcome::Broken),
             1 => Some(RunOutcome::NotExecuted),
             2 => Some(RunOutcome::Misdirected),
             3 => Some(RunOutcome::Failed500),
-            _ if is_always_rejected(&order.attempt_id) => Some(RunOutcome::Rejected422),
+            _ if is_always_rejected(&request.attempt_id) => Some(RunOutcome::Rejected422),
             4 => self.skip_events(run_index, 1),
             5 => self.skip_events(run_index, -1),
             _ => self.send_event(run_index),
         };
         let Some(outcome) = outcome else { return };
         if outcome == RunOutcome::Failed500 {
-            *self.failed_attempts.entry(order.attempt_id.clone()).or_default() += 1;
+            *self.failed_attempts.entry(request.attempt_id.clone()).or_default() += 1;
         }
         self.runs.swap_remove(run_index);
-        self.replicas[self.leader].runner.run_ended(order.run, outcome, self.now);
+        self.replicas[self.leader].runner.run_ended(request.run, outcome, self.now);
     }
 
     /// The executor skips an event (`by` is 1) or repeats one (`by` is -1). It never does this with the first event of a
@@ -246,12 +248,12 @@
 
     fn send_event(&mut self, run_index: usize) -> Option<RunOutcome> {
         let run = &mut self.runs[run_index];
-        let events = output(&run.order.attempt_id);
+        let events = output(&run.request.attempt_id);
         let Some(data) = events.get(run.next_event as usize) else {
             return Some(if run.has_gap { RunOutcome::Broken } else { RunOutcome::Complete });
         };
         let disposition =
-            self.replicas[self.leader].runner.run_event(run.order.run, run.next_event, data, self.now);
+            self.replicas[self.leader].runner.run_event(run.request.run, run.next_event, data, self.now);
         run.next_event += 1;
         if run.has_gap {
             assert_ne!(
@@ -265,14 +267,14 @@
 
     fn close_cancelled(&mut self) {
         let cancelled = self.replicas[self.leader].runner.take_cancelled();
-        self.runs.retain(|run| !cancelled.contains(&run.order.run));
+        self.runs.retain(|run| !cancelled.contains(&run.request.run));
     }
 
     /// A client reads all results from the leader and checks them.
     fn check_invariants(&mut self) {
         let jobs = &self.replicas[self.leader].jobs;
         assert!(jobs.waiting_tokens(ROUTE) <= QUEUE_TOKEN_LIMIT, "the tokens that wait exceed the limit");
-        for id in jobs.names() {
+        for id in jobs.ids() {
             self.accepted.entry(id.clone()).or_insert(self.now);
         }
         for (id, since) in &self.accepted {
@@ -298,7 +300,7 @@
         let replica = &self.replicas[self.leader];
         let jobs = replica.runner.expired_jobs(&replica.jobs, self.now, STATUS_TTL);
         if !jobs.is_empty() {
-            self.proposed.push(Entry::Forget { jobs });
+            self.proposed.push(Entry::Remove { jobs });
         }
     }
 
@@ -320,7 +322,7 @@
         for _ in 0..6 {
             self.step_run();
         }
-        self.replicas[self.leader].runner.tick(self.now);
+        self.replicas[self.leader].runner.give_up_expired_items(self.now);
         self.propose();
         if self.random.one_in(3) {
             self.commit();
@@ -340,7 +342,7 @@
 
     fn is_done(&self) -> bool {
         let jobs = &self.replicas[self.leader].jobs;
-        self.proposed.is_empty() && jobs.names().all(|id| !jobs.is_open(id))
+        self.proposed.is_empty() && jobs.ids().all(|id| !jobs.is_open(id))
     }
 }
 
--- a/crates/batch/tests/batches/replay.rs
+++ b/crates/batch/tests/batches/replay.rs
@@ -48,7 +48,7 @@
         3 => prop::collection::vec(progress(), 0..3).prop_map(Entry::Progress),
         1 => name().prop_map(|name| Entry::Ended { job: job(&name) }),
         1 => prop::collection::vec(name(), 0..3)
-            .prop_map(|names| Entry::Forget { jobs: names.iter().map(|name| job(name)).collect() }),
+            .prop_map(|names| Entry::Remove { jobs: names.iter().map(|name| job(name)).collect() }),
     ]
 }
 
@@ -58,7 +58,7 @@
 
 /// The tokens of open items, computed from the bodies that are readable. Each item has 100 tokens.
 fn expected_waiting_tokens(jobs: &Jobs) -> u64 {
-    let names: Vec<String> = jobs.names().map(|job| job.as_str().to_owned()).collect();
+    let names: Vec<String> = jobs.ids().map(|job| job.as_str().to_owned()).collect();
     let waits =
         |name: &String, index: usize| jobs.item_body(&job(name), &format!("{name}-{index}")).is_some();
     names.iter().map(|name| (0..5).filter(|index| waits(name, *index)).count() as u64 * 100).sum()
@@ -98,8 +98,8 @@
         for entry in entries {
             let before = jobs.clone();
             let applied = jobs.apply(entry);
-            let forgotten = match applied { Applied::Forgotten(names) => names, _ => vec![] };
-            for id in before.names().filter(|id| !forgotten.contains(id)) {
+            let removed = match applied { Applied::Removed(names) => names, _ => vec![] };
+            for id in before.ids().filter(|id| !removed.contains(id)) {
                 let old = before.read(id, 0, usize::MAX).expect("it was there");
                 let new = jobs.read(id, 0, usize::MAX).expect("it is still there");
                 prop_assert_eq!(old.total, new.total);
--- a/crates/batch/tests/batches/retries.rs
+++ b/crates/batch/tests/batches/retries.rs
@@ -15,9 +15,9 @@
 #[case(RunOutcome::Failed500)]
 fn a_run_that_did_not_end_properly_is_not_complete(#[case] outcome: RunOutcome) {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.event(&order, 0, "a");
-    partition.end_run(&order, outcome);
+    let request = partition.next();
+    partition.event(&request, 0, "a");
+    partition.end_run(&request, outcome);
     partition.commit_proposals();
     assert_eq!(listed_results(&partition.jobs, "j"), []);
     assert_eq!(partition.try_next(), None, "the item is in a backoff");
@@ -29,22 +29,22 @@
 #[test]
 fn an_item_that_cannot_be_resumed_runs_from_the_start() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.event(&order, 0, "a");
-    partition.end_run(&order, RunOutcome::Broken);
+    let request = partition.next();
+    partition.event(&request, 0, "a");
+    partition.end_run(&request, RunOutcome::Broken);
     for _ in 0..2 {
         partition.advance_ms(5_000);
-        let order = partition.next();
-        assert_eq!(order.last_event_id, Some(0));
-        assert_eq!(partition.event(&order, 0, "other"), EventDisposition::OutOfOrder);
+        let request = partition.next();
+        assert_eq!(request.last_event_id, Some(0));
+        assert_eq!(partition.event(&request, 0, "other"), EventDisposition::OutOfOrder);
     }
     partition.advance_ms(5_000);
-    let order = partition.next();
-    assert_eq!(order.last_event_id, None);
-    partition.event(&order, 0, "x");
-    partition.event(&order, 1, "y");
+    let request = partition.next();
+    assert_eq!(request.last_event_id, None);
+    partition.event(&request, 0, "x");
+    partition.event(&request, 1, "y");
     assert_eq!(partition.runner.checkpoint(), None, "the committed text stems from another run");
-    partition.end_run(&order, RunOutcome::Complete);
+    partition.end_run(&request, RunOutcome::Complete);
     partition.commit_proposals();
     assert_eq!(listed_results(&partition.jobs, "j")[0].2, "x\ny", "the text of the first run is discarded");
 }
@@ -55,8 +55,8 @@
     let mut partition = Partition::with_job("j", 1);
     for attempt in 1..=3 {
         partition.advance_ms(5_000);
-        let order = partition.next();
-        partition.end_run(&order, RunOutcome::Failed500);
+        let request = partition.next();
+        partition.end_run(&request, RunOutcome::Failed500);
         partition.commit_proposals();
         assert_eq!(
             listed_results(&partition.jobs, "j").len(),
@@ -77,8 +77,8 @@
     let mut partition = Partition::with_job("j", 1);
     for _ in 0..10 {
         partition.advance_ms(2_500);
-        let order = partition.next();
-        partition.end_run(&order, outcome);
+        let request = partition.next();
+        partition.end_run(&request, outcome);
         partition.commit_proposals();
     }
     assert_eq!(listed_results(&partition.jobs, "j"), []);
@@ -90,8 +90,8 @@
     let settings = JobSettings { max_attempts: 0, ..settings() };
     partition.commit(Entry::Submit { submission: submission("j", 1), settings });
     assert_eq!(listed_results(&partition.jobs, "j"), []);
-    let order = partition.next();
-    partition.end_run(&order, RunOutcome::Failed500);
+    let request = partition.next();
+    partition.end_run(&request, RunOutcome::Failed500);
     partition.commit_proposals();
     assert_eq!(listed_results(&partition.jobs, "j").len(), 1);
 }
@@ -99,12 +99,12 @@
 #[test]
 fn a_rejected_item_is_given_up_at_once_and_alone() {
     let mut partition = Partition::with_job("j", 2);
-    let order = partition.next();
-    partition.end_run(&order, RunOutcome::Rejected422);
+    let request = partition.next();
+    partition.end_run(&request, RunOutcome::Rejected422);
     partition.commit_proposals();
     let listed = listed_results(&partition.jobs, "j");
-    assert_eq!(listed, [(order.attempt_id.clone(), ResultState::DeadLetter, String::new())]);
-    assert_ne!(partition.next().attempt_id, order.attempt_id);
+    assert_eq!(listed, [(request.attempt_id.clone(), ResultState::DeadLetter, String::new())]);
+    assert_ne!(partition.next().attempt_id, request.attempt_id);
 }
 
 /// Backoffs grow up to a bound, and vary at random.
@@ -115,8 +115,8 @@
     partition.commit(Entry::Submit { submission: submission("j", 1), settings });
     let mut delays_s = Vec::new();
     for _ in 0..12 {
-        let order = partition.next();
-        partition.end_run(&order, RunOutcome::Failed500);
+        let request = partition.next();
+        partition.end_run(&request, RunOutcome::Failed500);
         let until = partition.runner.next_wake().expect("the item is in a backoff");
         delays_s.push(until.since(partition.now).seconds());
         partition.now = until;
@@ -130,11 +130,11 @@
 fn an_event_resets_the_backoff() {
     let mut partition = Partition::with_job("j", 1);
     let mut delay_after_s = |data: Option<u64>| {
-        let order = partition.next();
+        let request = partition.next();
         if let Some(id) = data {
-            partition.event(&order, id, "x");
+            partition.event(&request, id, "x");
         }
-        partition.end_run(&order, RunOutcome::Broken);
+        partition.end_run(&request, RunOutcome::Broken);
         let until = partition.runner.next_wake().expect("the item is in a backoff");
         let delay_s = until.since(partition.now).seconds();
         partition.now = until;
--- a/crates/batch/tests/batches/routes.rs
+++ b/crates/batch/tests/batches/routes.rs
@@ -29,7 +29,7 @@
 }
 
 impl Partition {
-    fn next_on(&mut self, route: RouteIndex) -> Option<RunOrder> {
+    fn next_on(&mut self, route: RouteIndex) -> Option<RunRequest> {
         self.runner.next_item(&self.jobs, self.now, &capacity_only_on(route))
     }
 
@@ -50,8 +50,8 @@
     partition.set_prefixes(&[OTHER_PREFIX, PREFIX]);
     // The items run when the route has capacity at its new index.
     assert_eq!(partition.next_on(RouteIndex(0)), None);
-    let order = partition.next_on(RouteIndex(1)).expect("an item");
-    assert_eq!((order.host.as_str(), order.path.as_str()), (HOST, "/lots/3/j-0"));
+    let request = partition.next_on(RouteIndex(1)).expect("an item");
+    assert_eq!((request.host.as_str(), request.path.as_str()), (HOST, "/lots/3/j-0"));
 }
 
 #[test]
@@ -95,8 +95,8 @@
 #[test]
 fn an_item_whose_route_was_removed_during_its_backoff_does_not_run_after_it() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.end_run(&order, RunOutcome::NotExecuted);
+    let request = partition.next();
+    partition.end_run(&request, RunOutcome::NotExecuted);
     partition.set_prefixes(&[OTHER_PREFIX]);
     partition.advance_ms(10_000);
     assert_eq!(partition.try_next(), None);
@@ -129,10 +129,10 @@
 fn items_of_one_job_run_each_where_its_own_route_has_capacity() {
     let mut partition = Partition::with_leader();
     partition.commit(job_on_two_routes());
-    let order = partition
+    let request = partition
         .next_on(OTHER_INDEX)
         .expect("the smaller item, as the route of the larger one has no capacity");
-    assert_eq!(order.path.as_str(), "/other/3/j-1");
+    assert_eq!(request.path.as_str(), "/other/3/j-1");
     assert_eq!(partition.next_on(OTHER_INDEX), None);
     assert_eq!(partition.next_on(INDEX).expect("an item").path.as_str(), "/lots/3/j-0");
 }
--- a/crates/batch/tests/batches/running.rs
+++ b/crates/batch/tests/batches/running.rs
@@ -9,23 +9,23 @@
 #[test]
 fn an_item_is_sent_as_it_was_submitted() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
+    let request = partition.next();
     let spec = item("j", 0, 100);
-    assert_eq!((order.attempt_id.as_str(), order.path.as_str()), ("j-0", "/lots/3/j-0"));
-    assert_eq!(order.host.as_str(), "lots.example");
-    assert_eq!((order.headers, order.body, order.last_event_id), (spec.headers, spec.body, None));
-    assert_eq!((order.token_count, order.tokens), (100, Tokens { prompt: 60, output: 40 }));
+    assert_eq!((request.attempt_id.as_str(), request.path.as_str()), ("j-0", "/lots/3/j-0"));
+    assert_eq!(request.host.as_str(), "lots.example");
+    assert_eq!((request.headers, request.body, request.last_event_id), (spec.headers, spec.body, None));
+    assert_eq!((request.token_count, request.tokens), (100, Tokens { prompt: 60, output: 40 }));
     assert_eq!(partition.try_next(), None, "an item has one run at a time");
 }
 
 #[test]
 fn the_text_is_the_data_of_all_events() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
+    let request = partition.next();
     for (id, data) in [(1, "a"), (2, ""), (3, "b\nc")] {
-        assert_eq!(partition.event(&order, id, data), EventDisposition::Accepted);
+        assert_eq!(partition.event(&request, id, data), EventDisposition::Accepted);
     }
-    partition.end_run(&order, RunOutcome::Complete);
+    partition.end_run(&request, RunOutcome::Complete);
     assert_eq!(partition.commit_proposals(), 1);
     assert_eq!(
         listed_results(&partition.jobs, "j"),
@@ -40,10 +40,10 @@
 #[test]
 fn an_empty_first_event_is_an_event() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.event(&order, 0, "");
-    partition.event(&order, 1, "a");
-    partition.end_run(&order, RunOutcome::Complete);
+    let request = partition.next();
+    partition.event(&request, 0, "");
+    partition.event(&request, 1, "a");
+    partition.end_run(&request, RunOutcome::Complete);
     partition.commit_proposals();
     assert_eq!(listed_results(&partition.jobs, "j")[0].2, "\na");
 }
@@ -52,18 +52,18 @@
 #[test]
 fn a_broken_run_resumes_after_its_last_event() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.event(&order, 0, "a");
-    partition.event(&order, 1, "b");
-    partition.end_run(&order, RunOutcome::Broken);
-    assert_eq!(partition.event(&order, 2, "late"), EventDisposition::UnknownRun, "the run has ended");
-    partition.end_run(&order, RunOutcome::Complete);
+    let request = partition.next();
+    partition.event(&request, 0, "a");
+    partition.event(&request, 1, "b");
+    partition.end_run(&request, RunOutcome::Broken);
+    assert_eq!(partition.event(&request, 2, "late"), EventDisposition::UnknownRun, "the run has ended");
+    partition.end_run(&request, RunOutcome::Complete);
     assert_eq!(partition.commit_proposals(), 0, "a run can't end a second time");
     partition.advance_ms(2_000);
-    let order = partition.next();
-    assert_eq!(order.last_event_id, Some(1));
-    assert_eq!(partition.event(&order, 2, "c"), EventDisposition::Accepted);
-    partition.end_run(&order, RunOutcome::Complete);
+    let request = partition.next();
+    assert_eq!(request.last_event_id, Some(1));
+    assert_eq!(partition.event(&request, 2, "c"), EventDisposition::Accepted);
+    partition.end_run(&request, RunOutcome::Complete);
     partition.commit_proposals();
     assert_eq!(listed_results(&partition.jobs, "j")[0].2, "a\nb\nc");
 }
@@ -71,8 +71,8 @@
 #[test]
 fn a_run_without_an_event_is_not_complete() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.end_run(&order, RunOutcome::Complete);
+    let request = partition.next();
+    partition.end_run(&request, RunOutcome::Complete);
     assert_eq!(partition.commit_proposals(), 0);
     partition.advance_ms(5_000);
     assert_eq!(partition.next().last_event_id, None);
@@ -82,12 +82,12 @@
 #[test]
 fn a_resumed_run_without_events_completes_the_text() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.event(&order, 0, "a");
-    partition.end_run(&order, RunOutcome::Broken);
+    let request = partition.next();
+    partition.event(&request, 0, "a");
+    partition.end_run(&request, RunOutcome::Broken);
     partition.advance_ms(5_000);
-    let order = partition.next();
-    partition.end_run(&order, RunOutcome::Complete);
+    let request = partition.next();
+    partition.end_run(&request, RunOutcome::Complete);
     partition.commit_proposals();
     assert_eq!(listed_results(&partition.jobs, "j")[0].2, "a");
 }
@@ -100,12 +100,12 @@
 #[case::far(u64::MAX)]
 fn an_event_out_of_order_ends_the_run(#[case] id: u64) {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
-    partition.event(&order, 0, "a");
-    partition.event(&order, 1, "b");
-    assert_eq!(partition.event(&order, id, "x"), EventDisposition::OutOfOrder);
-    assert_eq!(partition.event(&order, 2, "x"), EventDisposition::UnknownRun);
-    partition.end_run(&order, RunOutcome::Complete);
+    let request = partition.next();
+    partition.event(&request, 0, "a");
+    partition.event(&request, 1, "b");
+    assert_eq!(partition.event(&request, id, "x"), EventDisposition::OutOfOrder);
+    assert_eq!(partition.event(&request, 2, "x"), EventDisposition::UnknownRun);
+    partition.end_run(&request, RunOutcome::Complete);
     assert_eq!(partition.commit_proposals(), 0);
     partition.advance_ms(5_000);
     assert_eq!(partition.next().last_event_id, Some(1));
@@ -114,9 +114,9 @@
 #[test]
 fn a_text_beyond_the_limit_is_not_accepted() {
     let mut partition = Partition::with_job("j", 1);
-    let order = partition.next();
+    let request = partition.next();
     let data = "x".repeat(1_000);
     let accepted =
-        (0..).take_while(|id| partition.event(&order, *id, &data) == EventDisposition::Accepted).count();
+        (0..).take_while(|id| partition.event(&request, *id, &data) == EventDisposition::Accepted).count();
     assert!((400..=MAX_TEXT_BYTES / 1_000).contains(&accepted));
 }
--- a/crates/batch/tests/batches/scheduling.rs
+++ b/crates/batch/tests/batches/scheduling.rs
@@ -14,8 +14,9 @@
         let settings = JobSettings { completion_target_ms, ..settings() };
         partition.commit(Entry::Submit { submission: submission(name, 1), settings });
     }
-    let order: Vec<JobId> = std::iter::from_fn(|| partition.try_next()).map(|order| order.job).collect();
-    assert_eq!(order, ["tight", "distant", "late"].map(job));
+    let started_jobs: Vec<JobId> =
+        std::iter::from_fn(|| partition.try_next()).map(|request| request.job).collect();
+    assert_eq!(started_jobs, ["tight", "distant", "late"].map(job));
 }
 
 #[test]
@@ -51,8 +52,8 @@
     partition.commit(Entry::Submit { submission, settings: settings() });
     let capacity = |tokens| move |_: RouteIndex| Some(tokens);
     let mut next = |tokens| {
-        let order = partition.runner.next_item(&partition.jobs, partition.now, &capacity(tokens));
-        order.map(|order| order.item.0)
+        let request = partition.runner.next_item(&partition.jobs, partition.now, &capacity(tokens));
+        request.map(|request| request.item.0)
     };
     assert_eq!([next(99), next(600), next(100), next(10_000)], [None, Some(2), Some(0), Some(1)]);
     assert_eq!([next(499), next(500), next(500)], [None, Some(3), None]);
@@ -62,9 +63,9 @@
 fn items_listed_while_waiting_do_not_run() {
     let mut partition = Partition::with_job("j", 3);
     partition.commit(complete_item("j", 0, "the predecessor's"));
-    let order = partition.next();
-    assert_eq!(order.item, ItemIndex(1));
-    partition.end_run(&order, RunOutcome::NotExecuted);
+    let request = partition.next();
+    assert_eq!(request.item, ItemIndex(1));
+    partition.end_run(&request, RunOutcome::NotExecuted);
     assert!(partition.runner.next_wake() < Some(at(2_000)), "the item is in a backoff");
     partition.commit(complete_item("j", 1, "the predecessor's"));
     assert_eq!(partition.runner.next_wake(), Some(at(61_000)));
@@ -97,28 +98,31 @@
     let settings = JobSettings { completion_target_ms: 50_000, ..settings() };
     partition.commit(Entry::Submit { submission: submission_on(OTHER_ROUTE, "k", &[100]), settings });
     let capacity = |route: RouteIndex| (route == OTHER_INDEX).then_some(1_000);
-    let order = partition.runner.next_item(&partition.jobs, partition.now, &capacity);
-    assert_eq!(order.map(|order| order.job), Some(job("k")));
+    let request = partition.runner.next_item(&partition.jobs, partition.now, &capacity);
+    assert_eq!(request.map(|request| request.job), Some(job("k")));
     assert_eq!(partition.runner.next_item(&partition.jobs, partition.now, &capacity), None);
 }
 
 #[test]
 fn idle_tokens_are_counted() {
     let mut partition = Partition::with_job("j", 3);
-    assert_eq!((partition.runner.idle_tokens(INDEX), partition.runner.idle_tokens(OTHER_INDEX)), (300, 0));
-    let order = partition.next();
-    assert_eq!(partition.runner.idle_tokens(INDEX), 200);
-    partition.end_run(&order, RunOutcome::NotExecuted);
-    assert_eq!(partition.runner.idle_tokens(INDEX), 300);
-    partition.commit(complete_item("j", order.item.0, "the predecessor's"));
-    assert_eq!(partition.runner.idle_tokens(INDEX), 200, "the item was listed during its backoff");
-    let order = partition.next();
-    partition.event(&order, 0, "text");
-    partition.end_run(&order, RunOutcome::Complete);
-    assert_eq!(partition.runner.idle_tokens(INDEX), 100);
+    assert_eq!(
+        (partition.runner.queued_tokens(INDEX), partition.runner.queued_tokens(OTHER_INDEX)),
+        (300, 0)
+    );
+    let request = partition.next();
+    assert_eq!(partition.runner.queued_tokens(INDEX), 200);
+    partition.end_run(&request, RunOutcome::NotExecuted);
+    assert_eq!(partition.runner.queued_tokens(INDEX), 300);
+    partition.commit(complete_item("j", request.item.0, "the predecessor's"));
+    assert_eq!(partition.runner.queued_tokens(INDEX), 200, "the item was listed during its backoff");
+    let request = partition.next();
+    partition.event(&request, 0, "text");
+    partition.end_run(&request, RunOutcome::Complete);
+    assert_eq!(partition.runner.queued_tokens(INDEX), 100);
     partition.set_prefixes(&[OTHER_PREFIX]);
     partition.runner.give_up_unrouted();
-    assert_eq!((partition.runner.idle_tokens(INDEX), partition.runner.next_wake()), (0, None));
+    assert_eq!((partition.runner.queued_tokens(INDEX), partition.runner.next_wake()), (0, None));
 }
 
 /// There is a time of the next wake-up until all items are finished.
--- a/crates/batch/tests/stable_bytes.rs
+++ b/crates/batch/tests/stable_bytes.rs
@@ -16,7 +16,7 @@
 const RESULTS: &[u8] = b"\x02\x02\x05job-1\x02\x00\x00\none\ntwo \xc3\xa9\xc7\x01\x01\x00\x05job-2\x00";
 const PROGRESS: &[u8] = b"\x03\x03\x05job-1\x00\x00\x01\x00\x00\x03one\x05job-1\x01\x02\x00\x05job-1\x02\xac\x02\x01\x01\x07\xc8\x01\neight\nnine";
 const ENDED: &[u8] = b"\x04\x05job-1";
-const FORGET: &[u8] = b"\x05\x02\x05job-1\x05job-2";
+const REMOVE: &[u8] = b"\x05\x02\x05job-1\x05job-2";
 const NO_JOBS: &[u8] = b"\x01\x00";
 const JOBS: &[u8] = b"\x01\x02\x05job-1\x04lots\x06models\x0clots.example\xfb\xd0\x95\xff\xbc1\x7f\x80\x01\x80\x80\x01\xff\xff\xff\xff\x0f\xff\xff\xff\xff\xff\xff\xff\xff\xff\x01\x00\x00\x03\x01\x01a\x07/lots/a\x02\x06Accept\x11text/event-stream\x18X-Grebeusher-Token-Count\x06940,60\x03\x00\xab\xff\xe8\x07\x00\x00\x00\x00\x01\x01c\x07/lots/c\x00\x05third\x7f\x01\xc8\x01\x06so far\x03\x01\x01b\x01\x04half\x05job-2\x04lots\x06models\x0clots.example\x00\x00\x00\x00\x00\x00\x00\x01\x03\x00\x00\x00\x02\x01c\x00\x05whole\x01a\x01\x00";
 
@@ -27,7 +27,7 @@
         Entry::Results(_) => RESULTS,
         Entry::Progress(_) => PROGRESS,
         Entry::Ended { .. } => ENDED,
-        Entry::Forget { .. } => FORGET,
+        Entry::Remove { .. } => REMOVE,
     }
 }
 
@@ -116,7 +116,7 @@
 #[case::results(results())]
 #[case::progress(progress())]
 #[case::ended(Entry::Ended { job: job("job-1") })]
-#[case::forget(Entry::Forget { jobs: vec![job("job-1"), job("job-2")] })]
+#[case::remove(Entry::Remove { jobs: vec![job("job-1"), job("job-2")] })]
 fn an_entry_of_each_kind_keeps_its_bytes(#[case] entry: Entry) {
     let bytes = stable_bytes(&entry);
     // The entry is written as the sample.
--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -11,7 +11,7 @@
 use crate::requests::upstream::UpstreamEvent;
 use crate::requests::upstream_connection::{Failure, UpstreamUser};
 use crate::runtime::timers::Timer;
-use grebeusher_batch::{EventDisposition, EventReader, RouteIndex, RunId, RunOrder, RunOutcome};
+use grebeusher_batch::{EventDisposition, EventReader, RouteIndex, RunId, RunOutcome, RunRequest};
 use grebeusher_gateway::{AttemptOutcome, AttemptToken, ServerLoad};
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::headers::Headers;
@@ -76,7 +76,7 @@
                 continue;
             }
             if let Some(partition) = self.batch_mut(index) {
-                partition.runner_mut().tick(now);
+                partition.runner_mut().give_up_expired_items(now);
             }
             // A leader that wakes from a freeze still believes that it is one.
             if self.partitions[index].replica.lease_holds(self.clock()) {
@@ -98,14 +98,14 @@
     fn idle_tokens(&mut self, index: usize) -> u64 {
         let Some(active) = self.configuration.active().cloned() else { return 0 };
         let Some(partition) = self.batch_mut(index) else { return 0 };
-        active.routes.bulk_routes().map(|(route, _)| partition.runner().idle_tokens(route)).sum()
+        active.routes.bulk_routes().map(|(route, _)| partition.runner().queued_tokens(route)).sum()
     }
 
     /// Logs now and then how the items of a led partition progress, as long as some are not listed.
     pub(crate) fn log_items(&mut self, index: usize) {
         let (now, number) = (self.now, self.partitions[index].partition);
         let Some(partition) = self.batch_mut(index) else { return };
-        if !partition.runner().has_unlisted_items() || !partition.take_log_due(now) {
+        if !partition.runner().has_open_items() || !partition.take_log_due(now) {
             return;
         }
         let waiting_tokens = self.idle_tokens(index);
@@ -158,7 +158,7 @@
         self.items.load_reports.may_start(self.now, host.partition, host.load())
     }
 
-    fn next_order(&mut self, index: usize) -> Option<RunOrder> {
+    fn next_order(&mut self, index: usize) -> Option<RunRequest> {
         let now = self.now;
         let active = self.configuration.active().cloned()?;
         let mut with_room: Vec<RouteIndex> = Vec::new();
@@ -173,7 +173,7 @@
         runner.next_item(jobs, now, &room)
     }
 
-    fn begin_item(&mut self, index: usize, order: RunOrder) {
+    fn begin_item(&mut self, index: usize, order: RunRequest) {
         let now = self.now;
         let point = self.random_point();
         let Some(active) = self.configuration.active().cloned() else { return };
@@ -353,7 +353,7 @@
 }
 
 /// An item as an executor gets it.
-fn item_request(order: &RunOrder, instance: &str) -> Vec<u8> {
+fn item_request(order: &RunRequest, instance: &str) -> Vec<u8> {
     let mut text = format!("POST {} HTTP/1.1\r\nHost: {}\r\n", order.path, order.host);
     let own = [names::ATTEMPT_ID, names::DEADLINE_MS, names::TARGET_INSTANCE, names::LAST_EVENT_ID];
     let of_the_message = ["host", "content-length", "transfer-encoding", "connection"];
--- a/crates/tier/src/batch/leader.rs
+++ b/crates/tier/src/batch/leader.rs
@@ -94,7 +94,7 @@
                 self.cut_off_runs(index);
                 if *outcome == EndOutcome::UnknownJob { 404 } else { 200 }
             }
-            Applied::Progressed(_) | Applied::Forgotten(_) => 200,
+            Applied::Progressed(_) | Applied::Removed(_) => 200,
         }
     }
 
@@ -189,7 +189,7 @@
         let jobs = partition.runner().expired_jobs(partition.jobs(), now, status);
         if !jobs.is_empty() {
             // Refused, it is proposed again when the groups are next maintained.
-            let _ = self.partitions[index].propose(now, jobs_entry(&Entry::Forget { jobs }), None);
+            let _ = self.partitions[index].propose(now, jobs_entry(&Entry::Remove { jobs }), None);
         }
     }
 
--- a/crates/tier/src/batch/partition.rs
+++ b/crates/tier/src/batch/partition.rs
@@ -102,7 +102,7 @@
     /// The complete state: the length of the jobs' snapshot, that snapshot, the names of nodes that are to be emptied. It is
     /// written in one piece, as a second copy of all jobs would count at the peak of memory.
     pub fn snapshot(&self) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(self.jobs.cost());
+        let mut bytes = Vec::with_capacity(self.jobs.memory_bytes());
         0usize.ser_bin(&mut bytes);
         let start = bytes.len();
         self.jobs.write_snapshot(&mut bytes);
@@ -157,8 +157,8 @@
     /// Applies a committed entry of the jobs.
     pub(crate) fn apply(&mut self, entry: Entry, now: Instant) -> Applied {
         let applied = self.jobs.apply(entry);
-        self.admission.applied(&applied);
-        self.runner.applied(&self.jobs, &applied, now);
+        self.admission.on_applied(&applied);
+        self.runner.on_applied(&self.jobs, &applied, now);
         applied
     }
 
--- a/crates/tier/src/control/partition_status.rs
+++ b/crates/tier/src/control/partition_status.rs
@@ -78,8 +78,8 @@
 }
 
 fn write_jobs(partition: u8, jobs: &Jobs, text: &mut Formatter<'_>) -> fmt::Result {
-    writeln!(text, "part {partition} holds {} jobs in about {} bytes", jobs.len(), jobs.cost())?;
-    for job in jobs.names().take(MAX_JOBS) {
+    writeln!(text, "part {partition} holds {} jobs in about {} bytes", jobs.len(), jobs.memory_bytes())?;
+    for job in jobs.ids().take(MAX_JOBS) {
         let Some(status) = jobs.status(job) else { continue };
         let state = match (status.has_ended, jobs.is_open(job)) {
             (true, _) => "ended",
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -7,7 +7,7 @@
 use crate::requests::header_names as names;
 use crate::requests::upstream_connection::Target;
 use crate::requests::version_permissions::{VersionPermissions, VersionVerdict};
-use grebeusher_batch::RunOrder;
+use grebeusher_batch::RunRequest;
 use grebeusher_configuration::configuration::Route;
 use grebeusher_gateway::{
     BatchItem, ExecutorDescriptor, ExecutorId, ExecutorState, Gateway, ModelKey, PromptSegments, Request,
@@ -75,7 +75,7 @@
     }
 
     /// The hints of an item of a batch job.
-    pub fn of_item(order: &RunOrder) -> Hints {
+    pub fn of_item(order: &RunRequest) -> Hints {
         let value = |name: &str| {
             let found = order.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
             found.map(|header| header.value.as_str())
