--- a/crates/rollout/src/entry.rs
+++ b/crates/rollout/src/entry.rs
@@ -24,7 +24,7 @@
         /// The version in force. It is used if the state has none yet, and empty if the leader does not know it.
         in_force: String,
         /// The wall clock time at which the leader accepted the order, in milliseconds since 1970.
-        begun_ms: u64,
+        begun_at_wall_ms: u64,
     },
     /// Ends an active roll-out. The version in force stays the same.
     Revert {
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -21,9 +21,9 @@
 //! let mut rollouts = Rollouts::default();
 //! let in_force = Entry::VersionInForce { service: "catalogue".into(), version: "v1".into() };
 //! assert_eq!(rollouts.apply(in_force), Applied::Accepted);
-//! assert_eq!(rollouts.apply(Entry::Begin { order: order.clone(), in_force: "v1".into(), begun_ms: 0 }), Applied::Accepted);
+//! assert_eq!(rollouts.apply(Entry::Begin { order: order.clone(), in_force: "v1".into(), begun_at_wall_ms: 0 }), Applied::Accepted);
 //! // The operator sends the order again, because the acknowledgement was lost.
-//! assert_eq!(rollouts.apply(Entry::Begin { order, in_force: "v1".into(), begun_ms: 0 }), Applied::AlreadyAccepted);
+//! assert_eq!(rollouts.apply(Entry::Begin { order, in_force: "v1".into(), begun_at_wall_ms: 0 }), Applied::AlreadyAccepted);
 //! assert_eq!(rollouts.version_in_force("catalogue"), Some("v1"));
 //! # Ok::<(), grebeusher_rollout::OrderError>(())
 //! ```
@@ -39,4 +39,4 @@
 pub use entry::{ENTRY_FORMAT, Entry, EntryError};
 pub use order::{OrderError, RolloutOrder};
 pub use policy::{Permission, VersionPolicy};
-pub use state::{Applied, Rollout, RolloutState, Rollouts, ServiceVersions, Verdict};
+pub use state::{Applied, OrderDecision, Rollout, RolloutState, Rollouts, ServiceVersions};
--- a/crates/rollout/src/state.rs
+++ b/crates/rollout/src/state.rs
@@ -8,7 +8,7 @@
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
 /// The maximum number of targets of earlier roll-outs that are kept for each service, to recognize repeated orders.
-const MAX_ENDED: usize = 64;
+const MAX_EARLIER_TARGETS: usize = 64;
 
 /// The state of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, SerBin, DeBin)]
@@ -28,7 +28,7 @@
     pub ramp_ms: u64,
     /// The wall clock time at which the leader accepted the order, in milliseconds since 1970. The clocks of nodes may
     /// differ, and may be set.
-    pub begun_ms: u64,
+    pub begun_at_wall_ms: u64,
     /// The state of the roll-out.
     pub state: RolloutState,
 }
@@ -43,7 +43,7 @@
     /// The latest roll-out of the service.
     pub rollout: Option<Rollout>,
     /// The target versions of earlier roll-outs, from the oldest to the newest.
-    pub ended: Vec<String>,
+    pub earlier_targets: Vec<String>,
 }
 
 impl ServiceVersions {
@@ -52,7 +52,7 @@
             service: service.to_owned(),
             in_force: String::new(),
             rollout: None,
-            ended: Vec::new(),
+            earlier_targets: Vec::new(),
         }
     }
 
@@ -64,7 +64,7 @@
     /// Whether the target is that of the latest or of a recent earlier roll-out.
     fn was_ordered(&self, target: &str) -> bool {
         let is_newest = self.rollout.as_ref().is_some_and(|rollout| rollout.target_version == target);
-        is_newest || self.ended.iter().any(|ended| ended == target)
+        is_newest || self.earlier_targets.iter().any(|earlier_target| earlier_target == target)
     }
 }
 
@@ -79,15 +79,15 @@
 
 /// The decision on an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum OrderDecision {
     /// The leader has to propose the order.
     Accept,
     /// The same order was accepted before. The leader has to acknowledge it again.
     AlreadyAccepted,
     /// A roll-out of the service to another version is active.
-    OtherUnderWay,
+    OtherRolloutActive,
     /// The target version is already in force, without an order for it.
-    InForce,
+    AlreadyInForce,
 }
 
 /// The effect of a committed entry.
@@ -133,16 +133,16 @@
     }
 
     /// Decides on an order by the committed state.
-    pub fn judge(&self, order: &RolloutOrder) -> Verdict {
-        let Some(versions) = self.service(&order.service) else { return Verdict::Accept };
+    pub fn decide_on(&self, order: &RolloutOrder) -> OrderDecision {
+        let Some(versions) = self.service(&order.service) else { return OrderDecision::Accept };
         if versions.was_ordered(&order.target_version) {
-            Verdict::AlreadyAccepted
+            OrderDecision::AlreadyAccepted
         } else if versions.active_rollout().is_some() {
-            Verdict::OtherUnderWay
+            OrderDecision::OtherRolloutActive
         } else if versions.in_force == order.target_version {
-            Verdict::InForce
+            OrderDecision::AlreadyInForce
         } else {
-            Verdict::Accept
+            OrderDecision::Accept
         }
     }
 
@@ -150,7 +150,9 @@
     pub fn apply(&mut self, entry: Entry) -> Applied {
         let applied = match entry {
             Entry::VersionInForce { service, version } => self.apply_version_in_force(&service, version),
-            Entry::Begin { order, in_force, begun_ms } => self.apply_begin(order, in_force, begun_ms),
+            Entry::Begin { order, in_force, begun_at_wall_ms } => {
+                self.apply_begin(order, in_force, begun_at_wall_ms)
+            }
             Entry::Revert { service, target_version } => self.apply_revert(&service, &target_version),
         };
         self.revision += u64::from(applied == Applied::Accepted);
@@ -169,11 +171,11 @@
         Applied::Accepted
     }
 
-    fn apply_begin(&mut self, order: RolloutOrder, in_force: String, begun_ms: u64) -> Applied {
-        match self.judge(&order) {
-            Verdict::Accept => {}
-            Verdict::AlreadyAccepted => return Applied::AlreadyAccepted,
-            Verdict::OtherUnderWay | Verdict::InForce => return Applied::Conflict,
+    fn apply_begin(&mut self, order: RolloutOrder, in_force: String, begun_at_wall_ms: u64) -> Applied {
+        match self.decide_on(&order) {
+            OrderDecision::Accept => {}
+            OrderDecision::AlreadyAccepted => return Applied::AlreadyAccepted,
+            OrderDecision::OtherRolloutActive | OrderDecision::AlreadyInForce => return Applied::Conflict,
         }
         let versions = self.versions_mut(&order.service);
         if versions.in_force.is_empty() && in_force != order.target_version {
@@ -182,13 +184,13 @@
         let rollout = Rollout {
             target_version: order.target_version,
             ramp_ms: order.ramp_ms,
-            begun_ms,
+            begun_at_wall_ms,
             state: RolloutState::Active,
         };
         if let Some(earlier) = versions.rollout.replace(rollout) {
-            versions.ended.push(earlier.target_version);
-            let excess = versions.ended.len().saturating_sub(MAX_ENDED);
-            versions.ended.drain(..excess);
+            versions.earlier_targets.push(earlier.target_version);
+            let excess = versions.earlier_targets.len().saturating_sub(MAX_EARLIER_TARGETS);
+            versions.earlier_targets.drain(..excess);
         }
         Applied::Accepted
     }
--- a/crates/rollout/tests/stable_bytes.rs
+++ b/crates/rollout/tests/stable_bytes.rs
@@ -14,7 +14,7 @@
 
 #[rstest]
 #[case::version_in_force(Entry::VersionInForce { service: "s".to_owned(), version: "v1".to_owned() }, "02000001000000000000007302000000000000007631")]
-#[case::begin(Entry::Begin { order: order(), in_force: "v1".to_owned(), begun_ms: 772 }, "02010001000000000000007302000000000000007632983a000000000000020000000000000076310403000000000000")]
+#[case::begin(Entry::Begin { order: order(), in_force: "v1".to_owned(), begun_at_wall_ms: 772 }, "02010001000000000000007302000000000000007632983a000000000000020000000000000076310403000000000000")]
 #[case::revert(revert(), "02020001000000000000007302000000000000007632")]
 fn an_entry_keeps_its_bytes(#[case] entry: Entry, #[case] pinned: &str) {
     assert_eq!(hex(&entry.encode()), pinned);
@@ -25,7 +25,7 @@
 fn a_state_keeps_its_bytes() {
     let mut rollouts = Rollouts::default();
     assert_eq!(hex(&rollouts.encode()), "00000000000000000000000000000000");
-    rollouts.apply(Entry::Begin { order: order(), in_force: "v1".to_owned(), begun_ms: 772 });
+    rollouts.apply(Entry::Begin { order: order(), in_force: "v1".to_owned(), begun_at_wall_ms: 772 });
     let pinned = "01000000000000000100000000000000010000000000000073020000000000000076310102000000000000007632983a000000000000040300000000000000000000000000000000";
     assert_eq!(hex(&rollouts.encode()), pinned);
 }
--- a/crates/rollout/tests/state.rs
+++ b/crates/rollout/tests/state.rs
@@ -1,6 +1,6 @@
 //! The replicated state and the policy: repeated orders, late entries, and reverted roll-outs.
 
-use grebeusher_rollout::{Applied, Entry, Permission, RolloutOrder, Rollouts, Verdict, VersionPolicy};
+use grebeusher_rollout::{Applied, Entry, OrderDecision, Permission, RolloutOrder, Rollouts, VersionPolicy};
 use rstest::rstest;
 
 fn order(target: &str) -> RolloutOrder {
@@ -8,7 +8,7 @@
 }
 
 fn begin(target: &str) -> Entry {
-    Entry::Begin { order: order(target), in_force: String::new(), begun_ms: 0 }
+    Entry::Begin { order: order(target), in_force: String::new(), begun_at_wall_ms: 0 }
 }
 
 fn revert(target: &str) -> Entry {
@@ -30,19 +30,19 @@
 }
 
 #[rstest]
-#[case::first(vec![], "v2", Verdict::Accept)]
-#[case::under_way(vec![begin("v2")], "v2", Verdict::AlreadyAccepted)]
-#[case::another_under_way(vec![begin("v2")], "v3", Verdict::OtherUnderWay)]
-#[case::in_force(vec![], "v1", Verdict::InForce)]
-#[case::reverted(reverted(), "v2", Verdict::AlreadyAccepted)]
-#[case::after_a_revert(reverted(), "v3", Verdict::Accept)]
-#[case::repeated_much_later([reverted(), vec![begin("v3")]].concat(), "v2", Verdict::AlreadyAccepted)]
+#[case::first(vec![], "v2", OrderDecision::Accept)]
+#[case::under_way(vec![begin("v2")], "v2", OrderDecision::AlreadyAccepted)]
+#[case::another_under_way(vec![begin("v2")], "v3", OrderDecision::OtherRolloutActive)]
+#[case::in_force(vec![], "v1", OrderDecision::AlreadyInForce)]
+#[case::reverted(reverted(), "v2", OrderDecision::AlreadyAccepted)]
+#[case::after_a_revert(reverted(), "v3", OrderDecision::Accept)]
+#[case::repeated_much_later([reverted(), vec![begin("v3")]].concat(), "v2", OrderDecision::AlreadyAccepted)]
 fn an_order_is_decided_on_by_the_committed_state(
     #[case] before: Vec<Entry>,
     #[case] target: &str,
-    #[case] verdict: Verdict,
+    #[case] decision: OrderDecision,
 ) {
-    assert_eq!(after(&before).judge(&order(target)), verdict);
+    assert_eq!(after(&before).decide_on(&order(target)), decision);
 }
 
 /// Guards against a reverted roll-out that becomes active again, and against a repeated order that starts another roll-out.
--- a/crates/tier/src/control/rollout_sync.rs
+++ b/crates/tier/src/control/rollout_sync.rs
@@ -110,7 +110,7 @@
     fn elapsed(&self, time: NodeTime, service: &str, rollout: &Rollout) -> Duration {
         let first_heard = self.first_heard.get(service);
         let by_steady_clock = first_heard.map(|first| time.now.since(first.at)).unwrap_or_default();
-        let by_time_of_day = Duration::from_millis(time.wall_ms.saturating_sub(rollout.begun_ms));
+        let by_time_of_day = Duration::from_millis(time.wall_ms.saturating_sub(rollout.begun_at_wall_ms));
         by_steady_clock.max(by_time_of_day)
     }
 
--- a/crates/tier/src/control/rollouts.rs
+++ b/crates/tier/src/control/rollouts.rs
@@ -10,7 +10,7 @@
 use crate::links::messages::{Call, Reply};
 use crate::node::Node;
 use grebeusher_registry::{Executor, Registry};
-use grebeusher_rollout::{Entry, RolloutOrder, RolloutState, Rollouts, ServiceVersions, Verdict};
+use grebeusher_rollout::{Entry, OrderDecision, RolloutOrder, RolloutState, Rollouts, ServiceVersions};
 use grebeusher_time::Duration;
 use grebeusher_transport::http;
 use std::collections::BTreeMap;
@@ -57,12 +57,12 @@
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let answer = |status| Reply::Answer { status, body: b"{}".to_vec() };
         let Some(partition) = self.configuration_partition(index) else { return };
-        match partition.rollouts().judge(&order) {
-            Verdict::AlreadyAccepted => return self.reply(waiter.peer, waiter.number, answer(200)),
-            Verdict::OtherUnderWay | Verdict::InForce => {
+        match partition.rollouts().decide_on(&order) {
+            OrderDecision::AlreadyAccepted => return self.reply(waiter.peer, waiter.number, answer(200)),
+            OrderDecision::OtherRolloutActive | OrderDecision::AlreadyInForce => {
                 return self.reply(waiter.peer, waiter.number, answer(409));
             }
-            Verdict::Accept => {}
+            OrderDecision::Accept => {}
         }
         if partition.has_pending_rollouts() {
             // It may be this very order: judged anew once that is decided.
@@ -74,8 +74,8 @@
             Some(true) => {}
         }
         let in_force = prevalent_version(&self.registry, &order.service, Some(&order.target_version));
-        let begun_ms = self.wall_ms();
-        let entry = Entry::Begin { order, in_force: in_force.unwrap_or_default(), begun_ms };
+        let begun_at_wall_ms = self.wall_ms();
+        let entry = Entry::Begin { order, in_force: in_force.unwrap_or_default(), begun_at_wall_ms };
         if !self.propose_rollout_entry(index, &entry, Some(waiter)) {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
--- a/crates/tier/tests/configuration_versions.rs
+++ b/crates/tier/tests/configuration_versions.rs
@@ -19,7 +19,7 @@
 
 fn begin(target: &str) -> Vec<u8> {
     let order = RolloutOrder { service: "s".to_owned(), target_version: target.to_owned(), ramp_ms: 15_000 };
-    Entry::Begin { order, in_force: String::new(), begun_ms: 0 }.encode()
+    Entry::Begin { order, in_force: String::new(), begun_at_wall_ms: 0 }.encode()
 }
 
 #[test]
--- a/crates/tier/tests/rollouts.rs
+++ b/crates/tier/tests/rollouts.rs
@@ -27,7 +27,7 @@
 fn ordered() -> Rollouts {
     let mut rollouts = first_version();
     let order = RolloutOrder { service: "s".to_owned(), target_version: "v2".to_owned(), ramp_ms: 15_000 };
-    rollouts.apply(Entry::Begin { order, in_force: String::new(), begun_ms: 0 });
+    rollouts.apply(Entry::Begin { order, in_force: String::new(), begun_at_wall_ms: 0 });
     rollouts
 }
 
