--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -92,7 +92,7 @@
     Applied, EndOutcome, Entry, EventChunk, ItemProgress, ItemResult, JobResults, JobSettings, JobStatus,
     Jobs, ListedResult, MAX_PAGE_BYTES, OpenItem, Page, Progress, ResultState, SnapshotError,
 };
-pub use names::{ItemIndex, JobId, MAX_NAME_BYTES};
+pub use names::{ItemIndex, JobId, MAX_ID_BYTES};
 pub use runner::{
     Capacity, EventDisposition, JobOrigin, JobRoute, MAX_TEXT_BYTES, RouteIndex, RouteLookup, RoutedJobs,
     RunId, RunOutcome, RunRequest, Runner,
--- a/crates/batch/src/names.rs
+++ b/crates/batch/src/names.rs
@@ -7,9 +7,9 @@
 use crate::codec::{malformed, put_bytes, put_varint, take_text, take_varint_as};
 
 /// The maximum length of the id of a job or an item, in bytes. These ids are sent in headers and paths.
-pub const MAX_NAME_BYTES: usize = 128;
+pub const MAX_ID_BYTES: usize = 128;
 
-/// The id that a client chose for its batch job: 1 to [`MAX_NAME_BYTES`] visible ASCII characters.
+/// The id that a client chose for its batch job: 1 to [`MAX_ID_BYTES`] visible ASCII characters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(Box<str>);
 
@@ -33,7 +33,7 @@
 
 /// Whether the text is a valid id, which can be sent in a header and in a path.
 pub(crate) fn is_valid_id(text: &str) -> bool {
-    (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic())
+    (1..=MAX_ID_BYTES).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
 impl SerBin for JobId {
--- a/crates/batch/src/runner/abandonment.rs
+++ b/crates/batch/src/runner/abandonment.rs
@@ -43,8 +43,8 @@
     /// The jobs whose results are no longer served: those that are not open, and that this replica first saw at least
     /// `status_ttl` ago.
     pub fn expired_jobs(&self, jobs: &Jobs, now: Instant, status_ttl: Duration) -> Vec<JobId> {
-        let old = self.first_seen.iter().filter(|(_, seen_at)| now.since(**seen_at) >= status_ttl);
-        let closed = old.filter(|(job, _)| jobs.contains(job) && !jobs.is_open(job));
+        let past_ttl = self.first_seen.iter().filter(|(_, seen_at)| now.since(**seen_at) >= status_ttl);
+        let closed = past_ttl.filter(|(job, _)| jobs.contains(job) && !jobs.is_open(job));
         closed.map(|(job, _)| job.clone()).take(MAX_JOBS_IN_ENTRY).collect()
     }
 }
--- a/crates/batch/tests/batches/events.rs
+++ b/crates/batch/tests/batches/events.rs
@@ -38,8 +38,8 @@
     let bytes: Vec<&[u8]> = stream.as_bytes().chunks(1).collect();
     assert_eq!(read(&bytes), (events.clone(), Ok(())), "byte by byte");
     for cut in 0..stream.len() {
-        let (left, right) = stream.as_bytes().split_at(cut);
-        assert_eq!(read(&[left, right]), (events.clone(), Ok(())), "cut at {cut}");
+        let (first, second) = stream.as_bytes().split_at(cut);
+        assert_eq!(read(&[first, second]), (events.clone(), Ok(())), "cut at {cut}");
     }
 }
 
--- a/crates/batch/tests/batches/leader_change.rs
+++ b/crates/batch/tests/batches/leader_change.rs
@@ -7,46 +7,49 @@
 use crate::partition::Partition;
 
 /// Another replica that applies the same log and then becomes the leader.
-fn successor(old: &Partition, log: &[Entry], wall_ms: u64) -> Partition {
-    let mut partition = Partition { jobs: Jobs::new(), runner: runner(8), now: old.now };
+fn successor(old_leader: &Partition, log: &[Entry], wall_ms: u64) -> Partition {
+    let mut partition = Partition { jobs: Jobs::new(), runner: runner(8), now: old_leader.now };
     for entry in log {
         partition.commit(entry.clone());
     }
     assert_eq!(partition.try_next(), None, "a replica that isn't the leader runs nothing");
-    assert_eq!(partition.jobs, old.jobs);
+    assert_eq!(partition.jobs, old_leader.jobs);
     partition.runner.start_leading(&partition.jobs, partition.now, wall_ms);
     partition
 }
 
 #[test]
-fn unlisted_items_run_again() {
-    let mut old = Partition::with_job("j", 2);
-    let request = old.next();
-    old.event(&request, 0, "a");
-    let mut new = successor(&old, &[submit("j", 2)], 1_000_000);
-    let runs = [new.next(), new.next()];
+fn open_items_run_again() {
+    let mut old_leader = Partition::with_job("j", 2);
+    let request = old_leader.next();
+    old_leader.event(&request, 0, "a");
+    let mut new_leader = successor(&old_leader, &[submit("j", 2)], 1_000_000);
+    let runs = [new_leader.next(), new_leader.next()];
     assert!(runs.iter().all(|request| request.last_event_id.is_none()));
     for run in &runs {
-        assert_eq!(new.event(run, 0, "a"), EventDisposition::Accepted);
-        new.end_run(run, RunOutcome::Complete);
+        assert_eq!(new_leader.event(run, 0, "a"), EventDisposition::Accepted);
+        new_leader.end_run(run, RunOutcome::Complete);
     }
-    new.commit_proposals();
-    assert_eq!(listed_results(&new.jobs, "j").len(), 2);
+    new_leader.commit_proposals();
+    assert_eq!(listed_results(&new_leader.jobs, "j").len(), 2);
 }
 
 #[test]
 fn uncommitted_results_are_left_to_the_successor() {
-    let mut old = Partition::with_job("j", 1);
-    let request = old.next();
-    old.event(&request, 0, "a");
-    old.end_run(&request, RunOutcome::Complete);
+    let mut old_leader = Partition::with_job("j", 1);
+    let request = old_leader.next();
+    old_leader.event(&request, 0, "a");
+    old_leader.end_run(&request, RunOutcome::Complete);
     let running = Partition::with_job("k", 1).next();
-    old.runner.stop_leading();
-    assert_eq!(proposals(&mut old.runner), []);
-    assert_eq!((old.try_next(), old.runner.take_cancelled(), old.runner.is_leader()), (None, vec![], false));
-    old.end_run(&running, RunOutcome::Complete);
-    let mut new = successor(&old, &[submit("j", 1)], 1_000_000);
-    assert_eq!(new.next().attempt_id, "j-0");
+    old_leader.runner.stop_leading();
+    assert_eq!(proposals(&mut old_leader.runner), []);
+    assert_eq!(
+        (old_leader.try_next(), old_leader.runner.take_cancelled(), old_leader.runner.is_leader()),
+        (None, vec![], false)
+    );
+    old_leader.end_run(&running, RunOutcome::Complete);
+    let mut new_leader = successor(&old_leader, &[submit("j", 1)], 1_000_000);
+    assert_eq!(new_leader.next().attempt_id, "j-0");
 }
 
 #[test]
@@ -70,39 +73,43 @@
 /// Guards against a second result of an item when the results of both leaders reach the log.
 #[test]
 fn a_result_committed_by_the_predecessor_is_final() {
-    let old = Partition::with_job("j", 1);
-    let mut new = successor(&old, &[submit("j", 1)], 1_000_000);
-    let request = new.next();
-    new.event(&request, 0, "a");
-    new.commit(complete_item("j", 0, "the predecessor's"));
-    assert_eq!(new.runner.take_cancelled(), [request.run]);
-    new.end_run(&request, RunOutcome::Complete);
-    assert_eq!((new.commit_proposals(), new.try_next()), (0, None));
-    assert_eq!(listed_results(&new.jobs, "j")[0].2, "the predecessor's");
+    let old_leader = Partition::with_job("j", 1);
+    let mut new_leader = successor(&old_leader, &[submit("j", 1)], 1_000_000);
+    let request = new_leader.next();
+    new_leader.event(&request, 0, "a");
+    new_leader.commit(complete_item("j", 0, "the predecessor's"));
+    assert_eq!(new_leader.runner.take_cancelled(), [request.run]);
+    new_leader.end_run(&request, RunOutcome::Complete);
+    assert_eq!((new_leader.commit_proposals(), new_leader.try_next()), (0, None));
+    assert_eq!(listed_results(&new_leader.jobs, "j")[0].2, "the predecessor's");
 }
 
 /// Guards against a wrong number of attempts after a change of leader: committed 500 responses count, others don't, and
 /// their items run again.
 #[test]
 fn committed_failures_count_for_the_successor() {
-    let mut old = Partition::with_job("j", 1);
+    let mut old_leader = Partition::with_job("j", 1);
     let mut log = vec![submit("j", 1)];
-    let request = old.next();
-    old.end_run(&request, RunOutcome::Failed500);
-    for entry in proposals(&mut old.runner) {
+    let request = old_leader.next();
+    old_leader.end_run(&request, RunOutcome::Failed500);
+    for entry in proposals(&mut old_leader.runner) {
         log.push(entry.clone());
-        old.commit(entry);
+        old_leader.commit(entry);
     }
-    old.advance_ms(5_000);
-    let request = old.next();
-    old.end_run(&request, RunOutcome::Failed500);
-    let mut new = successor(&old, &log, 1_000_000);
+    old_leader.advance_ms(5_000);
+    let request = old_leader.next();
+    old_leader.end_run(&request, RunOutcome::Failed500);
+    let mut new_leader = successor(&old_leader, &log, 1_000_000);
     for attempt in 2..=3 {
-        new.advance_ms(5_000);
-        let request = new.next();
-        new.end_run(&request, RunOutcome::Failed500);
-        new.commit_proposals();
-        assert_eq!(listed_results(&new.jobs, "j").len(), usize::from(attempt == 3), "attempt {attempt}");
+        new_leader.advance_ms(5_000);
+        let request = new_leader.next();
+        new_leader.end_run(&request, RunOutcome::Failed500);
+        new_leader.commit_proposals();
+        assert_eq!(
+            listed_results(&new_leader.jobs, "j").len(),
+            usize::from(attempt == 3),
+            "attempt {attempt}"
+        );
     }
 }
 
@@ -110,58 +117,58 @@
 /// the successor resumes before both and repeats work that executors have done.
 #[test]
 fn the_checkpoint_after_a_refused_one_has_its_texts_too() {
-    let mut old = Partition::with_job("j", 1);
-    let request = old.next();
+    let mut old_leader = Partition::with_job("j", 1);
+    let request = old_leader.next();
     let mut log = vec![submit("j", 1)];
-    old.event(&request, 0, "a");
-    let accepted = old.runner.checkpoint().expect("text is unfinished");
+    old_leader.event(&request, 0, "a");
+    let accepted = old_leader.runner.checkpoint().expect("text is unfinished");
     log.push(accepted.clone());
-    old.commit(accepted);
+    old_leader.commit(accepted);
     for (id, data) in [(1, "b"), (2, "c")] {
-        old.event(&request, id, data);
-        let refused = old.runner.checkpoint().expect("an event more");
-        old.runner.not_proposed(refused);
+        old_leader.event(&request, id, data);
+        let refused = old_leader.runner.checkpoint().expect("an event more");
+        old_leader.runner.not_proposed(refused);
     }
-    let again = old.runner.checkpoint().expect("the refused events");
-    assert_eq!(old.runner.checkpoint(), None, "nothing new");
-    assert!(!old.runner.has_proposals(), "no failed attempt to propose");
+    let again = old_leader.runner.checkpoint().expect("the refused events");
+    assert_eq!(old_leader.runner.checkpoint(), None, "nothing new");
+    assert!(!old_leader.runner.has_proposals(), "no failed attempt to propose");
     log.push(again.clone());
-    old.commit(again);
-    let mut new = successor(&old, &log, 1_000_000);
-    let resumed = new.next();
+    old_leader.commit(again);
+    let mut new_leader = successor(&old_leader, &log, 1_000_000);
+    let resumed = new_leader.next();
     assert_eq!(resumed.last_event_id, Some(2));
-    new.end_run(&resumed, RunOutcome::Complete);
-    new.commit_proposals();
-    assert_eq!(listed_results(&new.jobs, "j")[0].2, "a\nb\nc");
+    new_leader.end_run(&resumed, RunOutcome::Complete);
+    new_leader.commit_proposals();
+    assert_eq!(listed_results(&new_leader.jobs, "j")[0].2, "a\nb\nc");
 }
 
 /// Guards against texts with missing or repeated events: the successor resumes after the last committed event.
 #[test]
 fn the_successor_resumes_from_a_checkpoint() {
-    let mut old = Partition::with_job("j", 2);
-    let request = old.next();
-    old.event(&request, 0, "a");
-    old.event(&request, 1, "b");
+    let mut old_leader = Partition::with_job("j", 2);
+    let request = old_leader.next();
+    old_leader.event(&request, 0, "a");
+    old_leader.event(&request, 1, "b");
     let mut log = vec![submit("j", 2)];
-    let first = old.runner.checkpoint().expect("text is unfinished");
+    let first = old_leader.runner.checkpoint().expect("text is unfinished");
     log.push(first.clone());
-    old.commit(first);
-    assert_eq!(old.runner.checkpoint(), None, "nothing new");
-    old.event(&request, 2, "c");
-    let second = old.runner.checkpoint().expect("an event more");
+    old_leader.commit(first);
+    assert_eq!(old_leader.runner.checkpoint(), None, "nothing new");
+    old_leader.event(&request, 2, "c");
+    let second = old_leader.runner.checkpoint().expect("an event more");
     log.push(second.clone());
-    old.commit(second);
-    old.event(&request, 3, "not committed");
-    let mut new = successor(&old, &log, 1_000_000);
-    let requests = [new.next(), new.next()];
-    let resumed = requests.iter().find(|new| new.item == request.item).expect("both run");
+    old_leader.commit(second);
+    old_leader.event(&request, 3, "not committed");
+    let mut new_leader = successor(&old_leader, &log, 1_000_000);
+    let requests = [new_leader.next(), new_leader.next()];
+    let resumed = requests.iter().find(|candidate| candidate.item == request.item).expect("both run");
     assert_eq!(resumed.last_event_id, Some(2));
-    assert_eq!(new.event(resumed, 3, "d"), EventDisposition::Accepted);
-    let third = new.runner.checkpoint().expect("an event more");
-    new.commit(third);
-    new.end_run(resumed, RunOutcome::Complete);
-    new.commit_proposals();
-    assert_eq!(listed_results(&new.jobs, "j")[0].2, "a\nb\nc\nd");
+    assert_eq!(new_leader.event(resumed, 3, "d"), EventDisposition::Accepted);
+    let third = new_leader.runner.checkpoint().expect("an event more");
+    new_leader.commit(third);
+    new_leader.end_run(resumed, RunOutcome::Complete);
+    new_leader.commit_proposals();
+    assert_eq!(listed_results(&new_leader.jobs, "j")[0].2, "a\nb\nc\nd");
 }
 
 /// Checkpoints of many long texts are split into several entries of bounded size.
@@ -185,42 +192,46 @@
 /// Guards against giving up items because the wall clock jumps ahead by a day.
 #[test]
 fn a_wall_clock_jump_gives_nothing_up() {
-    let mut old = Partition::with_job("j", 1);
-    old.advance_ms(1_000);
-    let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 86_400_000);
-    new.runner.give_up_expired_items(new.now);
-    assert_eq!((new.commit_proposals(), new.runner.take_cancelled()), (0, vec![]));
-    new.advance_ms(59_999);
-    new.runner.give_up_expired_items(new.now);
-    assert_eq!(new.commit_proposals(), 0, "the successor first saw the job less than its retention ago");
-    new.advance_ms(1);
-    new.runner.give_up_expired_items(new.now);
-    assert_eq!(new.commit_proposals(), 1);
+    let mut old_leader = Partition::with_job("j", 1);
+    old_leader.advance_ms(1_000);
+    let mut new_leader = successor(&old_leader, &[submit("j", 1)], 1_000_000 + 86_400_000);
+    new_leader.runner.give_up_expired_items(new_leader.now);
+    assert_eq!((new_leader.commit_proposals(), new_leader.runner.take_cancelled()), (0, vec![]));
+    new_leader.advance_ms(59_999);
+    new_leader.runner.give_up_expired_items(new_leader.now);
+    assert_eq!(
+        new_leader.commit_proposals(),
+        0,
+        "the successor first saw the job less than its retention ago"
+    );
+    new_leader.advance_ms(1);
+    new_leader.runner.give_up_expired_items(new_leader.now);
+    assert_eq!(new_leader.commit_proposals(), 1);
 }
 
 /// Guards against giving up items early because the wall clock is ahead by less than the retention.
 #[test]
 fn a_fast_wall_clock_gives_nothing_up_early() {
-    let old = Partition::with_job("j", 1);
-    let mut new = successor(&old, &[submit("j", 1)], 1_000_000 + 30_000);
-    new.advance_ms(59_999);
-    new.runner.give_up_expired_items(new.now);
-    assert_eq!((new.commit_proposals(), new.runner.next_wake()), (0, Some(at(61_000))));
+    let old_leader = Partition::with_job("j", 1);
+    let mut new_leader = successor(&old_leader, &[submit("j", 1)], 1_000_000 + 30_000);
+    new_leader.advance_ms(59_999);
+    new_leader.runner.give_up_expired_items(new_leader.now);
+    assert_eq!((new_leader.commit_proposals(), new_leader.runner.next_wake()), (0, Some(at(61_000))));
 }
 
 /// A successor knows the ages of jobs only from the wall clock, and uses them for the order of jobs.
 #[test]
 fn a_successor_orders_jobs_by_the_wall_clock() {
-    let old = Partition::with_leader();
+    let old_leader = Partition::with_leader();
     let mut newer = settings();
     newer.accepted_at_wall_ms += 3_000;
     let mut jobs = Jobs::new();
     jobs.apply(Entry::Submit { submission: submission("a-newer", 1), settings: newer });
     jobs.apply(submit("b-older", 1));
     let jobs = Jobs::from_snapshot(&jobs.to_snapshot()).expect("valid bytes");
-    let mut new = Partition { jobs, runner: runner(1), now: old.now };
-    new.runner.start_leading(&new.jobs, new.now, 1_004_000);
-    assert_eq!([new.next().job, new.next().job], ["b-older", "a-newer"].map(job));
+    let mut new_leader = Partition { jobs, runner: runner(1), now: old_leader.now };
+    new_leader.runner.start_leading(&new_leader.jobs, new_leader.now, 1_004_000);
+    assert_eq!([new_leader.next().job, new_leader.next().job], ["b-older", "a-newer"].map(job));
 }
 
 /// A job that is accepted in this term is new, whatever its age according to the wall clock.
--- a/crates/batch/tests/batches/routes.rs
+++ b/crates/batch/tests/batches/routes.rs
@@ -186,8 +186,8 @@
     let mut partition = Partition::with_job("j", 2);
     partition.set_prefixes(&[OTHER_PREFIX, PREFIX]);
     partition.commit(complete_item("j", 0, "text"));
-    let left = partition.waiting(&configured(RouteIndex(1)));
-    assert_eq!(left, partition.jobs.waiting_tokens(ROUTE));
+    let remaining_tokens = partition.waiting(&configured(RouteIndex(1)));
+    assert_eq!(remaining_tokens, partition.jobs.waiting_tokens(ROUTE));
     partition.commit(Entry::Ended { job: job("j") });
     let waiting = |index| partition.waiting(&configured(RouteIndex(index)));
     assert_eq!((waiting(0), waiting(1)), (0, 0));
