--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -7,7 +7,7 @@
 use crate::requests::header_names as names;
 use crate::requests::upstream_connection::ExecutorTarget;
 use crate::requests::version_permissions::{VersionDecision, VersionPermissions};
-use grebeusher_batch::RunOrder;
+use grebeusher_batch::RunRequest;
 use grebeusher_configuration::configuration::Route;
 use grebeusher_gateway::{
     BatchItem, ExecutorDescriptor, ExecutorId, ExecutorState, Gateway, ModelKey, PromptSegments, Request,
@@ -77,7 +77,7 @@
     }
 
     /// Reads the hints from the headers of an item of a batch job.
-    pub fn from_batch_item(order: &RunOrder) -> RoutingHints {
+    pub fn from_batch_item(order: &RunRequest) -> RoutingHints {
         let value = |name: &str| {
             let found = order.headers.iter().find(|header| header.name.eq_ignore_ascii_case(name));
             found.map(|header| header.value.as_str())
