--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -1,10 +1,10 @@
-//! The decisions of a node: which executor gets a request, and what becomes of it.
+//! The decisions of a node: which executor gets a request, and how the request is answered.
 //!
-//! A [`Dispatcher`] (constructed in `builder`) acts through its [`Host`], one method for each event, with its time.
-//! Nothing else drives it. The design is SITA-E (`docs/design.md`): the size of a request picks a lane by cut-offs
-//! (`lanes`), and in it a random pick is weighted by one minus the utilisation (`selection`). Beside it stand the
-//! executor list, outlier ejection (`health`), slow start (`executor`), retries and hedges (`retry`), rejection with
-//! fair shares (`selection`, `pending`), and load sharing. `placement` follows a request to its final answer.
+//! A [`Dispatcher`] (constructed in `builder`) has a method for each kind of event, which takes its time, and acts through
+//! its [`Host`]; nothing else changes its state. The design is SITA-E (`docs/design.md`): cut-offs assign a request to a lane
+//! of executors by its size (`lanes`), in which a random pick is weighted by one minus the utilisation (`selection`). Other
+//! modules are the executor list, outlier ejection (`health`), slow start (`executor`), retries and hedges (`retry`),
+//! rejection and customers' shares (`selection`, `pending`), and load sharing. `placement` follows a request to its answer.
 
 mod builder;
 mod executor;
@@ -17,7 +17,7 @@
 mod retry;
 mod selection;
 
-use crate::learned::Knowledge;
+use crate::learned::WorkloadStats;
 use crate::time::DurationExt;
 use crate::{AttemptPolicy, Duration, ExecutorSignals, Host, Instant, RequestClass, RequestId, SlowStart};
 use executor::Executor;
@@ -28,26 +28,26 @@
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, VecDeque};
 
-const HEARTBEAT_TIMER: u64 = 0;
+const HOUSEKEEPING_TIMER: u64 = 0;
 const WATCH_TIMER: u64 = 1;
-const REQUEST_TIMERS: u64 = 2;
-/// Housekeeping runs this often: well under the seconds after which reports and lists change.
-const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// The final answer is due this long before the deadline ends: a few batches of any caller.
+const FIRST_REQUEST_TIMER: u64 = 2; // the timer of a request is this plus its index
+/// Well under the seconds in which load reports and the executor list change.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
+/// How long before the deadline the final answer is due: the time of a few batches of any caller.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
-/// Progress is reported at a steady interval: so many without a report are no chance.
-const MAX_SILENCE: f64 = 2.5;
-/// Below this many sizes one lane holds every worker (design page).
+/// Executors report progress at a fixed interval; this many intervals without a report are no coincidence.
+const SILENT_INTERVALS: f64 = 2.5;
+/// With fewer known sizes than this, one lane holds all executors (design page).
 const MIN_SAMPLES: usize = 50;
-/// By how much others may count later what this node sends: two that are a window apart here may be closer there.
-const RECEIPT_TIMEOUT: Duration = Duration::from_millis(50);
+/// How much later than this node others may count what it sends: two attempts sent a window apart may arrive closer together.
+const RECEIPT_DELAY: Duration = Duration::from_millis(50);
 
-/// The decisions of one node, with all that it knows.
+/// The decisions of one node, and the state on which they depend.
 pub struct Dispatcher<H: Host> {
     host: H,
     rng: Pcg32,
     node: u64,
-    nodes: u64,
+    node_count: u64,
     zone: usize,
     classes: Vec<RequestClass>,
     policy: AttemptPolicy,
@@ -56,28 +56,28 @@
     sharing: LoadSharing,
     quota_shares: Vec<QuotaShare>,
     executors: Vec<Executor>,
-    /// The ready executors in the order in which this node uses them.
+    /// Indices of the ready executors, in the order in which this node prefers them.
     ready_order: Vec<usize>,
-    out: usize,
+    attempts_in_flight: usize,
     requests: BTreeMap<RequestId, Pending>,
-    /// When requests came and retries were sent, as far as their budget looks back.
+    /// When requests arrived and retries were sent, as far back as the window of the retry budget.
     arrival_times: VecDeque<Instant>,
     retry_times: VecDeque<Instant>,
-    watch_attempts: u32,
-    list_until: Option<Instant>,
-    known: Knowledge,
+    watch_failures: u32,
+    list_valid_until: Option<Instant>,
+    stats: WorkloadStats,
     cut_offs: CutOffs,
-    recut: Instant,
+    cut_offs_computed: Instant,
 }
 
 impl<H: Host> Dispatcher<H> {
-    /// Begins; no other event may come before.
+    /// Starts the node; this has to be the first event.
     pub fn start(&mut self, now: Instant) {
-        (self.recut, self.sharing.last_received, self.slow_start.from) =
+        (self.cut_offs_computed, self.sharing.last_received, self.slow_start.from) =
             (now, now, now + self.slow_start.fall_window);
-        // Nodes that start together must not do their housekeeping together.
-        let first = Duration::from_seconds(HEARTBEAT_INTERVAL.seconds() * self.rng.random::<f64>());
-        self.host.set_timer(first, HEARTBEAT_TIMER);
+        // The random first delay keeps nodes that start together from doing their housekeeping at the same time.
+        let first = Duration::from_seconds(HOUSEKEEPING_INTERVAL.seconds() * self.rng.random::<f64>());
+        self.host.set_timer(first, HOUSEKEEPING_TIMER);
         if self.signals.must_watch_executors {
             self.host.watch_executors();
         }
@@ -86,27 +86,27 @@
     /// A timer set through the host fired.
     pub fn timer_fired(&mut self, now: Instant, timer: u64) {
         match timer {
-            HEARTBEAT_TIMER => self.housekeep(now),
+            HOUSEKEEPING_TIMER => self.housekeep(now),
             WATCH_TIMER => self.host.watch_executors(),
-            _ => self.review(now, RequestId(timer - REQUEST_TIMERS)),
+            _ => self.review(now, RequestId(timer - FIRST_REQUEST_TIMER)),
         }
     }
 
-    /// Whether another process of this node has the cold executors: both together have one budget.
+    /// Sets whether another process of this node sends to cold executors: the two processes share one budget.
     pub fn set_slow_start_elsewhere(&mut self, now: Instant, elsewhere: bool) {
         self.slow_start.from = if elsewhere { Instant(u64::MAX) } else { now + self.slow_start.fall_window };
     }
 
-    /// Housekeeping: cut-offs, queued requests.
+    /// Recomputes cut-offs and lanes, exchanges load messages, and retries queued requests.
     fn housekeep(&mut self, now: Instant) {
         const CUT_OFF_INTERVAL: Duration = Duration::from_millis(5000); // design page
-        self.host.set_timer(HEARTBEAT_INTERVAL, HEARTBEAT_TIMER);
-        // While one is cold a node that knows few sizes learns paces, slots and the mean at each round of housekeeping. Guards
-        // against nodes restarted together that leave cold executors idle, as they take a request for too much.
-        let warming = |e: &Executor| e.slow_start_budget(&self.slow_start, now).is_some();
-        let learns = self.known.count() < MIN_SAMPLES && self.ready().any(warming);
-        if now.since(self.recut) >= CUT_OFF_INTERVAL || learns {
-            self.recut = now;
+        self.host.set_timer(HOUSEKEEPING_INTERVAL, HOUSEKEEPING_TIMER);
+        // While an executor is cold, a node that knows few sizes recomputes speeds, slots and the mean size every time. Guards
+        // against nodes restarted together that leave cold executors idle, as they overestimate the size of a request.
+        let is_cold = |e: &Executor| e.slow_start_budget(&self.slow_start, now).is_some();
+        let learns = self.stats.count() < MIN_SAMPLES && self.ready().any(is_cold);
+        if now.since(self.cut_offs_computed) >= CUT_OFF_INTERVAL || learns {
+            self.cut_offs_computed = now;
             self.recompute_cut_offs();
             self.form_lanes(now);
         }
--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -1,4 +1,4 @@
-//! Lanes of executors and the cut-offs of sizes between them, by what is learnt of work and of kinds.
+//! Lanes of executors, the cut-offs between their sizes, and what is learned of executors' kinds.
 
 use super::{Dispatcher, MIN_SAMPLES, executor::Executor};
 use crate::ids::mixed;
@@ -8,18 +8,17 @@
 use grebeusher_sizing::{BoundaryRule, CutOffs, Remainder, lanes_in_order};
 use std::collections::BTreeMap;
 
-/// The parts of the executors that are for short and for long work.
+/// How the executors are divided between the lane of short requests and that of long ones.
 const LANE_SHARES: [f64; 2] = [3.0, 1.0];
 
 impl<H: Host> Dispatcher<H> {
-    /// Sorts the ready executors by the learnt pace of their kind, by registered weight, then by the fixed
-    /// hash of their ids, into two lanes. Long work earns by its size and is late on a slow worker however
-    /// idle: it gets the fastest quarter. Short work bears most hand-shakes, which no size shows.
+    /// Sorts the ready executors by learned speed of their kind, then registered weight, then hash, and forms two lanes. Long
+    /// requests earn by their size and are late on a slow executor even if it is idle, so they get the fastest quarter. Short
+    /// ones cause most of the handshakes, which sizes do not include.
     pub(super) fn form_lanes(&mut self, now: Instant) {
-        let ready = |i: &usize| self.executors[*i].status == ExecutorStatus::Ready;
-        self.ready_order = (0..self.executors.len()).filter(ready).collect();
-        // Paces and weights are above nothing, where their bits are in the order of their values.
-        let strength = |e: &Executor| (e.pace.to_bits(), e.weight.to_bits(), e.hash);
+        let is_ready = |i: &usize| self.executors[*i].status == ExecutorStatus::Ready;
+        self.ready_order = (0..self.executors.len()).filter(is_ready).collect();
+        let strength = |e: &Executor| (e.speed.to_bits(), e.weight.to_bits(), e.hash); // positive values sort by their bits
         self.ready_order.sort_by_cached_key(|&i| strength(&self.executors[i]));
         let lanes = lanes_in_order(self.ready_order.len(), &LANE_SHARES, Remainder::Earlier);
         for (&i, lane) in self.ready_order.iter().zip(lanes) {
@@ -30,16 +29,16 @@
             self.sharing.order.sort_by_key(|&i| short_hash(self.executors[i].hash));
             self.sharing.list = short_hash(self.ready().fold(0, |sum, e| sum ^ mixed(e.hash)));
         }
-        // The own zone comes six times as far to the front: crossing costs, yet a zone must not be left to
-        // itself, since neither workers nor clients are spread evenly. Before all come the cold ones that
-        // this node may warm, or they would idle: a budget is seldom split among more nodes.
-        const NEARER: u64 = 6;
-        const WARMERS: u64 = 8;
+        // Executors of the own zone come first, by a sixth of their rank: crossing zones costs, but executors and clients are
+        // spread unevenly, so that zones have to balance each other. Before them come the cold executors to which this node
+        // may send, which would be idle otherwise: a budget is seldom split among more nodes than these.
+        const OWN_ZONE_DIVISOR: u64 = 6;
+        const MAX_SENDERS: u64 = 8;
         self.ready_order.sort_by_cached_key(|&i| {
             let e = &self.executors[i];
             match e.slow_start_budget(&self.slow_start, now) {
-                Some(_) if e.distance < WARMERS => 0,
-                _ if e.zone == self.zone => e.rank / NEARER,
+                Some(_) if e.slow_start_rank < MAX_SENDERS => 0,
+                _ if e.zone == self.zone => e.rank / OWN_ZONE_DIVISOR,
                 _ => e.rank,
             }
         });
@@ -49,49 +48,49 @@
         self.ready_order.iter().map(|&i| &self.executors[i])
     }
 
-    /// Cut-offs such that each lane's part of the summed size matches its part of the workers' paces.
+    /// Recomputes speeds and capacities, and cut-offs by which each lane's part of the summed sizes matches that of its speeds.
     pub(super) fn recompute_cut_offs(&mut self) {
-        let sizes = self.known.recompute();
+        let sizes = self.stats.recompute();
         self.cut_offs = CutOffs::one_lane();
         if sizes.len() >= MIN_SAMPLES && self.ready().any(|e| e.lane == 1) {
-            // By the learnt paces, all one until known: by number alone a slow lane gets more than it can do.
-            let pace = |lane: usize| self.ready().filter(|e| e.lane <= lane).map(|e| e.pace).sum::<f64>();
-            let due = sizes.iter().map(|entry| entry.size).sum::<f64>() * pace(0) / pace(1);
-            self.cut_offs = CutOffs::at_sums(&sizes, &[due], BoundaryRule::LowerLane);
+            // Learned speeds count, all 1 until known: by the number of executors a slow lane would get too much.
+            let speed = |lane: usize| self.ready().filter(|e| e.lane <= lane).map(|e| e.speed).sum::<f64>();
+            let short_work = sizes.iter().map(|entry| entry.size).sum::<f64>() * speed(0) / speed(1);
+            self.cut_offs = CutOffs::at_sums(&sizes, &[short_work], BoundaryRule::LowerLane);
         }
-        // What an executor can do when warm: the pace of its kind over all that ran, and the most slots seen.
+        // A warm executor's capacity is the speed of its kind, over all that ran there, times the most slots seen.
         let kinds = self.kinds();
         for e in &mut self.executors {
             let own = kinds.get(&e.kind).copied().unwrap_or_default();
-            let known = own.and(self.known.received_of(e.kind));
+            let known = own.and(self.stats.received_kind(e.kind));
             if known.ran > 0.0 {
-                e.pace = known.done / known.ran;
-                e.capacity = e.pace * known.slots;
+                e.speed = known.done / known.ran;
+                e.capacity = e.speed * known.slots;
             }
         }
     }
 
-    /// What was seen of each kind here.
+    /// What this node itself has observed of each kind.
     fn kinds(&self) -> BTreeMap<usize, LearnedKind> {
         let mut kinds: BTreeMap<usize, LearnedKind> = BTreeMap::new();
-        for e in self.ready().filter(|e| e.ran > 0.0) {
+        for e in self.ready().filter(|e| e.slot_s > 0.0) {
             let known = kinds.entry(e.kind).or_default();
-            *known = known.and(LearnedKind { done: e.done, ran: e.ran, slots: e.width() });
+            *known = known.and(LearnedKind { done: e.work_s, ran: e.slot_s, slots: e.width() });
         }
         kinds
     }
 
-    /// What this node has seen of work and of executors' kinds, for one that knows less.
+    /// What this node itself has observed of sizes and kinds, for another node that has observed less.
     pub fn learned(&self) -> LearnedState {
-        LearnedState { sizes: self.known.own(), kinds: self.kinds() }
+        LearnedState { sizes: self.stats.own_sizes(), kinds: self.kinds() }
     }
 
-    /// Adds what another node has seen; returns how many sizes are known now. Guards against nodes that have just
-    /// started: by a few short sizes each takes a cold executor for one that bears many; all push it over.
+    /// Adds the observations of another node; returns how many sizes are known now. Guards against nodes that have just
+    /// started, overestimate a cold executor because they have seen a few short requests, and together overload it.
     pub fn merge_learned(&mut self, now: Instant, learned: &LearnedState) -> usize {
-        self.known.merge(learned);
+        self.stats.merge(learned);
         self.recompute_cut_offs();
         self.form_lanes(now);
-        self.known.count()
+        self.stats.count()
     }
 }
--- a/crates/dispatch/src/decide/pending.rs
+++ b/crates/dispatch/src/decide/pending.rs
@@ -1,4 +1,4 @@
-//! A request that owes its answer, its attempts, and the shares of customers.
+//! A request that awaits its final answer, its attempts, and customers' shares of a quota.
 
 use crate::time::DurationExt;
 use crate::{Duration, ExecutorId, Instant};
@@ -13,57 +13,58 @@
 }
 
 impl Attempt {
-    pub(super) fn is_out(&self) -> bool {
+    pub(super) fn is_active(&self) -> bool {
         self.open && !self.cancelled
     }
 }
 
-/// A request that still owes its final answer.
+/// A request that awaits its final answer.
 #[derive(Default)]
 pub(super) struct Pending {
     pub(super) class: usize,
-    pub(super) asked: Instant,
+    pub(super) first_sent: Instant,
     pub(super) objective: Duration,
     pub(super) deadline: Instant,
+    /// In seconds of a standard core, summed over its slots.
     pub(super) size: f64,
     pub(super) slots: f64,
     pub(super) attempts: Vec<Attempt>,
     pub(super) response_started: bool,
-    pub(super) pending: bool,
-    pub(super) pending_until: Instant,
+    pub(super) queued: bool,
+    pub(super) queued_until: Instant,
     pub(super) over_share: bool,
 }
 
 impl Pending {
-    /// Seconds left for waiting if the latency objective is to be kept.
-    pub(super) fn slack(&self, now: Instant) -> f64 {
-        (self.asked + self.objective).since(now).seconds() - self.size / self.slots
+    /// How many seconds it may wait and still be answered within its latency objective.
+    pub(super) fn slack_s(&self, now: Instant) -> f64 {
+        (self.first_sent + self.objective).since(now).seconds() - self.size / self.slots
     }
 }
 
-/// What a customer may send within its share, as this node's part of it.
+/// This node's part of a customer's quota, counted by a leaky bucket of requests.
 pub(super) struct QuotaShare {
-    pub(super) per_s: f64,
+    pub(super) rate_per_s: f64,
     pub(super) level: f64,
-    pub(super) at: Instant,
+    pub(super) updated: Instant,
 }
 
 impl QuotaShare {
-    /// This node's part of what a customer may send a second.
+    /// This node's part of `quota`, the requests per second that a customer may send to all nodes.
     pub(super) fn of(quota: f64, nodes: u64) -> QuotaShare {
-        // Traffic is uneven: twice the even part, or much that lies within the share is rejected.
-        QuotaShare { per_s: quota / nodes as f64 * 2.0, level: 0.0, at: Instant(0) }
+        // Twice the even part: traffic is spread unevenly, and requests within the quota would be rejected.
+        QuotaShare { rate_per_s: quota / nodes as f64 * 2.0, level: 0.0, updated: Instant(0) }
     }
 
-    /// Counts one request and tells whether it is beyond the share.
+    /// Counts one request; returns whether it exceeds the share.
     pub(super) fn exceeds_share(&mut self, now: Instant) -> bool {
-        // Two seconds' worth may come at once: bursts shorter than that are no overuse. Where that is next to
-        // nothing a node sees too little to tell: fewer than these are no overuse either.
+        // A burst of two seconds' worth is allowed. Where the share is nearly nothing, a node sees too few requests to judge,
+        // and up to `MIN_BURST` of them are allowed.
         const BURST_S: f64 = 2.0;
-        const TOO_FEW: f64 = 4.0;
-        let leaked = now.since(self.at).seconds() * self.per_s;
-        (self.level, self.at) = ((self.level - leaked).max(0.0), now);
-        let over_share = self.level + 1.0 > (self.per_s * BURST_S).max(TOO_FEW);
+        const MIN_BURST: f64 = 4.0;
+        let leaked = now.since(self.updated).seconds() * self.rate_per_s;
+        (self.level, self.updated) = ((self.level - leaked).max(0.0), now);
+        let over_share = self.level + 1.0 > (self.rate_per_s * BURST_S).max(MIN_BURST);
         self.level += f64::from(u8::from(!over_share));
         over_share
     }
--- a/crates/dispatch/src/learned.rs
+++ b/crates/dispatch/src/learned.rs
@@ -1,10 +1,10 @@
-//! What a node knows of work and of the kinds of executors: what it has seen itself, and what other nodes send
-//! to one that has seen little.
+//! What a node has learned of request sizes and of the kinds of executors: its own observations, and those that
+//! other nodes send to a node that has few.
 
 use grebeusher_sizing::{Sample, SampleEntry};
 use std::collections::BTreeMap;
 
-/// The sizes that are kept (design page).
+/// The number of recent sizes that are kept (design page).
 const MAX_SAMPLES: usize = 1000;
 
 /// What is known of one kind of executor.
@@ -12,9 +12,9 @@
 pub struct LearnedKind {
     /// Summed size of the requests that were answered, in seconds of a standard core.
     pub done: f64,
-    /// The seconds that they occupied slots.
+    /// How many seconds these requests occupied slots, summed over the slots.
     pub ran: f64,
-    /// The most slots that one of it was seen to have.
+    /// The largest number of slots that an executor of the kind was seen to have.
     pub slots: f64,
 }
 
@@ -26,21 +26,23 @@
     }
 }
 
-/// What one node has seen itself, as it sends it to another. What it received it does not pass on, or it would count twice.
+/// The observations of one node, as it sends them to another. They exclude what the node itself received from others, which
+/// would otherwise count twice.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LearnedState {
-    /// Sizes of recent work, and how long each runs on standard cores, in seconds; the newest first.
+    /// The size of each recent request and its run time on a standard core, both in seconds; the newest first.
     pub sizes: Vec<(f64, f64)>,
-    /// By the index of the kind.
+    /// The kinds of executors, by index.
     pub kinds: BTreeMap<usize, LearnedKind>,
 }
 
-/// What is kept of recent work.
+/// What is kept of a recent request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SizeSample {
+    /// In seconds of a standard core, summed over the request's slots.
     pub size: f64,
-    /// How long it runs on standard cores, in seconds.
-    run: f64,
+    /// The run time on a standard core, in seconds.
+    run_s: f64,
 }
 
 impl SampleEntry for SizeSample {
@@ -53,69 +55,85 @@
     }
 }
 
-pub(crate) struct Knowledge {
-    /// Recent sized work. What was received from other nodes comes before what was seen here.
+/// Statistics of recent request sizes, and what other nodes sent of the kinds of executors.
+pub(crate) struct WorkloadStats {
+    /// Recent requests whose size is known. Those received from other nodes come before this node's own.
     recent: Sample<SizeSample>,
+    /// How many entries of `recent` came from other nodes.
     received: usize,
     received_kinds: BTreeMap<usize, LearnedKind>,
-    pub median: f64,
-    pub mean: f64,
-    pub mean_run: f64,
+    /// The median size, in seconds of a standard core.
+    pub median_size: f64,
+    /// The mean size, in seconds of a standard core.
+    pub mean_size: f64,
+    /// The mean run time on a standard core, in seconds.
+    pub mean_run_s: f64,
 }
 
-impl Default for Knowledge {
-    fn default() -> Knowledge {
+impl Default for WorkloadStats {
+    fn default() -> WorkloadStats {
         let (recent, received_kinds) = (Sample::with_limit(MAX_SAMPLES), BTreeMap::new());
-        Knowledge { recent, received: 0, received_kinds, median: 1.0, mean: 1.0, mean_run: 1.0 }
+        WorkloadStats {
+            recent,
+            received: 0,
+            received_kinds,
+            median_size: 1.0,
+            mean_size: 1.0,
+            mean_run_s: 1.0,
+        }
     }
 }
 
-impl Knowledge {
-    /// How many sizes are known.
+impl WorkloadStats {
+    /// The number of known sizes.
     pub fn count(&self) -> usize {
         self.recent.len()
     }
 
-    pub fn record(&mut self, size: f64, run: f64) {
+    pub fn record(&mut self, size: f64, run_s: f64) {
         let full = self.recent.is_full();
-        if self.recent.add(SizeSample { size, run }) {
+        if self.recent.add(SizeSample { size, run_s }) {
             self.received = self.received.saturating_sub(usize::from(full));
         }
     }
 
-    /// Works out median and means anew; the sizes, smallest first.
+    /// Recomputes the median and the means; returns the entries by size, smallest first.
     pub fn recompute(&mut self) -> Vec<SizeSample> {
         let sorted = self.recent.sorted();
         if let Some(median) = self.recent.median() {
             let count = sorted.len() as f64;
-            (self.median, self.mean) = (median, sorted.iter().map(|entry| entry.size).sum::<f64>() / count);
-            self.mean_run = self.recent.entries().map(|entry| entry.run).sum::<f64>() / count;
+            (self.median_size, self.mean_size) =
+                (median, sorted.iter().map(|entry| entry.size).sum::<f64>() / count);
+            self.mean_run_s = self.recent.entries().map(|entry| entry.run_s).sum::<f64>() / count;
         }
         sorted
     }
 
     /// What other nodes sent of a kind.
-    pub fn received_of(&self, kind: usize) -> LearnedKind {
+    pub fn received_kind(&self, kind: usize) -> LearnedKind {
         self.received_kinds.get(&kind).copied().unwrap_or_default()
     }
 
-    /// The newest of the sizes that were seen here.
-    pub fn own(&self) -> Vec<(f64, f64)> {
-        const MAX_SENT_SIZES: usize = 120; // with the rest they fit a datagram of 1,200 bytes
+    /// Sizes and run times of the requests that this node itself saw, the newest first.
+    pub fn own_sizes(&self) -> Vec<(f64, f64)> {
+        const MAX_SENT_SIZES: usize = 120; // with the kinds they fit into a datagram of 1,200 bytes
         let own = self.recent.entries().skip(self.received).rev();
-        own.take(MAX_SENT_SIZES).map(|entry| (entry.size, entry.run)).collect()
+        own.take(MAX_SENT_SIZES).map(|entry| (entry.size, entry.run_s)).collect()
     }
 
-    /// Adds what another node has seen; values that make no sense are passed over.
+    /// Adds the observations of another node; values that are not finite and above 0 are ignored.
     pub fn merge(&mut self, learned: &LearnedState) {
-        const MAX_RECEIVED_SECONDS: f64 = 30.0; // counts for no more than what a node sees run in its first minute or so
-        let sound = |value: f64| value > 0.0 && value.is_finite();
-        for &(size, run) in learned.sizes.iter().filter(|(size, run)| sound(*size) && sound(*run)) {
-            self.received += usize::from(self.recent.add_older(SizeSample { size, run }));
+        // Caps the weight of what is received at about what a node sees run in its first minute.
+        const MAX_RECEIVED_SECONDS: f64 = 30.0;
+        let is_valid = |value: f64| value > 0.0 && value.is_finite();
+        for &(size, run_s) in learned.sizes.iter().filter(|(size, run_s)| is_valid(*size) && is_valid(*run_s))
+        {
+            self.received += usize::from(self.recent.add_older(SizeSample { size, run_s }));
         }
-        let sound_kind =
-            |received: &LearnedKind| sound(received.done) && sound(received.ran) && sound(received.slots);
-        for (kind, received) in learned.kinds.iter().filter(|(_, received)| sound_kind(received)) {
+        let is_valid_kind = |received: &LearnedKind| {
+            is_valid(received.done) && is_valid(received.ran) && is_valid(received.slots)
+        };
+        for (kind, received) in learned.kinds.iter().filter(|(_, received)| is_valid_kind(received)) {
             let share = (MAX_RECEIVED_SECONDS / received.ran).min(1.0);
             let received =
                 LearnedKind { done: received.done * share, ran: received.ran * share, ..*received };
