--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: how one ends, and how often a request may be attempted.
+//! Attempts: their outcomes, and how often a request may be attempted.
 
 use crate::time::Duration;
 
@@ -7,24 +7,24 @@
 pub enum AttemptOutcome {
     /// The executor answered.
     Served,
-    /// The executor failed.
+    /// The executor answered with an error.
     Error,
-    /// The executor rejected it, as its queue is full.
+    /// The executor rejected the request because its queue was full.
     Full,
-    /// No answer came within the time-out.
+    /// No answer arrived within the time-out.
     TimedOut,
-    /// No connection to the executor was accepted.
+    /// The executor did not accept a connection.
     Refused,
-    /// The connection broke after the request had been sent.
+    /// The connection broke after the whole request had been sent.
     Reset,
-    /// It was cancelled from here.
+    /// The dispatcher cancelled the attempt.
     Cancelled,
-    /// Nothing of it was sent.
+    /// Nothing of the request was sent.
     NeverSent,
-    /// The connection broke before all was sent, or there was none to be had here: that says nothing of the
-    /// executor either.
+    /// The connection broke before the whole request was sent, or this node could not open one. This tells nothing of
+    /// the executor.
     CutOff,
-    /// The executor could make nothing of the request: that says nothing of the executor.
+    /// The executor could not interpret the request. This tells nothing of the executor.
     Unusable,
 }
 
@@ -41,15 +41,15 @@
     }
 }
 
-/// How many retries and hedges a node may send: within any `span`, `free` of them and a `share` of the requests that
-/// arrived in it.
+/// How many retries and hedges a node may send within any period of `span`: `free` of them, and a `share` of the number
+/// of requests that arrived in the period.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// The sliding window over which retries and arrivals are counted.
+    /// The length of the sliding window over which retries and arrivals are counted.
     pub span: Duration,
-    /// Retries allowed in the window whatever arrives.
+    /// The number of retries allowed in the window regardless of arrivals.
     pub free: f64,
-    /// Further retries allowed for each request that arrived in the window.
+    /// The number of further retries allowed for each request that arrived in the window.
     pub share: f64,
 }
 
@@ -62,15 +62,15 @@
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether a cancelled attempt that still waits leaves its executor's queue. The operators promise it: nothing
-    /// that a node receives tells.
+    /// Whether a cancelled attempt that still waits leaves its executor's queue. The operators guarantee it, since no
+    /// message to a node tells.
     pub cancel_dequeues: bool,
-    /// By how much the deadline that comes with a request may be off, either way.
+    /// How much earlier or later than stated the deadline of a request may be, since clocks differ.
     pub deadline_error: Duration,
-    /// The limit on all retries and hedges of the node together, where there is one.
+    /// The limit on the node's retries and hedges, if there is one.
     pub retry_budget: Option<RetryBudget>,
-    /// How long an executor may be sent to after it was announced as draining.
+    /// How long requests may still be sent to an executor after it was announced as draining.
     pub grace: Duration,
-    /// The longest wait that a rejected client keeps to, where one can be sent to it.
+    /// The longest retry-after time that clients observe; `None` if it cannot be sent to them.
     pub max_retry_after: Option<Duration>,
 }
--- a/crates/dispatch/src/executor.rs
+++ b/crates/dispatch/src/executor.rs
@@ -1,16 +1,16 @@
-//! Executors: what the executor list and load reports say of them, and how much one that has just started bears.
+//! Executors: their entries in the executor list, their load reports, and how much load one that has just started can take.
 
 use crate::ids::ExecutorId;
 use crate::time::{Duration, DurationExt, Instant};
 
-/// The status of an executor by the executor list.
+/// The status of an executor in the executor list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ExecutorStatus {
-    /// It takes requests.
+    /// The executor takes requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The executor finishes the requests that it has, and takes no new ones.
     Draining,
-    /// It is not listed.
+    /// The executor is not listed.
     #[default]
     Gone,
 }
@@ -18,94 +18,94 @@
 /// One entry of the executor list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedExecutor<'a> {
-    /// Its index, which is kept over restarts of its process.
+    /// The index of the executor, which stays the same when its process restarts.
     pub executor: ExecutorId,
-    /// Its name, from which all nodes derive the same hash.
+    /// The name of the executor, from which all nodes derive the same hash.
     pub name: &'a str,
-    /// Its status.
+    /// The status of the executor.
     pub status: ExecutorStatus,
-    /// When its process started, where that is known.
+    /// When its process started, if that is known.
     pub started: Option<Instant>,
-    /// Index of its kind; executors of one kind have the same hardware.
+    /// The index of its kind; executors of one kind have the same hardware.
     pub kind: usize,
-    /// Index of its zone.
+    /// The index of its zone.
     pub zone: usize,
-    /// Index of its cell.
+    /// The index of its cell.
     pub cell: usize,
-    /// Its registered size relative to others.
+    /// Its registered capacity relative to other executors.
     pub weight: f64,
-    /// It reports its status to this node directly: the age of the list does not matter for it.
+    /// Whether it reports its status to this node directly, so that the age of the list does not matter for it.
     pub reports_own_status: bool,
 }
 
-/// Whether an update of the executor list replaces it.
+/// Whether an update of the executor list replaces the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// It holds every executor: absent means gone.
+    /// The update contains every executor: one that is absent is gone.
     Complete,
-    /// It holds only what changed.
+    /// The update contains only the executors that changed.
     Changes,
 }
 
 impl ListUpdate {
-    /// `Complete` if the update is one, else `Changes`.
+    /// [`ListUpdate::Complete`] if `complete`, else [`ListUpdate::Changes`].
     pub fn complete_if(complete: bool) -> ListUpdate {
         if complete { ListUpdate::Complete } else { ListUpdate::Changes }
     }
 }
 
-/// What a node may ask for on its wire, and what executors report of running attempts.
+/// What a node may request from discovery and executors, and what executors report of running attempts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExecutorSignals {
-    /// The executor list comes only to those who ask for it.
+    /// Whether the executor list is sent only to nodes that watch it.
     pub must_watch_executors: bool,
-    /// Executors may be probed for load reports.
+    /// Whether executors may be probed for load reports.
     pub may_probe: bool,
-    /// Executors report when an attempt starts.
+    /// Whether executors report the start of an attempt.
     pub reports_starts: bool,
-    /// The interval at which executors report the progress of an attempt, if they do.
+    /// The interval at which executors report the progress of an attempt; `None` if they do not report it.
     pub progress: Option<Duration>,
 }
 
 impl ExecutorSignals {
-    /// Where starts are not reported: how long after a start the first report of progress proves it.
+    /// How long after a start the first progress report proves it; `None` where starts themselves are reported.
     pub fn start_lag(&self) -> Option<Duration> {
         self.progress.filter(|_| !self.reports_starts)
     }
 }
 
-/// The values of a load report that the decisions use; any may be absent.
+/// The values of a load report that the decisions use. Each may be absent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// The share of the executor that is in use, from 0 to 1.
+    /// The share of the executor's capacity that is in use, from 0 to 1.
     pub utilisation: Option<f64>,
-    /// How many slots are free.
+    /// The number of free slots.
     pub free_slots: Option<f64>,
 }
 
-/// How much an executor that has just started bears (slow start).
+/// Slow start: how much load an executor that has just started can take.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// Its share of a warm executor's work at its start.
+    /// Its capacity at its start, as a share of a warm executor's.
     pub share: f64,
-    /// The age at which it is warm.
+    /// The age at which it has its full capacity.
     pub warm_up: Duration,
-    /// It fails when more than this multiple of its capacity comes within the window.
+    /// It fails when it is sent more than this multiple of its capacity within the window.
     pub fall_factor: f64,
-    /// The window over which the work sent to it is summed.
+    /// The window over which the work sent to it is summed up.
     pub fall_window: Duration,
-    /// By how much a listed start may be off, either way.
+    /// How much earlier or later than listed it may have started.
     pub start_time_error: Duration,
-    /// Executors in slow start get nothing before this: a window after the node's own start, as the process before
-    /// may just have spent its part of the budget, which nobody tells the new one.
+    /// Executors in slow start are sent nothing before this time, a window after the node's own start: the node's
+    /// previous process may just have used its part of the budget, of which the new one knows nothing.
     pub from: Instant,
 }
 
 impl SlowStart {
-    /// The seconds of a warm one's work that it can do at least within a window at this age: the share grows
-    /// evenly at least.
+    /// How many seconds of a warm executor's work an executor of this age can at least do within a window: its share grows
+    /// at least linearly.
     pub fn least(&self, age: Duration) -> f64 {
-        let grown = age.seconds() / self.warm_up.seconds().max(0.001);
-        (self.share + (1.0 - self.share) * grown) * self.fall_window.seconds().max(0.001)
+        let warmed_up = age.seconds() / self.warm_up.seconds().max(0.001);
+        (self.share + (1.0 - self.share) * warmed_up) * self.fall_window.seconds().max(0.001)
     }
 }
--- a/crates/dispatch/src/host.rs
+++ b/crates/dispatch/src/host.rs
@@ -1,30 +1,30 @@
-//! The interface through which a dispatcher acts; its owner implements it.
+//! The interface through which a dispatcher acts. The owner of the dispatcher implements it.
 
 use crate::ids::{AttemptId, ExecutorId, RequestId};
 use crate::time::Duration;
 
-/// What a dispatcher asks of its owner. No method calls back into the dispatcher.
+/// The actions that a dispatcher asks its owner for. An implementation must not call back into the dispatcher.
 pub trait Host {
-    /// Sends the request to the executor. The attempts of a request are numbered from 0 in this order.
+    /// Sends an attempt of the request to the executor. The n-th call for a request is its attempt number n, from 0.
     fn allocate(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration);
-    /// Whether the whole fleet's retry budget, where there is one, has one more attempt for a request that has had
-    /// its first. It is asked only when one would be sent, and again while none is granted.
+    /// Whether the retry budget of the whole fleet, if there is one, allows one more attempt after a request's first.
+    /// The dispatcher asks when it would send the attempt, and asks again while the answer is no.
     fn may_retry(&mut self, _request: RequestId) -> bool {
         true
     }
-    /// Stops waiting for one attempt.
+    /// Cancels one attempt.
     fn cancel(&mut self, attempt: AttemptId);
-    /// Final answer: the client may retry safely, after this wait if one is given.
+    /// Gives the final answer that the client may safely retry, after the given time if there is one.
     fn reject(&mut self, request: RequestId, retry_after: Option<Duration>);
-    /// Final answer: the request may have run, or no executor can run it.
+    /// Gives the final answer that the request may have run, or that no executor can run it.
     fn fail(&mut self, request: RequestId);
-    /// Asks for a call of `timer_fired` with this timer.
+    /// Requests a call of `timer_fired` with this timer number after the given time.
     fn set_timer(&mut self, after: Duration, timer: u64);
-    /// Asks the executor for a load report.
+    /// Requests a load report from the executor.
     fn probe(&mut self, executor: ExecutorId);
-    /// Sends a load message to one other node, by its number, or to all; it may get lost. Asked only where nodes may
-    /// share load.
+    /// Sends a load message to the node with this number, or to all other nodes; the message may get lost. Called only
+    /// with load sharing.
     fn send_load(&mut self, node: Option<u64>, message: &[u8]);
-    /// Asks for the executor list and its changes.
+    /// Requests the executor list and its changes.
     fn watch_executors(&mut self);
 }
--- a/crates/dispatch/src/ids.rs
+++ b/crates/dispatch/src/ids.rs
@@ -1,20 +1,20 @@
-//! Small indices that stand for the ids of the outside; the owner of a dispatcher maps them.
+//! Small indices that stand for external ids; the owner of a dispatcher maps one to the other.
 
 pub use grebeusher_hash::{fixed_hash, mixed};
 
-/// A request. Indices are given out in order of arrival and never used again.
+/// The index of a request. Indices are assigned in order of arrival and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An executor. It keeps its index when its process restarts.
+/// The index of an executor, which stays the same when its process restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExecutorId(pub usize);
 
-/// One attempt of a request.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that is attempted.
     pub request: RequestId,
-    /// Attempts are numbered from 0 in the order in which they were sent.
+    /// The number of the attempt: from 0, in the order in which the request's attempts are sent.
     pub number: usize,
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decisions of a node: which executor gets a request, when it is retried, and how it is answered.
+//! The decisions of a node: which executor gets a request, when the request is retried, and how it is answered.
 //!
-//! [`decide::Dispatcher`] is a state machine apart from I/O: it has neither clock nor sockets. Its owner calls one
-//! method for each event, with the time, and the dispatcher acts through the owner's [`Host`]. The other modules hold
-//! the types of that interface. `grebeusher-sizing` holds the algorithms that the serving tier shares;
-//! `grebeusher-node-config` builds a dispatcher from the settings, and `grebeusher-node`, the bench adapter and the
-//! emulator each own one and implement [`Host`].
+//! [`decide::Dispatcher`] is a state machine without I/O: it has neither a clock nor sockets. Its owner calls one method
+//! for each event, passing the time, and the dispatcher acts through the owner's [`Host`]. The other modules contain the
+//! types of this interface. `grebeusher-sizing` contains the algorithms that the serving tier uses as well.
+//! `grebeusher-node-config` builds a dispatcher from the settings; `grebeusher-node`, the bench adapter and the emulator
+//! each own one and implement [`Host`].
 //!
 //! ```
 //! use grebeusher_dispatch::{DeduplicationScope, Duration, Effect, Instant};
@@ -16,7 +16,7 @@
 //!     deduplication_window: Duration::from_secs(40),
 //! };
 //! assert!(keyed.may_repeat(now, sent, true, false));
-//! assert!(!keyed.may_repeat(now, sent, false, false), "another zone does not remember the key");
+//! assert!(!keyed.may_repeat(now, sent, false, false), "executors of another zone do not know the key");
 //! assert!(!Effect::NonIdempotent.may_repeat(now, sent, true, true));
 //! ```
 
--- a/crates/dispatch/src/load_message.rs
+++ b/crates/dispatch/src/load_message.rs
@@ -1,31 +1,31 @@
-//! The messages by which nodes share what they have in flight. Few bytes, since each copy is paid for.
+//! The messages by which nodes share how many slots of executors they fill. Messages are short, since each copy is paid for.
 
-/// The longest message that may be sent.
+/// The length of the longest message that may be sent.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// How many executors one message of all nodes' sums covers.
+/// How many executors one message of sums covers.
 pub const MAX_COUNTS_PER_MESSAGE: usize = 200;
 
-/// What a node sends to others of the slots that are filled.
+/// A message about filled slots that one node sends to others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadMessage {
-    /// The slots that the sender fills.
+    /// The slots that the sender fills itself.
     Own {
-        /// Short hash of each executor's name, and the slots that the sender fills there.
+        /// The short hash of each executor's name, and the number of slots that the sender fills there.
         filled: Vec<(u16, u8)>,
     },
-    /// The slots that all nodes together fill, as one of them has summed them, at the ready executors in the order
-    /// of their short hashes.
+    /// The slots that all nodes together fill, summed up by one of them, for the ready executors in the order of their
+    /// short hashes.
     All {
-        /// Short hash of the set of these executors: a node that knows another set can't use the sums.
+        /// The short hash of the set of ready executors: a node that knows another set can't use the sums.
         list: u16,
-        /// Index of the first executor that this message covers, a multiple of [`MAX_COUNTS_PER_MESSAGE`].
+        /// The index of the first executor that this message covers, a multiple of [`MAX_COUNTS_PER_MESSAGE`].
         first: usize,
-        /// The sums, from that executor on.
+        /// The number of filled slots of each executor, from the first one on.
         filled: Vec<u8>,
     },
 }
 
-/// The part of a fixed hash that stands for an executor, or for a set of them.
+/// The 16-bit form of a fixed hash, which identifies an executor or a set of executors in messages.
 pub fn short_hash(hash: u64) -> u16 {
     (hash ^ (hash >> 16) ^ (hash >> 32) ^ (hash >> 48)) as u16
 }
@@ -34,7 +34,7 @@
 const ALL: u8 = 2;
 
 impl LoadMessage {
-    /// The message as it is sent.
+    /// The message as bytes, cut off at [`MAX_MESSAGE_BYTES`].
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = match self {
             LoadMessage::Own { filled } => {
@@ -50,7 +50,7 @@
         bytes
     }
 
-    /// The message in these bytes, if they are one.
+    /// Decodes a message; `None` if the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Option<LoadMessage> {
         match bytes.split_first()? {
             (&OWN, rest) => {
--- a/crates/dispatch/src/request.rs
+++ b/crates/dispatch/src/request.rs
@@ -1,28 +1,28 @@
-//! Requests: their classes, what arrives with each, and how often its effect may happen.
+//! Requests: their classes, what arrives with each request, and how often its effect may happen.
 
 use crate::time::{Duration, Instant};
 
-/// Which executors drop repeats of a request that carries an idempotency key.
+/// The executors that share the idempotency keys that they have seen, and so drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All executors of the fleet share what they remember.
+    /// All executors of the fleet share their keys.
     All,
-    /// Only the executors of one zone share what they remember.
+    /// The executors of one zone share their keys.
     Zone,
-    /// Only the executors of one cell share what they remember.
+    /// The executors of one cell share their keys.
     Cell,
 }
 
 /// How often the effect of a request may happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Any number of executions has the effect of one.
+    /// Any number of executions has the effect of a single one.
     Idempotent,
-    /// Executors drop repeats by the request's idempotency key.
+    /// Executors drop repeats of the request by its idempotency key.
     Keyed {
-        /// The executors that share what they remember of a key.
+        /// The executors that share the key.
         scope: DeduplicationScope,
-        /// How long a key is remembered, counted from the first attempt.
+        /// How long executors remember the key, counted from the first attempt.
         deduplication_window: Duration,
     },
     /// The request must not run twice.
@@ -30,21 +30,21 @@
 }
 
 impl Effect {
-    /// Whether a request whose attempt of time `sent` may have run may be sent again now.
+    /// Whether a request may be sent again now although its attempt sent at `sent` may have run.
     ///
-    /// `same_zone` and `same_cell` compare the next executor with the earlier one: a keyed request stays inside the
-    /// scope that drops its repeats, and inside the window in which its key is remembered.
+    /// `same_zone` and `same_cell` compare the next executor with that of the earlier attempt. A keyed request may be
+    /// repeated only within the scope that shares its key, and within its deduplication window.
     pub fn may_repeat(self, now: Instant, sent: Instant, same_zone: bool, same_cell: bool) -> bool {
         match self {
             Effect::Idempotent => true,
             Effect::NonIdempotent => false,
             Effect::Keyed { scope, deduplication_window } => {
-                let inside = match scope {
+                let in_scope = match scope {
                     DeduplicationScope::All => true,
                     DeduplicationScope::Zone => same_zone,
                     DeduplicationScope::Cell => same_cell,
                 };
-                inside && now < sent + deduplication_window
+                in_scope && now < sent + deduplication_window
             }
         }
     }
@@ -55,38 +55,38 @@
     }
 }
 
-/// What the operators promise for all requests of one class.
+/// What the operators guarantee for all requests of one class.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
-    /// How often the effect of such a request may happen.
+    /// How often the effect of a request of this class may happen.
     pub effect: Effect,
-    /// The latency objective before the stretch.
+    /// The latency objective of a request of size 0, counted from the client's first attempt.
     pub latency_objective: Duration,
-    /// The latency objective grows by this multiple of the request's own size.
+    /// The latency objective grows by this multiple of the request's run time on a standard core.
     pub stretch: f64,
-    /// After which the client gives up, counted from its first attempt.
+    /// The time after which the client gives up, counted from its first attempt.
     pub deadline: Duration,
-    /// What a request is worth that is answered within its objective; only ratios between classes count.
+    /// The value of a request that is answered within its objective. Only ratios between classes matter.
     pub value: f64,
-    /// The one kind of executor that can run it, if only one can.
+    /// The index of the one kind of executor that can run the class; `None` if every kind can.
     pub kind: Option<usize>,
 }
 
 /// What arrives with a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Index of its class.
+    /// The index of the request's class.
     pub class: usize,
-    /// Index of the customer that sends it.
+    /// The index of the customer that sends the request.
     pub customer: usize,
-    /// When the client gives up.
+    /// When the client gives up, by the client's clock.
     pub deadline: Instant,
-    /// The client marks it as one that it has sent before.
+    /// Whether the client says that it has sent the request before.
     pub repeat: bool,
-    /// The client's estimate of how long it runs, if it gave one.
+    /// The client's estimate of the run time, on a standard core, if it gave one.
     pub hint: Option<Duration>,
-    /// How many slots of an executor it fills.
+    /// How many slots of an executor the request fills.
     pub slots: f64,
-    /// The fleet's budget has nothing left for it at this node: it is answered without any attempt.
+    /// Whether this node's part of the fleet's budget is used up: the request is then rejected without an attempt.
     pub over_budget: bool,
 }
