--- a/crates/hash/tests/values.rs
+++ b/crates/hash/tests/values.rs
@@ -1,4 +1,4 @@
-//! The values stand on disks, on the wire and in the order of executors: they must never change.
+//! The hash values are on disks, on the wire and in the order of executors, so they must never change.
 
 use grebeusher_hash::{fixed_hash, fixed_hash_of, mixed};
 
@@ -11,8 +11,8 @@
 }
 
 #[test]
-fn mixing_is_the_finisher_of_split_mix() {
-    // The first number of SplitMix64 seeded with 0 is the mix of its increment.
+fn mixing_is_the_finalizer_of_splitmix64() {
+    // The first number of SplitMix64 with seed 0 is its mixed increment.
     assert_eq!(mixed(0x9e37_79b9_7f4a_7c15), 0xe220_a839_7b1d_cdaf);
     assert_eq!(mixed(0), 0);
 }
--- a/crates/sizing/src/cut_offs.rs
+++ b/crates/sizing/src/cut_offs.rs
@@ -3,20 +3,20 @@
 use crate::options::BoundaryRule;
 use crate::sample::SampleEntry;
 
-/// Bounds between lanes, smallest first: one fewer than there are lanes, or none while one lane has all requests.
+/// The bounds between lanes, smallest first: one fewer than there are lanes, so none while one lane has all requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CutOffs {
     pub(crate) bounds: Vec<f64>,
 }
 
 impl CutOffs {
-    /// One lane for every size.
+    /// One lane for all sizes.
     pub fn one_lane() -> CutOffs {
         CutOffs::default()
     }
 
-    /// The bounds below which lie these amounts of the summed work of requests sorted by size. One lane for all where an
-    /// amount is not a number.
+    /// The bounds below which lie these amounts of the summed work of `sorted`, the requests by size. One lane for all sizes
+    /// if an amount is not finite.
     pub fn at_sums(sorted: &[impl SampleEntry], amounts: &[f64], rule: BoundaryRule) -> CutOffs {
         if !amounts.iter().all(|amount| amount.is_finite()) {
             return CutOffs::one_lane();
@@ -36,7 +36,7 @@
         CutOffs { bounds: amounts.iter().map(bound_at).collect() }
     }
 
-    /// The lane of a size, from 0 for the smallest.
+    /// The lane of a size, from 0 for the smallest sizes.
     pub fn lane_of(&self, size: f64) -> usize {
         self.bounds.iter().filter(|bound| size > **bound).count()
     }
--- a/crates/sizing/src/lanes.rs
+++ b/crates/sizing/src/lanes.rs
@@ -1,16 +1,16 @@
-//! Which executor is in which lane, in the order of the hashes of their ids.
+//! Assignment of executors to lanes, in the order of the hashes of their ids.
 
 use crate::options::Remainder;
 use crate::places::lanes_in_order;
 
-/// Divides executors, given by the fixed hashes of their ids, into `lanes` runs of nearly equal number in the order of the
-/// hashes: every node that knows the same executors forms the same lanes. The remainder goes to the later lanes. Returns the
-/// lane of each, in the order given; all 0 where there are fewer executors than lanes.
+/// Divides executors, given by the fixed hashes of their ids, into `lanes` lanes of nearly equal number, in the order of the
+/// hashes, so that all nodes that know the same executors form the same lanes. The remainder goes to the later lanes. Returns
+/// the lane of each executor in the order given; all lanes are 0 if there are fewer executors than lanes.
 pub fn lanes_by_hash(hashes: &[u64], lanes: usize) -> Vec<usize> {
     lanes_by_share(hashes, &vec![1.0; lanes.max(1)])
 }
 
-/// As [`lanes_by_hash`], with lanes of unequal number by `shares`, as [`lanes_in_order`] divides them.
+/// Like [`lanes_by_hash`], but [`lanes_in_order`] divides the executors by `shares`.
 pub fn lanes_by_share(hashes: &[u64], shares: &[f64]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..hashes.len()).collect();
     order.sort_unstable_by_key(|&index| (hashes[index], index));
--- a/crates/sizing/src/lib.rs
+++ b/crates/sizing/src/lib.rs
@@ -1,19 +1,19 @@
-//! SITA-E, size interval task assignment with equal load, without I/O, clock or executors.
+//! SITA-E (size interval task assignment with equal load), without I/O, a clock or executors.
 //!
-//! From "Size-Based Routing Policies": cut-offs give each lane of executors one interval of sizes such that the load of the
-//! interval matches the lane's share of the capacity. Inside a lane a random pick is weighted by the free capacity of each
-//! executor. This crate has just that, for every program that routes by it:
+//! The policy is from "Size-Based Routing Policies": cut-offs assign one interval of sizes to each lane of executors, such that
+//! the load of the interval matches the lane's share of the capacity. Inside a lane a random pick is weighted by the free
+//! capacity of each executor. The crate contains:
 //!
-//! * [`Sample`]: the sizes of the last requests, with what else a program stores of each ([`SampleEntry`]);
-//! * [`CutOffs`]: the bounds that equalise summed work per share of capacity, and the lane of a size;
-//! * [`lanes_in_order`], [`lanes_by_hash`], [`lanes_by_share`]: which executor is in which lane, the same on every node;
+//! * [`Sample`]: the sizes of the last requests, with what else the caller stores of each ([`SampleEntry`]);
+//! * [`CutOffs`]: the bounds that make summed work proportional to capacity, and the lane of a size;
+//! * [`lanes_in_order`], [`lanes_by_hash`], [`lanes_by_share`]: the lane of each executor, the same on every node;
 //! * [`weight`], [`weights`], [`pick`]: the weighted pick inside a lane;
 //! * [`fixed_hash`], [`mixed`], [`rendezvous`]: hashes that are the same in every process.
 //!
-//! Both programs use it: the tier through `grebeusher-gateway`, the node through `grebeusher-dispatch`. Where they differ the
-//! caller chooses: [`BoundaryRule`] for cut-offs, [`Remainder`] for lanes. The files that the node uses (`cut_offs.rs`,
-//! `places.rs`, `weight.rs`) are listed as `policy` in `deploy/balancer.toml`, so that their paths have to stay. Results must
-//! stay identical to the bit: all nodes compute the same lanes, and recorded runs are compared.
+//! The tier uses it through `grebeusher-gateway`, and the node through `grebeusher-dispatch`. Where the two differ the caller
+//! chooses: [`BoundaryRule`] for cut-offs, [`Remainder`] for lanes. The files that the node uses (`cut_offs.rs`, `places.rs`,
+//! `weight.rs`) are listed as `policy` in `deploy/balancer.toml`, so their paths have to stay. Results must not change by a
+//! single bit: all nodes have to compute the same lanes, and recorded runs are compared.
 //!
 //! ```
 //! use grebeusher_sizing::{CutOffs, Sample};
@@ -23,7 +23,7 @@
 //!     sample.observe(f64::from(size), f64::from(size));
 //! }
 //! let cut_offs = CutOffs::equalising(&sample, &[0.5, 0.5], 50);
-//! assert_eq!(cut_offs.lane_of(10.0), 0); // sizes 1 to 71 sum up to half of all
+//! assert_eq!(cut_offs.lane_of(10.0), 0); // sizes 1 to 71 are about half of the sum
 //! assert_eq!(cut_offs.lane_of(95.0), 1);
 //! ```
 
--- a/crates/sizing/src/options.rs
+++ b/crates/sizing/src/options.rs
@@ -1,15 +1,15 @@
-//! What callers choose and hand in: the rules for boundary cases, and the executors of a pick.
+//! The parameters of callers: the rules for boundary cases, and the candidates of a pick.
 
-/// The lane of a request whose work crosses a cut-off.
+/// Which lane gets a request whose work crosses a cut-off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BoundaryRule {
-    /// The lane below the cut-off, however little of the work lies there.
+    /// The lane below the cut-off, however little of the request's work lies there.
     LowerLane,
-    /// The lane that has more than half of the work.
+    /// The lane that has more than half of the request's work.
     MajorityLane,
 }
 
-/// The lane of an executor whose capacity crosses the boundary of two lanes.
+/// Which lane gets an executor that crosses the boundary of two lanes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Remainder {
     /// The earlier lane of the two.
@@ -18,11 +18,12 @@
     Later,
 }
 
-/// An executor as a weighted pick sees it.
+/// An executor in a weighted pick.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightedCandidate {
-    /// The occupied fraction of it: 1 when full, more when requests wait there. `None` if it is unknown.
+    /// The fraction of its capacity in use: 1 when it is full, more when requests wait there. `None` if unknown.
     pub utilisation: Option<f64>,
-    /// A factor of its weight beside utilisation: 1, or its speed or its nearness. One that is not above 0 is never picked.
+    /// A factor of the weight beside utilisation, such as speed or nearness; 1 for none. An executor whose factor is not above 0
+    /// is never picked.
     pub weight_factor: f64,
 }
--- a/crates/sizing/src/pick.rs
+++ b/crates/sizing/src/pick.rs
@@ -4,7 +4,7 @@
 use crate::weight::weights;
 use rand::Rng;
 
-/// Picks one at random by [`weights`] and returns its index. `None` where no candidate has a weight.
+/// Picks a candidate at random by [`weights`] and returns its index. `None` if no candidate has a weight above 0.
 pub fn pick(rng: &mut impl Rng, candidates: &[WeightedCandidate]) -> Option<usize> {
     let mut weights = weights(candidates);
     for weight in &mut weights {
@@ -27,6 +27,6 @@
             remaining -= weight;
         }
     }
-    // Rounding left a remainder: the last candidate takes it.
+    // A remainder of rounding goes to the last candidate.
     last
 }
--- a/crates/sizing/src/places.rs
+++ b/crates/sizing/src/places.rs
@@ -1,12 +1,12 @@
-//! How an order of executors is divided into lanes.
+//! Division of a sequence of executors into lanes.
 
 use crate::options::Remainder;
 
-/// Makes up for rounding in sums like 0.1 + 0.2.
+/// Covers the rounding errors of sums like 0.1 + 0.2.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The lane of each position in an order of `count` executors: each lane gets its entry of `shares` (in any unit) of all,
-/// and at least one. All 0 where executors are fewer than lanes, or a share is not a number above 0.
+/// The lane of each position in a sequence of `count` executors. Each lane gets its part of them by `shares` (in any unit),
+/// and at least one. All lanes are 0 if there are fewer executors than lanes, or a share is not finite and above 0.
 pub fn lanes_in_order(count: usize, shares: &[f64], remainder: Remainder) -> Vec<usize> {
     let mut lanes = vec![0; count];
     let is_valid = shares.iter().all(|share| share.is_finite() && *share > 0.0);
@@ -23,7 +23,7 @@
             Remainder::Earlier => (exact_end - ROUNDING_TOLERANCE).ceil(),
             Remainder::Later => exact_end + ROUNDING_TOLERANCE,
         };
-        // Each lane that follows keeps at least one position.
+        // At least one position is left for each lane that follows.
         let following = shares.len() - 1 - lane;
         let end = (rounded_end as usize).max(start + 1).min(count - following);
         lanes[start..end].fill(lane);
--- a/crates/sizing/src/sample.rs
+++ b/crates/sizing/src/sample.rs
@@ -2,20 +2,21 @@
 
 use std::collections::VecDeque;
 
-/// What a sample stores of a request.
+/// An entry of a sample, with the values that the cut-offs need.
 pub trait SampleEntry: Copy {
-    /// The size by its hint, which decides the lane.
+    /// The size of the request by its hint, which determines the lane.
     fn size(&self) -> f64;
-    /// The cost for an executor, in the same unit.
+    /// The cost of the request for an executor, in the unit of the size.
     fn work(&self) -> f64;
 }
 
-/// One request of the sample.
+/// An entry of a sample without further values.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SampledRequest {
-    /// The size by its hint, which decides the lane.
+    /// The size of the request by its hint, which determines the lane.
     pub size: f64,
-    /// The cost for an executor, in the same unit: the size, unless part of it is known to cost nothing.
+    /// The cost of the request for an executor, in the unit of the size: the size itself, unless a part of the request is
+    /// known to cost nothing.
     pub work: f64,
 }
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// The last requests with a size, up to a limit; the oldest is dropped.
+/// The last requests whose size is known, up to a limit. A new request replaces the oldest one.
 #[derive(Clone, Debug)]
 pub struct Sample<E = SampledRequest> {
     limit: usize,
@@ -37,24 +38,24 @@
 }
 
 impl Sample {
-    /// An empty sample of the last `limit` requests (at least one).
+    /// An empty sample that keeps the last `limit` requests, at least one.
     pub fn new(limit: usize) -> Sample {
         Sample::with_limit(limit)
     }
 
-    /// Adds one request, as [`Sample::add`].
+    /// Adds one request like [`Sample::add`].
     pub fn observe(&mut self, size: f64, work: f64) -> bool {
         self.add(SampledRequest { size, work })
     }
 }
 
 impl<E: SampleEntry> Sample<E> {
-    /// An empty sample of the last `limit` requests (at least one), with entries of any type.
+    /// An empty sample that keeps the last `limit` requests, at least one, as entries of any type.
     pub fn with_limit(limit: usize) -> Sample<E> {
         Sample { limit: limit.max(1), recent: VecDeque::new() }
     }
 
-    /// Adds one request. Returns `false`, and ignores it, where a value is not finite or not above 0.
+    /// Adds one request. Ignores it and returns `false` if a value is not finite and above 0.
     pub fn add(&mut self, entry: E) -> bool {
         if !is_valid(&entry) {
             return false;
@@ -66,7 +67,7 @@
         true
     }
 
-    /// Adds one request as older than all others. Returns `false`, and ignores it, where a value is invalid or the sample is
+    /// Adds one request as the oldest. Ignores it and returns `false` if a value is not finite and above 0, or if the sample is
     /// full.
     pub fn add_older(&mut self, entry: E) -> bool {
         let is_added = is_valid(&entry) && !self.is_full();
@@ -76,17 +77,17 @@
         is_added
     }
 
-    /// The number of requests in it.
+    /// The number of requests in the sample.
     pub fn len(&self) -> usize {
         self.recent.len()
     }
 
-    /// Whether nothing was added yet.
+    /// Whether the sample contains no requests.
     pub fn is_empty(&self) -> bool {
         self.recent.is_empty()
     }
 
-    /// Whether the next replaces the oldest.
+    /// Whether the next request replaces the oldest one.
     pub fn is_full(&self) -> bool {
         self.recent.len() >= self.limit
     }
@@ -96,14 +97,14 @@
         self.recent.iter()
     }
 
-    /// The entries by size, smallest first.
+    /// A copy of the entries by size, smallest first.
     pub fn sorted(&self) -> Vec<E> {
         let mut sorted: Vec<E> = self.recent.iter().copied().collect();
         sorted.sort_unstable_by(|a, b| a.size().total_cmp(&b.size()));
         sorted
     }
 
-    /// The size in the middle, which stands for a request without a hint. `None` while empty.
+    /// The median size, which callers assume for a request without a hint. `None` while the sample is empty.
     pub fn median(&self) -> Option<f64> {
         let mut sizes: Vec<f64> = self.recent.iter().map(SampleEntry::size).collect();
         if sizes.is_empty() {
@@ -113,7 +114,7 @@
         Some(*sizes.select_nth_unstable_by(middle, f64::total_cmp).1)
     }
 
-    /// The mean work of a request. `None` while empty.
+    /// The mean work of a request. `None` while the sample is empty.
     pub fn mean_work(&self) -> Option<f64> {
         let sum: f64 = self.recent.iter().map(SampleEntry::work).sum();
         (!self.recent.is_empty()).then(|| sum / self.recent.len() as f64)
--- a/crates/sizing/src/shares.rs
+++ b/crates/sizing/src/shares.rs
@@ -1,4 +1,4 @@
-//! Cut-offs by the capacity of each lane.
+//! Cut-offs that follow the capacity of each lane.
 
 use crate::cut_offs::CutOffs;
 use crate::options::BoundaryRule;
@@ -10,9 +10,9 @@
         &self.bounds
     }
 
-    /// The bounds by which each lane's part of the sample's summed work matches its entry in `shares` (of the capacity, in any
-    /// unit, the lane of the smallest sizes first). One lane for all below `min_sample` entries, and where a share is not a
-    /// number above 0.
+    /// The bounds by which each lane's part of the sample's summed work matches its part of `shares`: the capacity of each lane
+    /// in any unit, the lane of the smallest sizes first. One lane for all sizes if the sample has fewer than `min_sample`
+    /// entries, or a share is not finite and above 0.
     pub fn equalising<E: SampleEntry>(sample: &Sample<E>, shares: &[f64], min_sample: usize) -> CutOffs {
         let total_share: f64 = shares.iter().sum();
         let is_valid = shares.len() > 1 && shares.iter().all(|share| share.is_finite() && *share > 0.0);
@@ -30,8 +30,8 @@
     }
 }
 
-/// The summed capacity of each lane. `members` gives each executor's lane and capacity; a capacity that is not a number above
-/// 0 is left out.
+/// The summed capacity of each of `lanes` lanes. `members` yields the lane and the capacity of each executor; a capacity that
+/// is not finite and above 0 does not count.
 pub fn share_of_lanes(lanes: usize, members: impl IntoIterator<Item = (usize, f64)>) -> Vec<f64> {
     let mut shares = vec![0.0; lanes];
     for (lane, capacity) in members {
--- a/crates/sizing/tests/sizing.rs
+++ b/crates/sizing/tests/sizing.rs
@@ -1,4 +1,4 @@
-//! SITA-E: the sample, the cut-offs, the lanes and the pick.
+//! Tests of the sample, the cut-offs, the lanes and the weighted pick.
 
 use grebeusher_sizing::{
     BoundaryRule, CutOffs, MIN_WEIGHT, Remainder, Sample, WeightedCandidate, fixed_hash, lanes_by_hash,
@@ -31,11 +31,14 @@
     let sample = sample_of((0..1000).map(|_| 10.0_f64.powf(4.0 * rng.random::<f64>())));
     // when the cut-offs are computed
     let cut_offs = CutOffs::equalising(&sample, shares, 50);
-    // then each lane's part of the work is its share, up to one of the largest
-    let lanes = work_by_lane(&sample, &cut_offs, shares.len());
-    let (total, whole) = (lanes.iter().sum::<f64>(), shares.iter().sum::<f64>());
-    for (lane, share) in lanes.iter().zip(shares) {
-        assert!((lane / total - share / whole).abs() < 0.02, "{lanes:?} against {shares:?}");
+    // then each lane's part of the work is its share, up to the work of one large request
+    let lane_work = work_by_lane(&sample, &cut_offs, shares.len());
+    let (total_work, total_share) = (lane_work.iter().sum::<f64>(), shares.iter().sum::<f64>());
+    for (work, share) in lane_work.iter().zip(shares) {
+        assert!(
+            (work / total_work - share / total_share).abs() < 0.02,
+            "{lane_work:?} for shares {shares:?}"
+        );
     }
 }
 
@@ -46,18 +49,18 @@
     #[case] rule: BoundaryRule,
     #[case] bound: f64,
 ) {
-    // given sizes of which the third lies on both sides of half of the sum, most of it above
+    // given sizes of which the third crosses half of the sum, with more than half of its work above
     let sorted = sample_of([9.0, 1.0, 3.0, 7.0, 2.0]).sorted();
-    // when the cut lies at half of the sum less a little
+    // when the cut-off is at a little less than half of the sum
     let cut_offs = CutOffs::at_sums(&sorted, &[9.4], rule);
-    // then it is in the lane that the caller names
+    // then the third size is in the lane that the rule names
     assert_eq!(cut_offs.bounds(), [bound]);
     assert_eq!(CutOffs::at_sums(&sorted, &[f64::NAN], rule), CutOffs::one_lane());
 }
 
 #[test]
 fn lanes_are_by_size_and_cut_offs_by_work() {
-    // given large requests that cost little, since most of them is kept already
+    // given large requests that cost little, as most of their input is already cached
     let mut sample = Sample::new(1000);
     for _ in 0..300 {
         sample.observe(100.0, 100.0);
@@ -66,28 +69,28 @@
     }
     // when the cut-offs are computed for equal lanes
     let cut_offs = CutOffs::equalising(&sample, &[1.0, 1.0], 50);
-    // then the small ones are one lane, though by size they would be a hundredth of all
+    // then the small requests have a lane of their own, although they are less than a hundredth of the summed size
     assert_eq!([100.0, 5000.0, 9000.0].map(|size| cut_offs.lane_of(size)), [0, 1, 1]);
 }
 
 #[test]
 fn cut_offs_sum_work_not_size() {
-    // given a thousand requests of alike work whose sizes rise steeply
+    // given a thousand requests of equal work whose sizes rise as squares
     let mut sample = Sample::new(1000);
-    let all = (1..=1000).all(|n| sample.observe(f64::from(n * n), 7.0));
-    assert!(all);
+    let all_added = (1..=1000).all(|n| sample.observe(f64::from(n * n), 7.0));
+    assert!(all_added);
     // when the cut-offs are computed for lanes of a half, a quarter and a quarter
     let cut_offs = CutOffs::equalising(&sample, &[2.0, 1.0, 1.0], 50);
-    // then they part the requests by number
+    // then they divide the requests by number
     assert_eq!(cut_offs.bounds(), [500.0 * 500.0, 750.0 * 750.0]);
 }
 
 #[rstest]
 #[case::too_few(49, &[1.0, 1.0])]
 #[case::one_lane(100, &[1.0])]
-#[case::no_lane(100, &[])]
-#[case::empty_lane(100, &[1.0, 0.0])]
-#[case::no_number(100, &[1.0, f64::NAN])]
+#[case::no_shares(100, &[])]
+#[case::zero_share(100, &[1.0, 0.0])]
+#[case::nan_share(100, &[1.0, f64::NAN])]
 fn one_lane_has_all_where_no_cut_off_is_possible(#[case] count: usize, #[case] shares: &[f64]) {
     let sample = sample_of((0..count).map(|n| n as f64 + 1.0));
     assert_eq!(CutOffs::equalising(&sample, shares, 50), CutOffs::one_lane());
@@ -151,8 +154,8 @@
         let first = |remainder| {
             lanes_in_order(count, &[3.0, 1.0], remainder).iter().filter(|lane| **lane == 0).count()
         };
-        let most = count - 1;
-        assert_eq!(first(Remainder::Earlier), (count * 3).div_ceil(4).min(most));
+        let max = count - 1;
+        assert_eq!(first(Remainder::Earlier), (count * 3).div_ceil(4).min(max));
         assert_eq!(first(Remainder::Later), count * 3 / 4);
     }
     assert_eq!(lanes_in_order(1, &[3.0, 1.0], Remainder::Earlier), [0]);
@@ -175,15 +178,15 @@
     let hashes: Vec<u64> = (0..18).map(|n| fixed_hash(&format!("i-{n}"))).collect();
     let lanes = lanes_by_hash(&hashes, 2);
     let reversed: Vec<u64> = hashes.iter().rev().copied().collect();
-    let mut seen = lanes_by_hash(&reversed, 2);
-    seen.reverse();
-    assert_eq!(seen, lanes);
-    for gone in 0..18 {
-        let mut left: Vec<(u64, usize)> = hashes.iter().copied().zip(lanes.iter().copied()).collect();
-        left.remove(gone);
-        let after = lanes_by_hash(&left.iter().map(|(hash, _)| *hash).collect::<Vec<_>>(), 2);
-        let moved = left.iter().zip(&after).filter(|((_, before), after)| before != *after).count();
-        assert!(moved <= 1, "{moved} moved");
+    let mut lanes_of_reversed = lanes_by_hash(&reversed, 2);
+    lanes_of_reversed.reverse();
+    assert_eq!(lanes_of_reversed, lanes);
+    for removed in 0..18 {
+        let mut remaining: Vec<(u64, usize)> = hashes.iter().copied().zip(lanes.iter().copied()).collect();
+        remaining.remove(removed);
+        let after = lanes_by_hash(&remaining.iter().map(|(hash, _)| *hash).collect::<Vec<_>>(), 2);
+        let moved = remaining.iter().zip(&after).filter(|((_, before), after)| before != *after).count();
+        assert!(moved <= 1, "{moved} executors changed their lane");
     }
 }
 
@@ -195,14 +198,15 @@
         members
     };
     let members: Vec<u64> = (0..9).map(|n| fixed_hash(&format!("i-{n}"))).collect();
-    let mut homes = std::collections::BTreeMap::new();
+    let mut keys_by_member = std::collections::BTreeMap::new();
     for key in 0..900 {
         let all = order(key, &members);
-        *homes.entry(all[0]).or_insert(0) += 1;
+        *keys_by_member.entry(all[0]).or_insert(0) += 1;
         let without: Vec<u64> = members.iter().copied().filter(|member| *member != all[0]).collect();
         assert_eq!(order(key, &without), all[1..]);
     }
-    assert!(homes.len() == 9 && homes.values().all(|count| (60..140).contains(count)), "{homes:?}");
+    assert_eq!(keys_by_member.len(), 9);
+    assert!(keys_by_member.values().all(|count| (60..140).contains(count)), "{keys_by_member:?}");
 }
 
 #[rstest]
@@ -219,8 +223,8 @@
 
 #[test]
 fn picks_follow_the_weights_and_unknown_utilisation_gets_the_mean() {
-    let of = |utilisation| WeightedCandidate { utilisation, weight_factor: 1.0 };
-    let candidates = [of(Some(0.0)), of(Some(0.5)), of(Some(1.0)), of(None)];
+    let candidate = |utilisation| WeightedCandidate { utilisation, weight_factor: 1.0 };
+    let candidates = [candidate(Some(0.0)), candidate(Some(0.5)), candidate(Some(1.0)), candidate(None)];
     let mut rng = Pcg32::seed_from_u64(3);
     let mut counts = [0.0; 4];
     for _ in 0..20_000 {
@@ -235,12 +239,15 @@
 
 #[test]
 fn a_candidate_without_weight_is_never_picked() {
-    let of = |weight_factor| WeightedCandidate { utilisation: None, weight_factor };
+    let candidate = |weight_factor| WeightedCandidate { utilisation: None, weight_factor };
     let mut rng = Pcg32::seed_from_u64(3);
     for _ in 0..100 {
-        assert_eq!(pick(&mut rng, &[of(0.0), of(1.0), of(f64::NAN), of(-1.0)]), Some(1));
+        assert_eq!(
+            pick(&mut rng, &[candidate(0.0), candidate(1.0), candidate(f64::NAN), candidate(-1.0)]),
+            Some(1)
+        );
     }
-    assert_eq!(pick(&mut rng, &[of(0.0)]), None);
+    assert_eq!(pick(&mut rng, &[candidate(0.0)]), None);
     assert_eq!(pick(&mut rng, &[]), None);
 }
 
