--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -1,11 +1,10 @@
-//! Hosts instances of the grebeusher decisions on the wire of the users' bench: lines on standard input become
-//! calls, answers become lines on standard output. It decides nothing.
+//! Connects grebeusher's dispatcher to the users' bench: it turns lines on standard input into calls of dispatchers, and
+//! writes their actions as lines on standard output. Itself it makes no decisions.
 
-mod door;
-mod facts;
+mod startup;
+mod wire;
 
 use clap::Parser;
-use door::{Door, Wire};
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::ids::{AttemptId, ExecutorId};
 use grebeusher_dispatch::time::{Duration, Instant};
@@ -20,16 +19,17 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::process::ExitCode;
 use std::rc::Rc;
+use wire::{WireHost, WireState};
 
-/// Hosts grebeusher's decisions on the bench's wire, read from standard input and answered on standard output.
+/// Runs grebeusher's dispatchers on the lines of the users' bench, from standard input to standard output.
 #[derive(Parser)]
 #[command(version)]
 struct CommandLine {}
 
-/// A line of the wire. Which fields are there depends on its type; those not named here are skipped.
+/// A line of standard input. Its type determines which fields are present; fields not named here are ignored.
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Line<'a> {
+struct InputLine<'a> {
     #[serde(borrow, rename = "type")]
     kind: Cow<'a, str>,
     sim_time_ns: u64,
@@ -39,7 +39,7 @@
     #[serde(borrow)]
     mode: Cow<'a, str>,
     #[serde(borrow)]
-    elements: Vec<Element<'a>>,
+    elements: Vec<ListEntry<'a>>,
     #[serde(borrow)]
     msg_id: Option<Cow<'a, str>>,
     class: usize,
@@ -62,9 +62,9 @@
     payload: Option<Cow<'a, str>>,
 }
 
-/// An entry of the executor list.
+/// An entry of the executor list in a `membership` line.
 #[derive(Deserialize)]
-struct Element<'a> {
+struct ListEntry<'a> {
     #[serde(borrow)]
     executor: Cow<'a, str>,
     #[serde(borrow)]
@@ -81,67 +81,71 @@
     weight: f64,
 }
 
-/// One hosted node.
+/// A dispatcher with its wire state, which its host shares.
 struct Instance {
-    dispatcher: Dispatcher<Wire>,
-    door: Rc<RefCell<Door>>,
-    places: ReportLayout,
+    dispatcher: Dispatcher<WireHost>,
+    wire: Rc<RefCell<WireState>>,
+    report_layout: ReportLayout,
 }
 
 impl Instance {
     fn report(&self, usage: Option<&[Option<f64>]>) -> Option<LoadReport> {
-        usage.map(|usage| self.places.report(|at| usage.get(at).copied().flatten()))
+        usage.map(|usage| self.report_layout.report(|index| usage.get(index).copied().flatten()))
     }
 }
 
-/// All hosted nodes and the time of the batch that is being read.
+/// All instances.
 #[derive(Default)]
-struct Hosted {
+struct Instances {
+    /// The time of the current batch.
     now: Instant,
-    instances: BTreeMap<u64, Instance>,
-    /// Those that the batch speaks of: no other can have said anything.
+    by_id: BTreeMap<u64, Instance>,
+    /// The ids of the instances called in the current batch: no others can have lines to write.
     called: BTreeSet<u64>,
 }
 
-impl Hosted {
-    /// Turns one line into one call; `true` at the end of a batch.
-    fn take(&mut self, text: &str) -> Result<bool, String> {
-        let line: Line = serde_json::from_str(text).map_err(|e| e.to_string())?;
+impl Instances {
+    /// Handles one line. Returns `true` if the line ends a batch.
+    fn handle_line(&mut self, text: &str) -> Result<bool, String> {
+        let line: InputLine = serde_json::from_str(text).map_err(|e| e.to_string())?;
         match &*line.kind {
             "mark" => self.now = Instant(line.sim_time_ns),
             "flush" => return Ok(true),
             "born" => {
                 let facts = line.facts.as_ref().ok_or("no facts")?;
-                let who = line.who.ok_or("no instance named")?;
-                self.instances.insert(who, facts::instance(who, line.nonce64, facts)?);
-                self.call(&line, |node, now| node.dispatcher.start(now))?;
+                let id = line.who.ok_or("no instance named")?;
+                self.by_id.insert(id, startup::build_instance(id, line.nonce64, facts)?);
+                self.call(&line, |instance, now| instance.dispatcher.start(now))?;
             }
             "detach" => {
-                let who = line.who.ok_or("no instance named")?;
-                self.instances.remove(&who).ok_or_else(|| format!("no instance {who}"))?;
+                let id = line.who.ok_or("no instance named")?;
+                self.by_id.remove(&id).ok_or_else(|| format!("no instance {id}"))?;
             }
-            _ => self.tell(&line)?,
+            _ => self.handle_event(&line)?,
         }
         Ok(false)
     }
 
-    /// The lines that tell one node of something that happened.
-    #[expect(clippy::too_many_lines, reason = "one arm for each kind of line")]
-    fn tell(&mut self, line: &Line) -> Result<(), String> {
+    /// Handles a line that is an event for one instance.
+    #[expect(clippy::too_many_lines, reason = "one arm for each type of line")]
+    fn handle_event(&mut self, line: &InputLine) -> Result<(), String> {
         match &*line.kind {
             "membership" => match &*line.mode {
-                "broken" => self.call(line, |node, _| node.dispatcher.executor_list_lost()),
+                "broken" => self.call(line, |instance, _| instance.dispatcher.executor_list_lost()),
                 "patch" | "whole" | "stale_copy" => {
-                    let standings: Vec<ExecutorStatus> =
-                        line.elements.iter().map(|e| standing(&e.stage_state)).collect::<Result<_, _>>()?;
-                    self.call(line, |node, now| {
+                    let statuses: Vec<ExecutorStatus> = line
+                        .elements
+                        .iter()
+                        .map(|e| parse_status(&e.stage_state))
+                        .collect::<Result<_, _>>()?;
+                    self.call(line, |instance, now| {
                         let mut entries = Vec::with_capacity(line.elements.len());
-                        for (e, &standing) in line.elements.iter().zip(&standings) {
+                        for (e, &status) in line.elements.iter().zip(&statuses) {
                             entries.push(ListedExecutor {
-                                executor: node.door.borrow_mut().executor(&e.executor),
+                                executor: instance.wire.borrow_mut().executor(&e.executor),
                                 name: &e.executor,
-                                status: standing,
-                                started: Some(Instant(e.started_at_ns)).filter(|at| at.0 > 0),
+                                status,
+                                started: Some(Instant(e.started_at_ns)).filter(|started| started.0 > 0),
                                 kind: e.model,
                                 zone: e.dc,
                                 cell: e.pod,
@@ -149,7 +153,7 @@
                                 reports_own_status: false,
                             });
                         }
-                        node.dispatcher.update_executors(
+                        instance.dispatcher.update_executors(
                             now,
                             ListUpdate::complete_if(line.mode != "patch"),
                             &entries,
@@ -169,93 +173,95 @@
                     slots: line.slots.unwrap_or(1.0),
                     over_budget: false,
                 };
-                self.call(line, |node, now| {
-                    let unit = node.door.borrow_mut().arrival(msg_id);
-                    node.dispatcher.request_arrived(now, unit, &arrival);
+                self.call(line, |instance, now| {
+                    let request = instance.wire.borrow_mut().add_request(msg_id);
+                    instance.dispatcher.request_arrived(now, request, &arrival);
                 })
             }
             "head_received" => {
-                self.call_known(line, |node, _, id| node.dispatcher.response_started(id.request))
+                self.call_open(line, |instance, _, id| instance.dispatcher.response_started(id.request))
             }
             "hint_update" => {
                 let executor = self.known_executor(line)?;
-                self.call_known(line, |node, now, id| {
+                self.call_open(line, |instance, now, id| {
                     if let Some(executor) = executor {
-                        node.dispatcher.attempt_progressed(now, id, executor);
+                        instance.dispatcher.attempt_progressed(now, id, executor);
                     }
                 })
             }
             "returned" => {
-                let ending = ending(&line.disposition)?;
+                let outcome = parse_outcome(&line.disposition)?;
                 let executor = self.known_executor(line)?;
-                self.call_known(line, |node, now, id| {
-                    let report = node.report(line.usage.as_deref());
-                    node.door.borrow_mut().returned(id.request, line.finished);
+                self.call_open(line, |instance, now, id| {
+                    let report = instance.report(line.usage.as_deref());
+                    instance.wire.borrow_mut().attempt_ended(id.request, line.finished);
                     if let Some(executor) = executor {
-                        node.dispatcher.attempt_ended(now, id, executor, ending, line.finished, report);
+                        instance.dispatcher.attempt_ended(now, id, executor, outcome, line.finished, report);
                     }
                 })
             }
-            "withdrawn" => self.call_known(line, |node, _, id| {
-                node.door.borrow_mut().finished(id.request);
-                node.dispatcher.finish(id.request);
+            "withdrawn" => self.call_open(line, |instance, _, id| {
+                instance.wire.borrow_mut().request_finished(id.request);
+                instance.dispatcher.finish(id.request);
             }),
-            "bell" => self.call(line, |node, now| node.dispatcher.timer_fired(now, line.name)),
+            "bell" => self.call(line, |instance, now| instance.dispatcher.timer_fired(now, line.name)),
             "pong" => {
                 let executor = self.known_executor(line)?;
-                self.call(line, |node, now| {
-                    let report = node.report(line.usage.as_deref());
+                self.call(line, |instance, now| {
+                    let report = instance.report(line.usage.as_deref());
                     if let Some(executor) = executor {
-                        node.dispatcher.load_reported(now, executor, report);
+                        instance.dispatcher.load_reported(now, executor, report);
                     }
                 })
             }
             "from_peer" => {
                 let payload = line.payload.as_deref().ok_or("no payload")?;
-                let word = hex::decode(payload).map_err(|e| format!("payload {payload:?}: {e}"))?;
+                let message = hex::decode(payload).map_err(|e| format!("payload {payload:?}: {e}"))?;
                 let from = line.from.ok_or("no sender")?;
-                self.call(line, |node, now| node.dispatcher.load_message_received(now, from, &word))
+                self.call(line, |instance, now| {
+                    instance.dispatcher.load_message_received(now, from, &message);
+                })
             }
             other => Err(format!("unknown message type {other:?}")),
         }
     }
 
-    fn instance(&mut self, line: &Line) -> Result<&mut Instance, String> {
-        let who = line.who.ok_or("no instance named")?;
-        self.instances.get_mut(&who).ok_or_else(|| format!("no instance {who}"))
+    fn instance(&mut self, line: &InputLine) -> Result<&mut Instance, String> {
+        let id = line.who.ok_or("no instance named")?;
+        self.by_id.get_mut(&id).ok_or_else(|| format!("no instance {id}"))
     }
 
-    /// Calls one node; a failure inside its decisions goes out as the wire's `panic`.
-    fn call(&mut self, line: &Line, call: impl FnOnce(&mut Instance, Instant)) -> Result<(), String> {
+    /// Calls the instance that a line names. If its dispatcher panics, a `panic` line is written.
+    fn call(&mut self, line: &InputLine, call: impl FnOnce(&mut Instance, Instant)) -> Result<(), String> {
         let now = self.now;
         self.called.extend(line.who);
-        let node = self.instance(line)?;
-        if let Err(failure) = catch_unwind(AssertUnwindSafe(|| call(node, now))) {
-            let text = failure.downcast_ref::<String>().map(String::as_str);
-            let text = text.or(failure.downcast_ref::<&str>().copied());
-            node.door.borrow_mut().fault(text.unwrap_or("the decisions failed"));
+        let instance = self.instance(line)?;
+        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| call(instance, now))) {
+            let message = panic.downcast_ref::<String>().map(String::as_str);
+            let message = message.or(panic.downcast_ref::<&str>().copied());
+            instance.wire.borrow_mut().report_panic(message.unwrap_or("the decisions failed"));
         }
         Ok(())
     }
 
-    /// Like `call`, for a line that names a work unit; one that has been forgotten is nobody's business any more.
-    fn call_known(
+    /// Like `call`, for a line that names an attempt of a request. Ignores the line if the request is no longer open.
+    fn call_open(
         &mut self,
-        line: &Line,
+        line: &InputLine,
         call: impl FnOnce(&mut Instance, Instant, AttemptId),
     ) -> Result<(), String> {
         let msg_id = line.msg_id.as_deref().ok_or("no msg_id")?;
-        let Some(unit) = self.instance(line)?.door.borrow().unit(msg_id) else { return Ok(()) };
-        self.call(line, |node, now| call(node, now, AttemptId { request: unit, number: line.go }))
+        let Some(request) = self.instance(line)?.wire.borrow().request(msg_id) else { return Ok(()) };
+        self.call(line, |instance, now| call(instance, now, AttemptId { request, number: line.go }))
     }
 
-    fn known_executor(&mut self, line: &Line) -> Result<Option<ExecutorId>, String> {
+    fn known_executor(&mut self, line: &InputLine) -> Result<Option<ExecutorId>, String> {
         let name = line.executor.as_deref().ok_or("no executor")?;
-        Ok(self.instance(line)?.door.borrow().known_executor(name))
+        Ok(self.instance(line)?.wire.borrow().known_executor(name))
     }
 }
 
-fn standing(state: &str) -> Result<ExecutorStatus, String> {
+fn parse_status(state: &str) -> Result<ExecutorStatus, String> {
     match state {
         "IN" => Ok(ExecutorStatus::Ready),
         "LAME" => Ok(ExecutorStatus::Draining),
@@ -264,7 +270,7 @@
     }
 }
 
-fn ending(disposition: &str) -> Result<AttemptOutcome, String> {
+fn parse_outcome(disposition: &str) -> Result<AttemptOutcome, String> {
     match disposition {
         "done" => Ok(AttemptOutcome::Served),
         "err" => Ok(AttemptOutcome::Error),
@@ -279,18 +285,18 @@
 }
 
 fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut hosted = Hosted::default();
+    let mut instances = Instances::default();
     for (number, text) in input.split(b'\n').enumerate() {
-        let at = |what: String| format!("line {}: {what}", number + 1);
-        let text = text.map_err(|e| at(e.to_string()))?;
-        let text = str::from_utf8(&text).map_err(|e| at(e.to_string()))?;
+        let with_line = |error: String| format!("line {}: {error}", number + 1);
+        let text = text.map_err(|e| with_line(e.to_string()))?;
+        let text = str::from_utf8(&text).map_err(|e| with_line(e.to_string()))?;
         if text.trim().is_empty() {
             continue;
         }
-        if hosted.take(text).map_err(at)? {
-            let called = std::mem::take(&mut hosted.called);
-            for node in called.iter().filter_map(|who| hosted.instances.get(who)) {
-                node.door.borrow_mut().drain(&mut output).map_err(|e| e.to_string())?;
+        if instances.handle_line(text).map_err(with_line)? {
+            let called = std::mem::take(&mut instances.called);
+            for instance in called.iter().filter_map(|id| instances.by_id.get(id)) {
+                instance.wire.borrow_mut().flush(&mut output).map_err(|e| e.to_string())?;
             }
             writeln!(output, r#"{{"type":"ack"}}"#).map_err(|e| e.to_string())?;
             output.flush().map_err(|e| e.to_string())?;
@@ -303,8 +309,8 @@
     CommandLine::parse();
     match serve(io::stdin().lock(), io::BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("grebeusher-bench-adapter: {what}");
+        Err(error) => {
+            eprintln!("grebeusher-bench-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/bench-adapter/tests/batches.rs
+++ b/crates/bench-adapter/tests/batches.rs
@@ -1,4 +1,4 @@
-//! The adapter on small hand-written batches.
+//! Runs the adapter on small hand-written batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -18,15 +18,15 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("its input is a pipe");
+    let mut input = child.stdin.take().expect("standard input is a pipe");
     for line in lines {
-        // An adapter that has stopped on an earlier line no longer reads.
+        // The adapter may have exited on an earlier line and closed its input.
         if writeln!(input, "{}", line.replace('\n', " ")).is_err() {
             break;
         }
     }
     drop(input);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 fn batch<'a>(lines: &[&'a str]) -> Vec<&'a str> {
@@ -36,11 +36,11 @@
 fn answers(lines: &[&str]) -> Vec<serde_json::Value> {
     let output = run(lines);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let text = String::from_utf8(output.stdout).expect("the wire is UTF-8");
+    let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
     text.lines().map(|line| serde_json::from_str(line).expect("each line is JSON")).collect()
 }
 
-fn of_type<'a>(answers: &'a [serde_json::Value], kind: &str) -> Vec<&'a serde_json::Value> {
+fn lines_of_type<'a>(answers: &'a [serde_json::Value], kind: &str) -> Vec<&'a serde_json::Value> {
     answers.iter().filter(|a| a["type"] == kind).collect()
 }
 
@@ -50,48 +50,48 @@
 }
 
 #[test]
-fn a_work_unit_is_issued_under_its_own_names() {
+fn a_request_is_issued_with_the_ids_of_the_wire() {
     let answers = answers(&batch(&[BORN, LIST, ARRIVAL]));
-    assert_eq!(of_type(&answers, "watch").len(), 1);
-    let issued = of_type(&answers, "issue");
+    assert_eq!(lines_of_type(&answers, "watch").len(), 1);
+    let issued = lines_of_type(&answers, "issue");
     assert_eq!((&issued[0]["msg_id"], &issued[0]["executor"]), (&"unit-1".into(), &"executor_a".into()));
     assert_eq!(issued[0]["who"], 3);
     assert!(issued[0]["give_up_after_ns"].as_u64().is_some_and(|t| t < 8_000_000_000));
 }
 
 #[test]
-fn an_ending_without_proof_is_forfeited_and_one_with_proof_is_not() {
+fn a_non_idempotent_request_is_dropped_only_if_it_may_have_run() {
     for (disposition, dropped) in [("econnreset", 1), ("busy", 0)] {
         let returned = format!(
             r#"{{"type":"returned","who":3,"msg_id":"unit-1","disposition":"{disposition}","elapsed_ns":5,"executor":"executor_a","go":0,"usage":[1,0.5]}}"#
         );
         let answers = answers(&batch(&[BORN, LIST, ARRIVAL, &returned, &returned]));
-        assert_eq!(of_type(&answers, "drop_request").len(), dropped, "{disposition}");
+        assert_eq!(lines_of_type(&answers, "drop_request").len(), dropped, "{disposition}");
     }
 }
 
 #[test]
-fn instances_are_strangers_to_each_other() {
+fn instances_do_not_affect_each_other() {
     let other = BORN.replace(r#""who":3"#, r#""who":4"#);
     let (list, arrival) = (LIST.replace("\"who\":3", "\"who\":4"), ARRIVAL.replace("\"who\":3", "\"who\":4"));
     let answers =
         answers(&batch(&[BORN, &other, LIST, &list, ARRIVAL, &arrival, r#"{"type":"detach","who":3}"#]));
-    let issued = of_type(&answers, "issue");
+    let issued = lines_of_type(&answers, "issue");
     assert_eq!(issued.iter().map(|i| i["who"].as_u64()).collect::<Vec<_>>(), [Some(4)]);
 }
 
 #[test]
-fn what_is_malformed_gets_one_plain_message_and_a_failure() {
+fn a_malformed_line_causes_one_message_and_a_failure_status() {
     let cases = [
         ("{\"type\":", "line 2"),
         (r#"{"type":"unheard_of","who":3}"#, "unheard_of"),
         (r#"{"type":"bell","who":8,"name":1}"#, "no instance 8"),
         (r#"{"type":"bell","name":1}"#, "no instance named"),
     ];
-    for (line, what) in cases {
+    for (line, expected) in cases {
         let output = run(&[r#"{"type":"mark","sim_time_ns":1}"#, line]);
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && message.contains(what), "{line}: {message}");
+        assert!(!output.status.success() && message.contains(expected), "{line}: {message}");
         assert_eq!(message.lines().count(), 1, "{message}");
     }
 }
--- a/crates/bench-adapter/tests/stable_words.rs
+++ b/crates/bench-adapter/tests/stable_words.rs
@@ -1,15 +1,15 @@
-//! Words of the bench's wire that other versions write and read: each kind of line in, and each kind of line out with its keys
-//! in their order.
+//! Names on the bench's wire that other versions read and write: each type of input line, and each type of output line with
+//! its keys in order.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-const IN: &str = include_str!("data/lines-in.jsonl");
+const INPUT: &str = include_str!("data/lines-in.jsonl");
 
-/// Each kind of line out by its keys, with `0` for each number.
-const OUT: &[(&str, &str)] = &[
+/// Each type of output line with its keys, with `0` in place of each number.
+const OUTPUT: &[(&str, &str)] = &[
     ("ack", "{\"type\":\"ack\"}"),
     ("decline", "{\"type\":\"decline\",\"who\":0,\"msg_id\":\"unit-3\",\"wait_ns\":0}"),
     ("drop_request", "{\"type\":\"drop_request\",\"who\":0,\"msg_id\":\"unit-2\"}"),
@@ -24,24 +24,24 @@
     ("watch", "{\"type\":\"watch\",\"who\":0,\"enable\":true}"),
 ];
 
-/// What the adapter says to these lines, and whether it ended well.
-fn told(lines: &str) -> (bool, String, String) {
+/// Runs the adapter on these lines. Returns whether it succeeded, its standard output and its standard error.
+fn run_adapter(lines: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_grebeusher-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("its input is a pipe");
-    // An adapter that has stopped on an earlier line no longer reads.
+    let mut input = child.stdin.take().expect("standard input is a pipe");
+    // The adapter may have exited on an earlier line and closed its input.
     let _ = input.write_all(lines.as_bytes());
     drop(input);
-    let output = child.wait_with_output().expect("the adapter ends");
-    let text = |bytes| String::from_utf8(bytes).expect("it is UTF-8");
+    let output = child.wait_with_output().expect("the adapter exits");
+    let text = |bytes| String::from_utf8(bytes).expect("the output is UTF-8");
     (output.status.success(), text(output.stdout), text(output.stderr))
 }
 
-/// A line with `0` for each number, and `""` for the payload, which is of the decisions.
+/// A line with `0` in place of each number and an empty payload, which depends on the decisions.
 fn shape(line: &str) -> String {
     let mut shape = String::new();
     let mut quoted = false;
@@ -53,33 +53,33 @@
             _ => shape.push(c),
         }
     }
-    let payload = shape.find("\"payload\":\"").map(|at| at + "\"payload\":\"".len());
-    if let Some(at) = payload {
-        let end = shape[at..].find('"').map_or(shape.len(), |end| at + end);
-        shape.replace_range(at..end, "");
+    let payload = shape.find("\"payload\":\"").map(|key| key + "\"payload\":\"".len());
+    if let Some(start) = payload {
+        let end = shape[start..].find('"').map_or(shape.len(), |length| start + length);
+        shape.replace_range(start..end, "");
     }
     shape
 }
 
-fn kind(line: &str) -> String {
-    let line: Value = serde_json::from_str(line).expect("it is JSON");
-    line["type"].as_str().expect("it has a type").to_owned()
+fn type_of(line: &str) -> String {
+    let line: Value = serde_json::from_str(line).expect("the line is JSON");
+    line["type"].as_str().expect("the line has a type").to_owned()
 }
 
 #[test]
-fn each_kind_of_line_out_has_its_keys_in_their_order() {
-    let (well, out, said) = told(IN);
-    assert!(well, "{said}");
+fn each_type_of_output_line_has_its_keys_in_order() {
+    let (success, output, errors) = run_adapter(INPUT);
+    assert!(success, "{errors}");
     let mut shapes = BTreeMap::new();
-    for line in out.lines() {
-        shapes.entry(kind(line)).or_insert_with(|| shape(line));
+    for line in output.lines() {
+        shapes.entry(type_of(line)).or_insert_with(|| shape(line));
     }
-    let expected = OUT.iter().map(|(kind, shape)| ((*kind).to_owned(), (*shape).to_owned()));
+    let expected = OUTPUT.iter().map(|(line_type, shape)| ((*line_type).to_owned(), (*shape).to_owned()));
     assert_eq!(shapes, expected.collect());
 }
 
 #[test]
-fn each_kind_of_line_in_is_known() {
+fn each_type_of_input_line_is_known() {
     let known = [
         "bell",
         "born",
@@ -95,22 +95,22 @@
         "withdrawn",
         "work_item",
     ];
-    let mut kinds: Vec<String> = IN.lines().map(kind).collect();
-    kinds.sort();
-    kinds.dedup();
-    assert_eq!(kinds, known);
+    let mut types: Vec<String> = INPUT.lines().map(type_of).collect();
+    types.sort();
+    types.dedup();
+    assert_eq!(types, known);
 }
 
-/// The lines in up to where the first unit is out.
-fn begun() -> String {
-    IN.lines().take(4).map(|line| format!("{line}\n")).collect()
+/// The input lines up to the arrival of the first request.
+fn first_lines() -> String {
+    INPUT.lines().take(4).map(|line| format!("{line}\n")).collect()
 }
 
 #[test]
-fn each_word_that_stands_for_a_choice_is_known() {
-    let returned = |word: &str| {
+fn each_value_of_an_enumeration_is_known() {
+    let returned = |disposition: &str| {
         format!(
-            r#"{{"type":"returned","who":3,"msg_id":"unit-1","executor":"executor_a","disposition":"{word}"}}"#
+            r#"{{"type":"returned","who":3,"msg_id":"unit-1","executor":"executor_a","disposition":"{disposition}"}}"#
         )
     };
     let list = |mode: &str, state: &str| {
@@ -126,13 +126,13 @@
     let lines =
         lines.chain(modes.map(|mode| list(mode, "IN"))).chain(states.map(|state| list("whole", state)));
     for line in lines {
-        let (well, _, said) = told(&format!("{}{line}\n", begun()));
-        assert!(well, "{line}: {said}");
+        let (success, _, errors) = run_adapter(&format!("{}{line}\n", first_lines()));
+        assert!(success, "{line}: {errors}");
     }
 }
 
 #[test]
-fn what_is_wrong_in_a_line_is_refused_in_one_line() {
+fn an_invalid_line_causes_one_line_on_standard_error() {
     let cases = [
         ("{}", "grebeusher-bench-adapter: line 5: unknown message type \"\""),
         (r#"{"type":"other"}"#, "grebeusher-bench-adapter: line 5: unknown message type \"other\""),
@@ -169,9 +169,9 @@
             "grebeusher-bench-adapter: line 5: payload \"x\": Odd number of digits",
         ),
     ];
-    for (line, refused) in cases {
-        let (well, _, said) = told(&format!("{}{line}\n", begun()));
-        assert!(!well, "{line}");
-        assert_eq!(said.trim_end(), refused, "{line}");
+    for (line, expected) in cases {
+        let (success, _, errors) = run_adapter(&format!("{}{line}\n", first_lines()));
+        assert!(!success, "{line}");
+        assert_eq!(errors.trim_end(), expected, "{line}");
     }
 }
--- a/crates/sizing/tests/sizing.rs
+++ b/crates/sizing/tests/sizing.rs
@@ -49,11 +49,11 @@
     #[case] rule: BoundaryRule,
     #[case] bound: f64,
 ) {
-    // given sizes of which the third crosses half of the sum, with more than half of its work above
+    // given sizes of which the fourth, 7, crosses the cut-off with a little more than half of its work above
     let sorted = sample_of([9.0, 1.0, 3.0, 7.0, 2.0]).sorted();
-    // when the cut-off is at a little less than half of the sum
+    // when the cut-off is at a summed work of 9.4
     let cut_offs = CutOffs::at_sums(&sorted, &[9.4], rule);
-    // then the third size is in the lane that the rule names
+    // then the fourth size is in the lane that the rule names
     assert_eq!(cut_offs.bounds(), [bound]);
     assert_eq!(CutOffs::at_sums(&sorted, &[f64::NAN], rule), CutOffs::one_lane());
 }
