--- a/crates/bench-adapter/src/main.rs
+++ b/crates/bench-adapter/src/main.rs
@@ -33,7 +33,9 @@
     #[serde(borrow, rename = "type")]
     kind: Cow<'a, str>,
     sim_time_ns: u64,
+    /// The id of the instance.
     who: Option<u64>,
+    /// The seed of a new instance.
     nonce64: u64,
     facts: Option<Value>,
     #[serde(borrow)]
@@ -47,7 +49,9 @@
     not_after_ns: u64,
     effort_ns: f64,
     slots: Option<f64>,
+    /// Bit 0: `effort_ns` is known. Bit 1: the client has sent the request before.
     bits: u64,
+    /// The number of the attempt.
     go: usize,
     #[serde(borrow)]
     executor: Option<Cow<'a, str>>,
@@ -56,6 +60,7 @@
     #[serde(rename = "final")]
     finished: bool,
     usage: Option<Vec<Option<f64>>>,
+    /// The number of the timer.
     name: u64,
     from: Option<u64>,
     #[serde(borrow)]
--- a/crates/dispatch/tests/stable_bytes.rs
+++ b/crates/dispatch/tests/stable_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes written by earlier versions that this one must read and write unchanged: the words that nodes send one another.
+//! Bytes of earlier versions that this version must read and write unchanged: the load messages between nodes.
 
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::load_message::{LoadMessage, MAX_COUNTS_PER_MESSAGE, MAX_MESSAGE_BYTES, short_hash};
@@ -13,7 +13,7 @@
         ),
     ];
     for (message, bytes) in sent_messages {
-        // One that is added is to be added here as well.
+        // Every variant has a sample above; a new one fails to compile here.
         match message {
             LoadMessage::Own { .. } | LoadMessage::All { .. } => {}
         }
@@ -27,7 +27,7 @@
     );
 }
 
-/// Names stand as hashes in what nodes tell each other and in what keepers agree on.
+/// Nodes and quorum replicas exchange names as hashes.
 #[test]
 fn names_are_hashed_as_they_were() {
     let hashes = [
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One tiny fake host that writes down what it is asked, and a scenario that plays against it.
+//! A host that records the actions of a dispatcher, and scenarios that drive a dispatcher with it.
 
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::host::Host;
@@ -22,40 +22,45 @@
     WatchExecutors,
 }
 
-/// A word, and the one node that it goes to or all.
+/// The recipient of a load message (`None` for all other nodes) and its bytes.
 pub type SentMessage = (Option<u64>, Vec<u8>);
 
-/// What was said and told, and whether there is no part of a budget for retries.
+/// A host that records all actions; its clones share the records.
 #[derive(Clone, Default)]
-pub struct RecordingHost(pub Rc<RefCell<Vec<Action>>>, pub Rc<RefCell<Vec<SentMessage>>>, pub Rc<Cell<bool>>);
+pub struct RecordingHost {
+    pub actions: Rc<RefCell<Vec<Action>>>,
+    pub sent_messages: Rc<RefCell<Vec<SentMessage>>>,
+    /// Whether the fleet's retry budget is used up.
+    pub denies_retries: Rc<Cell<bool>>,
+}
 
 impl Host for RecordingHost {
     fn allocate(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration) {
-        self.0.borrow_mut().push(Action::Allocate(request.0, executor.0, time_out));
+        self.actions.borrow_mut().push(Action::Allocate(request.0, executor.0, time_out));
     }
     fn may_retry(&mut self, _: RequestId) -> bool {
-        !self.2.get()
+        !self.denies_retries.get()
     }
     fn cancel(&mut self, attempt: AttemptId) {
-        self.0.borrow_mut().push(Action::Cancel(attempt.request.0, attempt.number));
+        self.actions.borrow_mut().push(Action::Cancel(attempt.request.0, attempt.number));
     }
-    fn reject(&mut self, request: RequestId, _come_back: Option<Duration>) {
-        self.0.borrow_mut().push(Action::Reject(request.0));
+    fn reject(&mut self, request: RequestId, _retry_after: Option<Duration>) {
+        self.actions.borrow_mut().push(Action::Reject(request.0));
     }
     fn fail(&mut self, request: RequestId) {
-        self.0.borrow_mut().push(Action::Fail(request.0));
+        self.actions.borrow_mut().push(Action::Fail(request.0));
     }
-    fn set_timer(&mut self, after: Duration, alarm: u64) {
-        self.0.borrow_mut().push(Action::SetTimer(after, alarm));
+    fn set_timer(&mut self, after: Duration, timer: u64) {
+        self.actions.borrow_mut().push(Action::SetTimer(after, timer));
     }
     fn probe(&mut self, executor: ExecutorId) {
-        self.0.borrow_mut().push(Action::Probe(executor.0));
+        self.actions.borrow_mut().push(Action::Probe(executor.0));
     }
     fn send_load(&mut self, node: Option<u64>, message: &[u8]) {
-        self.1.borrow_mut().push((node, message.to_vec()));
+        self.sent_messages.borrow_mut().push((node, message.to_vec()));
     }
     fn watch_executors(&mut self) {
-        self.0.borrow_mut().push(Action::WatchExecutors);
+        self.actions.borrow_mut().push(Action::WatchExecutors);
     }
 }
 
@@ -69,7 +74,7 @@
     grace: Duration::from_nanos(0),
     max_retry_after: None,
 };
-/// A size that stands for no hint at all: the unit joins no sample, and one lane stays.
+/// A size in milliseconds that means no hint: the request is not sampled, so that there is still one lane.
 pub const UNHINTED: u64 = 0;
 pub const IDEMPOTENT: usize = 0;
 pub const NON_IDEMPOTENT: usize = 1;
@@ -121,7 +126,7 @@
         })
 }
 
-/// A node some way into its life, with a clock of its own.
+/// A dispatcher with a recording host and a clock of its own.
 pub struct Scenario {
     pub node: Dispatcher<RecordingHost>,
     pub host: RecordingHost,
@@ -133,12 +138,12 @@
         Scenario::at(0, executors, policy, false)
     }
 
-    /// At one of the two nodes, with probes or without: with them it asks before it sends.
+    /// One of two nodes, with or without probes.
     pub fn at(node: u64, executors: usize, policy: AttemptPolicy, probes: bool) -> Scenario {
         Scenario::new((node, 2), executors, policy, probes, true)
     }
 
-    /// One of two nodes that may send each other words.
+    /// One of two nodes with load sharing.
     pub fn with_load_sharing(node: u64, executors: usize) -> Scenario {
         let mut scenario = Scenario::at(node, executors, POLICY, false);
         scenario.node =
@@ -148,17 +153,17 @@
         scenario
     }
 
-    /// What was said to other nodes since the last look.
+    /// Returns the load messages that were sent since the last call.
     pub fn sent_messages(&self) -> Vec<SentMessage> {
-        self.host.1.take()
+        self.host.sent_messages.take()
     }
 
-    /// Where starts are told, or not.
-    pub fn told(executors: usize, policy: AttemptPolicy, starts: bool) -> Scenario {
+    /// A node whose executors report starts or not.
+    pub fn with_starts(executors: usize, policy: AttemptPolicy, starts: bool) -> Scenario {
         Scenario::new((0, 2), executors, policy, false, starts)
     }
 
-    /// All nodes of a fleet, each with what it says; none hears of the others.
+    /// All nodes of a fleet, each with its own host; they exchange no messages.
     pub fn fleet(nodes: u64, executors: usize) -> Vec<Scenario> {
         (0..nodes).map(|node| Scenario::new((node, nodes), executors, POLICY, false, true)).collect()
     }
@@ -179,27 +184,27 @@
         scenario
     }
 
-    /// A whole list of so many.
+    /// Delivers a complete list of so many executors, and drops the recorded actions.
     pub fn list(&mut self, executors: usize) {
         let names: Vec<String> = (0..executors).map(|i| format!("executor-{i}")).collect();
         let entries: Vec<ListedExecutor> =
             names.iter().enumerate().map(|(i, name)| listing(i, name)).collect();
         self.node.update_executors(self.now, ListUpdate::Complete, &entries);
-        self.host.0.borrow_mut().clear();
+        self.host.actions.borrow_mut().clear();
     }
 
-    /// One that has just started joins the list.
-    pub fn list_warming(&mut self, index: usize) {
-        let slow_start = ListedExecutor { started: Some(self.now), ..listing(index, "cold") };
-        self.node.update_executors(self.now, ListUpdate::Changes, &[slow_start]);
+    /// Adds an executor to the list that has just started.
+    pub fn list_cold(&mut self, index: usize) {
+        let cold = ListedExecutor { started: Some(self.now), ..listing(index, "cold") };
+        self.node.update_executors(self.now, ListUpdate::Changes, &[cold]);
     }
 
-    /// So many units of one size run one after the other, for so many milliseconds each.
+    /// Runs so many requests of one size one after the other, each for `run_ms` milliseconds.
     pub fn run_requests(&mut self, requests: u64, size_ms: u64, run_ms: u64) {
         for request in 0..requests {
             self.arrive(request, NON_IDEMPOTENT, size_ms);
             let executor = self.sent_to();
-            self.start_of(request, 0, executor);
+            self.report_start(request, 0, executor);
             self.pass(run_ms);
             self.end(request, 0, executor, AttemptOutcome::Served);
         }
@@ -217,14 +222,15 @@
         self.arrive_with(request, class, size_ms, 10_000);
     }
 
-    pub fn arrive_with(&mut self, request: u64, class: usize, size_ms: u64, ms: u64) {
+    pub fn arrive_with(&mut self, request: u64, class: usize, size_ms: u64, deadline_ms: u64) {
         let hint = Some(Duration::from_millis(size_ms));
-        self.arrive_as(request, Arrival { class, hint, ..self.arrival(ms) });
+        self.arrive_as(request, Arrival { class, hint, ..self.arrival(deadline_ms) });
     }
 
-    /// A plain arrival whose the deadline ends in so many milliseconds, to be changed where a scenario needs it.
-    pub fn arrival(&self, ms: u64) -> Arrival {
-        let (deadline, hint) = (self.now + Duration::from_millis(ms), Some(Duration::from_millis(100)));
+    /// An arrival with usual values and a deadline in so many milliseconds.
+    pub fn arrival(&self, deadline_ms: u64) -> Arrival {
+        let (deadline, hint) =
+            (self.now + Duration::from_millis(deadline_ms), Some(Duration::from_millis(100)));
         Arrival {
             class: NON_IDEMPOTENT,
             customer: 0,
@@ -240,8 +246,8 @@
         self.node.request_arrived(self.now, RequestId(request), &arrival);
     }
 
-    pub fn end(&mut self, request: u64, number: usize, executor: usize, ending: AttemptOutcome) {
-        self.end_with(request, number, executor, ending, None);
+    pub fn end(&mut self, request: u64, number: usize, executor: usize, outcome: AttemptOutcome) {
+        self.end_with(request, number, executor, outcome, None);
     }
 
     pub fn end_with(
@@ -249,15 +255,15 @@
         request: u64,
         number: usize,
         executor: usize,
-        ending: AttemptOutcome,
-        message: Option<LoadReport>,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
     ) {
         let id = AttemptId { request: RequestId(request), number };
-        let finished = ending == AttemptOutcome::Served;
-        self.node.attempt_ended(self.now, id, ExecutorId(executor), ending, finished, message);
+        let finished = outcome == AttemptOutcome::Served;
+        self.node.attempt_ended(self.now, id, ExecutorId(executor), outcome, finished, report);
     }
 
-    pub fn start_of(&mut self, request: u64, number: usize, executor: usize) {
+    pub fn report_start(&mut self, request: u64, number: usize, executor: usize) {
         self.node.attempt_progressed(
             self.now,
             AttemptId { request: RequestId(request), number },
@@ -265,18 +271,18 @@
         );
     }
 
-    /// What was said since the last look, without the alarms.
+    /// Returns the actions since the last call, except timers.
     pub fn actions(&mut self) -> Vec<Action> {
-        let mut host = self.host.0.take();
-        host.retain(|s| !matches!(s, Action::SetTimer(..)));
-        host
+        let mut actions = self.host.actions.take();
+        actions.retain(|action| !matches!(action, Action::SetTimer(..)));
+        actions
     }
 
-    /// The executor that the one thing said was an attempt to.
+    /// The executor of the attempt that was the only action since the last call.
     pub fn sent_to(&mut self) -> usize {
         match self.actions()[..] {
             [Action::Allocate(_, executor, _)] => executor,
-            ref other => panic!("expected one allocation, heard {other:?}"),
+            ref other => panic!("expected one allocation, found {other:?}"),
         }
     }
 }
