--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -150,7 +150,7 @@
 pub struct WireHost(pub Rc<RefCell<WireState>>);
 
 impl Host for WireHost {
-    fn allocate(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration) {
+    fn send_attempt(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration) {
         let wire = &mut *self.0.borrow_mut();
         let Some(open) = wire.open_requests.get_mut(&request) else { return };
         open.attempts_in_flight += 1;
--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -21,11 +21,11 @@
     Cancelled,
     /// Nothing of the request was sent.
     NeverSent,
-    /// The connection broke before the whole request was sent, or this node could not open one. This tells nothing of
-    /// the executor.
-    CutOff,
-    /// The executor could not interpret the request. This tells nothing of the executor.
-    Unusable,
+    /// The connection broke before the whole request was sent, or this node could not open one. The executor is not at
+    /// fault.
+    SendFailed,
+    /// The executor could not interpret the request. The executor is not at fault.
+    InvalidRequest,
 }
 
 impl AttemptOutcome {
@@ -36,21 +36,21 @@
             AttemptOutcome::Full
                 | AttemptOutcome::Refused
                 | AttemptOutcome::NeverSent
-                | AttemptOutcome::CutOff
+                | AttemptOutcome::SendFailed
         )
     }
 }
 
-/// How many retries and hedges a node may send within any period of `span`: `free` of them, and a `share` of the number
-/// of requests that arrived in the period.
+/// How many retries and hedges a node may send within any period of `window`: `base`, and `ratio` for each request
+/// that arrived in the period.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     /// The length of the sliding window over which retries and arrivals are counted.
-    pub span: Duration,
+    pub window: Duration,
     /// The number of retries allowed in the window regardless of arrivals.
-    pub free: f64,
+    pub base: f64,
     /// The number of further retries allowed for each request that arrived in the window.
-    pub share: f64,
+    pub ratio: f64,
 }
 
 /// How often and in what way a request may be attempted.
@@ -62,15 +62,15 @@
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether a cancelled attempt that still waits leaves its executor's queue. The operators guarantee it, since no
-    /// message to a node tells.
+    /// Whether a cancelled attempt that still waits leaves its executor's queue. The operators guarantee it: no message
+    /// to a node shows it.
     pub cancel_dequeues: bool,
     /// How much earlier or later than stated the deadline of a request may be, since clocks differ.
     pub deadline_error: Duration,
     /// The limit on the node's retries and hedges, if there is one.
     pub retry_budget: Option<RetryBudget>,
     /// How long requests may still be sent to an executor after it was announced as draining.
-    pub grace: Duration,
+    pub drain_grace: Duration,
     /// The longest retry-after time that clients observe; `None` if it cannot be sent to them.
     pub max_retry_after: Option<Duration>,
 }
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -37,7 +37,7 @@
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// Executors report progress at a fixed interval; this many intervals without a report are no coincidence.
 const SILENT_INTERVALS: f64 = 2.5;
-/// With fewer known sizes than this, one lane holds all executors (design page).
+/// With fewer known sizes than this, one lane holds all executors (see docs/design.md).
 const MIN_SAMPLES: usize = 50;
 /// How much later than this node others may count what it sends: two attempts sent a window apart may arrive closer together.
 const RECEIPT_DELAY: Duration = Duration::from_millis(50);
@@ -73,8 +73,8 @@
 impl<H: Host> Dispatcher<H> {
     /// Starts the node; this has to be the first event.
     pub fn start(&mut self, now: Instant) {
-        (self.cut_offs_computed, self.sharing.last_received, self.slow_start.from) =
-            (now, now, now + self.slow_start.fall_window);
+        (self.cut_offs_computed, self.sharing.last_received, self.slow_start.not_before) =
+            (now, now, now + self.slow_start.window);
         // The random first delay keeps nodes that start together from doing their housekeeping at the same time.
         let first = Duration::from_seconds(HOUSEKEEPING_INTERVAL.seconds() * self.rng.random::<f64>());
         self.host.set_timer(first, HOUSEKEEPING_TIMER);
@@ -94,12 +94,12 @@
 
     /// Sets whether another process of this node sends to cold executors: the two processes share one budget.
     pub fn set_slow_start_elsewhere(&mut self, now: Instant, elsewhere: bool) {
-        self.slow_start.from = if elsewhere { Instant(u64::MAX) } else { now + self.slow_start.fall_window };
+        self.slow_start.not_before = if elsewhere { Instant(u64::MAX) } else { now + self.slow_start.window };
     }
 
     /// Recomputes cut-offs and lanes, exchanges load messages, and retries queued requests.
     fn housekeep(&mut self, now: Instant) {
-        const CUT_OFF_INTERVAL: Duration = Duration::from_millis(5000); // design page
+        const CUT_OFF_INTERVAL: Duration = Duration::from_millis(5000); // see docs/design.md
         self.host.set_timer(HOUSEKEEPING_INTERVAL, HOUSEKEEPING_TIMER);
         // While an executor is cold, a node that knows few sizes recomputes speeds, slots and the mean size every time. Guards
         // against nodes restarted together that leave cold executors idle, as they overestimate the size of a request.
@@ -113,6 +113,6 @@
         if self.sharing.allowed {
             self.exchange_load(now);
         }
-        self.serve_pending(now);
+        self.serve_queued(now);
     }
 }
--- a/crates/dispatch/src/decide/builder.rs
+++ b/crates/dispatch/src/decide/builder.rs
@@ -52,8 +52,8 @@
 
     /// Sets what the node may ask of executors and what they report. A progress interval of zero counts as none.
     pub fn with_signals(mut self, signals: ExecutorSignals) -> Self {
-        let progress = signals.progress.filter(|interval| interval.nanos() > 0);
-        self.signals = ExecutorSignals { progress, ..signals };
+        let progress_interval = signals.progress_interval.filter(|interval| interval.nanos() > 0);
+        self.signals = ExecutorSignals { progress_interval, ..signals };
         self
     }
 
--- a/crates/dispatch/src/decide/executor.rs
+++ b/crates/dispatch/src/decide/executor.rs
@@ -1,4 +1,4 @@
-//! What is known of one executor, and what a node's own attempts tell of its load, its wait and its room.
+//! What is known of one executor, and what a node's own attempts show about its load, its wait and its room.
 
 use super::RECEIPT_DELAY;
 use crate::time::DurationExt;
@@ -83,7 +83,7 @@
     /// a burst of attempts to an executor that looks idle. `None` where nothing is known.
     pub(super) fn load(&self, now: Instant) -> Option<f64> {
         const REPORT_LAG: Duration = Duration::from_millis(1000); // a report averages over this and misses the newest attempts
-        const STALE: Duration = Duration::from_millis(6000); // several usual report intervals, after which it tells nothing
+        const STALE: Duration = Duration::from_millis(6000); // several usual report intervals, after which it is worthless
         if let Some(filled) = self.filled(now) {
             return Some(filled / self.width());
         }
@@ -123,7 +123,7 @@
     /// How many seconds of a standard core's work all nodes together may send within a window; `None` unless it is cold.
     pub(super) fn slow_start_budget(&self, limits: &SlowStart, now: Instant) -> Option<f64> {
         let started = self.cold_since.max(self.crashed).filter(|&started| now < started + limits.warm_up)?;
-        Some(limits.least(now.since(started)) * self.capacity * limits.fall_factor)
+        Some(limits.min_work_s(now.since(started)) * self.capacity * limits.overload_factor)
     }
 
     /// Whether it may be sent one more request. Each counts as one of mean `size`: a cold executor is overloaded by the number
@@ -132,15 +132,15 @@
     /// an executor that stays idle because the few nodes that may use it see little traffic.
     pub(super) fn slow_start_admits(&self, limits: &SlowStart, nodes: u64, now: Instant, size: f64) -> bool {
         const USED_SHARE: f64 = 0.8; // of the budget; the rest covers an executor that is slower than its kind
-        const FIRST: usize = 3; // in flight before any answer: one long request must not keep all others out
+        const MIN_LIMIT: usize = 3; // attempts in flight before any answer: one long request must not keep others out
         let Some(budget) = self.slow_start_budget(limits, now) else { return true };
         let max_requests = budget * USED_SHARE / size;
         let sender_count = (max_requests as u64).clamp(1, nodes);
-        let window = limits.fall_window + RECEIPT_DELAY;
+        let window = limits.window + RECEIPT_DELAY;
         let sent = self.cold_sends.iter().filter(|&&sent| now.since(sent) <= window).count();
-        now >= limits.from
+        now >= limits.not_before
             && self.slow_start_rank < sender_count
-            && self.in_flight.len() < FIRST + self.served
+            && self.in_flight.len() < MIN_LIMIT + self.served
             && (sent + 1) as f64 <= max_requests / sender_count as f64
     }
 }
--- a/crates/dispatch/src/decide/executor_list.rs
+++ b/crates/dispatch/src/decide/executor_list.rs
@@ -41,15 +41,15 @@
             }
         }
         self.form_lanes(now);
-        self.serve_pending(now);
+        self.serve_queued(now);
     }
 
-    /// This node has the list as discovery had it at `as_of`; `answered` tells whether discovery itself said so. The list is
-    /// used until a later change counts as announced, whether or not it arrived here, and its grace is over.
+    /// This node has the list as discovery had it at `as_of`; `answered` if discovery itself said so. The list is valid until a
+    /// later change counts as announced, even if it did not arrive here, and the drain grace is over.
     pub fn executor_list_confirmed(&mut self, as_of: Instant, answered: bool) {
         self.watch_failures *= u32::from(!answered);
         const ANNOUNCEMENT_TIMEOUT: Duration = Duration::from_millis(6000); // even if this node's calls fail
-        self.list_valid_until = Some(as_of + ANNOUNCEMENT_TIMEOUT + self.policy.grace - RECEIPT_DELAY);
+        self.list_valid_until = Some(as_of + ANNOUNCEMENT_TIMEOUT + self.policy.drain_grace - RECEIPT_DELAY);
     }
 
     /// A request for the list failed, or the stream of its changes broke.
--- a/crates/dispatch/src/decide/health.rs
+++ b/crates/dispatch/src/decide/health.rs
@@ -1,4 +1,4 @@
-//! What starts, outcomes and load reports tell of executors, and outlier ejection.
+//! What starts, outcomes and load reports show about executors, and outlier ejection.
 
 use super::{Dispatcher, executor::InFlight, pending::Attempt};
 use crate::time::DurationExt;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// An attempt ended. `finished` tells whether its request has had its final answer.
+    /// An attempt ended; `finished` if its request has had its final answer.
     pub fn attempt_ended(
         &mut self,
         now: Instant,
@@ -47,10 +47,10 @@
             }
             if finished { self.finish(id.request) } else { self.retry_or_answer(now, id.request, outcome) }
         }
-        self.serve_pending(now);
+        self.serve_queued(now);
     }
 
-    /// A probe ended or a message with a load report arrived. No report tells too little: the queue is full, or a message lost.
+    /// A probe ended or a load report arrived. A missing report changes nothing: the queue may be full, or a message lost.
     pub fn load_reported(&mut self, now: Instant, executor: ExecutorId, report: Option<LoadReport>) {
         let Some((e, report)) = self.executors.get_mut(executor.0).zip(report) else { return };
         if let Some(utilisation) = report.utilisation.filter(|value| value.is_finite()) {
@@ -67,7 +67,6 @@
         }
     }
 
-    /// Records what an outcome tells of its executor.
     fn record_outcome(&mut self, now: Instant, id: AttemptId, executor: ExecutorId, outcome: AttemptOutcome) {
         let Some(e) = self.executors.get_mut(executor.0) else { return };
         let attempt = e.in_flight.iter().position(|a| a.id == id).map(|index| e.in_flight.swap_remove(index));
--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -27,7 +27,7 @@
         if self.sharing.allowed {
             self.sharing.order.clone_from(&self.ready_order);
             self.sharing.order.sort_by_key(|&i| short_hash(self.executors[i].hash));
-            self.sharing.list = short_hash(self.ready().fold(0, |sum, e| sum ^ mixed(e.hash)));
+            self.sharing.list_hash = short_hash(self.ready().fold(0, |sum, e| sum ^ mixed(e.hash)));
         }
         // Executors of the own zone come first, by a sixth of their rank: crossing zones costs, but executors and clients are
         // spread unevenly, so that zones have to balance each other. Before them come the cold executors to which this node
@@ -63,8 +63,8 @@
         for e in &mut self.executors {
             let own = kinds.get(&e.kind).copied().unwrap_or_default();
             let known = own.and(self.stats.received_kind(e.kind));
-            if known.ran > 0.0 {
-                e.speed = known.done / known.ran;
+            if known.slot_s > 0.0 {
+                e.speed = known.work_s / known.slot_s;
                 e.capacity = e.speed * known.slots;
             }
         }
@@ -75,7 +75,7 @@
         let mut kinds: BTreeMap<usize, LearnedKind> = BTreeMap::new();
         for e in self.ready().filter(|e| e.slot_s > 0.0) {
             let known = kinds.entry(e.kind).or_default();
-            *known = known.and(LearnedKind { done: e.work_s, ran: e.slot_s, slots: e.width() });
+            *known = known.and(LearnedKind { work_s: e.work_s, slot_s: e.slot_s, slots: e.width() });
         }
         kinds
     }
--- a/crates/dispatch/src/decide/load_sharing.rs
+++ b/crates/dispatch/src/decide/load_sharing.rs
@@ -16,7 +16,7 @@
     pub(super) received: BTreeMap<u64, (Instant, Vec<(u16, u8)>)>,
     /// Indices of the ready executors in the order of the sums, and the short hash of their set.
     pub(super) order: Vec<usize>,
-    pub(super) list: u16,
+    pub(super) list_hash: u16,
 }
 
 impl<H: Host> Dispatcher<H> {
@@ -26,12 +26,12 @@
         match LoadMessage::decode(message).filter(|_| sharing.allowed) {
             Some(LoadMessage::Own { filled }) => drop(sharing.received.insert(node, (now, filled))),
             // An aggregator that returns after the others chose another receives nothing from them, and follows their choice.
-            Some(LoadMessage::All { list, first, filled })
+            Some(LoadMessage::Sums { list_hash, first, filled })
                 if node <= sharing.aggregator
                     || sharing.aggregator == self.node && sharing.received.is_empty() =>
             {
                 (sharing.aggregator, sharing.last_received) = (node, now);
-                if list == sharing.list {
+                if list_hash == sharing.list_hash {
                     self.record_sums(now, first, &filled);
                 }
             }
@@ -70,8 +70,9 @@
             }
         }
         for (number, chunk) in sums.chunks(MAX_COUNTS_PER_MESSAGE).enumerate() {
-            let (list, first) = (self.sharing.list, number * MAX_COUNTS_PER_MESSAGE);
-            self.host.send_load(None, &LoadMessage::All { list, first, filled: chunk.to_vec() }.encode());
+            let (list_hash, first) = (self.sharing.list_hash, number * MAX_COUNTS_PER_MESSAGE);
+            let message = LoadMessage::Sums { list_hash, first, filled: chunk.to_vec() };
+            self.host.send_load(None, &message.encode());
             if self.sharing.aggregator == self.node {
                 self.record_sums(now, first, chunk);
             }
--- a/crates/dispatch/src/decide/pending.rs
+++ b/crates/dispatch/src/decide/pending.rs
@@ -3,7 +3,6 @@
 use crate::time::DurationExt;
 use crate::{Duration, ExecutorId, Instant};
 
-/// One attempt of a request.
 pub(super) struct Attempt {
     pub(super) executor: ExecutorId,
     pub(super) sent: Instant,
--- a/crates/dispatch/src/decide/placement.rs
+++ b/crates/dispatch/src/decide/placement.rs
@@ -86,7 +86,7 @@
     /// Sends one attempt of a request, and sets a timer for its review if it may be retried.
     pub(super) fn send(&mut self, now: Instant, request: RequestId, executor: ExecutorId) {
         const REVIEW_DELAY: Duration = Duration::from_millis(150); // an attempt not started by then is reviewed
-        const PROBE_INTERVAL: Duration = Duration::from_millis(3000); // only of used executors, as probes cost (design page)
+        const PROBE_INTERVAL: Duration = Duration::from_millis(3000); // only of used executors, as probes cost (docs/design.md)
         let Some(pending) = self.requests.get_mut(&request) else { return };
         let e = &mut self.executors[executor.0];
         (pending.queued, self.attempts_in_flight) = (false, self.attempts_in_flight + 1);
@@ -99,7 +99,7 @@
         let time_out = (pending.deadline - ANSWER_MARGIN).since(now);
         // Where starts are not reported, a running attempt is reported an interval later, or never without progress. Guards
         // against taking all attempts for running, and those that wait for an executor fallen silent.
-        let start_due = match self.signals.progress {
+        let start_due = match self.signals.progress_interval {
             _ if self.signals.reports_starts => now,
             Some(interval) => now + interval,
             None => Instant(u64::MAX),
@@ -107,7 +107,7 @@
         let id = AttemptId { request, number: pending.attempts.len() - 1 };
         e.in_flight.push(InFlight { id, size, slots, sent: now, start_due, started: None, last_report: now });
         if e.slow_start_budget(&self.slow_start, now).is_some() {
-            e.cold_sends.retain(|&sent| now.since(sent) <= self.slow_start.fall_window + RECEIPT_DELAY);
+            e.cold_sends.retain(|&sent| now.since(sent) <= self.slow_start.window + RECEIPT_DELAY);
             e.cold_sends.push(now);
         }
         let last_report = e.reported.unwrap_or_default().max(e.probed);
@@ -115,7 +115,7 @@
             e.probed = now;
             self.host.probe(executor);
         }
-        self.host.allocate(request, executor, time_out);
+        self.host.send_attempt(request, executor, time_out);
         if self.classes[pending.class].effect != Effect::NonIdempotent {
             let lag = self.signals.start_lag();
             let delay = lag.map_or(REVIEW_DELAY, |interval| interval.scaled(SILENT_INTERVALS));
@@ -145,7 +145,7 @@
     }
 
     /// Tries to send the queued requests, oldest first, and answers those whose time in the queue is over.
-    pub fn serve_pending(&mut self, now: Instant) {
+    pub fn serve_queued(&mut self, now: Instant) {
         let queued = self.requests.iter().filter(|(_, p)| p.queued).map(|(&id, p)| (id, p.queued_until));
         for (request, until) in queued.collect::<Vec<_>>() {
             if until <= now { self.answer(request) } else { self.place(now, request) }
--- a/crates/dispatch/src/decide/retry.rs
+++ b/crates/dispatch/src/decide/retry.rs
@@ -33,7 +33,8 @@
         let latest = in_flight.max_by_key(|(_, attempt)| (attempt.started.is_some(), attempt.sent));
         let Some((executor, attempt)) = latest else { return };
         let id = attempt.id;
-        let silent_at = self.signals.progress.map(|span| attempt.last_report + span.scaled(SILENT_INTERVALS));
+        let silent_at =
+            self.signals.progress_interval.map(|span| attempt.last_report + span.scaled(SILENT_INTERVALS));
         let silent = attempt.started.is_some() && silent_at.is_some_and(|time| time < now);
         // Without hedging, only a request that is known not to run may move: a cancelled attempt may run on, and where
         // starts are not reported any attempt may have started long ago.
@@ -87,13 +88,13 @@
     /// window and retries over a little more: whoever checks the budget may receive them later.
     pub(super) fn may_retry(&mut self, now: Instant) -> bool {
         let Some(budget) = self.policy.retry_budget else { return true };
-        while self.arrival_times.front().is_some_and(|&at| now.since(at) + RECEIPT_DELAY >= budget.span) {
+        while self.arrival_times.front().is_some_and(|&at| now.since(at) + RECEIPT_DELAY >= budget.window) {
             self.arrival_times.pop_front();
         }
-        while self.retry_times.front().is_some_and(|&at| now.since(at) > budget.span + RECEIPT_DELAY) {
+        while self.retry_times.front().is_some_and(|&at| now.since(at) > budget.window + RECEIPT_DELAY) {
             self.retry_times.pop_front();
         }
-        (self.retry_times.len() + 1) as f64 <= budget.free + budget.share * self.arrival_times.len() as f64
+        (self.retry_times.len() + 1) as f64 <= budget.base + budget.ratio * self.arrival_times.len() as f64
     }
 
     /// Whether one more attempt is allowed; with `cancelling`, the open attempts are about to be cancelled.
@@ -112,7 +113,7 @@
         // A response that has started is the answer, whatever happens to a hedge or to the deadline.
         let Some(pending) = self.requests.get(&request).filter(|p| !p.response_started) else { return };
         // No other executor could run it either. Guards against one faulty client that has all executors ejected.
-        if outcome == AttemptOutcome::Unusable {
+        if outcome == AttemptOutcome::InvalidRequest {
             self.finish(request);
             return self.host.fail(request);
         }
--- a/crates/dispatch/src/executor.rs
+++ b/crates/dispatch/src/executor.rs
@@ -64,13 +64,13 @@
     /// Whether executors report the start of an attempt.
     pub reports_starts: bool,
     /// The interval at which executors report the progress of an attempt; `None` if they do not report it.
-    pub progress: Option<Duration>,
+    pub progress_interval: Option<Duration>,
 }
 
 impl ExecutorSignals {
     /// How long after a start the first progress report proves it; `None` where starts themselves are reported.
     pub fn start_lag(&self) -> Option<Duration> {
-        self.progress.filter(|_| !self.reports_starts)
+        self.progress_interval.filter(|_| !self.reports_starts)
     }
 }
 
@@ -87,25 +87,25 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
     /// Its capacity at its start, as a share of a warm executor's.
-    pub share: f64,
+    pub initial_share: f64,
     /// The age at which it has its full capacity.
     pub warm_up: Duration,
     /// It fails when it is sent more than this multiple of its capacity within the window.
-    pub fall_factor: f64,
+    pub overload_factor: f64,
     /// The window over which the work sent to it is summed up.
-    pub fall_window: Duration,
+    pub window: Duration,
     /// How much earlier or later than listed it may have started.
     pub start_time_error: Duration,
     /// Executors in slow start are sent nothing before this time, a window after the node's own start: the node's
     /// previous process may just have used its part of the budget, of which the new one knows nothing.
-    pub from: Instant,
+    pub not_before: Instant,
 }
 
 impl SlowStart {
     /// How many seconds of a warm executor's work an executor of this age can at least do within a window: its share grows
     /// at least linearly.
-    pub fn least(&self, age: Duration) -> f64 {
+    pub fn min_work_s(&self, age: Duration) -> f64 {
         let warmed_up = age.seconds() / self.warm_up.seconds().max(0.001);
-        (self.share + (1.0 - self.share) * warmed_up) * self.fall_window.seconds().max(0.001)
+        (self.initial_share + (1.0 - self.initial_share) * warmed_up) * self.window.seconds().max(0.001)
     }
 }
--- a/crates/dispatch/src/host.rs
+++ b/crates/dispatch/src/host.rs
@@ -6,7 +6,7 @@
 /// The actions that a dispatcher asks its owner for. An implementation must not call back into the dispatcher.
 pub trait Host {
     /// Sends an attempt of the request to the executor. The n-th call for a request is its attempt number n, from 0.
-    fn allocate(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration);
+    fn send_attempt(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration);
     /// Whether the retry budget of the whole fleet, if there is one, allows one more attempt after a request's first.
     /// The dispatcher asks when it would send the attempt, and asks again while the answer is no.
     fn may_retry(&mut self, _request: RequestId) -> bool {
--- a/crates/dispatch/src/learned.rs
+++ b/crates/dispatch/src/learned.rs
@@ -4,16 +4,16 @@
 use grebeusher_sizing::{Sample, SampleEntry};
 use std::collections::BTreeMap;
 
-/// The number of recent sizes that are kept (design page).
+/// The number of recent sizes that are kept (see docs/design.md).
 const MAX_SAMPLES: usize = 1000;
 
 /// What is known of one kind of executor.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LearnedKind {
     /// Summed size of the requests that were answered, in seconds of a standard core.
-    pub done: f64,
+    pub work_s: f64,
     /// How many seconds these requests occupied slots, summed over the slots.
-    pub ran: f64,
+    pub slot_s: f64,
     /// The largest number of slots that an executor of the kind was seen to have.
     pub slots: f64,
 }
@@ -21,8 +21,12 @@
 impl LearnedKind {
     /// The sum of two observations of a kind.
     pub fn and(self, more: LearnedKind) -> LearnedKind {
-        let LearnedKind { done, ran, slots } = more;
-        LearnedKind { done: self.done + done, ran: self.ran + ran, slots: self.slots.max(slots) }
+        let LearnedKind { work_s, slot_s, slots } = more;
+        LearnedKind {
+            work_s: self.work_s + work_s,
+            slot_s: self.slot_s + slot_s,
+            slots: self.slots.max(slots),
+        }
     }
 }
 
@@ -36,7 +40,7 @@
     pub kinds: BTreeMap<usize, LearnedKind>,
 }
 
-/// What is kept of a recent request.
+/// The size and the run time of a recent request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SizeSample {
     /// In seconds of a standard core, summed over the request's slots.
@@ -55,7 +59,7 @@
     }
 }
 
-/// Statistics of recent request sizes, and what other nodes sent of the kinds of executors.
+/// Statistics of recent request sizes, and what other nodes sent about the kinds of executors.
 pub(crate) struct WorkloadStats {
     /// Recent requests whose size is known. Those received from other nodes come before this node's own.
     recent: Sample<SizeSample>,
@@ -109,7 +113,7 @@
         sorted
     }
 
-    /// What other nodes sent of a kind.
+    /// The sum of what other nodes sent about a kind.
     pub fn received_kind(&self, kind: usize) -> LearnedKind {
         self.received_kinds.get(&kind).copied().unwrap_or_default()
     }
@@ -131,12 +135,12 @@
             self.received += usize::from(self.recent.add_older(SizeSample { size, run_s }));
         }
         let is_valid_kind = |received: &LearnedKind| {
-            is_valid(received.done) && is_valid(received.ran) && is_valid(received.slots)
+            is_valid(received.work_s) && is_valid(received.slot_s) && is_valid(received.slots)
         };
         for (kind, received) in learned.kinds.iter().filter(|(_, received)| is_valid_kind(received)) {
-            let share = (MAX_RECEIVED_SECONDS / received.ran).min(1.0);
+            let share = (MAX_RECEIVED_SECONDS / received.slot_s).min(1.0);
             let received =
-                LearnedKind { done: received.done * share, ran: received.ran * share, ..*received };
+                LearnedKind { work_s: received.work_s * share, slot_s: received.slot_s * share, ..*received };
             let known = self.received_kinds.entry(*kind).or_default();
             *known = known.and(received);
         }
--- a/crates/dispatch/src/load_message.rs
+++ b/crates/dispatch/src/load_message.rs
@@ -15,9 +15,9 @@
     },
     /// The slots that all nodes together fill, summed up by one of them, for the ready executors in the order of their
     /// short hashes.
-    All {
+    Sums {
         /// The short hash of the set of ready executors: a node that knows another set can't use the sums.
-        list: u16,
+        list_hash: u16,
         /// The index of the first executor that this message covers, a multiple of [`MAX_COUNTS_PER_MESSAGE`].
         first: usize,
         /// The number of filled slots of each executor, from the first one on.
@@ -31,7 +31,7 @@
 }
 
 const OWN: u8 = 1;
-const ALL: u8 = 2;
+const SUMS: u8 = 2;
 
 impl LoadMessage {
     /// The message as bytes, cut off at [`MAX_MESSAGE_BYTES`].
@@ -41,9 +41,9 @@
                 let entry = |&(hash, count): &(u16, u8)| [hash.to_be_bytes().as_slice(), &[count]].concat();
                 [vec![OWN], filled.iter().flat_map(entry).collect()].concat()
             }
-            LoadMessage::All { list, first, filled } => {
+            LoadMessage::Sums { list_hash, first, filled } => {
                 let chunk = (first / MAX_COUNTS_PER_MESSAGE) as u8;
-                [&[ALL], list.to_be_bytes().as_slice(), &[chunk], filled].concat()
+                [&[SUMS], list_hash.to_be_bytes().as_slice(), &[chunk], filled].concat()
             }
         };
         bytes.truncate(MAX_MESSAGE_BYTES);
@@ -58,11 +58,11 @@
                 let entry = |&[high, low, count]: &[u8; 3]| (u16::from_be_bytes([high, low]), count);
                 Some(LoadMessage::Own { filled: entries.iter().map(entry).collect() })
             }
-            (&ALL, rest) => {
+            (&SUMS, rest) => {
                 let (&[high, low, chunk], filled) = rest.split_first_chunk()?;
-                let list = u16::from_be_bytes([high, low]);
+                let list_hash = u16::from_be_bytes([high, low]);
                 let first = usize::from(chunk) * MAX_COUNTS_PER_MESSAGE;
-                Some(LoadMessage::All { list, first, filled: filled.to_vec() })
+                Some(LoadMessage::Sums { list_hash, first, filled: filled.to_vec() })
             }
             _ => None,
         }
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -144,7 +144,7 @@
     for request in 0..6 {
         scenario.arrive(request, IDEMPOTENT, 300);
         let executor = scenario.sent_to();
-        scenario.end(request, 0, executor, AttemptOutcome::Unusable);
+        scenario.end(request, 0, executor, AttemptOutcome::InvalidRequest);
         assert_eq!(scenario.actions(), [Action::Fail(request)]);
     }
     let mut used: Vec<usize> = (6..10)
@@ -166,7 +166,7 @@
     for request in 0..8 {
         scenario.arrive(request, NON_IDEMPOTENT, 300);
         first.push(scenario.sent_to());
-        scenario.end(request, 0, first[request as usize], AttemptOutcome::CutOff);
+        scenario.end(request, 0, first[request as usize], AttemptOutcome::SendFailed);
         let second = scenario.sent_to();
         assert_ne!(second, first[request as usize], "the request did not run, so another executor gets it");
         scenario.end(request, 1, second, AttemptOutcome::Served);
@@ -246,15 +246,15 @@
 /// Guards against a burst of failed attempts that exceeds the retry budget at a node that has just started.
 #[test]
 fn retries_stay_within_their_budget_in_any_window() {
-    let retry_budget = Some(RetryBudget { span: Duration::from_millis(5000), free: 1.0, share: 0.5 });
+    let retry_budget = Some(RetryBudget { window: Duration::from_millis(5000), base: 1.0, ratio: 0.5 });
     let mut scenario = Scenario::with(6, AttemptPolicy { retry_budget, ..POLICY });
     let is_retried = |scenario: &mut Scenario, request| {
         scenario.arrive(request, NON_IDEMPOTENT, 100);
         let first = scenario.sent_to();
-        scenario.end(request, 0, first, AttemptOutcome::CutOff);
+        scenario.end(request, 0, first, AttemptOutcome::SendFailed);
         let actions = scenario.actions();
         assert_eq!(actions.len(), 1, "the request is rejected at once or retried: {actions:?}");
-        let Action::Allocate(_, second, _) = actions[0] else { return false };
+        let Action::Send(_, second, _) = actions[0] else { return false };
         scenario.end(request, 1, second, AttemptOutcome::Served);
         true
     };
@@ -278,7 +278,7 @@
         let arrival = Arrival { deadline, ..scenario.arrival(100) };
         scenario.arrive_as(1, arrival);
         let actions = scenario.actions();
-        let Action::Allocate(_, _, time_out) = actions[0] else { panic!("{actions:?}") };
+        let Action::Send(_, _, time_out) = actions[0] else { panic!("{actions:?}") };
         time_out.seconds()
     };
     let class_s = classes()[0].deadline.seconds();
@@ -299,11 +299,7 @@
         scenario.end(1, 0, 0, AttemptOutcome::Served);
         scenario.arrive(2, NON_IDEMPOTENT, 100);
         let actions = scenario.actions();
-        assert_eq!(
-            actions.iter().any(|action| matches!(action, Action::Allocate(2, ..))),
-            sent,
-            "{actions:?}"
-        );
+        assert_eq!(actions.iter().any(|action| matches!(action, Action::Send(2, ..))), sent, "{actions:?}");
     }
 }
 
@@ -313,12 +309,12 @@
     let sent = |error_ms: u64| {
         let mut scenario = Scenario::of(1);
         let slow_start = SlowStart {
-            share: 0.2,
+            initial_share: 0.2,
             warm_up: Duration::from_millis(20_000),
-            fall_factor: 4.0,
-            fall_window: Duration::from_millis(1000),
+            overload_factor: 4.0,
+            window: Duration::from_millis(1000),
             start_time_error: Duration::from_millis(error_ms),
-            from: Instant(0),
+            not_before: Instant(0),
         };
         scenario.node =
             dispatcher(scenario.host.clone(), (0, 2), POLICY, false, true).with_slow_start(slow_start);
@@ -332,7 +328,7 @@
         );
         scenario.pass(6000);
         (0..30).for_each(|request| scenario.arrive(request, NON_IDEMPOTENT, 1000));
-        scenario.actions().iter().filter(|action| matches!(action, Action::Allocate(..))).count()
+        scenario.actions().iter().filter(|action| matches!(action, Action::Send(..))).count()
     };
     assert!(sent(0) > sent(12_000), "{} and {}", sent(0), sent(12_000));
 }
@@ -368,7 +364,7 @@
 fn the_last_attempt_times_out_before_the_deadline() {
     let mut scenario = Scenario::of(2);
     scenario.arrive(1, NON_IDEMPOTENT, 100);
-    let Action::Allocate(_, executor, time_out) = scenario.actions()[0] else {
+    let Action::Send(_, executor, time_out) = scenario.actions()[0] else {
         panic!("the request was not sent")
     };
     assert!(time_out < Duration::from_millis(10_000) && time_out > Duration::from_millis(9900));
@@ -465,7 +461,7 @@
 fn an_unconfirmed_list_is_used_for_exactly_its_time() {
     // Guards against requests to an executor that drains, while the node's calls for the list fail.
     const GRACE: Duration = Duration::from_millis(500);
-    let mut scenario = Scenario::with(3, AttemptPolicy { grace: GRACE, ..POLICY });
+    let mut scenario = Scenario::with(3, AttemptPolicy { drain_grace: GRACE, ..POLICY });
     let confirmed = scenario.now;
     scenario.node.executor_list_confirmed(confirmed, true);
     for (after_ms, expected) in [(0, true), (6400, true), (6500, false), (9000, false)] {
@@ -474,7 +470,7 @@
         let sent = scenario
             .actions()
             .iter()
-            .any(|action| matches!(action, Action::Allocate(request, ..) if *request == after_ms));
+            .any(|action| matches!(action, Action::Send(request, ..) if *request == after_ms));
         assert_eq!(sent, expected, "{after_ms} ms after the last confirmation");
     }
     // An executor that reports its own status is used whatever the age of the list, and its report serves the queued requests.
@@ -483,7 +479,7 @@
         ListUpdate::Changes,
         &[ListedExecutor { reports_own_status: true, ..listing(9, "reports") }],
     );
-    assert!(scenario.actions().iter().any(|action| matches!(action, Action::Allocate(9000, 9, _))));
+    assert!(scenario.actions().iter().any(|action| matches!(action, Action::Send(9000, 9, _))));
 }
 
 #[test]
@@ -527,7 +523,7 @@
         for (node, scenario) in scenarios.iter_mut().enumerate() {
             scenario.arrive(step, NON_IDEMPOTENT, UNHINTED);
             for action in scenario.actions() {
-                if let Action::Allocate(request, 0, _) = action {
+                if let Action::Send(request, 0, _) = action {
                     sent.push(scenario.now);
                     sent_early[node] |= scenario.now.since(started) < Duration::from_millis(8000);
                     scenario.end(request, 0, 0, AttemptOutcome::Served);
@@ -607,9 +603,8 @@
             scenario.pass(3000); // the requests on all three executors wait
             scenario.list_cold(3);
             scenario.arrive(30, IDEMPOTENT, 250);
-            used += usize::from(
-                scenario.actions().iter().any(|action| matches!(action, Action::Allocate(30, 3, _))),
-            );
+            used +=
+                usize::from(scenario.actions().iter().any(|action| matches!(action, Action::Send(30, 3, _))));
         }
         assert!(used > 0, "none of {nodes} nodes used it");
         assert!(used <= 2, "{used} of {nodes} nodes used it at once");
@@ -644,7 +639,7 @@
             let mut send = |requests: std::ops::Range<u64>, after_ms| {
                 scenario.pass(after_ms);
                 requests.for_each(|request| scenario.arrive(request, IDEMPOTENT, 250));
-                scenario.actions().iter().filter(|action| matches!(action, Action::Allocate(_, 4, _))).count()
+                scenario.actions().iter().filter(|action| matches!(action, Action::Send(_, 4, _))).count()
             };
             sent_early += send(0..20, 900); // the window is 1 s
             sent_later += send(20..40, 5000);
@@ -700,7 +695,7 @@
     assert_eq!(scenario.actions(), [], "the cold executor is sent nothing at first");
     scenario.pass(16_000);
     scenario.arrive(4, NON_IDEMPOTENT, 100);
-    assert!(scenario.actions().iter().any(|action| matches!(action, Action::Allocate(4, 0, _))));
+    assert!(scenario.actions().iter().any(|action| matches!(action, Action::Send(4, 0, _))));
 }
 
 #[test]
@@ -781,7 +776,7 @@
         scenario.pass(150);
         scenario.node.timer_fired(scenario.now, FIRST_REQUEST_TIMER + 1);
         let other = match (is_hedged, &scenario.actions()[..]) {
-            (true, [Action::Allocate(1, other, _)]) => *other,
+            (true, [Action::Send(1, other, _)]) => *other,
             (false, []) => continue,
             (_, other) => panic!("hedging {hedging}, class {class}: {other:?}"),
         };
@@ -811,7 +806,7 @@
     scenario.pass(600);
     scenario.node.timer_fired(scenario.now, FIRST_REQUEST_TIMER + 1);
     assert!(
-        matches!(scenario.actions()[..], [Action::Cancel(1, 0), Action::Allocate(1, other, _)] if other != first)
+        matches!(scenario.actions()[..], [Action::Cancel(1, 0), Action::Send(1, other, _)] if other != first)
     );
 }
 
@@ -822,7 +817,7 @@
     scenario.sent_to();
     scenario.pass(150);
     scenario.node.timer_fired(scenario.now, FIRST_REQUEST_TIMER + 1);
-    assert!(matches!(scenario.actions()[..], [Action::Allocate(1, ..)]));
+    assert!(matches!(scenario.actions()[..], [Action::Send(1, ..)]));
 }
 
 #[test]
@@ -914,7 +909,7 @@
         scenario.arrive(request, NON_IDEMPOTENT, 100);
         match scenario.actions()[..] {
             [Action::Reject(_)] => rejected += 1,
-            [Action::Allocate(_, executor, _)] => {
+            [Action::Send(_, executor, _)] => {
                 assert_eq!(executor, 1 - long_queue);
                 scenario.end(request, 0, executor, AttemptOutcome::Served);
             }
@@ -977,7 +972,7 @@
     let mut probes = Vec::new();
     for request in 0..100 {
         scenario.arrive(request, NON_IDEMPOTENT, 100);
-        let [ref before @ .., Action::Allocate(_, executor, _)] = scenario.actions()[..] else {
+        let [ref before @ .., Action::Send(_, executor, _)] = scenario.actions()[..] else {
             panic!("the request was not sent")
         };
         assert!(before.is_empty() || before == [Action::Probe(executor)], "{before:?}");
@@ -1055,7 +1050,7 @@
         scenario.pass(15_000);
         for request in 0..4 {
             scenario.arrive(request, NON_IDEMPOTENT, 2000);
-            sent += scenario.actions().iter().filter(|action| matches!(action, Action::Allocate(..))).count();
+            sent += scenario.actions().iter().filter(|action| matches!(action, Action::Send(..))).count();
             scenario.report_start(request, 0, 0);
             scenario.pass(1100);
         }
@@ -1111,7 +1106,7 @@
         scenario.pass(250);
         scenario.node.timer_fired(scenario.now, 0);
     }
-    assert_eq!(scenario.actions().iter().filter(|action| matches!(action, Action::Allocate(..))).count(), 3);
+    assert_eq!(scenario.actions().iter().filter(|action| matches!(action, Action::Send(..))).count(), 3);
 }
 
 #[test]
@@ -1197,8 +1192,8 @@
 #[test]
 fn load_messages_round_trip_and_stay_within_their_limit() {
     let own = LoadMessage::Own { filled: (0..20).map(|at| (at * 777, at as u8)).collect() };
-    let all = LoadMessage::All {
-        list: 7,
+    let all = LoadMessage::Sums {
+        list_hash: 7,
         first: 2 * MAX_COUNTS_PER_MESSAGE,
         filled: (0..MAX_COUNTS_PER_MESSAGE as u8).collect(),
     };
@@ -1330,7 +1325,7 @@
         scenario.pass(15_000);
         let send = |scenario: &mut Scenario, request: u64| {
             scenario.arrive(request, NON_IDEMPOTENT, 100);
-            scenario.actions().iter().filter(|action| matches!(action, Action::Allocate(..))).count()
+            scenario.actions().iter().filter(|action| matches!(action, Action::Send(..))).count()
         };
         scenario.node.set_slow_start_elsewhere(scenario.now, true);
         assert_eq!(send(&mut scenario, 1), 0, "the other process has the budget");
@@ -1403,8 +1398,7 @@
             for request in 0..4 {
                 fresh.arrive(request, NON_IDEMPOTENT, 1000);
             }
-            sent +=
-                fresh.actions().iter().filter(|action| matches!(action, Action::Allocate(_, 0, _))).count();
+            sent += fresh.actions().iter().filter(|action| matches!(action, Action::Send(_, 0, _))).count();
         }
         sent
     };
@@ -1416,7 +1410,7 @@
 fn invalid_values_from_another_node_are_ignored() {
     let mut scenario = Scenario::of(4);
     scenario.run_requests(60, 100, 100);
-    let invalid = LearnedKind { done: f64::INFINITY, ran: -1.0, slots: f64::NAN };
+    let invalid = LearnedKind { work_s: f64::INFINITY, slot_s: -1.0, slots: f64::NAN };
     let received = LearnedState {
         sizes: vec![(f64::NAN, 1.0), (-3.0, 1.0), (1.0, 0.0)],
         kinds: [(0, invalid), (9, invalid)].into(),
@@ -1444,7 +1438,7 @@
         scenario.pass(after_ms);
         scenario.arrive(request, NON_IDEMPOTENT, UNHINTED);
         let actions = scenario.actions();
-        let sent = actions.iter().any(|action| matches!(action, Action::Allocate(..)));
+        let sent = actions.iter().any(|action| matches!(action, Action::Send(..)));
         assert_eq!(sent, expected, "{after_ms} ms later: {actions:?}");
         scenario.node.finish(RequestId(request));
     }
@@ -1463,7 +1457,7 @@
         assert_eq!(scenario.actions(), [], "the request waits for the budget");
         scenario.pass(30);
         scenario.host.denies_retries.set(!is_granted);
-        scenario.node.serve_pending(scenario.now);
+        scenario.node.serve_queued(scenario.now);
         if is_granted {
             assert_ne!(scenario.sent_to(), first);
             continue;
--- a/crates/dispatch/tests/stable_bytes.rs
+++ b/crates/dispatch/tests/stable_bytes.rs
@@ -8,14 +8,14 @@
     let sent_messages = [
         (LoadMessage::Own { filled: vec![(0xabcd, 3), (0x0102, 200)] }, &[1, 0xab, 0xcd, 3, 1, 2, 200][..]),
         (
-            LoadMessage::All { list: 0xfeed, first: 2 * MAX_COUNTS_PER_MESSAGE, filled: vec![4, 5, 6] },
+            LoadMessage::Sums { list_hash: 0xfeed, first: 2 * MAX_COUNTS_PER_MESSAGE, filled: vec![4, 5, 6] },
             &[2, 0xfe, 0xed, 2, 4, 5, 6],
         ),
     ];
     for (message, bytes) in sent_messages {
         // Every variant has a sample above; a new one fails to compile here.
         match message {
-            LoadMessage::Own { .. } | LoadMessage::All { .. } => {}
+            LoadMessage::Own { .. } | LoadMessage::Sums { .. } => {}
         }
         assert_eq!(message.encode(), bytes);
         assert_eq!(LoadMessage::decode(bytes), Some(message));
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    Allocate(u64, usize, Duration),
+    Send(u64, usize, Duration),
     Cancel(u64, usize),
     Reject(u64),
     Fail(u64),
@@ -35,8 +35,8 @@
 }
 
 impl Host for RecordingHost {
-    fn allocate(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration) {
-        self.actions.borrow_mut().push(Action::Allocate(request.0, executor.0, time_out));
+    fn send_attempt(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration) {
+        self.actions.borrow_mut().push(Action::Send(request.0, executor.0, time_out));
     }
     fn may_retry(&mut self, _: RequestId) -> bool {
         !self.denies_retries.get()
@@ -71,7 +71,7 @@
     cancel_dequeues: false,
     deadline_error: Duration::from_nanos(0),
     retry_budget: None,
-    grace: Duration::from_nanos(0),
+    drain_grace: Duration::from_nanos(0),
     max_retry_after: None,
 };
 /// A size in milliseconds that means no hint: the request is not sampled, so that there is still one lane.
@@ -108,12 +108,12 @@
     starts: bool,
 ) -> Dispatcher<RecordingHost> {
     let slow_start = SlowStart {
-        share: 0.2,
+        initial_share: 0.2,
         warm_up: Duration::from_millis(20_000),
-        fall_factor: 4.0,
-        fall_window: Duration::from_millis(1000),
+        overload_factor: 4.0,
+        window: Duration::from_millis(1000),
         start_time_error: Duration::from_nanos(0),
-        from: Instant(0),
+        not_before: Instant(0),
     };
     Dispatcher::new(host, 7, node, nodes, classes())
         .with_attempt_policy(policy)
@@ -122,7 +122,7 @@
             must_watch_executors: true,
             may_probe: probes,
             reports_starts: starts,
-            progress: Some(Duration::from_millis(1000)),
+            progress_interval: Some(Duration::from_millis(1000)),
         })
 }
 
@@ -281,8 +281,8 @@
     /// The executor of the attempt that was the only action since the last call.
     pub fn sent_to(&mut self) -> usize {
         match self.actions()[..] {
-            [Action::Allocate(_, executor, _)] => executor,
-            ref other => panic!("expected one allocation, found {other:?}"),
+            [Action::Send(_, executor, _)] => executor,
+            ref other => panic!("expected one attempt, found {other:?}"),
         }
     }
 }
--- a/crates/emulator/src/plain.rs
+++ b/crates/emulator/src/plain.rs
@@ -81,7 +81,7 @@
                 work.sent += 1;
                 work.may_have_run = true;
                 self.executors[executor].1 += 1;
-                self.host.allocate(unit, ExecutorId(executor), left);
+                self.host.send_attempt(unit, ExecutorId(executor), left);
             }
             None => self.end(unit),
         }
--- a/crates/emulator/src/stage.rs
+++ b/crates/emulator/src/stage.rs
@@ -247,7 +247,7 @@
         let arrives = self.now + shake + way;
         if n.resets > 0.0 && self.net_chance.random::<f64>() < n.resets {
             let whole = self.net_chance.random::<bool>();
-            let ending = if whole { AttemptOutcome::Reset } else { AttemptOutcome::CutOff };
+            let ending = if whole { AttemptOutcome::Reset } else { AttemptOutcome::SendFailed };
             self.at(arrives + way, Event::Hears(job, Word::Ended(ending, None)));
             if !whole {
                 return;
@@ -570,7 +570,7 @@
 }
 
 impl Host for Hands {
-    fn allocate(&mut self, unit: RequestId, executor: ExecutorId, time_out: Duration) {
+    fn send_attempt(&mut self, unit: RequestId, executor: ExecutorId, time_out: Duration) {
         self.stage.borrow_mut().allocate(unit.0, executor.0, time_out);
     }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -112,19 +112,19 @@
                     cancel_dequeues: n.recalls_stop,
                     deadline_error: Duration::from_nanos(0),
                     retry_budget: None,
-                    grace: Duration::from_nanos(0),
+                    drain_grace: Duration::from_nanos(0),
                     max_retry_after: None,
                 };
                 let cold = SlowStart {
-                    share: r.cold_share,
+                    initial_share: r.cold_share,
                     warm_up: ms(r.warm_within_s * 1e3),
-                    fall_factor: r.fall_factor,
-                    fall_window: ms(r.fall_window_ms),
+                    overload_factor: r.fall_factor,
+                    window: ms(r.fall_window_ms),
                     start_time_error: Duration::from_nanos(0),
-                    from: Instant(0),
+                    not_before: Instant(0),
                 };
                 let told_count = n.told_count.unwrap_or(n.count) as u64;
-                let progress = Some(ms(n.progress_ms)).filter(|pace| pace.nanos() > 0);
+                let progress_interval = Some(ms(n.progress_ms)).filter(|interval| interval.nanos() > 0);
                 let dispatcher = Dispatcher::new(hands, seed, node as u64, told_count, tariffs.clone())
                     .with_attempt_policy(allowance)
                     .with_slow_start(cold)
@@ -132,7 +132,7 @@
                         must_watch_executors: true,
                         may_probe: false,
                         reports_starts: n.starts_told,
-                        progress,
+                        progress_interval,
                     })
                     .with_load_sharing(n.words)
                     .with_zone(node % n.zones.len());
--- a/crates/emulator/tests/stories.rs
+++ b/crates/emulator/tests/stories.rs
@@ -186,25 +186,25 @@
     has(broken_by("", twice, nothing), Rule::OneAnswer, "a second time");
     let sends_on: fn(&mut Hands, RequestId) = |hands, unit| {
         hands.fail(unit);
-        hands.allocate(unit, ExecutorId(0), LONG);
+        hands.send_attempt(unit, ExecutorId(0), LONG);
     };
     has(broken_by("", sends_on, nothing), Rule::OneAnswer, "sent after its end");
     let late: fn(&mut Hands, RequestId) =
-        |hands, unit| hands.allocate(unit, ExecutorId(0), Duration::from_seconds(5.2));
+        |hands, unit| hands.send_attempt(unit, ExecutorId(0), Duration::from_seconds(5.2));
     let answers: fn(&mut Hands, AttemptId) = |hands, id| hands.fail(id.request);
     let crawls = fault("slow-executors", 0, 20, "part = 1.0\nfactor = 100.0");
     has(broken_by(&crawls, late, answers), Rule::OneAnswer, "after its patience");
     let two_places: fn(&mut Hands, RequestId) = |hands, unit| {
-        hands.allocate(unit, ExecutorId(0), LONG);
-        hands.allocate(unit, ExecutorId(1), LONG);
+        hands.send_attempt(unit, ExecutorId(0), LONG);
+        hands.send_attempt(unit, ExecutorId(1), LONG);
     };
     has(broken_by("", two_places, nothing), Rule::NoEffectTwice, "runs a second time");
     let one: fn(&mut Hands, RequestId) =
-        |hands, unit| hands.allocate(unit, ExecutorId(0), Duration::from_millis(50));
+        |hands, unit| hands.send_attempt(unit, ExecutorId(0), Duration::from_millis(50));
     let harmless: fn(&mut Hands, AttemptId) = |hands, id| hands.reject(id.request, None);
     has(broken_by("", one, harmless), Rule::NoEffectTwice, "was turned back");
     let drains = fault("drain-executors", 2, 10, "part = 1.0");
-    let first: fn(&mut Hands, RequestId) = |hands, unit| hands.allocate(unit, ExecutorId(0), LONG);
+    let first: fn(&mut Hands, RequestId) = |hands, unit| hands.send_attempt(unit, ExecutorId(0), LONG);
     has(broken_by(&drains, first, nothing), Rule::DrainGrace, "told to leave");
     let returns = fault("kill-executors", 1, 2, "part = 1.0");
     has(broken_by(&returns, first, nothing), Rule::ColdStart, "are borne");
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -152,7 +152,7 @@
                 cancel_dequeues: false,
                 deadline_error: root.object("contract")?.duration("deadline_error_ns")?.unwrap_or_default(),
                 retry_budget: read_retry_budget(&root.object("contract")?)?,
-                grace: root.object("contract")?.duration("stop_sending_within_ns")?.unwrap_or_default(),
+                drain_grace: root.object("contract")?.duration("stop_sending_within_ns")?.unwrap_or_default(),
                 max_retry_after,
             },
             slow_start: read_slow_start(&root.object("contract")?)?,
@@ -234,7 +234,7 @@
                 must_watch_executors: asks_list,
                 may_probe: self.probes,
                 reports_starts: self.starts,
-                progress: self.progress,
+                progress_interval: self.progress,
             })
             .with_customer_quotas(&self.quotas)
             .with_load_sharing(self.peers && talks)
@@ -316,20 +316,21 @@
 
 /// The budget of further allocations, where there is one: all of it must be told.
 fn read_retry_budget(contract: &Object) -> Result<Option<RetryBudget>, ConfigError> {
-    let Some(span) = contract.duration("budget_span_ns")? else { return Ok(None) };
-    let free = contract.required_number("extra_free", 0.0..=1e9)?;
-    Ok(Some(RetryBudget { span, free, share: contract.required_number("further_ratio", 0.0..=1e3)? }))
+    let Some(window) = contract.duration("budget_span_ns")? else { return Ok(None) };
+    let base = contract.required_number("extra_free", 0.0..=1e9)?;
+    let ratio = contract.required_number("further_ratio", 0.0..=1e3)?;
+    Ok(Some(RetryBudget { window, base, ratio }))
 }
 
 /// What is promised of cold executors must be told: nobody can keep to what is not known.
 fn read_slow_start(contract: &Object) -> Result<SlowStart, ConfigError> {
     Ok(SlowStart {
-        share: contract.required_number("cold_share", 0.0..=1.0)?,
+        initial_share: contract.required_number("cold_share", 0.0..=1.0)?,
         warm_up: Duration::from_nanos(contract.required_number("warm_within_ns", 0.0..=1e18)? as u64),
-        fall_factor: contract.required_number("overload_factor", 0.0..=1e6)?,
-        fall_window: contract.required_duration("fall_ns")?,
+        overload_factor: contract.required_number("overload_factor", 0.0..=1e6)?,
+        window: contract.required_duration("fall_ns")?,
         start_time_error: contract.duration("ready_margin_ns")?.unwrap_or_default(),
-        from: Instant(0),
+        not_before: Instant(0),
     })
 }
 
--- a/crates/node/src/exchange.rs
+++ b/crates/node/src/exchange.rs
@@ -122,7 +122,7 @@
 }
 
 impl Host for Hands {
-    fn allocate(&mut self, unit: RequestId, executor: ExecutorId, time_out: Duration) {
+    fn send_attempt(&mut self, unit: RequestId, executor: ExecutorId, time_out: Duration) {
         let mut desk = self.desk.borrow_mut();
         let address = desk.executors.address(executor);
         let Some((id, errand)) = desk.units.allocated(unit, executor) else { return };
@@ -496,7 +496,7 @@
         let left = std::mem::take(&mut self.hands.desk.borrow_mut().left);
         left.into_iter().for_each(|unit| self.withdrawn(unit));
         let unsent = std::mem::take(&mut self.hands.desk.borrow_mut().unsent);
-        unsent.into_iter().for_each(|id| self.ended(id, AttemptOutcome::CutOff, None));
+        unsent.into_iter().for_each(|id| self.ended(id, AttemptOutcome::SendFailed, None));
         while let Some(job) = self.hands.ledger.as_ref().and_then(|ledger| ledger.due()) {
             self.settled(&job.id, false);
         }
@@ -534,7 +534,7 @@
             }
         }
         if !self.hands.desk.borrow().seek_further.is_empty() {
-            self.dispatcher.serve_pending(self.hands.clock.now());
+            self.dispatcher.serve_queued(self.hands.clock.now());
         }
     }
 
@@ -771,8 +771,8 @@
             AttemptOutcome::Refused => self.counters.ended_refused.up(),
             AttemptOutcome::Reset => self.counters.ended_reset.up(),
             AttemptOutcome::Cancelled => self.counters.ended_recalled.up(),
-            AttemptOutcome::CutOff => self.counters.ended_cut_off.up(),
-            AttemptOutcome::Unusable => self.counters.ended_unusable.up(),
+            AttemptOutcome::SendFailed => self.counters.ended_cut_off.up(),
+            AttemptOutcome::InvalidRequest => self.counters.ended_unusable.up(),
         }
         let ran = matches!(ending, AttemptOutcome::Served | AttemptOutcome::Error);
         if let Some(unsure) = self.unsure.as_mut().filter(|_| !ran && !ending.proves_not_executed()) {
@@ -1008,8 +1008,8 @@
     pub fn learnt(&self) -> Lesson {
         let learnt = self.dispatcher.learned();
         let named = |(kind, known): (&usize, &LearnedKind)| {
-            let LearnedKind { done, ran, slots } = *known;
-            Some((self.kinds.get(*kind)?.clone(), (done as f32, ran as f32, slots as f32)))
+            let LearnedKind { work_s, slot_s, slots } = *known;
+            Some((self.kinds.get(*kind)?.clone(), (work_s as f32, slot_s as f32, slots as f32)))
         };
         Lesson {
             sizes: learnt.sizes.iter().map(|(size, run)| (*size as f32, *run as f32)).collect(),
@@ -1020,9 +1020,9 @@
     /// Another node told what it has seen; how many sizes of work are known now.
     pub fn taught(&mut self, lesson: &Lesson) -> usize {
         let known = |(kind, told): &(String, (f32, f32, f32))| {
-            let (done, ran, slots) = (told.0.into(), told.1.into(), told.2.into());
+            let (work_s, slot_s, slots) = (told.0.into(), told.1.into(), told.2.into());
             let kind = self.kinds.iter().position(|name| name == kind)?;
-            Some((kind, LearnedKind { done, ran, slots }))
+            Some((kind, LearnedKind { work_s, slot_s, slots }))
         };
         let learnt = LearnedState {
             sizes: lesson.sizes.iter().map(|(size, run)| ((*size).into(), (*run).into())).collect(),
--- a/crates/node/src/wire/executors.rs
+++ b/crates/node/src/wire/executors.rs
@@ -133,7 +133,7 @@
             Err(e) => {
                 debug!("no connection to executor {}: {e}", executor.0);
                 self.counters.dials_failed.up();
-                let ending = if none_left(&e) { AttemptOutcome::CutOff } else { AttemptOutcome::Refused };
+                let ending = if none_left(&e) { AttemptOutcome::SendFailed } else { AttemptOutcome::Refused };
                 return lines.untold.push((executor, used, ending));
             }
         };
@@ -422,7 +422,7 @@
                 exchange.ended(id, AttemptOutcome::Full, report);
             }
             // The client's fault, not the executor's: an id that is another's, say.
-            (Use::Allocation(id, _), 400..500) => exchange.ended(id, AttemptOutcome::Unusable, report),
+            (Use::Allocation(id, _), 400..500) => exchange.ended(id, AttemptOutcome::InvalidRequest, report),
             (Use::Allocation(id, _), _) => exchange.ended(id, AttemptOutcome::Error, report),
             (Use::GivingUp(id), ..500) => exchange.ended(id, AttemptOutcome::Cancelled, None),
             (Use::GivingUp(id), _) => exchange.not_given_up(id),
@@ -441,7 +441,7 @@
 /// one that refuses is gone.
 fn broken(line: &Line) -> AttemptOutcome {
     let unsent = line.dialling || line.connection.buffer.waits_to_write();
-    if unsent { AttemptOutcome::CutOff } else { AttemptOutcome::Reset }
+    if unsent { AttemptOutcome::SendFailed } else { AttemptOutcome::Reset }
 }
 
 /// Whether a connection is lacking on this side: the node's own number is used up, or the system's descriptors.
