--- a/crates/dispatch/src/decide/selection.rs
+++ b/crates/dispatch/src/decide/selection.rs
@@ -51,7 +51,7 @@
         const BOTH_LANES_FACTOR: usize = 4; // one of so many has room unless nearly all executors are full
         let lane = self.cut_offs.lane_of(pending.size);
         let RequestClass { kind, effect, .. } = self.classes[pending.class];
-        let in_lane = |index: usize| self.cut_offs.lanes() == 1 || self.executors[index].lane == lane;
+        let in_lane = |index: usize| self.cut_offs.lane_count() == 1 || self.executors[index].lane == lane;
         let candidate = |&index: &usize| {
             let e = &self.executors[index];
             let is_eligible = now >= e.ejected_until
--- a/crates/gateway/src/lanes.rs
+++ b/crates/gateway/src/lanes.rs
@@ -3,7 +3,7 @@
 use crate::executor::Executor;
 use crate::gateway::Gateway;
 use crate::ids::{ExecutorId, ServiceId};
-use grebeusher_sizing::{lanes_by_share, share_of_lanes};
+use grebeusher_sizing::{capacity_by_lane, lanes_by_share};
 use grebeusher_time::Instant;
 
 impl Gateway {
@@ -20,7 +20,7 @@
         let shares = self.config.active_lane_shares();
         let lanes = lanes_by_share(&hashes, &shares);
         let slots = ready.iter().map(|executor| f64::from(executor.slots));
-        service.lane_capacity = share_of_lanes(shares.len(), lanes.iter().copied().zip(slots));
+        service.lane_capacity = capacity_by_lane(shares.len(), lanes.iter().copied().zip(slots));
         let ids: Vec<ExecutorId> = ready.iter().map(|executor| executor.id).collect();
         for (id, lane) in ids.into_iter().zip(lanes) {
             if let Some(executor) = self.executors.get_mut(id) {
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -69,7 +69,7 @@
 
     /// Whether one lane holds all executors.
     pub fn has_one_lane(&self) -> bool {
-        self.cut_offs.lanes() == 1
+        self.cut_offs.lane_count() == 1
     }
 
     /// Adds a request's size, work and tokens to the sample.
--- a/crates/sizing/src/cut_offs.rs
+++ b/crates/sizing/src/cut_offs.rs
@@ -42,7 +42,7 @@
     }
 
     /// The number of lanes.
-    pub fn lanes(&self) -> usize {
+    pub fn lane_count(&self) -> usize {
         self.bounds.len() + 1
     }
 }
--- a/crates/sizing/src/lib.rs
+++ b/crates/sizing/src/lib.rs
@@ -46,5 +46,5 @@
 pub use places::lanes_in_order;
 pub use rendezvous::{fixed_hash, mixed, rendezvous};
 pub use sample::{Sample, SampleEntry, SampledRequest};
-pub use shares::share_of_lanes;
+pub use shares::capacity_by_lane;
 pub use weight::{MIN_WEIGHT, weight, weights};
--- a/crates/sizing/src/shares.rs
+++ b/crates/sizing/src/shares.rs
@@ -30,14 +30,14 @@
     }
 }
 
-/// The summed capacity of each of `lanes` lanes. `members` yields the lane and the capacity of each executor; a capacity that
-/// is not finite and above 0 does not count.
-pub fn share_of_lanes(lanes: usize, members: impl IntoIterator<Item = (usize, f64)>) -> Vec<f64> {
-    let mut shares = vec![0.0; lanes];
-    for (lane, capacity) in members {
-        if let Some(share) = shares.get_mut(lane).filter(|_| capacity.is_finite() && capacity > 0.0) {
-            *share += capacity;
+/// The summed capacity of each lane. `executors` yields the lane and the capacity of each executor; a capacity that is not
+/// finite and above 0 does not count.
+pub fn capacity_by_lane(lane_count: usize, executors: impl IntoIterator<Item = (usize, f64)>) -> Vec<f64> {
+    let mut sums = vec![0.0; lane_count];
+    for (lane, capacity) in executors {
+        if let Some(sum) = sums.get_mut(lane).filter(|_| capacity.is_finite() && capacity > 0.0) {
+            *sum += capacity;
         }
     }
-    shares
+    sums
 }
--- a/crates/sizing/tests/sizing.rs
+++ b/crates/sizing/tests/sizing.rs
@@ -1,8 +1,8 @@
 //! Tests of the sample, the cut-offs, the lanes and the weighted pick.
 
 use grebeusher_sizing::{
-    BoundaryRule, CutOffs, MIN_WEIGHT, Remainder, Sample, WeightedCandidate, fixed_hash, lanes_by_hash,
-    lanes_by_share, lanes_in_order, pick, rendezvous, share_of_lanes, weight,
+    BoundaryRule, CutOffs, MIN_WEIGHT, Remainder, Sample, WeightedCandidate, capacity_by_lane, fixed_hash,
+    lanes_by_hash, lanes_by_share, lanes_in_order, pick, rendezvous, weight,
 };
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -18,7 +18,7 @@
 }
 
 fn work_by_lane(sample: &Sample, cut_offs: &CutOffs, lanes: usize) -> Vec<f64> {
-    share_of_lanes(lanes, sample.entries().map(|entry| (cut_offs.lane_of(entry.size), entry.work)))
+    capacity_by_lane(lanes, sample.entries().map(|entry| (cut_offs.lane_of(entry.size), entry.work)))
 }
 
 #[rstest]
@@ -261,6 +261,6 @@
     ) {
         let cut_offs = CutOffs::equalising(&sample_of(sizes), &shares, min_sample);
         prop_assert!(cut_offs.bounds().is_sorted());
-        prop_assert!(cut_offs.lane_of(probe) < cut_offs.lanes());
+        prop_assert!(cut_offs.lane_of(probe) < cut_offs.lane_count());
     }
 }
