--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -1,7 +1,7 @@
 //! Lanes of executors, the cut-offs between their sizes, and what is learned of executors' kinds.
 
 use super::{Dispatcher, MIN_SAMPLES, executor::Executor};
-use crate::ids::mixed;
+use crate::ids::mix64;
 use crate::learned::{LearnedKind, LearnedState};
 use crate::load_message::short_hash;
 use crate::{ExecutorStatus, Host, Instant};
@@ -27,7 +27,7 @@
         if self.sharing.allowed {
             self.sharing.order.clone_from(&self.ready_order);
             self.sharing.order.sort_by_key(|&i| short_hash(self.executors[i].hash));
-            self.sharing.list_hash = short_hash(self.ready().fold(0, |sum, e| sum ^ mixed(e.hash)));
+            self.sharing.list_hash = short_hash(self.ready().fold(0, |sum, e| sum ^ mix64(e.hash)));
         }
         // Executors of the own zone come first, by a sixth of their rank: crossing zones costs, but executors and clients are
         // spread unevenly, so that zones have to balance each other. Before them come the cold executors to which this node
--- a/crates/dispatch/src/ids.rs
+++ b/crates/dispatch/src/ids.rs
@@ -1,6 +1,6 @@
 //! Small indices that stand for external ids; the owner of a dispatcher maps one to the other.
 
-pub use grebeusher_hash::{fixed_hash, mixed};
+pub use grebeusher_hash::{fixed_hash, mix64};
 
 /// The index of a request. Indices are assigned in order of arrival and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -11,7 +11,7 @@
     Budget, Clients, Discovery, Effect, Executors, Maintenance, Network, Nodes, OffClock, Rules, Tariff,
 };
 
-use grebeusher_dispatch::ids::mixed;
+use grebeusher_dispatch::ids::mix64;
 use rand::distr::weighted::WeightedIndex;
 use rand::seq::index::sample;
 use rand::{Rng, SeedableRng};
@@ -85,7 +85,7 @@
     pub fn of_seed(&self, seed: u64) -> Scenario {
         let mut scenario = Scenario { seed, ..self.clone() };
         if let Some(storm) = scenario.storm.take() {
-            let mut chance = Pcg32::seed_from_u64(mixed(seed));
+            let mut chance = Pcg32::seed_from_u64(mix64(seed));
             scenario.faults.extend(storm.draw(&mut chance, &self.nodes.zones));
         }
         scenario
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,6 +1,6 @@
 //! The headers by which clients hint at request sizes and executors report their load.
 
-use grebeusher_sizing::mixed;
+use grebeusher_sizing::mix64;
 use snafu::Snafu;
 
 /// The most segments of a prompt that are kept. Those after are long past what is shared.
@@ -114,7 +114,7 @@
     }
     let add = |hash: u64, byte: u8| (hash ^ u64::from(byte.to_ascii_lowercase())).wrapping_mul(FNV_PRIME);
     let hash = id.bytes().fold(chain_hash, add);
-    Ok(mixed(hash.wrapping_add(1)))
+    Ok(mix64(hash.wrapping_add(1)))
 }
 
 /// `X-Grebeusher-Server-Load`: an executor's load when the head of its response was sent.
--- a/crates/node/src/wire/faktory.rs
+++ b/crates/node/src/wire/faktory.rs
@@ -204,7 +204,7 @@
     fn greeting(&self) -> Greeting {
         let Some(password) = &self.password else { return Greeting::open() };
         let salt = self.salt.get();
-        self.salt.set(grebeusher_dispatch::ids::mixed(salt.wrapping_add(1)));
+        self.salt.set(grebeusher_dispatch::ids::mix64(salt.wrapping_add(1)));
         Greeting::with(password, &format!("{salt:016x}"), ITERATIONS)
     }
 
--- a/crates/quorum/src/group.rs
+++ b/crates/quorum/src/group.rs
@@ -70,7 +70,7 @@
     pub fn cluster_id(&self) -> ClusterId {
         // The ids are random, so that a hash without a key is enough.
         let bytes: Vec<u8> = self.voters.iter().flat_map(|voter| voter.0.to_le_bytes()).collect();
-        ClusterId(grebeusher_hash::fixed_hash_of(&bytes))
+        ClusterId(grebeusher_hash::fixed_hash_bytes(&bytes))
     }
 
     /// Whether the lists are ordered, without repeats and of a size that is allowed.
--- a/crates/sizing/src/lib.rs
+++ b/crates/sizing/src/lib.rs
@@ -44,7 +44,7 @@
 pub use options::{BoundaryRule, Remainder, WeightedCandidate};
 pub use pick::pick;
 pub use places::lanes_in_order;
-pub use rendezvous::{fixed_hash, mixed, rendezvous};
+pub use rendezvous::{fixed_hash, mix64, rendezvous};
 pub use sample::{Sample, SampleEntry, SampledRequest};
 pub use shares::capacity_by_lane;
 pub use weight::{MIN_WEIGHT, weight, weights};
