--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -56,7 +56,7 @@
 /// How often and in what way a request may be attempted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptPolicy {
-    /// The most attempts of one request, the first included.
+    /// The largest number of attempts of one request, including the first.
     pub max_attempts: usize,
     /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
--- a/crates/dispatch/src/decide.rs
+++ b/crates/dispatch/src/decide.rs
@@ -33,7 +33,7 @@
 const FIRST_REQUEST_TIMER: u64 = 2; // the timer of a request is this plus its index
 /// Well under the seconds in which load reports and the executor list change.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
-/// How long before the deadline the final answer is due: the time of a few batches of any caller.
+/// How long before the deadline the final answer is due: long enough for a few batches of events of any caller.
 const ANSWER_MARGIN: Duration = Duration::from_millis(20);
 /// Executors report progress at a fixed interval; this many intervals without a report are no coincidence.
 const SILENT_INTERVALS: f64 = 2.5;
@@ -46,9 +46,9 @@
 pub struct Dispatcher<H: Host> {
     host: H,
     rng: Pcg32,
-    node: u64,
+    node: u64, // the number of this node
     node_count: u64,
-    zone: usize,
+    zone: usize, // the zone of this node
     classes: Vec<RequestClass>,
     policy: AttemptPolicy,
     slow_start: SlowStart,
@@ -63,11 +63,11 @@
     /// When requests arrived and retries were sent, as far back as the window of the retry budget.
     arrival_times: VecDeque<Instant>,
     retry_times: VecDeque<Instant>,
-    watch_failures: u32,
+    watch_failures: u32, // in a row
     list_valid_until: Option<Instant>,
     stats: WorkloadStats,
     cut_offs: CutOffs,
-    cut_offs_computed: Instant,
+    cut_offs_computed: Instant, // the time of the last computation
 }
 
 impl<H: Host> Dispatcher<H> {
--- a/crates/dispatch/src/decide/executor.rs
+++ b/crates/dispatch/src/decide/executor.rs
@@ -7,7 +7,7 @@
 /// An attempt in flight at an executor.
 pub(super) struct InFlight {
     pub(super) id: AttemptId,
-    pub(super) size: f64,
+    pub(super) size: f64, // in seconds of a standard core
     pub(super) slots: f64,
     pub(super) sent: Instant,
     /// When its start would have been reported if it had started at once.
@@ -19,24 +19,24 @@
 /// What is known of one executor. It is cold while it is in slow start.
 #[derive(Default)]
 pub(super) struct Executor {
-    pub(super) hash: u64,
+    pub(super) hash: u64, // of its name
     pub(super) status: ExecutorStatus,
     pub(super) reports_own_status: bool,
-    pub(super) started: Option<Instant>,
-    /// The latest time at which its process can have started: the listed start plus its error, at most when it was listed.
+    pub(super) started: Option<Instant>, // as listed
+    /// The latest time at which its process can have started: the listed start plus its error, but not after it was listed.
     pub(super) cold_since: Option<Instant>,
     pub(super) kind: usize,
     pub(super) zone: usize,
     pub(super) cell: usize,
     pub(super) weight: f64,
     pub(super) lane: usize,
-    pub(super) utilisation: f64,
-    pub(super) reported: Option<Instant>,
+    pub(super) utilisation: f64,          // from the last report
+    pub(super) reported: Option<Instant>, // when that report arrived
     /// Its rank in this node's order of preference; the lowest is preferred.
     pub(super) rank: u64,
-    /// How many nodes precede this one among those that may send to it while it is cold.
+    /// How many nodes, counted from its hash on, precede this one among those that may send to it while it is cold.
     pub(super) slow_start_rank: u64,
-    pub(super) probed: Instant,
+    pub(super) probed: Instant, // when this node last probed it
     /// The most slots that this node's attempts filled at once, and the most that were reported free. Reports are inexact and
     /// late, so whether it has room goes by the first alone; what all nodes may send goes by both.
     pub(super) used_slots: f64,
@@ -45,9 +45,9 @@
     /// The slots that other nodes fill here, with the time of that figure; and those that this node last reported to them.
     pub(super) other_slots: Option<(Instant, f64)>,
     pub(super) reported_slots: u8,
-    pub(super) served: usize,
-    pub(super) reset: Option<Instant>,
-    pub(super) crashed: Option<Instant>,
+    pub(super) served: usize,            // attempts answered since it started
+    pub(super) reset: Option<Instant>,   // when a connection to it was last reset
+    pub(super) crashed: Option<Instant>, // when it was last found to have crashed
     /// Summed size of this node's answered requests, in seconds of a standard core, and the seconds that they held slots.
     pub(super) work_s: f64,
     pub(super) slot_s: f64,
@@ -55,8 +55,8 @@
     pub(super) speed: f64,
     pub(super) capacity: f64,
     pub(super) ejected_until: Instant,
-    pub(super) last_wait_s: f64,
-    pub(super) last_start: Instant,
+    pub(super) last_wait_s: f64,    // of the attempt that started last
+    pub(super) last_start: Instant, // of that attempt
     /// When attempts were sent to it while it was cold, as far back as the slow-start window.
     pub(super) cold_sends: Vec<Instant>,
 }
--- a/crates/dispatch/src/decide/health.rs
+++ b/crates/dispatch/src/decide/health.rs
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Leaves an executor out for a fixed time and a random one, by which the nodes do not all return at once. At most half of
-    /// the ready executors are ejected: a fault common to all is not that of a single one.
+    /// Leaves an executor out for a fixed time plus a random one, so that the nodes do not all return to it at once. At most
+    /// half of the ready executors are ejected: a fault common to all is not that of a single one.
     pub(super) fn eject(&mut self, now: Instant, executor: ExecutorId) {
         const FIXED_S: f64 = 3.0; // outlasts most short faults, and is short enough to notice the end of a long one
         const MAX_RANDOM_S: f64 = 2.0;
--- a/crates/dispatch/src/decide/lanes.rs
+++ b/crates/dispatch/src/decide/lanes.rs
@@ -29,9 +29,9 @@
             self.sharing.order.sort_by_key(|&i| short_hash(self.executors[i].hash));
             self.sharing.list_hash = short_hash(self.ready().fold(0, |sum, e| sum ^ mix64(e.hash)));
         }
-        // Executors of the own zone come first, by a sixth of their rank: crossing zones costs, but executors and clients are
-        // spread unevenly, so that zones have to balance each other. Before them come the cold executors to which this node
-        // may send, which would be idle otherwise: a budget is seldom split among more nodes than these.
+        // Executors of the own zone move forward, to a sixth of their rank: crossing zones costs, but executors and clients are
+        // spread unevenly, so that zones have to balance each other. Before all come the cold executors to which this node may
+        // send, which would be idle otherwise: a budget is seldom split among more than `MAX_SENDERS` nodes.
         const OWN_ZONE_DIVISOR: u64 = 6;
         const MAX_SENDERS: u64 = 8;
         self.ready_order.sort_by_cached_key(|&i| {
@@ -53,7 +53,7 @@
         let sizes = self.stats.recompute();
         self.cut_offs = CutOffs::one_lane();
         if sizes.len() >= MIN_SAMPLES && self.ready().any(|e| e.lane == 1) {
-            // Learned speeds count, all 1 until known: by the number of executors a slow lane would get too much.
+            // The sums of learned speeds count (each 1 until known): by the number of executors a slow lane would get too much.
             let speed = |lane: usize| self.ready().filter(|e| e.lane <= lane).map(|e| e.speed).sum::<f64>();
             let short_work = sizes.iter().map(|entry| entry.size).sum::<f64>() * speed(0) / speed(1);
             self.cut_offs = CutOffs::at_sums(&sizes, &[short_work], BoundaryRule::LowerLane);
--- a/crates/dispatch/src/decide/load_sharing.rs
+++ b/crates/dispatch/src/decide/load_sharing.rs
@@ -8,7 +8,7 @@
 /// What is known from the load messages of other nodes.
 #[derive(Default)]
 pub(super) struct LoadSharing {
-    pub(super) allowed: bool,
+    pub(super) allowed: bool, // whether nodes may exchange load messages
     /// The node that sums up, and when its last message arrived.
     pub(super) aggregator: u64,
     pub(super) last_received: Instant,
--- a/crates/dispatch/src/decide/pending.rs
+++ b/crates/dispatch/src/decide/pending.rs
@@ -6,7 +6,7 @@
 pub(super) struct Attempt {
     pub(super) executor: ExecutorId,
     pub(super) sent: Instant,
-    pub(super) open: bool,
+    pub(super) open: bool, // until it has ended
     pub(super) may_have_run: bool,
     pub(super) cancelled: bool,
 }
@@ -21,17 +21,17 @@
 #[derive(Default)]
 pub(super) struct Pending {
     pub(super) class: usize,
-    pub(super) first_sent: Instant,
-    pub(super) objective: Duration,
+    pub(super) first_sent: Instant, // by the client
+    pub(super) objective: Duration, // counted from `first_sent`
     pub(super) deadline: Instant,
     /// In seconds of a standard core, summed over its slots.
     pub(super) size: f64,
     pub(super) slots: f64,
     pub(super) attempts: Vec<Attempt>,
     pub(super) response_started: bool,
-    pub(super) queued: bool,
+    pub(super) queued: bool, // at this node, for an executor or a retry budget
     pub(super) queued_until: Instant,
-    pub(super) over_share: bool,
+    pub(super) over_share: bool, // whether it exceeds the customer's share
 }
 
 impl Pending {
@@ -44,7 +44,7 @@
 /// This node's part of a customer's quota, counted by a leaky bucket of requests.
 pub(super) struct QuotaShare {
     pub(super) rate_per_s: f64,
-    pub(super) level: f64,
+    pub(super) level: f64, // counted requests less those leaked
     pub(super) updated: Instant,
 }
 
--- a/crates/dispatch/src/decide/placement.rs
+++ b/crates/dispatch/src/decide/placement.rs
@@ -24,8 +24,8 @@
         }
         let class = arrival.class.min(self.classes.len() - 1);
         let terms = &self.classes[class];
-        // All that concerns the time left goes by this deadline. Clocks may differ by `error`: within it, a request that the
-        // client has just sent first has the time that its class allows.
+        // This deadline determines the time left in all decisions. Clocks may differ by `error`; within it, a client's first
+        // attempt has the time that its class allows.
         let (reported, error) = (arrival.deadline, self.policy.deadline_error);
         let estimated = if arrival.repeat { reported } else { now + terms.deadline };
         let deadline = estimated.clamp(reported - error, reported + error);
@@ -48,7 +48,7 @@
     /// Sends a request to the executor picked for it, queues it while no executor can take it, or rejects it.
     pub(super) fn place(&mut self, now: Instant, request: RequestId) {
         const MAX_QUEUE_TIME: Duration = Duration::from_millis(1000); // a slot frees up within it; a longer wait seldom helps
-        const BUDGET_TIMEOUT: Duration = Duration::from_millis(60); // a few round trips to the node that divides the fleet's budget
+        const BUDGET_TIMEOUT: Duration = Duration::from_millis(60); // a few round trips to the divider of the fleet's budget
         let selection = self.pick(now, request);
         let Some(pending) = self.requests.get_mut(&request) else { return };
         if pending.deadline <= now + ANSWER_MARGIN {
@@ -97,8 +97,8 @@
         }
         let (size, slots) = (pending.size, pending.slots);
         let time_out = (pending.deadline - ANSWER_MARGIN).since(now);
-        // Where starts are not reported, a running attempt is reported an interval later, or never without progress. Guards
-        // against taking all attempts for running, and those that wait for an executor fallen silent.
+        // Where starts are not reported, a start shows in a progress report an interval later, without progress never. Guards
+        // against counting all attempts as running, and the executor of a waiting attempt as silent.
         let start_due = match self.signals.progress_interval {
             _ if self.signals.reports_starts => now,
             Some(interval) => now + interval,
--- a/crates/dispatch/src/decide/retry.rs
+++ b/crates/dispatch/src/decide/retry.rs
@@ -65,7 +65,7 @@
         if give_up {
             return self.answer(request);
         }
-        // A request that may be running is reviewed when it would count as silent. Guards against four reviews of each a second.
+        // A request that may run is reviewed when it would count as silent. Guards against four reviews of each a second.
         let next = match silent_at {
             _ if unstarted => REVIEW_INTERVAL,
             Some(time) => time.since(now).max(REVIEW_INTERVAL),
--- a/crates/dispatch/src/decide/selection.rs
+++ b/crates/dispatch/src/decide/selection.rs
@@ -10,7 +10,7 @@
     index: usize,
     in_lane: bool,
     has_room: bool,
-    load: Option<f64>,
+    load: Option<f64>, // the utilisation, above 1 with a queue
     wait_s: Option<f64>,
     /// Whether the values above include the slots that other nodes fill, known from load sharing.
     is_shared: bool,
--- a/crates/dispatch/src/executor.rs
+++ b/crates/dispatch/src/executor.rs
@@ -24,17 +24,17 @@
     pub name: &'a str,
     /// The status of the executor.
     pub status: ExecutorStatus,
-    /// When its process started, if that is known.
+    /// When the executor's process started, if that is known.
     pub started: Option<Instant>,
-    /// The index of its kind; executors of one kind have the same hardware.
+    /// The index of the executor's kind; executors of one kind have the same hardware.
     pub kind: usize,
-    /// The index of its zone.
+    /// The index of the executor's zone.
     pub zone: usize,
-    /// The index of its cell.
+    /// The index of the executor's cell.
     pub cell: usize,
-    /// Its registered capacity relative to other executors.
+    /// The registered capacity of the executor relative to others.
     pub weight: f64,
-    /// Whether it reports its status to this node directly, so that the age of the list does not matter for it.
+    /// Whether the executor reports its status to this node directly, so that the age of the list does not matter.
     pub reports_own_status: bool,
 }
 
@@ -86,15 +86,15 @@
 /// Slow start: how much load an executor that has just started can take.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// Its capacity at its start, as a share of a warm executor's.
+    /// The capacity of the executor at its start, as a share of a warm executor's.
     pub initial_share: f64,
-    /// The age at which it has its full capacity.
+    /// The age at which the executor is warm, with its full capacity.
     pub warm_up: Duration,
-    /// It fails when it is sent more than this multiple of its capacity within the window.
+    /// The executor fails when it is sent more than this multiple of its capacity within the window.
     pub overload_factor: f64,
-    /// The window over which the work sent to it is summed up.
+    /// The length of the window over which the work sent to the executor is summed up.
     pub window: Duration,
-    /// How much earlier or later than listed it may have started.
+    /// How much earlier or later than listed the executor may have started.
     pub start_time_error: Duration,
     /// Executors in slow start are sent nothing before this time, a window after the node's own start: the node's
     /// previous process may just have used its part of the budget, of which the new one knows nothing.
--- a/crates/sizing/src/lanes.rs
+++ b/crates/sizing/src/lanes.rs
@@ -3,9 +3,9 @@
 use crate::options::Remainder;
 use crate::places::lanes_in_order;
 
-/// Divides executors, given by the fixed hashes of their ids, into `lane_count` lanes of nearly equal number, in the order of the
-/// hashes, so that all nodes that know the same executors form the same lanes. The remainder goes to the later lanes. Returns
-/// the lane of each executor in the order given; all lanes are 0 if there are fewer executors than lanes.
+/// Divides executors, given by the fixed hashes of their ids, into `lane_count` lanes of nearly equal number, in the order of
+/// the hashes, so that all nodes that know the same executors form the same lanes. The remainder goes to the later lanes.
+/// Returns the lane of each executor in the order given; all lanes are 0 if there are fewer executors than lanes.
 pub fn lanes_by_hash(hashes: &[u64], lane_count: usize) -> Vec<usize> {
     lanes_by_share(hashes, &vec![1.0; lane_count.max(1)])
 }
--- a/crates/sizing/src/options.rs
+++ b/crates/sizing/src/options.rs
@@ -23,7 +23,7 @@
 pub struct WeightedCandidate {
     /// The fraction of its capacity in use: 1 when it is full, more when requests wait there. `None` if unknown.
     pub utilisation: Option<f64>,
-    /// A factor of the weight beside utilisation, such as speed or nearness; 1 for none. An executor whose factor is not above 0
-    /// is never picked.
+    /// A factor of the weight beside utilisation, such as speed or nearness; 1 for none. An executor whose factor is not above
+    /// 0 is never picked.
     pub weight_factor: f64,
 }
