--- a/crates/dispatch/src/attempt.rs
+++ b/crates/dispatch/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: how one ends, and how often a request may be attempted.
+//! Attempts: their outcomes, and how often a request may be attempted.
 
 use crate::time::Duration;
 
@@ -7,25 +7,25 @@
 pub enum AttemptOutcome {
     /// The executor answered.
     Served,
-    /// The executor failed.
+    /// The executor answered with an error.
     Error,
-    /// The executor rejected it, as its queue is full.
+    /// The executor rejected the request because its queue was full.
     Full,
-    /// No answer came within the time-out.
+    /// No answer arrived within the time-out.
     TimedOut,
-    /// No connection to the executor was accepted.
+    /// The executor did not accept a connection.
     Refused,
-    /// The connection broke after the request had been sent.
+    /// The connection broke after the whole request had been sent.
     Reset,
-    /// It was cancelled from here.
+    /// The dispatcher cancelled the attempt.
     Cancelled,
-    /// Nothing of it was sent.
+    /// Nothing of the request was sent.
     NeverSent,
-    /// The connection broke before all was sent, or there was none to be had here: that says nothing of the
-    /// executor either.
-    CutOff,
-    /// The executor could make nothing of the request: that says nothing of the executor.
-    Unusable,
+    /// The connection broke before the whole request was sent, or this node could not open one. The executor is not at
+    /// fault.
+    SendFailed,
+    /// The executor could not interpret the request. The executor is not at fault.
+    InvalidRequest,
 }
 
 impl AttemptOutcome {
@@ -36,41 +36,41 @@
             AttemptOutcome::Full
                 | AttemptOutcome::Refused
                 | AttemptOutcome::NeverSent
-                | AttemptOutcome::CutOff
+                | AttemptOutcome::SendFailed
         )
     }
 }
 
-/// How many retries and hedges a node may send: within any `span`, `free` of them and a `share` of the requests that
-/// arrived in it.
+/// How many retries and hedges a node may send within any period of `window`: `base`, and `ratio` for each request
+/// that arrived in the period.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// The sliding window over which retries and arrivals are counted.
-    pub span: Duration,
-    /// Retries allowed in the window whatever arrives.
-    pub free: f64,
-    /// Further retries allowed for each request that arrived in the window.
-    pub share: f64,
+    /// The length of the sliding window over which retries and arrivals are counted.
+    pub window: Duration,
+    /// The number of retries allowed in the window regardless of arrivals.
+    pub base: f64,
+    /// The number of further retries allowed for each request that arrived in the window.
+    pub ratio: f64,
 }
 
 /// How often and in what way a request may be attempted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptPolicy {
-    /// The most attempts of one request, the first included.
+    /// The largest number of attempts of one request, including the first.
     pub max_attempts: usize,
     /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether a cancelled attempt that still waits leaves its executor's queue. The operators promise it: nothing
-    /// that a node receives tells.
+    /// Whether a cancelled attempt that still waits leaves its executor's queue. The operators guarantee it: no message
+    /// to a node shows it.
     pub cancel_dequeues: bool,
-    /// By how much the deadline that comes with a request may be off, either way.
+    /// How much earlier or later than stated the deadline of a request may be, since clocks differ.
     pub deadline_error: Duration,
-    /// The limit on all retries and hedges of the node together, where there is one.
+    /// The limit on the node's retries and hedges, if there is one.
     pub retry_budget: Option<RetryBudget>,
-    /// How long an executor may be sent to after it was announced as draining.
-    pub grace: Duration,
-    /// The longest wait that a rejected client keeps to, where one can be sent to it.
+    /// How long requests may still be sent to an executor after it was announced as draining.
+    pub drain_grace: Duration,
+    /// The longest retry-after time that clients observe; `None` if it cannot be sent to them.
     pub max_retry_after: Option<Duration>,
 }
--- a/crates/dispatch/tests/stable_bytes.rs
+++ b/crates/dispatch/tests/stable_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes written by earlier versions that this one must read and write unchanged: the words that nodes send one another.
+//! Bytes of earlier versions that this version must read and write unchanged: the load messages between nodes.
 
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::load_message::{LoadMessage, MAX_COUNTS_PER_MESSAGE, MAX_MESSAGE_BYTES, short_hash};
@@ -8,14 +8,14 @@
     let sent_messages = [
         (LoadMessage::Own { filled: vec![(0xabcd, 3), (0x0102, 200)] }, &[1, 0xab, 0xcd, 3, 1, 2, 200][..]),
         (
-            LoadMessage::All { list: 0xfeed, first: 2 * MAX_COUNTS_PER_MESSAGE, filled: vec![4, 5, 6] },
+            LoadMessage::Sums { list_hash: 0xfeed, first: 2 * MAX_COUNTS_PER_MESSAGE, filled: vec![4, 5, 6] },
             &[2, 0xfe, 0xed, 2, 4, 5, 6],
         ),
     ];
     for (message, bytes) in sent_messages {
-        // One that is added is to be added here as well.
+        // Every variant has a sample above; a new one fails to compile here.
         match message {
-            LoadMessage::Own { .. } | LoadMessage::All { .. } => {}
+            LoadMessage::Own { .. } | LoadMessage::Sums { .. } => {}
         }
         assert_eq!(message.encode(), bytes);
         assert_eq!(LoadMessage::decode(bytes), Some(message));
@@ -27,7 +27,7 @@
     );
 }
 
-/// Names stand as hashes in what nodes tell each other and in what keepers agree on.
+/// Nodes and quorum replicas exchange names as hashes.
 #[test]
 fn names_are_hashed_as_they_were() {
     let hashes = [
--- a/crates/node/src/coordinator.rs
+++ b/crates/node/src/coordinator.rs
@@ -130,7 +130,7 @@
 }
 
 impl Host for DispatchHost {
-    fn allocate(&mut self, request: RequestId, executor: ExecutorId, timeout: Duration) {
+    fn send_attempt(&mut self, request: RequestId, executor: ExecutorId, timeout: Duration) {
         let mut state = self.state.borrow_mut();
         let address = state.executors.address(executor);
         let Some((id, content)) = state.requests.add_attempt(request, executor) else { return };
@@ -533,7 +533,7 @@
         let abandoned = std::mem::take(&mut self.host.state.borrow_mut().abandoned);
         abandoned.into_iter().for_each(|request| self.request_withdrawn(request));
         let unsent = std::mem::take(&mut self.host.state.borrow_mut().unsent);
-        unsent.into_iter().for_each(|id| self.attempt_ended(id, AttemptOutcome::CutOff, None));
+        unsent.into_iter().for_each(|id| self.attempt_ended(id, AttemptOutcome::SendFailed, None));
         while let Some(job) = self.host.job_log.as_ref().and_then(|job_log| job_log.next_timed_out()) {
             self.resolve_without_result(&job.id, false);
         }
@@ -573,7 +573,7 @@
             }
         }
         if !self.host.state.borrow().awaiting_retry_budget.is_empty() {
-            self.dispatcher.serve_pending(self.host.clock.now());
+            self.dispatcher.serve_queued(self.host.clock.now());
         }
     }
 
@@ -829,8 +829,8 @@
             AttemptOutcome::Refused => self.counters.ended_refused.increment(),
             AttemptOutcome::Reset => self.counters.ended_reset.increment(),
             AttemptOutcome::Cancelled => self.counters.ended_recalled.increment(),
-            AttemptOutcome::CutOff => self.counters.ended_cut_off.increment(),
-            AttemptOutcome::Unusable => self.counters.ended_unusable.increment(),
+            AttemptOutcome::SendFailed => self.counters.ended_cut_off.increment(),
+            AttemptOutcome::InvalidRequest => self.counters.ended_unusable.increment(),
         }
         let has_run = matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Error);
         let may_be_running = !has_run && !outcome.proves_not_executed();
@@ -1082,8 +1082,8 @@
     pub fn learned_estimates(&self) -> LearnedEstimates {
         let learned = self.dispatcher.learned();
         let by_name = |(kind, learned): (&usize, &LearnedKind)| {
-            let LearnedKind { done, ran, slots } = *learned;
-            Some((self.kinds.get(*kind)?.clone(), (done as f32, ran as f32, slots as f32)))
+            let LearnedKind { work_s, slot_s, slots } = *learned;
+            Some((self.kinds.get(*kind)?.clone(), (work_s as f32, slot_s as f32, slots as f32)))
         };
         LearnedEstimates {
             sizes: learned.sizes.iter().map(|(size, run)| (*size as f32, *run as f32)).collect(),
@@ -1094,9 +1094,9 @@
     /// Adds what another node has learned; returns how many request sizes are known now.
     pub fn merge_learned(&mut self, estimates: &LearnedEstimates) -> usize {
         let by_index = |(name, fields): &(String, (f32, f32, f32))| {
-            let (done, ran, slots) = (fields.0.into(), fields.1.into(), fields.2.into());
+            let (work_s, slot_s, slots) = (fields.0.into(), fields.1.into(), fields.2.into());
             let kind = self.kinds.iter().position(|known| known == name)?;
-            Some((kind, LearnedKind { done, ran, slots }))
+            Some((kind, LearnedKind { work_s, slot_s, slots }))
         };
         let learned = LearnedState {
             sizes: estimates.sizes.iter().map(|(size, run)| ((*size).into(), (*run).into())).collect(),
