--- a/crates/prefix-popularity/src/error.rs
+++ b/crates/prefix-popularity/src/error.rs
@@ -1,35 +1,35 @@
-//! Errors of settings and of bytes from outside.
+//! The errors of invalid settings, and of invalid bytes from other nodes or from the disk.
 
 use snafu::Snafu;
 
-/// A setting is out of its range.
+/// The error of a setting that is out of its range.
 #[derive(Clone, Copy, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)), display("{setting} is {value}, expected {expected}"))]
 pub struct SettingsError {
-    /// The field of [`crate::Settings`].
+    /// The name of the field of [`crate::Settings`].
     pub setting: &'static str,
-    /// Its value.
+    /// The invalid value, in ms if it is a duration.
     pub value: f64,
-    /// Its range, in words.
+    /// The description of the valid range.
     pub expected: &'static str,
 }
 
-/// The bytes are not a contribution or a snapshot.
+/// The error of bytes that are not a valid contribution or snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DecodeError {
-    /// There are more bytes than allowed.
-    #[snafu(display("{length} bytes, {max_length} at most"))]
+    /// There are more bytes than a valid encoding can have.
+    #[snafu(display("the encoding has {length} bytes, more than the maximum of {max_length}"))]
     TooLong {
         /// The number of bytes.
         length: usize,
-        /// The most bytes allowed.
+        /// The greatest number of bytes of a valid encoding.
         max_length: usize,
     },
-    /// The bytes end early, continue after the end, or are of another kind.
-    #[snafu(display("malformed"))]
+    /// The bytes are incomplete, have further bytes at the end, or are of another format.
+    #[snafu(display("the encoding is malformed"))]
     Malformed,
-    /// The keys are not in ascending order, or one is there twice.
-    #[snafu(display("keys out of order"))]
-    Order,
+    /// The keys are not in ascending order, or a key occurs twice.
+    #[snafu(display("the keys are not in ascending order"))]
+    KeysOutOfOrder,
 }
--- a/crates/prefix-popularity/src/estimator.rs
+++ b/crates/prefix-popularity/src/estimator.rs
@@ -1,6 +1,7 @@
-//! The estimate of one node: its own counts, the contributions of the others, and the homes that follow from both.
+//! The estimate of prefix popularity at one node: the counts of its own requests, the contributions of the other nodes,
+//! and the numbers of homes that follow from both.
 
-use crate::contribution::{Contribution, HEAD_BYTES, PrefixRate, RATE_BYTES};
+use crate::contribution::{Contribution, HEADER_BYTES, PrefixRate, RATE_BYTES};
 use crate::error::DecodeError;
 use crate::homes::HomeTable;
 use crate::key::PrefixKey;
@@ -11,98 +12,103 @@
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rustc_hash::FxHashMap;
 
-/// How often the sums and the homes are computed.
-const REVIEW_INTERVAL: Duration = Duration::from_millis(1000);
-/// A contribution counts in full for so many report intervals: one report may be lost.
+/// The interval at which the rates over all nodes and the numbers of homes are computed.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(1000);
+/// For how many report intervals a contribution keeps its full weight. One report may be lost meanwhile.
 const HOLD_INTERVALS: f64 = 2.5;
-/// The most bytes of a frame on a link around a contribution.
+/// The greatest number of bytes that the transport adds to a contribution.
 const FRAME_BYTES: usize = 16;
-/// Each contribution comes in once and, on average over the relay trees, goes out once.
+/// How many times a node transfers each contribution: it receives it once, and sends it once on average over the relay
+/// trees.
 const TRANSFERS: f64 = 2.0;
-/// Nodes send their first contribution in one of so many phases of the interval.
+/// The number of different times within the report interval at which nodes send their first contribution.
 const REPORT_PHASES: u64 = 64;
-/// A restored rate is dropped when less is left of it, in tokens a second.
+/// The least rate in tokens per second that is kept of a restored snapshot while it decays.
 const MIN_RESTORED_RATE: f64 = 1.0;
 
-/// The writer of this node's contributions.
+/// The identity under which a node writes its contributions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Contributor {
-    /// The node.
+    /// The id of the node.
     pub origin: u64,
-    /// Its incarnation: a later one has a greater number.
+    /// The incarnation of the node's process. A later process has a greater number.
     pub incarnation: u64,
 }
 
-/// What became of a contribution of another node.
+/// The result of merging a contribution of another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It is new, and is to be relayed.
+    /// The contribution is new and should be relayed to other nodes.
     Merged,
-    /// It is known or older than what is known, or there are too many origins. It is not to be relayed.
+    /// The contribution should not be relayed. It is not newer than the stored one of its origin, it is the node's own,
+    /// or there are too many origins.
     Ignored,
 }
 
-/// Events since the start.
+/// The numbers of events since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Own contributions that were sent.
+    /// Contributions of this node that were sent.
     pub sent: u64,
-    /// Contributions of others that were merged.
+    /// Contributions of other nodes that were merged.
     pub merged: u64,
-    /// Contributions of others that were ignored.
+    /// Contributions that were ignored.
     pub ignored: u64,
-    /// Homes that prefixes got beside their first.
+    /// Homes that were added to prefixes, beside the first home of each.
     pub homes_added: u64,
-    /// Homes that prefixes lost.
+    /// Homes that were removed from prefixes.
     pub homes_removed: u64,
 }
 
-/// The sizes of the tables.
+/// The numbers of entries in the tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Prefixes that this node counts.
+    /// The number of prefixes for which this node counts its own requests.
     pub tracked_prefixes: usize,
-    /// Nodes whose contributions it has.
+    /// The number of other nodes whose contributions are stored.
     pub contributors: usize,
 }
 
-/// A prefix and its popularity.
+/// A prefix and the demand for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PopularPrefix {
-    /// The prefix.
+    /// The key of the prefix.
     pub key: PrefixKey,
-    /// Tokens a second that requests bring beside it, over the whole tier.
+    /// The number of tokens per second that requests with the prefix have beside it, over all nodes.
     pub tokens_per_s: f64,
-    /// At how many executors it has a home.
+    /// The number of executors that are homes of the prefix.
     pub homes: usize,
 }
 
-/// The estimate of prefix popularity at one node. See the crate's page.
+/// The estimate of prefix popularity at one node. The documentation of the crate describes it.
 pub struct PopularityEstimator {
     settings: Settings,
     own: Contributor,
-    /// At least 1.
+    /// The number of nodes that report to each other, at least 1.
     nodes: usize,
     own_counts: SpaceSavingTable,
     peers: PeerContributions,
-    /// What an earlier process of this node knew, as of `restored_at`.
+    /// The rates in tokens per second from the snapshot of an earlier process, at `restored_at`.
     restored: FxHashMap<PrefixKey, f64>,
     restored_at: Instant,
-    /// The rates over the whole tier, as of the last review.
+    /// The rates in tokens per second over all nodes, at the latest update.
     rates: FxHashMap<PrefixKey, f64>,
     homes: HomeTable,
-    /// Of the last own contribution.
+    /// The sequence number of the latest contribution of this node.
     sequence: u32,
+    /// Whether the latest contribution of this node was empty.
     last_was_empty: bool,
+    /// When the next contribution of this node is due.
     report_at: Instant,
-    review_at: Instant,
+    /// When the rates and the numbers of homes are due to be computed.
+    update_at: Instant,
     counters: Counters,
 }
 
 impl PopularityEstimator {
-    /// A node that knows nothing yet. `settings` have to pass [`Settings::validate`].
+    /// Creates the estimate of a node without any counts. `settings` have to be valid by [`Settings::validate`].
     pub fn new(settings: Settings, own: Contributor, now: Instant) -> PopularityEstimator {
-        // Nodes that start together report at different times.
+        // The phase differs between nodes, so that nodes that start together report at different times.
         let phase = (own.origin % REPORT_PHASES) as f64 / REPORT_PHASES as f64;
         let first_delay = settings.min_report_interval + settings.min_report_interval.scaled(phase);
         PopularityEstimator {
@@ -118,22 +124,22 @@
             sequence: 0,
             last_was_empty: true,
             report_at: now + first_delay,
-            review_at: now,
+            update_at: now,
             counters: Counters::default(),
         }
     }
 
-    /// Sets how many nodes report to each other, this one included.
+    /// Sets the number of nodes that report to each other, including this one.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes.max(1);
     }
 
-    /// A request of this node brought so many tokens beside the prefix.
+    /// Records a request of this node with `tokens` prompt tokens beside the prefix.
     pub fn record(&mut self, now: Instant, key: PrefixKey, tokens: u32) {
         self.own_counts.record(now, key, f64::from(tokens));
     }
 
-    /// A contribution of another node came.
+    /// Stores a contribution that was received from another node, if it is newer than the stored one.
     pub fn merge(&mut self, now: Instant, contribution: Contribution) -> MergeOutcome {
         let is_own = contribution.origin == self.own.origin;
         if is_own || !self.peers.merge(now, contribution) {
@@ -144,18 +150,18 @@
         MergeOutcome::Merged
     }
 
-    /// Does what is due. Returns this node's contribution when it is to be sent to all.
+    /// Does the periodic work that is due. Returns a contribution of this node when it is due to be sent to all nodes.
     pub fn tick(&mut self, now: Instant) -> Option<Contribution> {
-        if now >= self.review_at {
-            self.review_at = now + REVIEW_INTERVAL;
-            self.review(now);
+        if now >= self.update_at {
+            self.update_at = now + UPDATE_INTERVAL;
+            self.update(now);
         }
         if now < self.report_at {
             return None;
         }
         self.report_at = now + self.report_interval();
         let rates = self.own_rates(now);
-        // One empty contribution replaces the last. After that, no contribution means the same.
+        // One empty contribution replaces the previous one. Further empty ones would not change anything.
         if rates.is_empty() && self.last_was_empty {
             return None;
         }
@@ -166,38 +172,42 @@
         Some(Contribution { origin, incarnation, sequence: self.sequence, rates })
     }
 
-    /// When something is due next.
+    /// When [`PopularityEstimator::tick`] next has work to do.
     pub fn next_wake(&self) -> Instant {
-        self.report_at.min(self.review_at)
+        self.report_at.min(self.update_at)
     }
 
-    /// The interval between two own contributions, in which as many bytes come and go as all nodes together send in it.
+    /// The interval between two contributions of this node. It is long enough that the contributions of all nodes stay
+    /// within [`Settings::max_bytes_per_s`] on this node's link.
     pub fn report_interval(&self) -> Duration {
-        let contribution = FRAME_BYTES + HEAD_BYTES + self.settings.reported_prefixes * RATE_BYTES;
-        let bytes = contribution as f64 * self.nodes as f64 * TRANSFERS;
-        let needed = Duration::from_seconds(bytes / self.settings.max_bytes_per_s);
+        let contribution_bytes = FRAME_BYTES + HEADER_BYTES + self.settings.reported_prefixes * RATE_BYTES;
+        let bytes_per_interval = contribution_bytes as f64 * self.nodes as f64 * TRANSFERS;
+        let needed = Duration::from_seconds(bytes_per_interval / self.settings.max_bytes_per_s);
         self.settings.min_report_interval.max(needed)
     }
 
+    /// The rates of this node's contribution, in ascending order of their keys.
     fn own_rates(&self, now: Instant) -> Vec<PrefixRate> {
-        let heaviest = self.own_counts.heaviest(now, self.settings.reported_prefixes);
-        let rates = heaviest.into_iter().map(|tracked| PrefixRate::of(tracked.key, tracked.tokens_per_s));
+        let highest_rates = self.own_counts.highest_rates(now, self.settings.reported_prefixes);
+        let rates =
+            highest_rates.into_iter().map(|tracked| PrefixRate::of(tracked.key, tracked.tokens_per_s));
         let mut rates: Vec<PrefixRate> = rates.filter(|rate| rate.tokens_per_s() > 0.0).collect();
         rates.sort_unstable_by_key(|rate| rate.key);
         rates
     }
 
+    /// How the contributions of other nodes lose weight.
     fn peer_decay(&self) -> Decay {
         let hold = self.report_interval().scaled(HOLD_INTERVALS);
         Decay { hold, time_constant_s: self.settings.time_constant.seconds() }
     }
 
-    /// Computes the rates over the whole tier, and the homes.
-    fn review(&mut self, now: Instant) {
+    /// Computes the rates over all nodes and the numbers of homes.
+    fn update(&mut self, now: Instant) {
         let decay = self.peer_decay();
         self.peers.remove_decayed(now, decay);
         self.rates.clear();
-        let own = self.own_counts.heaviest(now, self.settings.reported_prefixes);
+        let own = self.own_counts.highest_rates(now, self.settings.reported_prefixes);
         self.rates.extend(own.into_iter().map(|tracked| (tracked.key, tracked.tokens_per_s)));
         self.peers.add_to(now, decay, &mut self.rates);
         self.include_restored(now);
@@ -206,29 +216,30 @@
         self.counters.homes_removed += changes.removed;
     }
 
-    /// What an earlier process knew is the same traffic: the greater rate counts, never both.
+    /// Includes the rates of the restored snapshot. They describe the same requests as the reports of the nodes, so the
+    /// greater rate of the two is used and not their sum.
     fn include_restored(&mut self, now: Instant) {
         let time_constant_s = self.settings.time_constant.seconds();
         let decay = Decay { hold: Duration::from_nanos(0), time_constant_s };
         let weight = decay.weight(now.since(self.restored_at));
         self.restored.retain(|_, rate| *rate * weight >= MIN_RESTORED_RATE);
         for (key, rate) in &self.restored {
-            let sum = self.rates.entry(*key).or_insert(0.0);
-            *sum = sum.max(rate * weight);
+            let reported_rate = self.rates.entry(*key).or_insert(0.0);
+            *reported_rate = reported_rate.max(rate * weight);
         }
     }
 
-    /// At how many executors a prefix has a home: one at least.
+    /// The number of executors that are homes of a prefix, at least 1.
     pub fn homes(&self, key: PrefixKey) -> usize {
         self.homes.count(key)
     }
 
-    /// Tokens a second that requests bring beside a prefix, over the whole tier.
+    /// The number of tokens per second that requests with a prefix have beside it, over all nodes.
     pub fn tokens_per_s(&self, key: PrefixKey) -> f64 {
         self.rates.get(&key).copied().unwrap_or(0.0)
     }
 
-    /// The most popular prefixes, those in most demand first.
+    /// The `limit` prefixes with the highest demand, beginning with the highest.
     pub fn popular(&self, limit: usize) -> Vec<PopularPrefix> {
         let view = |(key, rate): (&PrefixKey, &f64)| PopularPrefix {
             key: *key,
@@ -241,29 +252,29 @@
         popular
     }
 
-    /// A snapshot for a later process of this node, at most [`crate::MAX_SNAPSHOT_BYTES`].
+    /// A snapshot of the rates for a later process of this node. It has at most [`crate::MAX_SNAPSHOT_BYTES`] bytes.
     pub fn snapshot(&self) -> Vec<u8> {
         snapshot::encode(&self.rates)
     }
 
-    /// Takes over the snapshot of an earlier process of this node, which decays from now on. Returns the number of its
-    /// prefixes that still count.
+    /// Restores the snapshot of an earlier process of this node, whose rates decay from now on. Returns the number of
+    /// restored prefixes.
     ///
     /// # Errors
-    /// When the bytes are not a snapshot.
+    /// Returns an error if the bytes are not a snapshot.
     pub fn restore(&mut self, now: Instant, bytes: &[u8]) -> Result<usize, DecodeError> {
         self.restored = snapshot::decode(bytes)?;
         self.restored_at = now;
-        self.review(now);
+        self.update(now);
         Ok(self.restored.len())
     }
 
-    /// Events since the start.
+    /// The numbers of events since the start of the process.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The sizes of the tables.
+    /// The numbers of entries in the tables.
     pub fn sizes(&self) -> TableSizes {
         TableSizes { tracked_prefixes: self.own_counts.len(), contributors: self.peers.len() }
     }
--- a/crates/prefix-popularity/src/lib.rs
+++ b/crates/prefix-popularity/src/lib.rs
@@ -1,32 +1,37 @@
-//! Which shared prefixes of prompts are popular in the whole tier, and at how many executors each has a home.
+//! A distributed estimate of the demand for shared prompt prefixes.
 //!
-//! One [`PopularityEstimator`] serves one node. It does no I/O and reads no clock: requests, contributions of other nodes
-//! and the time are handed in; contributions to be sent and numbers of homes come out. `grebeusher-gateway` counts requests
-//! in it and routes by its homes, `grebeusher-tier` sends and receives contributions and stores snapshots.
+//! The tier is the group of nodes that forward requests to executors. Requests with the same prompt prefix go to the
+//! same few executors, the homes of the prefix, so that these have it cached. The nodes estimate together how much
+//! demand there is for each prefix, and therefore how many homes it needs.
+//!
+//! Each node has one [`PopularityEstimator`]. It does no I/O and reads no clock: its caller passes it requests,
+//! contributions of other nodes and the time, and gets contributions to send and numbers of homes. `grebeusher-gateway`
+//! counts requests in it and routes by the numbers of homes. `grebeusher-tier` sends and receives contributions, and
+//! stores snapshots.
 //!
 //! # Counting
 //!
-//! A node counts the tokens that its own requests bring beside each prefix, as an exponentially decaying rate in a
-//! Space-Saving table of fixed size. The registry's crate `heavykeeper` does not decay with time and evicts at random, so
-//! this crate has a table of its own.
+//! A node counts the prompt tokens that its own requests have beside each prefix, as an exponentially decaying rate in
+//! a Space-Saving table of fixed size. The crate `heavykeeper` on crates.io does not decay with time and evicts at
+//! random, so this crate has its own table.
 //!
 //! # Sharing
 //!
-//! Each node sends its heaviest prefixes in a [`Contribution`]: a register that only its origin writes, ordered by
-//! incarnation and sequence. The newest of an origin replaces all before, so that merging is commutative and idempotent, and
-//! nothing counts twice whatever is duplicated, reordered or sent again after a network partition. A contribution that is
-//! not renewed decays. The interval between two of them grows with the tier, so that traffic stays within
-//! [`Settings::max_bytes_per_s`].
+//! Each node sends the prefixes with the highest demand in a [`Contribution`]: a register that only its origin writes,
+//! ordered by incarnation and sequence number. The newest contribution of an origin replaces all earlier ones. Merging
+//! is therefore commutative and idempotent, and no request is counted twice when contributions are duplicated,
+//! reordered or sent again after a network partition. A contribution that is not renewed decays. The interval between
+//! two contributions grows with the number of nodes, so that the traffic stays within [`Settings::max_bytes_per_s`].
 //!
 //! # Homes
 //!
-//! A prefix has as many homes as its rate needs ([`Settings::home_tokens_per_s`] for each), one at least. More are added at
-//! once; they are removed one by one, after the rate has stayed well below for a time.
+//! A prefix has as many homes as its rate needs, with [`Settings::home_tokens_per_s`] for each, and at least one. Homes
+//! are added at once. They are removed one by one, after the rate has been well below their capacity for some time.
 //!
 //! # Restarts
 //!
-//! [`PopularityEstimator::snapshot`] is compact. What is restored decays like all else, and counts only where it exceeds
-//! what the nodes report.
+//! A node stores [`PopularityEstimator::snapshot`] for its next process. The restored rates decay like all others, and
+//! are used only where they exceed the rates that the nodes report.
 //!
 //! ```
 //! use grebeusher_prefix_popularity::{Contributor, PopularityEstimator, PrefixKey, Settings};
@@ -42,7 +47,7 @@
 //!     node.record(now, key, 2_000);
 //!     node.tick(now);
 //! }
-//! assert!(node.homes(key) >= 5, "100,000 tokens a second need more than one home");
+//! assert!(node.homes(key) >= 5, "100,000 tokens per second need more than one home");
 //! ```
 
 #![warn(missing_docs)]
--- a/crates/prefix-popularity/src/peer_contributions.rs
+++ b/crates/prefix-popularity/src/peer_contributions.rs
@@ -1,37 +1,39 @@
-//! The contributions of the other nodes, the newest of each, and their sums.
+//! The newest contribution of each other node, and the sums of their rates.
 
 use crate::contribution::Contribution;
 use crate::key::PrefixKey;
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rustc_hash::FxHashMap;
 
-/// Origins that are stored at once, well beyond the largest tier; some hundred bytes each.
+/// The greatest number of origins whose contributions are stored, far more than the number of nodes of the largest
+/// tier. A contribution takes some hundred bytes.
 const MAX_ORIGINS: usize = 1_024;
-/// A contribution is dropped when no more than this weight is left of it.
+/// The weight at or below which a contribution is dropped.
 const MIN_WEIGHT: f64 = 0.02;
 
-struct Received {
+/// A contribution and the time at which it was received.
+struct ReceivedContribution {
     contribution: Contribution,
-    at: Instant,
+    received_at: Instant,
 }
 
-/// What the other nodes reported.
+/// The newest contributions of the other nodes.
 #[derive(Default)]
 pub(crate) struct PeerContributions {
-    by_origin: FxHashMap<u64, Received>,
+    by_origin: FxHashMap<u64, ReceivedContribution>,
 }
 
 /// How a contribution that is not renewed loses weight.
 #[derive(Clone, Copy)]
 pub(crate) struct Decay {
-    /// For this long it counts in full.
+    /// How long the contribution keeps its full weight after it was received.
     pub hold: Duration,
-    /// Then it decays exponentially with this time constant.
+    /// The time constant of the exponential decay after `hold`, in seconds.
     pub time_constant_s: f64,
 }
 
 impl Decay {
-    /// The remaining weight at an age, from 1 to 0.
+    /// The remaining weight of a contribution of an age, from 1 to 0.
     pub fn weight(self, age: Duration) -> f64 {
         if age <= self.hold {
             return 1.0;
@@ -41,7 +43,8 @@
 }
 
 impl PeerContributions {
-    /// Stores a contribution unless one as new is stored, or there are too many origins. Whether it was stored.
+    /// Stores a contribution, unless the stored one of its origin is as new, or there are too many origins. Returns
+    /// whether it was stored.
     pub fn merge(&mut self, now: Instant, contribution: Contribution) -> bool {
         let known = self.by_origin.get(&contribution.origin);
         let is_stale = known.is_some_and(|known| known.contribution.version() >= contribution.version());
@@ -49,19 +52,20 @@
         if is_stale || is_full {
             return false;
         }
-        self.by_origin.insert(contribution.origin, Received { contribution, at: now });
+        let received = ReceivedContribution { contribution, received_at: now };
+        self.by_origin.insert(received.contribution.origin, received);
         true
     }
 
-    /// Drops what has decayed.
+    /// Drops the contributions that have almost no weight left.
     pub fn remove_decayed(&mut self, now: Instant, decay: Decay) {
-        self.by_origin.retain(|_, received| decay.weight(now.since(received.at)) > MIN_WEIGHT);
+        self.by_origin.retain(|_, received| decay.weight(now.since(received.received_at)) > MIN_WEIGHT);
     }
 
-    /// Adds the decayed rates of all origins to the sums.
+    /// Adds the decayed rates of all origins to `sums`, in tokens per second.
     pub fn add_to(&self, now: Instant, decay: Decay, sums: &mut FxHashMap<PrefixKey, f64>) {
         for received in self.by_origin.values() {
-            let weight = decay.weight(now.since(received.at));
+            let weight = decay.weight(now.since(received.received_at));
             for rate in &received.contribution.rates {
                 *sums.entry(rate.key).or_insert(0.0) += rate.tokens_per_s() * weight;
             }
--- a/crates/prefix-popularity/src/settings.rs
+++ b/crates/prefix-popularity/src/settings.rs
@@ -1,4 +1,4 @@
-//! The tunable parameters, with their ranges.
+//! The tunable parameters of the estimate and their valid ranges.
 
 use crate::contribution::MAX_REPORTED_PREFIXES;
 use crate::error::SettingsError;
@@ -8,23 +8,25 @@
 /// Parameters of the shared estimate of prefix popularity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The time constant of rates. After a few times as long nothing is left of earlier requests.
+    /// The time constant with which rates decay. After a few times this duration, earlier requests no longer count.
     pub time_constant: Duration,
-    /// Prefixes that one node counts at once.
+    /// The greatest number of prefixes that one node counts.
     pub tracked_prefixes: usize,
-    /// Prefixes in one contribution, the heaviest; at most [`MAX_REPORTED_PREFIXES`].
+    /// The number of prefixes in one contribution, at most [`MAX_REPORTED_PREFIXES`]. They are those with the highest
+    /// demand.
     pub reported_prefixes: usize,
     /// The least interval between two contributions of a node.
     pub min_report_interval: Duration,
-    /// Bytes a second that contributions may take on a node's link, both directions together.
+    /// The greatest number of bytes per second that contributions may take on the link of a node, in both directions
+    /// together.
     pub max_bytes_per_s: f64,
-    /// Tokens a second, beside the prefix itself, for which one home is enough.
+    /// The number of tokens per second beside the prefix itself for which one home is enough.
     pub home_tokens_per_s: f64,
-    /// A home is removed when the rate is below this fraction of what the other homes can take.
+    /// The fraction of the capacity of a prefix's other homes below which its rate has to be before a home is removed.
     pub shrink_ratio: f64,
-    /// And only so long after the last change.
+    /// The least time between a change of the number of homes and the removal of one.
     pub shrink_delay: Duration,
-    /// The most homes of a prefix: none spreads over all executors.
+    /// The greatest number of homes of a prefix, so that none spreads over all executors.
     pub max_homes: usize,
 }
 
@@ -44,13 +46,12 @@
     }
 }
 
-/// The most prefixes that a node may be set to count: some thirty kilobytes.
+/// The greatest valid value of [`Settings::tracked_prefixes`]. As many prefixes take about thirty kilobytes.
 const MAX_TRACKED_PREFIXES: usize = 1_024;
-/// An hour, in milliseconds.
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// The range of one setting.
-struct Rule {
+/// The valid range of one setting. Durations are in ms.
+struct SettingRange {
     setting: &'static str,
     value: f64,
     range: RangeInclusive<f64>,
@@ -58,13 +59,13 @@
 }
 
 impl Settings {
-    /// Returns the settings if each is in its range.
+    /// Returns the settings if each is in its valid range.
     ///
     /// # Errors
-    /// Names the first that is not.
+    /// Returns an error with the name of the first setting that is out of its range.
     pub fn validate(self) -> Result<Settings, SettingsError> {
-        for Rule { setting, value, range, expected } in self.rules() {
-            // A NaN is in no range.
+        for SettingRange { setting, value, range, expected } in self.setting_ranges() {
+            // No range contains NaN.
             if !range.contains(&value) {
                 return Err(SettingsError { setting, value, expected });
             }
@@ -72,21 +73,23 @@
         Ok(self)
     }
 
-    fn rules(&self) -> [Rule; 9] {
+    /// The valid ranges of all settings.
+    fn setting_ranges(&self) -> [SettingRange; 9] {
         let millis = |duration: Duration| duration.seconds() * 1000.0;
-        let rule = |setting, value, range, expected| Rule { setting, value, range, expected };
+        let setting_range =
+            |setting, value, range, expected| SettingRange { setting, value, range, expected };
         let (tracked, reported) = (self.tracked_prefixes as f64, self.reported_prefixes as f64);
-        let interval = millis(self.min_report_interval);
+        let report_interval_ms = millis(self.min_report_interval);
         [
-            rule("time_constant", millis(self.time_constant), 100.0..=HOUR_MS, "100 ms to an hour"),
-            rule("min_report_interval", interval, 100.0..=HOUR_MS, "100 ms to an hour"),
-            rule("shrink_delay", millis(self.shrink_delay), 0.0..=HOUR_MS, "an hour at most"),
-            rule("tracked_prefixes", tracked, 1.0..=MAX_TRACKED_PREFIXES as f64, "1 to 1024"),
-            rule("reported_prefixes", reported, 1.0..=MAX_REPORTED_PREFIXES as f64, "1 to 16"),
-            rule("max_bytes_per_s", self.max_bytes_per_s, 1.0..=1e9, "1 at least"),
-            rule("home_tokens_per_s", self.home_tokens_per_s, 1.0..=1e9, "1 at least"),
-            rule("shrink_ratio", self.shrink_ratio, 0.0..=1.0, "0 to 1"),
-            rule("max_homes", self.max_homes as f64, 1.0..=255.0, "1 to 255"),
+            setting_range("time_constant", millis(self.time_constant), 100.0..=HOUR_MS, "100 ms to an hour"),
+            setting_range("min_report_interval", report_interval_ms, 100.0..=HOUR_MS, "100 ms to an hour"),
+            setting_range("shrink_delay", millis(self.shrink_delay), 0.0..=HOUR_MS, "at most an hour"),
+            setting_range("tracked_prefixes", tracked, 1.0..=MAX_TRACKED_PREFIXES as f64, "1 to 1024"),
+            setting_range("reported_prefixes", reported, 1.0..=MAX_REPORTED_PREFIXES as f64, "1 to 16"),
+            setting_range("max_bytes_per_s", self.max_bytes_per_s, 1.0..=1e9, "1 to 1000000000"),
+            setting_range("home_tokens_per_s", self.home_tokens_per_s, 1.0..=1e9, "1 to 1000000000"),
+            setting_range("shrink_ratio", self.shrink_ratio, 0.0..=1.0, "0 to 1"),
+            setting_range("max_homes", self.max_homes as f64, 1.0..=255.0, "1 to 255"),
         ]
     }
 }
--- a/crates/prefix-popularity/src/space_saving.rs
+++ b/crates/prefix-popularity/src/space_saving.rs
@@ -1,33 +1,37 @@
-//! The rates of this node's own requests: a Space-Saving table with exponentially decaying counts.
+//! The rates of this node's own requests, in a Space-Saving table with exponentially decaying counts.
 
 use crate::key::PrefixKey;
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rustc_hash::FxHashMap;
 
-/// Counts are stored as of a landmark, so that their order stays while they decay. The landmark moves on after so many time
-/// constants, long before a count becomes too large for its precision.
+/// The greatest age of the landmark as a multiple of the time constant. Counts are stored as if all their tokens had
+/// been counted at the landmark, which is a point in time, so that the order of the counts does not change while they
+/// decay. The landmark is moved long before a count becomes too large for its precision.
 const LANDMARK_MAX_AGE: f64 = 30.0;
-/// A rate is extrapolated from this fraction of the time constant at least, however young the node is.
+/// The least observed time that is assumed for the computation of a rate, as a fraction of the time constant, however
+/// recently the table was created.
 const MIN_OBSERVED: f64 = 0.1;
-/// Counts of no more tokens are dropped when the landmark moves.
+/// The number of tokens up to which a count is dropped when the landmark is moved.
 const MIN_COUNT: f64 = 1e-3;
 
+/// The decaying count of one prefix.
 #[derive(Clone, Copy, Debug)]
 struct Count {
-    /// Tokens as of the landmark.
+    /// The number of tokens, scaled to the landmark.
     scaled: f64,
-    /// The part of it that was inherited from the evicted prefix: the most by which it may be too high.
+    /// The part of `scaled` that was inherited from the prefix whose entry was evicted. The count exceeds the true one
+    /// by at most this part.
     inherited: f64,
 }
 
-/// The rate of one prefix.
+/// The rate of one prefix by this node's own requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct TrackedRate {
     pub key: PrefixKey,
     pub tokens_per_s: f64,
 }
 
-/// Decaying token counts of a fixed number of prefixes.
+/// The decaying token counts of a limited number of prefixes.
 #[derive(Debug)]
 pub(crate) struct SpaceSavingTable {
     max_prefixes: usize,
@@ -48,7 +52,8 @@
         }
     }
 
-    /// A request brought so many tokens beside the prefix. Where the table is full, the smallest count is evicted.
+    /// Records a request with `tokens` tokens beside the prefix. If the prefix is new and the table is full, the prefix
+    /// with the smallest count is evicted.
     pub fn record(&mut self, now: Instant, key: PrefixKey, tokens: f64) {
         self.move_landmark(now);
         let scaled = tokens * self.growth(now);
@@ -60,7 +65,7 @@
         self.counts.insert(key, Count { scaled: scaled + inherited, inherited });
     }
 
-    /// Makes space for one more prefix. Returns the count that it inherits.
+    /// Makes space for one more prefix. Returns the count that the new prefix inherits, scaled to the landmark.
     fn evict_if_full(&mut self) -> f64 {
         if self.counts.len() < self.max_prefixes {
             return 0.0;
@@ -70,17 +75,19 @@
         count.scaled
     }
 
+    /// The prefix with the smallest count.
     fn smallest(&self) -> Option<(PrefixKey, Count)> {
         let counts = self.counts.iter().map(|(key, count)| (*key, *count));
-        // Ties by key, so that equal runs are alike.
+        // Equal counts are ordered by key, so that the result does not depend on the order of the map.
         counts.min_by(|(a, x), (b, y)| x.scaled.total_cmp(&y.scaled).then(a.cmp(b)))
     }
 
-    /// The factor between a count of now and one as of the landmark.
+    /// The factor by which a token counted now is scaled.
     fn growth(&self, now: Instant) -> f64 {
         (now.since(self.landmark).seconds() / self.time_constant_s).exp()
     }
 
+    /// Moves the landmark to `now` if it is too old.
     fn move_landmark(&mut self, now: Instant) {
         if now.since(self.landmark).seconds() < LANDMARK_MAX_AGE * self.time_constant_s {
             return;
@@ -94,11 +101,13 @@
         });
     }
 
-    /// The heaviest prefixes by what is certain of their rates, the heaviest first.
-    pub fn heaviest(&self, now: Instant, limit: usize) -> Vec<TrackedRate> {
-        let observed = (now.since(self.started_at).seconds() / self.time_constant_s).max(MIN_OBSERVED);
-        // The fraction of the mean's weight that lies in the observed time.
-        let observed_weight = 1.0 - (-observed).exp();
+    /// The `limit` prefixes with the highest rates, beginning with the highest. Inherited counts are left out, so that
+    /// no rate is above the true one.
+    pub fn highest_rates(&self, now: Instant, limit: usize) -> Vec<TrackedRate> {
+        let observed_time_constants =
+            (now.since(self.started_at).seconds() / self.time_constant_s).max(MIN_OBSERVED);
+        // The fraction of the weight of an exponentially weighted mean that falls into the observed time.
+        let observed_weight = 1.0 - (-observed_time_constants).exp();
         let scale = 1.0 / (self.growth(now) * self.time_constant_s * observed_weight);
         let rate = |count: &Count| (count.scaled - count.inherited).max(0.0) * scale;
         let rates =
