--- a/crates/gateway/src/affinity.rs
+++ b/crates/gateway/src/affinity.rs
@@ -1,15 +1,18 @@
-//! Prefix affinity: where requests with a long shared prefix go inside their lane.
+//! Prefix affinity: how requests with a long shared prompt prefix are routed inside their lane.
 //!
-//! Each prefix (the shared segments of a prompt, for its model) has homes: the first executors of its lane in a
-//! rendezvous order, on which all nodes agree without communication. Their number follows demand: with
-//! [`GatewayConfig::share_prefix_popularity`] by the tier's shared estimate (`grebeusher-prefix-popularity`), else by
+//! A prefix consists of a model and the segments of a prompt that other requests share. Its homes are the first
+//! executors of its lane in the order of rendezvous hashing, which all nodes compute alike without communication.
+//! Requests with the prefix go to its homes, so that few executors have to compute and cache it. The number of homes
+//! grows with the demand for the prefix. With [`GatewayConfig::share_prefix_popularity`] the demand is the estimate
+//! that all nodes of the tier share (`grebeusher-prefix-popularity`); without it, the demand is estimated as that of
 //! this node's own requests times the number of nodes.
 //!
-//! Bounds: an executor is not used as a home when its utilisation reaches [`GatewayConfig::max_home_utilisation`], or
-//! when the wait there, pending prefill included, exceeds [`GatewayConfig::max_home_wait_ratio`] times the prefill of
-//! the prefix elsewhere. Then follow the next few of the order, executors that have the prefix cached by this node's own
-//! requests, and the ordinary pick. A prefix has homes in half of its lane at most, so no executor attracts a herd and
-//! no prefix takes the lane. A request without a shared prefix is never routed here.
+//! A home is passed over when its utilisation reaches [`GatewayConfig::max_home_utilisation`], or when the wait there,
+//! pending prefill included, exceeds [`GatewayConfig::max_home_wait_ratio`] times the duration of a prefill of the
+//! prefix elsewhere. The next few executors of the rendezvous order are then tried, after them the executors that have
+//! the prefix cached by this node's own requests, and last the ordinary weighted pick. A prefix has homes at no more
+//! than half of the executors of its lane, so that it neither occupies the whole lane nor overloads an executor.
+//! Requests without a shared prefix do not have affinity.
 //!
 //! [`GatewayConfig::share_prefix_popularity`]: crate::GatewayConfig::share_prefix_popularity
 //! [`GatewayConfig::max_home_utilisation`]: crate::GatewayConfig::max_home_utilisation
@@ -24,21 +27,22 @@
 use grebeusher_sizing::rendezvous;
 use grebeusher_time::Instant;
 
-/// One prefix has homes in at most one of so many executors of its lane.
+/// The number of executors that a lane must have for each home of one prefix.
 const LANE_EXECUTORS_PER_HOME: usize = 2;
 
-/// When a candidate may be used as a home of one request.
+/// The limits below which a candidate may serve one request by prefix affinity.
 #[derive(Clone, Copy)]
 struct HomeLimits {
     max_utilisation: f64,
     max_queue_wait_s: f64,
-    /// Bound of the whole wait: queue, pending prefill and recent delay of first events.
+    /// The limit of the whole wait in seconds: the queue, the pending prefill and the recent delay of first events.
     max_wait_s: f64,
 }
 
 impl HomeLimits {
+    /// Whether the candidate is healthy and within the limits.
     fn allow(&self, candidate: &Candidate) -> bool {
-        let prefill_s = candidate.pending_prefill as f64 / PREFILL_TOKENS_PER_S;
+        let prefill_s = candidate.pending_prefill_tokens as f64 / PREFILL_TOKENS_PER_S;
         candidate.healthy
             && candidate.reachable
             && candidate.fits_memory
@@ -48,17 +52,22 @@
     }
 }
 
-/// The matching candidates of the lane, in the order in which every node takes them for homes.
-fn home_order(prefix: u64, candidates: &[Candidate], matches: impl Fn(&Candidate) -> bool) -> Vec<Candidate> {
-    let in_order = candidates.iter().copied().filter(|c| c.in_lane && matches(c));
-    let mut order: Vec<Candidate> = in_order.collect();
-    order.sort_unstable_by_key(|c| std::cmp::Reverse(rendezvous(prefix, c.hash)));
-    order
+/// The candidates of the request's lane for which `is_included` holds, in the rendezvous order of the prefix.
+fn rendezvous_order(
+    prefix_hash: u64,
+    candidates: &[Candidate],
+    is_included: impl Fn(&Candidate) -> bool,
+) -> Vec<Candidate> {
+    let included = candidates.iter().copied().filter(|c| c.in_lane && is_included(c));
+    let mut ordered: Vec<Candidate> = included.collect();
+    ordered.sort_unstable_by_key(|c| std::cmp::Reverse(rendezvous(prefix_hash, c.instance_hash)));
+    ordered
 }
 
 impl Gateway {
-    /// An executor of the lane that has the request's shared prefix or is to have it, and can begin before the prefix
-    /// would be through prefill elsewhere.
+    /// Chooses an executor of the lane by the request's shared prefix: one that has the prefix cached or is a home of
+    /// it, and that is within the limits of wait and utilisation. Returns `None` when the request has no affinity or no
+    /// such executor is within the limits.
     pub(crate) fn choose_by_prefix(
         &mut self,
         now: Instant,
@@ -70,7 +79,7 @@
         if shared_tokens < self.config.min_prefix_tokens {
             return None;
         }
-        let prefix = request.prefix_hash()?;
+        let prefix_hash = request.prefix_hash()?;
         let prefill_s = f64::from(shared_tokens) / PREFILL_TOKENS_PER_S;
         let limits = HomeLimits {
             max_utilisation: self.config.max_home_utilisation,
@@ -79,24 +88,27 @@
         };
         match self.popularity_key(request) {
             Some(key) => {
-                let order = home_order(prefix, candidates, |c| c.healthy);
-                self.choose_by_shared_demand(request, key, &order, limits)
+                let ordered = rendezvous_order(prefix_hash, candidates, |c| c.healthy);
+                self.choose_by_shared_demand(request, key, &ordered, limits)
             }
             None => {
-                let order = home_order(prefix, candidates, |c| c.healthy && c.reachable && c.fits_memory);
-                self.choose_by_own_demand(now, request, prefix, &order, limits)
+                let is_available = |c: &Candidate| c.healthy && c.reachable && c.fits_memory;
+                let ordered = rendezvous_order(prefix_hash, candidates, is_available);
+                self.choose_by_own_demand(now, request, prefix_hash, &ordered, limits)
             }
         }
     }
 
-    /// The key under which the tier counts the request's prefix. `None` where each node judges alone.
+    /// The key of the request's prefix in the popularity estimate that the nodes share. `None` when the request has no
+    /// shared prefix, or when the nodes do not share an estimate.
     pub(crate) fn popularity_key(&self, request: &Request<'_>) -> Option<PrefixKey> {
         self.popularity.as_ref()?;
         let service = self.services.get(request.service)?;
-        request.prefix_hash().map(|prefix| PrefixKey::of(service.hash, prefix))
+        request.prefix_hash().map(|prefix_hash| PrefixKey::of(service.name_hash, prefix_hash))
     }
 
-    /// Tokens of the shared prefix that an executor has cached by this node's own requests.
+    /// The number of tokens of the request's shared prefix that an executor has cached, judged by this node's own
+    /// requests.
     fn cached_prefix_tokens(&self, request: &Request<'_>, id: ExecutorId) -> u32 {
         let executor = self.executors.get(id);
         executor.map_or(0, |executor| {
@@ -104,61 +116,65 @@
         })
     }
 
-    /// Homes by the tier's shared estimate of demand. `order` has all healthy executors of the lane: one that is full
-    /// for the moment keeps its position, or the homes of all others would move with every request.
+    /// Chooses an executor when the number of homes follows the demand that the nodes estimate together. `ordered` has
+    /// all healthy executors of the lane in rendezvous order. An executor that is full at the moment keeps its
+    /// position; otherwise the homes would change with each request.
     fn choose_by_shared_demand(
         &mut self,
         request: &Request<'_>,
         key: PrefixKey,
-        order: &[Candidate],
+        ordered: &[Candidate],
         limits: HomeLimits,
     ) -> Option<ExecutorId> {
-        let wanted = self.popularity.as_ref().map_or(1, |popularity| popularity.homes(key));
-        let wanted = wanted.min(order.len() / LANE_EXECUTORS_PER_HOME).max(1);
-        let usable = |c: &Candidate| limits.allow(c);
-        let homes: Vec<Candidate> = order.iter().copied().take(wanted).filter(usable).collect();
+        let needed_homes = self.popularity.as_ref().map_or(1, |popularity| popularity.homes(key));
+        let home_count = needed_homes.min(ordered.len() / LANE_EXECUTORS_PER_HOME).max(1);
+        let is_usable = |c: &Candidate| limits.allow(c);
+        let homes: Vec<Candidate> = ordered.iter().copied().take(home_count).filter(is_usable).collect();
         if let Some(home) = self.weighted_pick(&homes) {
             self.decisions.prefix_home += 1;
             return Some(home);
         }
-        if let Some(next) = order.iter().skip(wanted).take(self.config.home_candidates).find(|c| usable(c)) {
+        let mut following = ordered.iter().skip(home_count).take(self.config.home_candidates);
+        if let Some(next) = following.find(|c| is_usable(c)) {
             self.decisions.next_prefix_home += 1;
             return Some(next.id);
         }
         let min_tokens = self.config.min_prefix_tokens;
         let has_cached = |c: &Candidate| self.cached_prefix_tokens(request, c.id) >= min_tokens;
-        let cached: Vec<Candidate> = order.iter().copied().filter(|c| usable(c) && has_cached(c)).collect();
-        let chosen = self.weighted_pick(&cached)?;
+        let usable_with_cache: Vec<Candidate> =
+            ordered.iter().copied().filter(|c| is_usable(c) && has_cached(c)).collect();
+        let chosen = self.weighted_pick(&usable_with_cache)?;
         self.decisions.cached_prefix += 1;
         Some(chosen)
     }
 
-    /// Homes by this node's own requests: those that have most of the prefix cached by them, and as many more as the
-    /// demand needs, taken to be the same at each node.
+    /// Chooses an executor when the number of homes follows this node's own requests. The homes are the executors that
+    /// have the most tokens of the prefix cached by this node's requests, and as many executors of the rendezvous order
+    /// as the demand needs. The demand is assumed to be the same at each node.
     fn choose_by_own_demand(
         &mut self,
         now: Instant,
         request: &Request<'_>,
-        prefix: u64,
-        order: &[Candidate],
+        prefix_hash: u64,
+        ordered: &[Candidate],
         limits: HomeLimits,
     ) -> Option<ExecutorId> {
-        let wanted = self.homes_by_own_demand(now, prefix);
-        let usable: Vec<Candidate> = order.iter().copied().filter(|c| limits.allow(c)).collect();
+        let home_count = self.homes_by_own_demand(now, prefix_hash);
+        let usable: Vec<Candidate> = ordered.iter().copied().filter(|c| limits.allow(c)).collect();
         let most_cached = usable.iter().map(|c| self.cached_prefix_tokens(request, c.id)).max().unwrap_or(0);
         let is_cached = most_cached >= self.config.min_prefix_tokens;
-        let first = |count: usize| order.iter().copied().take(count).filter(|c| limits.allow(c));
+        let usable_of_first = |count: usize| ordered.iter().copied().take(count).filter(|c| limits.allow(c));
         let mut homes: Vec<Candidate> = Vec::new();
-        if !is_cached || wanted > 1 {
-            homes.extend(first(wanted));
+        if !is_cached || home_count > 1 {
+            homes.extend(usable_of_first(home_count));
         }
         if is_cached {
-            let has_most = |c: &Candidate| self.cached_prefix_tokens(request, c.id) == most_cached;
-            homes.extend(usable.into_iter().filter(has_most));
+            let has_most_cached = |c: &Candidate| self.cached_prefix_tokens(request, c.id) == most_cached;
+            homes.extend(usable.into_iter().filter(has_most_cached));
             homes.sort_unstable_by_key(|c| c.id);
             homes.dedup_by_key(|c| c.id);
         } else if homes.is_empty() {
-            homes.extend(first(wanted.max(self.config.home_candidates)).next());
+            homes.extend(usable_of_first(home_count.max(self.config.home_candidates)).next());
         }
         let chosen = self.weighted_pick(&homes)?;
         let decisions = &mut self.decisions;
@@ -167,8 +183,10 @@
         Some(chosen)
     }
 
-    fn homes_by_own_demand(&self, now: Instant, prefix: u64) -> usize {
-        let demand = self.prefix_demand.tokens_per_s(now, prefix) * f64::from(self.nodes);
-        1 + (demand / (PREFILL_TOKENS_PER_S * self.config.home_prefill_share)) as usize
+    /// The number of homes that a prefix needs when each node has as much demand for it as this one.
+    fn homes_by_own_demand(&self, now: Instant, prefix_hash: u64) -> usize {
+        let demand_tokens_per_s =
+            self.prefix_demand.tokens_per_s(now, prefix_hash) * f64::from(self.node_count);
+        1 + (demand_tokens_per_s / (PREFILL_TOKENS_PER_S * self.config.home_prefill_share)) as usize
     }
 }
--- a/crates/gateway/src/attempt_accounting.rs
+++ b/crates/gateway/src/attempt_accounting.rs
@@ -1,4 +1,6 @@
-//! What the node's own attempts show of executors and services, from their start to their end.
+//! Accounting of this node's attempts. An attempt is one request as sent to one executor. From its start to its end it
+//! is counted in the load of its executor, and its timing and outcome update what the gateway knows of the executor and
+//! of the service.
 
 use crate::failure_accrual::ExecutorFault;
 use crate::gateway::Gateway;
@@ -14,14 +16,15 @@
 pub(crate) struct OpenAttempt {
     pub executor: ExecutorId,
     pub sent_at: Instant,
-    /// What it occupies now.
+    /// What the attempt occupies at its executor now.
     load: AttemptLoad,
-    /// When its last event came.
-    last_event: Option<Instant>,
+    /// When the latest event of the response was received.
+    last_event_at: Option<Instant>,
 }
 
 impl Gateway {
-    /// An attempt is sent. `None` when more are open than any node can have; it then goes unaccounted.
+    /// Records that an attempt is sent to an executor. Returns `None` when the executor is not in the table, or when
+    /// more attempts are open than any node can have. The attempt is then not counted.
     pub fn attempt_started(
         &mut self,
         now: Instant,
@@ -37,34 +40,36 @@
         let load = AttemptLoad {
             workload: if request.is_batch { Workload::Batch } else { Workload::Live },
             reserved_tokens: request.total_tokens(),
-            pending_prefill: u64::from(request.prompt_tokens_beyond(ready_tokens)),
+            pending_prefill_tokens: u64::from(request.prompt_tokens_beyond(ready_tokens)),
         };
         self.executors.get_mut(id)?.own_load.add(&load);
         self.record_prefix_use(now, id, service, request);
-        let attempt = OpenAttempt { executor: id, sent_at: now, load, last_event: None };
+        let attempt = OpenAttempt { executor: id, sent_at: now, load, last_event_at: None };
         let key = self.attempts.insert_with(|_| attempt);
         if key.is_none() {
-            self.release(id, &load);
+            self.remove_load(id, &load);
         }
         key.map(AttemptToken)
     }
 
-    /// Adds the request to its service's sample.
+    /// Adds the request to the sample of its service, unless it is a retry.
     fn observe_request(&mut self, now: Instant, id: ServiceId, request: &Request<'_>, cached_tokens: u32) {
         let Some(service) = self.services.get_mut(id) else { return };
         let is_first_attempt = request.excluded.is_empty();
         if request.tokens.is_some() && is_first_attempt {
             let shared_tokens = request.shared_tokens();
             let has_affinity = shared_tokens >= self.config.min_prefix_tokens;
-            let at_home = if has_affinity { shared_tokens } else { 0 };
+            // A request with affinity usually goes to an executor that has its shared prefix cached.
+            let tokens_cached_at_home = if has_affinity { shared_tokens } else { 0 };
             let size = request.size(service.median_size);
-            let work = request.work(service.median_size, cached_tokens.max(at_home));
+            let work = request.work(service.median_size, cached_tokens.max(tokens_cached_at_home));
             service.observe_request(now, size, work, request.total_tokens() as f64, &self.config);
         }
         service.top_priority = service.top_priority.min(request.priority);
     }
 
-    /// Takes note that the request's shared prefix is now cached at the executor, and of the demand for it.
+    /// Records that the executor is caching the request's shared prefix, and counts the request as demand for the
+    /// prefix.
     fn record_prefix_use(&mut self, now: Instant, id: ExecutorId, service: ServiceId, request: &Request<'_>) {
         if request.shared_tokens() < self.config.min_prefix_tokens {
             return;
@@ -72,14 +77,14 @@
         if let Some(executor) = self.executors.get_mut(id) {
             executor.prefix_cache.record_use(now, request.model_hash(), request.prompt.shared());
         }
-        let Some(prefix) = request.prefix_hash() else { return };
-        let own_tokens = request.prompt_tokens_beyond(request.shared_tokens());
-        self.prefix_demand.record(now, prefix, own_tokens);
+        let Some(prefix_hash) = request.prefix_hash() else { return };
+        let unshared_tokens = request.prompt_tokens_beyond(request.shared_tokens());
+        self.prefix_demand.record(now, prefix_hash, unshared_tokens);
         let median_size = self.services.get(service).map_or(0.0, |service| service.median_size);
-        self.record_popularity(now, request, request.size(median_size), own_tokens);
+        self.record_popularity(now, request, request.size(median_size), unshared_tokens);
     }
 
-    /// The head of a response came, with the load that it reports.
+    /// Records that the head of a response was received, with the load that it reports.
     pub fn response_head(&mut self, now: Instant, token: AttemptToken, load: Option<ServerLoad>) {
         let executor = self.attempts.get(token.0).map(|attempt| attempt.executor);
         if let Some((id, load)) = executor.zip(load) {
@@ -87,50 +92,52 @@
         }
     }
 
-    /// An executor reported its load, in a response or in a report that was asked for.
+    /// Records a load report of an executor, which came in a response or was requested.
     pub fn observe_load(&mut self, now: Instant, id: ExecutorId, load: ServerLoad) {
         let Some(executor) = self.executors.get_mut(id) else { return };
-        let per_slot = executor.observe_load(now, load);
+        let peer_requests_per_slot = executor.observe_load(now, load);
         if let Some(service) = self.services.get_mut(executor.service) {
-            service.peer_load.observe(now, per_slot);
+            service.peer_load.observe(now, peer_requests_per_slot);
         }
     }
 
-    /// The other nodes reported how many requests they have at an executor, all together. It counts as a report of
-    /// the executor does: the newest report is valid, and fades.
+    /// Records how many requests the other nodes together have at an executor, by their own reports. Such a report is
+    /// treated like one of the executor itself: the newest report replaces the others and loses weight as it ages.
     pub fn observe_peer_load(&mut self, now: Instant, id: ExecutorId, requests: f64) {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.observe_peer_load(now, requests);
         }
     }
 
-    /// An event, or the first byte of a body, came. The prefill has finished, and the gap since the event before shows
-    /// the executor's pace.
+    /// Records that an event of a stream, or the first byte of another body, was received. The prefill of the attempt
+    /// has therefore finished. The gap since the previous event is an observation of the executor's speed.
     pub fn event_received(&mut self, now: Instant, token: AttemptToken) {
         let Some(attempt) = self.attempts.get_mut(token.0) else { return };
-        let pending_prefill = std::mem::take(&mut attempt.load.pending_prefill);
-        let previous_event = attempt.last_event.replace(now);
+        let pending_prefill_tokens = std::mem::take(&mut attempt.load.pending_prefill_tokens);
+        let previous_event_at = attempt.last_event_at.replace(now);
         let Some(executor) = self.executors.get_mut(attempt.executor) else { return };
-        executor.last_received = now;
-        executor.own_load.finish_prefill(attempt.load.workload, pending_prefill);
+        executor.last_received_at = now;
+        executor.own_load.finish_prefill(attempt.load.workload, pending_prefill_tokens);
         let Some(service) = self.services.get_mut(executor.service) else { return };
-        match previous_event {
+        match previous_event_at {
             None => {
-                let prefill_s = pending_prefill as f64 / PREFILL_TOKENS_PER_S;
-                let seconds = now.since(attempt.sent_at).seconds() - prefill_s;
-                executor.first_event_delay.observe(now, service.timing.observe_first_event(seconds));
+                let prefill_s = pending_prefill_tokens as f64 / PREFILL_TOKENS_PER_S;
+                let wait_s = now.since(attempt.sent_at).seconds() - prefill_s;
+                executor.first_event_delay.observe(now, service.timing.observe_first_event(wait_s));
             }
-            Some(previous) => {
-                executor.pace.observe(now, service.timing.observe_event_gap(now.since(previous)));
+            Some(previous_at) => {
+                executor
+                    .event_gap_ratio
+                    .observe(now, service.timing.observe_event_gap(now.since(previous_at)));
             }
         }
     }
 
-    /// An attempt ended. A second call with the same token does nothing.
+    /// Records how an attempt ended. A second call with the same token does nothing.
     pub fn attempt_finished(&mut self, now: Instant, token: AttemptToken, outcome: AttemptOutcome) {
         let Some(attempt) = self.attempts.remove(token.0) else { return };
         let id = attempt.executor;
-        self.release(id, &attempt.load);
+        self.remove_load(id, &attempt.load);
         if self.executors.get(id).is_none() {
             return;
         }
@@ -152,14 +159,14 @@
 
     fn record_success(&mut self, now: Instant, attempt: &OpenAttempt) {
         let Some(executor) = self.executors.get_mut(attempt.executor) else { return };
-        executor.last_received = now;
+        executor.last_received_at = now;
         executor.failures.record_success();
         if let Some(service) = self.services.get_mut(executor.service) {
             service.timing.observe_attempt(now.since(attempt.sent_at));
         }
     }
 
-    fn release(&mut self, id: ExecutorId, load: &AttemptLoad) {
+    fn remove_load(&mut self, id: ExecutorId, load: &AttemptLoad) {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.own_load.remove(load);
         }
--- a/crates/gateway/src/batch_capacity.rs
+++ b/crates/gateway/src/batch_capacity.rs
@@ -1,18 +1,19 @@
-//! Capacity for batch jobs: executors that can take an item and still have a reserve for live requests.
+//! Capacity for batch jobs. A batch item goes only to an executor that keeps a reserve of free slots for live requests
+//! when it runs the item.
 
-use crate::admission::PreferenceTier;
+use crate::admission::PreferenceGroup;
 use crate::candidate::Candidate;
 use crate::gateway::Gateway;
 use crate::ids::ExecutorId;
 use crate::request::BatchItem;
 use grebeusher_time::Instant;
 
-/// The reserve covers so many deviations of the other nodes' load from its mean: few bursts are beyond.
+/// The reserve as a multiple of the mean deviation of the other nodes' load. Few bursts of live requests exceed it.
 const RESERVED_DEVIATIONS: f64 = 2.0;
 
 impl Gateway {
-    /// An executor that has capacity for the item beside the live requests that may come within a step. The reserve
-    /// of free slots grows with how unevenly the other nodes' load was reported lately.
+    /// Chooses an executor that has capacity for the batch item and for the live requests that may arrive meanwhile.
+    /// The reserve of free slots for these grows with the deviation between the recent load reports of executors.
     pub fn choose_for_batch(&mut self, now: Instant, item: &BatchItem<'_>) -> Option<ExecutorId> {
         self.refresh_lanes(now, item.service);
         let request = item.as_request();
@@ -24,9 +25,9 @@
         let home = self.choose_by_prefix(now, &request, 0.0, &in_lane);
         let chosen = home.or_else(|| {
             if in_lane.is_empty() {
-                self.pick_in_tier(PreferenceTier::OutOfLane, &candidates)
+                self.pick_in_group(PreferenceGroup::AnyWithCapacity, &candidates)
             } else {
-                self.pick_in_tier(PreferenceTier::Lane, &in_lane)
+                self.pick_in_group(PreferenceGroup::LaneWithCapacity, &in_lane)
             }
         });
         self.candidate_buffer = candidates;
@@ -38,10 +39,10 @@
         candidate.healthy
             && candidate.has_capacity
             && candidate.utilisation + 1.0 / f64::from(executor.slots) <= 1.0 - reserve
-            && executor.own_load.pending_batch_prefill < self.config.max_batch_prefill_tokens
+            && executor.own_load.pending_batch_prefill_tokens < self.config.max_batch_prefill_tokens
     }
 
-    /// The fraction of an executor's slots that stays free of batch items.
+    /// The fraction of an executor's slots that batch items leave free.
     fn batch_reserve(&self, now: Instant, item: &BatchItem<'_>) -> f64 {
         let bounds = self.config.batch_reserve;
         let service = self.services.get(item.service);
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,72 +1,76 @@
-//! The tunable parameters of routing. The defaults were tuned by the simulation in `tests/`.
+//! The tunable parameters of routing. The defaults were tuned with the simulation in `tests/simulation.rs`.
 
 use grebeusher_time::Duration;
 
-/// The cost of one output token, in prompt tokens: at a full batch of some twenty requests a decode step of two
-/// milliseconds makes one token for each, and prefill reads over a hundred prompt tokens in a millisecond.
+/// The cost of one output token, in prompt tokens. With a full batch of about twenty requests, a decode step takes 2 ms
+/// and yields one token for each request; in 1 ms, prefill processes more than a hundred prompt tokens.
 pub const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u32 = 10;
 
-/// The most lanes of a service.
+/// The greatest number of lanes that a service can have.
 pub const MAX_LANES: usize = 4;
 
-/// Bounds of the capacity that batch items leave free for live requests, as fractions of an executor's slots.
+/// The bounds of the reserve that batch items leave free for live requests, as fractions of an executor's slots.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BatchReserve {
-    /// The reserve while the load of other nodes is even.
+    /// The least reserve, which applies while the load reports of the executors are alike.
     pub min: f64,
-    /// The reserve however uneven the load of other nodes is.
+    /// The greatest reserve, however much the load reports of the executors differ.
     pub max: f64,
 }
 
 /// Parameters of routing, admission and prefix affinity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GatewayConfig {
-    /// Relative number of a service's executors in each lane, the lane of the smallest sizes first. Lanes with a
-    /// share of 0 are left out.
+    /// The relative numbers of a service's executors in its lanes, beginning with the lane of the smallest requests.
+    /// Lanes with a share of 0 are left out.
     pub lane_shares: [f64; MAX_LANES],
-    /// Number of the latest request sizes that the cut-offs are computed from.
+    /// The number of the latest requests whose sizes determine the cut-offs.
     pub sample_size: usize,
-    /// Below so many sampled sizes one lane holds every executor.
+    /// The least number of sampled sizes for which cut-offs are computed. With fewer, all executors form one lane.
     pub min_sample: usize,
-    /// How often the cut-offs are computed.
+    /// The interval at which the cut-offs are computed.
     pub recompute_interval: Duration,
-    /// Shared prompt tokens from which on a request has prefix affinity. Reading fewer again costs less than the
-    /// uneven load that affinity brings.
+    /// The least number of shared prompt tokens for which a request has prefix affinity. A repeated prefill of fewer
+    /// tokens costs less than the uneven load that affinity causes.
     pub min_prefix_tokens: u32,
-    /// Utilisation from which on an executor gets no request by affinity.
+    /// The utilisation at which an executor no longer gets requests by affinity.
     pub max_home_utilisation: f64,
-    /// The longest wait at a home, as a multiple of the time that prefill of the shared prefix takes elsewhere. The
-    /// wait counts the queue, this node's pending prefill and the recent delay of first events.
+    /// The longest wait at a home, as a multiple of the duration of a prefill of the shared prefix elsewhere. The wait
+    /// includes the queue, this node's pending prefill and the recent delay of first events.
     pub max_home_wait_ratio: f64,
-    /// Fraction of an executor's prefill throughput that one prefix may use. A prefix with more demand gets
+    /// The fraction of an executor's prefill throughput that one prefix may use. A prefix with more demand gets
     /// proportionally more homes.
     pub home_prefill_share: f64,
-    /// How many executors of the rendezvous order are considered as homes of a prefix with ordinary demand.
+    /// The number of executors in rendezvous order that are considered for a prefix with ordinary demand. With a shared
+    /// popularity estimate, the number of executors after the homes that are tried when no home is usable.
     pub home_candidates: usize,
-    /// Whether the nodes share one estimate of prefix popularity. When off, each judges by its own requests.
-    /// Off by default: at lipa-katalog-grown batch items came later with it, whatever the seed.
+    /// Whether the nodes share one estimate of prefix popularity. Otherwise each node estimates the demand from its own
+    /// requests. It is off by default: in the scenario `lipa-katalog-grown`, batch items were later with it, whatever
+    /// the seed.
     pub share_prefix_popularity: bool,
-    /// Pending prompt tokens of this node that make an executor as good as full in the weighted pick.
+    /// The number of this node's prompt tokens waiting for prefill at an executor that count like a full utilisation of
+    /// it in the weighted pick.
     pub prefill_tokens_when_full: u64,
-    /// Utilisation added for each multiple by which an executor's events come slower than its service's mean: it is
-    /// busy with prefill of long prompts, of whichever node.
-    pub slow_pace_penalty: f64,
-    /// Weight of an executor of the node's own zone in the weighted pick; other zones have 1. Traffic between zones
-    /// is priced.
+    /// The utilisation added for each multiple of the service's mean event gap by which the gaps at an executor exceed
+    /// it. Such an executor is busy with the prefill of long prompts, from this node or from others.
+    pub slow_events_penalty: f64,
+    /// The weight factor of an executor in the node's own zone in the weighted pick; it is 1 in other zones. Traffic
+    /// between zones costs money.
     pub same_zone_weight: f64,
-    /// Whether a request with affinity may queue at its homes only. Prefill elsewhere would delay all that wait there.
+    /// Whether a request with affinity may queue only at executors that affinity selects. At others, the prefill of its
+    /// long prompt would delay all requests that wait there.
     pub queue_at_home_only: bool,
-    /// Fraction of the time left to the latency objective that a request may wait in an executor's queue.
+    /// The fraction of the time left until the latency objective that a request may spend in an executor's queue.
     pub max_queue_share: f64,
-    /// Capacity that batch items leave free for live requests.
+    /// The capacity that batch items leave free for live requests.
     pub batch_reserve: BatchReserve,
-    /// Pending prompt tokens of batch items at one executor from which on it gets no further item. Prefill between
-    /// the decode steps of live requests slows these down.
+    /// The number of prompt tokens of batch items waiting for prefill at an executor at which it gets no further item.
+    /// Prefill between the decode steps of live requests slows these down.
     pub max_batch_prefill_tokens: u64,
 }
 
 impl GatewayConfig {
-    /// The shares of the lanes in use; a single lane where none is valid.
+    /// The shares of the lanes in use. When no share is valid, there is a single lane.
     pub(crate) fn active_lane_shares(&self) -> Vec<f64> {
         let is_active = |share: &f64| share.is_finite() && *share > 0.0;
         let shares: Vec<f64> = self.lane_shares.iter().copied().filter(is_active).collect();
@@ -88,7 +92,7 @@
             home_candidates: 2,
             share_prefix_popularity: false,
             prefill_tokens_when_full: 48_000,
-            slow_pace_penalty: 0.25,
+            slow_events_penalty: 0.25,
             same_zone_weight: 2.0,
             queue_at_home_only: true,
             max_queue_share: 0.4,
--- a/crates/gateway/src/decision.rs
+++ b/crates/gateway/src/decision.rs
@@ -1,51 +1,51 @@
-//! Routing decisions and how often each was made.
+//! Routing decisions, and counters of how often each was made.
 
 use crate::ids::ExecutorId;
 use grebeusher_time::Duration;
 use std::net::SocketAddr;
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RoutingDecision {
-    /// It goes to this executor, under its `instance_id`.
+    /// The request goes to this executor, addressed to its `instance_id`.
     Forward {
-        /// Its key, for [`Gateway::attempt_started`](crate::Gateway::attempt_started) and
+        /// The executor's key, for [`Gateway::attempt_started`](crate::Gateway::attempt_started) and
         /// [`Gateway::executor_view`](crate::Gateway::executor_view).
         executor: ExecutorId,
-        /// Where it takes requests.
+        /// The address at which the executor accepts requests.
         address: SocketAddr,
     },
-    /// No executor has capacity: 503 with `Retry-After`.
+    /// No executor has capacity. The client gets 503 with `Retry-After`.
     Reject {
-        /// When capacity is expected.
+        /// The time until capacity is expected.
         retry_after: Duration,
     },
-    /// No executor of the service is known that could run it: 503 with `Retry-After`.
+    /// The node knows no executor of the service that could run the request. The client gets 503 with `Retry-After`.
     NoExecutor {
-        /// When to look again.
+        /// The time after which the client may retry.
         retry_after: Duration,
     },
 }
 
-/// Routing decisions since the start, by the rule that made them.
+/// The numbers of routing decisions since the start of the process, by the rule that made them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DecisionCounters {
-    /// Weighted pick inside the lane of the size: the ordinary path.
+    /// Requests that went to a weighted pick inside the lane of their size, which is the ordinary path.
     pub weighted_pick: u64,
-    /// An executor that has the prefix cached by this node's own requests.
+    /// Requests that went to an executor with their prefix cached by this node's own requests.
     pub cached_prefix: u64,
-    /// A home in the rendezvous order of the prefix.
+    /// Requests that went to a home of their prefix.
     pub prefix_home: u64,
-    /// The next executor of that order, as no home had spare capacity.
+    /// Requests that went to an executor after the homes in rendezvous order, because no home was usable.
     pub next_prefix_home: u64,
-    /// Weighted pick outside the lane, as no executor of the lane had capacity.
+    /// Requests that went to a weighted pick over all lanes, because no executor of their lane had capacity.
     pub out_of_lane: u64,
-    /// The queue of an executor, as none had capacity.
+    /// Requests that went to the queue of an executor, because no executor had capacity.
     pub queued: u64,
-    /// An unhealthy executor, as there was no other.
+    /// Requests that went to an unhealthy executor, because no healthy one could take them.
     pub unhealthy: u64,
-    /// Rejected.
+    /// Requests that were rejected.
     pub rejected: u64,
-    /// No executor was known.
+    /// Requests for which no executor was known.
     pub no_executor: u64,
 }
--- a/crates/gateway/src/executor.rs
+++ b/crates/gateway/src/executor.rs
@@ -1,75 +1,81 @@
-//! One executor: what the registry says of it, and what this node's own requests show.
+//! The state of one executor: its description by the registry, and what this node's own requests show of it.
 
+use crate::event_delays::{EventGapRatio, FirstEventDelay};
 use crate::failure_accrual::FailureAccrual;
 use crate::headers::ServerLoad;
 use crate::ids::{ExecutorId, ModelKey, ServiceId, ZoneKey};
 use crate::own_load::OwnLoad;
-use crate::pace::{EventPace, FirstEventDelay};
 use crate::peer_load::PeerLoadReport;
 use crate::prefix_cache::PrefixCacheModel;
 use grebeusher_time::Instant;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Whether an executor takes requests, by the registry.
+/// Whether an executor accepts requests, according to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutorState {
-    /// Its heartbeats come and it takes requests.
+    /// The executor sends heartbeats and accepts requests.
     Ready,
-    /// Its heartbeats are missing. It gets requests only where no other executor can take them.
+    /// The executor's heartbeats are missing. It gets a request only when no other executor can run it.
     Unresponsive,
-    /// It announced its shutdown. It gets no further request.
+    /// The executor announced its shutdown and gets no further requests.
     Draining,
 }
 
 /// An executor as the registry describes it.
 #[derive(Clone, Copy, Debug)]
 pub struct ExecutorDescriptor<'a> {
-    /// Its `instance_id`: every start has a new one.
+    /// The executor's `instance_id`, which is new with every start of its process.
     pub instance: &'a str,
-    /// The name of its service.
+    /// The name of the executor's service.
     pub service: &'a str,
-    /// Where it takes requests.
+    /// The address at which the executor accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The executor's zone.
     pub zone: ZoneKey,
-    /// Requests that it runs concurrently; 0 counts as 1.
+    /// The number of requests that the executor runs concurrently. 0 counts as 1.
     pub slots: u32,
-    /// Whether it may get requests.
+    /// Whether the executor may get requests.
     pub state: ExecutorState,
-    /// The models that it has loaded. Any request may go to one that names none.
+    /// The models that the executor has loaded. An executor that names no models accepts requests for any.
     pub models: &'a [ModelKey],
 }
 
-/// Whether an update of an executor may have changed the lanes of its service.
+/// Whether the lanes of a service are still valid after an update of one of its executors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LaneEffect {
+    /// The update did not change what the lanes are computed from.
     Unchanged,
+    /// The lanes have to be computed again.
     Stale,
 }
 
-/// An executor in the table.
+/// An executor in the table of executors.
 pub(crate) struct Executor {
     pub id: ExecutorId,
+    /// The executor's `instance_id`.
     pub instance: Arc<str>,
-    /// Of its `instance_id`, the same on every node.
-    pub hash: u64,
+    /// The hash of the executor's `instance_id`, which is the same on every node.
+    pub instance_hash: u64,
     pub service: ServiceId,
     pub address: SocketAddr,
     pub zone: ZoneKey,
-    /// At least 1.
+    /// The number of requests that the executor runs concurrently, at least 1.
     pub slots: u32,
     pub state: ExecutorState,
+    /// The models that the executor has loaded. When empty, it accepts requests for any model.
     pub models: Vec<ModelKey>,
+    /// The executor's lane within its service, from 0 for the smallest requests.
     pub lane: usize,
     pub failures: FailureAccrual,
     pub prefix_cache: PrefixCacheModel,
     pub own_load: OwnLoad,
+    /// The latest report of the requests that other nodes have at the executor.
     peer_load: Option<PeerLoadReport>,
-    pub pace: EventPace,
+    pub event_gap_ratio: EventGapRatio,
     pub first_event_delay: FirstEventDelay,
-    /// When anything came from it last.
-    pub last_received: Instant,
+    /// When this node last received anything from the executor.
+    pub last_received_at: Instant,
 }
 
 impl Executor {
@@ -77,7 +83,7 @@
         Executor {
             id,
             instance: Arc::from(descriptor.instance),
-            hash: grebeusher_sizing::fixed_hash(descriptor.instance),
+            instance_hash: grebeusher_sizing::fixed_hash(descriptor.instance),
             service,
             address: descriptor.address,
             zone: descriptor.zone,
@@ -89,15 +95,15 @@
             prefix_cache: PrefixCacheModel::default(),
             own_load: OwnLoad::default(),
             peer_load: None,
-            pace: EventPace::default(),
+            event_gap_ratio: EventGapRatio::default(),
             first_event_delay: FirstEventDelay::default(),
-            last_received: Instant(0),
+            last_received_at: Instant(0),
         }
     }
 
-    /// Takes over what changed.
+    /// Updates the executor to a new description of the same instance and service.
     pub fn update(&mut self, descriptor: &ExecutorDescriptor<'_>) -> LaneEffect {
-        let before = (self.slots, self.is_draining());
+        let lane_inputs_before = (self.slots, self.is_draining());
         self.address = descriptor.address;
         self.zone = descriptor.zone;
         self.slots = descriptor.slots.max(1);
@@ -105,45 +111,47 @@
         if self.models != descriptor.models {
             self.models = descriptor.models.to_vec();
         }
-        if before == (self.slots, self.is_draining()) { LaneEffect::Unchanged } else { LaneEffect::Stale }
+        let lane_inputs = (self.slots, self.is_draining());
+        if lane_inputs == lane_inputs_before { LaneEffect::Unchanged } else { LaneEffect::Stale }
     }
 
     pub fn is_draining(&self) -> bool {
         self.state == ExecutorState::Draining
     }
 
-    /// Whether it has the model that a request names.
+    /// Whether the executor has loaded the model that a request names, if it names one.
     pub fn has_model(&self, model: Option<ModelKey>) -> bool {
         self.models.is_empty() || model.is_none_or(|model| self.models.contains(&model))
     }
 
-    /// It reported its load. Returns the requests of other nodes there, per slot.
+    /// Records a load report of the executor. Returns how many requests other nodes have there, per slot.
     pub fn observe_load(&mut self, now: Instant, load: ServerLoad) -> f64 {
-        self.last_received = now;
-        let all = f64::from(load.running) + f64::from(load.waiting);
-        let requests = (all - f64::from(self.own_load.attempts)).max(0.0);
+        self.last_received_at = now;
+        let requests_of_all_nodes = f64::from(load.running) + f64::from(load.waiting);
+        let requests = (requests_of_all_nodes - f64::from(self.own_load.attempts)).max(0.0);
         self.peer_load = Some(PeerLoadReport { at: now, requests });
         requests / f64::from(self.slots)
     }
 
-    /// The other nodes reported how many requests they have there, all together.
+    /// Records how many requests the other nodes together have at the executor, by their own reports.
     pub fn observe_peer_load(&mut self, now: Instant, requests: f64) {
         let requests = if requests.is_finite() { requests.max(0.0) } else { 0.0 };
         self.peer_load = Some(PeerLoadReport { at: now, requests });
     }
 
-    /// Requests of other nodes there: the last report, fading into the service's mean (`mean_per_slot`).
+    /// The estimated number of requests that other nodes have at the executor. As the latest report ages, the estimate
+    /// moves from the report to the mean of the service, which is `mean_per_slot` requests for each slot.
     pub fn peer_requests(&self, now: Instant, mean_per_slot: f64) -> f64 {
         let mean = mean_per_slot * f64::from(self.slots);
-        self.peer_load.map_or(mean, |report| report.faded_into(mean, now))
+        self.peer_load.map_or(mean, |report| report.blended_with_mean(mean, now))
     }
 
-    /// Requests of all nodes there.
+    /// The estimated number of requests that all nodes have at the executor.
     pub fn outstanding(&self, now: Instant, mean_per_slot: f64) -> f64 {
         f64::from(self.own_load.attempts) + self.peer_requests(now, mean_per_slot)
     }
 
-    /// Whether anything recent is known of its load.
+    /// Whether the load of the executor is known from open attempts of this node or from a recent report.
     pub fn has_load_estimate(&self, now: Instant) -> bool {
         self.own_load.attempts > 0 || self.peer_load.is_some_and(|report| report.is_fresh(now))
     }
--- a/crates/gateway/src/executor_table.rs
+++ b/crates/gateway/src/executor_table.rs
@@ -1,4 +1,4 @@
-//! The table of executors: by key and by `instance_id`.
+//! The table of executors, which finds them by key and by `instance_id`.
 
 use crate::executor::Executor;
 use crate::ids::ExecutorId;
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Each entry has one `instance_id`, which finds its key.
+/// The executors of all services. Each has one key and one `instance_id`.
 pub(crate) struct ExecutorTable {
     executors: SlotMap<Executor>,
     by_instance: FxHashMap<Arc<str>, ExecutorId>,
@@ -15,7 +15,7 @@
 impl Default for ExecutorTable {
     fn default() -> ExecutorTable {
         ExecutorTable {
-            // The registry bounds the number of executors.
+            // The registry limits the number of executors, so this table does not need a smaller limit.
             executors: SlotMap::with_limit(u32::MAX as usize),
             by_instance: FxHashMap::default(),
         }
@@ -23,10 +23,10 @@
 }
 
 impl ExecutorTable {
-    /// Adds the executor that `make` builds for its key.
-    pub fn insert_with(&mut self, make: impl FnOnce(ExecutorId) -> Executor) -> ExecutorId {
-        let key = self.executors.insert_with(|key| make(ExecutorId(key)));
-        let id = ExecutorId(key.expect("the registry holds fewer executors than u32 counts"));
+    /// Adds the executor that `build` makes for its new key.
+    pub fn insert_with(&mut self, build: impl FnOnce(ExecutorId) -> Executor) -> ExecutorId {
+        let key = self.executors.insert_with(|key| build(ExecutorId(key)));
+        let id = ExecutorId(key.expect("the registry holds fewer than u32::MAX executors"));
         if let Some(executor) = self.get(id) {
             let instance = executor.instance.clone();
             self.by_instance.insert(instance, id);
@@ -40,6 +40,7 @@
         Some(executor)
     }
 
+    /// The key of the executor with an `instance_id`.
     pub fn find(&self, instance: &str) -> Option<ExecutorId> {
         self.by_instance.get(instance).copied()
     }
--- a/crates/gateway/src/failure_accrual.rs
+++ b/crates/gateway/src/failure_accrual.rs
@@ -1,51 +1,55 @@
-//! Outlier ejection: failures at an executor accrue to a suspicion that fades, and eject it for a growing time.
+//! Outlier ejection. Each fault of an executor adds to a suspicion level that decays with time. An executor whose level
+//! exceeds a threshold is ejected: it gets requests only when no other executor can run them. Each further ejection
+//! without a success in between lasts longer.
 
 use grebeusher_time::{Duration, DurationExt, Instant};
 
-/// A fault of an executor, or of the connection to it.
+/// A fault of an executor, or of a connection to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutorFault {
-    /// No connection came up: it was refused, or nothing answered in time.
+    /// No connection was established, because it was refused or not accepted in time.
     ConnectFailed,
-    /// A connection with a request on it broke, or carried no valid response.
+    /// A connection broke while a request was open on it, or it carried an invalid response.
     ConnectionBroken,
-    /// Nothing came from it for far longer than its requests take.
+    /// Nothing was received from the executor for far longer than requests of its service usually take.
     Unresponsive,
-    /// It answered that it is full or the time is over, and did not run the request.
+    /// The executor answered that it is full or that the deadline has passed, and did not run the request.
     Overloaded,
-    /// Another executor has its address now.
+    /// Another executor now has the address of this one.
     Misdirected,
 }
 
-/// This node's evidence against one executor.
+/// The faults of one executor that this node has observed, and the ejection that follows from them.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FailureAccrual {
-    /// As of `observed_at`, never above [`MAX_SUSPICION`].
+    /// The suspicion level at `observed_at`, at most [`MAX_SUSPICION`]. It has no unit.
     suspicion: f64,
+    /// When the latest fault that raised the suspicion was observed.
     observed_at: Instant,
     ejected_until: Instant,
     overloaded_until: Instant,
-    /// Ejections since the last success.
+    /// The number of ejections since the last success.
     ejections: u32,
 }
 
-/// Shorter than a crash lasts, so that the first attempt after one comes soon.
+/// The half-life of the suspicion level, in seconds. It is shorter than a crash lasts, so that the first attempt after
+/// the crash is made soon.
 const SUSPICION_HALF_LIFE_S: f64 = 1.5;
-/// From this suspicion on it gets requests only where no other executor can take them.
+/// The suspicion level from which on an executor is ejected.
 const EJECTION_THRESHOLD: f64 = 0.9;
-/// Many attempts fail in one crash. Without a bound their sum would outlast it.
+/// The greatest suspicion level. Many attempts fail in one crash; without a limit, their sum would outlast the crash.
 const MAX_SUSPICION: f64 = 2.0;
-/// The first ejection. Each that follows without a success between lasts twice as long.
+/// The duration of the first ejection. Each ejection that follows without a success in between lasts twice as long.
 const FIRST_EJECTION_DURATION: Duration = Duration::from_millis(400);
-/// An executor that is back must be found before its crash is long over.
+/// The longest duration of an ejection. It is limited so that a restarted executor soon gets requests again.
 const MAX_EJECTION_DURATION: Duration = Duration::from_millis(3200);
-/// The duration doubles at most so many times.
+/// How many times the duration of an ejection doubles at most.
 const MAX_DOUBLINGS: u32 = 3;
-/// An overloaded executor gets nothing for about the time in which a few of its requests end.
+/// How long an overloaded executor gets no requests: about the time in which a few of its requests end.
 const OVERLOAD_PAUSE_DURATION: Duration = Duration::from_millis(60);
 
 impl FailureAccrual {
-    /// The accrued suspicion, faded; 0 without any.
+    /// The suspicion level after its decay; 0 without faults.
     fn suspicion(&self, now: Instant) -> f64 {
         if self.suspicion == 0.0 {
             return 0.0;
@@ -53,17 +57,18 @@
         self.suspicion * 0.5_f64.powf(now.since(self.observed_at).seconds() / SUSPICION_HALF_LIFE_S)
     }
 
-    /// Whether it gets no request while another executor can take it.
+    /// Whether the executor gets requests only when no other executor can run them.
     pub fn is_ejected(&self, now: Instant) -> bool {
         now < self.ejected_until || self.suspicion(now) >= EJECTION_THRESHOLD
     }
 
-    /// Whether it answered lately that it is full. It gets nothing for a moment, yet it is healthy.
+    /// Whether the executor recently rejected a request because it was full. It gets no requests for a short time, but
+    /// counts as healthy.
     pub fn is_overloaded(&self, now: Instant) -> bool {
         now < self.overloaded_until
     }
 
-    /// Counts a fault. `jitter`, from 0 to 1, spreads the times at which the nodes come back.
+    /// Records a fault. `jitter`, from 0 to 1, spreads the times at which the nodes try the executor again.
     pub fn record(&mut self, now: Instant, fault: ExecutorFault, jitter: f64) {
         let weight = match fault {
             ExecutorFault::ConnectFailed | ExecutorFault::Misdirected => 1.0,
@@ -78,6 +83,7 @@
         }
     }
 
+    /// Marks the executor as overloaded for a short time.
     fn pause(&mut self, now: Instant, jitter: f64) {
         let until = now + OVERLOAD_PAUSE_DURATION.scaled(1.0 + jitter);
         self.overloaded_until = self.overloaded_until.max(until);
@@ -90,7 +96,7 @@
         self.ejections += 1;
     }
 
-    /// It served a request: the evidence is void.
+    /// Records that the executor served a request, which clears its suspicion level.
     pub fn record_success(&mut self) {
         self.suspicion = 0.0;
         self.ejections = 0;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,5 +1,5 @@
-//! The state of one node's routing, and the changes that come from configuration and registry. Each decision and each
-//! kind of evidence has a module of its own, which extends [`Gateway`].
+//! The routing state of one node, and its updates from the configuration and the registry. Each kind of decision and
+//! each kind of observation has a module of its own, which adds methods to [`Gateway`].
 
 use crate::attempt_accounting::OpenAttempt;
 use crate::candidate::Candidate;
@@ -11,7 +11,7 @@
 use crate::ids::{ExecutorId, ServiceId, ZoneKey};
 use crate::liveness::LivenessCheck;
 use crate::prefix_demand::PrefixDemand;
-use crate::prefix_labels::PrefixLabels;
+use crate::prefix_details::PrefixDetailsTable;
 use crate::service::ServiceSettings;
 use crate::service_table::ServiceTable;
 use crate::slot_map::SlotMap;
@@ -20,37 +20,37 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Open attempts that are accounted for: more than any node has descriptors for.
+/// The greatest number of open attempts that are counted. No node has file descriptors for as many.
 const MAX_OPEN_ATTEMPTS: usize = 16_384;
 
-/// The routing decisions of one node. See the crate's page.
+/// Makes the routing decisions of one node. The documentation of the crate describes them.
 pub struct Gateway {
     pub(crate) config: GatewayConfig,
     pub(crate) zone: ZoneKey,
-    /// Nodes that share the executors' connections, at least 1.
-    pub(crate) nodes: u32,
-    pub(crate) random: Pcg32,
+    /// The number of nodes among which the connections of an executor are divided, at least 1.
+    pub(crate) node_count: u32,
+    pub(crate) rng: Pcg32,
     pub(crate) executors: ExecutorTable,
     pub(crate) services: ServiceTable,
     pub(crate) attempts: SlotMap<OpenAttempt>,
     pub(crate) liveness: LivenessCheck,
     pub(crate) decisions: DecisionCounters,
     pub(crate) prefix_demand: PrefixDemand,
-    /// The tier's shared estimate of prefix popularity, where it is in use.
+    /// The estimate of prefix popularity that the nodes share, if they share one.
     pub(crate) popularity: Option<PopularityEstimator>,
-    pub(crate) prefix_labels: PrefixLabels,
-    /// Reused between decisions, to save allocations.
+    pub(crate) prefix_details: PrefixDetailsTable,
+    /// The candidates of the latest request. The buffer is reused between decisions to save allocations.
     pub(crate) candidate_buffer: Vec<Candidate>,
 }
 
 impl Gateway {
-    /// A gateway without executors, for a node in `zone`. `seed` determines its random picks.
+    /// Creates a gateway without executors for a node in `zone`. `seed` determines its random picks.
     pub fn new(config: GatewayConfig, zone: ZoneKey, seed: u64) -> Gateway {
         Gateway {
             config,
             zone,
-            nodes: 1,
-            random: Pcg32::seed_from_u64(seed),
+            node_count: 1,
+            rng: Pcg32::seed_from_u64(seed),
             executors: ExecutorTable::default(),
             services: ServiceTable::default(),
             attempts: SlotMap::with_limit(MAX_OPEN_ATTEMPTS),
@@ -58,17 +58,17 @@
             decisions: DecisionCounters::default(),
             prefix_demand: PrefixDemand::default(),
             popularity: None,
-            prefix_labels: PrefixLabels::default(),
+            prefix_details: PrefixDetailsTable::default(),
             candidate_buffer: Vec::new(),
         }
     }
 
-    /// Sets how many nodes share the executors' connections, this one included.
+    /// Sets the number of nodes, including this one, among which the connections of an executor are divided.
     pub fn set_nodes(&mut self, nodes: u32) {
-        self.nodes = nodes.max(1);
+        self.node_count = nodes.max(1);
     }
 
-    /// Takes over what the configuration says of a service. The key of a name stays the same.
+    /// Sets the settings of a service. The key of a service name never changes.
     pub fn set_service(&mut self, name: &str, settings: ServiceSettings) -> ServiceId {
         let id = self.service(name);
         if let Some(service) = self.services.get_mut(id).filter(|service| service.settings != settings) {
@@ -82,25 +82,25 @@
         id
     }
 
-    /// The key of a service's name, made at first use.
+    /// The key of a service name. A service that is not in the table yet is added.
     pub fn service(&mut self, name: &str) -> ServiceId {
         self.services.id_of(name, &self.config)
     }
 
-    /// Adds an executor, or takes over what changed about it. Its key stays the same until it is removed.
+    /// Adds an executor, or updates it to its new description. Its key stays the same until it is removed.
     pub fn upsert(&mut self, descriptor: &ExecutorDescriptor<'_>) -> ExecutorId {
         let service = self.service(descriptor.service);
         let Some(id) = self.find(descriptor.instance) else { return self.insert(service, descriptor) };
         let known = self.executors.get_mut(id).filter(|executor| executor.service == service);
         let Some(executor) = known else {
-            // It went to another service.
+            // The executor now belongs to another service.
             self.remove(id);
             return self.insert(service, descriptor);
         };
         if executor.update(descriptor) == LaneEffect::Stale
             && let Some(service) = self.services.get_mut(service)
         {
-            service.lanes_stale = true;
+            service.are_lanes_stale = true;
         }
         id
     }
@@ -109,37 +109,38 @@
         let id = self.executors.insert_with(|id| Executor::new(id, service_id, descriptor));
         let Some(service) = self.services.get_mut(service_id) else { return id };
         service.members.push(id);
-        service.lanes_stale = true;
+        service.are_lanes_stale = true;
         if let Some(executor) = self.executors.get_mut(id) {
             executor.prefix_cache.set_capacity(service.settings.kv_capacity_tokens);
         }
         id
     }
 
-    /// Removes an executor. Attempts that are open there may still end in any way.
+    /// Removes an executor. Attempts that are open there may still end afterwards, whatever their outcome.
     pub fn remove(&mut self, id: ExecutorId) {
         let Some(executor) = self.executors.remove(id) else { return };
         if let Some(service) = self.services.get_mut(executor.service) {
             service.members.retain(|member| *member != id);
-            service.lanes_stale = true;
+            service.are_lanes_stale = true;
         }
     }
 
-    /// The executor with an `instance_id`.
+    /// The key of the executor with an `instance_id`.
     pub fn find(&self, instance: &str) -> Option<ExecutorId> {
         self.executors.find(instance)
     }
 
-    /// Whether a request that was routed to an executor a moment ago may still begin there. To be asked right before
-    /// its first byte is written: the executor may have begun to drain while the request waited for a connection.
+    /// Whether a request that was routed to an executor a moment ago may still start there. The caller checks this
+    /// right before it writes the first byte, because the executor may have started to drain while the request waited
+    /// for a connection.
     pub fn accepts_requests(&self, id: ExecutorId) -> bool {
         self.executors.get(id).is_some_and(|executor| !executor.is_draining())
     }
 
-    /// Records a fault of an executor that does not end an attempt: a connection that did not come up before anything
-    /// was to be sent, for example.
+    /// Records a fault of an executor that does not end an attempt, for example a connection that could not be
+    /// established before there was a request to send.
     pub fn record_fault(&mut self, now: Instant, id: ExecutorId, fault: ExecutorFault) {
-        let jitter = self.random.random::<f64>();
+        let jitter = self.rng.random::<f64>();
         if let Some(executor) = self.executors.get_mut(id) {
             executor.failures.record(now, fault, jitter);
             if fault == ExecutorFault::Misdirected {
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,47 +1,49 @@
-//! The headers by which clients hint at request sizes and executors report their load.
+//! The request headers in which clients describe the size and prompt of a request, and the response header in which
+//! executors report their load.
 
 use grebeusher_sizing::mixed;
 use snafu::Snafu;
 
-/// The most segments of a prompt that are kept. Those after are long past what is shared.
+/// The number of segments of a prompt that are kept. Requests do not share segments that are as far behind as those
+/// beyond it.
 pub const MAX_SEGMENTS: usize = 16;
 
-/// More tokens than any prompt has; a larger number is invalid.
-const MAX_TOKENS: u32 = 16_000_000;
-/// The prime of the FNV-1a hash.
+/// The greatest valid number in a header, which is more than the tokens of any prompt.
+const MAX_NUMBER: u32 = 16_000_000;
+/// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Why a header could not be read. The request is then treated as one without it.
+/// Why the value of a header is invalid. The message is then treated as if it did not have the header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum HeaderError {
-    /// A number is missing, malformed or out of bounds.
-    #[snafu(display("not a number in its bounds"))]
-    Number,
-    /// More or fewer fields than the header has.
-    #[snafu(display("wrong number of fields"))]
-    Fields,
+    /// A field is not a decimal number up to 16,000,000, or a segment id is not hexadecimal.
+    #[snafu(display("a header field is not a number in the expected format and range"))]
+    InvalidNumber,
+    /// The header has more or fewer fields than its format requires.
+    #[snafu(display("the header has the wrong number of fields"))]
+    FieldCount,
 }
 
 fn parse_number(field: &str) -> Result<u32, HeaderError> {
     let field = field.trim();
     let is_decimal = !field.is_empty() && field.bytes().all(|byte| byte.is_ascii_digit());
     let value = is_decimal.then(|| field.parse::<u32>().ok()).flatten();
-    value.filter(|value| *value <= MAX_TOKENS).ok_or(HeaderError::Number)
+    value.filter(|value| *value <= MAX_NUMBER).ok_or(HeaderError::InvalidNumber)
 }
 
-/// `X-Grebeusher-Token-Count`: tokens of the prompt, and the most tokens of the output.
+/// The value of `X-Grebeusher-Token-Count`: the size of a request in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TokenCount {
-    /// Tokens of the complete prompt.
+    /// The number of tokens of the complete prompt.
     pub prompt: u32,
-    /// The most tokens of the output.
+    /// The greatest number of tokens of the output.
     pub output: u32,
 }
 
 impl TokenCount {
-    /// Reads "prompt,output".
+    /// Parses a header value of the form "prompt,output".
     pub fn parse(value: &str) -> Result<TokenCount, HeaderError> {
-        let (prompt, output) = value.split_once(',').ok_or(HeaderError::Fields)?;
+        let (prompt, output) = value.split_once(',').ok_or(HeaderError::FieldCount)?;
         Ok(TokenCount { prompt: parse_number(prompt)?, output: parse_number(output)? })
     }
 }
@@ -49,40 +51,41 @@
 /// One segment of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// The hash of all segments up to and with this one: a cached segment is of use only behind the same segments.
+    /// The hash of this segment and all segments before it. A cached segment can be used only after the same segments.
     pub chain_hash: u64,
-    /// Tokens of this segment alone.
+    /// The number of tokens of this segment alone.
     pub tokens: u32,
 }
 
-/// `X-Grebeusher-Prompt-Prefix`: the segments of a prompt in order. The last belongs to the request itself or to its
-/// session; those before are shared with other requests.
+/// The value of `X-Grebeusher-Prompt-Prefix`: the segments of a prompt in order. The last segment belongs to the
+/// request alone or to its session; the segments before it are shared with other requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegments {
     segments: [PromptSegment; MAX_SEGMENTS],
     count: usize,
-    /// Whether the header had no more than [`MAX_SEGMENTS`].
-    complete: bool,
+    /// Whether all segments of the header are kept, because it had no more than [`MAX_SEGMENTS`].
+    is_complete: bool,
 }
 
 impl Default for PromptSegments {
     fn default() -> PromptSegments {
         let empty = PromptSegment { chain_hash: 0, tokens: 0 };
-        PromptSegments { segments: [empty; MAX_SEGMENTS], count: 0, complete: true }
+        PromptSegments { segments: [empty; MAX_SEGMENTS], count: 0, is_complete: true }
     }
 }
 
 impl PromptSegments {
-    /// Reads "ID:TOKENS,ID:TOKENS", with ids in hex of any length. Only the first [`MAX_SEGMENTS`] are kept.
+    /// Parses a header value of the form "ID:TOKENS,ID:TOKENS", with hexadecimal ids of any length. Only the first
+    /// [`MAX_SEGMENTS`] segments are kept.
     pub fn parse(value: &str) -> Result<PromptSegments, HeaderError> {
         let mut prompt = PromptSegments::default();
         let mut chain_hash = 0_u64;
         for field in value.split(',') {
-            let (id, tokens) = field.split_once(':').ok_or(HeaderError::Fields)?;
+            let (id, tokens) = field.split_once(':').ok_or(HeaderError::FieldCount)?;
             let tokens = parse_number(tokens)?;
             chain_hash = extend_chain(chain_hash, id.trim())?;
             if prompt.count == MAX_SEGMENTS {
-                prompt.complete = false;
+                prompt.is_complete = false;
                 break;
             }
             prompt.segments[prompt.count] = PromptSegment { chain_hash, tokens };
@@ -91,51 +94,52 @@
         Ok(prompt)
     }
 
-    /// All segments, in order.
+    /// All kept segments in order.
     pub fn all(&self) -> &[PromptSegment] {
         &self.segments[..self.count]
     }
 
-    /// The segments that other requests share: all but the last.
+    /// The segments that other requests share: all but the last one of the header.
     pub fn shared(&self) -> &[PromptSegment] {
-        &self.segments[..self.count.saturating_sub(usize::from(self.complete))]
+        &self.segments[..self.count.saturating_sub(usize::from(self.is_complete))]
     }
 
-    /// Tokens of the shared segments together.
+    /// The number of tokens of all shared segments together.
     pub fn shared_tokens(&self) -> u32 {
         self.shared().iter().fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
 }
 
-/// The chain hash with one more segment id, which is hex of any length and case.
+/// Extends a chain hash by the id of one more segment, which is hexadecimal of any length and in either case.
 fn extend_chain(chain_hash: u64, id: &str) -> Result<u64, HeaderError> {
     if id.is_empty() || !id.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return Err(HeaderError::Number);
+        return Err(HeaderError::InvalidNumber);
     }
-    let add = |hash: u64, byte: u8| (hash ^ u64::from(byte.to_ascii_lowercase())).wrapping_mul(FNV_PRIME);
-    let hash = id.bytes().fold(chain_hash, add);
+    let add_byte =
+        |hash: u64, byte: u8| (hash ^ u64::from(byte.to_ascii_lowercase())).wrapping_mul(FNV_PRIME);
+    let hash = id.bytes().fold(chain_hash, add_byte);
     Ok(mixed(hash.wrapping_add(1)))
 }
 
-/// `X-Grebeusher-Server-Load`: an executor's load when the head of its response was sent.
+/// The value of `X-Grebeusher-Server-Load`: the load of an executor when it sent the head of its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests that it runs.
+    /// The number of requests that the executor runs.
     pub running: u32,
-    /// Requests in its queue.
+    /// The number of requests in the executor's queue.
     pub waiting: u32,
-    /// Requests that it can run concurrently.
+    /// The number of requests that the executor can run concurrently.
     pub slots: u32,
 }
 
 impl ServerLoad {
-    /// Reads "running,waiting,slots".
+    /// Parses a header value of the form "running,waiting,slots".
     pub fn parse(value: &str) -> Result<ServerLoad, HeaderError> {
         let mut fields = value.split(',');
-        let mut next = || fields.next().ok_or(HeaderError::Fields).and_then(parse_number);
-        let load = ServerLoad { running: next()?, waiting: next()?, slots: next()? };
+        let mut next_number = || fields.next().ok_or(HeaderError::FieldCount).and_then(parse_number);
+        let load = ServerLoad { running: next_number()?, waiting: next_number()?, slots: next_number()? };
         if fields.next().is_some() {
-            return Err(HeaderError::Fields);
+            return Err(HeaderError::FieldCount);
         }
         Ok(load)
     }
--- a/crates/gateway/src/ids.rs
+++ b/crates/gateway/src/ids.rs
@@ -1,38 +1,39 @@
-//! Keys of what the gateway knows. They are made by it or hashed from names, so that none is a bare string.
+//! The keys of executors, services, attempts, models and zones. The gateway assigns them or hashes them from names.
 
 use crate::slot_map::SlotKey;
 use grebeusher_sizing::fixed_hash;
 
-/// An executor in the gateway's table. It names one incarnation: after its removal the key finds nothing.
+/// The key of an executor in the gateway's table. It identifies one instance of the executor and is not used again
+/// after that instance is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ExecutorId(pub(crate) SlotKey);
 
-/// A service that the configuration or an executor named.
+/// The key of a service that is named in the configuration or by an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub(crate) u32);
 
-/// One open attempt: a request that was sent to one executor. After
-/// [`attempt_finished`](crate::Gateway::attempt_finished) it finds nothing.
+/// The key of an open attempt, which is one request as sent to one executor. It is no longer valid after
+/// [`attempt_finished`](crate::Gateway::attempt_finished).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptToken(pub(crate) SlotKey);
 
-/// A model, by the hash of its name.
+/// The key of a model, which is the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelKey(pub u64);
 
 impl ModelKey {
-    /// The key of a model's name.
+    /// The key of the model with a name.
     pub fn of(name: &str) -> ModelKey {
         ModelKey(fixed_hash(name))
     }
 }
 
-/// A zone, by the hash of its name.
+/// The key of a zone, which is the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneKey(pub u64);
 
 impl ZoneKey {
-    /// The key of a zone's name.
+    /// The key of the zone with a name.
     pub fn of(name: &str) -> ZoneKey {
         ZoneKey(fixed_hash(name))
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,41 +1,47 @@
-//! The data plane's decisions: which executor gets a request, whether it is admitted, whether it is retried.
+//! The routing decisions of the data plane: which executor gets a request, whether the request is admitted, and whether
+//! it is retried.
 //!
-//! One [`Gateway`] serves one node. It does no I/O and reads no clock: the node hands in what it sees with the time,
-//! and gets a [`RoutingDecision`]. Its only caller is `grebeusher-tier`. The neighbours below it are
-//! `grebeusher-sizing`, which computes cut-offs and weighted picks, and `grebeusher-prefix-popularity`, which
-//! estimates the demand for prompt prefixes over all nodes.
+//! The tier is the group of nodes that forward requests of clients to executors. Each node has one [`Gateway`]. The
+//! gateway does no I/O and reads no clock: the node passes it requests and observations together with the time, and
+//! gets a [`RoutingDecision`] for each request. Its only caller is `grebeusher-tier`. It uses `grebeusher-sizing`,
+//! which computes cut-offs and weighted picks, and `grebeusher-prefix-popularity`, which estimates the demand for
+//! prompt prefixes over all nodes.
 //!
-//! The design is SITA-E (size interval task assignment with equal load): a request enters a lane of executors by its
-//! hinted size, against cut-offs that equalise the lanes' summed work per capacity. Inside the lane a random pick is
-//! weighted by one minus the utilisation, with a floor.
+//! The policy is SITA-E (size interval task assignment with equal load). The executors of a service are divided into
+//! lanes, and each lane serves one interval of request sizes. The bounds of the intervals, called cut-offs, are
+//! computed from a sample of recent requests such that all lanes have the same work per slot. Inside the lane of a
+//! request, an executor is picked at random with a weight of 1 minus its utilisation, which has a lower limit.
 //!
 //! # Size and work
 //!
-//! Size is the prompt tokens plus [`PROMPT_TOKENS_PER_OUTPUT_TOKEN`] for each output token, from
-//! `X-Grebeusher-Token-Count`; the sample's median without a hint. Work is the same without the tokens that the
-//! executor has in its prefix cache. Size picks the lane, so that the requests of one prefix stay in one lane whichever
-//! executor has it cached. Work is what the cut-offs equalise and what admission counts.
+//! The size of a request is its number of prompt tokens plus [`PROMPT_TOKENS_PER_OUTPUT_TOKEN`] for each output token,
+//! as stated in `X-Grebeusher-Token-Count`. A request without this header has the median size of the sample. The work
+//! of a request is its size without the prompt tokens that its executor has in its prefix cache. The size determines
+//! the lane, so that the requests with one prefix stay in one lane whichever executor has cached it. The cut-offs
+//! equalise work, and admission counts work.
 //!
 //! # Prefix affinity
 //!
-//! Inside the lane, and only with at least [`GatewayConfig::min_prefix_tokens`] shared tokens, a request goes to a home
-//! of its prefix: one of the first few executors in a rendezvous order on which all nodes agree without communication.
-//! The number of homes follows the demand, and utilisation and wait at a home are bounded, so that a popular prefix
-//! spreads and no request waits for one executor. Where all executors are full, a request with affinity queues at a
-//! home only, as prefill elsewhere would delay all others.
+//! A request with at least [`GatewayConfig::min_prefix_tokens`] shared prompt tokens goes to a home of its prefix: one
+//! of the first few executors of its lane in the order of rendezvous hashing, which all nodes compute alike without
+//! communication. The number of homes follows the demand for the prefix, and both the utilisation of a home and the
+//! wait there are limited. A popular prefix therefore spreads over several executors, and no request has to wait for a
+//! particular one. When all executors are full, a request with affinity queues at a home only, because the prefill of
+//! its long prompt at another executor would delay all requests there.
 //!
 //! # Admission
 //!
-//! A request is rejected only when no executor can take it, neither now nor within a fraction of its latency objective,
-//! which is smaller for lower priorities. The decision is immediate, and `retry_after` is when capacity is expected.
+//! A request is rejected only when no executor can start it now or within a fraction of its latency objective. The
+//! fraction is smaller for lower priorities. The decision is immediate, and `retry_after` is the time until capacity is
+//! expected.
 //!
 //! # Modules
 //!
 //! | concern | modules |
 //! | --- | --- |
 //! | routing of a request | `routing`, `candidate`, `admission`, `lanes`, `batch_capacity` |
-//! | prefix affinity | `affinity`, `prefix_cache`, `prefix_demand`, `popular_prefixes`, `prefix_labels` |
-//! | evidence from attempts | `attempt_accounting`, `own_load`, `peer_load`, `pace`, `timing` |
+//! | prefix affinity | `affinity`, `prefix_cache`, `prefix_demand`, `popular_prefixes`, `prefix_details` |
+//! | observations of attempts | `attempt_accounting`, `own_load`, `peer_load`, `event_delays`, `service_timing` |
 //! | outlier ejection and health | `failure_accrual`, `liveness` |
 //! | retries of a request | `retries` |
 //! | state | `gateway`, `executor`, `executor_table`, `service`, `service_table`, `slot_map` |
@@ -71,7 +77,7 @@
 //! let now = Instant(1_000_000);
 //! let RoutingDecision::Forward { executor, .. } = gateway.choose(now, &request) else { panic!("a slot is free") };
 //! let attempt = gateway.attempt_started(now, executor, &request).unwrap();
-//! // ... the node sends the request; then the head of the response and the first event come:
+//! // The node sends the request. Then it receives the head of the response and the first event:
 //! gateway.response_head(now + Duration::from_millis(15), attempt, ServerLoad::parse("3,0,24").ok());
 //! gateway.event_received(now + Duration::from_millis(15), attempt);
 //! gateway.attempt_finished(now + Duration::from_millis(600), attempt, AttemptOutcome::Served);
@@ -85,6 +91,7 @@
 mod candidate;
 mod config;
 mod decision;
+mod event_delays;
 mod executor;
 mod executor_table;
 mod failure_accrual;
@@ -94,19 +101,18 @@
 mod lanes;
 mod liveness;
 mod own_load;
-mod pace;
 mod peer_load;
 mod popular_prefixes;
 mod prefix_cache;
 mod prefix_demand;
-mod prefix_labels;
+mod prefix_details;
 mod request;
 mod retries;
 mod routing;
 mod service;
 mod service_table;
+mod service_timing;
 mod slot_map;
-mod timing;
 mod views;
 
 pub use config::{BatchReserve, GatewayConfig, MAX_LANES, PROMPT_TOKENS_PER_OUTPUT_TOKEN};
--- a/crates/gateway/src/liveness.rs
+++ b/crates/gateway/src/liveness.rs
@@ -1,19 +1,23 @@
-//! Passive health checks: executors from which nothing comes although own requests are open there.
+//! Passive health checks. An executor is unresponsive when nothing is received from it for too long although attempts
+//! of this node are open there.
 
 use crate::failure_accrual::ExecutorFault;
 use crate::gateway::Gateway;
 use crate::ids::ExecutorId;
 use grebeusher_time::{Duration, DurationExt, Instant};
 
-/// No executor counts as unresponsive before this: several times the longest decode steps.
-const MIN_QUIET_TIMEOUT: Duration = Duration::from_millis(500);
-/// Nor before so many times the duration in which its service's requests usually show progress.
-const QUIET_TIMEOUT_RATIO: f64 = 6.0;
+/// The shortest time without received data after which an executor is unresponsive. The longest decode steps take only
+/// a fraction of it.
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The time without received data after which an executor is unresponsive, as a multiple of the time in which requests
+/// of its service usually show progress.
+const SILENCE_TIMEOUT_RATIO: f64 = 6.0;
 
-/// When the node itself looked at its connections.
+/// The times of the node's own health checks.
 pub(crate) struct LivenessCheck {
+    /// When the latest check was made.
     checked_at: Instant,
-    /// When the node went on after it had stood still.
+    /// When the node's process continued after it had been suspended.
     resumed_at: Instant,
 }
 
@@ -24,26 +28,27 @@
 }
 
 impl LivenessCheck {
-    /// Notes a check. After a long gap between two the node itself stood still, and what came meanwhile is not read
-    /// yet.
+    /// Records the time of a check. A long gap since the previous check means that the node's own process was
+    /// suspended, and that it has not yet read what was received meanwhile.
     fn begin(&mut self, now: Instant) {
-        let since_last = now.since(std::mem::replace(&mut self.checked_at, now));
-        if since_last > MIN_QUIET_TIMEOUT {
+        let since_last_check = now.since(std::mem::replace(&mut self.checked_at, now));
+        if since_last_check > MIN_SILENCE_TIMEOUT {
             self.resumed_at = now;
         }
     }
 }
 
 impl Gateway {
-    /// Looks for unresponsive executors; to be called every 100 ms or so. An executor has failed when nothing at all
-    /// came for far longer than its service's requests take to show progress, while own requests are open there. That
-    /// keeps new requests away; it ends none.
+    /// Records a fault of each unresponsive executor. The node calls this about every 100 ms. An executor is
+    /// unresponsive when nothing was received from it for far longer than requests of its service take to show
+    /// progress, while attempts of this node are open there. The fault keeps new requests away from the executor, and
+    /// does not end the open ones.
     pub fn detect_unresponsive(&mut self, now: Instant) {
         self.liveness.begin(now);
         let mut unresponsive: Vec<ExecutorId> = Vec::new();
         for attempt in self.attempts.iter() {
             let id = attempt.executor;
-            if self.is_quiet_too_long(now, id, attempt.sent_at) && !unresponsive.contains(&id) {
+            if self.is_silence_timed_out(now, id, attempt.sent_at) && !unresponsive.contains(&id) {
                 unresponsive.push(id);
             }
         }
@@ -52,12 +57,13 @@
         }
     }
 
-    fn is_quiet_too_long(&self, now: Instant, id: ExecutorId, sent_at: Instant) -> bool {
+    /// Whether nothing was received from the executor for too long since an attempt was sent to it at `sent_at`.
+    fn is_silence_timed_out(&self, now: Instant, id: ExecutorId, sent_at: Instant) -> bool {
         let Some(executor) = self.executors.get(id) else { return false };
         let Some(service) = self.services.get(executor.service) else { return false };
-        let usual = service.timing.usual_quiet_duration();
-        let timeout = MIN_QUIET_TIMEOUT.max(usual.scaled(QUIET_TIMEOUT_RATIO));
-        let quiet_since = executor.last_received.max(sent_at).max(self.liveness.resumed_at);
-        now.since(quiet_since) > timeout
+        let usual_silence = service.timing.usual_silence();
+        let timeout = MIN_SILENCE_TIMEOUT.max(usual_silence.scaled(SILENCE_TIMEOUT_RATIO));
+        let silent_since = executor.last_received_at.max(sent_at).max(self.liveness.resumed_at);
+        now.since(silent_since) > timeout
     }
 }
--- a/crates/gateway/src/peer_load.rs
+++ b/crates/gateway/src/peer_load.rs
@@ -1,11 +1,11 @@
-//! Estimates of the requests that other nodes have at the executors.
+//! Estimates of how many requests the other nodes have at the executors.
 
 use grebeusher_time::{Duration, DurationExt, Instant};
 
-/// After so long a report says nothing of the present: about the time that a request runs.
-const REPORT_FADE_DURATION: Duration = Duration::from_millis(1200);
+/// The age at which a report says nothing about the present load: about the duration of a request.
+const REPORT_MAX_AGE: Duration = Duration::from_millis(1200);
 
-/// The requests of all other nodes at one executor, as of a report.
+/// A report of the requests that all other nodes together have at one executor.
 #[derive(Clone, Copy)]
 pub(crate) struct PeerLoadReport {
     pub at: Instant,
@@ -13,38 +13,42 @@
 }
 
 impl PeerLoadReport {
-    /// The reported requests, fading into `mean`. All nodes receive the same reports: an executor that looked idle to
-    /// all of them a while ago is not idle now.
-    pub fn faded_into(&self, mean: f64, now: Instant) -> f64 {
-        let fresh = (1.0 - now.since(self.at).seconds() / REPORT_FADE_DURATION.seconds()).max(0.0);
-        self.requests * fresh + mean * (1.0 - fresh)
+    /// A weighted mean of the reported number of requests and `mean`. The weight of the report falls linearly to 0 with
+    /// its age. All nodes receive the same reports, so an executor that appeared idle to all of them some time ago is
+    /// no longer idle.
+    pub fn blended_with_mean(&self, mean: f64, now: Instant) -> f64 {
+        let report_weight = (1.0 - now.since(self.at).seconds() / REPORT_MAX_AGE.seconds()).max(0.0);
+        self.requests * report_weight + mean * (1.0 - report_weight)
     }
 
+    /// Whether the report still has weight.
     pub fn is_fresh(&self, now: Instant) -> bool {
-        now.since(self.at) < REPORT_FADE_DURATION
+        now.since(self.at) < REPORT_MAX_AGE
     }
 }
 
-/// The weight of the newest report in the running means: some twenty reports count.
+/// The weight of the newest report in the exponentially weighted means, which span about twenty reports.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// The weight of the first report after all before have faded. One executor does not stand for all.
+/// The weight of a report after all earlier ones have lost their weight. It is less than 1 because one executor does
+/// not represent all.
 const FIRST_WEIGHT: f64 = 0.3;
-/// A mean counts in full for this long. A node with any requests receives reports more often.
+/// How long a mean keeps its full weight without a new report. A node with any requests receives reports more often.
 const MEAN_HOLD_DURATION: Duration = Duration::from_millis(500);
-/// The mean's half-life after that. "All are full" is forgotten within a small part of any batch job's time.
+/// The half-life of a mean after [`MEAN_HOLD_DURATION`], in seconds. It is short enough that batch items are sent again
+/// after all executors were full, within a small part of the duration of any batch job.
 const MEAN_HALF_LIFE_S: f64 = 0.5;
 
-/// Peer load of a service now, in requests per slot.
+/// The estimated load of a service by other nodes, in requests per slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct PeerLoadEstimate {
     /// The mean over all executors.
     pub mean: f64,
-    /// The mean deviation of single reports from it.
+    /// The mean absolute deviation of single reports from the mean.
     pub deviation: f64,
 }
 
-/// The running mean of a service's peer load. It fades without reports. Otherwise a node that stopped sending because
-/// all seemed full would receive no reports, and would never send again.
+/// The moving mean of the load of a service by other nodes. It decays without reports: otherwise a node that stopped
+/// sending because all executors appeared full would receive no more reports, and would never send again.
 pub(crate) struct PeerLoadMean {
     estimate: PeerLoadEstimate,
     reported_at: Instant,
@@ -57,11 +61,11 @@
 }
 
 impl PeerLoadMean {
-    /// One executor reported the requests of other nodes per slot.
-    pub fn observe(&mut self, now: Instant, per_slot: f64) {
+    /// Records how many requests other nodes have at one executor, per slot.
+    pub fn observe(&mut self, now: Instant, requests_per_slot: f64) {
         let PeerLoadEstimate { mean, deviation } = self.estimate(now);
-        let weight = NEWEST_WEIGHT.max(FIRST_WEIGHT * (1.0 - self.freshness(now)));
-        let difference = per_slot - mean;
+        let weight = NEWEST_WEIGHT.max(FIRST_WEIGHT * (1.0 - self.remaining_weight(now)));
+        let difference = requests_per_slot - mean;
         self.estimate = PeerLoadEstimate {
             mean: mean + difference * weight,
             deviation: deviation + (difference.abs() - deviation) * NEWEST_WEIGHT,
@@ -69,14 +73,14 @@
         self.reported_at = now;
     }
 
-    /// The estimate, faded by the time since the last report.
+    /// The estimate after its decay since the latest report.
     pub fn estimate(&self, now: Instant) -> PeerLoadEstimate {
-        let fresh = self.freshness(now);
-        PeerLoadEstimate { mean: self.estimate.mean * fresh, deviation: self.estimate.deviation * fresh }
+        let weight = self.remaining_weight(now);
+        PeerLoadEstimate { mean: self.estimate.mean * weight, deviation: self.estimate.deviation * weight }
     }
 
-    /// The remaining weight of what was reported, from 1 to 0.
-    fn freshness(&self, now: Instant) -> f64 {
+    /// The remaining weight of the reports so far, from 1 to 0.
+    fn remaining_weight(&self, now: Instant) -> f64 {
         let age = now.since(self.reported_at);
         if age <= MEAN_HOLD_DURATION {
             return 1.0;
--- a/crates/gateway/src/prefix_cache.rs
+++ b/crates/gateway/src/prefix_cache.rs
@@ -1,80 +1,90 @@
-//! A model of one executor's prefix cache: which prompt segments it has, judged by what this node sent there.
+//! A model of the prefix cache of one executor: the prompt segments that it has cached, judged by the requests that
+//! this node sent there.
 
 use crate::headers::PromptSegment;
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// Entries of one executor at most, whatever their tokens: some ten kilobytes.
+/// The greatest number of segments in the model of one executor, whatever their tokens. They take about ten kilobytes.
 const MAX_ENTRIES: usize = 512;
 
-/// Prompt tokens that an executor reads in a second of prefill: about a hundred in a millisecond.
+/// The number of prompt tokens that an executor processes in a second of prefill, which is about a hundred in 1 ms.
 pub(crate) const PREFILL_TOKENS_PER_S: f64 = 100_000.0;
 
+/// A prompt segment in the cache.
 struct CachedSegment {
     tokens: u32,
-    /// The clock of its latest use.
+    /// The number of the latest use of the segment.
     last_use: u64,
-    /// When its prefill has finished, about.
+    /// When the prefill of the segment has approximately finished.
     ready_at: Instant,
 }
 
-/// One use in order of time.
-struct Use {
+/// One use of a segment.
+struct SegmentUse {
+    /// The key of the segment.
     key: u64,
-    clock: u64,
+    /// The number of the use, which increases with each use of any segment.
+    number: u64,
 }
 
-/// An LRU cache, as in the executor itself; bounded by tokens and by number of entries.
+/// An LRU cache like that of the executor itself. It is limited by the number of tokens and by the number of segments.
 #[derive(Default)]
 pub(crate) struct PrefixCacheModel {
-    capacity: u64,
-    /// The sum of the cached segments' tokens.
-    tokens: u64,
-    clock: u64,
+    /// The number of tokens for which the executor has memory.
+    capacity_tokens: u64,
+    /// The sum of the tokens of all cached segments.
+    total_tokens: u64,
+    /// The number of the latest use of any segment.
+    use_count: u64,
+    /// The cached segments. The key of a segment is its chain hash combined with the hash of the model.
     segments: FxHashMap<u64, CachedSegment>,
-    /// Uses in order. One that is not its segment's latest has no effect.
-    uses: VecDeque<Use>,
+    /// Uses of segments, the oldest first. A use that is not the latest of its segment has no effect.
+    uses: VecDeque<SegmentUse>,
 }
 
 impl PrefixCacheModel {
-    /// Sets for how many tokens the executor has memory; 0: it caches nothing.
+    /// Sets the number of tokens for which the executor has memory. With 0 it caches nothing.
     pub fn set_capacity(&mut self, tokens: u64) {
-        self.capacity = tokens;
+        self.capacity_tokens = tokens;
         self.evict();
     }
 
-    /// Tokens of the longest prefix that is cached or in prefill.
+    /// The number of tokens of the longest prefix of the prompt that is cached or in prefill.
     pub fn cached_tokens(&self, model: u64, prompt: &[PromptSegment]) -> u32 {
         self.prefix_tokens(model, prompt, |_| true)
     }
 
-    /// As [`PrefixCacheModel::cached_tokens`], without what is still in prefill: a request that comes meanwhile has
-    /// to read it as well.
+    /// The number of tokens of the longest prefix of the prompt whose prefill has finished. A request that arrives
+    /// during the prefill of a segment has to process the segment as well.
     pub fn ready_tokens(&self, now: Instant, model: u64, prompt: &[PromptSegment]) -> u32 {
         self.prefix_tokens(model, prompt, |segment| segment.ready_at <= now)
     }
 
+    /// The number of tokens of the longest prefix of the prompt whose segments are all cached and satisfy `is_counted`.
     fn prefix_tokens(
         &self,
         model: u64,
         prompt: &[PromptSegment],
-        counts: impl Fn(&CachedSegment) -> bool,
+        is_counted: impl Fn(&CachedSegment) -> bool,
     ) -> u32 {
-        let is_cached =
-            |segment: &&PromptSegment| self.segments.get(&(segment.chain_hash ^ model)).is_some_and(&counts);
+        let is_cached = |segment: &&PromptSegment| {
+            self.segments.get(&(segment.chain_hash ^ model)).is_some_and(&is_counted)
+        };
         let cached = prompt.iter().take_while(is_cached);
         cached.fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
 
-    /// The segments were sent there: they are read and cached, or used again.
+    /// Records that the segments were sent to the executor, which computes and caches them or uses them again.
     pub fn record_use(&mut self, now: Instant, model: u64, prompt: &[PromptSegment]) {
-        if self.capacity == 0 {
+        if self.capacity_tokens == 0 {
             return;
         }
         let tokens = prompt.iter().fold(0.0, |sum, segment| sum + f64::from(segment.tokens));
         let ready_at = now + Duration::from_seconds(tokens / PREFILL_TOKENS_PER_S);
-        // The first segment last: the later ones are of no use without it, so they are evicted before it.
+        // The first segment counts as used last, so that it is evicted after the segments behind it, which are of no
+        // use without it.
         for segment in prompt.iter().rev() {
             self.use_segment(segment.chain_hash ^ model, segment.tokens, ready_at);
         }
@@ -82,32 +92,35 @@
     }
 
     fn use_segment(&mut self, key: u64, tokens: u32, ready_at: Instant) {
-        self.clock += 1;
+        self.use_count += 1;
         let new = CachedSegment { tokens: 0, last_use: 0, ready_at };
         let segment = self.segments.entry(key).or_insert(new);
-        self.tokens = self.tokens + u64::from(tokens) - u64::from(segment.tokens);
+        self.total_tokens = self.total_tokens + u64::from(tokens) - u64::from(segment.tokens);
         segment.tokens = tokens;
-        segment.last_use = self.clock;
-        self.uses.push_back(Use { key, clock: self.clock });
+        segment.last_use = self.use_count;
+        self.uses.push_back(SegmentUse { key, number: self.use_count });
     }
 
-    /// The executor turned out to have lost its cache.
+    /// Removes all segments, after the executor turned out to have lost its cache.
     pub fn clear(&mut self) {
         self.segments.clear();
         self.uses.clear();
-        self.tokens = 0;
+        self.total_tokens = 0;
     }
 
     fn is_over_limit(&self) -> bool {
-        self.tokens > self.capacity || self.segments.len() > MAX_ENTRIES || self.uses.len() > 2 * MAX_ENTRIES
+        self.total_tokens > self.capacity_tokens
+            || self.segments.len() > MAX_ENTRIES
+            || self.uses.len() > 2 * MAX_ENTRIES
     }
 
+    /// Removes the least recently used segments until the cache is within its limits.
     fn evict(&mut self) {
         while self.is_over_limit() {
             let Some(oldest) = self.uses.pop_front() else { return };
-            if self.segments.get(&oldest.key).is_some_and(|segment| segment.last_use == oldest.clock) {
-                let evicted = self.segments.remove(&oldest.key).map_or(0, |segment| segment.tokens);
-                self.tokens -= u64::from(evicted);
+            if self.segments.get(&oldest.key).is_some_and(|segment| segment.last_use == oldest.number) {
+                let evicted_tokens = self.segments.remove(&oldest.key).map_or(0, |segment| segment.tokens);
+                self.total_tokens -= u64::from(evicted_tokens);
             }
         }
     }
--- a/crates/gateway/src/prefix_details.rs
+++ b/crates/gateway/src/prefix_details.rs
@@ -1,41 +1,42 @@
-//! What this node saw of prefixes lately, so that operators see more of one than its key.
+//! Details of the prefixes of recent requests. With them, operators are shown more of a popular prefix than its key.
 
 use crate::ids::ServiceId;
 use grebeusher_prefix_popularity::{PopularityEstimator, PrefixKey};
 use rustc_hash::FxHashMap;
 
-/// Labels at once.
-const MAX_LABELS: usize = 512;
+/// The greatest number of prefixes for which details are kept.
+const MAX_PREFIXES: usize = 512;
 
-/// What this node saw of a prefix.
+/// What this node knows of a prefix by its own requests.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PrefixLabel {
+pub(crate) struct PrefixDetails {
     pub service: ServiceId,
-    /// The hash of the prefix, which gives its rendezvous order.
-    pub prefix: u64,
-    /// Tokens of the prefix.
+    /// The hash of the prefix, which determines its rendezvous order of executors.
+    pub prefix_hash: u64,
+    /// The number of tokens of the prefix.
     pub tokens: u32,
-    /// The size of the latest request with it, which gives its lane.
-    pub size: f64,
+    /// The size of the latest request with the prefix, in prompt tokens. It determines the lane of the prefix.
+    pub request_size: f64,
 }
 
-/// Labels by key; at most [`MAX_LABELS`] of them.
+/// The details of at most [`MAX_PREFIXES`] prefixes.
 #[derive(Debug, Default)]
-pub(crate) struct PrefixLabels(FxHashMap<PrefixKey, PrefixLabel>);
+pub(crate) struct PrefixDetailsTable(FxHashMap<PrefixKey, PrefixDetails>);
 
-impl PrefixLabels {
-    pub fn get(&self, key: PrefixKey) -> Option<&PrefixLabel> {
+impl PrefixDetailsTable {
+    pub fn get(&self, key: PrefixKey) -> Option<&PrefixDetails> {
         self.0.get(&key)
     }
 
-    /// Sets a label. Those of prefixes without demand make space for it.
-    pub fn insert(&mut self, key: PrefixKey, label: PrefixLabel, popularity: &PopularityEstimator) {
-        if self.0.len() >= MAX_LABELS && !self.0.contains_key(&key) {
+    /// Sets the details of a prefix. When the table is full, it drops prefixes without demand, or all if there are
+    /// none.
+    pub fn insert(&mut self, key: PrefixKey, details: PrefixDetails, popularity: &PopularityEstimator) {
+        if self.0.len() >= MAX_PREFIXES && !self.0.contains_key(&key) {
             self.0.retain(|key, _| popularity.tokens_per_s(*key) > 0.0);
-            if self.0.len() >= MAX_LABELS {
+            if self.0.len() >= MAX_PREFIXES {
                 self.0.clear();
             }
         }
-        self.0.insert(key, label);
+        self.0.insert(key, details);
     }
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! What the gateway is asked to route: live requests and items of batch jobs.
+//! The requests for which the gateway chooses executors: live requests of clients, and items of batch jobs.
 
 use crate::config::PROMPT_TOKENS_PER_OUTPUT_TOKEN;
 use crate::headers::{PromptSegments, TokenCount};
@@ -6,38 +6,39 @@
 use crate::retries::RetryClass;
 use grebeusher_time::Duration;
 
-/// A request that needs an executor.
+/// A request that needs an executor, for its first attempt or a retry.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The service of its route.
+    /// The service of the request's route.
     pub service: ServiceId,
-    /// The route's `priority_level`: 0 is the most urgent.
+    /// The `priority_level` of the request's route. 0 is the most urgent.
     pub priority: u8,
-    /// How it may be retried.
+    /// How the request may be retried.
     pub retry_class: RetryClass,
-    /// The model that it names.
+    /// The model that the request names.
     pub model: Option<ModelKey>,
-    /// Its size, where the client states it.
+    /// The size of the request, if the client states it.
     pub tokens: Option<TokenCount>,
-    /// The segments of its prompt.
+    /// The segments of the request's prompt. There are none if the client does not state them.
     pub prompt: PromptSegments,
-    /// Executors that had it already.
+    /// The executors that must not be chosen, because the request was sent to them before.
     pub excluded: &'a [ExecutorId],
-    /// The route's `target_latency_ms`.
+    /// The `target_latency_ms` of the request's route.
     pub latency_objective: Duration,
     /// The time since the client's request arrived.
     pub elapsed: Duration,
-    /// The time until its deadline.
+    /// The time until the request's deadline.
     pub until_deadline: Duration,
-    /// Whether an executor may have run it already. It then can't be rejected any more, and waits longer rather than
-    /// fail.
+    /// Whether an executor may have run the request already. The request can then no longer be rejected, and it may
+    /// queue for longer instead.
     pub may_have_run: bool,
-    /// Whether it is an item of a batch job.
+    /// Whether the request is an item of a batch job.
     pub is_batch: bool,
 }
 
 impl Request<'_> {
-    /// A plain request without hints.
+    /// A non-idempotent request of the highest priority without a stated size, prompt or model, with an objective of
+    /// 300 ms and a deadline in 3 s.
     pub fn to(service: ServiceId) -> Request<'static> {
         Request {
             service,
@@ -55,38 +56,42 @@
         }
     }
 
-    /// Its size, which picks the lane; `median` without a hint.
-    pub(crate) fn size(&self, median: f64) -> f64 {
-        self.work(median, 0)
+    /// The size of the request in prompt tokens, which determines its lane. A request that does not state its size has
+    /// the size `median_size`.
+    pub(crate) fn size(&self, median_size: f64) -> f64 {
+        self.work(median_size, 0)
     }
 
-    /// What it costs an executor that has `cached` tokens of its prompt.
-    pub(crate) fn work(&self, median: f64, cached: u32) -> f64 {
-        let Some(tokens) = self.tokens else { return median };
-        let output = f64::from(tokens.output) * f64::from(PROMPT_TOKENS_PER_OUTPUT_TOKEN);
-        (f64::from(tokens.prompt.saturating_sub(cached)) + output).max(1.0)
+    /// The work of the request, in prompt tokens, for an executor that has cached `cached_tokens` tokens of its prompt.
+    /// For a request that does not state its size, it is `median_size`.
+    pub(crate) fn work(&self, median_size: f64, cached_tokens: u32) -> f64 {
+        let Some(tokens) = self.tokens else { return median_size };
+        let output_work = f64::from(tokens.output) * f64::from(PROMPT_TOKENS_PER_OUTPUT_TOKEN);
+        (f64::from(tokens.prompt.saturating_sub(cached_tokens)) + output_work).max(1.0)
     }
 
-    /// Prompt and output tokens together; 0 without a hint.
+    /// The number of prompt and output tokens together. It is 0 for a request that does not state its size.
     pub(crate) fn total_tokens(&self) -> u64 {
         u64::from(self.tokens.map_or(0, |tokens| tokens.prompt.saturating_add(tokens.output)))
     }
 
-    /// Prompt tokens that remain when `skipped` of them need no prefill; 0 without a hint.
-    pub(crate) fn prompt_tokens_beyond(&self, skipped: u32) -> u32 {
-        self.tokens.map_or(0, |tokens| tokens.prompt.saturating_sub(skipped))
+    /// The number of prompt tokens after the first `first_tokens` ones. It is 0 for a request that does not state its
+    /// size.
+    pub(crate) fn prompt_tokens_beyond(&self, first_tokens: u32) -> u32 {
+        self.tokens.map_or(0, |tokens| tokens.prompt.saturating_sub(first_tokens))
     }
 
-    /// Prompt tokens that other requests share.
+    /// The number of prompt tokens that other requests share.
     pub(crate) fn shared_tokens(&self) -> u32 {
         self.prompt.shared_tokens()
     }
 
-    /// The hash of its longest shared prefix, for its model.
+    /// The hash of the request's longest shared prefix and its model. `None` if no segment is shared.
     pub(crate) fn prefix_hash(&self) -> Option<u64> {
         self.prompt.shared().last().map(|segment| segment.chain_hash ^ self.model_hash())
     }
 
+    /// The hash of the model's name, or 0 if the request names no model.
     pub(crate) fn model_hash(&self) -> u64 {
         self.model.map_or(0, |model| model.0)
     }
@@ -95,17 +100,18 @@
 /// An item of a batch job that needs an executor with spare capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct BatchItem<'a> {
-    /// The service of its route.
+    /// The service of the item's route.
     pub service: ServiceId,
-    /// The model that it names.
+    /// The model that the item names.
     pub model: Option<ModelKey>,
-    /// Its size.
+    /// The size of the item, if it is known.
     pub tokens: Option<TokenCount>,
-    /// The segments of its prompt.
+    /// The segments of the item's prompt.
     pub prompt: PromptSegments,
-    /// Executors that had it and failed.
+    /// The executors that must not be chosen, because the item failed there before.
     pub excluded: &'a [ExecutorId],
-    /// From 0, long before it is due, to 1, due now. At 1 the reserve for live requests is halved.
+    /// The urgency of the item, from 0 when it is due much later to 1 when it is due now. At 1 the reserve of slots for
+    /// live requests is halved.
     pub urgency: f64,
 }
 
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -1,18 +1,19 @@
-//! Retries: what follows an attempt by its outcome, and what the client gets when nothing may follow.
+//! Retries: whether a request is tried again after the outcome of an attempt, and which response the client gets when
+//! it is not.
 
-/// How a request may be retried, by its route.
+/// How requests of a route may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryClass {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// May run once at most. Also a stream that can't be resumed.
+    /// The request may run at most once. The class includes streams that cannot be resumed.
     NonIdempotent,
-    /// A stream that another executor can resume after the last complete event.
+    /// The response is a stream that another executor can resume after the last complete event.
     ResumableStream,
 }
 
 impl RetryClass {
-    /// Whether a second run does no harm.
+    /// Whether the request may run again after an executor may have run it.
     pub fn may_run_again(self) -> bool {
         self != RetryClass::NonIdempotent
     }
@@ -21,28 +22,30 @@
 /// How one attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptOutcome {
-    /// The executor's complete response was relayed.
+    /// The complete response of the executor was relayed to the client.
     Served,
-    /// No connection came up: it was refused, or not in time. Nothing of the request was written.
+    /// No connection was established, because it was refused or not accepted in time. No part of the request was
+    /// written.
     NeverSent,
-    /// An idle connection turned out to be closed before anything of the request was written. It is no evidence
-    /// against the executor, which may be chosen again, over a new connection.
+    /// An idle connection turned out to be closed before any part of the request was written. This does not count as a
+    /// fault of the executor, which may be chosen again over a new connection.
     IdleClosed,
-    /// Rejected with `X-Grebeusher-Not-Executed`: 503, 429 or 400.
+    /// The executor rejected the request with 503, 429 or 400 and the header `X-Grebeusher-Not-Executed`.
     NotExecuted,
-    /// 421: another instance has the address, or its weights are of another version. It did not run.
+    /// The request was rejected with 421 and did not run, because another instance has the address of the executor, or
+    /// because the executor has model weights of another version.
     Misdirected,
-    /// The connection broke, timed out or carried no valid response, before the head of a response.
+    /// The connection broke, timed out or carried an invalid response before the head of a response.
     BrokenBeforeHead,
-    /// It broke within the body of a response of which the client has seen nothing.
+    /// The connection broke within the body of a response of which no part was sent to the client.
     BrokenBeforeRelay,
-    /// It broke within a body whose head the client already has.
+    /// The connection broke within the body of a response whose head was already sent to the client.
     BrokenMidBody,
-    /// A stream broke after its head went to the client, with or without complete events behind it.
+    /// The connection broke within a stream whose head was already sent to the client, with or without complete events.
     BrokenMidStream,
-    /// A complete response with a failure of the executor that counts as run (500, 504).
+    /// The executor sent a complete response with a failure of its own (500 or 504). The request counts as run.
     AnsweredFailure,
-    /// Any other complete response that is no success: it belongs to the client.
+    /// The executor sent any other complete response that is not a success. It is relayed to the client.
     AnsweredOther,
     /// The client's deadline or the route's timeout passed.
     TimedOut,
@@ -51,7 +54,7 @@
 }
 
 impl AttemptOutcome {
-    /// Whether the attempt proves that its executor has not run the request and never will.
+    /// Whether the outcome proves that the executor has not run the request and never will.
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
@@ -63,39 +66,42 @@
     }
 }
 
-/// What the client gets when no further attempt is made.
+/// The response that the client gets when no further attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalResponse {
-    /// 503 with `Retry-After`: no executor has run it, and none will.
+    /// The client gets 503 with `Retry-After`: no executor has run the request, and none will.
     ServiceUnavailable,
-    /// 502: an executor may have run it.
+    /// The client gets 502: an executor may have run the request.
     BadGateway,
-    /// 504: its time is over, and an executor may have run it.
+    /// The client gets 504: the deadline has passed, and an executor may have run the request.
     GatewayTimeout,
-    /// The head is sent: the connection is closed early so that the response can't look complete.
+    /// The head of a response was already sent. The client's connection is closed before the end of the body, so that
+    /// the response cannot appear complete.
     Abort,
-    /// The executor's own response is relayed unchanged.
+    /// The client gets the executor's own response unchanged.
     Relay,
-    /// Nothing: the complete response is sent, or the client is gone.
+    /// The client gets nothing more, because the complete response was sent or the client disconnected.
     Nothing,
 }
 
-/// What follows an attempt.
+/// The decision after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryDecision {
-    /// Another executor gets the unchanged request at once, without backoff. Those tried are excluded.
+    /// The unchanged request is sent to another executor at once, without backoff. Executors that had it before are
+    /// excluded.
     Retry,
-    /// Another executor continues the same response, with `Last-Event-Id` of the last complete event.
+    /// The request is sent to another executor with `Last-Event-Id`, so that it continues the same response after the
+    /// last complete event.
     Resume,
-    /// No further attempt.
+    /// No further attempt is made.
     Finish(FinalResponse),
 }
 
-/// A bound on attempts that provably did not run. More of them are an overload of the service, of which the client is
-/// better informed.
+/// The greatest number of attempts for a request that provably did not run it. More of them mean that the service is
+/// overloaded, and it is better to tell the client so.
 const MAX_NOT_RUN: u32 = 4;
 
-/// The attempts for one request of a client.
+/// Counts the attempts for one request of a client, and decides on the next one.
 ///
 /// ```
 /// use grebeusher_gateway::{AttemptOutcome, Attempts, FinalResponse, RetryClass, RetryDecision};
@@ -108,38 +114,40 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     retry_class: RetryClass,
-    /// Bounds `may_have_run`.
+    /// The limit of `possibly_run`, at least 1.
     max_attempts: u32,
-    may_have_run: u32,
+    /// The number of attempts that may have run the request.
+    possibly_run: u32,
+    /// The number of attempts that provably did not run the request.
     not_run: u32,
-    /// Whether the client has the head of a response.
+    /// Whether the head of a response was sent to the client.
     head_sent: bool,
 }
 
 impl Attempts {
-    /// `max_attempts` of the route, at least 1, bounds the attempts that may have run the request. An attempt that
-    /// proves not to have run it does not count.
+    /// Creates the state of a request without attempts. `max_attempts` of the route limits the attempts that may have
+    /// run the request; 0 counts as 1. Attempts that provably did not run the request are not counted there.
     pub fn new(retry_class: RetryClass, max_attempts: u32) -> Attempts {
         Attempts {
             retry_class,
             max_attempts: max_attempts.max(1),
-            may_have_run: 0,
+            possibly_run: 0,
             not_run: 0,
             head_sent: false,
         }
     }
 
-    /// Whether any executor may have run it.
+    /// Whether any executor may have run the request.
     pub fn may_have_run(&self) -> bool {
-        self.may_have_run > 0
+        self.possibly_run > 0
     }
 
-    /// An attempt ended: what follows.
+    /// Records the outcome of an attempt, and decides on the next one.
     pub fn ended(&mut self, outcome: AttemptOutcome) -> RetryDecision {
         if outcome.proves_not_run() {
             self.not_run += 1;
         } else {
-            self.may_have_run += 1;
+            self.possibly_run += 1;
         }
         match outcome {
             AttemptOutcome::Served | AttemptOutcome::ClientGone => {
@@ -163,7 +171,7 @@
         }
     }
 
-    /// What the client gets when no executor could be chosen, or the time is over before one was.
+    /// The response that the client gets when no executor can be chosen, or the deadline passes before one is chosen.
     pub fn without_executor(&self) -> FinalResponse {
         match self {
             _ if self.head_sent => FinalResponse::Abort,
@@ -172,6 +180,7 @@
         }
     }
 
+    /// The response that the client gets when the deadline passes during an attempt.
     fn timeout_response(&self) -> FinalResponse {
         match self.without_executor() {
             FinalResponse::BadGateway => FinalResponse::GatewayTimeout,
@@ -179,9 +188,10 @@
         }
     }
 
+    /// The decision after an attempt that failed: another attempt if the request may have one.
     fn retry_or_finish(&self) -> RetryDecision {
         let may_run_again = !self.may_have_run() || self.retry_class.may_run_again();
-        let is_exhausted = self.may_have_run >= self.max_attempts || self.not_run >= MAX_NOT_RUN;
+        let is_exhausted = self.possibly_run >= self.max_attempts || self.not_run >= MAX_NOT_RUN;
         if is_exhausted || !may_run_again {
             return RetryDecision::Finish(self.without_executor());
         }
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -1,6 +1,7 @@
-//! Routing of one request: prefix affinity first, then a weighted pick tier by tier, then rejection.
+//! Routing of one request. Prefix affinity is tried first, then a weighted pick in each preference group. If neither
+//! finds an executor, the request is rejected.
 
-use crate::admission::{PreferenceTier, max_queue_wait_s, must_admit, retry_after};
+use crate::admission::{PreferenceGroup, max_queue_wait_s, must_admit, retry_after};
 use crate::candidate::{Candidate, CandidateContext, NodePosition};
 use crate::decision::RoutingDecision;
 use crate::gateway::Gateway;
@@ -10,11 +11,11 @@
 use grebeusher_time::{Duration, Instant};
 use rand::Rng;
 
-/// While no executor is known: about the time until one has reported its state.
+/// After how long a client may retry when no executor is known: about the time until one has reported its state.
 const NO_EXECUTOR_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl Gateway {
-    /// Decides on a request, or on its next attempt.
+    /// Chooses an executor for the next attempt of a request, or rejects the request.
     pub fn choose(&mut self, now: Instant, request: &Request<'_>) -> RoutingDecision {
         self.refresh_lanes(now, request.service);
         let mut candidates = std::mem::take(&mut self.candidate_buffer);
@@ -33,17 +34,17 @@
         if let Some(home) = self.choose_by_prefix(now, request, max_wait_s, candidates) {
             return self.forward(home);
         }
-        if let Some(chosen) = self.choose_by_tier(request, max_wait_s, candidates) {
+        if let Some(chosen) = self.choose_by_preference(request, max_wait_s, candidates) {
             return self.forward(chosen);
         }
         if must_admit(request, candidates) {
             let reachable: Vec<Candidate> = candidates.iter().copied().filter(|c| c.reachable).collect();
-            if let Some(chosen) = self.pick_in_tier(PreferenceTier::Queue, &reachable) {
+            if let Some(chosen) = self.pick_in_group(PreferenceGroup::AnyWithShortQueue, &reachable) {
                 return self.forward(chosen);
             }
         }
         self.decisions.rejected += 1;
-        let jitter = self.random.random::<f64>();
+        let jitter = self.rng.random::<f64>();
         RoutingDecision::Reject { retry_after: retry_after(candidates, max_wait_s, jitter) }
     }
 
@@ -59,7 +60,8 @@
         max_queue_wait_s(&self.config, request, top_priority)
     }
 
-    fn choose_by_tier(
+    /// Picks an executor from the first preference group that has a candidate.
+    fn choose_by_preference(
         &mut self,
         request: &Request<'_>,
         max_wait_s: f64,
@@ -67,42 +69,48 @@
     ) -> Option<ExecutorId> {
         let has_affinity = request.shared_tokens() >= self.config.min_prefix_tokens;
         let skips_queues = self.config.queue_at_home_only && has_affinity;
-        let tiers = PreferenceTier::ALL.into_iter().filter(|tier| !(skips_queues && tier.is_queue()));
-        for tier in tiers {
-            let in_tier = |c: &Candidate| tier.contains(c, max_wait_s);
-            let members: Vec<Candidate> = candidates.iter().copied().filter(in_tier).collect();
-            if let Some(chosen) = self.pick_in_tier(tier, &members) {
+        let groups = PreferenceGroup::ALL.into_iter().filter(|group| !(skips_queues && group.may_queue()));
+        for group in groups {
+            let is_in_group = |c: &Candidate| group.contains(c, max_wait_s);
+            let members: Vec<Candidate> = candidates.iter().copied().filter(is_in_group).collect();
+            if let Some(chosen) = self.pick_in_group(group, &members) {
                 return Some(chosen);
             }
         }
         None
     }
 
-    /// A weighted pick, counted for its tier.
-    pub(crate) fn pick_in_tier(&mut self, tier: PreferenceTier, members: &[Candidate]) -> Option<ExecutorId> {
+    /// Makes a weighted pick among the members of a preference group, and counts the decision for the group.
+    pub(crate) fn pick_in_group(
+        &mut self,
+        group: PreferenceGroup,
+        members: &[Candidate],
+    ) -> Option<ExecutorId> {
         let chosen = self.weighted_pick(members)?;
-        let counter = match tier {
-            PreferenceTier::Lane => &mut self.decisions.weighted_pick,
-            PreferenceTier::OutOfLane => &mut self.decisions.out_of_lane,
-            PreferenceTier::LaneQueue | PreferenceTier::Queue => &mut self.decisions.queued,
-            PreferenceTier::Unhealthy => &mut self.decisions.unhealthy,
+        let counter = match group {
+            PreferenceGroup::LaneWithCapacity => &mut self.decisions.weighted_pick,
+            PreferenceGroup::AnyWithCapacity => &mut self.decisions.out_of_lane,
+            PreferenceGroup::LaneWithShortQueue | PreferenceGroup::AnyWithShortQueue => {
+                &mut self.decisions.queued
+            }
+            PreferenceGroup::UnhealthyWithCapacity => &mut self.decisions.unhealthy,
         };
         *counter += 1;
         Some(chosen)
     }
 
-    /// SITA-E's pick: at random, weighted by one minus the utilisation, with a floor.
+    /// Picks a candidate at random. As in SITA-E, its weight is 1 minus its utilisation, with a lower limit.
     pub(crate) fn weighted_pick(&mut self, candidates: &[Candidate]) -> Option<ExecutorId> {
         let weighted = |c: &Candidate| WeightedCandidate {
             utilisation: c.has_load_estimate.then_some(c.utilisation),
-            weight_factor: c.weight,
+            weight_factor: c.weight_factor,
         };
         let weighted: Vec<WeightedCandidate> = candidates.iter().map(weighted).collect();
-        let index = pick(&mut self.random, &weighted)?;
+        let index = pick(&mut self.rng, &weighted)?;
         candidates.get(index).map(|c| c.id)
     }
 
-    /// The executors that could take the request, in the order of the service's members.
+    /// Fills `candidates` with the executors that could run the request, in the order of the service's members.
     pub(crate) fn collect_candidates(
         &self,
         now: Instant,
@@ -111,7 +119,7 @@
     ) {
         candidates.clear();
         let Some(service) = self.services.get(request.service) else { return };
-        let position = NodePosition { zone: self.zone, nodes: self.nodes };
+        let position = NodePosition { zone: self.zone, node_count: self.node_count };
         let context = CandidateContext::new(now, service, &self.config, position, request);
         let executors = service.members.iter().filter_map(|id| self.executors.get(*id));
         let eligible = executors.filter(|executor| context.is_eligible(executor));
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -1,49 +1,53 @@
-//! One service: its executors, its lanes and cut-offs, and the timing of its requests.
+//! The state of one service: its executors, its lanes and cut-offs, and the timing of its requests.
 
 use crate::config::GatewayConfig;
 use crate::ids::ExecutorId;
 use crate::peer_load::PeerLoadMean;
-use crate::timing::ServiceTiming;
+use crate::service_timing::ServiceTiming;
 use grebeusher_sizing::{CutOffs, Sample};
 use grebeusher_time::Instant;
 use std::sync::Arc;
 
-/// What the configuration says of a service.
+/// The settings of a service in the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceSettings {
-    /// Connections that each executor accepts from all callers together; 0: no bound is known.
+    /// The number of connections that each executor accepts from all callers together. 0 means that no limit is known.
     pub max_connections: u32,
-    /// Tokens for which each executor has KV memory; 0: it caches none, as it does not run a model.
+    /// The number of tokens for which each executor has KV memory. 0 means that the executors do not run a model and
+    /// cache nothing.
     pub kv_capacity_tokens: u64,
 }
 
-/// The size of a request without a hint while the sample is empty.
+/// The size, in prompt tokens, of a request that does not state its size while the sample is empty.
 const DEFAULT_SIZE: f64 = 1.0;
-/// The weight of the newest request in the mean of tokens: some twenty requests count.
+/// The weight of the newest request in the exponentially weighted mean of tokens, which spans about twenty requests.
 const NEWEST_WEIGHT: f64 = 0.05;
 
-/// A service with its executors.
+/// A service, with the keys of its executors.
 pub(crate) struct Service {
     pub name: Arc<str>,
-    /// Of its name, the same on every node.
-    pub hash: u64,
+    /// The hash of the service's name, which is the same on every node.
+    pub name_hash: u64,
     pub settings: ServiceSettings,
-    /// Its executors. Each is in the table.
+    /// The keys of the service's executors. Each executor is in the table of executors.
     pub members: Vec<ExecutorId>,
-    /// Whether executors changed since the lanes were formed.
-    pub lanes_stale: bool,
+    /// Whether executors were added, removed or changed since the lanes were computed.
+    pub are_lanes_stale: bool,
     /// The capacity of each lane in slots.
     pub lane_capacity: Vec<f64>,
     pub sample: Sample,
     pub cut_offs: CutOffs,
+    /// When the cut-offs were last computed.
     recomputed_at: Instant,
-    /// The size that stands for a request without a hint.
+    /// The median of the sampled sizes, in prompt tokens. It is the assumed size of a request that does not state its
+    /// size.
     pub median_size: f64,
     pub timing: ServiceTiming,
-    /// Mean tokens in KV memory of a complete request; 0 while none was seen.
+    /// The mean number of prompt and output tokens of a request, which it has in KV memory at its end. It is 0 until a
+    /// request with a known size was sent.
     pub mean_request_tokens: f64,
     pub peer_load: PeerLoadMean,
-    /// The most urgent priority that was seen.
+    /// The most urgent priority level of the requests sent so far. 0 is the most urgent of all.
     pub top_priority: u8,
 }
 
@@ -51,10 +55,10 @@
     pub fn new(name: &str, config: &GatewayConfig) -> Service {
         Service {
             name: Arc::from(name),
-            hash: grebeusher_sizing::fixed_hash(name),
+            name_hash: grebeusher_sizing::fixed_hash(name),
             settings: ServiceSettings::default(),
             members: Vec::new(),
-            lanes_stale: true,
+            are_lanes_stale: true,
             lane_capacity: Vec::new(),
             sample: Sample::new(config.sample_size),
             cut_offs: CutOffs::one_lane(),
@@ -67,12 +71,13 @@
         }
     }
 
-    /// Whether one lane holds all executors.
+    /// Whether all executors are in one lane.
     pub fn has_one_lane(&self) -> bool {
         self.cut_offs.lanes() == 1
     }
 
-    /// Adds a request's size, work and tokens to the sample.
+    /// Adds a request to the sample. `size` and `work` are in prompt tokens; `tokens` is the number of its prompt and
+    /// output tokens.
     pub fn observe_request(
         &mut self,
         now: Instant,
@@ -91,14 +96,14 @@
         }
     }
 
-    /// Computes the cut-offs when they are due.
+    /// Computes the cut-offs if [`GatewayConfig::recompute_interval`] has passed since the last time.
     pub fn recompute_if_due(&mut self, now: Instant, config: &GatewayConfig) {
         if now.since(self.recomputed_at) >= config.recompute_interval {
             self.recompute(now, config);
         }
     }
 
-    /// Computes the cut-offs and the median from the sample.
+    /// Computes the cut-offs and the median size from the sample.
     pub fn recompute(&mut self, now: Instant, config: &GatewayConfig) {
         self.recomputed_at = now;
         self.cut_offs = CutOffs::equalising(&self.sample, &self.lane_capacity, config.min_sample);
--- a/crates/gateway/src/service_table.rs
+++ b/crates/gateway/src/service_table.rs
@@ -1,4 +1,4 @@
-//! The table of services: by key and by name. Services are never removed.
+//! The table of services, which finds them by key and by name. Services are never removed.
 
 use crate::config::GatewayConfig;
 use crate::ids::ServiceId;
@@ -6,7 +6,8 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// Names come from the configuration and from executors that the registry has accepted, both bounded there.
+/// All services. Their names come from the configuration and from the executors in the registry, and both limit their
+/// number.
 #[derive(Default)]
 pub(crate) struct ServiceTable {
     services: Vec<Service>,
@@ -14,7 +15,7 @@
 }
 
 impl ServiceTable {
-    /// The key of a name, made at first use.
+    /// The key of a service name. A service that is not in the table yet is added.
     pub fn id_of(&mut self, name: &str, config: &GatewayConfig) -> ServiceId {
         if let Some(id) = self.by_name.get(name) {
             return *id;
--- a/crates/gateway/src/views.rs
+++ b/crates/gateway/src/views.rs
@@ -1,4 +1,4 @@
-//! What operators and the node see of the gateway's state.
+//! Read-only views of the gateway's state, for the node and for operators.
 
 use crate::decision::DecisionCounters;
 use crate::executor::ExecutorState;
@@ -8,46 +8,46 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// An executor as the gateway sees it.
+/// The state of an executor in the gateway.
 #[derive(Clone, Debug)]
 pub struct ExecutorView {
-    /// Its `instance_id`, for `X-Grebeusher-Target-Instance`.
+    /// The executor's `instance_id`, for `X-Grebeusher-Target-Instance`.
     pub instance: Arc<str>,
-    /// Its service.
+    /// The executor's service.
     pub service: ServiceId,
-    /// Where it takes requests.
+    /// The address at which the executor accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The executor's zone.
     pub zone: ZoneKey,
-    /// Whether it may get requests.
+    /// Whether the executor may get requests, according to the registry.
     pub state: ExecutorState,
-    /// Its lane, from 0 for the smallest sizes.
+    /// The executor's lane within its service, from 0 for the smallest requests.
     pub lane: usize,
-    /// This node's open attempts there.
+    /// The number of this node's open attempts at the executor.
     pub open_attempts: u32,
-    /// Estimated requests of all nodes there.
+    /// The estimated number of requests that all nodes have at the executor.
     pub outstanding: f64,
-    /// Whether own failures keep requests away from it now.
+    /// Whether the executor is ejected at the moment, because of faults that this node observed.
     pub ejected: bool,
 }
 
-/// A service as the gateway sees it.
+/// The state of a service in the gateway.
 #[derive(Clone, Debug)]
 pub struct ServiceView {
-    /// Its name.
+    /// The name of the service.
     pub name: Arc<str>,
-    /// The bounds between its lanes.
+    /// The request sizes at the bounds between the lanes, in prompt tokens.
     pub cut_offs: Vec<f64>,
-    /// Sizes in the sample.
+    /// The number of requests in the sample from which the cut-offs are computed.
     pub sample_len: usize,
-    /// How long attempts last, in seconds.
+    /// The mean duration of attempts that were served, in seconds.
     pub attempt_duration_s: f64,
-    /// The estimated fraction of its slots in use.
+    /// The estimated number of requests of all nodes, divided by the number of slots. Draining executors are left out.
     pub utilisation: f64,
 }
 
 impl Gateway {
-    /// What is known of an executor now.
+    /// The state of an executor. `None` if it was removed.
     pub fn executor_view(&self, now: Instant, id: ExecutorId) -> Option<ExecutorView> {
         let executor = self.executors.get(id)?;
         let mean_peer_load = self.services.get(executor.service)?.peer_load.estimate(now).mean;
@@ -64,7 +64,7 @@
         })
     }
 
-    /// What is known of a service now.
+    /// The state of a service.
     pub fn service_view(&self, now: Instant, id: ServiceId) -> Option<ServiceView> {
         let service = self.services.get(id)?;
         let mean_peer_load = service.peer_load.estimate(now).mean;
@@ -84,12 +84,13 @@
         })
     }
 
-    /// How requests were routed so far.
+    /// The numbers of routing decisions since the start of the process.
     pub fn decisions(&self) -> DecisionCounters {
         self.decisions
     }
 
-    /// This node's open attempts at each executor that has any, as it reports them to the other nodes.
+    /// The number of this node's open attempts at each executor that has any. The node reports these numbers to the
+    /// other nodes.
     pub fn outstanding(&self) -> impl Iterator<Item = (ExecutorId, u32)> {
         let executors = self.executors.iter().filter(|executor| executor.own_load.attempts > 0);
         executors.map(|executor| (executor.id, executor.own_load.attempts))
--- a/crates/gateway/tests/headers.rs
+++ b/crates/gateway/tests/headers.rs
@@ -7,23 +7,23 @@
 #[rstest]
 #[case("1460,80", Ok(TokenCount { prompt: 1460, output: 80 }))]
 #[case(" 1 , 2 ", Ok(TokenCount { prompt: 1, output: 2 }))]
-#[case("1460", Err(HeaderError::Fields))]
-#[case("1,2,3", Err(HeaderError::Number))]
-#[case("+1,2", Err(HeaderError::Number))]
-#[case("-1,2", Err(HeaderError::Number))]
-#[case("1.5,2", Err(HeaderError::Number))]
-#[case("99999999999,1", Err(HeaderError::Number))]
-#[case("16000001,1", Err(HeaderError::Number))]
-#[case(",", Err(HeaderError::Number))]
+#[case("1460", Err(HeaderError::FieldCount))]
+#[case("1,2,3", Err(HeaderError::InvalidNumber))]
+#[case("+1,2", Err(HeaderError::InvalidNumber))]
+#[case("-1,2", Err(HeaderError::InvalidNumber))]
+#[case("1.5,2", Err(HeaderError::InvalidNumber))]
+#[case("99999999999,1", Err(HeaderError::InvalidNumber))]
+#[case("16000001,1", Err(HeaderError::InvalidNumber))]
+#[case(",", Err(HeaderError::InvalidNumber))]
 fn token_counts_are_parsed(#[case] value: &str, #[case] expected: Result<TokenCount, HeaderError>) {
     assert_eq!(TokenCount::parse(value), expected);
 }
 
 #[rstest]
 #[case("3,0,24", Ok(ServerLoad { running: 3, waiting: 0, slots: 24 }))]
-#[case("3,0", Err(HeaderError::Fields))]
-#[case("3,0,24,1", Err(HeaderError::Fields))]
-#[case("a,0,24", Err(HeaderError::Number))]
+#[case("3,0", Err(HeaderError::FieldCount))]
+#[case("3,0,24,1", Err(HeaderError::FieldCount))]
+#[case("a,0,24", Err(HeaderError::InvalidNumber))]
 fn server_loads_are_parsed(#[case] value: &str, #[case] expected: Result<ServerLoad, HeaderError>) {
     assert_eq!(ServerLoad::parse(value), expected);
 }
--- a/crates/gateway/tests/simulation.rs
+++ b/crates/gateway/tests/simulation.rs
@@ -51,7 +51,7 @@
         ("patience 1", Router::Gateway(GatewayConfig { max_home_wait_ratio: 1.0, ..config })),
         ("patience 3", Router::Gateway(GatewayConfig { max_home_wait_ratio: 3.0, ..config })),
         ("part .4", Router::Gateway(GatewayConfig { home_prefill_share: 0.4, ..config })),
-        ("slow weight 0", Router::Gateway(GatewayConfig { slow_pace_penalty: 0.0, ..config })),
+        ("no slow events penalty", Router::Gateway(GatewayConfig { slow_events_penalty: 0.0, ..config })),
         ("queue anywhere", Router::Gateway(GatewayConfig { queue_at_home_only: false, ..config })),
         ("near 1", Router::Gateway(GatewayConfig { same_zone_weight: 1.0, ..config })),
         ("uniform random", Router::UniformRandom),
