--- a/crates/gateway/src/popular_prefixes.rs
+++ b/crates/gateway/src/popular_prefixes.rs
@@ -43,7 +43,7 @@
         self.popularity.as_ref()
     }
 
-    /// Counts a live request as demand for its prefix, with the tokens that it has beside the prefix. `size` is that of
+    /// Counts a live request as demand for its prefix, with the tokens that it has after the prefix. `size` is that of
     /// the request, in prompt tokens. Batch items are not counted, so that the batch jobs of a night do not displace
     /// the prefixes that live requests need. Retries are not counted either.
     pub(crate) fn record_popularity(
--- a/crates/gateway/src/prefix_demand.rs
+++ b/crates/gateway/src/prefix_demand.rs
@@ -33,12 +33,12 @@
 }
 
 impl PrefixDemand {
-    /// The demand for a prefix: the number of tokens per second that requests with the prefix have beside it.
+    /// The demand for a prefix: the number of tokens per second that requests with the prefix have after it.
     pub fn tokens_per_s(&self, now: Instant, prefix_hash: u64) -> f64 {
         self.by_prefix_hash.get(&prefix_hash).map_or(0.0, |sum| sum.tokens_at(now) / TIME_CONSTANT_S)
     }
 
-    /// Records that a request with the prefix was sent, which has `tokens` prompt tokens beside the prefix.
+    /// Records that a request with the prefix was sent, which has `tokens` prompt tokens after the prefix.
     pub fn record(&mut self, now: Instant, prefix_hash: u64, tokens: u32) {
         if self.by_prefix_hash.len() >= MAX_PREFIXES && !self.by_prefix_hash.contains_key(&prefix_hash) {
             self.make_space(now);
--- a/crates/gateway/tests/headers.rs
+++ b/crates/gateway/tests/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of clients and executors, as they come from outside.
+//! The parsing of the headers of clients and executors.
 
 use grebeusher_gateway::{HeaderError, MAX_SEGMENTS, PromptSegments, ServerLoad, TokenCount};
 use proptest::prelude::*;
@@ -63,7 +63,7 @@
     let value = (0..1000).map(|n| format!("{n:x}:16000000")).collect::<Vec<_>>().join(",");
     let prompt = PromptSegments::parse(&value).unwrap();
     assert_eq!(prompt.all().len(), MAX_SEGMENTS);
-    // What is kept of it is all shared, since the last part is beyond.
+    // All kept segments are shared, because the last segment of the header is not kept.
     assert_eq!(prompt.shared_tokens(), 16 * 16_000_000);
 }
 
--- a/crates/gateway/tests/model/engine.rs
+++ b/crates/gateway/tests/model/engine.rs
@@ -1,214 +1,267 @@
-//! One executor: a batch of slots, prompts read in chunks between the tokens, a cache of prompt segments, a queue.
+//! The model of one executor. It runs a batch of at most `slots` requests in steps. In each step, every request whose
+//! prefill has finished gets one output token, and a limited number of prompt tokens is prefilled. Further requests
+//! wait in a queue. Prompt segments are cached in the KV memory that running requests leave.
 
 use super::workload::Arrival;
 use grebeusher_gateway::PromptSegments;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Tokens of an event, and of a piece of a `prompt_tokens`.
-const STRIDE: u32 = 16;
-const PIECE: u32 = 1024;
+/// The number of output tokens in one event of a response.
+const TOKENS_PER_EVENT: u32 = 16;
+/// The greatest number of prompt tokens that are prefilled in one step.
+const MAX_PREFILL_TOKENS_PER_STEP: u32 = 1024;
 
 /// What a request got from a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Made {
+pub enum StepOutput {
+    /// An event of the response, which is not the last one.
     Event,
-    Last,
+    /// The last event of the response.
+    LastEvent,
 }
 
-pub struct Job {
-    request: usize,
+/// A request at an executor.
+pub struct EngineRequest {
+    /// The number of the request in the simulation.
+    number: usize,
     prompt_tokens: u32,
-    unread: u32,
+    /// The number of prompt tokens whose prefill has not finished.
+    pending_prefill_tokens: u32,
+    /// The number of output tokens that the request gets.
     output_tokens: u32,
-    made: u32,
+    /// The number of output tokens that the request has got so far.
+    generated_tokens: u32,
     prompt: PromptSegments,
+    /// Whether the request has been in the batch, and its cached tokens have been counted.
     admitted: bool,
 }
 
-impl Job {
-    pub fn new(request: usize, arrival: &Arrival) -> Job {
-        let (prompt_tokens, output_tokens) = (arrival.tokens.prompt, arrival.output.max(1));
-        Job {
-            request,
+impl EngineRequest {
+    pub fn new(number: usize, arrival: &Arrival) -> EngineRequest {
+        let (prompt_tokens, output_tokens) = (arrival.tokens.prompt, arrival.output_tokens.max(1));
+        EngineRequest {
+            number,
             prompt_tokens,
-            unread: prompt_tokens,
+            pending_prefill_tokens: prompt_tokens,
             output_tokens,
-            made: 0,
+            generated_tokens: 0,
             prompt: arrival.prompt,
             admitted: false,
         }
     }
 
-    fn context(&self) -> u64 {
-        u64::from(self.prompt_tokens - self.unread + self.made)
+    /// The number of tokens that a decode step of the request has to attend to.
+    fn context_tokens(&self) -> u64 {
+        u64::from(self.prompt_tokens - self.pending_prefill_tokens + self.generated_tokens)
     }
 
-    /// Tokens in memory that no other has a segment in.
-    fn own(&self) -> u64 {
-        u64::from(self.prompt_tokens.saturating_sub(self.prompt.shared_tokens()) + self.made)
+    /// The number of the request's tokens in KV memory that do not belong to a shared segment.
+    fn unshared_tokens(&self) -> u64 {
+        let unshared_prompt_tokens = self.prompt_tokens.saturating_sub(self.prompt.shared_tokens());
+        u64::from(unshared_prompt_tokens + self.generated_tokens)
     }
 }
 
+/// A segment in the prefix cache.
+struct CachedSegment {
+    tokens: u32,
+    /// The number of the latest use of the segment.
+    last_use: u64,
+}
+
+/// An executor.
 pub struct Engine {
     slots: usize,
-    queue_most: usize,
-    kv_tokens: u64,
-    step_ms: f64,
-    read_per_ms: f64,
-    batch: Vec<Job>,
-    queue: VecDeque<Job>,
-    cache: BTreeMap<u64, (u32, u64)>,
-    clock: u64,
-    /// Tokens read, and ten times the tokens made.
+    /// The greatest number of requests in the queue.
+    max_queue_len: usize,
+    kv_capacity_tokens: u64,
+    /// The duration of a decode step without any request, in ms.
+    decode_step_ms: f64,
+    prefill_tokens_per_ms: f64,
+    /// The running requests.
+    batch: Vec<EngineRequest>,
+    queue: VecDeque<EngineRequest>,
+    /// The cached segments by their chain hashes.
+    cache: BTreeMap<u64, CachedSegment>,
+    /// The number of the latest use of any segment.
+    use_count: u64,
+    /// The work done so far: the number of prefilled tokens, plus ten times the number of generated tokens.
     pub work: f64,
-    /// Shared segments that were read: chain hash and tokens.
-    pub reads: Vec<(u64, u64)>,
+    /// The chain hashes and numbers of tokens of the shared segments that were prefilled.
+    pub shared_prefills: Vec<(u64, u64)>,
 }
 
 impl Engine {
-    pub fn new(slots: usize, queue_most: usize, kv_tokens: u64, step_ms: f64, read_per_ms: f64) -> Engine {
+    pub fn new(
+        slots: usize,
+        max_queue_len: usize,
+        kv_capacity_tokens: u64,
+        decode_step_ms: f64,
+        prefill_tokens_per_ms: f64,
+    ) -> Engine {
         Engine {
             slots,
-            queue_most,
-            kv_tokens,
-            step_ms,
-            read_per_ms,
+            max_queue_len,
+            kv_capacity_tokens,
+            decode_step_ms,
+            prefill_tokens_per_ms,
             batch: Vec::new(),
             queue: VecDeque::new(),
             cache: BTreeMap::new(),
-            clock: 0,
+            use_count: 0,
             work: 0.0,
-            reads: Vec::new(),
+            shared_prefills: Vec::new(),
         }
     }
 
+    /// The number of running requests.
     pub fn running(&self) -> usize {
         self.batch.len()
     }
 
+    /// The number of requests in the queue.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
+    /// The number of tokens of the longest prefix of the prompt that is cached.
     pub fn cached_tokens(&self, prompt: &PromptSegments) -> u32 {
-        let kept = prompt.all().iter().take_while(|segment| self.cache.contains_key(&segment.chain_hash));
-        kept.map(|segment| segment.tokens).sum()
+        let cached = prompt.all().iter().take_while(|segment| self.cache.contains_key(&segment.chain_hash));
+        cached.map(|segment| segment.tokens).sum()
     }
 
-    /// Milliseconds until a new request's `prompt_tokens` would be read from.
+    /// The approximate time until the prefill of a new request would start, in ms.
     pub fn backlog_ms(&self) -> f64 {
-        let unread: u32 = self.batch.iter().chain(&self.queue).map(|job| job.unread).sum();
-        let finished = (self.batch.len() + self.queue.len() + 1).saturating_sub(self.slots);
-        f64::from(unread) / self.read_per_ms
-            + finished as f64 * 30.0
+        let pending_tokens: u32 =
+            self.batch.iter().chain(&self.queue).map(|request| request.pending_prefill_tokens).sum();
+        let requests_to_finish = (self.batch.len() + self.queue.len() + 1).saturating_sub(self.slots);
+        f64::from(pending_tokens) / self.prefill_tokens_per_ms
+            + requests_to_finish as f64 * 30.0
             + 0.01 * (self.batch.len() + self.queue.len()) as f64
     }
 
-    pub fn take(&mut self, job: Job) -> bool {
-        if self.queue.len() >= self.queue_most
-            || u64::from(job.prompt_tokens + job.output_tokens) > self.kv_tokens
+    /// Adds a request to the queue. Returns whether it was accepted: the queue must not be full, and the request must
+    /// fit into the KV memory.
+    pub fn enqueue(&mut self, request: EngineRequest) -> bool {
+        if self.queue.len() >= self.max_queue_len
+            || u64::from(request.prompt_tokens + request.output_tokens) > self.kv_capacity_tokens
         {
             return false;
         }
-        self.queue.push_back(job);
+        self.queue.push_back(request);
         true
     }
 
+    /// The number of tokens that the running requests have in KV memory. Shared segments count once.
     fn running_tokens(&self) -> u64 {
-        let shared: BTreeMap<u64, u32> = self
+        let shared_segments: BTreeMap<u64, u32> = self
             .batch
             .iter()
-            .flat_map(|job| job.prompt.shared())
+            .flat_map(|request| request.prompt.shared())
             .map(|segment| (segment.chain_hash, segment.tokens))
             .collect();
-        let shared: u64 = shared.values().map(|tokens| u64::from(*tokens)).sum();
-        shared + self.batch.iter().map(Job::own).sum::<u64>()
+        let shared_tokens: u64 = shared_segments.values().map(|tokens| u64::from(*tokens)).sum();
+        shared_tokens + self.batch.iter().map(EngineRequest::unshared_tokens).sum::<u64>()
     }
 
+    /// Moves requests from the queue to the batch while there are free slots and free KV memory.
     fn admit(&mut self) {
         while self.batch.len() < self.slots {
             let Some(next) = self.queue.front() else { return };
-            if self.running_tokens() + u64::from(next.prompt_tokens) > self.kv_tokens {
+            if self.running_tokens() + u64::from(next.prompt_tokens) > self.kv_capacity_tokens {
                 return;
             }
-            let mut job = self.queue.pop_front().unwrap();
-            if !job.admitted {
-                let kept = self.cached_tokens(&job.prompt);
-                job.unread = job.prompt_tokens.saturating_sub(kept);
-                job.admitted = true;
+            let mut request = self.queue.pop_front().unwrap();
+            if !request.admitted {
+                let cached_tokens = self.cached_tokens(&request.prompt);
+                request.pending_prefill_tokens = request.prompt_tokens.saturating_sub(cached_tokens);
+                request.admitted = true;
             }
-            self.batch.push(job);
+            self.batch.push(request);
         }
     }
 
-    /// Admits and begins a step; how long it takes. `None` when idle.
+    /// Admits requests and begins a step. Returns the duration of the step in ms, or `None` when the executor is idle.
     pub fn begin_step(&mut self) -> Option<f64> {
         self.admit();
         if self.batch.is_empty() {
             return None;
         }
-        let (mut piece, mut read, mut pairs, mut context) = (PIECE, 0, 0.0, 0);
-        for job in &self.batch {
-            let now = job.unread.min(piece);
-            pairs += f64::from(now) * f64::from(job.prompt_tokens - job.unread + now / 2);
-            (piece, read) = (piece - now, read + now);
-            context += job.context();
+        let (mut prefill_budget, mut prefill_tokens) = (MAX_PREFILL_TOKENS_PER_STEP, 0);
+        // The number of pairs of a prefilled token and a token before it, which determines the cost of attention.
+        let mut attention_pairs = 0.0;
+        let mut context_tokens = 0;
+        for request in &self.batch {
+            let tokens = request.pending_prefill_tokens.min(prefill_budget);
+            let tokens_before = request.prompt_tokens - request.pending_prefill_tokens + tokens / 2;
+            attention_pairs += f64::from(tokens) * f64::from(tokens_before);
+            (prefill_budget, prefill_tokens) = (prefill_budget - tokens, prefill_tokens + tokens);
+            context_tokens += request.context_tokens();
         }
-        let ms = self.step_ms
+        let step_ms = self.decode_step_ms
             + 0.00967 * self.batch.len() as f64
-            + 0.005_08 * context as f64 / 1000.0
-            + f64::from(read) / self.read_per_ms
-            + 0.183 * pairs / 1e6;
-        self.work += f64::from(read);
-        Some(ms)
+            + 0.005_08 * context_tokens as f64 / 1000.0
+            + f64::from(prefill_tokens) / self.prefill_tokens_per_ms
+            + 0.183 * attention_pairs / 1e6;
+        self.work += f64::from(prefill_tokens);
+        Some(step_ms)
     }
 
-    /// Ends the step: tokens for all whose `prompt_tokens` is read, pieces for the others.
-    pub fn end_step(&mut self) -> Vec<(usize, Made)> {
-        let (mut piece, mut made, mut read) = (PIECE, Vec::new(), Vec::new());
-        for job in &mut self.batch {
-            if job.unread > 0 {
-                let now = job.unread.min(piece);
-                (piece, job.unread) = (piece - now, job.unread - now);
-                if job.unread > 0 {
+    /// Ends the step: a token for each request whose prefill has finished, and prefilled tokens for the others.
+    /// Returns the events of the step with the numbers of their requests.
+    pub fn end_step(&mut self) -> Vec<(usize, StepOutput)> {
+        let mut prefill_budget = MAX_PREFILL_TOKENS_PER_STEP;
+        let (mut outputs, mut prefilled_prompts) = (Vec::new(), Vec::new());
+        for request in &mut self.batch {
+            if request.pending_prefill_tokens > 0 {
+                let tokens = request.pending_prefill_tokens.min(prefill_budget);
+                prefill_budget -= tokens;
+                request.pending_prefill_tokens -= tokens;
+                if request.pending_prefill_tokens > 0 {
                     continue;
                 }
-                read.push(job.prompt);
+                prefilled_prompts.push(request.prompt);
             }
-            if job.made == 0 {
-                read.push(job.prompt);
+            if request.generated_tokens == 0 {
+                prefilled_prompts.push(request.prompt);
             }
-            job.made += 1;
+            request.generated_tokens += 1;
             self.work += 10.0;
-            if job.made >= job.output_tokens {
-                made.push((job.request, Made::Last));
-            } else if job.made % STRIDE == 0 {
-                made.push((job.request, Made::Event));
+            if request.generated_tokens >= request.output_tokens {
+                outputs.push((request.number, StepOutput::LastEvent));
+            } else if request.generated_tokens % TOKENS_PER_EVENT == 0 {
+                outputs.push((request.number, StepOutput::Event));
             }
         }
-        self.batch.retain(|job| job.made < job.output_tokens);
-        read.iter().for_each(|prompt| self.keep(prompt));
-        made
+        self.batch.retain(|request| request.generated_tokens < request.output_tokens);
+        prefilled_prompts.iter().for_each(|prompt| self.cache_prompt(prompt));
+        outputs
     }
 
-    fn keep(&mut self, prompt: &PromptSegments) {
-        let mut intact = true;
+    /// Caches the segments of a prompt, and evicts the least recently used ones when the KV memory is full.
+    fn cache_prompt(&mut self, prompt: &PromptSegments) {
+        let mut is_prefix_cached = true;
         for segment in prompt.all() {
-            self.clock += 1;
-            intact &= self.cache.contains_key(&segment.chain_hash);
-            if !intact && prompt.shared().contains(segment) {
-                self.reads.push((segment.chain_hash, u64::from(segment.tokens)));
+            self.use_count += 1;
+            is_prefix_cached &= self.cache.contains_key(&segment.chain_hash);
+            if !is_prefix_cached && prompt.shared().contains(segment) {
+                self.shared_prefills.push((segment.chain_hash, u64::from(segment.tokens)));
             }
-            self.cache.insert(segment.chain_hash, (segment.tokens, self.clock));
+            let cached = CachedSegment { tokens: segment.tokens, last_use: self.use_count };
+            self.cache.insert(segment.chain_hash, cached);
         }
-        // What runs is in the cache too, but for what it has made.
-        let made: u64 = self.batch.iter().map(|job| u64::from(job.made)).sum();
-        let room = self.kv_tokens.saturating_sub(made);
-        let mut tokens: u64 = self.cache.values().map(|(tokens, _)| u64::from(*tokens)).sum();
-        while tokens > room {
-            let oldest = self.cache.iter().min_by_key(|(_, (_, used))| *used).map(|(chain, _)| *chain);
-            let Some(gone) = oldest.and_then(|chain| self.cache.remove(&chain)) else { return };
-            tokens -= u64::from(gone.0);
+        // The prompts of running requests are in the cache too, but not their generated tokens.
+        let generated_tokens: u64 =
+            self.batch.iter().map(|request| u64::from(request.generated_tokens)).sum();
+        let cache_capacity_tokens = self.kv_capacity_tokens.saturating_sub(generated_tokens);
+        let mut cached_tokens: u64 = self.cache.values().map(|segment| u64::from(segment.tokens)).sum();
+        while cached_tokens > cache_capacity_tokens {
+            let least_recent = self.cache.iter().min_by_key(|(_, segment)| segment.last_use);
+            let chain_hash = least_recent.map(|(chain_hash, _)| *chain_hash);
+            let Some(evicted) = chain_hash.and_then(|chain_hash| self.cache.remove(&chain_hash)) else {
+                return;
+            };
+            cached_tokens -= u64::from(evicted.tokens);
         }
     }
 }
--- a/crates/gateway/tests/model/mod.rs
+++ b/crates/gateway/tests/model/mod.rs
@@ -1,5 +1,6 @@
-//! A small model of a deployment: executors that run batches and cache prompts, nodes with a gateway each, clients
-//! with one retry. Discrete events, no clock; everything drawn from a seed. Times in milliseconds.
+//! A small model of a deployment: executors that run batches of requests and cache prompts, nodes with a gateway each,
+//! and clients that retry. The simulation processes discrete events without a real clock, and all random values come
+//! from a seed. Times are in milliseconds.
 #![allow(dead_code)]
 
 mod baselines;
@@ -12,4 +13,4 @@
 pub use deployment::{Deployment, Router};
 pub use report::Report;
 pub use simulation::run;
-pub use workload::Class;
+pub use workload::RequestClass;
--- a/crates/gateway/tests/model/simulation.rs
+++ b/crates/gateway/tests/model/simulation.rs
@@ -1,9 +1,9 @@
-//! The discrete events of a simulated day.
+//! The discrete events of a simulation.
 
 use super::deployment::{Deployment, Router};
-use super::engine::{Engine, Job, Made};
-use super::report::{Report, Tally};
-use super::workload::{Arrival, Class, Workload};
+use super::engine::{Engine, EngineRequest, StepOutput};
+use super::report::{ClassReport, Report};
+use super::workload::{Arrival, RequestClass, Workload};
 use grebeusher_gateway::{
     AttemptOutcome, AttemptToken, Attempts, BatchItem, ExecutorDescriptor, ExecutorId, ExecutorState,
     FinalResponse, Gateway, GatewayConfig, ModelKey, Request, RetryClass, RetryDecision, RoutingDecision,
@@ -15,57 +15,86 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
+/// An event. Requests, executors and nodes are given by their indices.
 enum Event {
-    Arrive(usize),
-    AtExecutor { executor: usize, request: usize },
+    /// A request of a client arrives at its node.
+    Arrives(usize),
+    /// An attempt arrives at its executor.
+    ReachesExecutor { executor: usize, request: usize },
+    /// An executor ends a step.
     StepEnds { executor: usize },
-    Back { request: usize, made: Made, load: ServerLoad },
-    Full { request: usize },
-    Refused { request: usize },
-    Dead { request: usize },
-    BatchTurn { node: usize },
-    PeerReport,
+    /// A node receives an event of a response.
+    ResponseReceived { request: usize, output: StepOutput, load: ServerLoad },
+    /// A node receives the rejection of an attempt by an executor that is full.
+    RejectedByExecutor { request: usize },
+    /// A client retries a request that a node rejected.
+    ClientRetries { request: usize },
+    /// The connection of a node to an unavailable executor fails.
+    ConnectFails { request: usize },
+    /// A batch node sends the batch items for which there is capacity.
+    BatchItemsAreSent { node: usize },
+    /// All nodes report their numbers of requests at each executor to each other.
+    PeersReport,
 }
 
-pub(super) struct LiveRequest {
+/// A request that has arrived at a node, live or of a batch job.
+pub(super) struct SimulatedRequest {
     pub(super) arrival: Arrival,
+    /// The index of the node that the request was sent to last.
     pub(super) node: usize,
-    retries_left: u32,
+    client_retries_left: u32,
     attempts: Attempts,
     pub(super) excluded: Vec<ExecutorId>,
+    /// The index of the executor that the request was sent to last.
     executor: usize,
+    /// The open attempt. `None` for the baseline routers.
     token: Option<AttemptToken>,
-    first: Option<f64>,
-    last: f64,
-    paused: bool,
+    first_event_ms: Option<f64>,
+    last_event_ms: f64,
+    /// Whether there was a gap of more than 250 ms between two events.
+    stalled: bool,
     finished: bool,
-    batch: bool,
+    is_batch: bool,
 }
 
+/// The state of a simulation.
 pub struct Simulation {
-    now: f64,
+    now_ms: f64,
     deployment: Deployment,
     pub(super) router: Router,
     pub(super) rng: Pcg32,
     pub(super) engines: Vec<Engine>,
-    stepping: Vec<bool>,
+    /// Whether each executor is in a step.
+    is_stepping: Vec<bool>,
+    /// The gateways of the nodes for live requests, followed by those of the nodes for batch items.
     gateways: Vec<Gateway>,
     service: ServiceId,
-    pub(super) ids: Vec<ExecutorId>,
-    by_id: BTreeMap<ExecutorId, usize>,
+    /// The keys of the executors, which are the same in all gateways.
+    pub(super) executor_ids: Vec<ExecutorId>,
+    executor_indices: BTreeMap<ExecutorId, usize>,
+    /// The number of open attempts of each node at each executor.
     pub(super) own_outstanding: Vec<Vec<u32>>,
-    events: BinaryHeap<Reverse<(u64, u64)>>,
-    payload: BTreeMap<u64, Event>,
-    number: u64,
-    pub(super) live: Vec<LiveRequest>,
-    batch_waiting: VecDeque<Arrival>,
+    /// The times of the pending events in nanoseconds, and the numbers of the events.
+    event_times: BinaryHeap<Reverse<(u64, u64)>>,
+    /// The pending events by their numbers.
+    events: BTreeMap<u64, Event>,
+    /// The number of events scheduled so far.
+    event_count: u64,
+    pub(super) requests: Vec<SimulatedRequest>,
+    /// The batch items that have to be sent, in the order in which they become ready. Items that an executor rejected
+    /// are first.
+    waiting_items: VecDeque<Arrival>,
     report: Report,
-    subject_asked: BTreeMap<u64, (u32, u32, u32)>,
-    home_sent: BTreeMap<usize, u32>,
+    /// The numbers of requests and of served requests on each subject of the second class.
+    requests_by_subject: BTreeMap<u64, (u32, u32)>,
+    /// The number of attempts of the second class that were sent to each executor.
+    second_class_attempts: BTreeMap<usize, u32>,
 }
 
-const NET_MS: f64 = 0.5;
+/// The network delay between a node and an executor in one direction, in ms.
+const NETWORK_DELAY_MS: f64 = 0.5;
 
+/// Simulates a deployment with a router.
 pub fn run(deployment: &Deployment, router: Router, seed: u64) -> Report {
     Simulation::new(deployment, router, seed).run(seed)
 }
@@ -74,17 +103,19 @@
     fn new(deployment: &Deployment, router: Router, seed: u64) -> Simulation {
         let config = if let Router::Gateway(config) = router { config } else { GatewayConfig::default() };
         let nodes = deployment.nodes + deployment.batch_nodes;
-        let mut ids = Vec::new();
+        let mut executor_ids = Vec::new();
         let mut service = None;
         let gateways = (0..nodes)
             .map(|node| {
                 let zone = ZoneKey(node as u64 % 4);
                 let mut gateway = Gateway::new(config, zone, seed ^ (node as u64) << 20);
-                let settings =
-                    ServiceSettings { max_connections: 220, kv_capacity_tokens: deployment.kv_tokens };
+                let settings = ServiceSettings {
+                    max_connections: 220,
+                    kv_capacity_tokens: deployment.kv_capacity_tokens,
+                };
                 service = Some(gateway.set_service("katalogizator", settings));
                 gateway.set_nodes(nodes as u32);
-                ids = (0..deployment.executors)
+                executor_ids = (0..deployment.executors)
                     .map(|n| gateway.upsert(&descriptor(seed, n, deployment.slots, ExecutorState::Ready)))
                     .collect();
                 gateway
@@ -94,300 +125,321 @@
             Engine::new(
                 deployment.slots,
                 72,
-                deployment.kv_tokens,
-                deployment.step_ms,
-                deployment.read_per_ms,
+                deployment.kv_capacity_tokens,
+                deployment.decode_step_ms,
+                deployment.prefill_tokens_per_ms,
             )
         };
         Simulation {
-            now: 0.0,
+            now_ms: 0.0,
             router,
             rng: Pcg32::seed_from_u64(seed),
             engines: (0..deployment.executors).map(engine).collect(),
-            stepping: vec![false; deployment.executors],
+            is_stepping: vec![false; deployment.executors],
             gateways,
             service: service.unwrap(),
-            by_id: ids.iter().copied().zip(0..).collect(),
-            ids,
+            executor_indices: executor_ids.iter().copied().zip(0..).collect(),
+            executor_ids,
             own_outstanding: vec![vec![0; deployment.executors]; nodes],
-            events: BinaryHeap::new(),
-            payload: BTreeMap::new(),
-            number: 0,
-            live: Vec::new(),
-            batch_waiting: VecDeque::new(),
+            event_times: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            event_count: 0,
+            requests: Vec::new(),
+            waiting_items: VecDeque::new(),
             report: Report {
-                classes: vec![Tally::default(); deployment.classes.len()],
-                sent: vec![0; deployment.executors],
+                classes: vec![ClassReport::default(); deployment.classes.len()],
+                attempts_sent: vec![0; deployment.executors],
                 ..Report::default()
             },
-            subject_asked: BTreeMap::new(),
-            home_sent: BTreeMap::new(),
+            requests_by_subject: BTreeMap::new(),
+            second_class_attempts: BTreeMap::new(),
             deployment: deployment.clone(),
         }
     }
 
-    fn at(&mut self, at: f64, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse(((at * 1e6) as u64, self.number)));
-        self.payload.insert(self.number, event);
+    /// Schedules an event.
+    fn schedule(&mut self, at_ms: f64, event: Event) {
+        self.event_count += 1;
+        self.event_times.push(Reverse(((at_ms * 1e6) as u64, self.event_count)));
+        self.events.insert(self.event_count, event);
     }
 
-    fn moment(&self) -> Instant {
-        Instant(1_000_000_000 + (self.now * 1e6) as u64)
+    /// The current time as passed to the gateways. The simulation begins at 1 s.
+    fn instant(&self) -> Instant {
+        Instant(1_000_000_000 + (self.now_ms * 1e6) as u64)
     }
 
     fn run(mut self, seed: u64) -> Report {
-        let end = self.deployment.seconds * 1000.0;
+        let end_ms = self.deployment.duration_s * 1000.0;
         let mut workload = Workload::new(&self.deployment.classes, seed);
-        for arrival in workload.draw(end) {
-            let at = arrival.at;
+        for arrival in workload.live_arrivals(end_ms) {
+            let at_ms = arrival.at_ms;
             let node = self.rng.random_range(0..self.deployment.nodes);
             let class = &self.deployment.classes[arrival.class];
-            let retries_left = class.retries;
+            let client_retries_left = class.client_retries;
             let attempts = Attempts::new(class.retry_class, class.max_attempts);
-            self.live.push(LiveRequest::new(arrival, node, retries_left, attempts, false));
-            self.at(at, Event::Arrive(self.live.len() - 1));
+            self.requests.push(SimulatedRequest::new(arrival, node, client_retries_left, attempts, false));
+            self.schedule(at_ms, Event::Arrives(self.requests.len() - 1));
         }
         if self.deployment.batch_nodes > 0 {
-            self.batch_waiting = workload.batch(self.deployment.batch_items_per_s, end).into();
+            let items = workload.batch_arrivals(self.deployment.batch_items_per_s, end_ms);
+            self.waiting_items = items.into();
             for node in self.deployment.nodes..self.deployment.nodes + self.deployment.batch_nodes {
-                self.at(node as f64 * 0.7, Event::BatchTurn { node });
+                self.schedule(node as f64 * 0.7, Event::BatchItemsAreSent { node });
             }
         }
-        if self.deployment.peers_report {
-            self.at(100.0, Event::PeerReport);
+        if self.deployment.peers_report_load {
+            self.schedule(100.0, Event::PeersReport);
         }
-        while let Some(Reverse((at, number))) = self.events.pop() {
-            self.now = at as f64 / 1e6;
-            if self.now > end + 10_000.0 {
+        while let Some(Reverse((at_ns, number))) = self.event_times.pop() {
+            self.now_ms = at_ns as f64 / 1e6;
+            if self.now_ms > end_ms + 10_000.0 {
                 break;
             }
-            let event = self.payload.remove(&number).unwrap();
-            self.handle(event, end);
+            let event = self.events.remove(&number).unwrap();
+            self.handle(event, end_ms);
         }
         self.finish()
     }
 
-    fn handle(&mut self, event: Event, end: f64) {
+    /// Handles an event. Requests arrive, batch items are sent and peers report until `end_ms`.
+    fn handle(&mut self, event: Event, end_ms: f64) {
         match event {
-            Event::Arrive(request) => self.choose(request),
-            Event::AtExecutor { executor, request } => self.at_executor(executor, request),
-            Event::StepEnds { executor } => self.step_ends(executor),
-            Event::Back { request, made, load } => self.back(request, made, load),
-            Event::Full { request } => self.ended(request, AttemptOutcome::NotExecuted),
-            Event::Dead { request } => self.ended(request, AttemptOutcome::NeverSent),
-            Event::Refused { request } => {
-                self.live[request].node = self.rng.random_range(0..self.deployment.nodes);
+            Event::Arrives(request) => self.choose(request),
+            Event::ReachesExecutor { executor, request } => self.reach_executor(executor, request),
+            Event::StepEnds { executor } => self.end_step(executor),
+            Event::ResponseReceived { request, output, load } => self.receive_output(request, output, load),
+            Event::RejectedByExecutor { request } => {
+                self.end_attempt(request, AttemptOutcome::NotExecuted);
+            }
+            Event::ConnectFails { request } => self.end_attempt(request, AttemptOutcome::NeverSent),
+            Event::ClientRetries { request } => {
+                self.requests[request].node = self.rng.random_range(0..self.deployment.nodes);
                 self.choose(request);
             }
-            Event::BatchTurn { node } => {
-                self.batch_turn(node);
-                if self.now < end {
-                    self.at(self.now + 5.0, Event::BatchTurn { node });
+            Event::BatchItemsAreSent { node } => {
+                self.send_batch_items(node);
+                if self.now_ms < end_ms {
+                    self.schedule(self.now_ms + 5.0, Event::BatchItemsAreSent { node });
                 }
             }
-            Event::PeerReport => self.report_peer_load(end),
+            Event::PeersReport => self.report_peer_load(end_ms),
         }
     }
 
-    fn report_peer_load(&mut self, end: f64) {
-        let now = self.moment();
+    fn report_peer_load(&mut self, end_ms: f64) {
+        let now = self.instant();
         for executor in 0..self.engines.len() {
-            let all: u32 = self.own_outstanding.iter().map(|out| out[executor]).sum();
+            let of_all_nodes: u32 =
+                self.own_outstanding.iter().map(|by_executor| by_executor[executor]).sum();
             for node in 0..self.gateways.len() {
-                let others = f64::from(all - self.own_outstanding[node][executor]);
-                self.gateways[node].observe_peer_load(now, self.ids[executor], others);
+                let of_other_nodes = f64::from(of_all_nodes - self.own_outstanding[node][executor]);
+                self.gateways[node].observe_peer_load(now, self.executor_ids[executor], of_other_nodes);
             }
         }
-        if self.now < end {
-            self.at(self.now + 250.0, Event::PeerReport);
+        if self.now_ms < end_ms {
+            self.schedule(self.now_ms + 250.0, Event::PeersReport);
         }
     }
 
-    pub(super) fn is_dark(&self, executor: usize) -> bool {
-        let at = self.now / 1000.0;
-        self.deployment.dark.iter().any(|(dark, from, to)| *dark == executor && at >= *from && at < *to)
+    /// Whether an executor has an outage now.
+    pub(super) fn is_unavailable(&self, executor: usize) -> bool {
+        let now_s = self.now_ms / 1000.0;
+        let is_current = |(index, from_s, to_s): &(usize, f64, f64)| {
+            *index == executor && now_s >= *from_s && now_s < *to_s
+        };
+        self.deployment.outages.iter().any(is_current)
     }
 
-    fn request<'a>(&self, live: &'a LiveRequest) -> Request<'a> {
-        let class = live.arrival.class;
-        let class = if live.batch { &Class::batch() } else { &self.deployment.classes[class] };
-        let waited = self.now - live.arrival.at;
+    /// The request in the form that the gateway takes.
+    fn gateway_request<'a>(&self, request: &'a SimulatedRequest) -> Request<'a> {
+        let class = request.arrival.class;
+        let class = if request.is_batch { &RequestClass::batch() } else { &self.deployment.classes[class] };
+        let elapsed_ms = self.now_ms - request.arrival.at_ms;
         Request {
             retry_class: class.retry_class,
             model: Some(ModelKey(1)),
-            tokens: Some(live.arrival.tokens),
-            prompt: live.arrival.prompt,
-            excluded: &live.excluded,
-            latency_objective: Duration::from_millis(class.aim_ms as u64),
-            elapsed: Duration::from_nanos((waited * 1e6) as u64),
-            until_deadline: Duration::from_nanos(((class.deadline_ms - waited).max(0.0) * 1e6) as u64),
-            may_have_run: live.attempts.may_have_run(),
-            is_batch: live.batch,
+            tokens: Some(request.arrival.tokens),
+            prompt: request.arrival.prompt,
+            excluded: &request.excluded,
+            latency_objective: Duration::from_millis(class.latency_objective_ms as u64),
+            elapsed: Duration::from_nanos((elapsed_ms * 1e6) as u64),
+            until_deadline: Duration::from_nanos(((class.deadline_ms - elapsed_ms).max(0.0) * 1e6) as u64),
+            may_have_run: request.attempts.may_have_run(),
+            is_batch: request.is_batch,
             ..Request::to(self.service)
         }
     }
 
+    /// Chooses an executor for a request by the simulated router, and sends the request or rejects it.
     fn choose(&mut self, number: usize) {
-        let (now, node) = (self.moment(), self.live[number].node);
+        let (now, node) = (self.instant(), self.requests[number].node);
         let chosen = match self.router {
             Router::Gateway(_) => {
-                let live = &self.live[number];
-                let request = self.request(live);
-                let choice = self.gateways[node].choose(now, &request);
-                match choice {
+                let request = self.gateway_request(&self.requests[number]);
+                let decision = self.gateways[node].choose(now, &request);
+                match decision {
                     RoutingDecision::Forward { executor, .. } => {
                         let token = self.gateways[node].attempt_started(now, executor, &request);
-                        self.live[number].token = token;
-                        self.by_id[&executor]
+                        self.requests[number].token = token;
+                        self.executor_indices[&executor]
                     }
                     RoutingDecision::Reject { retry_after } | RoutingDecision::NoExecutor { retry_after } => {
-                        return self.refused(number, retry_after.seconds() * 1000.0);
+                        return self.reject(number, retry_after.seconds() * 1000.0);
                     }
                 }
             }
-            _ => self.baseline(number),
+            _ => self.choose_by_baseline(number),
         };
         self.send(number, chosen);
     }
 
+    /// Sends a request to an executor.
     fn send(&mut self, number: usize, executor: usize) {
-        self.report.sent[executor] += 1;
-        let node = self.live[number].node;
+        self.report.attempts_sent[executor] += 1;
+        let node = self.requests[number].node;
         self.own_outstanding[node][executor] += 1;
-        let live = &mut self.live[number];
-        live.executor = executor;
-        live.excluded.push(self.ids[executor]);
-        if live.arrival.class == 1 && !live.batch {
-            *self.home_sent.entry(executor).or_insert(0) += 1;
+        let request = &mut self.requests[number];
+        request.executor = executor;
+        request.excluded.push(self.executor_ids[executor]);
+        if request.arrival.class == 1 && !request.is_batch {
+            *self.second_class_attempts.entry(executor).or_insert(0) += 1;
         }
-        self.at(self.now + NET_MS, Event::AtExecutor { executor, request: number });
+        self.schedule(self.now_ms + NETWORK_DELAY_MS, Event::ReachesExecutor { executor, request: number });
     }
 
-    fn refused(&mut self, number: usize, after_ms: f64) {
-        let places = self.engines.len() * self.deployment.slots;
-        let taken: usize = self.engines.iter().map(super::engine::Engine::running).sum();
-        if taken * 2 < places && self.engines.iter().all(|e| e.waiting() == 0) {
+    /// Rejects a request. Its client retries after `retry_after_ms`, or gives up.
+    fn reject(&mut self, number: usize, retry_after_ms: f64) {
+        let slots = self.engines.len() * self.deployment.slots;
+        let occupied: usize = self.engines.iter().map(super::engine::Engine::running).sum();
+        if occupied * 2 < slots && self.engines.iter().all(|e| e.waiting() == 0) {
             self.report.false_rejections += 1;
         }
-        let class = self.deployment.classes[self.live[number].arrival.class].clone();
-        let live = &mut self.live[number];
-        let left = class.deadline_ms - (self.now - live.arrival.at);
-        if live.retries_left == 0 || left < 10.0 {
-            live.finished = true;
-            self.report.classes[live.arrival.class].refused += 1;
+        let class = self.deployment.classes[self.requests[number].arrival.class].clone();
+        let request = &mut self.requests[number];
+        let remaining_ms = class.deadline_ms - (self.now_ms - request.arrival.at_ms);
+        if request.client_retries_left == 0 || remaining_ms < 10.0 {
+            request.finished = true;
+            self.report.classes[request.arrival.class].rejected += 1;
             return;
         }
-        live.retries_left -= 1;
-        live.excluded.clear();
-        live.attempts = Attempts::new(class.retry_class, class.max_attempts);
-        self.at(self.now + after_ms.min(left / 3.0) + 2.0, Event::Refused { request: number });
+        request.client_retries_left -= 1;
+        request.excluded.clear();
+        request.attempts = Attempts::new(class.retry_class, class.max_attempts);
+        let retry_at_ms = self.now_ms + retry_after_ms.min(remaining_ms / 3.0) + 2.0;
+        self.schedule(retry_at_ms, Event::ClientRetries { request: number });
     }
 
-    fn at_executor(&mut self, executor: usize, number: usize) {
-        let (now, live) = (self.now, &self.live[number]);
-        if self.is_dark(executor) {
-            self.report.sent_to_dark += 1;
-            return self.at(now + NET_MS, Event::Dead { request: number });
+    /// Lets an executor accept or reject an attempt that arrives there.
+    fn reach_executor(&mut self, executor: usize, number: usize) {
+        let (response_at_ms, request) = (self.now_ms + NETWORK_DELAY_MS, &self.requests[number]);
+        if self.is_unavailable(executor) {
+            self.report.sent_to_unavailable += 1;
+            return self.schedule(response_at_ms, Event::ConnectFails { request: number });
         }
-        let job = Job::new(number, &live.arrival);
-        if !self.engines[executor].take(job) {
-            return self.at(now + NET_MS, Event::Full { request: number });
+        let engine_request = EngineRequest::new(number, &request.arrival);
+        if !self.engines[executor].enqueue(engine_request) {
+            return self.schedule(response_at_ms, Event::RejectedByExecutor { request: number });
         }
-        if !self.stepping[executor] {
+        if !self.is_stepping[executor] {
             self.begin_step(executor);
         }
     }
 
     fn begin_step(&mut self, executor: usize) {
-        let step = self.engines[executor].begin_step();
-        self.stepping[executor] = step.is_some();
-        if let Some(ms) = step {
-            self.at(self.now + ms, Event::StepEnds { executor });
+        let step_ms = self.engines[executor].begin_step();
+        self.is_stepping[executor] = step_ms.is_some();
+        if let Some(step_ms) = step_ms {
+            self.schedule(self.now_ms + step_ms, Event::StepEnds { executor });
         }
     }
 
-    fn step_ends(&mut self, executor: usize) {
-        let made = self.engines[executor].end_step();
+    fn end_step(&mut self, executor: usize) {
+        let outputs = self.engines[executor].end_step();
         let engine = &self.engines[executor];
         let (running, waiting) = (engine.running() as u32, engine.waiting() as u32);
         let load = ServerLoad { running, waiting, slots: self.deployment.slots as u32 };
-        for (request, made) in made {
-            self.at(self.now + NET_MS, Event::Back { request, made, load });
+        for (request, output) in outputs {
+            let event = Event::ResponseReceived { request, output, load };
+            self.schedule(self.now_ms + NETWORK_DELAY_MS, event);
         }
         self.begin_step(executor);
     }
 
-    fn back(&mut self, number: usize, made: Made, load: ServerLoad) {
-        let (now, moment) = (self.now, self.moment());
-        let live = &mut self.live[number];
-        let gateway = &mut self.gateways[live.node];
-        if live.first.is_none() {
-            live.first = Some(now);
-            if let Some(token) = live.token {
-                gateway.response_head(moment, token, Some(load));
+    /// Records an event of a response at the node of the request.
+    fn receive_output(&mut self, number: usize, output: StepOutput, load: ServerLoad) {
+        let (now_ms, instant) = (self.now_ms, self.instant());
+        let request = &mut self.requests[number];
+        let gateway = &mut self.gateways[request.node];
+        if request.first_event_ms.is_none() {
+            request.first_event_ms = Some(now_ms);
+            if let Some(token) = request.token {
+                gateway.response_head(instant, token, Some(load));
             }
-        } else if now - live.last > 250.0 {
-            live.paused = true;
+        } else if now_ms - request.last_event_ms > 250.0 {
+            request.stalled = true;
         }
-        live.last = now;
-        if let Some(token) = live.token {
-            gateway.event_received(moment, token);
+        request.last_event_ms = now_ms;
+        if let Some(token) = request.token {
+            gateway.event_received(instant, token);
         }
-        if made == Made::Last {
-            self.own_outstanding[live.node][live.executor] -= 1;
-            if let Some(token) = live.token.take() {
-                gateway.attempt_finished(moment, token, AttemptOutcome::Served);
+        if output == StepOutput::LastEvent {
+            self.own_outstanding[request.node][request.executor] -= 1;
+            if let Some(token) = request.token.take() {
+                gateway.attempt_finished(instant, token, AttemptOutcome::Served);
             }
-            self.served(number);
+            self.record_served(number);
         }
     }
 
-    fn served(&mut self, number: usize) {
-        let live = &mut self.live[number];
-        live.finished = true;
-        if live.batch {
-            self.report.batch_done += 1;
+    /// Records that a request was served completely.
+    fn record_served(&mut self, number: usize) {
+        let request = &mut self.requests[number];
+        request.finished = true;
+        if request.is_batch {
+            self.report.batch_items_done += 1;
             return;
         }
-        let class = &self.deployment.classes[live.arrival.class];
-        let first = live.first.unwrap_or(live.last) - live.arrival.at;
-        let tally = &mut self.report.classes[live.arrival.class];
-        tally.first_ms.push(first);
-        tally.paused += u32::from(live.paused);
-        let in_time = first <= class.aim_ms && !live.paused;
-        if in_time { tally.in_time += 1 } else { tally.late += 1 }
+        let class = &self.deployment.classes[request.arrival.class];
+        let first_event_ms = request.first_event_ms.unwrap_or(request.last_event_ms) - request.arrival.at_ms;
+        let class_report = &mut self.report.classes[request.arrival.class];
+        class_report.first_event_ms.push(first_event_ms);
+        class_report.stalled += u32::from(request.stalled);
+        let in_time = first_event_ms <= class.latency_objective_ms && !request.stalled;
+        if in_time { class_report.in_time += 1 } else { class_report.late += 1 }
     }
 
-    fn ended(&mut self, number: usize, outcome: AttemptOutcome) {
-        let moment = self.moment();
-        let live = &mut self.live[number];
-        self.own_outstanding[live.node][live.executor] -= 1;
-        if let Some(token) = live.token.take() {
-            self.gateways[live.node].attempt_finished(moment, token, outcome);
+    /// Records that an attempt ended without a complete response, and decides on the next one.
+    fn end_attempt(&mut self, number: usize, outcome: AttemptOutcome) {
+        let instant = self.instant();
+        let request = &mut self.requests[number];
+        self.own_outstanding[request.node][request.executor] -= 1;
+        if let Some(token) = request.token.take() {
+            self.gateways[request.node].attempt_finished(instant, token, outcome);
         }
-        if live.batch {
-            let arrival = live.arrival.clone();
-            self.batch_waiting.push_front(arrival);
+        if request.is_batch {
+            let arrival = request.arrival.clone();
+            self.waiting_items.push_front(arrival);
             return;
         }
-        match live.attempts.ended(outcome) {
+        match request.attempts.ended(outcome) {
             RetryDecision::Retry | RetryDecision::Resume => self.choose(number),
-            RetryDecision::Finish(FinalResponse::ServiceUnavailable) => self.refused(number, 100.0),
+            RetryDecision::Finish(FinalResponse::ServiceUnavailable) => self.reject(number, 100.0),
             RetryDecision::Finish(_) => {
-                live.finished = true;
-                self.report.classes[live.arrival.class].failed += 1;
+                request.finished = true;
+                self.report.classes[request.arrival.class].failed += 1;
             }
         }
     }
 
-    fn batch_turn(&mut self, node: usize) {
-        let now = self.moment();
+    /// Sends up to 16 batch items that are ready, while there is capacity for them.
+    fn send_batch_items(&mut self, node: usize) {
+        let now = self.instant();
         for _ in 0..16 {
-            if self.batch_waiting.front().is_none_or(|item| item.at > self.now) {
+            if self.waiting_items.front().is_none_or(|item| item.at_ms > self.now_ms) {
                 return;
             }
-            let arrival = self.batch_waiting.front().unwrap().clone();
+            let arrival = self.waiting_items.front().unwrap().clone();
             let item = BatchItem {
                 service: self.service,
                 model: Some(ModelKey(1)),
@@ -397,87 +449,104 @@
                 urgency: 0.0,
             };
             let Some(id) = self.gateways[node].choose_for_batch(now, &item) else { return };
-            self.batch_waiting.pop_front();
+            self.waiting_items.pop_front();
             let token = self.gateways[node].attempt_started(now, id, &item.as_request());
             let attempts = Attempts::new(RetryClass::ResumableStream, 3);
-            let mut live = LiveRequest::new(arrival, node, 0, attempts, true);
-            live.token = token;
-            self.live.push(live);
-            self.send(self.live.len() - 1, self.by_id[&id]);
+            let mut request = SimulatedRequest::new(arrival, node, 0, attempts, true);
+            request.token = token;
+            self.requests.push(request);
+            self.send(self.requests.len() - 1, self.executor_indices[&id]);
         }
     }
 
+    /// Computes the report at the end of the simulation.
     fn finish(mut self) -> Report {
-        for live in self.live.iter().filter(|live| !live.batch) {
-            let class = &self.deployment.classes[live.arrival.class];
-            let tally = &mut self.report.classes[live.arrival.class];
-            tally.asked += 1;
-            let first = live.first.filter(|_| live.finished).map(|first| first - live.arrival.at);
-            let in_time = first.is_some_and(|first| first <= class.aim_ms && !live.paused);
-            let value = if in_time { 1.0 } else { first.map_or(0.0, |_| 0.3) };
-            tally.earned.push((live.arrival.tokens.prompt + 10 * live.arrival.tokens.output, value));
-            if !live.finished {
-                tally.failed += 1;
+        for request in self.requests.iter().filter(|request| !request.is_batch) {
+            let class = &self.deployment.classes[request.arrival.class];
+            let class_report = &mut self.report.classes[request.arrival.class];
+            class_report.requests += 1;
+            let first_event_ms = request
+                .first_event_ms
+                .filter(|_| request.finished)
+                .map(|first_event_ms| first_event_ms - request.arrival.at_ms);
+            let in_time = first_event_ms.is_some_and(|first_event_ms| {
+                first_event_ms <= class.latency_objective_ms && !request.stalled
+            });
+            let value = if in_time { 1.0 } else { first_event_ms.map_or(0.0, |_| 0.3) };
+            let size = request.arrival.tokens.prompt + 10 * request.arrival.tokens.output;
+            class_report.sizes_and_values.push((size, value));
+            if !request.finished {
+                class_report.failed += 1;
             }
-            if live.arrival.class == 1 {
-                let served = live.first.is_some() && live.finished;
-                let subject = self.subject_asked.entry(live.arrival.subject).or_default();
+            if request.arrival.class == 1 {
+                let served = request.first_event_ms.is_some() && request.finished;
+                let subject = self.requests_by_subject.entry(request.arrival.subject).or_default();
                 (subject.0, subject.1) = (subject.0 + 1, subject.1 + u32::from(served));
             }
         }
-        let often: Vec<_> = self.subject_asked.values().filter(|(asked, _, _)| *asked >= 4).collect();
-        self.report.subjects = (often.len(), often.iter().filter(|(_, served, _)| *served == 0).count());
-        let mut seen = std::collections::BTreeSet::new();
-        let mut reads: Vec<(u64, u64)> = self.engines.iter().flat_map(|e| e.reads.iter().copied()).collect();
-        reads.sort_unstable();
-        for (chain, tokens) in reads {
-            self.report.shared_read += tokens;
-            if !seen.insert(chain) {
-                self.report.shared_repeated_prefill += tokens;
+        let frequent: Vec<_> =
+            self.requests_by_subject.values().filter(|(requests, _)| *requests >= 4).collect();
+        let unserved = frequent.iter().filter(|(_, served)| *served == 0).count();
+        self.report.frequent_subjects = (frequent.len(), unserved);
+        let mut prefilled_before = std::collections::BTreeSet::new();
+        let mut prefills: Vec<(u64, u64)> =
+            self.engines.iter().flat_map(|engine| engine.shared_prefills.iter().copied()).collect();
+        prefills.sort_unstable();
+        for (chain_hash, tokens) in prefills {
+            self.report.shared_prefill_tokens += tokens;
+            if !prefilled_before.insert(chain_hash) {
+                self.report.repeated_prefill_tokens += tokens;
             }
         }
-        self.report.work = self.engines.iter().map(|engine| engine.work).collect();
-        let moment = self.moment();
-        let view = |id: &ExecutorId| self.gateways[0].executor_view(moment, *id).unwrap().lane;
-        self.report.lanes = self.ids.iter().map(view).collect();
-        let most = self.home_sent.values().max().copied().unwrap_or(0);
-        let all: u32 = self.home_sent.values().sum();
-        self.report.most_of_one_home = f64::from(most) / f64::from(all.max(1));
+        self.report.executor_work = self.engines.iter().map(|engine| engine.work).collect();
+        let instant = self.instant();
+        let lane_of = |id: &ExecutorId| self.gateways[0].executor_view(instant, *id).unwrap().lane;
+        self.report.executor_lanes = self.executor_ids.iter().map(lane_of).collect();
+        let most = self.second_class_attempts.values().max().copied().unwrap_or(0);
+        let all: u32 = self.second_class_attempts.values().sum();
+        self.report.max_executor_share = f64::from(most) / f64::from(all.max(1));
         for gateway in &self.gateways[..self.deployment.nodes] {
-            let one = gateway.decisions();
+            let decisions = gateway.decisions();
             let sum = &mut self.report.decisions;
-            sum.weighted_pick += one.weighted_pick;
-            sum.cached_prefix += one.cached_prefix;
-            sum.prefix_home += one.prefix_home;
-            sum.out_of_lane += one.out_of_lane;
-            sum.queued += one.queued;
-            sum.unhealthy += one.unhealthy;
-            sum.rejected += one.rejected;
-            sum.no_executor += one.no_executor;
+            sum.weighted_pick += decisions.weighted_pick;
+            sum.cached_prefix += decisions.cached_prefix;
+            sum.prefix_home += decisions.prefix_home;
+            sum.out_of_lane += decisions.out_of_lane;
+            sum.queued += decisions.queued;
+            sum.unhealthy += decisions.unhealthy;
+            sum.rejected += decisions.rejected;
+            sum.no_executor += decisions.no_executor;
         }
         self.report
     }
 }
 
-impl LiveRequest {
-    fn new(arrival: Arrival, node: usize, retries_left: u32, attempts: Attempts, batch: bool) -> LiveRequest {
-        LiveRequest {
+impl SimulatedRequest {
+    fn new(
+        arrival: Arrival,
+        node: usize,
+        client_retries_left: u32,
+        attempts: Attempts,
+        is_batch: bool,
+    ) -> SimulatedRequest {
+        SimulatedRequest {
             arrival,
             node,
-            retries_left,
+            client_retries_left,
             attempts,
             excluded: Vec::new(),
             executor: 0,
             token: None,
-            first: None,
-            last: 0.0,
-            paused: false,
+            first_event_ms: None,
+            last_event_ms: 0.0,
+            stalled: false,
             finished: false,
-            batch,
+            is_batch,
         }
     }
 }
 
+/// The description of an executor, whose `instance_id` depends on the seed.
 fn descriptor(seed: u64, number: usize, slots: usize, state: ExecutorState) -> ExecutorDescriptor<'static> {
     let instance: &'static str = Box::leak(format!("i-{seed:x}-{number}").into_boxed_str());
     ExecutorDescriptor {
--- a/crates/gateway/tests/model/workload.rs
+++ b/crates/gateway/tests/model/workload.rs
@@ -1,162 +1,213 @@
-//! Requests: sizes of long tails, shared prompt prefixes of subjects, times by chance.
+//! The requests of a simulation: random arrival times, long-tailed sizes, and prompt prefixes that requests on the same
+//! subject share.
 
 use grebeusher_gateway::{PromptSegments, RetryClass, TokenCount};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Tokens: mean, spread of their logarithm, most.
+/// A truncated lognormal distribution of numbers of tokens, or of events.
 #[derive(Clone, Copy, Debug)]
-pub struct Tokens(pub f64, pub f64, pub f64);
+pub struct Lognormal {
+    mean: f64,
+    /// The standard deviation of the logarithm.
+    sigma: f64,
+    max: f64,
+}
+
+impl Lognormal {
+    fn new(mean: f64, sigma: f64, max: f64) -> Lognormal {
+        Lognormal { mean, sigma, max }
+    }
+}
 
+/// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
-    pub per_s: f64,
+pub struct RequestClass {
+    pub requests_per_s: f64,
     pub retry_class: RetryClass,
+    /// The `max_attempts` of the route.
     pub max_attempts: u32,
-    pub retries: u32,
-    pub aim_ms: f64,
+    /// How many times a client retries a rejected request.
+    pub client_retries: u32,
+    /// The latest time of the first event after the arrival for a request to be in time, in ms.
+    pub latency_objective_ms: f64,
+    /// The time from the arrival to the deadline of a request, in ms.
     pub deadline_ms: f64,
-    own: Tokens,
-    shared: Tokens,
-    events: Tokens,
+    /// The number of prompt tokens that a request does not share.
+    unshared_tokens: Lognormal,
+    /// The number of prompt tokens that the requests on one subject share.
+    shared_tokens: Lognormal,
+    /// The number of events of a response.
+    events: Lognormal,
+    /// The number of subjects.
     subjects: usize,
-    skew: f64,
+    /// The exponent of the Zipf distribution of requests over subjects.
+    zipf_exponent: f64,
 }
 
-impl Class {
-    pub fn heading(per_s: f64) -> Class {
-        Class {
-            per_s,
+impl RequestClass {
+    /// Frequent streams with short prompts.
+    pub fn heading(requests_per_s: f64) -> RequestClass {
+        RequestClass {
+            requests_per_s,
             retry_class: RetryClass::ResumableStream,
             max_attempts: 2,
-            retries: 1,
-            aim_ms: 200.0,
+            client_retries: 1,
+            latency_objective_ms: 200.0,
             deadline_ms: 6000.0,
-            own: Tokens(543.0, 0.89, 2310.0),
-            shared: Tokens(172.0, 0.5, 463.0),
-            events: Tokens(17.5, 0.7, 59.5),
+            unshared_tokens: Lognormal::new(543.0, 0.89, 2310.0),
+            shared_tokens: Lognormal::new(172.0, 0.5, 463.0),
+            events: Lognormal::new(17.5, 0.7, 59.5),
             subjects: 800,
-            skew: 0.3,
+            zipf_exponent: 0.3,
         }
     }
 
-    pub fn authority(per_s: f64, subjects: usize) -> Class {
-        Class {
-            per_s,
+    /// Rarer non-idempotent requests with long shared prefixes.
+    pub fn authority(requests_per_s: f64, subjects: usize) -> RequestClass {
+        RequestClass {
+            requests_per_s,
             retry_class: RetryClass::NonIdempotent,
             max_attempts: 1,
-            aim_ms: 300.0,
+            latency_objective_ms: 300.0,
             deadline_ms: 4000.0,
-            own: Tokens(3720.0, 1.1, 53_200.0),
-            shared: Tokens(13_300.0, 0.7, 39_900.0),
-            events: Tokens(7.48, 1.4, 29.9),
+            unshared_tokens: Lognormal::new(3720.0, 1.1, 53_200.0),
+            shared_tokens: Lognormal::new(13_300.0, 0.7, 39_900.0),
+            events: Lognormal::new(7.48, 1.4, 29.9),
             subjects,
-            ..Class::heading(per_s)
+            ..RequestClass::heading(requests_per_s)
         }
     }
 
-    pub fn batch() -> Class {
-        Class {
-            own: Tokens(768.0, 0.6, 4370.0),
-            shared: Tokens(432.0, 0.4, 1080.0),
-            events: Tokens(42.0, 0.6, 92.4),
+    /// Items of batch jobs.
+    pub fn batch() -> RequestClass {
+        RequestClass {
+            unshared_tokens: Lognormal::new(768.0, 0.6, 4370.0),
+            shared_tokens: Lognormal::new(432.0, 0.4, 1080.0),
+            events: Lognormal::new(42.0, 0.6, 92.4),
             subjects: 10,
-            skew: 0.7,
-            ..Class::heading(0.0)
+            zipf_exponent: 0.7,
+            ..RequestClass::heading(0.0)
         }
     }
 
-    pub fn skewed(mut self, skew: f64) -> Class {
-        self.skew = skew;
+    /// The same class with another exponent of the distribution of requests over subjects.
+    pub fn with_zipf_exponent(mut self, zipf_exponent: f64) -> RequestClass {
+        self.zipf_exponent = zipf_exponent;
         self
     }
 }
 
+/// A request that arrives at a node, or a batch item that becomes ready.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    pub at: f64,
+    /// The time of the arrival in ms.
+    pub at_ms: f64,
+    /// The index of the request's class.
     pub class: usize,
+    /// The index of the request's subject within its class.
     pub subject: u64,
+    /// The size that the client states.
     pub tokens: TokenCount,
-    /// Output tokens that the executor really makes.
-    pub output: u32,
+    /// The number of output tokens that the executor generates.
+    pub output_tokens: u32,
     pub prompt: PromptSegments,
 }
 
+/// A subject of requests.
+struct Subject {
+    /// The number of prompt tokens that the requests on the subject share.
+    shared_tokens: u32,
+    /// The sum of the weights of the subject and all subjects before it.
+    cumulative_weight: f64,
+}
+
+/// Generates the requests of a simulation.
 pub struct Workload {
     rng: Pcg32,
-    classes: Vec<(Class, Vec<(u32, f64)>)>,
-    number: u64,
+    classes: Vec<(RequestClass, Vec<Subject>)>,
+    /// The number of requests generated so far.
+    request_count: u64,
 }
 
 impl Workload {
-    pub fn new(classes: &[Class], seed: u64) -> Workload {
+    pub fn new(classes: &[RequestClass], seed: u64) -> Workload {
         let mut rng = Pcg32::seed_from_u64(seed ^ 0x5eed);
         let classes = classes.iter().map(|class| (class.clone(), subjects(&mut rng, class))).collect();
-        Workload { rng, classes, number: 0 }
+        Workload { rng, classes, request_count: 0 }
     }
 
-    /// All arrivals until `end`, in order.
-    pub fn draw(&mut self, end: f64) -> Vec<Arrival> {
-        let mut all = Vec::new();
+    /// Generates all live requests that arrive before `end_ms`, in the order of their arrival.
+    pub fn live_arrivals(&mut self, end_ms: f64) -> Vec<Arrival> {
+        let mut arrivals = Vec::new();
         for class in 0..self.classes.len() {
-            let (per_s, mut at) = (self.classes[class].0.per_s, 0.0);
+            let (requests_per_s, mut at_ms) = (self.classes[class].0.requests_per_s, 0.0);
             loop {
-                at -= (1.0 - self.rng.random::<f64>()).ln() * 1000.0 / per_s;
-                if at >= end {
+                at_ms -= (1.0 - self.rng.random::<f64>()).ln() * 1000.0 / requests_per_s;
+                if at_ms >= end_ms {
                     break;
                 }
-                all.push(self.one(class, at));
+                arrivals.push(self.arrival(class, at_ms));
             }
         }
-        all.sort_by(|a, b| a.at.total_cmp(&b.at));
-        all
+        arrivals.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
+        arrivals
     }
 
-    /// Batch items that come in jobs of 40.
-    pub fn batch(&mut self, items_per_s: f64, end: f64) -> Vec<Arrival> {
-        let class = Class::batch();
-        let things = subjects(&mut self.rng, &class);
-        self.classes.push((class, things));
-        let last = self.classes.len() - 1;
-        let jobs = (items_per_s / 40.0 * end / 1000.0) as usize;
-        let mut starts: Vec<f64> = (0..jobs).map(|_| self.rng.random::<f64>() * end).collect();
-        starts.sort_by(f64::total_cmp);
-        starts.into_iter().flat_map(|at| vec![at; 40]).map(|at| self.one(last, at)).collect()
+    /// Generates the batch items that become ready before `end_ms`, in jobs of 40 items.
+    pub fn batch_arrivals(&mut self, items_per_s: f64, end_ms: f64) -> Vec<Arrival> {
+        let class = RequestClass::batch();
+        let subjects = subjects(&mut self.rng, &class);
+        self.classes.push((class, subjects));
+        let batch_class = self.classes.len() - 1;
+        let jobs = (items_per_s / 40.0 * end_ms / 1000.0) as usize;
+        let mut job_starts_ms: Vec<f64> = (0..jobs).map(|_| self.rng.random::<f64>() * end_ms).collect();
+        job_starts_ms.sort_by(f64::total_cmp);
+        let item_starts_ms = job_starts_ms.into_iter().flat_map(|at_ms| vec![at_ms; 40]);
+        item_starts_ms.map(|at_ms| self.arrival(batch_class, at_ms)).collect()
     }
 
-    fn one(&mut self, class: usize, at: f64) -> Arrival {
-        self.number += 1;
-        let (shape, things) = &self.classes[class];
-        let subject = zipf(&mut self.rng, things);
-        let shared = things[subject].0;
-        let own = lognormal(&mut self.rng, shape.own);
-        let output = 16 * lognormal(&mut self.rng, shape.events);
-        let header =
-            format!("{:x}:{shared},{:x}:{own}", (class << 32) + subject, 0xabc_0000_0000 + self.number);
+    /// Generates one request of a class.
+    fn arrival(&mut self, class_index: usize, at_ms: f64) -> Arrival {
+        self.request_count += 1;
+        let (class, subjects) = &self.classes[class_index];
+        let subject = random_subject(&mut self.rng, subjects);
+        let shared = subjects[subject].shared_tokens;
+        let unshared = random_count(&mut self.rng, class.unshared_tokens);
+        let output_tokens = 16 * random_count(&mut self.rng, class.events);
+        let header = format!(
+            "{:x}:{shared},{:x}:{unshared}",
+            (class_index << 32) + subject,
+            0xabc_0000_0000 + self.request_count
+        );
         let prompt = PromptSegments::parse(&header).unwrap();
-        let tokens = TokenCount { prompt: shared + own, output };
-        Arrival { at, class, subject: subject as u64, tokens, output, prompt }
+        let tokens = TokenCount { prompt: shared + unshared, output: output_tokens };
+        Arrival { at_ms, class: class_index, subject: subject as u64, tokens, output_tokens, prompt }
     }
 }
 
-fn subjects(rng: &mut Pcg32, class: &Class) -> Vec<(u32, f64)> {
-    let mut summed = 0.0;
+/// Generates the subjects of a class.
+fn subjects(rng: &mut Pcg32, class: &RequestClass) -> Vec<Subject> {
+    let mut cumulative_weight = 0.0;
     (1..=class.subjects)
         .map(|rank| {
-            summed += (rank as f64).powf(-class.skew);
-            (lognormal(rng, class.shared), summed)
+            cumulative_weight += (rank as f64).powf(-class.zipf_exponent);
+            Subject { shared_tokens: random_count(rng, class.shared_tokens), cumulative_weight }
         })
         .collect()
 }
 
-fn zipf(rng: &mut Pcg32, subjects: &[(u32, f64)]) -> usize {
-    let at = rng.random::<f64>() * subjects.last().unwrap().1;
-    subjects.partition_point(|(_, summed)| *summed <= at).min(subjects.len() - 1)
+/// The index of a random subject, with a probability proportional to its weight.
+fn random_subject(rng: &mut Pcg32, subjects: &[Subject]) -> usize {
+    let position = rng.random::<f64>() * subjects.last().unwrap().cumulative_weight;
+    let index = subjects.partition_point(|subject| subject.cumulative_weight <= position);
+    index.min(subjects.len() - 1)
 }
 
-fn lognormal(rng: &mut Pcg32, Tokens(mean, spread, most): Tokens) -> u32 {
-    let (a, b) = (1.0 - rng.random::<f64>(), rng.random::<f64>());
-    let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
-    (mean * (spread * normal - spread * spread / 2.0).exp()).clamp(1.0, most) as u32
+/// A random number of a distribution, at least 1.
+fn random_count(rng: &mut Pcg32, Lognormal { mean, sigma, max }: Lognormal) -> u32 {
+    // The Box-Muller transform makes a normally distributed number of two uniformly distributed ones.
+    let (uniform_radius, uniform_angle) = (1.0 - rng.random::<f64>(), rng.random::<f64>());
+    let normal = (-2.0 * uniform_radius.ln()).sqrt() * (std::f64::consts::TAU * uniform_angle).cos();
+    (mean * (sigma * normal - sigma * sigma / 2.0).exp()).clamp(1.0, max) as u32
 }
--- a/crates/gateway/tests/prefix_sharing.rs
+++ b/crates/gateway/tests/prefix_sharing.rs
@@ -1,4 +1,5 @@
-//! Nodes that share one sense of popular prefixes send them to the same homes, as many as their rate needs.
+//! Prefix affinity of nodes that share one estimate of prefix popularity: they send a prefix to the same homes, and to as
+//! many as its rate needs.
 
 use grebeusher_gateway::{
     AttemptOutcome, BatchItem, ExecutorDescriptor, ExecutorId, ExecutorState, Gateway, GatewayConfig,
@@ -10,35 +11,39 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 
+/// The time at which the tests begin.
 const START: Instant = Instant(5_000_000_000);
-const MODEL: [ModelKey; 1] = [ModelKey(1)];
+/// The models that the executors have loaded.
+const MODELS: [ModelKey; 1] = [ModelKey(1)];
 const SLOTS: u32 = 16;
 
-fn at(ms: u64) -> Instant {
+/// The time `ms` milliseconds after [`START`].
+fn at_ms(ms: u64) -> Instant {
     START + Duration::from_millis(ms)
 }
 
-fn executor(name: &str) -> ExecutorDescriptor<'_> {
+fn executor_descriptor(instance: &str) -> ExecutorDescriptor<'_> {
     ExecutorDescriptor {
-        instance: name,
+        instance,
         service: "s",
         address: ([10, 0, 0, 1], 80).into(),
         zone: ZoneKey(5),
         slots: SLOTS,
         state: ExecutorState::Ready,
-        models: &MODEL,
+        models: &MODELS,
     }
 }
 
+/// The gateways of all nodes, with the same executors of one service.
 struct Tier {
-    nodes: Vec<Gateway>,
+    gateways: Vec<Gateway>,
     service: ServiceId,
 }
 
 impl Tier {
     fn new(nodes: usize, executors: usize) -> Tier {
         let mut service = None;
-        let node = |number: usize| {
+        let new_gateway = |number: usize| {
             let mut gateway = Gateway::new(
                 GatewayConfig { share_prefix_popularity: true, ..GatewayConfig::default() },
                 ZoneKey(99),
@@ -49,128 +54,136 @@
             gateway.set_nodes(nodes as u32);
             let own = Contributor { origin: number as u64 + 1, incarnation: 1 };
             gateway.share_prefixes(START, own, Settings::default());
-            gateway.popularity_mut().expect("it is shared").set_nodes(nodes);
+            gateway.popularity_mut().expect("the estimate is shared").set_nodes(nodes);
             for number in 0..executors {
-                gateway.upsert(&executor(&format!("i-{number:02}")));
+                gateway.upsert(&executor_descriptor(&format!("i-{number:02}")));
             }
             gateway
         };
-        let nodes = (0..nodes).map(node).collect();
-        Tier { nodes, service: service.expect("a node") }
+        let gateways = (0..nodes).map(new_gateway).collect();
+        Tier { gateways, service: service.expect("there is at least one node") }
     }
 
-    /// A request is sent to where the node chooses, and served at once; the name of the executor.
+    /// Sends a request to the executor that a node chooses, which serves it at once. Returns the `instance_id` of the
+    /// executor.
     fn request_once(&mut self, node: usize, now: Instant, request: &Request<'_>) -> String {
-        let gateway = &mut self.nodes[node];
+        let gateway = &mut self.gateways[node];
         let RoutingDecision::Forward { executor, .. } = gateway.choose(now, request) else {
-            panic!("there is room")
+            panic!("an executor has capacity")
         };
-        let name = gateway.executor_view(now, executor).expect("it is there").instance.to_string();
-        let token = gateway.attempt_started(now, executor, request).expect("few are open");
+        let instance =
+            gateway.executor_view(now, executor).expect("the executor exists").instance.to_string();
+        let token = gateway.attempt_started(now, executor, request).expect("few attempts are open");
         gateway.event_received(now, token);
         gateway.attempt_finished(now, token, AttemptOutcome::Served);
-        name
+        instance
     }
 
-    /// All tell all.
-    fn exchange(&mut self, now: Instant) {
+    /// Sends the contributions of all nodes to all nodes, and computes the rates one second later.
+    fn exchange_contributions(&mut self, now: Instant) {
         let contributions: Vec<Contribution> =
-            self.nodes.iter_mut().filter_map(|node| tick(node, now)).collect();
-        for node in &mut self.nodes {
-            for one in &contributions {
-                node.popularity_mut().expect("it is shared").merge(now, one.clone());
+            self.gateways.iter_mut().filter_map(|gateway| tick(gateway, now)).collect();
+        for gateway in &mut self.gateways {
+            for contribution in &contributions {
+                let popularity = gateway.popularity_mut().expect("the estimate is shared");
+                popularity.merge(now, contribution.clone());
             }
         }
-        self.nodes.iter_mut().for_each(|node| drop(tick(node, now + Duration::from_millis(1_000))));
+        let one_second_later = now + Duration::from_millis(1_000);
+        self.gateways.iter_mut().for_each(|gateway| drop(tick(gateway, one_second_later)));
     }
 
+    /// The `instance_id`s of the most popular prefix's homes at a node.
     fn homes(&self, node: usize) -> Vec<String> {
-        let view = self.nodes[node].popular(1).into_iter().next().expect("one is popular");
+        let view = self.gateways[node].popular(1).into_iter().next().expect("a prefix is popular");
         view.homes.iter().map(ToString::to_string).collect()
     }
 
-    fn id(&self, node: usize, name: &str) -> ExecutorId {
-        self.nodes[node].find(name).expect("it is there")
+    /// The key of an executor at a node.
+    fn id(&self, node: usize, instance: &str) -> ExecutorId {
+        self.gateways[node].find(instance).expect("the executor exists")
     }
 }
 
-fn tick(node: &mut Gateway, now: Instant) -> Option<Contribution> {
-    node.popularity_mut().expect("it is shared").tick(now)
+fn tick(gateway: &mut Gateway, now: Instant) -> Option<Contribution> {
+    gateway.popularity_mut().expect("the estimate is shared").tick(now)
 }
 
-fn request_with_prefix(service: ServiceId, subject: usize, own: u32) -> Request<'static> {
-    let prompt = PromptSegments::parse(&format!("aa:300,{subject:x}:13000,ffff:{own}")).unwrap();
+/// A request with a shared prefix of 13,300 tokens, and `unshared_tokens` further prompt tokens.
+fn request_with_prefix(service: ServiceId, subject: usize, unshared_tokens: u32) -> Request<'static> {
+    let prompt = PromptSegments::parse(&format!("aa:300,{subject:x}:13000,ffff:{unshared_tokens}")).unwrap();
     Request {
-        model: Some(MODEL[0]),
-        tokens: Some(TokenCount { prompt: 13_300 + own, output: 10 }),
+        model: Some(MODELS[0]),
+        tokens: Some(TokenCount { prompt: 13_300 + unshared_tokens, output: 10 }),
         retry_class: RetryClass::ResumableStream,
         prompt,
         ..Request::to(service)
     }
 }
 
-/// Ten seconds in which each node asks so often in a second for the subject.
+/// Sends a request at each node `requests_per_s` times per second for ten seconds, and then exchanges the contributions.
+/// Returns the `instance_id`s of the executors that got the requests.
 fn run_ten_seconds(
     tier: &mut Tier,
     from_ms: u64,
-    per_second: u64,
+    requests_per_s: u64,
     request: &Request<'_>,
 ) -> BTreeSet<String> {
-    let mut seen = BTreeSet::new();
-    for tenth in 0..100 {
-        for node in 0..tier.nodes.len() {
-            if tenth * per_second % 10 < per_second {
-                seen.insert(tier.request_once(node, at(from_ms + tenth * 100), request));
+    let mut executors = BTreeSet::new();
+    for tenth_of_second in 0..100 {
+        for node in 0..tier.gateways.len() {
+            if tenth_of_second * requests_per_s % 10 < requests_per_s {
+                executors.insert(tier.request_once(node, at_ms(from_ms + tenth_of_second * 100), request));
             }
         }
     }
-    tier.exchange(at(from_ms + 10_000));
-    seen
+    tier.exchange_contributions(at_ms(from_ms + 10_000));
+    executors
 }
 
 #[test]
 fn an_unpopular_prefix_has_one_home_although_many_nodes_request_it() {
-    // Given forty nodes that each see a question of the same title once
+    // Given forty nodes that each get one request with the same prefix
     let mut tier = Tier::new(40, 12);
     let request = request_with_prefix(tier.service, 7, 3_000);
-    let seen: BTreeSet<String> =
-        (0..40).map(|node| tier.request_once(node, at(250 * node as u64), &request)).collect();
-    // Then one executor reads it, as four questions a second need no more
-    assert_eq!(seen.len(), 1, "{seen:?}");
-    tier.exchange(at(10_000));
-    let again: BTreeSet<String> =
-        (0..40).map(|node| tier.request_once(node, at(12_000 + 250 * node as u64), &request)).collect();
-    assert_eq!(again, seen);
+    let executors: BTreeSet<String> =
+        (0..40).map(|node| tier.request_once(node, at_ms(250 * node as u64), &request)).collect();
+    // Then one executor gets all of them, as four requests per second need no more homes
+    assert_eq!(executors.len(), 1, "{executors:?}");
+    tier.exchange_contributions(at_ms(10_000));
+    let executors_after_exchange: BTreeSet<String> =
+        (0..40).map(|node| tier.request_once(node, at_ms(12_000 + 250 * node as u64), &request)).collect();
+    assert_eq!(executors_after_exchange, executors);
 }
 
 #[test]
 fn a_popular_prefix_has_the_same_homes_at_all_nodes() {
-    // Given ten nodes that ask twice a second each: 70,000 tokens a second of their own parts
+    // Given ten nodes with two requests per second each, which have 70,000 tokens per second after the prefix
     let mut tier = Tier::new(10, 12);
     let request = request_with_prefix(tier.service, 7, 3_500);
     let before = run_ten_seconds(&mut tier, 0, 2, &request);
-    let seen = run_ten_seconds(&mut tier, 12_000, 2, &request);
-    // Then it has so many homes as its rate needs, the first as before, the same at all nodes
+    let executors = run_ten_seconds(&mut tier, 12_000, 2, &request);
+    // Then the prefix has as many homes as its rate needs, the same at all nodes, and the earlier ones among them
     let homes = tier.homes(0);
     assert_eq!(homes.len(), 4);
     assert!((1..10).all(|node| tier.homes(node) == homes));
     assert!(before.iter().all(|home| homes.contains(home)), "{before:?} {homes:?}");
-    assert_eq!(seen, homes.into_iter().collect());
+    assert_eq!(executors, homes.into_iter().collect());
     // And it is shown with its service and tokens
-    let view = &tier.nodes[3].popular(9)[0];
+    let view = &tier.gateways[3].popular(9)[0];
     assert_eq!((view.service.as_deref(), view.tokens), (Some("s"), 13_300));
     assert!((60_000.0..80_000.0).contains(&view.popular.tokens_per_s), "{view:?}");
 }
 
 #[test]
 fn a_prefix_has_homes_in_half_of_its_lane_at_most() {
-    // Given a prefix that needs more homes than there are executors
+    // Given a prefix whose rate needs more homes than there are executors
     let mut tier = Tier::new(10, 6);
     let request = request_with_prefix(tier.service, 7, 40_000);
     run_ten_seconds(&mut tier, 0, 2, &request);
-    let seen = run_ten_seconds(&mut tier, 12_000, 2, &request);
-    // Then other prefixes keep the other half
-    assert_eq!(seen.len(), 3, "{seen:?}");
+    let executors = run_ten_seconds(&mut tier, 12_000, 2, &request);
+    // Then half of the executors remain for other prefixes
+    assert_eq!(executors.len(), 3, "{executors:?}");
 }
 
 #[test]
@@ -186,51 +199,52 @@
             .map(|(n, request)| tier.request_once(0, now + Duration::from_millis(50 * n as u64), request))
             .collect()
     };
-    // (the first fifty requests make the lanes)
-    route_all(&mut tier, at(0));
-    let before = route_all(&mut tier, at(30_000));
-    // When one of the executors goes
+    // (the cut-offs of the lanes are computed after the first fifty requests)
+    route_all(&mut tier, at_ms(0));
+    let before = route_all(&mut tier, at_ms(30_000));
+    // When one of the executors is removed
     let removed = before[0].clone();
     let id = tier.id(0, &removed);
-    tier.nodes[0].remove(id);
-    let after = route_all(&mut tier, at(60_000));
-    // Then only what had its home there has another one
+    tier.gateways[0].remove(id);
+    let after = route_all(&mut tier, at_ms(60_000));
+    // Then only the prefixes that had their home there have another one
     let moved = before.iter().zip(&after).filter(|(before, after)| before != after);
     assert!(moved.clone().all(|(before, _)| *before == removed), "{:?}", moved.collect::<Vec<_>>());
 }
 
 #[test]
-fn a_full_home_overflows_to_the_next_and_stays_the_home() {
+fn a_full_home_is_passed_over_and_stays_the_home() {
     // Given a prefix with one home
     let mut tier = Tier::new(3, 8);
     let request = request_with_prefix(tier.service, 7, 1_000);
-    let home = tier.request_once(0, at(0), &request);
-    // When each node has sent as much there as is read in the time that reading elsewhere takes
-    let pending: Vec<_> = (0..3)
+    let home = tier.request_once(0, at_ms(0), &request);
+    // When each node has sent so many requests there that their prefill takes longer than a prefill elsewhere
+    let open_attempts: Vec<_> = (0..3)
         .flat_map(|node| [node, node])
         .map(|node| {
             let id = tier.id(node, &home);
-            (node, tier.nodes[node].attempt_started(at(10), id, &request).expect("few are open"))
+            let token = tier.gateways[node].attempt_started(at_ms(10), id, &request);
+            (node, token.expect("few attempts are open"))
         })
         .collect();
-    // Then all nodes go to the same next one, without a word
-    let next: BTreeSet<String> = (0..3).map(|node| tier.request_once(node, at(20), &request)).collect();
+    // Then all nodes choose the same next executor without communication
+    let next: BTreeSet<String> = (0..3).map(|node| tier.request_once(node, at_ms(20), &request)).collect();
     assert_eq!(next.len(), 1);
     assert!(!next.contains(&home));
-    assert_eq!(tier.nodes[0].decisions().next_prefix_home, 1);
-    // And when it is read they come back
-    for (node, token) in pending {
-        tier.nodes[node].event_received(at(300), token);
-        tier.nodes[node].attempt_finished(at(400), token, AttemptOutcome::Served);
+    assert_eq!(tier.gateways[0].decisions().next_prefix_home, 1);
+    // And when the prefill has finished they choose the home again
+    for (node, token) in open_attempts {
+        tier.gateways[node].event_received(at_ms(300), token);
+        tier.gateways[node].attempt_finished(at_ms(400), token, AttemptOutcome::Served);
     }
     for node in 0..3 {
-        assert_eq!(tier.request_once(node, at(3_000), &request), home);
+        assert_eq!(tier.request_once(node, at_ms(3_000), &request), home);
     }
 }
 
 #[test]
 fn batch_items_do_not_count_as_demand() {
-    // Given a night's items with a prefix of their own
+    // Given batch items with a prefix of their own
     let mut tier = Tier::new(1, 12);
     let request = request_with_prefix(tier.service, 7, 30_000);
     let item = BatchItem {
@@ -241,53 +255,58 @@
         excluded: &[],
         urgency: 0.5,
     };
-    for tenth in 0..100 {
-        let now = at(tenth * 100);
-        let id = tier.nodes[0].choose_for_batch(now, &item).expect("there is room");
-        let token = tier.nodes[0].attempt_started(now, id, &item.as_request()).expect("few are open");
-        tier.nodes[0].event_received(now, token);
-        tier.nodes[0].attempt_finished(now, token, AttemptOutcome::Served);
+    for tenth_of_second in 0..100 {
+        let now = at_ms(tenth_of_second * 100);
+        let id = tier.gateways[0].choose_for_batch(now, &item).expect("an executor has capacity");
+        let token =
+            tier.gateways[0].attempt_started(now, id, &item.as_request()).expect("few attempts are open");
+        tier.gateways[0].event_received(now, token);
+        tier.gateways[0].attempt_finished(now, token, AttemptOutcome::Served);
     }
-    tier.exchange(at(10_000));
-    // Then no prefix is popular, so none of the day's homes has to give way
-    assert!(tier.nodes[0].popular(9).is_empty());
+    tier.exchange_contributions(at_ms(10_000));
+    // Then no prefix is popular, so no prefix of live requests loses its homes
+    assert!(tier.gateways[0].popular(9).is_empty());
 }
 
 #[test]
 fn a_retry_does_not_count_as_demand() {
-    // Given a request that failed elsewhere before
+    // Given a request that failed at another executor before
     let mut tier = Tier::new(1, 4);
-    let tried = [tier.id(0, "i-00")];
-    let request = Request { excluded: &tried, ..request_with_prefix(tier.service, 7, 1_000) };
-    tier.request_once(0, at(0), &request);
-    tier.exchange(at(5_000));
-    assert!(tier.nodes[0].popular(9).is_empty());
+    let tried_executors = [tier.id(0, "i-00")];
+    let request = Request { excluded: &tried_executors, ..request_with_prefix(tier.service, 7, 1_000) };
+    tier.request_once(0, at_ms(0), &request);
+    tier.exchange_contributions(at_ms(5_000));
+    assert!(tier.gateways[0].popular(9).is_empty());
 }
 
 #[rstest]
-#[case::a_lookup(&[])]
-#[case::a_short_question(&[172, 543])]
+#[case::without_a_prompt(&[])]
+#[case::with_a_short_prompt(&[172, 543])]
 fn requests_without_long_prefixes_spread_evenly_with_and_without_sharing(#[case] tokens: &[u32]) {
-    // Given a node that shares a sense of much popular prefixes, and one that judges alone
+    // Given a node that shares an estimate in which a prefix is very popular, and a node without a shared estimate
     let mut tier = Tier::new(1, 8);
-    // (fewer requests than make lanes)
+    // (there are too few requests for more than one lane)
     let popular = request_with_prefix(tier.service, 7, 90_000);
     run_ten_seconds(&mut tier, 0, 2, &popular);
-    assert!(tier.nodes[0].popular(1)[0].popular.homes > 4);
-    let mut alone = Tier::new(1, 8);
-    alone.nodes[0] = Gateway::new(
+    assert!(tier.gateways[0].popular(1)[0].popular.homes > 4);
+    let mut tier_without_sharing = Tier::new(1, 8);
+    tier_without_sharing.gateways[0] = Gateway::new(
         GatewayConfig { share_prefix_popularity: false, ..GatewayConfig::default() },
         ZoneKey(99),
         0,
     );
     let settings = ServiceSettings { max_connections: 10_000, kv_capacity_tokens: 400_000 };
-    alone.service = alone.nodes[0].set_service("s", settings);
-    alone.nodes[0].share_prefixes(START, Contributor { origin: 1, incarnation: 1 }, Settings::default());
-    assert!(alone.nodes[0].popularity().is_none());
+    tier_without_sharing.service = tier_without_sharing.gateways[0].set_service("s", settings);
+    tier_without_sharing.gateways[0].share_prefixes(
+        START,
+        Contributor { origin: 1, incarnation: 1 },
+        Settings::default(),
+    );
+    assert!(tier_without_sharing.gateways[0].popularity().is_none());
     for number in 0..8 {
-        alone.nodes[0].upsert(&executor(&format!("i-{number:02}")));
+        tier_without_sharing.gateways[0].upsert(&executor_descriptor(&format!("i-{number:02}")));
     }
-    // When each decides on many requests
+    // When each node routes many requests
     let counts = |tier: &mut Tier| -> Vec<f64> {
         let prompt = match tokens {
             [] => PromptSegments::default(),
@@ -296,14 +315,14 @@
         let request = Request { prompt, ..Request::to(tier.service) };
         let mut counts = vec![0.0; 8];
         for _ in 0..8_000 {
-            let name = tier.request_once(0, at(30_000), &request);
-            counts[name[2..].parse::<usize>().expect("a number")] += 1.0;
+            let instance = tier.request_once(0, at_ms(30_000), &request);
+            counts[instance[2..].parse::<usize>().expect("the instance id ends with a number")] += 1.0;
         }
         counts
     };
-    let (with, without) = (counts(&mut tier), counts(&mut alone));
-    // Then all executors get their even part, with the sense as without
-    for counts in [with, without] {
+    let (counts_with_sharing, counts_without) = (counts(&mut tier), counts(&mut tier_without_sharing));
+    // Then all executors get equally many requests, with the shared estimate and without it
+    for counts in [counts_with_sharing, counts_without] {
         assert!(counts.iter().all(|count| (count - 1_000.0_f64).abs() < 150.0), "{counts:?}");
     }
 }
--- a/crates/gateway/tests/retries.rs
+++ b/crates/gateway/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: what may follow which outcome, by `retry_class` of request, written out in full.
+//! The retry decision after each outcome of an attempt, for each class of requests.
 
 use grebeusher_gateway::{AttemptOutcome, Attempts, FinalResponse, RetryClass, RetryDecision};
 use proptest::prelude::*;
@@ -13,7 +13,8 @@
 const RELAY: RetryDecision = RetryDecision::Finish(FinalResponse::Relay);
 const NOTHING: RetryDecision = RetryDecision::Finish(FinalResponse::Nothing);
 
-/// After the first attempt, with one more allowed: idempotent, non-idempotent, resumable.
+/// The decisions after the first attempt when one more is allowed, for idempotent requests, non-idempotent requests and
+/// resumable streams.
 #[rstest]
 #[case(AttemptOutcome::Served, [NOTHING, NOTHING, NOTHING])]
 #[case(AttemptOutcome::NeverSent, [RETRY, RETRY, RETRY])]
@@ -36,7 +37,7 @@
     assert_eq!(retry_classes.map(|retry_class| Attempts::new(retry_class, 2).ended(outcome)), expected);
 }
 
-/// With one attempt only, the same: what proves not run is still tried again.
+/// The same decisions when one attempt is allowed. A request that provably did not run is still tried again.
 #[rstest]
 #[case(AttemptOutcome::NeverSent, [RETRY, RETRY, RETRY])]
 #[case(AttemptOutcome::IdleClosed, [RETRY, RETRY, RETRY])]
@@ -54,7 +55,8 @@
     assert_eq!(retry_classes.map(|retry_class| Attempts::new(retry_class, 1).ended(outcome)), expected);
 }
 
-/// Within a resumed stream the client has a head already: no status can be told any more.
+/// The decisions after the second attempt of a stream. The client already has the head of the response, so it cannot get
+/// another status.
 #[rstest]
 #[case(AttemptOutcome::Served, NOTHING)]
 #[case(AttemptOutcome::NeverSent, RESUME)]
@@ -75,11 +77,11 @@
 
 #[test]
 fn attempts_that_did_not_run_end_in_service_unavailable() {
-    // given a request that every executor refuses
+    // given a request that every executor rejects
     let mut attempts = Attempts::new(RetryClass::NonIdempotent, 1);
-    let outcomes: Vec<RetryDecision> = (0..4).map(|_| attempts.ended(AttemptOutcome::NotExecuted)).collect();
-    // then it is tried a few times, and the client is told that it has not run
-    assert_eq!(outcomes, [RETRY, RETRY, RETRY, UNAVAILABLE]);
+    let decisions: Vec<RetryDecision> = (0..4).map(|_| attempts.ended(AttemptOutcome::NotExecuted)).collect();
+    // then it is tried a few times, and the client gets the status that says that it did not run
+    assert_eq!(decisions, [RETRY, RETRY, RETRY, UNAVAILABLE]);
     assert_eq!(attempts.without_executor(), FinalResponse::ServiceUnavailable);
 }
 
@@ -108,8 +110,8 @@
 }
 
 proptest! {
-    /// TWICE and UNAVAILABLE: whatever happens, a non-idempotent request is never tried after it may have run, and no
-    /// request is refused that states it has not run after it may have run.
+    /// Guards against two faults, whatever the order of outcomes: a non-idempotent request that is tried again although
+    /// it may have run, and a client that is told by 503 that its request did not run although it may have run.
     #[test]
     fn no_order_of_outcomes_repeats_or_misreports_a_run(
         retry_class in prop::sample::select(vec![RetryClass::Idempotent, RetryClass::NonIdempotent, RetryClass::ResumableStream]),
@@ -117,19 +119,19 @@
         outcomes in prop::collection::vec(outcomes(), 1..20),
     ) {
         let mut attempts = Attempts::new(retry_class, max_attempts);
-        let (mut may_have_run, mut head_sent, mut finished) = (0, false, false);
+        let (mut possibly_run, mut head_sent, mut finished) = (0, false, false);
         for outcome in outcomes {
-            may_have_run += u32::from(!outcome.proves_not_run());
+            possibly_run += u32::from(!outcome.proves_not_run());
             head_sent |= matches!(outcome, AttemptOutcome::BrokenMidBody | AttemptOutcome::BrokenMidStream);
             match attempts.ended(outcome) {
                 RetryDecision::Retry | RetryDecision::Resume => {
-                    prop_assert!(may_have_run == 0 || retry_class.may_run_again());
-                    prop_assert!(may_have_run < max_attempts.max(1));
+                    prop_assert!(possibly_run == 0 || retry_class.may_run_again());
+                    prop_assert!(possibly_run < max_attempts.max(1));
                     prop_assert!(!head_sent || retry_class == RetryClass::ResumableStream);
                 }
-                RetryDecision::Finish(answer) => {
-                    prop_assert!(answer != FinalResponse::ServiceUnavailable || may_have_run == 0);
-                    prop_assert!(!head_sent || matches!(answer, FinalResponse::Abort));
+                RetryDecision::Finish(response) => {
+                    prop_assert!(response != FinalResponse::ServiceUnavailable || possibly_run == 0);
+                    prop_assert!(!head_sent || matches!(response, FinalResponse::Abort));
                     finished = true;
                 }
             }
--- a/crates/gateway/tests/routing/ejection.rs
+++ b/crates/gateway/tests/routing/ejection.rs
@@ -1,77 +1,87 @@
-//! Outlier ejection.
+//! Outlier ejection after faults of executors.
 
-use crate::fixture::{START, at, forwarded, node, sized};
+use crate::fixture::{START, at_ms, forwarded_to, gateway_with_executors, request_of_size};
 use grebeusher_gateway::{AttemptOutcome, ExecutorFault, Gateway};
 use grebeusher_time::Duration;
 
 #[test]
 fn faults_eject_for_a_duration_that_doubles() {
-    let (mut gateway, service, ids) = node(3, 7);
-    let goes_there = |gateway: &mut Gateway, now| {
-        (0..100).any(|_| forwarded(gateway.choose(now, &sized(service, 9, 0))) == Some(ids[1]))
+    let (mut gateway, service, executor_ids) = gateway_with_executors(3, 7);
+    let gets_requests = |gateway: &mut Gateway, now| {
+        (0..100).any(|_| {
+            forwarded_to(gateway.choose(now, &request_of_size(service, 9, 0))) == Some(executor_ids[1])
+        })
     };
-    let token = gateway.attempt_started(START, ids[1], &sized(service, 9, 0)).unwrap();
+    let token = gateway.attempt_started(START, executor_ids[1], &request_of_size(service, 9, 0)).unwrap();
     gateway.attempt_finished(START, token, AttemptOutcome::NeverSent);
-    assert!(!goes_there(&mut gateway, at(300)));
-    assert!(goes_there(&mut gateway, at(700)));
-    // when it fails again, it stays out longer
-    gateway.record_fault(at(700), ids[1], ExecutorFault::ConnectFailed);
-    assert!(!goes_there(&mut gateway, at(1400)));
-    // and once it has served, its faults are forgotten
-    let token = gateway.attempt_started(at(3000), ids[1], &sized(service, 9, 0)).unwrap();
-    gateway.attempt_finished(at(3001), token, AttemptOutcome::Served);
-    gateway.record_fault(at(3002), ids[1], ExecutorFault::ConnectFailed);
-    assert!(!goes_there(&mut gateway, at(3300)));
-    assert!(goes_there(&mut gateway, at(3700)));
+    assert!(!gets_requests(&mut gateway, at_ms(300)));
+    assert!(gets_requests(&mut gateway, at_ms(700)));
+    // when it fails again, it is ejected for longer
+    gateway.record_fault(at_ms(700), executor_ids[1], ExecutorFault::ConnectFailed);
+    assert!(!gets_requests(&mut gateway, at_ms(1400)));
+    // and once it has served a request, its earlier faults no longer count
+    let token =
+        gateway.attempt_started(at_ms(3000), executor_ids[1], &request_of_size(service, 9, 0)).unwrap();
+    gateway.attempt_finished(at_ms(3001), token, AttemptOutcome::Served);
+    gateway.record_fault(at_ms(3002), executor_ids[1], ExecutorFault::ConnectFailed);
+    assert!(!gets_requests(&mut gateway, at_ms(3300)));
+    assert!(gets_requests(&mut gateway, at_ms(3700)));
 }
 
 #[test]
 fn repeated_ejections_are_bounded() {
-    // given one that failed whenever it was back
-    let (mut gateway, _, ids) = node(3, 7);
-    let out = |gateway: &Gateway, now| gateway.executor_view(now, ids[1]).unwrap().ejected;
+    // given an executor that failed after each ejection
+    let (mut gateway, _, executor_ids) = gateway_with_executors(3, 7);
+    let is_ejected = |gateway: &Gateway, now| gateway.executor_view(now, executor_ids[1]).unwrap().ejected;
     let mut now = START;
     for _ in 0..5 {
-        gateway.record_fault(now, ids[1], ExecutorFault::ConnectFailed);
-        now = (1..10_000).map(|ms| now + Duration::from_millis(ms)).find(|at| !out(&gateway, *at)).unwrap();
+        gateway.record_fault(now, executor_ids[1], ExecutorFault::ConnectFailed);
+        now = (1..10_000)
+            .map(|ms| now + Duration::from_millis(ms))
+            .find(|at| !is_ejected(&gateway, *at))
+            .unwrap();
     }
-    // then it stays out for longer than the suspicion of any single fault lasts, yet not for ever
-    gateway.record_fault(now, ids[1], ExecutorFault::ConnectFailed);
-    assert!(out(&gateway, now + Duration::from_millis(3000)));
-    assert!(!out(&gateway, now + Duration::from_millis(5000)));
+    // then it is ejected for longer than a single fault causes, but not for ever
+    gateway.record_fault(now, executor_ids[1], ExecutorFault::ConnectFailed);
+    assert!(is_ejected(&gateway, now + Duration::from_millis(3000)));
+    assert!(!is_ejected(&gateway, now + Duration::from_millis(5000)));
 }
 
 #[test]
 fn faults_of_all_executors_eject_none_for_good() {
-    let (mut gateway, service, ids) = node(3, 7);
-    for id in &ids {
+    let (mut gateway, service, executor_ids) = gateway_with_executors(3, 7);
+    for id in &executor_ids {
         (0..50).for_each(|_| gateway.record_fault(START, *id, ExecutorFault::ConnectFailed));
     }
-    assert!(forwarded(gateway.choose(at(1), &sized(service, 9, 0))).is_some());
-    // and however many failures there were, they fade
-    assert!(ids.iter().all(|id| !gateway.executor_view(at(4000), *id).unwrap().ejected));
+    assert!(forwarded_to(gateway.choose(at_ms(1), &request_of_size(service, 9, 0))).is_some());
+    // and the ejections end, however many faults there were
+    assert!(executor_ids.iter().all(|id| !gateway.executor_view(at_ms(4000), *id).unwrap().ejected));
 }
 
 #[test]
 fn one_broken_connection_does_not_eject_and_an_idle_close_is_no_fault() {
-    let (mut gateway, service, ids) = node(3, 7);
+    let (mut gateway, service, executor_ids) = gateway_with_executors(3, 7);
     for outcome in
         [AttemptOutcome::BrokenBeforeHead, AttemptOutcome::IdleClosed, AttemptOutcome::AnsweredFailure]
     {
-        let token = gateway.attempt_started(START, ids[1], &sized(service, 9, 0)).unwrap();
+        let token = gateway.attempt_started(START, executor_ids[1], &request_of_size(service, 9, 0)).unwrap();
         gateway.attempt_finished(START, token, outcome);
     }
-    assert!(!gateway.executor_view(START, ids[1]).unwrap().ejected);
-    gateway.record_fault(START, ids[1], ExecutorFault::ConnectionBroken);
-    assert!(gateway.executor_view(START, ids[1]).unwrap().ejected);
+    assert!(!gateway.executor_view(START, executor_ids[1]).unwrap().ejected);
+    gateway.record_fault(START, executor_ids[1], ExecutorFault::ConnectionBroken);
+    assert!(gateway.executor_view(START, executor_ids[1]).unwrap().ejected);
 }
 
 #[test]
 fn an_overloaded_executor_is_paused_but_not_ejected() {
-    let (mut gateway, service, ids) = node(2, 7);
-    let token = gateway.attempt_started(START, ids[0], &sized(service, 9, 0)).unwrap();
+    let (mut gateway, service, executor_ids) = gateway_with_executors(2, 7);
+    let token = gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 9, 0)).unwrap();
     gateway.attempt_finished(START, token, AttemptOutcome::NotExecuted);
-    assert!((0..50).all(|_| forwarded(gateway.choose(at(50), &sized(service, 9, 0))) == Some(ids[1])));
-    assert!(!gateway.executor_view(at(50), ids[0]).unwrap().ejected);
-    assert!((0..50).any(|_| forwarded(gateway.choose(at(130), &sized(service, 9, 0))) == Some(ids[0])));
+    assert!(
+        (0..50).all(|_| forwarded_to(gateway.choose(at_ms(50), &request_of_size(service, 9, 0)))
+            == Some(executor_ids[1]))
+    );
+    assert!(!gateway.executor_view(at_ms(50), executor_ids[0]).unwrap().ejected);
+    assert!((0..50).any(|_| forwarded_to(gateway.choose(at_ms(130), &request_of_size(service, 9, 0)))
+        == Some(executor_ids[0])));
 }
--- a/crates/gateway/tests/routing/main.rs
+++ b/crates/gateway/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! Routing on one node, a file for each concern.
+//! Tests of the gateway of one node.
 
 mod accounting;
 mod admission;
