--- a/crates/prefix-popularity/src/estimator.rs
+++ b/crates/prefix-popularity/src/estimator.rs
@@ -54,7 +54,7 @@
     pub merged: u64,
     /// Contributions that were ignored.
     pub ignored: u64,
-    /// Homes that were added to prefixes, beside the first home of each.
+    /// Homes that were added to prefixes in addition to the first home of each.
     pub homes_added: u64,
     /// Homes that were removed from prefixes.
     pub homes_removed: u64,
@@ -74,7 +74,7 @@
 pub struct PopularPrefix {
     /// The key of the prefix.
     pub key: PrefixKey,
-    /// The number of tokens per second that requests with the prefix have beside it, over all nodes.
+    /// The number of tokens per second that requests with the prefix have after it, over all nodes.
     pub tokens_per_s: f64,
     /// The number of executors that are homes of the prefix.
     pub homes: usize,
@@ -134,7 +134,7 @@
         self.nodes = nodes.max(1);
     }
 
-    /// Records a request of this node with `tokens` prompt tokens beside the prefix.
+    /// Records a request of this node with `tokens` prompt tokens after the prefix.
     pub fn record(&mut self, now: Instant, key: PrefixKey, tokens: u32) {
         self.own_counts.record(now, key, f64::from(tokens));
     }
@@ -234,7 +234,7 @@
         self.homes.count(key)
     }
 
-    /// The number of tokens per second that requests with a prefix have beside it, over all nodes.
+    /// The number of tokens per second that requests with a prefix have after it, over all nodes.
     pub fn tokens_per_s(&self, key: PrefixKey) -> f64 {
         self.rates.get(&key).copied().unwrap_or(0.0)
     }
--- a/crates/prefix-popularity/src/homes.rs
+++ b/crates/prefix-popularity/src/homes.rs
@@ -29,9 +29,9 @@
 
 /// The number of homes that a prefix with a rate needs.
 fn needed_homes(tokens_per_s: f64, settings: &Settings) -> usize {
-    let homes_beside_first = tokens_per_s / settings.home_tokens_per_s;
+    let additional_homes = tokens_per_s / settings.home_tokens_per_s;
     // The cast to an integer saturates.
-    (homes_beside_first as usize).saturating_add(1).min(settings.max_homes)
+    (additional_homes as usize).saturating_add(1).min(settings.max_homes)
 }
 
 impl HomeTable {
--- a/crates/prefix-popularity/src/lib.rs
+++ b/crates/prefix-popularity/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! # Counting
 //!
-//! A node counts the prompt tokens that its own requests have beside each prefix, as an exponentially decaying rate in
+//! A node counts the prompt tokens that its own requests have after each prefix, as an exponentially decaying rate in
 //! a Space-Saving table of fixed size. The crate `heavykeeper` on crates.io does not decay with time and evicts at
 //! random, so this crate has its own table.
 //!
--- a/crates/prefix-popularity/src/settings.rs
+++ b/crates/prefix-popularity/src/settings.rs
@@ -20,7 +20,7 @@
     /// The greatest number of bytes per second that contributions may take on the link of a node, in both directions
     /// together.
     pub max_bytes_per_s: f64,
-    /// The number of tokens per second beside the prefix itself for which one home is enough.
+    /// The number of tokens per second after the prefix for which one home is enough.
     pub home_tokens_per_s: f64,
     /// The fraction of the capacity of a prefix's other homes below which its rate has to be before a home is removed.
     pub shrink_ratio: f64,
--- a/crates/prefix-popularity/src/space_saving.rs
+++ b/crates/prefix-popularity/src/space_saving.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Records a request with `tokens` tokens beside the prefix. If the prefix is new and the table is full, the prefix
+    /// Records a request with `tokens` tokens after the prefix. If the prefix is new and the table is full, the prefix
     /// with the smallest count is evicted.
     pub fn record(&mut self, now: Instant, key: PrefixKey, tokens: f64) {
         self.move_landmark(now);
--- a/crates/prefix-popularity/tests/fleet/counting.rs
+++ b/crates/prefix-popularity/tests/fleet/counting.rs
@@ -1,4 +1,4 @@
-//! Counting with decay in fixed memory, homes, snapshots and the ranges of settings.
+//! The counts of one node with their decay and bounded memory, numbers of homes, snapshots and the ranges of settings.
 
 use crate::virtual_fleet::{Fleet, Network, assert_near, key};
 use grebeusher_prefix_popularity::{
@@ -10,20 +10,21 @@
 
 const SECOND: Duration = Duration::from_millis(1_000);
 
-fn alone() -> PopularityEstimator {
+/// The estimator of a single node.
+fn single_node() -> PopularityEstimator {
     PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0))
 }
 
 #[test]
 fn a_rate_is_a_decaying_mean() {
-    // Given a prefix that is requested at a steady pace
+    // Given a prefix with a constant rate of requests
     let mut fleet = Fleet::new(1, Settings::default(), Network::default());
     fleet.run(SECOND.scaled(5.0), |_| vec![(key(1), 1_000)]);
-    // Then its rate is known before the span of the mean has passed
+    // Then its rate is estimated before the time constant has passed
     assert_near(&fleet.rates(key(1)), 10_000.0, 0.1);
     fleet.run(SECOND.scaled(60.0), |_| vec![(key(1), 1_000)]);
     assert_near(&fleet.rates(key(1)), 10_000.0, 0.05);
-    // When nobody requests it any more its rate decays by two thirds in twenty seconds, and to nothing within minutes
+    // When there are no more requests, its rate falls by about two thirds in 20 s, and to almost 0 within minutes
     fleet.run(SECOND.scaled(20.0), |_| Vec::new());
     assert_near(&fleet.rates(key(1)), 3_680.0, 0.1);
     fleet.run(SECOND.scaled(180.0), |_| Vec::new());
@@ -32,7 +33,7 @@
 
 #[test]
 fn rates_stay_exact_over_hours() {
-    // Given many times the span of the mean, in which the landmark of the counts has moved on
+    // Given many times the time constant, in which the landmark of the counts was moved
     let mut fleet = Fleet::new(1, Settings::default(), Network::default());
     fleet.run(SECOND.scaled(7_200.0), |_| vec![(key(1), 1_000)]);
     assert_near(&fleet.rates(key(1)), 10_000.0, 0.05);
@@ -40,8 +41,8 @@
 
 #[test]
 fn a_flood_of_prefixes_neither_grows_the_table_nor_hides_a_popular_one() {
-    // Given one popular prefix among ever new ones
-    let mut node = alone();
+    // Given one popular prefix among many prefixes with one request each
+    let mut node = single_node();
     let mut now = Instant(0);
     for number in 0..200_000 {
         now = now + Duration::from_millis(1);
@@ -51,25 +52,25 @@
         }
     }
     node.tick(now);
-    // Then the table has its fixed size, and the popular one its rate
+    // Then the table has its limited size, and the popular prefix has its rate
     assert_eq!(node.sizes().tracked_prefixes, Settings::default().tracked_prefixes);
     assert_near(&[node.tokens_per_s(key(1))], 50_000.0, 0.1);
-    // And of the others, which took over each other's counts, nothing is told that is not certain
+    // And the counts that the other prefixes inherited from evicted ones are not part of their rates
     let others = node.popular(100).into_iter().filter(|popular| popular.key != key(1));
     assert!(others.map(|popular| popular.tokens_per_s).fold(0.0, f64::max) < 100.0);
 }
 
 #[test]
 fn the_number_of_contributors_is_bounded() {
-    // Given contributions of ever new origins
-    let mut node = alone();
+    // Given contributions of many origins
+    let mut node = single_node();
     let contribution = |origin| Contribution { origin, incarnation: 1, sequence: 1, rates: Vec::new() };
     let merged = (0..5_000)
         .filter(|origin| node.merge(Instant(0), contribution(*origin)) == MergeOutcome::Merged)
         .count();
-    // Then a bounded number is kept
+    // Then a limited number of them is stored
     assert_eq!((merged, node.sizes().contributors), (1_024, 1_024));
-    // And room comes back when they fade
+    // And further ones can be stored after they have decayed
     node.tick(Instant(0) + SECOND.scaled(300.0));
     assert_eq!(node.sizes().contributors, 0);
     assert_eq!(node.merge(Instant(0) + SECOND.scaled(300.0), contribution(9_999)), MergeOutcome::Merged);
@@ -82,10 +83,10 @@
     let mut fleet = Fleet::new(1, settings, Network::default());
     fleet.run(SECOND.scaled(10.0), |_| vec![(key(1), 5_000)]);
     assert_eq!(fleet.homes(key(1)), [3]);
-    // When the rate falls a little, so that it would do with two, they stay
+    // When the rate falls a little, so that two homes would be enough, it keeps all three
     fleet.run(SECOND.scaled(60.0), |_| vec![(key(1), 3_500)]);
     assert_eq!(fleet.homes(key(1)), [3]);
-    // When it falls far, they go one by one
+    // When the rate falls far, homes are removed one by one
     fleet.run(SECOND.scaled(3.0), |_| vec![(key(1), 100)]);
     assert_eq!(fleet.homes(key(1)), [2]);
     fleet.run(SECOND.scaled(5.0), |_| vec![(key(1), 100)]);
@@ -103,7 +104,7 @@
 
 #[test]
 fn an_unknown_prefix_has_one_home() {
-    assert_eq!(alone().homes(key(7)), 1);
+    assert_eq!(single_node().homes(key(7)), 1);
 }
 
 #[test]
@@ -115,11 +116,11 @@
     let before = fleet.homes(key(1));
     let snapshots: Vec<Vec<u8>> = fleet.nodes.iter().map(PopularityEstimator::snapshot).collect();
     assert!(snapshots.iter().all(|snapshot| snapshot.len() <= MAX_SNAPSHOT_BYTES));
-    // When all restart, three of them without a disk
+    // When all nodes restart, three of them without a snapshot
     (0..6).for_each(|index| fleet.restart(index, (index < 3).then_some(&snapshots[index])));
-    // Then those with a disk know it at once
+    // Then those with a snapshot have the same number of homes at once
     assert_eq!(fleet.homes(key(1))[..3], before[..3]);
-    // And what they remember and what they count anew are never added up
+    // And the restored rates and the newly counted ones are never added up
     for _ in 0..60 {
         fleet.run(SECOND, requests);
         assert!(fleet.rates(key(1))[0] < 66_000.0, "{:?}", fleet.rates(key(1)));
@@ -129,7 +130,7 @@
 
 #[test]
 fn a_restored_snapshot_decays() {
-    // Given a memory of a prefix that nobody requests for any more
+    // Given a restored snapshot with a prefix for which there are no more requests
     let mut fleet = Fleet::new(1, Settings::default(), Network::default());
     fleet.run(SECOND.scaled(60.0), |_| vec![(key(1), 5_000)]);
     let snapshot = fleet.nodes[0].snapshot();
@@ -143,17 +144,17 @@
 
 #[test]
 fn a_corrupt_snapshot_is_rejected() {
-    // Given a memory
-    let mut node = alone();
+    // Given a snapshot
+    let mut node = single_node();
     (0..40).for_each(|number| node.record(Instant(0), key(number), 1_000));
     node.tick(Instant(0) + SECOND);
     let snapshot = node.snapshot();
-    // Then nothing but the whole of it is read
+    // Then only the complete snapshot is restored
     for length in 0..snapshot.len() {
-        assert!(alone().restore(Instant(0), &snapshot[..length]).is_err(), "{length}");
+        assert!(single_node().restore(Instant(0), &snapshot[..length]).is_err(), "{length}");
     }
-    assert!(alone().restore(Instant(0), &vec![0; MAX_SNAPSHOT_BYTES + 1]).is_err());
-    assert_eq!(alone().restore(Instant(0), &snapshot), Ok(12));
+    assert!(single_node().restore(Instant(0), &vec![0; MAX_SNAPSHOT_BYTES + 1]).is_err());
+    assert_eq!(single_node().restore(Instant(0), &snapshot), Ok(12));
 }
 
 #[rstest]
@@ -173,9 +174,9 @@
 
 proptest! {
     #[test]
-    fn bytes_from_outside_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = Contribution::decode(&bytes);
-        let _ = alone().restore(Instant(0), &bytes);
+        let _ = single_node().restore(Instant(0), &bytes);
     }
 
     #[test]
@@ -187,12 +188,12 @@
             writer.record(now, PrefixKey(step % 3), step * 1_000);
             contributions.extend(writer.tick(now));
         }
-        let (mut straight, mut shuffled) = (alone(), alone());
+        let (mut in_order, mut shuffled) = (single_node(), single_node());
         let now = Instant(0) + SECOND.scaled(70.0);
-        contributions.iter().for_each(|one| { straight.merge(now, one.clone()); });
+        contributions.iter().for_each(|contribution| { in_order.merge(now, contribution.clone()); });
         order.iter().chain(&order).for_each(|index| { shuffled.merge(now, contributions[*index].clone()); });
-        straight.tick(now);
+        in_order.tick(now);
         shuffled.tick(now);
-        prop_assert_eq!(straight.popular(9), shuffled.popular(9));
+        prop_assert_eq!(in_order.popular(9), shuffled.popular(9));
     }
 }
--- a/crates/prefix-popularity/tests/fleet/main.rs
+++ b/crates/prefix-popularity/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! A fleet in memory: what the nodes count and report to each other.
+//! Tests of the estimators of a simulated fleet of nodes.
 
 mod counting;
 mod sharing;
--- a/crates/prefix-popularity/tests/fleet/virtual_fleet.rs
+++ b/crates/prefix-popularity/tests/fleet/virtual_fleet.rs
@@ -1,35 +1,44 @@
-//! Nodes in snapshot that report to each other, with duplicated and reordered messages and network partitions; random numbers from a fixed seed.
+//! A simulated fleet of nodes that send their contributions to each other. The network can duplicate and reorder
+//! messages and can be partitioned. Random numbers come from a fixed seed.
 
 use grebeusher_prefix_popularity::{
     Contribution, Contributor, MergeOutcome, PopularityEstimator, PrefixKey, Settings,
 };
 use grebeusher_time::{Duration, Instant};
 
-/// What a fleet does to its messages.
+/// The faults of the simulated network.
 #[derive(Clone, Copy, Default)]
 pub struct Network {
-    /// Each message comes twice, the second time much later.
+    /// Each message is delivered a second time, 7 s later.
     pub duplicates: bool,
-    /// Messages wait for up to a second, each for another time.
+    /// Each message is delayed by a random time of up to a second.
     pub reorders: bool,
 }
 
+/// A simulated fleet of nodes.
 pub struct Fleet {
     pub nodes: Vec<PopularityEstimator>,
     pub now: Instant,
+    /// The number of bytes of contributions sent so far, without duplicates.
     pub sent_bytes: u64,
     network: Network,
-    alive: Vec<bool>,
-    /// The side of each node of a network partition.
+    /// Whether each node is running.
+    is_running: Vec<bool>,
+    /// The side of the network partition on which each node is.
     sides: Vec<u8>,
+    /// The incarnation of each node.
     incarnations: Vec<u64>,
     settings: Settings,
+    /// The messages that have not been delivered: their time of delivery, the receiving node and their bytes.
     in_flight: Vec<(Instant, usize, Vec<u8>)>,
+    /// The state of the random number generator.
     random_state: u64,
 }
 
+/// The time between two runs of the nodes.
 pub const STEP: Duration = Duration::from_millis(100);
 
+/// The key of a numbered prefix.
 pub fn key(number: u64) -> PrefixKey {
     PrefixKey::of(1, number.wrapping_mul(0x1234_5678_9abc_def1))
 }
@@ -45,7 +54,7 @@
             now,
             sent_bytes: 0,
             network,
-            alive: vec![true; count],
+            is_running: vec![true; count],
             sides: vec![0; count],
             incarnations: vec![1; count],
             settings,
@@ -54,14 +63,15 @@
         }
     }
 
-    /// Runs for a time; in each step every node that runs sees what `requests` gives for it, as keys and tokens.
+    /// Runs the fleet for a duration. In each step, every running node gets the requests that `requests` returns for
+    /// it, as the keys of their prefixes and their numbers of tokens after the prefix.
     pub fn run(&mut self, duration: Duration, mut requests: impl FnMut(usize) -> Vec<(PrefixKey, u32)>) {
         let end = self.now + duration;
         while self.now < end {
             self.now = self.now + STEP;
             self.deliver();
             for index in 0..self.nodes.len() {
-                if self.alive[index] {
+                if self.is_running[index] {
                     let now = self.now;
                     requests(index)
                         .into_iter()
@@ -74,49 +84,55 @@
         }
     }
 
+    /// Sends a contribution to all other nodes on the same side of the network partition.
     fn send(&mut self, origin: usize, contribution: &Contribution) {
         let bytes = contribution.encode();
-        for to in (0..self.nodes.len()).filter(|to| *to != origin) {
-            if self.sides[to] != self.sides[origin] {
+        for receiver in (0..self.nodes.len()).filter(|receiver| *receiver != origin) {
+            if self.sides[receiver] != self.sides[origin] {
                 continue;
             }
             self.sent_bytes += bytes.len() as u64;
-            let wait = if self.network.reorders {
+            let delay = if self.network.reorders {
                 Duration::from_nanos(self.random() % 1_000_000_000)
             } else {
                 Duration::from_nanos(0)
             };
-            self.in_flight.push((self.now + wait, to, bytes.clone()));
+            let deliver_at = self.now + delay;
+            self.in_flight.push((deliver_at, receiver, bytes.clone()));
             if self.network.duplicates {
-                self.in_flight.push((self.now + wait + Duration::from_millis(7_000), to, bytes.clone()));
+                let deliver_again_at = deliver_at + Duration::from_millis(7_000);
+                self.in_flight.push((deliver_again_at, receiver, bytes.clone()));
             }
         }
     }
 
+    /// Delivers the messages that are due. Messages to nodes that are not running are lost.
     fn deliver(&mut self) {
         let now = self.now;
         let due: Vec<_> = self.in_flight.extract_if(.., |(at, _, _)| *at <= now).collect();
-        for (_, to, bytes) in due {
-            if self.alive[to] {
+        for (_, receiver, bytes) in due {
+            if self.is_running[receiver] {
                 let contribution = Contribution::decode(&bytes).expect("a sent contribution is valid");
-                let _: MergeOutcome = self.nodes[to].merge(now, contribution);
+                let _: MergeOutcome = self.nodes[receiver].merge(now, contribution);
             }
         }
     }
 
+    /// The next number of a linear congruential generator.
     fn random(&mut self) -> u64 {
         self.random_state =
             self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         self.random_state >> 16
     }
 
-    pub fn kill(&mut self, index: usize) {
-        self.alive[index] = false;
+    /// Stops a node.
+    pub fn stop(&mut self, index: usize) {
+        self.is_running[index] = false;
     }
 
-    /// A new incarnation, with the snapshot of the one before.
+    /// Starts a new incarnation of a node, with or without a snapshot.
     pub fn restart(&mut self, index: usize, snapshot: Option<&[u8]>) {
-        self.alive[index] = true;
+        self.is_running[index] = true;
         self.incarnations[index] += 1;
         let mut node =
             PopularityEstimator::new(self.settings, identity(index, self.incarnations[index]), self.now);
@@ -127,29 +143,34 @@
         self.nodes[index] = node;
     }
 
-    /// The first `count` nodes and the others exchange no more messages.
+    /// Partitions the network, so that the first `count` nodes and the others no longer exchange messages.
     pub fn partition(&mut self, count: usize) {
         (0..count).for_each(|index| self.sides[index] = 1);
     }
 
-    pub fn heal(&mut self) {
+    /// Ends the partition of the network.
+    pub fn end_partition(&mut self) {
         self.sides.fill(0);
     }
 
+    /// The rate of a prefix at each node, in tokens per second.
     pub fn rates(&self, key: PrefixKey) -> Vec<f64> {
         self.nodes.iter().map(|node| node.tokens_per_s(key)).collect()
     }
 
+    /// The number of homes of a prefix at each node.
     pub fn homes(&self, key: PrefixKey) -> Vec<usize> {
         self.nodes.iter().map(|node| node.homes(key)).collect()
     }
 }
 
+/// The identity under which a node writes its contributions.
 pub fn identity(index: usize, incarnation: u64) -> Contributor {
     Contributor { origin: 1_000 + index as u64, incarnation }
 }
 
+/// Asserts that all values differ from the expected one by at most `tolerance`, as a fraction of it.
 pub fn assert_near(values: &[f64], expected: f64, tolerance: f64) {
-    let off = |value: &&f64| (**value - expected).abs() > expected * tolerance;
-    assert_eq!(values.iter().find(off), None, "expected about {expected}");
+    let is_outside = |value: &&f64| (**value - expected).abs() > expected * tolerance;
+    assert_eq!(values.iter().find(is_outside), None, "a value is not near {expected}");
 }
