--- a/crates/gateway/tests/prefix_sharing.rs
+++ b/crates/gateway/tests/prefix_sharing.rs
@@ -1,5 +1,5 @@
-//! Prefix affinity of nodes that share one estimate of prefix popularity: they send a prefix to the same homes, and to as
-//! many as its rate needs.
+//! Prefix affinity of nodes that share one estimate of prefix popularity: they send a prefix to the same homes, and to
+//! as many as its rate needs.
 
 use grebeusher_gateway::{
     AttemptOutcome, BatchItem, ExecutorDescriptor, ExecutorId, ExecutorState, Gateway, GatewayConfig,
@@ -121,8 +121,8 @@
     }
 }
 
-/// Sends a request at each node `requests_per_s` times per second for ten seconds, and then exchanges the contributions.
-/// Returns the `instance_id`s of the executors that got the requests.
+/// Sends a request at each node `requests_per_s` times per second for ten seconds, and then exchanges the
+/// contributions. Returns the `instance_id`s of the executors that got the requests.
 fn run_ten_seconds(
     tier: &mut Tier,
     from_ms: u64,
--- a/crates/gateway/tests/retries.rs
+++ b/crates/gateway/tests/retries.rs
@@ -55,8 +55,8 @@
     assert_eq!(retry_classes.map(|retry_class| Attempts::new(retry_class, 1).ended(outcome)), expected);
 }
 
-/// The decisions after the second attempt of a stream. The client already has the head of the response, so it cannot get
-/// another status.
+/// The decisions after the second attempt of a stream. The client already has the head of the response, so it cannot
+/// get another status.
 #[rstest]
 #[case(AttemptOutcome::Served, NOTHING)]
 #[case(AttemptOutcome::NeverSent, RESUME)]
