--- a/crates/gateway/src/affinity.rs
+++ b/crates/gateway/src/affinity.rs
@@ -104,7 +104,7 @@
     pub(crate) fn popularity_key(&self, request: &Request<'_>) -> Option<PrefixKey> {
         self.popularity.as_ref()?;
         let service = self.services.get(request.service)?;
-        request.prefix_hash().map(|prefix_hash| PrefixKey::of(service.name_hash, prefix_hash))
+        request.prefix_hash().map(|prefix_hash| PrefixKey::from_hashes(service.name_hash, prefix_hash))
     }
 
     /// The number of tokens of the request's shared prefix that an executor has cached, judged by this node's own
@@ -126,7 +126,7 @@
         ordered: &[Candidate],
         limits: HomeLimits,
     ) -> Option<ExecutorId> {
-        let needed_homes = self.popularity.as_ref().map_or(1, |popularity| popularity.homes(key));
+        let needed_homes = self.popularity.as_ref().map_or(1, |popularity| popularity.home_count(key));
         let home_count = needed_homes.min(ordered.len() / LANE_EXECUTORS_PER_HOME).max(1);
         let is_usable = |c: &Candidate| limits.allow(c);
         let homes: Vec<Candidate> = ordered.iter().copied().take(home_count).filter(is_usable).collect();
--- a/crates/gateway/src/popular_prefixes.rs
+++ b/crates/gateway/src/popular_prefixes.rs
@@ -5,7 +5,7 @@
 use crate::gateway::Gateway;
 use crate::prefix_details::PrefixDetails;
 use crate::request::Request;
-use grebeusher_prefix_popularity::{Contributor, PopularPrefix, PopularityEstimator, Settings};
+use grebeusher_prefix_popularity::{Contributor, EstimatorSettings, PopularPrefix, PopularityEstimator};
 use grebeusher_sizing::rendezvous;
 use grebeusher_time::Instant;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 impl Gateway {
     /// Starts to share the estimate of prefix popularity with the other nodes, if
     /// [`GatewayConfig::share_prefix_popularity`](crate::GatewayConfig::share_prefix_popularity) is set.
-    pub fn share_prefixes(&mut self, now: Instant, own: Contributor, settings: Settings) {
+    pub fn share_prefixes(&mut self, now: Instant, own: Contributor, settings: EstimatorSettings) {
         if self.config.share_prefix_popularity {
             self.popularity = Some(PopularityEstimator::new(settings, own, now));
         }
@@ -70,7 +70,7 @@
     /// an estimate of prefix popularity.
     pub fn popular(&self, limit: usize) -> Vec<PopularPrefixView> {
         let Some(popularity) = &self.popularity else { return Vec::new() };
-        popularity.popular(limit).into_iter().map(|popular| self.popular_view(popular)).collect()
+        popularity.most_popular(limit).into_iter().map(|popular| self.popular_view(popular)).collect()
     }
 
     fn popular_view(&self, popular: PopularPrefix) -> PopularPrefixView {
@@ -81,7 +81,7 @@
             popular,
             service: Some(service.name.clone()),
             tokens: details.tokens,
-            homes: self.home_instances(details, popular.homes),
+            homes: self.home_instances(details, popular.home_count),
         }
     }
 
--- a/crates/gateway/tests/prefix_sharing.rs
+++ b/crates/gateway/tests/prefix_sharing.rs
@@ -6,7 +6,7 @@
     ModelKey, PromptSegments, Request, RetryClass, RoutingDecision, ServiceId, ServiceSettings, TokenCount,
     ZoneKey,
 };
-use grebeusher_prefix_popularity::{Contribution, Contributor, Settings};
+use grebeusher_prefix_popularity::{Contribution, Contributor, EstimatorSettings};
 use grebeusher_time::{Duration, Instant};
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -53,8 +53,8 @@
             service = Some(gateway.set_service("s", settings));
             gateway.set_nodes(nodes as u32);
             let own = Contributor { origin: number as u64 + 1, incarnation: 1 };
-            gateway.share_prefixes(START, own, Settings::default());
-            gateway.popularity_mut().expect("the estimate is shared").set_nodes(nodes);
+            gateway.share_prefixes(START, own, EstimatorSettings::default());
+            gateway.popularity_mut().expect("the estimate is shared").set_node_count(nodes);
             for number in 0..executors {
                 gateway.upsert(&executor_descriptor(&format!("i-{number:02}")));
             }
@@ -288,7 +288,7 @@
     // (there are too few requests for more than one lane)
     let popular = request_with_prefix(tier.service, 7, 90_000);
     run_ten_seconds(&mut tier, 0, 2, &popular);
-    assert!(tier.gateways[0].popular(1)[0].popular.homes > 4);
+    assert!(tier.gateways[0].popular(1)[0].popular.home_count > 4);
     let mut tier_without_sharing = Tier::new(1, 8);
     tier_without_sharing.gateways[0] = Gateway::new(
         GatewayConfig { share_prefix_popularity: false, ..GatewayConfig::default() },
@@ -300,7 +300,7 @@
     tier_without_sharing.gateways[0].share_prefixes(
         START,
         Contributor { origin: 1, incarnation: 1 },
-        Settings::default(),
+        EstimatorSettings::default(),
     );
     assert!(tier_without_sharing.gateways[0].popularity().is_none());
     for number in 0..8 {
--- a/crates/prefix-popularity/src/contribution.rs
+++ b/crates/prefix-popularity/src/contribution.rs
@@ -29,7 +29,7 @@
 
 impl PrefixRate {
     /// Creates the rate of a prefix from a number of tokens per second, which is rounded to the nearest step.
-    pub fn of(key: PrefixKey, tokens_per_s: f64) -> PrefixRate {
+    pub fn new(key: PrefixKey, tokens_per_s: f64) -> PrefixRate {
         // The cast saturates, and converts NaN to 0.
         PrefixRate { key, steps: (tokens_per_s / TOKENS_PER_S_STEP).round() as u16 }
     }
--- a/crates/prefix-popularity/src/error.rs
+++ b/crates/prefix-popularity/src/error.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)), display("{setting} is {value}, expected {expected}"))]
 pub struct SettingsError {
-    /// The name of the field of [`crate::Settings`].
+    /// The name of the field of [`crate::EstimatorSettings`].
     pub setting: &'static str,
     /// The invalid value, in ms if it is a duration.
     pub value: f64,
--- a/crates/prefix-popularity/src/estimator.rs
+++ b/crates/prefix-popularity/src/estimator.rs
@@ -6,7 +6,7 @@
 use crate::homes::HomeTable;
 use crate::key::PrefixKey;
 use crate::peer_contributions::{Decay, PeerContributions};
-use crate::settings::Settings;
+use crate::settings::EstimatorSettings;
 use crate::snapshot;
 use crate::space_saving::SpaceSavingTable;
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -47,7 +47,7 @@
 
 /// The numbers of events since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counters {
+pub struct EstimatorCounters {
     /// Contributions of this node that were sent.
     pub sent: u64,
     /// Contributions of other nodes that were merged.
@@ -77,15 +77,15 @@
     /// The number of tokens per second that requests with the prefix have after it, over all nodes.
     pub tokens_per_s: f64,
     /// The number of executors that are homes of the prefix.
-    pub homes: usize,
+    pub home_count: usize,
 }
 
 /// The estimate of prefix popularity at one node. The documentation of the crate describes it.
 pub struct PopularityEstimator {
-    settings: Settings,
+    settings: EstimatorSettings,
     own: Contributor,
     /// The number of nodes that report to each other, at least 1.
-    nodes: usize,
+    node_count: usize,
     own_counts: SpaceSavingTable,
     peers: PeerContributions,
     /// The rates in tokens per second from the snapshot of an earlier process, at `restored_at`.
@@ -102,19 +102,20 @@
     report_at: Instant,
     /// When the rates and the numbers of homes are due to be computed.
     update_at: Instant,
-    counters: Counters,
+    counters: EstimatorCounters,
 }
 
 impl PopularityEstimator {
-    /// Creates the estimate of a node without any counts. `settings` have to be valid by [`Settings::validate`].
-    pub fn new(settings: Settings, own: Contributor, now: Instant) -> PopularityEstimator {
+    /// Creates the estimate of a node without any counts. `settings` have to be valid by
+    /// [`EstimatorSettings::validate`].
+    pub fn new(settings: EstimatorSettings, own: Contributor, now: Instant) -> PopularityEstimator {
         // The phase differs between nodes, so that nodes that start together report at different times.
         let phase = (own.origin % REPORT_PHASES) as f64 / REPORT_PHASES as f64;
         let first_delay = settings.min_report_interval + settings.min_report_interval.scaled(phase);
         PopularityEstimator {
             settings,
             own,
-            nodes: 1,
+            node_count: 1,
             own_counts: SpaceSavingTable::new(settings.tracked_prefixes, settings.time_constant, now),
             peers: PeerContributions::default(),
             restored: FxHashMap::default(),
@@ -125,13 +126,13 @@
             last_was_empty: true,
             report_at: now + first_delay,
             update_at: now,
-            counters: Counters::default(),
+            counters: EstimatorCounters::default(),
         }
     }
 
     /// Sets the number of nodes that report to each other, including this one.
-    pub fn set_nodes(&mut self, nodes: usize) {
-        self.nodes = nodes.max(1);
+    pub fn set_node_count(&mut self, node_count: usize) {
+        self.node_count = node_count.max(1);
     }
 
     /// Records a request of this node with `tokens` prompt tokens after the prefix.
@@ -178,10 +179,10 @@
     }
 
     /// The interval between two contributions of this node. It is long enough that the contributions of all nodes stay
-    /// within [`Settings::max_bytes_per_s`] on this node's link.
+    /// within [`EstimatorSettings::max_bytes_per_s`] on this node's link.
     pub fn report_interval(&self) -> Duration {
         let contribution_bytes = FRAME_BYTES + HEADER_BYTES + self.settings.reported_prefixes * RATE_BYTES;
-        let bytes_per_interval = contribution_bytes as f64 * self.nodes as f64 * TRANSFERS;
+        let bytes_per_interval = contribution_bytes as f64 * self.node_count as f64 * TRANSFERS;
         let needed = Duration::from_seconds(bytes_per_interval / self.settings.max_bytes_per_s);
         self.settings.min_report_interval.max(needed)
     }
@@ -190,7 +191,7 @@
     fn own_rates(&self, now: Instant) -> Vec<PrefixRate> {
         let highest_rates = self.own_counts.highest_rates(now, self.settings.reported_prefixes);
         let rates =
-            highest_rates.into_iter().map(|tracked| PrefixRate::of(tracked.key, tracked.tokens_per_s));
+            highest_rates.into_iter().map(|tracked| PrefixRate::new(tracked.key, tracked.tokens_per_s));
         let mut rates: Vec<PrefixRate> = rates.filter(|rate| rate.tokens_per_s() > 0.0).collect();
         rates.sort_unstable_by_key(|rate| rate.key);
         rates
@@ -230,7 +231,7 @@
     }
 
     /// The number of executors that are homes of a prefix, at least 1.
-    pub fn homes(&self, key: PrefixKey) -> usize {
+    pub fn home_count(&self, key: PrefixKey) -> usize {
         self.homes.count(key)
     }
 
@@ -240,11 +241,11 @@
     }
 
     /// The `limit` prefixes with the highest demand, beginning with the highest.
-    pub fn popular(&self, limit: usize) -> Vec<PopularPrefix> {
+    pub fn most_popular(&self, limit: usize) -> Vec<PopularPrefix> {
         let view = |(key, rate): (&PrefixKey, &f64)| PopularPrefix {
             key: *key,
             tokens_per_s: *rate,
-            homes: self.homes(*key),
+            home_count: self.home_count(*key),
         };
         let mut popular: Vec<PopularPrefix> = self.rates.iter().map(view).collect();
         popular.sort_unstable_by(|a, b| b.tokens_per_s.total_cmp(&a.tokens_per_s).then(a.key.cmp(&b.key)));
@@ -270,12 +271,12 @@
     }
 
     /// The numbers of events since the start of the process.
-    pub fn counters(&self) -> Counters {
+    pub fn counters(&self) -> EstimatorCounters {
         self.counters
     }
 
     /// The numbers of entries in the tables.
-    pub fn sizes(&self) -> TableSizes {
+    pub fn table_sizes(&self) -> TableSizes {
         TableSizes { tracked_prefixes: self.own_counts.len(), contributors: self.peers.len() }
     }
 }
--- a/crates/prefix-popularity/src/homes.rs
+++ b/crates/prefix-popularity/src/homes.rs
@@ -2,7 +2,7 @@
 //! rises, homes are added at once. When it falls, they are removed slowly.
 
 use crate::key::PrefixKey;
-use crate::settings::Settings;
+use crate::settings::EstimatorSettings;
 use grebeusher_time::Instant;
 use rustc_hash::FxHashMap;
 
@@ -28,7 +28,7 @@
 }
 
 /// The number of homes that a prefix with a rate needs.
-fn needed_homes(tokens_per_s: f64, settings: &Settings) -> usize {
+fn needed_homes(tokens_per_s: f64, settings: &EstimatorSettings) -> usize {
     let additional_homes = tokens_per_s / settings.home_tokens_per_s;
     // The cast to an integer saturates.
     (additional_homes as usize).saturating_add(1).min(settings.max_homes)
@@ -45,13 +45,13 @@
         &mut self,
         now: Instant,
         rates: &FxHashMap<PrefixKey, f64>,
-        settings: &Settings,
+        settings: &EstimatorSettings,
     ) -> HomeChanges {
         HomeChanges { added: self.grow(now, rates, settings), removed: self.shrink(now, rates, settings) }
     }
 
     /// Adds homes to the prefixes that need more. Returns the number of added homes.
-    fn grow(&mut self, now: Instant, rates: &FxHashMap<PrefixKey, f64>, settings: &Settings) -> u64 {
+    fn grow(&mut self, now: Instant, rates: &FxHashMap<PrefixKey, f64>, settings: &EstimatorSettings) -> u64 {
         let mut added = 0;
         for (key, rate) in rates {
             let needed = needed_homes(*rate, settings);
@@ -65,8 +65,13 @@
     }
 
     /// Removes one home from each prefix whose rate is well below the capacity of its other homes, if its number of
-    /// homes has not changed for [`Settings::shrink_delay`]. Returns the number of removed homes.
-    fn shrink(&mut self, now: Instant, rates: &FxHashMap<PrefixKey, f64>, settings: &Settings) -> u64 {
+    /// homes has not changed for [`EstimatorSettings::shrink_delay`]. Returns the number of removed homes.
+    fn shrink(
+        &mut self,
+        now: Instant,
+        rates: &FxHashMap<PrefixKey, f64>,
+        settings: &EstimatorSettings,
+    ) -> u64 {
         let mut removed = 0;
         self.homes.retain(|key, homes| {
             let rate = rates.get(key).copied().unwrap_or(0.0);
--- a/crates/prefix-popularity/src/key.rs
+++ b/crates/prefix-popularity/src/key.rs
@@ -13,7 +13,7 @@
 
 impl PrefixKey {
     /// The key of a prefix, from the hash of its service's name and from its own hash, which includes the model.
-    pub fn of(service_hash: u64, prefix_hash: u64) -> PrefixKey {
+    pub fn from_hashes(service_hash: u64, prefix_hash: u64) -> PrefixKey {
         let mixed = (service_hash.rotate_left(32) ^ prefix_hash).wrapping_mul(MULTIPLIER);
         PrefixKey((mixed >> 32) as u32)
     }
--- a/crates/prefix-popularity/src/lib.rs
+++ b/crates/prefix-popularity/src/lib.rs
@@ -21,12 +21,14 @@
 //! ordered by incarnation and sequence number. The newest contribution of an origin replaces all earlier ones. Merging
 //! is therefore commutative and idempotent, and no request is counted twice when contributions are duplicated,
 //! reordered or sent again after a network partition. A contribution that is not renewed decays. The interval between
-//! two contributions grows with the number of nodes, so that the traffic stays within [`Settings::max_bytes_per_s`].
+//! two contributions grows with the number of nodes, so that the traffic stays within
+//! [`EstimatorSettings::max_bytes_per_s`].
 //!
 //! # Homes
 //!
-//! A prefix has as many homes as its rate needs, with [`Settings::home_tokens_per_s`] for each, and at least one. Homes
-//! are added at once. They are removed one by one, after the rate has been well below their capacity for some time.
+//! A prefix has as many homes as its rate needs, with [`EstimatorSettings::home_tokens_per_s`] for each, and at least
+//! one. Homes are added at once. They are removed one by one, after the rate has been well below their capacity for
+//! some time.
 //!
 //! # Restarts
 //!
@@ -34,20 +36,20 @@
 //! are used only where they exceed the rates that the nodes report.
 //!
 //! ```
-//! use grebeusher_prefix_popularity::{Contributor, PopularityEstimator, PrefixKey, Settings};
+//! use grebeusher_prefix_popularity::{Contributor, PopularityEstimator, PrefixKey, EstimatorSettings};
 //! use grebeusher_time::{Duration, Instant};
 //!
-//! let settings = Settings::default().validate().unwrap();
+//! let settings = EstimatorSettings::default().validate().unwrap();
 //! let own = Contributor { origin: 1, incarnation: 1 };
 //! let mut node = PopularityEstimator::new(settings, own, Instant(0));
-//! let key = PrefixKey::of(7, 42);
+//! let key = PrefixKey::from_hashes(7, 42);
 //! let mut now = Instant(0);
 //! for _ in 0..1000 {
 //!     now = now + Duration::from_millis(20);
 //!     node.record(now, key, 2_000);
 //!     node.tick(now);
 //! }
-//! assert!(node.homes(key) >= 5, "100,000 tokens per second need more than one home");
+//! assert!(node.home_count(key) >= 5, "100,000 tokens per second need more than one home");
 //! ```
 
 #![warn(missing_docs)]
@@ -64,7 +66,9 @@
 
 pub use contribution::{Contribution, MAX_CONTRIBUTION_BYTES, MAX_REPORTED_PREFIXES, PrefixRate};
 pub use error::{DecodeError, SettingsError};
-pub use estimator::{Contributor, Counters, MergeOutcome, PopularPrefix, PopularityEstimator, TableSizes};
+pub use estimator::{
+    Contributor, EstimatorCounters, MergeOutcome, PopularPrefix, PopularityEstimator, TableSizes,
+};
 pub use key::PrefixKey;
-pub use settings::Settings;
+pub use settings::EstimatorSettings;
 pub use snapshot::MAX_SNAPSHOT_BYTES;
--- a/crates/prefix-popularity/src/settings.rs
+++ b/crates/prefix-popularity/src/settings.rs
@@ -7,7 +7,7 @@
 
 /// Parameters of the shared estimate of prefix popularity.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Settings {
+pub struct EstimatorSettings {
     /// The time constant with which rates decay. After a few times this duration, earlier requests no longer count.
     pub time_constant: Duration,
     /// The greatest number of prefixes that one node counts.
@@ -30,9 +30,9 @@
     pub max_homes: usize,
 }
 
-impl Default for Settings {
-    fn default() -> Settings {
-        Settings {
+impl Default for EstimatorSettings {
+    fn default() -> EstimatorSettings {
+        EstimatorSettings {
             time_constant: Duration::from_millis(20_000),
             tracked_prefixes: 256,
             reported_prefixes: 12,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The greatest valid value of [`Settings::tracked_prefixes`]. As many prefixes take about thirty kilobytes.
+/// The greatest valid value of [`EstimatorSettings::tracked_prefixes`]. As many prefixes take about thirty kilobytes.
 const MAX_TRACKED_PREFIXES: usize = 1_024;
 const HOUR_MS: f64 = 3_600_000.0;
 
@@ -58,12 +58,12 @@
     expected: &'static str,
 }
 
-impl Settings {
+impl EstimatorSettings {
     /// Returns the settings if each is in its valid range.
     ///
     /// # Errors
     /// Returns an error with the name of the first setting that is out of its range.
-    pub fn validate(self) -> Result<Settings, SettingsError> {
+    pub fn validate(self) -> Result<EstimatorSettings, SettingsError> {
         for SettingRange { setting, value, range, expected } in self.setting_ranges() {
             // No range contains NaN.
             if !range.contains(&value) {
--- a/crates/prefix-popularity/src/snapshot.rs
+++ b/crates/prefix-popularity/src/snapshot.rs
@@ -24,7 +24,7 @@
 
 /// Encodes the highest of the rates, which are in tokens per second.
 pub(crate) fn encode(rates: &FxHashMap<PrefixKey, f64>) -> Vec<u8> {
-    let mut rates: Vec<PrefixRate> = rates.iter().map(|(key, rate)| PrefixRate::of(*key, *rate)).collect();
+    let mut rates: Vec<PrefixRate> = rates.iter().map(|(key, rate)| PrefixRate::new(*key, *rate)).collect();
     rates.sort_unstable_by(|a, b| b.tokens_per_s().total_cmp(&a.tokens_per_s()).then(a.key.cmp(&b.key)));
     rates.truncate(MAX_PREFIXES);
     rates.sort_unstable_by_key(|rate| rate.key);
--- a/crates/prefix-popularity/tests/fleet/sharing.rs
+++ b/crates/prefix-popularity/tests/fleet/sharing.rs
@@ -2,7 +2,7 @@
 
 use crate::virtual_fleet::{Fleet, Network, assert_near, key};
 use grebeusher_prefix_popularity::{
-    Contribution, MAX_CONTRIBUTION_BYTES, MergeOutcome, PopularityEstimator, Settings,
+    Contribution, EstimatorSettings, MAX_CONTRIBUTION_BYTES, MergeOutcome, PopularityEstimator,
 };
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rstest::rstest;
@@ -21,19 +21,20 @@
 #[case::reordered_messages(Network { duplicates: true, reorders: true })]
 fn each_request_counts_once_at_every_node(#[case] network: Network) {
     // Given twenty nodes that each get requests with the same prefix
-    let mut fleet = Fleet::new(20, Settings::default(), network);
+    let mut fleet = Fleet::new(20, EstimatorSettings::default(), network);
     // When they have reported to each other for a minute
     fleet.run(MINUTE, same_requests);
     // Then all of them estimate the total rate, and almost the same number of homes
     assert_near(&fleet.rates(key(1)), 40_000.0, 0.05);
-    let homes = fleet.homes(key(1));
-    assert!(homes.iter().all(|count| (2..=3).contains(count)), "{homes:?}");
+    let home_counts = fleet.home_counts(key(1));
+    assert!(home_counts.iter().all(|count| (2..=3).contains(count)), "{home_counts:?}");
 }
 
 #[test]
 fn nothing_counts_twice_after_a_network_partition() {
     // Given a fleet that has estimated the rate
-    let mut fleet = Fleet::new(20, Settings::default(), Network { duplicates: true, reorders: true });
+    let mut fleet =
+        Fleet::new(20, EstimatorSettings::default(), Network { duplicates: true, reorders: true });
     fleet.run(MINUTE, same_requests);
     // When it is partitioned for two minutes
     fleet.partition(5);
@@ -50,7 +51,8 @@
 #[test]
 fn a_new_incarnation_replaces_the_old_one() {
     // Given a fleet that has estimated the rate
-    let mut fleet = Fleet::new(10, Settings::default(), Network { duplicates: true, reorders: true });
+    let mut fleet =
+        Fleet::new(10, EstimatorSettings::default(), Network { duplicates: true, reorders: true });
     fleet.run(MINUTE, same_requests);
     // When all nodes are restarted one after the other, without snapshots
     for index in 0..10 {
@@ -68,7 +70,7 @@
 #[test]
 fn the_contribution_of_a_stopped_node_decays() {
     // Given four nodes
-    let mut fleet = Fleet::new(4, Settings::default(), Network::default());
+    let mut fleet = Fleet::new(4, EstimatorSettings::default(), Network::default());
     fleet.run(MINUTE, same_requests);
     // When one stops, and its clients send no more requests
     fleet.stop(3);
@@ -78,13 +80,13 @@
     // And after some minutes they no longer count, and its contribution is no longer stored
     fleet.run(MINUTE.scaled(3.0), same_requests);
     assert_near(&fleet.rates(key(1))[..3], 6_000.0, 0.05);
-    assert_eq!(fleet.nodes[0].sizes().contributors, 2);
+    assert_eq!(fleet.nodes[0].table_sizes().contributors, 2);
 }
 
 #[test]
 fn a_new_node_estimates_the_rates_within_seconds() {
     // Given a fleet as large as those of the large sites
-    let mut fleet = Fleet::new(78, Settings::default(), Network::default());
+    let mut fleet = Fleet::new(78, EstimatorSettings::default(), Network::default());
     fleet.run(MINUTE, same_requests);
     // When a node is restarted without a snapshot
     fleet.restart(7, None);
@@ -96,8 +98,11 @@
 #[test]
 fn old_and_repeated_contributions_are_ignored() {
     // Given a node that stores the second contribution of the second incarnation of another node
-    let mut node =
-        PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
+    let mut node = PopularityEstimator::new(
+        EstimatorSettings::default(),
+        crate::virtual_fleet::identity(0, 1),
+        Instant(0),
+    );
     let contribution =
         |incarnation, sequence| Contribution { origin: 9, incarnation, sequence, rates: Vec::new() };
     assert_eq!(node.merge(Instant(0), contribution(2, 2)), MergeOutcome::Merged);
@@ -114,12 +119,15 @@
 #[test]
 fn a_contribution_of_the_node_itself_is_ignored() {
     // Given a node that receives a contribution with its own origin
-    let mut node =
-        PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
+    let mut node = PopularityEstimator::new(
+        EstimatorSettings::default(),
+        crate::virtual_fleet::identity(0, 1),
+        Instant(0),
+    );
     let own = Contribution { origin: 1_000, incarnation: 7, sequence: 7, rates: Vec::new() };
     // Then it ignores it, even if the incarnation is not its current one
     assert_eq!(node.merge(Instant(0), own), MergeOutcome::Ignored);
-    assert_eq!(node.sizes().contributors, 0);
+    assert_eq!(node.table_sizes().contributors, 0);
 }
 
 #[rstest]
@@ -128,7 +136,7 @@
 #[case(360)]
 fn traffic_stays_within_its_limit(#[case] count: usize) {
     // Given nodes that each count more prefixes than they report
-    let settings = Settings::default();
+    let settings = EstimatorSettings::default();
     let mut fleet = Fleet::new(count, settings, Network::default());
     let requests = |index: usize| (0..30).map(|number| (key(number), 100 + index as u32)).collect();
     fleet.run(Duration::from_millis(30_000), requests);
@@ -151,8 +159,11 @@
 #[test]
 fn a_changed_contribution_is_rejected() {
     // Given a contribution
-    let mut node =
-        PopularityEstimator::new(Settings::default(), crate::virtual_fleet::identity(0, 1), Instant(0));
+    let mut node = PopularityEstimator::new(
+        EstimatorSettings::default(),
+        crate::virtual_fleet::identity(0, 1),
+        Instant(0),
+    );
     (0..40).for_each(|number| node.record(Instant(0), key(number), 1_000));
     let contribution = node.tick(Instant(0) + Duration::from_millis(4_000)).expect("the contribution is due");
     let bytes = contribution.encode();
--- a/crates/prefix-popularity/tests/fleet/virtual_fleet.rs
+++ b/crates/prefix-popularity/tests/fleet/virtual_fleet.rs
@@ -2,7 +2,7 @@
 //! messages and can be partitioned. Random numbers come from a fixed seed.
 
 use grebeusher_prefix_popularity::{
-    Contribution, Contributor, MergeOutcome, PopularityEstimator, PrefixKey, Settings,
+    Contribution, Contributor, EstimatorSettings, MergeOutcome, PopularityEstimator, PrefixKey,
 };
 use grebeusher_time::{Duration, Instant};
 
@@ -28,7 +28,7 @@
     sides: Vec<u8>,
     /// The incarnation of each node.
     incarnations: Vec<u64>,
-    settings: Settings,
+    settings: EstimatorSettings,
     /// The messages that have not been delivered: their time of delivery, the receiving node and their bytes.
     in_flight: Vec<(Instant, usize, Vec<u8>)>,
     /// The state of the random number generator.
@@ -40,15 +40,15 @@
 
 /// The key of a numbered prefix.
 pub fn key(number: u64) -> PrefixKey {
-    PrefixKey::of(1, number.wrapping_mul(0x1234_5678_9abc_def1))
+    PrefixKey::from_hashes(1, number.wrapping_mul(0x1234_5678_9abc_def1))
 }
 
 impl Fleet {
-    pub fn new(count: usize, settings: Settings, network: Network) -> Fleet {
+    pub fn new(count: usize, settings: EstimatorSettings, network: Network) -> Fleet {
         let now = Instant(0);
         let mut nodes: Vec<PopularityEstimator> =
             (0..count).map(|index| PopularityEstimator::new(settings, identity(index, 1), now)).collect();
-        nodes.iter_mut().for_each(|node| node.set_nodes(count));
+        nodes.iter_mut().for_each(|node| node.set_node_count(count));
         Fleet {
             nodes,
             now,
@@ -136,7 +136,7 @@
         self.incarnations[index] += 1;
         let mut node =
             PopularityEstimator::new(self.settings, identity(index, self.incarnations[index]), self.now);
-        node.set_nodes(self.nodes.len());
+        node.set_node_count(self.nodes.len());
         if let Some(snapshot) = snapshot {
             node.restore(self.now, snapshot).expect("the snapshot is valid");
         }
@@ -159,8 +159,8 @@
     }
 
     /// The number of homes of a prefix at each node.
-    pub fn homes(&self, key: PrefixKey) -> Vec<usize> {
-        self.nodes.iter().map(|node| node.homes(key)).collect()
+    pub fn home_counts(&self, key: PrefixKey) -> Vec<usize> {
+        self.nodes.iter().map(|node| node.home_count(key)).collect()
     }
 }
 
--- a/crates/prefix-popularity/tests/stable_bytes.rs
+++ b/crates/prefix-popularity/tests/stable_bytes.rs
@@ -2,8 +2,8 @@
 //! to be decoded, and have to be written again unchanged.
 
 use grebeusher_prefix_popularity::{
-    Contribution, Contributor, MAX_CONTRIBUTION_BYTES, MAX_SNAPSHOT_BYTES, PopularityEstimator, PrefixKey,
-    PrefixRate, Settings,
+    Contribution, Contributor, EstimatorSettings, MAX_CONTRIBUTION_BYTES, MAX_SNAPSHOT_BYTES,
+    PopularityEstimator, PrefixKey, PrefixRate,
 };
 use grebeusher_time::Instant;
 use rstest::rstest;
@@ -23,7 +23,7 @@
 
 fn estimator(origin: u64) -> PopularityEstimator {
     let own = Contributor { origin, incarnation: 0x0000_0190_1122_3344 };
-    PopularityEstimator::new(Settings::default(), own, Instant(0))
+    PopularityEstimator::new(EstimatorSettings::default(), own, Instant(0))
 }
 
 #[rstest]
@@ -37,9 +37,9 @@
         incarnation: 0x0000_0190_1122_3344,
         sequence: 0x0a0b_0c0d,
         rates: vec![
-            PrefixRate::of(PrefixKey(0x0000_0011), 8.0),
-            PrefixRate::of(PrefixKey(0x1122_3344), 20_000.0),
-            PrefixRate::of(PrefixKey(0xffee_ddcc), 1e9),
+            PrefixRate::new(PrefixKey(0x0000_0011), 8.0),
+            PrefixRate::new(PrefixKey(0x1122_3344), 20_000.0),
+            PrefixRate::new(PrefixKey(0xffee_ddcc), 1e9),
         ],
     },
     "080706050403020144332211900100000d0c0b0a030000000000000011000000010044332211c409ccddeeffffff"
@@ -77,9 +77,9 @@
             incarnation: 1,
             sequence: 1,
             rates: vec![
-                PrefixRate::of(PrefixKey(0x0000_0011), 80.0),
-                PrefixRate::of(PrefixKey(0x1122_3344), 20_000.0),
-                PrefixRate::of(PrefixKey(0xffee_ddcc), 4_000.0),
+                PrefixRate::new(PrefixKey(0x0000_0011), 80.0),
+                PrefixRate::new(PrefixKey(0x1122_3344), 20_000.0),
+                PrefixRate::new(PrefixKey(0xffee_ddcc), 4_000.0),
             ],
         },
     );
@@ -106,7 +106,7 @@
 #[case::large_hashes(0x0123_4567_89ab_cdef, 0xfedc_ba98_7654_3210, 0x60d5_0b76)]
 #[case::zero_hashes(0, 0, 0x0000_0000)]
 fn the_key_of_a_prefix_is_unchanged(#[case] service_hash: u64, #[case] prefix_hash: u64, #[case] key: u32) {
-    assert_eq!(PrefixKey::of(service_hash, prefix_hash), PrefixKey(key));
+    assert_eq!(PrefixKey::from_hashes(service_hash, prefix_hash), PrefixKey(key));
 }
 
 #[test]
--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -5,7 +5,7 @@
 
 use crate::requests::routing::Routing;
 use crate::runtime::io::World;
-use grebeusher_prefix_popularity::{Contribution, Contributor, MergeOutcome, Settings};
+use grebeusher_prefix_popularity::{Contribution, Contributor, EstimatorSettings, MergeOutcome};
 use grebeusher_registry::{NodeId, Registry};
 use grebeusher_time::{Duration, Instant};
 use std::fmt::Write;
@@ -58,7 +58,7 @@
         let started = PrefixPopularity::default();
         let member = registry.own_member();
         let own = Contributor { origin: member.id().0, incarnation: member.incarnation };
-        routing.gateway.share_prefixes(now, own, Settings::default());
+        routing.gateway.share_prefixes(now, own, EstimatorSettings::default());
         let Some(popularity) = routing.gateway.popularity_mut() else { return started };
         let Some(bytes) = folder.and_then(|folder| world.read_hint(folder, NAME)) else { return started };
         match popularity.restore(now, &bytes) {
@@ -104,7 +104,7 @@
     /// Writes what is popular to the disk, now and then.
     pub fn save(&mut self, now: Instant, routing: &Routing, world: &dyn World, folder: &Path) {
         let Some(popularity) = routing.gateway.popularity() else { return };
-        if now < self.written + WRITE_INTERVAL || popularity.popular(1).is_empty() {
+        if now < self.written + WRITE_INTERVAL || popularity.most_popular(1).is_empty() {
             return;
         }
         self.written = now;
@@ -133,7 +133,7 @@
     let Some(popularity) = routing.gateway.popularity() else {
         return writeln!(text, "popular prefixes: each node judges alone");
     };
-    let sizes = popularity.sizes();
+    let sizes = popularity.table_sizes();
     let (counted, heard) = (sizes.tracked_prefixes, sizes.contributors);
     let counters = popularity.counters();
     writeln!(
@@ -145,7 +145,7 @@
         let (key, rate) = (view.popular.key.0, view.popular.tokens_per_s);
         let service = view.service.as_deref().unwrap_or("-");
         write!(text, "popular {key:08x} {service} prefix {} tokens, asked {rate:.0} tokens/s", view.tokens)?;
-        writeln!(text, ", homes {} {}", view.popular.homes, view.homes.join(" "))?;
+        writeln!(text, ", homes {} {}", view.popular.home_count, view.homes.join(" "))?;
     }
     Ok(())
 }
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -243,7 +243,7 @@
         self.gateway.set_nodes(connection_shares(registry));
         let nodes = registry.live_members().count();
         if let Some(popularity) = self.gateway.popularity_mut() {
-            popularity.set_nodes(nodes);
+            popularity.set_node_count(nodes);
         }
         gone
     }
