--- a/crates/gateway/src/attempt_accounting.rs
+++ b/crates/gateway/src/attempt_accounting.rs
@@ -55,8 +55,8 @@
     /// Adds the request to the sample of its service, unless it is a retry.
     fn observe_request(&mut self, now: Instant, id: ServiceId, request: &Request<'_>, cached_tokens: u32) {
         let Some(service) = self.services.get_mut(id) else { return };
-        let is_first_attempt = request.excluded.is_empty();
-        if request.tokens.is_some() && is_first_attempt {
+        let is_first_attempt = request.excluded_executors.is_empty();
+        if request.token_count.is_some() && is_first_attempt {
             let shared_tokens = request.shared_tokens();
             let has_affinity = shared_tokens >= self.config.min_prefix_tokens;
             // A request with affinity usually goes to an executor that has its shared prefix cached.
@@ -85,7 +85,7 @@
     }
 
     /// Records that the head of a response was received, with the load that it reports.
-    pub fn response_head(&mut self, now: Instant, token: AttemptToken, load: Option<ServerLoad>) {
+    pub fn response_head_received(&mut self, now: Instant, token: AttemptToken, load: Option<ServerLoad>) {
         let executor = self.attempts.get(token.0).map(|attempt| attempt.executor);
         if let Some((id, load)) = executor.zip(load) {
             self.observe_load(now, id, load);
--- a/crates/gateway/src/batch_capacity.rs
+++ b/crates/gateway/src/batch_capacity.rs
@@ -14,7 +14,11 @@
 impl Gateway {
     /// Chooses an executor that has capacity for the batch item and for the live requests that may arrive meanwhile.
     /// The reserve of free slots for these grows with the deviation between the recent load reports of executors.
-    pub fn choose_for_batch(&mut self, now: Instant, item: &BatchItem<'_>) -> Option<ExecutorId> {
+    pub fn choose_executor_for_batch_item(
+        &mut self,
+        now: Instant,
+        item: &BatchItem<'_>,
+    ) -> Option<ExecutorId> {
         self.refresh_lanes(now, item.service);
         let request = item.as_request();
         let mut candidates = std::mem::take(&mut self.candidate_buffer);
--- a/crates/gateway/src/candidate.rs
+++ b/crates/gateway/src/candidate.rs
@@ -82,7 +82,7 @@
             request_lane: service.cut_offs.lane_of(request.size(service.median_size)),
             max_connections,
             mean_peer_load: service.peer_load.estimate(now).mean,
-            request_tokens: request.tokens.map_or(0.0, |t| f64::from(t.prompt) + f64::from(t.output)),
+            request_tokens: request.token_count.map_or(0.0, |t| f64::from(t.prompt) + f64::from(t.output)),
         }
     }
 
@@ -90,7 +90,7 @@
     pub fn is_eligible(&self, executor: &Executor) -> bool {
         !executor.is_draining()
             && executor.has_model(self.request.model)
-            && !self.request.excluded.contains(&executor.id)
+            && !self.request.excluded_executors.contains(&executor.id)
     }
 
     /// The executor as a candidate for the request.
--- a/crates/gateway/src/executor.rs
+++ b/crates/gateway/src/executor.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ExecutorDescriptor<'a> {
     /// The executor's `instance_id`, which is new with every start of its process.
-    pub instance: &'a str,
+    pub instance_id: &'a str,
     /// The name of the executor's service.
     pub service: &'a str,
     /// The address at which the executor accepts requests.
@@ -54,7 +54,7 @@
 pub(crate) struct Executor {
     pub id: ExecutorId,
     /// The executor's `instance_id`.
-    pub instance: Arc<str>,
+    pub instance_id: Arc<str>,
     /// The hash of the executor's `instance_id`, which is the same on every node.
     pub instance_hash: u64,
     pub service: ServiceId,
@@ -82,8 +82,8 @@
     pub fn new(id: ExecutorId, service: ServiceId, descriptor: &ExecutorDescriptor<'_>) -> Executor {
         Executor {
             id,
-            instance: Arc::from(descriptor.instance),
-            instance_hash: grebeusher_sizing::fixed_hash(descriptor.instance),
+            instance_id: Arc::from(descriptor.instance_id),
+            instance_hash: grebeusher_sizing::fixed_hash(descriptor.instance_id),
             service,
             address: descriptor.address,
             zone: descriptor.zone,
@@ -147,7 +147,7 @@
     }
 
     /// The estimated number of requests that all nodes have at the executor.
-    pub fn outstanding(&self, now: Instant, mean_per_slot: f64) -> f64 {
+    pub fn estimated_requests(&self, now: Instant, mean_per_slot: f64) -> f64 {
         f64::from(self.own_load.attempts) + self.peer_requests(now, mean_per_slot)
     }
 
--- a/crates/gateway/src/executor_table.rs
+++ b/crates/gateway/src/executor_table.rs
@@ -9,7 +9,7 @@
 /// The executors of all services. Each has one key and one `instance_id`.
 pub(crate) struct ExecutorTable {
     executors: SlotMap<Executor>,
-    by_instance: FxHashMap<Arc<str>, ExecutorId>,
+    by_instance_id: FxHashMap<Arc<str>, ExecutorId>,
 }
 
 impl Default for ExecutorTable {
@@ -17,7 +17,7 @@
         ExecutorTable {
             // The registry limits the number of executors, so this table does not need a smaller limit.
             executors: SlotMap::with_limit(u32::MAX as usize),
-            by_instance: FxHashMap::default(),
+            by_instance_id: FxHashMap::default(),
         }
     }
 }
@@ -28,21 +28,21 @@
         let key = self.executors.insert_with(|key| build(ExecutorId(key)));
         let id = ExecutorId(key.expect("the registry holds fewer than u32::MAX executors"));
         if let Some(executor) = self.get(id) {
-            let instance = executor.instance.clone();
-            self.by_instance.insert(instance, id);
+            let instance_id = executor.instance_id.clone();
+            self.by_instance_id.insert(instance_id, id);
         }
         id
     }
 
     pub fn remove(&mut self, id: ExecutorId) -> Option<Executor> {
         let executor = self.executors.remove(id.0)?;
-        self.by_instance.remove(&executor.instance);
+        self.by_instance_id.remove(&executor.instance_id);
         Some(executor)
     }
 
     /// The key of the executor with an `instance_id`.
-    pub fn find(&self, instance: &str) -> Option<ExecutorId> {
-        self.by_instance.get(instance).copied()
+    pub fn find(&self, instance_id: &str) -> Option<ExecutorId> {
+        self.by_instance_id.get(instance_id).copied()
     }
 
     pub fn get(&self, id: ExecutorId) -> Option<&Executor> {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -64,13 +64,13 @@
     }
 
     /// Sets the number of nodes, including this one, among which the connections of an executor are divided.
-    pub fn set_nodes(&mut self, nodes: u32) {
-        self.node_count = nodes.max(1);
+    pub fn set_node_count(&mut self, node_count: u32) {
+        self.node_count = node_count.max(1);
     }
 
     /// Sets the settings of a service. The key of a service name never changes.
-    pub fn set_service(&mut self, name: &str, settings: ServiceSettings) -> ServiceId {
-        let id = self.service(name);
+    pub fn set_service_settings(&mut self, name: &str, settings: ServiceSettings) -> ServiceId {
+        let id = self.service_id(name);
         if let Some(service) = self.services.get_mut(id).filter(|service| service.settings != settings) {
             service.settings = settings;
             for member in &service.members {
@@ -83,18 +83,20 @@
     }
 
     /// The key of a service name. A service that is not in the table yet is added.
-    pub fn service(&mut self, name: &str) -> ServiceId {
+    pub fn service_id(&mut self, name: &str) -> ServiceId {
         self.services.id_of(name, &self.config)
     }
 
     /// Adds an executor, or updates it to its new description. Its key stays the same until it is removed.
-    pub fn upsert(&mut self, descriptor: &ExecutorDescriptor<'_>) -> ExecutorId {
-        let service = self.service(descriptor.service);
-        let Some(id) = self.find(descriptor.instance) else { return self.insert(service, descriptor) };
+    pub fn upsert_executor(&mut self, descriptor: &ExecutorDescriptor<'_>) -> ExecutorId {
+        let service = self.service_id(descriptor.service);
+        let Some(id) = self.find_executor(descriptor.instance_id) else {
+            return self.insert(service, descriptor);
+        };
         let known = self.executors.get_mut(id).filter(|executor| executor.service == service);
         let Some(executor) = known else {
             // The executor now belongs to another service.
-            self.remove(id);
+            self.remove_executor(id);
             return self.insert(service, descriptor);
         };
         if executor.update(descriptor) == LaneEffect::Stale
@@ -117,7 +119,7 @@
     }
 
     /// Removes an executor. Attempts that are open there may still end afterwards, whatever their outcome.
-    pub fn remove(&mut self, id: ExecutorId) {
+    pub fn remove_executor(&mut self, id: ExecutorId) {
         let Some(executor) = self.executors.remove(id) else { return };
         if let Some(service) = self.services.get_mut(executor.service) {
             service.members.retain(|member| *member != id);
@@ -126,12 +128,12 @@
     }
 
     /// The key of the executor with an `instance_id`.
-    pub fn find(&self, instance: &str) -> Option<ExecutorId> {
-        self.executors.find(instance)
+    pub fn find_executor(&self, instance_id: &str) -> Option<ExecutorId> {
+        self.executors.find(instance_id)
     }
 
-    /// Whether a request that was routed to an executor a moment ago may still start there. The caller checks this
-    /// right before it writes the first byte, because the executor may have started to drain while the request waited
+    /// Whether a request that was routed to an executor a moment ago may still start there. It is meant to be checked
+    /// right before the first byte is written, because the executor may have started to drain while the request waited
     /// for a connection.
     pub fn accepts_requests(&self, id: ExecutorId) -> bool {
         self.executors.get(id).is_some_and(|executor| !executor.is_draining())
--- a/crates/gateway/src/ids.rs
+++ b/crates/gateway/src/ids.rs
@@ -23,7 +23,7 @@
 
 impl ModelKey {
     /// The key of the model with a name.
-    pub fn of(name: &str) -> ModelKey {
+    pub fn from_name(name: &str) -> ModelKey {
         ModelKey(fixed_hash(name))
     }
 }
@@ -34,7 +34,7 @@
 
 impl ZoneKey {
     /// The key of the zone with a name.
-    pub fn of(name: &str) -> ZoneKey {
+    pub fn from_name(name: &str) -> ZoneKey {
         ZoneKey(fixed_hash(name))
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -53,32 +53,32 @@
 //! };
 //! use grebeusher_time::{Duration, Instant};
 //!
-//! let mut gateway = Gateway::new(GatewayConfig::default(), ZoneKey::of("vic"), 42);
+//! let mut gateway = Gateway::new(GatewayConfig::default(), ZoneKey::from_name("vic"), 42);
 //! let settings = ServiceSettings { max_connections: 220, kv_capacity_tokens: 400_843 };
-//! let service = gateway.set_service("katalogizator", settings);
-//! gateway.upsert(&ExecutorDescriptor {
-//!     instance: "i-7f3a91c2",
+//! let service = gateway.set_service_settings("katalogizator", settings);
+//! gateway.upsert_executor(&ExecutorDescriptor {
+//!     instance_id: "i-7f3a91c2",
 //!     service: "katalogizator",
 //!     address: "10.128.0.9:8080".parse().unwrap(),
-//!     zone: ZoneKey::of("vic"),
+//!     zone: ZoneKey::from_name("vic"),
 //!     slots: 24,
 //!     state: ExecutorState::Ready,
-//!     models: &[ModelKey::of("m")],
+//!     models: &[ModelKey::from_name("m")],
 //! });
 //! let request = Request {
 //!     retry_class: RetryClass::ResumableStream,
-//!     model: Some(ModelKey::of("m")),
-//!     tokens: TokenCount::parse("715,288").ok(),
+//!     model: Some(ModelKey::from_name("m")),
+//!     token_count: TokenCount::parse("715,288").ok(),
 //!     prompt: PromptSegments::parse("5c1e07a2:103,91bd3f06:69,e4402b7d:543").unwrap(),
 //!     latency_objective: Duration::from_millis(200),
 //!     until_deadline: Duration::from_millis(6000),
-//!     ..Request::to(service)
+//!     ..Request::for_service(service)
 //! };
 //! let now = Instant(1_000_000);
-//! let RoutingDecision::Forward { executor, .. } = gateway.choose(now, &request) else { panic!("a slot is free") };
+//! let RoutingDecision::Forward { executor, .. } = gateway.route(now, &request) else { panic!("a slot is free") };
 //! let attempt = gateway.attempt_started(now, executor, &request).unwrap();
 //! // The node sends the request. Then it receives the head of the response and the first event:
-//! gateway.response_head(now + Duration::from_millis(15), attempt, ServerLoad::parse("3,0,24").ok());
+//! gateway.response_head_received(now + Duration::from_millis(15), attempt, ServerLoad::parse("3,0,24").ok());
 //! gateway.event_received(now + Duration::from_millis(15), attempt);
 //! gateway.attempt_finished(now + Duration::from_millis(600), attempt, AttemptOutcome::Served);
 //! ```
--- a/crates/gateway/src/popular_prefixes.rs
+++ b/crates/gateway/src/popular_prefixes.rs
@@ -27,7 +27,7 @@
 impl Gateway {
     /// Starts to share the estimate of prefix popularity with the other nodes, if
     /// [`GatewayConfig::share_prefix_popularity`](crate::GatewayConfig::share_prefix_popularity) is set.
-    pub fn share_prefixes(&mut self, now: Instant, own: Contributor, settings: EstimatorSettings) {
+    pub fn share_prefix_popularity(&mut self, now: Instant, own: Contributor, settings: EstimatorSettings) {
         if self.config.share_prefix_popularity {
             self.popularity = Some(PopularityEstimator::new(settings, own, now));
         }
@@ -57,7 +57,7 @@
         let (Some(prefix_hash), Some(popularity)) = (request.prefix_hash(), self.popularity.as_mut()) else {
             return;
         };
-        if request.is_batch || !request.excluded.is_empty() {
+        if request.is_batch || !request.excluded_executors.is_empty() {
             return;
         }
         popularity.record(now, key, unshared_tokens);
@@ -68,7 +68,7 @@
 
     /// The `limit` most popular prefixes over all nodes, with their homes. The list is empty if the nodes do not share
     /// an estimate of prefix popularity.
-    pub fn popular(&self, limit: usize) -> Vec<PopularPrefixView> {
+    pub fn popular_prefixes(&self, limit: usize) -> Vec<PopularPrefixView> {
         let Some(popularity) = &self.popularity else { return Vec::new() };
         popularity.most_popular(limit).into_iter().map(|popular| self.popular_view(popular)).collect()
     }
@@ -95,6 +95,6 @@
         ordered.sort_unstable_by_key(|executor| {
             std::cmp::Reverse(rendezvous(details.prefix_hash, executor.instance_hash))
         });
-        ordered.into_iter().take(count).map(|executor| executor.instance.clone()).collect()
+        ordered.into_iter().take(count).map(|executor| executor.instance_id.clone()).collect()
     }
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -18,11 +18,11 @@
     /// The model that the request names.
     pub model: Option<ModelKey>,
     /// The size of the request, if the client states it.
-    pub tokens: Option<TokenCount>,
+    pub token_count: Option<TokenCount>,
     /// The segments of the request's prompt. There are none if the client does not state them.
     pub prompt: PromptSegments,
     /// The executors that must not be chosen, because the request was sent to them before.
-    pub excluded: &'a [ExecutorId],
+    pub excluded_executors: &'a [ExecutorId],
     /// The `target_latency_ms` of the request's route.
     pub latency_objective: Duration,
     /// The time since the client's request arrived.
@@ -39,15 +39,15 @@
 impl Request<'_> {
     /// A non-idempotent request of the highest priority without a stated size, prompt or model, with an objective of
     /// 300 ms and a deadline in 3 s.
-    pub fn to(service: ServiceId) -> Request<'static> {
+    pub fn for_service(service: ServiceId) -> Request<'static> {
         Request {
             service,
             priority: 0,
             retry_class: RetryClass::NonIdempotent,
             model: None,
-            tokens: None,
+            token_count: None,
             prompt: PromptSegments::default(),
-            excluded: &[],
+            excluded_executors: &[],
             latency_objective: Duration::from_millis(300),
             elapsed: Duration::from_nanos(0),
             until_deadline: Duration::from_millis(3000),
@@ -65,20 +65,20 @@
     /// The work of the request, in prompt tokens, for an executor that has cached `cached_tokens` tokens of its prompt.
     /// For a request that does not state its size, it is `median_size`.
     pub(crate) fn work(&self, median_size: f64, cached_tokens: u32) -> f64 {
-        let Some(tokens) = self.tokens else { return median_size };
+        let Some(tokens) = self.token_count else { return median_size };
         let output_work = f64::from(tokens.output) * f64::from(PROMPT_TOKENS_PER_OUTPUT_TOKEN);
         (f64::from(tokens.prompt.saturating_sub(cached_tokens)) + output_work).max(1.0)
     }
 
     /// The number of prompt and output tokens together. It is 0 for a request that does not state its size.
     pub(crate) fn total_tokens(&self) -> u64 {
-        u64::from(self.tokens.map_or(0, |tokens| tokens.prompt.saturating_add(tokens.output)))
+        u64::from(self.token_count.map_or(0, |tokens| tokens.prompt.saturating_add(tokens.output)))
     }
 
     /// The number of prompt tokens after the first `first_tokens` ones. It is 0 for a request that does not state its
     /// size.
     pub(crate) fn prompt_tokens_beyond(&self, first_tokens: u32) -> u32 {
-        self.tokens.map_or(0, |tokens| tokens.prompt.saturating_sub(first_tokens))
+        self.token_count.map_or(0, |tokens| tokens.prompt.saturating_sub(first_tokens))
     }
 
     /// The number of prompt tokens that other requests share.
@@ -105,11 +105,11 @@
     /// The model that the item names.
     pub model: Option<ModelKey>,
     /// The size of the item, if it is known.
-    pub tokens: Option<TokenCount>,
+    pub token_count: Option<TokenCount>,
     /// The segments of the item's prompt.
     pub prompt: PromptSegments,
     /// The executors that must not be chosen, because the item failed there before.
-    pub excluded: &'a [ExecutorId],
+    pub excluded_executors: &'a [ExecutorId],
     /// The urgency of the item, from 0 when it is due much later to 1 when it is due now. At 1 the reserve of slots for
     /// live requests is halved.
     pub urgency: f64,
@@ -121,12 +121,12 @@
         Request {
             retry_class: RetryClass::ResumableStream,
             model: self.model,
-            tokens: self.tokens,
+            token_count: self.token_count,
             prompt: self.prompt,
-            excluded: self.excluded,
+            excluded_executors: self.excluded_executors,
             priority: u8::MAX,
             is_batch: true,
-            ..Request::to(self.service)
+            ..Request::for_service(self.service)
         }
     }
 }
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -107,8 +107,8 @@
 /// use grebeusher_gateway::{AttemptOutcome, Attempts, FinalResponse, RetryClass, RetryDecision};
 ///
 /// let mut attempts = Attempts::new(RetryClass::NonIdempotent, 2);
-/// assert_eq!(attempts.ended(AttemptOutcome::NotExecuted), RetryDecision::Retry);
-/// let decision = attempts.ended(AttemptOutcome::BrokenBeforeHead);
+/// assert_eq!(attempts.record_outcome(AttemptOutcome::NotExecuted), RetryDecision::Retry);
+/// let decision = attempts.record_outcome(AttemptOutcome::BrokenBeforeHead);
 /// assert_eq!(decision, RetryDecision::Finish(FinalResponse::BadGateway));
 /// ```
 #[derive(Clone, Copy, Debug)]
@@ -143,7 +143,7 @@
     }
 
     /// Records the outcome of an attempt, and decides on the next one.
-    pub fn ended(&mut self, outcome: AttemptOutcome) -> RetryDecision {
+    pub fn record_outcome(&mut self, outcome: AttemptOutcome) -> RetryDecision {
         if outcome.proves_not_run() {
             self.not_run += 1;
         } else {
@@ -172,7 +172,7 @@
     }
 
     /// The response that the client gets when no executor can be chosen, or the deadline passes before one is chosen.
-    pub fn without_executor(&self) -> FinalResponse {
+    pub fn response_without_executor(&self) -> FinalResponse {
         match self {
             _ if self.head_sent => FinalResponse::Abort,
             _ if self.may_have_run() => FinalResponse::BadGateway,
@@ -182,7 +182,7 @@
 
     /// The response that the client gets when the deadline passes during an attempt.
     fn timeout_response(&self) -> FinalResponse {
-        match self.without_executor() {
+        match self.response_without_executor() {
             FinalResponse::BadGateway => FinalResponse::GatewayTimeout,
             response => response,
         }
@@ -193,7 +193,7 @@
         let may_run_again = !self.may_have_run() || self.retry_class.may_run_again();
         let is_exhausted = self.possibly_run >= self.max_attempts || self.not_run >= MAX_NOT_RUN;
         if is_exhausted || !may_run_again {
-            return RetryDecision::Finish(self.without_executor());
+            return RetryDecision::Finish(self.response_without_executor());
         }
         match self.retry_class {
             RetryClass::ResumableStream if self.head_sent => RetryDecision::Resume,
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -16,7 +16,7 @@
 
 impl Gateway {
     /// Chooses an executor for the next attempt of a request, or rejects the request.
-    pub fn choose(&mut self, now: Instant, request: &Request<'_>) -> RoutingDecision {
+    pub fn route(&mut self, now: Instant, request: &Request<'_>) -> RoutingDecision {
         self.refresh_lanes(now, request.service);
         let mut candidates = std::mem::take(&mut self.candidate_buffer);
         self.collect_candidates(now, request, &mut candidates);
--- a/crates/gateway/src/views.rs
+++ b/crates/gateway/src/views.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct ExecutorView {
     /// The executor's `instance_id`, for `X-Grebeusher-Target-Instance`.
-    pub instance: Arc<str>,
+    pub instance_id: Arc<str>,
     /// The executor's service.
     pub service: ServiceId,
     /// The address at which the executor accepts requests.
@@ -26,9 +26,9 @@
     /// The number of this node's open attempts at the executor.
     pub open_attempts: u32,
     /// The estimated number of requests that all nodes have at the executor.
-    pub outstanding: f64,
+    pub estimated_requests: f64,
     /// Whether the executor is ejected at the moment, because of faults that this node observed.
-    pub ejected: bool,
+    pub is_ejected: bool,
 }
 
 /// The state of a service in the gateway.
@@ -52,15 +52,15 @@
         let executor = self.executors.get(id)?;
         let mean_peer_load = self.services.get(executor.service)?.peer_load.estimate(now).mean;
         Some(ExecutorView {
-            instance: executor.instance.clone(),
+            instance_id: executor.instance_id.clone(),
             service: executor.service,
             address: executor.address,
             zone: executor.zone,
             state: executor.state,
             lane: executor.lane,
             open_attempts: executor.own_load.attempts,
-            outstanding: executor.outstanding(now, mean_peer_load),
-            ejected: executor.failures.is_ejected(now),
+            estimated_requests: executor.estimated_requests(now, mean_peer_load),
+            is_ejected: executor.failures.is_ejected(now),
         })
     }
 
@@ -69,10 +69,10 @@
         let service = self.services.get(id)?;
         let mean_peer_load = service.peer_load.estimate(now).mean;
         let members = service.members.iter().filter_map(|id| self.executors.get(*id));
-        let mut outstanding = 0.0;
+        let mut estimated_requests = 0.0;
         let mut slots = 0.0;
         for executor in members.filter(|executor| !executor.is_draining()) {
-            outstanding += executor.outstanding(now, mean_peer_load);
+            estimated_requests += executor.estimated_requests(now, mean_peer_load);
             slots += f64::from(executor.slots);
         }
         Some(ServiceView {
@@ -80,18 +80,18 @@
             cut_offs: service.cut_offs.bounds().to_vec(),
             sample_len: service.sample.len(),
             attempt_duration_s: service.timing.attempt_duration_s(),
-            utilisation: if slots > 0.0 { outstanding / slots } else { 0.0 },
+            utilisation: if slots > 0.0 { estimated_requests / slots } else { 0.0 },
         })
     }
 
     /// The numbers of routing decisions since the start of the process.
-    pub fn decisions(&self) -> DecisionCounters {
+    pub fn decision_counters(&self) -> DecisionCounters {
         self.decisions
     }
 
-    /// The number of this node's open attempts at each executor that has any. The node reports these numbers to the
-    /// other nodes.
-    pub fn outstanding(&self) -> impl Iterator<Item = (ExecutorId, u32)> {
+    /// The number of this node's open attempts at each executor that has any. They are meant to be reported to the
+    /// other nodes, whose gateways take the sums over the nodes by [`Gateway::observe_peer_load`].
+    pub fn open_attempts(&self) -> impl Iterator<Item = (ExecutorId, u32)> {
         let executors = self.executors.iter().filter(|executor| executor.own_load.attempts > 0);
         executors.map(|executor| (executor.id, executor.own_load.attempts))
     }
--- a/crates/gateway/tests/model/simulation.rs
+++ b/crates/gateway/tests/model/simulation.rs
@@ -113,10 +113,12 @@
                     max_connections: 220,
                     kv_capacity_tokens: deployment.kv_capacity_tokens,
                 };
-                service = Some(gateway.set_service("katalogizator", settings));
-                gateway.set_nodes(nodes as u32);
+                service = Some(gateway.set_service_settings("katalogizator", settings));
+                gateway.set_node_count(nodes as u32);
                 executor_ids = (0..deployment.executors)
-                    .map(|n| gateway.upsert(&descriptor(seed, n, deployment.slots, ExecutorState::Ready)))
+                    .map(|n| {
+                        gateway.upsert_executor(&descriptor(seed, n, deployment.slots, ExecutorState::Ready))
+                    })
                     .collect();
                 gateway
             })
@@ -259,15 +261,15 @@
         Request {
             retry_class: class.retry_class,
             model: Some(ModelKey(1)),
-            tokens: Some(request.arrival.tokens),
+            token_count: Some(request.arrival.tokens),
             prompt: request.arrival.prompt,
-            excluded: &request.excluded,
+            excluded_executors: &request.excluded,
             latency_objective: Duration::from_millis(class.latency_objective_ms as u64),
             elapsed: Duration::from_nanos((elapsed_ms * 1e6) as u64),
             until_deadline: Duration::from_nanos(((class.deadline_ms - elapsed_ms).max(0.0) * 1e6) as u64),
             may_have_run: request.attempts.may_have_run(),
             is_batch: request.is_batch,
-            ..Request::to(self.service)
+            ..Request::for_service(self.service)
         }
     }
 
@@ -277,7 +279,7 @@
         let chosen = match self.router {
             Router::Gateway(_) => {
                 let request = self.gateway_request(&self.requests[number]);
-                let decision = self.gateways[node].choose(now, &request);
+                let decision = self.gateways[node].route(now, &request);
                 match decision {
                     RoutingDecision::Forward { executor, .. } => {
                         let token = self.gateways[node].attempt_started(now, executor, &request);
@@ -374,7 +376,7 @@
         if request.first_event_ms.is_none() {
             request.first_event_ms = Some(now_ms);
             if let Some(token) = request.token {
-                gateway.response_head(instant, token, Some(load));
+                gateway.response_head_received(instant, token, Some(load));
             }
         } else if now_ms - request.last_event_ms > 250.0 {
             request.stalled = true;
@@ -422,7 +424,7 @@
             self.waiting_items.push_front(arrival);
             return;
         }
-        match request.attempts.ended(outcome) {
+        match request.attempts.record_outcome(outcome) {
             RetryDecision::Retry | RetryDecision::Resume => self.choose(number),
             RetryDecision::Finish(FinalResponse::ServiceUnavailable) => self.reject(number, 100.0),
             RetryDecision::Finish(_) => {
@@ -443,12 +445,12 @@
             let item = BatchItem {
                 service: self.service,
                 model: Some(ModelKey(1)),
-                tokens: Some(arrival.tokens),
+                token_count: Some(arrival.tokens),
                 prompt: arrival.prompt,
-                excluded: &[],
+                excluded_executors: &[],
                 urgency: 0.0,
             };
-            let Some(id) = self.gateways[node].choose_for_batch(now, &item) else { return };
+            let Some(id) = self.gateways[node].choose_executor_for_batch_item(now, &item) else { return };
             self.waiting_items.pop_front();
             let token = self.gateways[node].attempt_started(now, id, &item.as_request());
             let attempts = Attempts::new(RetryClass::ResumableStream, 3);
@@ -506,7 +508,7 @@
         let all: u32 = self.second_class_attempts.values().sum();
         self.report.max_executor_share = f64::from(most) / f64::from(all.max(1));
         for gateway in &self.gateways[..self.deployment.nodes] {
-            let decisions = gateway.decisions();
+            let decisions = gateway.decision_counters();
             let sum = &mut self.report.decisions;
             sum.weighted_pick += decisions.weighted_pick;
             sum.cached_prefix += decisions.cached_prefix;
@@ -548,9 +550,9 @@
 
 /// The description of an executor, whose `instance_id` depends on the seed.
 fn descriptor(seed: u64, number: usize, slots: usize, state: ExecutorState) -> ExecutorDescriptor<'static> {
-    let instance: &'static str = Box::leak(format!("i-{seed:x}-{number}").into_boxed_str());
+    let instance_id: &'static str = Box::leak(format!("i-{seed:x}-{number}").into_boxed_str());
     ExecutorDescriptor {
-        instance,
+        instance_id,
         service: "katalogizator",
         address: ([10, 0, 0, number as u8], 8080).into(),
         zone: ZoneKey(number as u64 % 4),
--- a/crates/gateway/tests/prefix_sharing.rs
+++ b/crates/gateway/tests/prefix_sharing.rs
@@ -22,9 +22,9 @@
     START + Duration::from_millis(ms)
 }
 
-fn executor_descriptor(instance: &str) -> ExecutorDescriptor<'_> {
+fn executor_descriptor(instance_id: &str) -> ExecutorDescriptor<'_> {
     ExecutorDescriptor {
-        instance,
+        instance_id,
         service: "s",
         address: ([10, 0, 0, 1], 80).into(),
         zone: ZoneKey(5),
@@ -50,13 +50,13 @@
                 number as u64,
             );
             let settings = ServiceSettings { max_connections: 10_000, kv_capacity_tokens: 400_000 };
-            service = Some(gateway.set_service("s", settings));
-            gateway.set_nodes(nodes as u32);
+            service = Some(gateway.set_service_settings("s", settings));
+            gateway.set_node_count(nodes as u32);
             let own = Contributor { origin: number as u64 + 1, incarnation: 1 };
-            gateway.share_prefixes(START, own, EstimatorSettings::default());
+            gateway.share_prefix_popularity(START, own, EstimatorSettings::default());
             gateway.popularity_mut().expect("the estimate is shared").set_node_count(nodes);
             for number in 0..executors {
-                gateway.upsert(&executor_descriptor(&format!("i-{number:02}")));
+                gateway.upsert_executor(&executor_descriptor(&format!("i-{number:02}")));
             }
             gateway
         };
@@ -68,11 +68,11 @@
     /// executor.
     fn request_once(&mut self, node: usize, now: Instant, request: &Request<'_>) -> String {
         let gateway = &mut self.gateways[node];
-        let RoutingDecision::Forward { executor, .. } = gateway.choose(now, request) else {
+        let RoutingDecision::Forward { executor, .. } = gateway.route(now, request) else {
             panic!("an executor has capacity")
         };
         let instance =
-            gateway.executor_view(now, executor).expect("the executor exists").instance.to_string();
+            gateway.executor_view(now, executor).expect("the executor exists").instance_id.to_string();
         let token = gateway.attempt_started(now, executor, request).expect("few attempts are open");
         gateway.event_received(now, token);
         gateway.attempt_finished(now, token, AttemptOutcome::Served);
@@ -95,13 +95,13 @@
 
     /// The `instance_id`s of the most popular prefix's homes at a node.
     fn homes(&self, node: usize) -> Vec<String> {
-        let view = self.gateways[node].popular(1).into_iter().next().expect("a prefix is popular");
+        let view = self.gateways[node].popular_prefixes(1).into_iter().next().expect("a prefix is popular");
         view.homes.iter().map(ToString::to_string).collect()
     }
 
     /// The key of an executor at a node.
     fn id(&self, node: usize, instance: &str) -> ExecutorId {
-        self.gateways[node].find(instance).expect("the executor exists")
+        self.gateways[node].find_executor(instance).expect("the executor exists")
     }
 }
 
@@ -114,10 +114,10 @@
     let prompt = PromptSegments::parse(&format!("aa:300,{subject:x}:13000,ffff:{unshared_tokens}")).unwrap();
     Request {
         model: Some(MODELS[0]),
-        tokens: Some(TokenCount { prompt: 13_300 + unshared_tokens, output: 10 }),
+        token_count: Some(TokenCount { prompt: 13_300 + unshared_tokens, output: 10 }),
         retry_class: RetryClass::ResumableStream,
         prompt,
-        ..Request::to(service)
+        ..Request::for_service(service)
     }
 }
 
@@ -170,7 +170,7 @@
     assert!(before.iter().all(|home| homes.contains(home)), "{before:?} {homes:?}");
     assert_eq!(executors, homes.into_iter().collect());
     // And it is shown with its service and tokens
-    let view = &tier.gateways[3].popular(9)[0];
+    let view = &tier.gateways[3].popular_prefixes(9)[0];
     assert_eq!((view.service.as_deref(), view.tokens), (Some("s"), 13_300));
     assert!((60_000.0..80_000.0).contains(&view.popular.tokens_per_s), "{view:?}");
 }
@@ -205,7 +205,7 @@
     // When one of the executors is removed
     let removed = before[0].clone();
     let id = tier.id(0, &removed);
-    tier.gateways[0].remove(id);
+    tier.gateways[0].remove_executor(id);
     let after = route_all(&mut tier, at_ms(60_000));
     // Then only the prefixes that had their home there have another one
     let moved = before.iter().zip(&after).filter(|(before, after)| before != after);
@@ -231,7 +231,7 @@
     let next: BTreeSet<String> = (0..3).map(|node| tier.request_once(node, at_ms(20), &request)).collect();
     assert_eq!(next.len(), 1);
     assert!(!next.contains(&home));
-    assert_eq!(tier.gateways[0].decisions().next_prefix_home, 1);
+    assert_eq!(tier.gateways[0].decision_counters().next_prefix_home, 1);
     // And when the prefill has finished they choose the home again
     for (node, token) in open_attempts {
         tier.gateways[node].event_received(at_ms(300), token);
@@ -250,14 +250,15 @@
     let item = BatchItem {
         service: tier.service,
         model: request.model,
-        tokens: request.tokens,
+        token_count: request.token_count,
         prompt: request.prompt,
-        excluded: &[],
+        excluded_executors: &[],
         urgency: 0.5,
     };
     for tenth_of_second in 0..100 {
         let now = at_ms(tenth_of_second * 100);
-        let id = tier.gateways[0].choose_for_batch(now, &item).expect("an executor has capacity");
+        let id =
+            tier.gateways[0].choose_executor_for_batch_item(now, &item).expect("an executor has capacity");
         let token =
             tier.gateways[0].attempt_started(now, id, &item.as_request()).expect("few attempts are open");
         tier.gateways[0].event_received(now, token);
@@ -265,7 +266,7 @@
     }
     tier.exchange_contributions(at_ms(10_000));
     // Then no prefix is popular, so no prefix of live requests loses its homes
-    assert!(tier.gateways[0].popular(9).is_empty());
+    assert!(tier.gateways[0].popular_prefixes(9).is_empty());
 }
 
 #[test]
@@ -273,10 +274,11 @@
     // Given a request that failed at another executor before
     let mut tier = Tier::new(1, 4);
     let tried_executors = [tier.id(0, "i-00")];
-    let request = Request { excluded: &tried_executors, ..request_with_prefix(tier.service, 7, 1_000) };
+    let request =
+        Request { excluded_executors: &tried_executors, ..request_with_prefix(tier.service, 7, 1_000) };
     tier.request_once(0, at_ms(0), &request);
     tier.exchange_contributions(at_ms(5_000));
-    assert!(tier.gateways[0].popular(9).is_empty());
+    assert!(tier.gateways[0].popular_prefixes(9).is_empty());
 }
 
 #[rstest]
@@ -288,7 +290,7 @@
     // (there are too few requests for more than one lane)
     let popular = request_with_prefix(tier.service, 7, 90_000);
     run_ten_seconds(&mut tier, 0, 2, &popular);
-    assert!(tier.gateways[0].popular(1)[0].popular.home_count > 4);
+    assert!(tier.gateways[0].popular_prefixes(1)[0].popular.home_count > 4);
     let mut tier_without_sharing = Tier::new(1, 8);
     tier_without_sharing.gateways[0] = Gateway::new(
         GatewayConfig { share_prefix_popularity: false, ..GatewayConfig::default() },
@@ -296,15 +298,15 @@
         0,
     );
     let settings = ServiceSettings { max_connections: 10_000, kv_capacity_tokens: 400_000 };
-    tier_without_sharing.service = tier_without_sharing.gateways[0].set_service("s", settings);
-    tier_without_sharing.gateways[0].share_prefixes(
+    tier_without_sharing.service = tier_without_sharing.gateways[0].set_service_settings("s", settings);
+    tier_without_sharing.gateways[0].share_prefix_popularity(
         START,
         Contributor { origin: 1, incarnation: 1 },
         EstimatorSettings::default(),
     );
     assert!(tier_without_sharing.gateways[0].popularity().is_none());
     for number in 0..8 {
-        tier_without_sharing.gateways[0].upsert(&executor_descriptor(&format!("i-{number:02}")));
+        tier_without_sharing.gateways[0].upsert_executor(&executor_descriptor(&format!("i-{number:02}")));
     }
     // When each node routes many requests
     let counts = |tier: &mut Tier| -> Vec<f64> {
@@ -312,7 +314,7 @@
             [] => PromptSegments::default(),
             tokens => PromptSegments::parse(&format!("aa:{},ffff:{}", tokens[0], tokens[1])).unwrap(),
         };
-        let request = Request { prompt, ..Request::to(tier.service) };
+        let request = Request { prompt, ..Request::for_service(tier.service) };
         let mut counts = vec![0.0; 8];
         for _ in 0..8_000 {
             let instance = tier.request_once(0, at_ms(30_000), &request);
--- a/crates/gateway/tests/retries.rs
+++ b/crates/gateway/tests/retries.rs
@@ -34,7 +34,10 @@
     #[case] expected: [RetryDecision; 3],
 ) {
     let retry_classes = [RetryClass::Idempotent, RetryClass::NonIdempotent, RetryClass::ResumableStream];
-    assert_eq!(retry_classes.map(|retry_class| Attempts::new(retry_class, 2).ended(outcome)), expected);
+    assert_eq!(
+        retry_classes.map(|retry_class| Attempts::new(retry_class, 2).record_outcome(outcome)),
+        expected
+    );
 }
 
 /// The same decisions when one attempt is allowed. A request that provably did not run is still tried again.
@@ -52,7 +55,10 @@
 #[case(AttemptOutcome::TimedOut, [TIMEOUT, TIMEOUT, TIMEOUT])]
 fn decisions_after_the_only_attempt(#[case] outcome: AttemptOutcome, #[case] expected: [RetryDecision; 3]) {
     let retry_classes = [RetryClass::Idempotent, RetryClass::NonIdempotent, RetryClass::ResumableStream];
-    assert_eq!(retry_classes.map(|retry_class| Attempts::new(retry_class, 1).ended(outcome)), expected);
+    assert_eq!(
+        retry_classes.map(|retry_class| Attempts::new(retry_class, 1).record_outcome(outcome)),
+        expected
+    );
 }
 
 /// The decisions after the second attempt of a stream. The client already has the head of the response, so it cannot
@@ -70,27 +76,28 @@
 #[case(AttemptOutcome::ClientGone, NOTHING)]
 fn decisions_within_a_resumed_stream(#[case] outcome: AttemptOutcome, #[case] expected: RetryDecision) {
     let mut attempts = Attempts::new(RetryClass::ResumableStream, 3);
-    assert_eq!(attempts.ended(AttemptOutcome::BrokenMidStream), RESUME);
-    assert_eq!(attempts.without_executor(), FinalResponse::Abort);
-    assert_eq!(attempts.ended(outcome), expected);
+    assert_eq!(attempts.record_outcome(AttemptOutcome::BrokenMidStream), RESUME);
+    assert_eq!(attempts.response_without_executor(), FinalResponse::Abort);
+    assert_eq!(attempts.record_outcome(outcome), expected);
 }
 
 #[test]
 fn attempts_that_did_not_run_end_in_service_unavailable() {
     // given a request that every executor rejects
     let mut attempts = Attempts::new(RetryClass::NonIdempotent, 1);
-    let decisions: Vec<RetryDecision> = (0..4).map(|_| attempts.ended(AttemptOutcome::NotExecuted)).collect();
+    let decisions: Vec<RetryDecision> =
+        (0..4).map(|_| attempts.record_outcome(AttemptOutcome::NotExecuted)).collect();
     // then it is tried a few times, and the client gets the status that says that it did not run
     assert_eq!(decisions, [RETRY, RETRY, RETRY, UNAVAILABLE]);
-    assert_eq!(attempts.without_executor(), FinalResponse::ServiceUnavailable);
+    assert_eq!(attempts.response_without_executor(), FinalResponse::ServiceUnavailable);
 }
 
 #[test]
 fn a_rejection_after_a_possible_run_ends_in_bad_gateway() {
     let mut attempts = Attempts::new(RetryClass::Idempotent, 3);
-    assert_eq!(attempts.ended(AttemptOutcome::BrokenBeforeHead), RETRY);
-    assert_eq!(attempts.ended(AttemptOutcome::NotExecuted), RETRY);
-    assert_eq!(attempts.without_executor(), FinalResponse::BadGateway);
+    assert_eq!(attempts.record_outcome(AttemptOutcome::BrokenBeforeHead), RETRY);
+    assert_eq!(attempts.record_outcome(AttemptOutcome::NotExecuted), RETRY);
+    assert_eq!(attempts.response_without_executor(), FinalResponse::BadGateway);
 }
 
 fn outcomes() -> impl Strategy<Value = AttemptOutcome> {
@@ -123,7 +130,7 @@
         for outcome in outcomes {
             possibly_run += u32::from(!outcome.proves_not_run());
             head_sent |= matches!(outcome, AttemptOutcome::BrokenMidBody | AttemptOutcome::BrokenMidStream);
-            match attempts.ended(outcome) {
+            match attempts.record_outcome(outcome) {
                 RetryDecision::Retry | RetryDecision::Resume => {
                     prop_assert!(possibly_run == 0 || retry_class.may_run_again());
                     prop_assert!(possibly_run < max_attempts.max(1));
--- a/crates/gateway/tests/routing/accounting.rs
+++ b/crates/gateway/tests/routing/accounting.rs
@@ -12,19 +12,21 @@
 fn the_key_of_a_removed_executor_finds_nothing() {
     let (mut gateway, service, executor_ids) = gateway_with_executors(2, 7);
     let token = gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 9, 0)).unwrap();
-    gateway.remove(executor_ids[0]);
-    gateway.remove(executor_ids[0]);
+    gateway.remove_executor(executor_ids[0]);
+    gateway.remove_executor(executor_ids[0]);
     // when another executor takes its slot in the table
-    let new = gateway.upsert(&executor_descriptor(5, ExecutorState::Ready));
+    let new = gateway.upsert_executor(&executor_descriptor(5, ExecutorState::Ready));
     // then later observations of the removed executor have no effect
-    gateway.response_head(START, token, Some(ServerLoad { running: 4, waiting: 9, slots: 4 }));
+    gateway.response_head_received(START, token, Some(ServerLoad { running: 4, waiting: 9, slots: 4 }));
     gateway.event_received(START, token);
     gateway.attempt_finished(START, token, AttemptOutcome::BrokenBeforeHead);
     gateway.attempt_finished(START, token, AttemptOutcome::BrokenBeforeHead);
     gateway.observe_load(START, executor_ids[0], ServerLoad { running: 4, waiting: 9, slots: 4 });
-    assert!(gateway.executor_view(START, executor_ids[0]).is_none() && gateway.find("i-a1").is_none());
+    assert!(
+        gateway.executor_view(START, executor_ids[0]).is_none() && gateway.find_executor("i-a1").is_none()
+    );
     let view = gateway.executor_view(START, new).unwrap();
-    assert_eq!((view.open_attempts, view.outstanding, view.ejected), (0, 0.0, false));
+    assert_eq!((view.open_attempts, view.estimated_requests, view.is_ejected), (0, 0.0, false));
     assert!(gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 9, 0)).is_none());
 }
 
@@ -33,7 +35,7 @@
     let (mut gateway, service, executor_ids) = gateway_with_executors(1, 7);
     let first = gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 900, 10)).unwrap();
     let second = gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 900, 10)).unwrap();
-    assert_eq!(gateway.outstanding().collect::<Vec<_>>(), [(executor_ids[0], 2)]);
+    assert_eq!(gateway.open_attempts().collect::<Vec<_>>(), [(executor_ids[0], 2)]);
     gateway.attempt_finished(at_ms(5), first, AttemptOutcome::Served);
     gateway.attempt_finished(at_ms(5), first, AttemptOutcome::Served);
     assert_eq!(gateway.executor_view(at_ms(5), executor_ids[0]).unwrap().open_attempts, 1);
@@ -45,7 +47,7 @@
     assert_eq!(gateway.executor_view(at_ms(5), executor_ids[0]).unwrap().open_attempts, 2);
     gateway.attempt_finished(at_ms(6), third, AttemptOutcome::Served);
     gateway.attempt_finished(at_ms(6), second, AttemptOutcome::ClientGone);
-    assert_eq!(gateway.outstanding().count(), 0);
+    assert_eq!(gateway.open_attempts().count(), 0);
 }
 
 #[test]
@@ -60,7 +62,7 @@
     }
     // then it is full, although its report says otherwise
     assert!(
-        (0..100).all(|_| forwarded_to(gateway.choose(at_ms(1), &request_of_size(service, 9, 0)))
+        (0..100).all(|_| forwarded_to(gateway.route(at_ms(1), &request_of_size(service, 9, 0)))
             == Some(executor_ids[1]))
     );
 }
@@ -72,7 +74,7 @@
         gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 9, 0));
     }
     report_load(&mut gateway, START, executor_ids[0], 3, 1);
-    assert_eq!(gateway.executor_view(START, executor_ids[0]).unwrap().outstanding, 4.0);
+    assert_eq!(gateway.executor_view(START, executor_ids[0]).unwrap().estimated_requests, 4.0);
 }
 
 #[test]
@@ -80,12 +82,12 @@
     let (mut gateway, _, executor_ids) = gateway_with_executors(2, 7);
     (0..200).for_each(|_| report_load(&mut gateway, START, executor_ids[0], 2, 0));
     report_load(&mut gateway, START, executor_ids[1], 4, 2);
-    let outstanding = |ms| gateway.executor_view(at_ms(ms), executor_ids[1]).unwrap().outstanding;
+    let outstanding = |ms| gateway.executor_view(at_ms(ms), executor_ids[1]).unwrap().estimated_requests;
     assert_eq!(outstanding(0), 6.0);
     assert!(outstanding(600) < outstanding(300) && outstanding(300) < outstanding(0));
     // and without further reports, the mean decays to 0
     (0..100).for_each(|_| report_load(&mut gateway, at_ms(2000), executor_ids[0], 2, 0));
-    let outstanding = |ms| gateway.executor_view(at_ms(ms), executor_ids[1]).unwrap().outstanding;
+    let outstanding = |ms| gateway.executor_view(at_ms(ms), executor_ids[1]).unwrap().estimated_requests;
     assert!((1.9..2.1).contains(&outstanding(2000)), "{}", outstanding(2000));
     assert!(outstanding(9000) < 0.1);
 }
@@ -94,11 +96,11 @@
 fn a_peer_report_is_valid_until_a_newer_report() {
     let (mut gateway, _, executor_ids) = gateway_with_executors(1, 7);
     gateway.observe_peer_load(START, executor_ids[0], 3.0);
-    assert_eq!(gateway.executor_view(START, executor_ids[0]).unwrap().outstanding, 3.0);
+    assert_eq!(gateway.executor_view(START, executor_ids[0]).unwrap().estimated_requests, 3.0);
     report_load(&mut gateway, at_ms(10), executor_ids[0], 1, 0);
-    assert_eq!(gateway.executor_view(at_ms(10), executor_ids[0]).unwrap().outstanding, 1.0);
+    assert_eq!(gateway.executor_view(at_ms(10), executor_ids[0]).unwrap().estimated_requests, 1.0);
     gateway.observe_peer_load(at_ms(20), executor_ids[0], f64::NAN);
-    assert_eq!(gateway.executor_view(at_ms(20), executor_ids[0]).unwrap().outstanding, 0.0);
+    assert_eq!(gateway.executor_view(at_ms(20), executor_ids[0]).unwrap().estimated_requests, 0.0);
 }
 
 proptest! {
@@ -114,12 +116,12 @@
         let mut is_draining = [false; 8];
         for (event, number, value, ms) in events {
             now = now + Duration::from_millis(ms);
-            let id = gateway.find(executor_descriptor(number, ExecutorState::Ready).instance);
+            let id = gateway.find_executor(executor_descriptor(number, ExecutorState::Ready).instance_id);
             match event {
-                0 => { gateway.upsert(&executor_descriptor(number, ExecutorState::Ready)); is_draining[number] = false; }
-                1 => { gateway.upsert(&executor_descriptor(number, ExecutorState::Draining)); is_draining[number] = true; }
-                2 => { gateway.upsert(&executor_descriptor(number, ExecutorState::Unresponsive)); is_draining[number] = false; }
-                3 => if let Some(id) = id { gateway.remove(id); is_draining[number] = false; },
+                0 => { gateway.upsert_executor(&executor_descriptor(number, ExecutorState::Ready)); is_draining[number] = false; }
+                1 => { gateway.upsert_executor(&executor_descriptor(number, ExecutorState::Draining)); is_draining[number] = true; }
+                2 => { gateway.upsert_executor(&executor_descriptor(number, ExecutorState::Unresponsive)); is_draining[number] = false; }
+                3 => if let Some(id) = id { gateway.remove_executor(id); is_draining[number] = false; },
                 4 => if let Some(id) = id {
                     gateway.observe_load(now, id, ServerLoad { running: value, waiting: value, slots: value });
                 },
@@ -133,18 +135,18 @@
                 },
                 8 => open_attempts.iter().for_each(|token| gateway.event_received(now, *token)),
                 9 => {
-                    let item = BatchItem { tokens: None, ..batch_item(service, 0.5) };
-                    if let Some(id) = gateway.choose_for_batch(now, &item) {
+                    let item = BatchItem { token_count: None, ..batch_item(service, 0.5) };
+                    if let Some(id) = gateway.choose_executor_for_batch_item(now, &item) {
                         prop_assert!(gateway.executor_view(now, id).unwrap().state == ExecutorState::Ready);
                         open_attempts.extend(gateway.attempt_started(now, id, &item.as_request()));
                     }
                 }
                 _ => {
                     let request = request_with_prefix(service, number, value % 40_000);
-                    if let Some(id) = forwarded_to(gateway.choose(now, &request)) {
+                    if let Some(id) = forwarded_to(gateway.route(now, &request)) {
                         prop_assert!(gateway.accepts_requests(id));
                         let view = gateway.executor_view(now, id).unwrap();
-                        let chosen = (0..8).find(|n| executor_descriptor(*n, ExecutorState::Ready).instance == &*view.instance);
+                        let chosen = (0..8).find(|n| executor_descriptor(*n, ExecutorState::Ready).instance_id == &*view.instance_id);
                         prop_assert!(!is_draining[chosen.unwrap()]);
                         open_attempts.extend(gateway.attempt_started(now, id, &request));
                     }
@@ -152,6 +154,6 @@
             }
         }
         open_attempts.into_iter().for_each(|token| gateway.attempt_finished(now, token, AttemptOutcome::Served));
-        prop_assert_eq!(gateway.outstanding().count(), 0);
+        prop_assert_eq!(gateway.open_attempts().count(), 0);
     }
 }
--- a/crates/gateway/tests/routing/admission.rs
+++ b/crates/gateway/tests/routing/admission.rs
@@ -16,11 +16,11 @@
     let (mut gateway, service, executor_ids) = gateway_with_executors(3, 7);
     report_load_of_all(&mut gateway, START, &executor_ids, 4, 0);
     report_load(&mut gateway, START, executor_ids[1], 3, 0);
-    assert_eq!(forwarded_to(gateway.choose(START, &request_of_size(service, 9, 0))), Some(executor_ids[1]));
+    assert_eq!(forwarded_to(gateway.route(START, &request_of_size(service, 9, 0))), Some(executor_ids[1]));
     // when all slots are occupied, a request queues: a slot becomes free within a fraction of its latency objective
     report_load(&mut gateway, START, executor_ids[1], 4, 0);
-    assert!(forwarded_to(gateway.choose(START, &request_of_size(service, 9, 0))).is_some());
-    assert_eq!(gateway.decisions().queued, 1);
+    assert!(forwarded_to(gateway.route(START, &request_of_size(service, 9, 0))).is_some());
+    assert_eq!(gateway.decision_counters().queued, 1);
 }
 
 #[test]
@@ -35,23 +35,23 @@
     }
     report_load_of_all(&mut gateway, at_ms(400), &executor_ids, 4, 3);
     // then an urgent request may queue for a fraction of its 300 ms, and a less urgent one is rejected
-    assert!(forwarded_to(gateway.choose(at_ms(400), &urgent)).is_some());
-    let RoutingDecision::Reject { retry_after } = gateway.choose(at_ms(400), &less_urgent) else {
+    assert!(forwarded_to(gateway.route(at_ms(400), &urgent)).is_some());
+    let RoutingDecision::Reject { retry_after } = gateway.route(at_ms(400), &less_urgent) else {
         panic!("the less urgent request should be rejected")
     };
     assert!((0.05..=0.2).contains(&retry_after.seconds()), "{retry_after:?}");
     // and with longer queues the urgent request is rejected as well, with a longer delay
     report_load_of_all(&mut gateway, at_ms(400), &executor_ids, 4, 20);
-    let RoutingDecision::Reject { retry_after } = gateway.choose(at_ms(400), &urgent) else {
+    let RoutingDecision::Reject { retry_after } = gateway.route(at_ms(400), &urgent) else {
         panic!("the urgent request should be rejected")
     };
     assert!((0.3..=1.2).contains(&retry_after.seconds()), "{retry_after:?}");
     // while a request that may have run already queues instead
-    assert!(forwarded_to(gateway.choose(at_ms(400), &Request { may_have_run: true, ..urgent })).is_some());
+    assert!(forwarded_to(gateway.route(at_ms(400), &Request { may_have_run: true, ..urgent })).is_some());
     // however long the queues are, and however little time is left for it
     report_load_of_all(&mut gateway, at_ms(400), &executor_ids, 4, 500);
     let may_have_run = Request { may_have_run: true, until_deadline: Duration::from_millis(100), ..urgent };
-    assert!(forwarded_to(gateway.choose(at_ms(400), &may_have_run)).is_some());
+    assert!(forwarded_to(gateway.route(at_ms(400), &may_have_run)).is_some());
 }
 
 #[rstest]
@@ -65,10 +65,10 @@
     }
     // when the tokens of a request do not fit anywhere by this estimate, it is sent to an executor all the same
     assert!(
-        forwarded_to(gateway.choose(START, &request_with_prefix(service, 1, shared_tokens.max(2_000))))
+        forwarded_to(gateway.route(START, &request_with_prefix(service, 1, shared_tokens.max(2_000))))
             .is_some()
     );
-    assert!(forwarded_to(gateway.choose(START, &request_with_prefix(service, 1, shared_tokens))).is_some());
+    assert!(forwarded_to(gateway.route(START, &request_with_prefix(service, 1, shared_tokens))).is_some());
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let (mut gateway, service, executor_ids) = gateway_with_executors(2, 7);
     gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 95_000, 1_000));
     assert!(
-        (0..50).all(|_| forwarded_to(gateway.choose(START, &request_of_size(service, 9_000, 0)))
+        (0..50).all(|_| forwarded_to(gateway.route(START, &request_of_size(service, 9_000, 0)))
             == Some(executor_ids[1]))
     );
 }
@@ -85,14 +85,15 @@
 fn connections_of_the_service_are_divided_among_the_nodes() {
     let (mut gateway, service, executor_ids) = gateway_with_executors(2, 7);
     let settings = ServiceSettings { max_connections: 100, kv_capacity_tokens: 0 };
-    gateway.set_service("s", settings);
-    gateway.upsert(&ExecutorDescriptor { slots: 50, ..executor_descriptor(0, ExecutorState::Ready) });
-    gateway.set_nodes(25);
+    gateway.set_service_settings("s", settings);
+    gateway
+        .upsert_executor(&ExecutorDescriptor { slots: 50, ..executor_descriptor(0, ExecutorState::Ready) });
+    gateway.set_node_count(25);
     for _ in 0..4 {
         gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 9, 0));
     }
     assert!((0..50).all(
-        |_| forwarded_to(gateway.choose(START, &request_of_size(service, 9, 0))) == Some(executor_ids[1])
+        |_| forwarded_to(gateway.route(START, &request_of_size(service, 9, 0))) == Some(executor_ids[1])
     ));
 }
 
@@ -111,7 +112,7 @@
     report_load(&mut gateway, at_ms(300), executor_ids[0], 4, 30);
     executor_ids[1..].iter().for_each(|id| report_load(&mut gateway, at_ms(300), *id, 4, 0));
     assert!(matches!(
-        gateway.choose(at_ms(301), &request_of_size(service, 9, 0)),
+        gateway.route(at_ms(301), &request_of_size(service, 9, 0)),
         RoutingDecision::Reject { .. }
     ));
 }
--- a/crates/gateway/tests/routing/ejection.rs
+++ b/crates/gateway/tests/routing/ejection.rs
@@ -9,7 +9,7 @@
     let (mut gateway, service, executor_ids) = gateway_with_executors(3, 7);
     let gets_requests = |gateway: &mut Gateway, now| {
         (0..100).any(|_| {
-            forwarded_to(gateway.choose(now, &request_of_size(service, 9, 0))) == Some(executor_ids[1])
+            forwarded_to(gateway.route(now, &request_of_size(service, 9, 0))) == Some(executor_ids[1])
         })
     };
     let token = gateway.attempt_started(START, executor_ids[1], &request_of_size(service, 9, 0)).unwrap();
@@ -32,7 +32,7 @@
 fn repeated_ejections_are_bounded() {
     // given an executor that failed after each ejection
     let (mut gateway, _, executor_ids) = gateway_with_executors(3, 7);
-    let is_ejected = |gateway: &Gateway, now| gateway.executor_view(now, executor_ids[1]).unwrap().ejected;
+    let is_ejected = |gateway: &Gateway, now| gateway.executor_view(now, executor_ids[1]).unwrap().is_ejected;
     let mut now = START;
     for _ in 0..5 {
         gateway.record_fault(now, executor_ids[1], ExecutorFault::ConnectFailed);
@@ -53,9 +53,9 @@
     for id in &executor_ids {
         (0..50).for_each(|_| gateway.record_fault(START, *id, ExecutorFault::ConnectFailed));
     }
-    assert!(forwarded_to(gateway.choose(at_ms(1), &request_of_size(service, 9, 0))).is_some());
+    assert!(forwarded_to(gateway.route(at_ms(1), &request_of_size(service, 9, 0))).is_some());
     // and the ejections end, however many faults there were
-    assert!(executor_ids.iter().all(|id| !gateway.executor_view(at_ms(4000), *id).unwrap().ejected));
+    assert!(executor_ids.iter().all(|id| !gateway.executor_view(at_ms(4000), *id).unwrap().is_ejected));
 }
 
 #[test]
@@ -67,9 +67,9 @@
         let token = gateway.attempt_started(START, executor_ids[1], &request_of_size(service, 9, 0)).unwrap();
         gateway.attempt_finished(START, token, outcome);
     }
-    assert!(!gateway.executor_view(START, executor_ids[1]).unwrap().ejected);
+    assert!(!gateway.executor_view(START, executor_ids[1]).unwrap().is_ejected);
     gateway.record_fault(START, executor_ids[1], ExecutorFault::ConnectionBroken);
-    assert!(gateway.executor_view(START, executor_ids[1]).unwrap().ejected);
+    assert!(gateway.executor_view(START, executor_ids[1]).unwrap().is_ejected);
 }
 
 #[test]
@@ -78,10 +78,12 @@
     let token = gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 9, 0)).unwrap();
     gateway.attempt_finished(START, token, AttemptOutcome::NotExecuted);
     assert!(
-        (0..50).all(|_| forwarded_to(gateway.choose(at_ms(50), &request_of_size(service, 9, 0)))
+        (0..50).all(|_| forwarded_to(gateway.route(at_ms(50), &request_of_size(service, 9, 0)))
             == Some(executor_ids[1]))
     );
-    assert!(!gateway.executor_view(at_ms(50), executor_ids[0]).unwrap().ejected);
-    assert!((0..50).any(|_| forwarded_to(gateway.choose(at_ms(130), &request_of_size(service, 9, 0)))
-        == Some(executor_ids[0])));
+    assert!(!gateway.executor_view(at_ms(50), executor_ids[0]).unwrap().is_ejected);
+    assert!(
+        (0..50).any(|_| forwarded_to(gateway.route(at_ms(130), &request_of_size(service, 9, 0)))
+            == Some(executor_ids[0]))
+    );
 }
--- a/crates/gateway/tests/routing/fixture.rs
+++ b/crates/gateway/tests/routing/fixture.rs
@@ -22,7 +22,7 @@
 pub fn executor_descriptor(number: usize, state: ExecutorState) -> ExecutorDescriptor<'static> {
     const INSTANCES: [&str; 8] = ["i-a1", "i-b2", "i-c3", "i-d4", "i-e5", "i-f6", "i-a7", "i-b8"];
     ExecutorDescriptor {
-        instance: INSTANCES[number],
+        instance_id: INSTANCES[number],
         service: "s",
         address: ([10, 0, 0, number as u8], 80).into(),
         zone: ZoneKey(number as u64),
@@ -36,9 +36,9 @@
 pub fn gateway_with_executors(count: usize, seed: u64) -> (Gateway, ServiceId, Vec<ExecutorId>) {
     let mut gateway = Gateway::new(GatewayConfig::default(), ZoneKey(99), seed);
     let settings = ServiceSettings { max_connections: 100, kv_capacity_tokens: 100_000 };
-    let service = gateway.set_service("s", settings);
+    let service = gateway.set_service_settings("s", settings);
     let executor_ids =
-        (0..count).map(|n| gateway.upsert(&executor_descriptor(n, ExecutorState::Ready))).collect();
+        (0..count).map(|n| gateway.upsert_executor(&executor_descriptor(n, ExecutorState::Ready))).collect();
     (gateway, service, executor_ids)
 }
 
@@ -46,9 +46,9 @@
 pub fn request_of_size(service: ServiceId, prompt: u32, output: u32) -> Request<'static> {
     Request {
         model: Some(MODELS[0]),
-        tokens: Some(TokenCount { prompt, output }),
+        token_count: Some(TokenCount { prompt, output }),
         retry_class: RetryClass::NonIdempotent,
-        ..Request::to(service)
+        ..Request::for_service(service)
     }
 }
 
@@ -94,9 +94,9 @@
     BatchItem {
         service,
         model: Some(MODELS[0]),
-        tokens: Some(TokenCount { prompt: 700, output: 300 }),
+        token_count: Some(TokenCount { prompt: 700, output: 300 }),
         prompt: PromptSegments::default(),
-        excluded: &[],
+        excluded_executors: &[],
         urgency,
     }
 }
--- a/crates/gateway/tests/routing/liveness.rs
+++ b/crates/gateway/tests/routing/liveness.rs
@@ -27,10 +27,10 @@
 #[test]
 fn an_unresponsive_executor_is_ejected() {
     let (gateway, executor_ids) = one_becomes_unresponsive(600);
-    assert!(executor_ids.iter().all(|id| !gateway.executor_view(at_ms(600), *id).unwrap().ejected));
+    assert!(executor_ids.iter().all(|id| !gateway.executor_view(at_ms(600), *id).unwrap().is_ejected));
     let (gateway, executor_ids) = one_becomes_unresponsive(1000);
     let ejected: Vec<bool> =
-        executor_ids.iter().map(|id| gateway.executor_view(at_ms(1000), *id).unwrap().ejected).collect();
+        executor_ids.iter().map(|id| gateway.executor_view(at_ms(1000), *id).unwrap().is_ejected).collect();
     assert_eq!(ejected, [false, true]);
 }
 
@@ -41,10 +41,10 @@
     gateway.detect_unresponsive(at_ms(10_000));
     // then it first has time to read what was received meanwhile
     (1..=5).for_each(|n| gateway.detect_unresponsive(at_ms(10_000 + n * 100)));
-    assert!(executor_ids.iter().all(|id| !gateway.executor_view(at_ms(10_500), *id).unwrap().ejected));
+    assert!(executor_ids.iter().all(|id| !gateway.executor_view(at_ms(10_500), *id).unwrap().is_ejected));
     // and executors that remain unresponsive are ejected
     (6..=8).for_each(|n| gateway.detect_unresponsive(at_ms(10_000 + n * 100)));
-    assert!(executor_ids.iter().all(|id| gateway.executor_view(at_ms(10_800), *id).unwrap().ejected));
+    assert!(executor_ids.iter().all(|id| gateway.executor_view(at_ms(10_800), *id).unwrap().is_ejected));
 }
 
 #[test]
@@ -53,10 +53,10 @@
     let token = gateway.attempt_started(START, executor_ids[0], &request_of_size(service, 9, 0)).unwrap();
     gateway.attempt_finished(at_ms(50), token, AttemptOutcome::Served);
     (1..100).for_each(|n| gateway.detect_unresponsive(at_ms(n * 100)));
-    assert!(!gateway.executor_view(at_ms(9_900), executor_ids[0]).unwrap().ejected);
+    assert!(!gateway.executor_view(at_ms(9_900), executor_ids[0]).unwrap().is_ejected);
     // and it is not unresponsive right after it gets a request again
     gateway.attempt_started(at_ms(9_900), executor_ids[0], &request_of_size(service, 9, 0));
     gateway.detect_unresponsive(at_ms(9_950));
     gateway.detect_unresponsive(at_ms(10_000));
-    assert!(!gateway.executor_view(at_ms(10_000), executor_ids[0]).unwrap().ejected);
+    assert!(!gateway.executor_view(at_ms(10_000), executor_ids[0]).unwrap().is_ejected);
 }
--- a/crates/gateway/tests/routing/weighted_pick.rs
+++ b/crates/gateway/tests/routing/weighted_pick.rs
@@ -16,7 +16,7 @@
     let mut counts: BTreeMap<ExecutorId, f64> = BTreeMap::new();
     for _ in 0..6000 {
         *counts
-            .entry(forwarded_to(gateway.choose(START, &request_of_size(service, 9, 0))).unwrap())
+            .entry(forwarded_to(gateway.route(START, &request_of_size(service, 9, 0))).unwrap())
             .or_default() += 1.0;
     }
     // then they are picked in the proportion of 1 to 0.5 to 0.25
@@ -28,10 +28,12 @@
 #[test]
 fn an_executor_of_the_own_zone_has_double_weight() {
     let (mut gateway, service, executor_ids) = gateway_with_executors(1, 7);
-    let own = gateway
-        .upsert(&ExecutorDescriptor { zone: ZoneKey(99), ..executor_descriptor(1, ExecutorState::Ready) });
+    let own = gateway.upsert_executor(&ExecutorDescriptor {
+        zone: ZoneKey(99),
+        ..executor_descriptor(1, ExecutorState::Ready)
+    });
     let to_own_zone = (0..3000)
-        .filter(|_| forwarded_to(gateway.choose(START, &request_of_size(service, 9, 0))) == Some(own))
+        .filter(|_| forwarded_to(gateway.route(START, &request_of_size(service, 9, 0))) == Some(own))
         .count();
     assert!((1900..2100).contains(&to_own_zone), "{to_own_zone}");
     assert_ne!(own, executor_ids[0]);
@@ -53,7 +55,7 @@
     }
     let to_slow_executor = (0..1000)
         .filter(|_| {
-            forwarded_to(gateway.choose(at_ms(800), &request_of_size(service, 9, 0))) == Some(executor_ids[1])
+            forwarded_to(gateway.route(at_ms(800), &request_of_size(service, 9, 0))) == Some(executor_ids[1])
         })
         .count();
     assert!(to_slow_executor < 400, "{to_slow_executor}");
@@ -78,7 +80,7 @@
     executor_ids.iter().for_each(|id| report_load(&mut gateway, at_ms(9_000), *id, 0, 0));
     let to_fast_executor = (0..1000)
         .filter(|_| {
-            forwarded_to(gateway.choose(at_ms(9_000), &request_of_size(service, 9, 0)))
+            forwarded_to(gateway.route(at_ms(9_000), &request_of_size(service, 9, 0)))
                 == Some(executor_ids[0])
         })
         .count();
--- a/crates/gateway/tests/simulation.rs
+++ b/crates/gateway/tests/simulation.rs
@@ -337,11 +337,11 @@
 fn print_duration_of_a_decision_among_a_hundred_executors() {
     let mut gateway = Gateway::new(GatewayConfig::default(), ZoneKey(1), 1);
     let settings = ServiceSettings { max_connections: 0, kv_capacity_tokens: 400_000 };
-    let service = gateway.set_service("s", settings);
+    let service = gateway.set_service_settings("s", settings);
     let ids: Vec<_> = (0..100)
         .map(|n: usize| {
-            gateway.upsert(&ExecutorDescriptor {
-                instance: &format!("i-{n}"),
+            gateway.upsert_executor(&ExecutorDescriptor {
+                instance_id: &format!("i-{n}"),
                 service: "s",
                 address: ([10, 0, 0, n as u8], 80).into(),
                 zone: ZoneKey(n as u64 % 4),
@@ -355,15 +355,15 @@
     for (prefix, name) in [("1:170,2:540", "short prefix"), ("1:13000,2:3700", "long prefix")] {
         let request = Request {
             model: Some(ModelKey(1)),
-            tokens: TokenCount::parse("1000,300").ok(),
+            token_count: TokenCount::parse("1000,300").ok(),
             prompt: PromptSegments::parse(prefix).unwrap(),
-            ..Request::to(service)
+            ..Request::for_service(service)
         };
         let mut total_duration = std::time::Duration::ZERO;
         for n in 0..20_000_u64 {
             let now = Instant(1_000_000_000 + n * 1_000_000);
             let started_at = std::time::Instant::now();
-            let decision = gateway.choose(now, &request);
+            let decision = gateway.route(now, &request);
             if let RoutingDecision::Forward { executor, .. } = decision {
                 open_attempts.extend(gateway.attempt_started(now, executor, &request));
             }
--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -264,7 +264,7 @@
         active.not_executed = headers.get(names::NOT_EXECUTED).is_some();
         active.stamped = headers.get(names::SERVER_SEAL).is_some();
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
-        self.requests.routing.gateway.response_head(now, active.flight, load);
+        self.requests.routing.gateway.response_head_received(now, active.flight, load);
     }
 
     fn item_data(&mut self, key: u64, bytes: &[u8]) {
--- a/crates/tier/src/requests/exchange/mod.rs
+++ b/crates/tier/src/requests/exchange/mod.rs
@@ -111,7 +111,7 @@
         let question = exchange.question();
         let request = self.routing.request(now, &question);
         let Some(flight) = self.routing.gateway.attempt_started(now, candidate.executor, &request) else {
-            return Some(exchange.attempts.ended(AttemptOutcome::NeverSent));
+            return Some(exchange.attempts.record_outcome(AttemptOutcome::NeverSent));
         };
         exchange.tried.push(candidate.executor);
         exchange.begun += 1;
@@ -127,7 +127,7 @@
             Err(failure) => {
                 let outcome = outcome_of(failure, false, false);
                 self.routing.gateway.attempt_finished(now, flight, outcome);
-                Some(self.exchanges[index].attempts.ended(outcome))
+                Some(self.exchanges[index].attempts.record_outcome(outcome))
             }
         }
     }
@@ -179,7 +179,7 @@
         attempt.head_seen = true;
         attempt.last_activity = now;
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
-        self.routing.gateway.response_head(now, attempt.flight, load);
+        self.routing.gateway.response_head_received(now, attempt.flight, load);
         if status == 421 {
             attempt.refusal = Some(AttemptOutcome::Misdirected);
             return;
@@ -272,7 +272,7 @@
         buffered: Option<BufferedAnswer>,
     ) {
         let exchange = &mut self.exchanges[index];
-        match exchange.attempts.ended(outcome) {
+        match exchange.attempts.record_outcome(outcome) {
             RetryDecision::Finish(answer) => self.finish(context, index, answer, buffered),
             RetryDecision::Retry | RetryDecision::Resume => self.next_attempt(context, index),
         }
@@ -314,12 +314,12 @@
         let exchange = &mut self.exchanges[index];
         let answer = match exchange.attempt.take() {
             Some(attempt) => {
-                let next = exchange.attempts.ended(AttemptOutcome::TimedOut);
+                let next = exchange.attempts.record_outcome(AttemptOutcome::TimedOut);
                 self.routing.gateway.attempt_finished(now, attempt.flight, AttemptOutcome::TimedOut);
                 self.abort_call(context, attempt.connection);
                 if let RetryDecision::Finish(answer) = next { answer } else { FinalResponse::GatewayTimeout }
             }
-            None => exchange.attempts.without_executor(),
+            None => exchange.attempts.response_without_executor(),
         };
         self.finish(context, index, answer, None);
     }
--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -58,7 +58,7 @@
         let started = PrefixPopularity::default();
         let member = registry.own_member();
         let own = Contributor { origin: member.id().0, incarnation: member.incarnation };
-        routing.gateway.share_prefixes(now, own, EstimatorSettings::default());
+        routing.gateway.share_prefix_popularity(now, own, EstimatorSettings::default());
         let Some(popularity) = routing.gateway.popularity_mut() else { return started };
         let Some(bytes) = folder.and_then(|folder| world.read_hint(folder, NAME)) else { return started };
         match popularity.restore(now, &bytes) {
@@ -116,7 +116,7 @@
 
 /// Why requests went where they did, and what is popular where, a line each.
 pub(crate) fn write_choices(routing: &Routing, text: &mut String) -> std::fmt::Result {
-    let chosen = routing.gateway.decisions();
+    let chosen = routing.gateway.decision_counters();
     writeln!(
         text,
         "chosen by pick {} home {} next home {} kept {} out of lane {} queued {} in doubt {} refused {} nobody {}",
@@ -141,7 +141,7 @@
         "popular prefixes: counted {counted} nodes heard {heard} told {} merged {} known {} homes added {} removed {}",
         counters.sent, counters.merged, counters.ignored, counters.homes_added, counters.homes_removed,
     )?;
-    for view in routing.gateway.popular(SHOWN) {
+    for view in routing.gateway.popular_prefixes(SHOWN) {
         let (key, rate) = (view.popular.key.0, view.popular.tokens_per_s);
         let service = view.service.as_deref().unwrap_or("-");
         write!(text, "popular {key:08x} {service} prefix {} tokens, asked {rate:.0} tokens/s", view.tokens)?;
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -65,7 +65,7 @@
     /// Reads the hints; what can't be read is as if it were not there.
     pub fn of(headers: &Headers) -> Hints {
         Hints {
-            model: headers.get(names::MODEL_NAME).map(ModelKey::of),
+            model: headers.get(names::MODEL_NAME).map(ModelKey::from_name),
             tokens: headers.get(names::TOKEN_COUNT).and_then(|text| TokenCount::parse(text).ok()),
             prompt: headers
                 .get(names::PROMPT_PREFIX)
@@ -81,7 +81,7 @@
             found.map(|header| header.value.as_str())
         };
         Hints {
-            model: value(names::MODEL_NAME).map(ModelKey::of),
+            model: value(names::MODEL_NAME).map(ModelKey::from_name),
             tokens: value(names::TOKEN_COUNT).and_then(|text| TokenCount::parse(text).ok()),
             prompt: value(names::PROMPT_PREFIX)
                 .and_then(|text| PromptSegments::parse(text).ok())
@@ -127,7 +127,11 @@
     /// No executors yet.
     pub fn new(zone: &str, seed: u64) -> Routing {
         Routing {
-            gateway: Gateway::new(grebeusher_gateway::GatewayConfig::default(), ZoneKey::of(zone), seed),
+            gateway: Gateway::new(
+                grebeusher_gateway::GatewayConfig::default(),
+                ZoneKey::from_name(zone),
+                seed,
+            ),
             known: FxHashMap::default(),
             generation: 0,
             versions: (0, false),
@@ -139,7 +143,7 @@
     /// Which executor a request goes to.
     pub fn choose(&mut self, now: Instant, question: &Question<'_>) -> RouteChoice {
         let request = self.request(now, question);
-        match self.gateway.choose(now, &request) {
+        match self.gateway.route(now, &request) {
             RoutingDecision::Forward { executor, address } => match self.candidate(now, executor, address) {
                 Some(candidate) => RouteChoice::Send(candidate),
                 None => RouteChoice::Refuse { retry_after: Duration::from_millis(100) },
@@ -155,40 +159,40 @@
 
     /// The request as the gateway takes it.
     pub fn request<'a>(&mut self, now: Instant, question: &'a Question<'_>) -> Request<'a> {
-        let service = self.gateway.service(question.service);
+        let service = self.gateway.service_id(question.service);
         Request {
             priority: u8::try_from(question.route.priority_level).unwrap_or(u8::MAX),
             retry_class: question.retry_class,
             model: question.hints.model,
-            tokens: question.hints.tokens,
+            token_count: question.hints.tokens,
             prompt: question.hints.prompt,
-            excluded: question.tried,
+            excluded_executors: question.tried,
             latency_objective: Duration::from_millis(question.route.target_latency_ms),
             elapsed: now.since(question.accepted),
             until_deadline: question.deadline.since(now),
             may_have_run: question.may_have_run,
-            ..Request::to(service)
+            ..Request::for_service(service)
         }
     }
 
     fn candidate(&self, now: Instant, executor: ExecutorId, address: SocketAddr) -> Option<Candidate> {
         let SocketAddr::V4(address) = address else { return None };
-        let instance: Arc<str> = self.gateway.executor_view(now, executor)?.instance;
+        let instance: Arc<str> = self.gateway.executor_view(now, executor)?.instance_id;
         Some(Candidate { executor, target: Target { instance, address } })
     }
 
     /// Whether a service has an executor with room for a batch item, whatever its size.
     pub fn has_batch_room(&mut self, now: Instant, service: &str) -> bool {
-        let service = self.gateway.service(service);
+        let service = self.gateway.service_id(service);
         let item = BatchItem {
             service,
             model: None,
-            tokens: None,
+            token_count: None,
             prompt: PromptSegments::default(),
-            excluded: &[],
+            excluded_executors: &[],
             urgency: 0.5,
         };
-        self.gateway.choose_for_batch(now, &item).is_some()
+        self.gateway.choose_executor_for_batch_item(now, &item).is_some()
     }
 
     /// The executor that an item goes to, and the item as the gateway counts it.
@@ -198,25 +202,25 @@
         service: &str,
         hints: &Hints,
     ) -> Option<(Candidate, Request<'static>)> {
-        let service = self.gateway.service(service);
+        let service = self.gateway.service_id(service);
         let item: BatchItem<'static> = BatchItem {
             service,
             model: hints.model,
-            tokens: hints.tokens,
+            token_count: hints.tokens,
             prompt: hints.prompt,
-            excluded: &[],
+            excluded_executors: &[],
             urgency: 0.5,
         };
         let request = Request {
             retry_class: RetryClass::ResumableStream,
             model: hints.model,
-            tokens: hints.tokens,
+            token_count: hints.tokens,
             prompt: hints.prompt,
             priority: u8::MAX,
             is_batch: true,
-            ..Request::to(service)
+            ..Request::for_service(service)
         };
-        let executor = self.gateway.choose_for_batch(now, &item)?;
+        let executor = self.gateway.choose_executor_for_batch_item(now, &item)?;
         let SocketAddr::V4(address) = self.gateway.executor_view(now, executor)?.address else { return None };
         let candidate = self.candidate(now, executor, SocketAddr::V4(address))?;
         Some((candidate, request))
@@ -240,7 +244,7 @@
             self.versions = versions;
             gone = self.update_executors(registry, permissions);
         }
-        self.gateway.set_nodes(connection_shares(registry));
+        self.gateway.set_node_count(connection_shares(registry));
         let nodes = registry.live_members().count();
         if let Some(popularity) = self.gateway.popularity_mut() {
             popularity.set_node_count(nodes);
@@ -261,7 +265,7 @@
                     .as_ref()
                     .map_or(0, |engine| engine.kv_capacity_tokens),
             };
-            self.gateway.set_service(service.name.as_str(), settings);
+            self.gateway.set_service_settings(service.name.as_str(), settings);
         }
     }
 
@@ -282,12 +286,12 @@
                 continue;
             }
             let models: Vec<ModelKey> =
-                executor.report.models.iter().map(|model| ModelKey::of(&model.name)).collect();
-            let id = self.gateway.upsert(&ExecutorDescriptor {
-                instance: &executor.report.id,
+                executor.report.models.iter().map(|model| ModelKey::from_name(&model.name)).collect();
+            let id = self.gateway.upsert_executor(&ExecutorDescriptor {
+                instance_id: &executor.report.id,
                 service: &executor.report.service,
                 address: address_of(executor),
-                zone: ZoneKey::of(&executor.report.zone),
+                zone: ZoneKey::from_name(&executor.report.zone),
                 slots: executor.report.slot_count,
                 state: if is_permitted { state_of(executor, registry) } else { ExecutorState::Draining },
                 models: &models,
@@ -304,7 +308,7 @@
         let gone: Vec<String> = self.known.keys().filter(|instance| !exists(instance)).cloned().collect();
         for instance in &gone {
             if let Some(id) = self.known.remove(instance) {
-                self.gateway.remove(id);
+                self.gateway.remove_executor(id);
             }
         }
         gone
