--- a/crates/gateway/src/affinity.rs
+++ b/crates/gateway/src/affinity.rs
@@ -33,6 +33,7 @@
 /// The limits below which a candidate may serve one request by prefix affinity.
 #[derive(Clone, Copy)]
 struct HomeLimits {
+    /// The utilisation that the candidate has to be below.
     max_utilisation: f64,
     max_queue_wait_s: f64,
     /// The limit of the whole wait in seconds: the queue, the pending prefill and the recent delay of first events.
--- a/crates/gateway/src/attempt_accounting.rs
+++ b/crates/gateway/src/attempt_accounting.rs
@@ -157,6 +157,7 @@
         }
     }
 
+    /// Records that the executor sent a complete response without a failure of its own.
     fn record_success(&mut self, now: Instant, attempt: &OpenAttempt) {
         let Some(executor) = self.executors.get_mut(attempt.executor) else { return };
         executor.last_received_at = now;
@@ -166,6 +167,7 @@
         }
     }
 
+    /// Removes the load of an attempt from its executor, if the executor still exists.
     fn remove_load(&mut self, id: ExecutorId, load: &AttemptLoad) {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.own_load.remove(load);
--- a/crates/gateway/src/batch_capacity.rs
+++ b/crates/gateway/src/batch_capacity.rs
@@ -38,6 +38,8 @@
         chosen
     }
 
+    /// Whether the candidate has capacity for one more batch item and keeps the reserve, which is a fraction of its
+    /// slots.
     fn has_batch_capacity(&self, candidate: &Candidate, reserve: f64) -> bool {
         let Some(executor) = self.executors.get(candidate.id) else { return false };
         candidate.healthy
@@ -46,7 +48,7 @@
             && executor.own_load.pending_batch_prefill_tokens < self.config.max_batch_prefill_tokens
     }
 
-    /// The fraction of an executor's slots that batch items leave free.
+    /// The fraction of an executor's slots that a batch item has to leave free.
     fn batch_reserve(&self, now: Instant, item: &BatchItem<'_>) -> f64 {
         let bounds = self.config.batch_reserve;
         let service = self.services.get(item.service);
--- a/crates/gateway/src/candidate.rs
+++ b/crates/gateway/src/candidate.rs
@@ -66,7 +66,7 @@
         now: Instant,
         service: &'a Service,
         config: &'a GatewayConfig,
-        node: NodePosition,
+        node: NodeContext,
         request: &'a Request<'a>,
     ) -> CandidateContext<'a> {
         let max_connections = match service.settings.max_connections {
@@ -99,7 +99,7 @@
         let slots = f64::from(executor.slots);
         let peer_requests = executor.peer_requests(now, self.mean_peer_load);
         let outstanding = f64::from(executor.own_load.attempts) + peer_requests;
-        let memory = self.memory(executor, peer_requests);
+        let memory = self.estimate_memory(executor, peer_requests);
         let reachable =
             executor.own_load.attempts < self.max_connections && !executor.failures.is_overloaded(now);
         Candidate {
@@ -124,7 +124,7 @@
     }
 
     /// Estimates the use of the executor's KV memory.
-    fn memory(&self, executor: &Executor, peer_requests: f64) -> MemoryEstimate {
+    fn estimate_memory(&self, executor: &Executor, peer_requests: f64) -> MemoryEstimate {
         let capacity_tokens = self.service.settings.kv_capacity_tokens as f64;
         if capacity_tokens == 0.0 {
             return MemoryEstimate { fits: true, utilisation: 0.0 };
@@ -151,7 +151,7 @@
 
 /// The zone of this node, and the number of nodes.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct NodePosition {
+pub(crate) struct NodeContext {
     pub zone: ZoneKey,
     /// The number of nodes among which the connections of an executor are divided, at least 1.
     pub node_count: u32,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -27,7 +27,7 @@
     /// The number of the latest requests whose sizes determine the cut-offs.
     pub sample_size: usize,
     /// The least number of sampled sizes for which cut-offs are computed. With fewer, all executors form one lane.
-    pub min_sample: usize,
+    pub min_sample_size: usize,
     /// The interval at which the cut-offs are computed.
     pub recompute_interval: Duration,
     /// The least number of shared prompt tokens for which a request has prefix affinity. A repeated prefill of fewer
@@ -41,18 +41,20 @@
     /// The fraction of an executor's prefill throughput that one prefix may use. A prefix with more demand gets
     /// proportionally more homes.
     pub home_prefill_share: f64,
-    /// The number of executors in rendezvous order that are considered for a prefix with ordinary demand. With a shared
-    /// popularity estimate, the number of executors after the homes that are tried when no home is usable.
+    /// The number of executors in rendezvous order from which the home of a prefix with ordinary demand is taken. When
+    /// the nodes share a popularity estimate, it is the number of executors after the homes that are tried if no home
+    /// is usable.
     pub home_candidates: usize,
     /// Whether the nodes share one estimate of prefix popularity. Otherwise each node estimates the demand from its own
     /// requests. It is off by default: in the scenario `lipa-katalog-grown`, batch items were later with it, whatever
     /// the seed.
     pub share_prefix_popularity: bool,
-    /// The number of this node's prompt tokens waiting for prefill at an executor that count like a full utilisation of
-    /// it in the weighted pick.
+    /// The number of prompt tokens of this node that add 1 to the utilisation of an executor while they wait for
+    /// prefill there.
     pub prefill_tokens_when_full: u64,
-    /// The utilisation added for each multiple of the service's mean event gap by which the gaps at an executor exceed
-    /// it. Such an executor is busy with the prefill of long prompts, from this node or from others.
+    /// What is added to the utilisation of an executor whose gaps between events are twice the mean gap of its service;
+    /// for longer or shorter gaps it is proportional to the excess over the mean. Such an executor is busy with the
+    /// prefill of long prompts, from this node or from others.
     pub slow_events_penalty: f64,
     /// The weight factor of an executor in the node's own zone in the weighted pick; it is 1 in other zones. Traffic
     /// between zones costs money.
@@ -64,8 +66,8 @@
     pub max_queue_share: f64,
     /// The capacity that batch items leave free for live requests.
     pub batch_reserve: BatchReserve,
-    /// The number of prompt tokens of batch items waiting for prefill at an executor at which it gets no further item.
-    /// Prefill between the decode steps of live requests slows these down.
+    /// An executor gets no further batch item while this many prompt tokens of this node's batch items wait for prefill
+    /// there. Prefill between the decode steps of live requests slows these down.
     pub max_batch_prefill_tokens: u64,
 }
 
@@ -83,7 +85,7 @@
         GatewayConfig {
             lane_shares: [1.0, 3.0, 0.0, 0.0],
             sample_size: 1000,
-            min_sample: 50,
+            min_sample_size: 50,
             recompute_interval: Duration::from_millis(5000),
             min_prefix_tokens: 1024,
             max_home_utilisation: 2.0,
--- a/crates/gateway/src/failure_accrual.rs
+++ b/crates/gateway/src/failure_accrual.rs
@@ -74,7 +74,7 @@
             ExecutorFault::ConnectFailed | ExecutorFault::Misdirected => 1.0,
             ExecutorFault::Unresponsive => 0.7,
             ExecutorFault::ConnectionBroken => 0.5,
-            ExecutorFault::Overloaded => return self.pause(now, jitter),
+            ExecutorFault::Overloaded => return self.mark_overloaded(now, jitter),
         };
         self.suspicion = (self.suspicion(now) + weight).min(MAX_SUSPICION);
         self.observed_at = now;
@@ -84,11 +84,12 @@
     }
 
     /// Marks the executor as overloaded for a short time.
-    fn pause(&mut self, now: Instant, jitter: f64) {
+    fn mark_overloaded(&mut self, now: Instant, jitter: f64) {
         let until = now + OVERLOAD_PAUSE_DURATION.scaled(1.0 + jitter);
         self.overloaded_until = self.overloaded_until.max(until);
     }
 
+    /// Ejects the executor, for twice as long as the last time if it has not served a request since.
     fn eject(&mut self, now: Instant, jitter: f64) {
         let factor = f64::from(1_u32 << self.ejections.min(MAX_DOUBLINGS));
         let duration = FIRST_EJECTION_DURATION.scaled(factor).min(MAX_EJECTION_DURATION);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -107,6 +107,7 @@
         id
     }
 
+    /// Adds an executor that is not in the table.
     fn insert(&mut self, service_id: ServiceId, descriptor: &ExecutorDescriptor<'_>) -> ExecutorId {
         let id = self.executors.insert_with(|id| Executor::new(id, service_id, descriptor));
         let Some(service) = self.services.get_mut(service_id) else { return id };
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -4,8 +4,7 @@
 use grebeusher_sizing::mixed;
 use snafu::Snafu;
 
-/// The number of segments of a prompt that are kept. Requests do not share segments that are as far behind as those
-/// beyond it.
+/// The greatest number of segments of a prompt that are kept. Later segments come long after those that requests share.
 pub const MAX_SEGMENTS: usize = 16;
 
 /// The greatest valid number in a header, which is more than the tokens of any prompt.
@@ -24,6 +23,7 @@
     FieldCount,
 }
 
+/// Parses a decimal number of at most [`MAX_NUMBER`], which may be surrounded by white space.
 fn parse_number(field: &str) -> Result<u32, HeaderError> {
     let field = field.trim();
     let is_decimal = !field.is_empty() && field.bytes().all(|byte| byte.is_ascii_digit());
--- a/crates/gateway/src/lanes.rs
+++ b/crates/gateway/src/lanes.rs
@@ -22,7 +22,7 @@
         let shares = self.config.active_lane_shares();
         let lanes = lanes_by_share(&hashes, &shares);
         let slots = included.iter().map(|executor| f64::from(executor.slots));
-        service.lane_capacity = share_of_lanes(shares.len(), lanes.iter().copied().zip(slots));
+        service.lane_slots = share_of_lanes(shares.len(), lanes.iter().copied().zip(slots));
         let ids: Vec<ExecutorId> = included.iter().map(|executor| executor.id).collect();
         for (id, lane) in ids.into_iter().zip(lanes) {
             if let Some(executor) = self.executors.get_mut(id) {
--- a/crates/gateway/src/popular_prefixes.rs
+++ b/crates/gateway/src/popular_prefixes.rs
@@ -73,6 +73,7 @@
         popularity.most_popular(limit).into_iter().map(|popular| self.popular_view(popular)).collect()
     }
 
+    /// Combines a popular prefix with the details that this node knows of it.
     fn popular_view(&self, popular: PopularPrefix) -> PopularPrefixView {
         let without_details = PopularPrefixView { popular, service: None, tokens: 0, homes: Vec::new() };
         let Some(details) = self.prefix_details.get(popular.key) else { return without_details };
--- a/crates/gateway/src/prefix_cache.rs
+++ b/crates/gateway/src/prefix_cache.rs
@@ -91,6 +91,7 @@
         self.evict();
     }
 
+    /// Records the use of one segment, which is added if it is not cached.
     fn use_segment(&mut self, key: u64, tokens: u32, ready_at: Instant) {
         self.use_count += 1;
         let new = CachedSegment { tokens: 0, last_use: 0, ready_at };
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -2,7 +2,7 @@
 //! finds an executor, the request is rejected.
 
 use crate::admission::{PreferenceGroup, max_queue_wait_s, must_admit, retry_after};
-use crate::candidate::{Candidate, CandidateContext, NodePosition};
+use crate::candidate::{Candidate, CandidateContext, NodeContext};
 use crate::decision::RoutingDecision;
 use crate::gateway::Gateway;
 use crate::ids::ExecutorId;
@@ -25,6 +25,7 @@
         decision
     }
 
+    /// Decides on a request for which the candidates are collected.
     fn decide(&mut self, now: Instant, request: &Request<'_>, candidates: &[Candidate]) -> RoutingDecision {
         if candidates.is_empty() {
             self.decisions.no_executor += 1;
@@ -48,6 +49,7 @@
         RoutingDecision::Reject { retry_after: retry_after(candidates, max_wait_s, jitter) }
     }
 
+    /// The decision to forward a request to an executor.
     fn forward(&self, id: ExecutorId) -> RoutingDecision {
         match self.executors.get(id) {
             Some(executor) => RoutingDecision::Forward { executor: id, address: executor.address },
@@ -55,6 +57,7 @@
         }
     }
 
+    /// How long a request may wait in an executor's queue, in seconds.
     fn max_queue_wait_s(&self, request: &Request<'_>) -> f64 {
         let top_priority = self.services.get(request.service).map_or(0, |service| service.top_priority);
         max_queue_wait_s(&self.config, request, top_priority)
@@ -119,8 +122,8 @@
     ) {
         candidates.clear();
         let Some(service) = self.services.get(request.service) else { return };
-        let position = NodePosition { zone: self.zone, node_count: self.node_count };
-        let context = CandidateContext::new(now, service, &self.config, position, request);
+        let node = NodeContext { zone: self.zone, node_count: self.node_count };
+        let context = CandidateContext::new(now, service, &self.config, node, request);
         let executors = service.members.iter().filter_map(|id| self.executors.get(*id));
         let eligible = executors.filter(|executor| context.is_eligible(executor));
         candidates.extend(eligible.map(|executor| context.candidate(executor)));
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -33,8 +33,8 @@
     pub members: Vec<ExecutorId>,
     /// Whether executors were added, removed or changed since the lanes were computed.
     pub are_lanes_stale: bool,
-    /// The capacity of each lane in slots.
-    pub lane_capacity: Vec<f64>,
+    /// The number of slots of all executors of each lane.
+    pub lane_slots: Vec<f64>,
     pub sample: Sample,
     pub cut_offs: CutOffs,
     /// When the cut-offs were last computed.
@@ -59,7 +59,7 @@
             settings: ServiceSettings::default(),
             members: Vec::new(),
             are_lanes_stale: true,
-            lane_capacity: Vec::new(),
+            lane_slots: Vec::new(),
             sample: Sample::new(config.sample_size),
             cut_offs: CutOffs::one_lane(),
             recomputed_at: Instant(0),
@@ -91,7 +91,7 @@
         }
         let weight = if self.mean_request_tokens == 0.0 { 1.0 } else { NEWEST_WEIGHT };
         self.mean_request_tokens += (tokens - self.mean_request_tokens) * weight;
-        if self.sample.len() == config.min_sample {
+        if self.sample.len() == config.min_sample_size {
             self.recompute(now, config);
         }
     }
@@ -106,7 +106,7 @@
     /// Computes the cut-offs and the median size from the sample.
     pub fn recompute(&mut self, now: Instant, config: &GatewayConfig) {
         self.recomputed_at = now;
-        self.cut_offs = CutOffs::equalising(&self.sample, &self.lane_capacity, config.min_sample);
+        self.cut_offs = CutOffs::equalising(&self.sample, &self.lane_slots, config.min_sample_size);
         self.median_size = self.sample.median().unwrap_or(DEFAULT_SIZE);
     }
 }
