--- a/crates/prefix-popularity/src/space_saving.rs
+++ b/crates/prefix-popularity/src/space_saving.rs
@@ -18,10 +18,10 @@
 #[derive(Clone, Copy, Debug)]
 struct Count {
     /// The number of tokens, scaled to the landmark.
-    scaled: f64,
-    /// The part of `scaled` that was inherited from the prefix whose entry was evicted. The count exceeds the true one
+    scaled_tokens: f64,
+    /// The part of `scaled_tokens` that was inherited from the prefix whose entry was evicted. The count exceeds the true one
     /// by at most this part.
-    inherited: f64,
+    inherited_tokens: f64,
 }
 
 /// The rate of one prefix by this node's own requests.
@@ -56,13 +56,13 @@
     /// with the smallest count is evicted.
     pub fn record(&mut self, now: Instant, key: PrefixKey, tokens: f64) {
         self.move_landmark(now);
-        let scaled = tokens * self.growth(now);
+        let scaled_tokens = tokens * self.growth(now);
         if let Some(count) = self.counts.get_mut(&key) {
-            count.scaled += scaled;
+            count.scaled_tokens += scaled_tokens;
             return;
         }
-        let inherited = self.evict_if_full();
-        self.counts.insert(key, Count { scaled: scaled + inherited, inherited });
+        let inherited_tokens = self.evict_if_full();
+        self.counts.insert(key, Count { scaled_tokens: scaled_tokens + inherited_tokens, inherited_tokens });
     }
 
     /// Makes space for one more prefix. Returns the count that the new prefix inherits, scaled to the landmark.
@@ -72,14 +72,14 @@
         }
         let Some((smallest, count)) = self.smallest() else { return 0.0 };
         self.counts.remove(&smallest);
-        count.scaled
+        count.scaled_tokens
     }
 
     /// The prefix with the smallest count.
     fn smallest(&self) -> Option<(PrefixKey, Count)> {
         let counts = self.counts.iter().map(|(key, count)| (*key, *count));
         // Equal counts are ordered by key, so that the result does not depend on the order of the map.
-        counts.min_by(|(a, x), (b, y)| x.scaled.total_cmp(&y.scaled).then(a.cmp(b)))
+        counts.min_by(|(a, x), (b, y)| x.scaled_tokens.total_cmp(&y.scaled_tokens).then(a.cmp(b)))
     }
 
     /// The factor by which a token counted now is scaled.
@@ -95,9 +95,9 @@
         let growth = self.growth(now);
         self.landmark = now;
         self.counts.retain(|_, count| {
-            count.scaled /= growth;
-            count.inherited /= growth;
-            count.scaled > MIN_COUNT
+            count.scaled_tokens /= growth;
+            count.inherited_tokens /= growth;
+            count.scaled_tokens > MIN_COUNT
         });
     }
 
@@ -109,7 +109,7 @@
         // The fraction of the weight of an exponentially weighted mean that falls into the observed time.
         let observed_weight = 1.0 - (-observed_time_constants).exp();
         let scale = 1.0 / (self.growth(now) * self.time_constant_s * observed_weight);
-        let rate = |count: &Count| (count.scaled - count.inherited).max(0.0) * scale;
+        let rate = |count: &Count| (count.scaled_tokens - count.inherited_tokens).max(0.0) * scale;
         let rates =
             self.counts.iter().map(|(key, count)| TrackedRate { key: *key, tokens_per_s: rate(count) });
         let mut rates: Vec<TrackedRate> = rates.collect();
