--- a/crates/gateway/tests/headers.rs
+++ b/crates/gateway/tests/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of clients and executors, as they come from outside.
+//! The parsing of the headers of clients and executors.
 
 use grebeusher_gateway::{HeaderError, MAX_SEGMENTS, PromptSegments, ServerLoad, TokenCount};
 use proptest::prelude::*;
@@ -7,23 +7,23 @@
 #[rstest]
 #[case("1460,80", Ok(TokenCount { prompt: 1460, output: 80 }))]
 #[case(" 1 , 2 ", Ok(TokenCount { prompt: 1, output: 2 }))]
-#[case("1460", Err(HeaderError::Fields))]
-#[case("1,2,3", Err(HeaderError::Number))]
-#[case("+1,2", Err(HeaderError::Number))]
-#[case("-1,2", Err(HeaderError::Number))]
-#[case("1.5,2", Err(HeaderError::Number))]
-#[case("99999999999,1", Err(HeaderError::Number))]
-#[case("16000001,1", Err(HeaderError::Number))]
-#[case(",", Err(HeaderError::Number))]
+#[case("1460", Err(HeaderError::FieldCount))]
+#[case("1,2,3", Err(HeaderError::InvalidNumber))]
+#[case("+1,2", Err(HeaderError::InvalidNumber))]
+#[case("-1,2", Err(HeaderError::InvalidNumber))]
+#[case("1.5,2", Err(HeaderError::InvalidNumber))]
+#[case("99999999999,1", Err(HeaderError::InvalidNumber))]
+#[case("16000001,1", Err(HeaderError::InvalidNumber))]
+#[case(",", Err(HeaderError::InvalidNumber))]
 fn token_counts_are_parsed(#[case] value: &str, #[case] expected: Result<TokenCount, HeaderError>) {
     assert_eq!(TokenCount::parse(value), expected);
 }
 
 #[rstest]
 #[case("3,0,24", Ok(ServerLoad { running: 3, waiting: 0, slots: 24 }))]
-#[case("3,0", Err(HeaderError::Fields))]
-#[case("3,0,24,1", Err(HeaderError::Fields))]
-#[case("a,0,24", Err(HeaderError::Number))]
+#[case("3,0", Err(HeaderError::FieldCount))]
+#[case("3,0,24,1", Err(HeaderError::FieldCount))]
+#[case("a,0,24", Err(HeaderError::InvalidNumber))]
 fn server_loads_are_parsed(#[case] value: &str, #[case] expected: Result<ServerLoad, HeaderError>) {
     assert_eq!(ServerLoad::parse(value), expected);
 }
@@ -63,7 +63,7 @@
     let value = (0..1000).map(|n| format!("{n:x}:16000000")).collect::<Vec<_>>().join(",");
     let prompt = PromptSegments::parse(&value).unwrap();
     assert_eq!(prompt.all().len(), MAX_SEGMENTS);
-    // What is kept of it is all shared, since the last part is beyond.
+    // All kept segments are shared, because the last segment of the header is not kept.
     assert_eq!(prompt.shared_tokens(), 16 * 16_000_000);
 }
 
--- a/crates/tier/src/requests/exchange/mod.rs
+++ b/crates/tier/src/requests/exchange/mod.rs
@@ -114,7 +114,7 @@
         let query = exchange.routing_query();
         let request = self.routing.gateway_request(now, &query);
         let Some(token) = self.routing.gateway.attempt_started(now, candidate.executor, &request) else {
-            return Some(exchange.attempts.ended(AttemptOutcome::NeverSent));
+            return Some(exchange.attempts.record_outcome(AttemptOutcome::NeverSent));
         };
         exchange.tried_executors.push(candidate.executor);
         exchange.attempts_started += 1;
@@ -130,7 +130,7 @@
             Err(failure) => {
                 let outcome = failed_outcome(failure, false, false);
                 self.routing.gateway.attempt_finished(now, token, outcome);
-                Some(self.exchanges[index].attempts.ended(outcome))
+                Some(self.exchanges[index].attempts.record_outcome(outcome))
             }
         }
     }
@@ -187,7 +187,7 @@
         attempt.head_received = true;
         attempt.last_activity = now;
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
-        self.routing.gateway.response_head(now, attempt.token, load);
+        self.routing.gateway.response_head_received(now, attempt.token, load);
         if status == 421 {
             attempt.refusal = Some(AttemptOutcome::Misdirected);
             return;
@@ -280,7 +280,7 @@
         buffered: Option<BufferedResponse>,
     ) {
         let exchange = &mut self.exchanges[index];
-        match exchange.attempts.ended(outcome) {
+        match exchange.attempts.record_outcome(outcome) {
             RetryDecision::Finish(response) => self.finish(context, index, response, buffered),
             RetryDecision::Retry | RetryDecision::Resume => self.start_next_attempt(context, index),
         }
@@ -328,7 +328,7 @@
         let exchange = &mut self.exchanges[index];
         let response = match exchange.current_attempt.take() {
             Some(attempt) => {
-                let decision = exchange.attempts.ended(AttemptOutcome::TimedOut);
+                let decision = exchange.attempts.record_outcome(AttemptOutcome::TimedOut);
                 self.routing.gateway.attempt_finished(now, attempt.token, AttemptOutcome::TimedOut);
                 self.abort_call(context, attempt.connection);
                 if let RetryDecision::Finish(response) = decision {
@@ -337,7 +337,7 @@
                     FinalResponse::GatewayTimeout
                 }
             }
-            None => exchange.attempts.without_executor(),
+            None => exchange.attempts.response_without_executor(),
         };
         self.finish(context, index, response, None);
     }
--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -5,7 +5,7 @@
 
 use crate::requests::routing::Routing;
 use crate::runtime::io::World;
-use grebeusher_prefix_popularity::{Contribution, Contributor, MergeOutcome, Settings};
+use grebeusher_prefix_popularity::{Contribution, Contributor, EstimatorSettings, MergeOutcome};
 use grebeusher_registry::{NodeId, Registry};
 use grebeusher_time::{Duration, Instant};
 use std::fmt::Write;
@@ -60,7 +60,7 @@
         let started = PrefixPopularity::default();
         let member = registry.own_member();
         let own = Contributor { origin: member.id().0, incarnation: member.incarnation };
-        routing.gateway.share_prefixes(now, own, Settings::default());
+        routing.gateway.share_prefix_popularity(now, own, EstimatorSettings::default());
         let Some(popularity) = routing.gateway.popularity_mut() else { return started };
         let Some(bytes) = folder.and_then(|folder| world.read_hint(folder, HINT_NAME)) else {
             return started;
@@ -109,7 +109,7 @@
     /// Saves the counts to the disk if the last save was long enough ago.
     pub fn save(&mut self, now: Instant, routing: &Routing, world: &dyn World, folder: &Path) {
         let Some(popularity) = routing.gateway.popularity() else { return };
-        if now < self.last_saved + SAVE_INTERVAL || popularity.popular(1).is_empty() {
+        if now < self.last_saved + SAVE_INTERVAL || popularity.most_popular(1).is_empty() {
             return;
         }
         self.last_saved = now;
@@ -122,7 +122,7 @@
 /// Writes the status lines on routing: how often each rule chose the executor, and each popular prefix with its homes, the
 /// executors that requests with this prefix go to.
 pub(crate) fn write_routing_status(routing: &Routing, text: &mut String) -> std::fmt::Result {
-    let decisions = routing.gateway.decisions();
+    let decisions = routing.gateway.decision_counters();
     writeln!(
         text,
         "chosen by pick {} home {} next home {} kept {} out of lane {} queued {} in doubt {} refused {} nobody {}",
@@ -139,7 +139,7 @@
     let Some(popularity) = routing.gateway.popularity() else {
         return writeln!(text, "popular prefixes: each node judges alone");
     };
-    let sizes = popularity.sizes();
+    let sizes = popularity.table_sizes();
     let (tracked_prefixes, contributors) = (sizes.tracked_prefixes, sizes.contributors);
     let counters = popularity.counters();
     writeln!(
@@ -147,11 +147,11 @@
         "popular prefixes: counted {tracked_prefixes} nodes heard {contributors} told {} merged {} known {} homes added {} removed {}",
         counters.sent, counters.merged, counters.ignored, counters.homes_added, counters.homes_removed,
     )?;
-    for view in routing.gateway.popular(MAX_SHOWN_PREFIXES) {
+    for view in routing.gateway.popular_prefixes(MAX_SHOWN_PREFIXES) {
         let (key, rate) = (view.popular.key.0, view.popular.tokens_per_s);
         let service = view.service.as_deref().unwrap_or("-");
         write!(text, "popular {key:08x} {service} prefix {} tokens, asked {rate:.0} tokens/s", view.tokens)?;
-        writeln!(text, ", homes {} {}", view.popular.homes, view.homes.join(" "))?;
+        writeln!(text, ", homes {} {}", view.popular.home_count, view.homes.join(" "))?;
     }
     Ok(())
 }
--- a/crates/tier/src/requests/routing.rs
+++ b/crates/tier/src/requests/routing.rs
@@ -67,7 +67,7 @@
     /// Reads the hints from the headers. A header that can't be parsed is ignored.
     pub fn from_headers(headers: &Headers) -> RoutingHints {
         RoutingHints {
-            model: headers.get(names::MODEL_NAME).map(ModelKey::of),
+            model: headers.get(names::MODEL_NAME).map(ModelKey::from_name),
             tokens: headers.get(names::TOKEN_COUNT).and_then(|text| TokenCount::parse(text).ok()),
             prompt: headers
                 .get(names::PROMPT_PREFIX)
@@ -83,7 +83,7 @@
             found.map(|header| header.value.as_str())
         };
         RoutingHints {
-            model: value(names::MODEL_NAME).map(ModelKey::of),
+            model: value(names::MODEL_NAME).map(ModelKey::from_name),
             tokens: value(names::TOKEN_COUNT).and_then(|text| TokenCount::parse(text).ok()),
             prompt: value(names::PROMPT_PREFIX)
                 .and_then(|text| PromptSegments::parse(text).ok())
@@ -132,7 +132,11 @@
     /// Creates a gateway without services and executors, for a node in `zone`.
     pub fn new(zone: &str, seed: u64) -> Routing {
         Routing {
-            gateway: Gateway::new(grebeusher_gateway::GatewayConfig::default(), ZoneKey::of(zone), seed),
+            gateway: Gateway::new(
+                grebeusher_gateway::GatewayConfig::default(),
+                ZoneKey::from_name(zone),
+                seed,
+            ),
             executor_ids: FxHashMap::default(),
             registry_generation: 0,
             applied_versions: (0, false),
@@ -144,7 +148,7 @@
     /// Chooses the executor for a request.
     pub fn choose(&mut self, now: Instant, query: &RoutingQuery<'_>) -> RouteChoice {
         let request = self.gateway_request(now, query);
-        match self.gateway.choose(now, &request) {
+        match self.gateway.route(now, &request) {
             RoutingDecision::Forward { executor, address } => match self.candidate(now, executor, address) {
                 Some(candidate) => RouteChoice::Send(candidate),
                 None => RouteChoice::Refuse { retry_after: Duration::from_millis(100) },
@@ -160,40 +164,40 @@
 
     /// Converts the query to the gateway's form of a request.
     pub fn gateway_request<'a>(&mut self, now: Instant, query: &'a RoutingQuery<'_>) -> Request<'a> {
-        let service = self.gateway.service(query.service);
+        let service = self.gateway.service_id(query.service);
         Request {
             priority: u8::try_from(query.route.priority_level).unwrap_or(u8::MAX),
             retry_class: query.retry_class,
             model: query.hints.model,
-            tokens: query.hints.tokens,
+            token_count: query.hints.tokens,
             prompt: query.hints.prompt,
-            excluded: query.tried_executors,
+            excluded_executors: query.tried_executors,
             latency_objective: Duration::from_millis(query.route.target_latency_ms),
             elapsed: now.since(query.accepted_at),
             until_deadline: query.deadline.since(now),
             may_have_run: query.may_have_run,
-            ..Request::to(service)
+            ..Request::for_service(service)
         }
     }
 
     fn candidate(&self, now: Instant, executor: ExecutorId, address: SocketAddr) -> Option<Candidate> {
         let SocketAddr::V4(address) = address else { return None };
-        let instance: Arc<str> = self.gateway.executor_view(now, executor)?.instance;
+        let instance: Arc<str> = self.gateway.executor_view(now, executor)?.instance_id;
         Some(Candidate { executor, target: ExecutorTarget { instance, address } })
     }
 
     /// Whether an executor of the service has capacity for a batch item. The size of the item is ignored.
     pub fn has_batch_capacity(&mut self, now: Instant, service: &str) -> bool {
-        let service = self.gateway.service(service);
+        let service = self.gateway.service_id(service);
         let item = BatchItem {
             service,
             model: None,
-            tokens: None,
+            token_count: None,
             prompt: PromptSegments::default(),
-            excluded: &[],
+            excluded_executors: &[],
             urgency: 0.5,
         };
-        self.gateway.choose_for_batch(now, &item).is_some()
+        self.gateway.choose_executor_for_batch_item(now, &item).is_some()
     }
 
     /// Chooses the executor for a batch item. Also returns the gateway's form of the item.
@@ -203,25 +207,25 @@
         service: &str,
         hints: &RoutingHints,
     ) -> Option<(Candidate, Request<'static>)> {
-        let service = self.gateway.service(service);
+        let service = self.gateway.service_id(service);
         let item: BatchItem<'static> = BatchItem {
             service,
             model: hints.model,
-            tokens: hints.tokens,
+            token_count: hints.tokens,
             prompt: hints.prompt,
-            excluded: &[],
+            excluded_executors: &[],
             urgency: 0.5,
         };
         let request = Request {
             retry_class: RetryClass::ResumableStream,
             model: hints.model,
-            tokens: hints.tokens,
+            token_count: hints.tokens,
             prompt: hints.prompt,
             priority: u8::MAX,
             is_batch: true,
-            ..Request::to(service)
+            ..Request::for_service(service)
         };
-        let executor = self.gateway.choose_for_batch(now, &item)?;
+        let executor = self.gateway.choose_executor_for_batch_item(now, &item)?;
         let SocketAddr::V4(address) = self.gateway.executor_view(now, executor)?.address else { return None };
         let candidate = self.candidate(now, executor, SocketAddr::V4(address))?;
         Some((candidate, request))
@@ -246,10 +250,10 @@
             self.applied_versions = versions;
             gone = self.update_executors(registry, permissions);
         }
-        self.gateway.set_nodes(connection_shares(registry));
+        self.gateway.set_node_count(connection_shares(registry));
         let live_nodes = registry.live_members().count();
         if let Some(popularity) = self.gateway.popularity_mut() {
-            popularity.set_nodes(live_nodes);
+            popularity.set_node_count(live_nodes);
         }
         gone
     }
@@ -267,7 +271,7 @@
                     .as_ref()
                     .map_or(0, |engine| engine.kv_capacity_tokens),
             };
-            self.gateway.set_service(service.name.as_str(), settings);
+            self.gateway.set_service_settings(service.name.as_str(), settings);
         }
     }
 
@@ -288,12 +292,12 @@
                 continue;
             }
             let models: Vec<ModelKey> =
-                executor.report.models.iter().map(|model| ModelKey::of(&model.name)).collect();
-            let id = self.gateway.upsert(&ExecutorDescriptor {
-                instance: &executor.report.id,
+                executor.report.models.iter().map(|model| ModelKey::from_name(&model.name)).collect();
+            let id = self.gateway.upsert_executor(&ExecutorDescriptor {
+                instance_id: &executor.report.id,
                 service: &executor.report.service,
                 address: socket_address(executor),
-                zone: ZoneKey::of(&executor.report.zone),
+                zone: ZoneKey::from_name(&executor.report.zone),
                 slots: executor.report.slot_count,
                 state: if is_permitted { gateway_state(executor, registry) } else { ExecutorState::Draining },
                 models: &models,
@@ -311,7 +315,7 @@
             self.executor_ids.keys().filter(|instance| !exists(instance)).cloned().collect();
         for instance in &gone {
             if let Some(id) = self.executor_ids.remove(instance) {
-                self.gateway.remove(id);
+                self.gateway.remove_executor(id);
             }
         }
         gone
