--- a/crates/tier/src/batch/api.rs
+++ b/crates/tier/src/batch/api.rs
@@ -1,4 +1,5 @@
-//! Batch calls as clients make them: checked here, passed on to the leader of the job's partition.
+//! The HTTP interface of batch jobs: checks clients' requests and forwards them to the leader of the job's
+//! partition.
 
 use crate::control::api::{path_of, query_value};
 use crate::links::calls::{BatchQuestion, Continuation};
@@ -16,46 +17,51 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// How many partitions the batch jobs are cut into; the configuration is one more.
+/// The number of partitions that hold batch jobs. The configuration has a partition of its own, which is not
+/// counted here.
 pub const BATCH_PARTITIONS: u8 = 3;
-/// The longest that a read is pending, whatever it asks (milliseconds).
+/// The longest time that a read waits for a result, even if the client asks for more (milliseconds).
 const MAX_HOLD_MS: u64 = 1000;
-/// What a read or an end may take beside the time it is pending.
+/// The time limit for reading or ending a job, in addition to the time that a read waits for a result.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A job that is not taken by then is refused or unclear: clients wait at least this long.
+/// The time limit for submitting a job; clients wait at least this long. A job that is not accepted in time
+/// is answered with a rejection, or with 504 if it may still be accepted.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long items are kept at least where the route says nothing (milliseconds).
+/// The minimum time that items are kept if the route sets no `retention_s` (milliseconds).
 const DEFAULT_RETENTION_MS: u64 = 24 * 3600 * 1000;
-/// A job that can't be taken now is best sent again after this long (seconds).
-const TRY_AGAIN_S: &str = "0.3";
+/// The value of `Retry-After` in an answer of 429 or 503 to a batch request (seconds).
+const RETRY_AFTER_S: &str = "0.3";
 
-/// From so many losses on that are borne at once, jobs are spread over the partitions: a leader sends each byte to two replicas
-/// for each loss, and the link of one leader does not bear that for all jobs of a deployment. It must be the same at all nodes
-/// for ever, so it goes by a setting that all have.
-const SPREAD_FROM_LOSSES: u32 = 2;
+/// If the deployment is to tolerate at least this many machine losses at once, the jobs of one host are
+/// spread over all partitions: a leader sends each byte to two replicas per tolerated loss, and the link of
+/// one leader can't carry that for all jobs of a deployment. All nodes must always find the same partition
+/// for a job, so the rule depends on a setting that is the same at all nodes.
+const MIN_LOSSES_TO_SPREAD_JOBS: u32 = 2;
 
-fn hash_of(text: &str) -> u64 {
-    // The low bits of this hash are its weakest.
+fn partition_hash(text: &str) -> u64 {
+    // The low bits of this hash are the least evenly distributed ones, so they are dropped.
     fixed_hash(text) >> 17
 }
 
-/// The partition of a batch job: by a hash of its host, the only name that all calls about a job share; and of the job as well
-/// where jobs are spread.
+/// The partition of a batch job. It depends on a hash of the job's host, the only name that all requests
+/// about a job share, and if `spread` is set also on a hash of the job's id.
 pub fn partition_of_job(host: &str, job: &str, spread: bool) -> u8 {
-    let name = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
-    let of_job = if spread { hash_of(job) } else { 0 };
-    let partition = hash_of(&name).wrapping_add(of_job) % u64::from(BATCH_PARTITIONS);
+    let host_name = host.split(':').next().unwrap_or(host).to_ascii_lowercase();
+    let job_hash = if spread { partition_hash(job) } else { 0 };
+    let partition = partition_hash(&host_name).wrapping_add(job_hash) % u64::from(BATCH_PARTITIONS);
     1 + partition as u8
 }
 
 impl Node {
+    /// Whether the jobs of one host are spread over all partitions.
     fn spreads_jobs(&self) -> bool {
-        self.settings.fault_tolerance.machine_losses >= SPREAD_FROM_LOSSES
+        self.settings.fault_tolerance.machine_losses >= MIN_LOSSES_TO_SPREAD_JOBS
     }
 
-    /// What may wait on a route at one leader: where jobs are spread each has its share, so that no two of them can together
-    /// admit more than the limit. A job may be refused at a full leader while others have room.
-    fn leaders_limit(&self, queue_token_limit: u64) -> u64 {
+    /// The most tokens that may wait on a route at one leader; 0 is no limit. If jobs are spread, each leader
+    /// gets an equal share of the route's limit, so that the leaders together never admit more than the
+    /// limit. A leader whose share is used up may reject a job while other leaders still have room.
+    fn queue_token_limit_per_leader(&self, queue_token_limit: u64) -> u64 {
         match queue_token_limit {
             0 => 0,
             limit if self.spreads_jobs() => (limit / u64::from(BATCH_PARTITIONS)).max(1),
@@ -63,7 +69,8 @@
         }
     }
 
-    /// A request of a client: a batch call, a batch job or a request for an executor.
+    /// Handles a client's request: one that reads or ends a batch job, one that submits a batch job, or a
+    /// live one for an executor.
     pub fn client_request(&mut self, connection: usize, request: ClientRequest) {
         let serial = self.serial(connection);
         let Some(active) = self.configuration.active().cloned() else {
@@ -137,7 +144,7 @@
             completion_target_ms: route.completion_target_ms.unwrap_or(route.timeout_ms),
             retention_ms: route.retention_s.map_or(DEFAULT_RETENTION_MS, |seconds| (seconds * 1000.0) as u64),
             max_attempts: route.max_attempts,
-            queue_token_limit: self.leaders_limit(route.queue_token_limit),
+            queue_token_limit: self.queue_token_limit_per_leader(route.queue_token_limit),
         });
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Submit };
         self.call_leader(partition, call, self.now + SUBMIT_TIMEOUT, continuation);
@@ -148,14 +155,14 @@
             query_value(&request.head.target, "resume_after").and_then(|text| text.parse().ok()).unwrap_or(0);
         let hold = request.head.headers.get(names::HOLD_MS).and_then(|text| text.trim().parse().ok());
         let hold_ms = hold.unwrap_or(0).min(MAX_HOLD_MS);
-        let within = CALL_TIMEOUT + Duration::from_millis(hold_ms);
-        if self.refuse_call_if_too_late(connection, within) {
+        let timeout = CALL_TIMEOUT + Duration::from_millis(hold_ms);
+        if self.refuse_call_if_too_late(connection, timeout) {
             return;
         }
         let partition = partition_of_job(host, job, self.spreads_jobs());
         let call = Call::ReadJob { partition, job: job.to_owned(), resume_after, hold_ms: hold_ms as u32 };
         let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Read };
-        self.call_leader(partition, call, self.now + within, continuation);
+        self.call_leader(partition, call, self.now + timeout, continuation);
     }
 
     fn read_item(&mut self, connection: usize, serial: u64, host: &str, job: &str, request: &ClientRequest) {
@@ -181,21 +188,22 @@
         self.call_leader(partition, call, self.now + CALL_TIMEOUT, continuation);
     }
 
-    /// The leader's reply to a batch call.
+    /// Answers a client's batch request with the leader's reply.
     pub fn batch_reply(&mut self, connection: usize, serial: u64, question: BatchQuestion, reply: Reply) {
         if !matches!(reply, Reply::Answer { status: 200 | 202, .. }) {
             debug!(?question, reply = reply.name(), "batch call ended");
         }
         let answer = match (question, reply) {
             (_, Reply::Answer { status: 429, body }) => {
-                http::answer(429, &[("Retry-After", TRY_AGAIN_S)], &body)
+                http::answer(429, &[("Retry-After", RETRY_AFTER_S)], &body)
             }
             (_, Reply::Answer { status, body }) => {
                 http::answer(status, &[("Content-Type", "application/json")], &body)
             }
-            // A job that may have been taken gets no promise that it will not run.
+            // The job may have been accepted, so the client must not get a status that promises that it will
+            // not run.
             (BatchQuestion::Submit, Reply::Unclear) => http::answer(504, &[], b""),
-            _ => http::answer(503, &[("Retry-After", TRY_AGAIN_S)], b""),
+            _ => http::answer(503, &[("Retry-After", RETRY_AFTER_S)], b""),
         };
         self.answer(connection, serial, answer);
     }
--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -1,7 +1,8 @@
-//! The leader of a partition runs its items at executors, in the room that live requests leave.
+//! Runs the items of the batch partitions that this node leads at executors, with the capacity that live
+//! requests leave free.
 //!
-//! `ItemRuns` owns the runs in flight, by number. What is to run, and what becomes of a run, is up to the `Runner` of the
-//! partition; this module only sends and reads.
+//! `ItemRuns` owns the active runs, by key. The `Runner` of the partition decides which item runs next and
+//! what the outcome of a run means; this module only sends the requests and reads the responses.
 
 use crate::batch::load_report::LoadReports;
 use crate::links::messages::Channel;
@@ -20,57 +21,66 @@
 use std::net::SocketAddrV4;
 use tracing::debug;
 
-/// How often items that wait look for room.
+/// The interval at which the node checks whether an executor has capacity for a waiting item.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// A run without a byte for this long is taken up elsewhere.
+/// A run whose executor has sent nothing for this long is aborted, and the item continues at another
+/// executor.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// What an executor is told of the time that an item has (milliseconds): items stand outside of time-outs.
+/// The deadline that is sent to the executor with each item (milliseconds). It is the same for all items, as
+/// items have no time-out of their own.
 const ITEM_DEADLINE_MS: u64 = 30_000;
-/// Items that are begun in one turn of the loop, so that others have theirs.
-const BEGUN_AT_ONCE: usize = 16;
+/// The most items of a partition that are started in one turn of the event loop, so that they don't delay
+/// other work.
+const MAX_STARTS_PER_TURN: usize = 16;
 
-/// A run of an item at an executor.
+/// An item that is running at an executor.
 struct ActiveRun {
-    index: usize,
-    run: RunId,
-    flight: AttemptToken,
+    partition_index: usize,
+    run_id: RunId,
+    attempt: AttemptToken,
     connection: usize,
     reader: EventReader,
+    /// The HTTP status of the response; 0 until its head has come.
     status: u16,
+    /// Whether the response says that the executor did not run the item.
     not_executed: bool,
-    stamped: bool,
+    /// Whether the response carries the executor's seal.
+    sealed: bool,
+    /// When the executor last sent something.
     last_activity: Instant,
 }
 
-/// The runs of items on this node.
+/// The items that this node is running at executors.
 #[derive(Default)]
 pub struct ItemRuns {
     active: FxHashMap<u64, ActiveRun>,
-    waking: bool,
+    /// Whether the timer that calls [`Node::run_items`] is set.
+    wake_scheduled: bool,
     load_reports: LoadReports,
 }
 
 impl ItemRuns {
-    /// How many items run.
+    /// The number of running items.
     pub fn count(&self) -> usize {
         self.active.len()
     }
 }
 
 impl Node {
-    /// Has items looked at soon.
+    /// Schedules a call of [`Node::run_items`] at once, unless one is scheduled already.
     pub fn wake_items(&mut self) {
-        if !self.items.waking {
-            self.items.waking = true;
+        if !self.items.wake_scheduled {
+            self.items.wake_scheduled = true;
             self.alarms.set(self.now, Timer::RunItems);
         }
     }
 
-    /// Begins items where there is room, and gives up those whose time is over.
+    /// Starts items where executors have capacity, gives up items whose time is over, and aborts cancelled
+    /// runs. Called by a timer.
     pub fn run_items(&mut self) {
-        self.items.waking = false;
+        self.items.wake_scheduled = false;
         let now = self.now;
-        let mut waits = false;
+        let mut needs_wake = false;
         for index in 0..self.partitions.len() {
             if !self.partitions[index].leads() || self.stopping() {
                 continue;
@@ -78,41 +88,43 @@
             if let Some(partition) = self.batch_mut(index) {
                 partition.runner_mut().tick(now);
             }
-            // A leader that wakes from a freeze still believes that it is one.
+            // A leader whose process was suspended may have been replaced without knowing it yet.
             if self.partitions[index].replica.lease_holds(self.clock()) {
-                self.begin_items(index);
+                self.start_items(index);
             }
             self.report_load(index);
-            self.cut_off_runs(index);
+            self.abort_cancelled_runs(index);
             self.propose_results(index);
-            waits |= self.runner_waits(index);
-            waits |= self.configuration.active().is_none() || self.idle_tokens(index) > 0;
+            needs_wake |= self.runner_needs_wake(index);
+            needs_wake |= self.configuration.active().is_none() || self.idle_tokens(index) > 0;
         }
-        if waits && !self.items.waking {
-            self.items.waking = true;
+        if needs_wake && !self.items.wake_scheduled {
+            self.items.wake_scheduled = true;
             self.alarms.set(now + POLL_INTERVAL, Timer::RunItems);
         }
     }
 
-    /// The tokens of a partition's items that have still to be begun, on the routes that there are.
+    /// The total tokens of a partition's items that have not started yet, on the routes of the current
+    /// configuration.
     fn idle_tokens(&mut self, index: usize) -> u64 {
         let Some(active) = self.configuration.active().cloned() else { return 0 };
         let Some(partition) = self.batch_mut(index) else { return 0 };
         active.routes.bulk_routes().map(|(route, _)| partition.runner().idle_tokens(route)).sum()
     }
 
-    /// Logs now and then how the items of a led partition progress, as long as some are not listed.
+    /// Logs the progress of a led partition's items at an interval, as long as the results of some are not
+    /// listed yet.
     pub(crate) fn log_items(&mut self, index: usize) {
-        let (now, number) = (self.now, self.partitions[index].partition);
+        let (now, partition_number) = (self.now, self.partitions[index].partition);
         let Some(partition) = self.batch_mut(index) else { return };
-        if !partition.runner().has_unlisted_items() || !partition.take_log_due(now) {
+        if !partition.runner().has_unlisted_items() || !partition.take_progress_log_due(now) {
             return;
         }
         let waiting_tokens = self.idle_tokens(index);
         let Some(partition) = self.batch_mut(index) else { return };
         let runner = partition.runner();
         debug!(
-            partition = number,
+            partition = partition_number,
             running = runner.running_count(),
             waiting_tokens,
             unrouted = runner.unrouted_count(),
@@ -123,26 +135,27 @@
         );
     }
 
-    fn begin_items(&mut self, index: usize) {
-        for _ in 0..BEGUN_AT_ONCE {
+    fn start_items(&mut self, index: usize) {
+        for _ in 0..MAX_STARTS_PER_TURN {
             if !self.may_start_item(index) {
                 return;
             }
-            let Some(order) = self.next_order(index) else { return };
-            self.begin_item(index, order);
+            let Some(order) = self.next_run_order(index) else { return };
+            self.start_item(index, order);
         }
     }
 
-    /// The leader of another partition reports its load.
+    /// Receives the load that the leader of another partition reports.
     pub(crate) fn receive_batch_load(&mut self, payload: &[u8]) {
         self.items.load_reports.receive(self.now, payload);
     }
 
-    /// Reports to the leaders of the other partitions how many items of a led one run and wait.
+    /// Reports to the leaders of the other partitions how many items of a led partition are running and
+    /// waiting, if the report is due.
     fn report_load(&mut self, index: usize) {
         let host = &self.partitions[index];
         let partition = host.partition;
-        let Some(report) = self.items.load_reports.due(self.now, partition, host.load()) else { return };
+        let Some(report) = self.items.load_reports.take_due(self.now, partition, host.load()) else { return };
         let others = self.batch_partitions().into_iter().filter(|other| *other != partition);
         let mut leaders: Vec<SocketAddrV4> = others.filter_map(|other| self.known_leader(other)).collect();
         leaders.sort_unstable();
@@ -152,28 +165,28 @@
         }
     }
 
-    /// Whether a led partition may begin a further item beside those of the other partitions.
+    /// Whether a led partition may start another item without exceeding its share of the executors' capacity.
     fn may_start_item(&mut self, index: usize) -> bool {
         let host = &self.partitions[index];
         self.items.load_reports.may_start(self.now, host.partition, host.load())
     }
 
-    fn next_order(&mut self, index: usize) -> Option<RunOrder> {
+    fn next_run_order(&mut self, index: usize) -> Option<RunOrder> {
         let now = self.now;
         let active = self.configuration.active().cloned()?;
-        let mut with_room: Vec<RouteIndex> = Vec::new();
-        for (index, route) in active.routes.bulk_routes() {
+        let mut routes_with_capacity: Vec<RouteIndex> = Vec::new();
+        for (route_index, route) in active.routes.bulk_routes() {
             let mut services = route.traffic.services();
             if services.any(|service| self.requests.routing.has_batch_room(now, service.as_str())) {
-                with_room.push(index);
+                routes_with_capacity.push(route_index);
             }
         }
-        let room = |route: RouteIndex| with_room.contains(&route).then_some(u64::MAX);
+        let capacity = |route: RouteIndex| routes_with_capacity.contains(&route).then_some(u64::MAX);
         let (jobs, runner) = self.batch_mut(index)?.jobs_and_runner();
-        runner.next_item(jobs, now, &room)
+        runner.next_item(jobs, now, &capacity)
     }
 
-    fn begin_item(&mut self, index: usize, order: RunOrder) {
+    fn start_item(&mut self, index: usize, order: RunOrder) {
         let now = self.now;
         let point = self.random_point();
         let Some(active) = self.configuration.active().cloned() else { return };
@@ -185,17 +198,17 @@
         let Some((candidate, request)) = chosen else {
             return self.end_run(index, order.run, RunOutcome::NotExecuted);
         };
-        let Some(flight) = self.requests.routing.gateway.attempt_started(now, candidate.executor, &request)
+        let Some(attempt) = self.requests.routing.gateway.attempt_started(now, candidate.executor, &request)
         else {
             return self.end_run(index, order.run, RunOutcome::NotExecuted);
         };
         let key = self.next_serial();
         let bytes = item_request(&order, &candidate.target.instance);
-        let begun = self.with_requests(|requests, context| {
+        let started = self.with_requests(|requests, context| {
             let user = UpstreamUser::Item(key);
             requests.start_call(context, user, &candidate.target, &order.attempt_id, &bytes)
         });
-        match begun {
+        match started {
             Ok(connection) => {
                 debug!(
                     partition = self.partitions[index].partition,
@@ -209,21 +222,21 @@
                     "item starts"
                 );
                 let run = ActiveRun {
-                    index,
-                    run: order.run,
-                    flight,
+                    partition_index: index,
+                    run_id: order.run,
+                    attempt,
                     connection,
                     reader: EventReader::new(),
                     status: 0,
                     not_executed: false,
-                    stamped: false,
+                    sealed: false,
                     last_activity: now,
                 };
                 self.items.active.insert(key, run);
                 self.alarms.set(now + SILENCE_TIMEOUT, Timer::ItemResponseTimeout { run: key });
             }
             Err(_) => {
-                self.requests.routing.gateway.attempt_finished(now, flight, AttemptOutcome::NeverSent);
+                self.requests.routing.gateway.attempt_finished(now, attempt, AttemptOutcome::NeverSent);
                 self.end_run(index, order.run, RunOutcome::NotExecuted);
             }
         }
@@ -237,67 +250,68 @@
         self.wake_items();
     }
 
-    /// Something came back from the executor of an item.
+    /// Handles an event of the response of an item's executor.
     pub fn item_event(&mut self, key: u64, event: UpstreamEvent<'_>) {
         let now = self.now;
         let Some(active) = self.items.active.get_mut(&key) else { return };
         active.last_activity = now;
         match event {
-            UpstreamEvent::Head { status, headers } => self.item_head(key, status, headers),
-            UpstreamEvent::Data(bytes) => self.item_data(key, bytes),
-            UpstreamEvent::End => self.item_end(key),
+            UpstreamEvent::Head { status, headers } => self.handle_response_head(key, status, headers),
+            UpstreamEvent::Data(bytes) => self.handle_response_data(key, bytes),
+            UpstreamEvent::End => self.handle_response_end(key),
             UpstreamEvent::Failed(failure) => {
-                let outcome = match failure {
+                let (attempt_outcome, run_outcome) = match failure {
                     Failure::NeverSent => (AttemptOutcome::NeverSent, RunOutcome::NotExecuted),
                     Failure::BeforeHead => (AttemptOutcome::BrokenBeforeHead, RunOutcome::Broken),
                     Failure::MidBody => (AttemptOutcome::BrokenMidStream, RunOutcome::Broken),
                 };
-                self.item_over(key, outcome.0, outcome.1);
+                self.finish_run(key, attempt_outcome, run_outcome);
             }
         }
     }
 
-    fn item_head(&mut self, key: u64, status: u16, headers: &Headers) {
+    fn handle_response_head(&mut self, key: u64, status: u16, headers: &Headers) {
         let now = self.now;
         let Some(active) = self.items.active.get_mut(&key) else { return };
         active.status = status;
         active.not_executed = headers.get(names::NOT_EXECUTED).is_some();
-        active.stamped = headers.get(names::SERVER_SEAL).is_some();
+        active.sealed = headers.get(names::SERVER_SEAL).is_some();
         let load = headers.get(names::SERVER_LOAD).and_then(|text| ServerLoad::parse(text).ok());
-        self.requests.routing.gateway.response_head(now, active.flight, load);
+        self.requests.routing.gateway.response_head(now, active.attempt, load);
     }
 
-    fn item_data(&mut self, key: u64, bytes: &[u8]) {
+    fn handle_response_data(&mut self, key: u64, bytes: &[u8]) {
         let now = self.now;
         let Some(active) = self.items.active.get_mut(&key) else { return };
-        if !(200..300).contains(&active.status) || !active.stamped {
+        if !(200..300).contains(&active.status) || !active.sealed {
             return;
         }
-        self.requests.routing.gateway.event_received(now, active.flight);
-        let (index, run) = (active.index, active.run);
+        self.requests.routing.gateway.event_received(now, active.attempt);
+        let (index, run_id) = (active.partition_index, active.run_id);
         let mut events = Vec::new();
-        let understood = active.reader.push(bytes, |event| events.push(event)).is_ok();
+        let is_valid = active.reader.push(bytes, |event| events.push(event)).is_ok();
         let Some(partition) = self.batch_mut(index) else { return };
-        let taken = events.iter().all(|event| {
-            partition.runner_mut().run_event(run, event.id, &event.data, now) == EventDisposition::Accepted
+        let all_accepted = events.iter().all(|event| {
+            partition.runner_mut().run_event(run_id, event.id, &event.data, now) == EventDisposition::Accepted
         });
-        if !understood || !taken {
-            self.item_cut(key);
+        if !is_valid || !all_accepted {
+            self.abort_run(key);
         }
     }
 
-    /// A stream that is no continuation: the run ends, and the item goes on from its last good event.
-    fn item_cut(&mut self, key: u64) {
+    /// Aborts a run whose response is invalid, does not continue the item's earlier events or has stalled.
+    /// The item goes on from its last accepted event.
+    fn abort_run(&mut self, key: u64) {
         let Some(active) = self.items.active.get(&key) else { return };
         let connection = active.connection;
         self.with_requests(|requests, context| requests.abort_call(context, connection));
-        self.item_over(key, AttemptOutcome::BrokenMidStream, RunOutcome::Broken);
+        self.finish_run(key, AttemptOutcome::BrokenMidStream, RunOutcome::Broken);
     }
 
-    fn item_end(&mut self, key: u64) {
+    fn handle_response_end(&mut self, key: u64) {
         let Some(active) = self.items.active.get(&key) else { return };
-        let complete = active.stamped && active.reader.finish().is_ok();
-        let (outcome, run) = match active.status {
+        let complete = active.sealed && active.reader.finish().is_ok();
+        let (attempt_outcome, run_outcome) = match active.status {
             421 => (AttemptOutcome::Misdirected, RunOutcome::Misdirected),
             _ if active.not_executed => (AttemptOutcome::NotExecuted, RunOutcome::NotExecuted),
             200..300 if complete => (AttemptOutcome::Served, RunOutcome::Complete),
@@ -306,44 +320,44 @@
             500 => (AttemptOutcome::AnsweredFailure, RunOutcome::Failed500),
             _ => (AttemptOutcome::AnsweredFailure, RunOutcome::Broken),
         };
-        self.item_over(key, outcome, run);
+        self.finish_run(key, attempt_outcome, run_outcome);
     }
 
-    fn item_over(&mut self, key: u64, outcome: AttemptOutcome, run: RunOutcome) {
+    fn finish_run(&mut self, key: u64, attempt_outcome: AttemptOutcome, run_outcome: RunOutcome) {
         let now = self.now;
         let Some(active) = self.items.active.remove(&key) else { return };
-        self.requests.routing.gateway.attempt_finished(now, active.flight, outcome);
-        self.end_run(active.index, active.run, run);
+        self.requests.routing.gateway.attempt_finished(now, active.attempt, attempt_outcome);
+        self.end_run(active.partition_index, active.run_id, run_outcome);
     }
 
-    /// A run may have been silent for too long.
+    /// Aborts a run if its executor has sent nothing for [`SILENCE_TIMEOUT`]; otherwise sets the timer anew.
     pub fn item_response_timeout(&mut self, key: u64) {
         let now = self.now;
         let Some(active) = self.items.active.get(&key) else { return };
-        let silent_at = active.last_activity + SILENCE_TIMEOUT;
-        if now < silent_at {
-            self.alarms.set(silent_at, Timer::ItemResponseTimeout { run: key });
+        let timeout_at = active.last_activity + SILENCE_TIMEOUT;
+        if now < timeout_at {
+            self.alarms.set(timeout_at, Timer::ItemResponseTimeout { run: key });
             return;
         }
-        self.item_cut(key);
+        self.abort_run(key);
     }
 
-    /// Closes the connections of runs that nobody wants any more.
-    pub fn cut_off_runs(&mut self, index: usize) {
+    /// Closes the connections of the runs that the partition's runner has cancelled.
+    pub fn abort_cancelled_runs(&mut self, index: usize) {
         let now = self.now;
         let Some(partition) = self.batch_mut(index) else { return };
-        let cut: Vec<RunId> = partition.runner_mut().take_cancelled();
-        if cut.is_empty() {
+        let cancelled: Vec<RunId> = partition.runner_mut().take_cancelled();
+        if cancelled.is_empty() {
             return;
         }
-        let wanted = |run: &ActiveRun| run.index == index && cut.contains(&run.run);
+        let is_cancelled = |run: &ActiveRun| run.partition_index == index && cancelled.contains(&run.run_id);
         let keys: Vec<u64> =
-            self.items.active.iter().filter(|(_, run)| wanted(run)).map(|(key, _)| *key).collect();
+            self.items.active.iter().filter(|(_, run)| is_cancelled(run)).map(|(key, _)| *key).collect();
         for key in keys {
             if let Some(active) = self.items.active.remove(&key) {
                 self.requests.routing.gateway.attempt_finished(
                     now,
-                    active.flight,
+                    active.attempt,
                     AttemptOutcome::ClientGone,
                 );
                 self.with_requests(|requests, context| requests.abort_call(context, active.connection));
@@ -352,15 +366,16 @@
     }
 }
 
-/// An item as an executor gets it.
+/// Encodes the HTTP request that runs an item at an executor.
 fn item_request(order: &RunOrder, instance: &str) -> Vec<u8> {
     let mut text = format!("POST {} HTTP/1.1\r\nHost: {}\r\n", order.path, order.host);
-    let own = [names::ATTEMPT_ID, names::DEADLINE_MS, names::TARGET_INSTANCE, names::LAST_EVENT_ID];
-    let of_the_message = ["host", "content-length", "transfer-encoding", "connection"];
+    let tier_headers = [names::ATTEMPT_ID, names::DEADLINE_MS, names::TARGET_INSTANCE, names::LAST_EVENT_ID];
+    let framing_headers = ["host", "content-length", "transfer-encoding", "connection"];
     for header in &order.headers {
         let name = header.name.as_str();
-        let written_here = own.iter().chain(&of_the_message).any(|other| other.eq_ignore_ascii_case(name));
-        if !written_here {
+        let is_replaced =
+            tier_headers.iter().chain(&framing_headers).any(|other| other.eq_ignore_ascii_case(name));
+        if !is_replaced {
             text += &format!("{name}: {}\r\n", header.value);
         }
     }
--- a/crates/tier/src/batch/leader.rs
+++ b/crates/tier/src/batch/leader.rs
@@ -1,10 +1,13 @@
-//! What the leader of a batch partition does for callers: it admits jobs, answers readers, and proposes what items come to.
+//! The duties of the leader of a batch partition: it admits jobs, answers reads, and proposes the results of
+//! items.
 //!
-//! The state is the [`BatchPartition`]'s; this module applies committed entries to it, proposes, and replies.
+//! [`BatchPartition`] holds the state; this module applies committed entries to it, makes proposals, and
+//! replies to calls.
 
 use crate::batch::page_size::max_page_bytes;
 use crate::batch::partition::{
-    BatchPartition, JOBS_ENTRY, LeftBehind, PendingRead, RETIRE_ENTRY, jobs_entry, not_found, shared,
+    BatchPartition, InterruptedCalls, JOBS_ENTRY, PendingRead, RETIRE_ENTRY, encode_jobs_entry, not_found,
+    shared_bytes,
 };
 use crate::control::partition_host::{Application, Waiter};
 use crate::links::messages::{OfferJob, Reply, SubmitJob};
@@ -19,13 +22,14 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// A reply without content.
+/// A reply with a status and an empty JSON object.
 fn answer(status: u16) -> Reply {
     Reply::Answer { status, body: b"{}".to_vec() }
 }
 
 impl Node {
-    /// The batch partition at an index.
+    /// The batch partition at an index of the node's partitions; `None` for the partition of the
+    /// configuration.
     pub(crate) fn batch_mut(&mut self, index: usize) -> Option<&mut BatchPartition> {
         match &mut self.partitions.get_mut(index)?.application {
             Application::Batch(partition) => Some(partition),
@@ -33,25 +37,27 @@
         }
     }
 
+    /// Restores a batch partition from a snapshot.
     pub(crate) fn restore_batch(&mut self, index: usize, bytes: Blob) -> Result<(), RunError> {
-        let (now, number) = (self.now, self.partitions[index].partition);
-        let unreadable = |reason: String| RunError::State { partition: number, reason };
+        let (now, partition_number) = (self.now, self.partitions[index].partition);
+        let unreadable = |reason: String| RunError::State { partition: partition_number, reason };
         if let Some(partition) = self.batch_mut(index) {
-            partition.restore(&shared(bytes)).map_err(|e| unreadable(e.to_string()))?;
+            partition.restore(&shared_bytes(bytes)).map_err(|e| unreadable(e.to_string()))?;
             partition.track_restored_jobs(now);
         }
         Ok(())
     }
 
+    /// Applies a committed entry of a batch partition and replies to the calls that wait for it.
     pub(crate) fn apply_batch(
         &mut self,
         index: usize,
         payload: Blob,
         waiters: Vec<Waiter>,
     ) -> Result<(), RunError> {
-        let (now, number) = (self.now, self.partitions[index].partition);
-        let unreadable = |reason: String| RunError::State { partition: number, reason };
-        let payload = shared(payload);
+        let (now, partition_number) = (self.now, self.partitions[index].partition);
+        let unreadable = |reason: String| RunError::State { partition: partition_number, reason };
+        let payload = shared_bytes(payload);
         let status = match payload.split_first() {
             Some((&JOBS_ENTRY, _)) => {
                 let entry = Entry::from_shared(&payload.skip(1)).map_err(|e| unreadable(e.to_string()))?;
@@ -72,7 +78,8 @@
         Ok(())
     }
 
-    /// What others learn from an applied entry; the status of the call that proposed it.
+    /// Replies to the calls that waited for what an applied entry changed. Returns the status for the call
+    /// that proposed it.
     fn after_applied(&mut self, index: usize, applied: &Applied) -> u16 {
         match applied {
             Applied::Submitted { job, .. } => {
@@ -90,32 +97,34 @@
             }
             Applied::Ended { outcome, job } => {
                 let ended = job.clone();
-                self.answer_pending_reads(index, |job| *job == ended);
-                self.cut_off_runs(index);
+                self.answer_pending_reads(index, |read_job| *read_job == ended);
+                self.abort_cancelled_runs(index);
                 if *outcome == EndOutcome::UnknownJob { 404 } else { 200 }
             }
             Applied::Progressed(_) | Applied::Forgotten(_) => 200,
         }
     }
 
+    /// Handles that this replica of a batch partition has become its leader (`leads`) or has ceased to be.
     pub(crate) fn batch_leader_changed(&mut self, index: usize, leads: bool) {
         let (now, wall_ms) = (self.now, self.wall_ms());
         let Some(partition) = self.batch_mut(index) else { return };
-        let LeftBehind { reads, submissions } = partition.leader_changed(leads, now, wall_ms);
+        let InterruptedCalls { reads, submissions } = partition.leader_changed(leads, now, wall_ms);
         for read in reads {
             self.reply(read.waiter.peer, read.waiter.number, Reply::Unavailable);
         }
         for waiter in submissions {
             self.reply(waiter.peer, waiter.number, Reply::Unclear);
         }
-        self.cut_off_runs(index);
+        self.abort_cancelled_runs(index);
         if leads {
             self.set_routes_of_jobs();
             self.wake_items();
         }
     }
 
-    /// The configuration or a leadership has changed: the jobs that this node runs belong to the routes that there are now.
+    /// Assigns the jobs of all batch partitions to the routes of the active configuration, after a change of
+    /// the configuration or of a leader.
     pub(crate) fn set_routes_of_jobs(&mut self) {
         let Some(active) = self.configuration.active().cloned() else { return };
         for index in 0..self.partitions.len() {
@@ -125,7 +134,8 @@
         }
     }
 
-    /// Proposes unfinished texts, so that the next leader goes on from there.
+    /// Proposes the incomplete texts of running items, so that the next leader can continue the items from
+    /// there.
     pub(crate) fn checkpoint_batch(&mut self, index: usize) {
         while let Some(entry) =
             self.batch_mut(index).and_then(|partition| partition.runner_mut().checkpoint())
@@ -137,22 +147,22 @@
         }
     }
 
-    /// Proposes what the items have come to.
+    /// Proposes the results of items and their progress.
     pub(crate) fn propose_results(&mut self, index: usize) {
         while let Some(entry) =
             self.batch_mut(index).and_then(|partition| partition.runner_mut().next_proposal())
         {
             let proposed = self.propose_for_runner(index, entry);
-            self.log_refusals(index, proposed.as_ref().err());
+            self.log_rejections(index, proposed.as_ref().err());
             if proposed.is_err() {
                 return;
             }
         }
     }
 
-    /// Proposes an entry of the runner, which gets it back if it is refused.
+    /// Proposes an entry of the runner. A rejected entry is given back to the runner.
     fn propose_for_runner(&mut self, index: usize, entry: Entry) -> Result<(), ProposeError> {
-        let proposed = self.partitions[index].propose(self.now, jobs_entry(&entry), None);
+        let proposed = self.partitions[index].propose(self.now, encode_jobs_entry(&entry), None);
         if proposed.is_err()
             && let Some(partition) = self.batch_mut(index)
         {
@@ -161,38 +171,44 @@
         proposed
     }
 
-    /// Logs the first proposal of results that is refused, and the first one that is taken after it.
-    fn log_refusals(&mut self, index: usize, refused: Option<&ProposeError>) {
+    /// Logs the first rejected proposal of results, and the first one that is accepted after it. `rejection`
+    /// is the error of the latest proposal, if it was rejected.
+    fn log_rejections(&mut self, index: usize, rejection: Option<&ProposeError>) {
         let now = self.now;
         let host = &mut self.partitions[index];
-        let (number, transferring) = (host.partition, host.replica.is_transferring_leadership());
+        let (partition_number, transferring) = (host.partition, host.replica.is_transferring_leadership());
         let Application::Batch(partition) = &mut host.application else { return };
-        match refused {
-            Some(error) if partition.refusals.refused(now) => {
-                info!(partition = number, %error, transferring, "results not proposed");
+        match rejection {
+            Some(error) if partition.refusals.record_rejected(now) => {
+                info!(partition = partition_number, %error, transferring, "results not proposed");
             }
             Some(_) => {}
             None => {
-                if let Some(duration) = partition.refusals.taken(now) {
-                    info!(partition = number, seconds = duration.seconds(), "results proposed again");
+                if let Some(duration) = partition.refusals.record_accepted(now) {
+                    info!(
+                        partition = partition_number,
+                        seconds = duration.seconds(),
+                        "results proposed again"
+                    );
                 }
             }
         }
     }
 
-    /// Forgets jobs that nobody may ask for any longer.
+    /// Proposes to delete the jobs whose retention time is over.
     pub(crate) fn forget_old_jobs(&mut self, index: usize) {
         let now = self.now;
-        // Readers come for a while longer than the bound, and a client's first send was before the job was taken.
-        let status = Duration::from_seconds(self.settings.bounds.status_s + 10.0);
+        // Readers may come somewhat later than the bound, and a client first sent the job before it was accepted.
+        let retention = Duration::from_seconds(self.settings.bounds.status_s + 10.0);
         let Some(partition) = self.batch_mut(index) else { return };
-        let jobs = partition.runner().expired_jobs(partition.jobs(), now, status);
+        let jobs = partition.runner().expired_jobs(partition.jobs(), now, retention);
         if !jobs.is_empty() {
-            // Refused, it is proposed again when the groups are next maintained.
-            let _ = self.partitions[index].propose(now, jobs_entry(&Entry::Forget { jobs }), None);
+            // A rejected entry is proposed again at the next maintenance of the replica groups.
+            let _ = self.partitions[index].propose(now, encode_jobs_entry(&Entry::Forget { jobs }), None);
         }
     }
 
+    /// Handles the submission of a job to the partition's leader.
     pub(crate) fn submit_at_leader(&mut self, waiter: Waiter, call: SubmitJob) {
         let (now, wall_ms) = (self.now, self.wall_ms());
         let Some(index) = self.led_index(call.partition, waiter) else { return };
@@ -200,10 +216,10 @@
             return self.reply(waiter.peer, waiter.number, answer(400));
         };
         if let Some(active) = self.configuration.active() {
-            // The node that took the job may serve by an older configuration.
+            // The node that received the job may have an older configuration.
             let JobOrigin { host, path, .. } = JobOrigin::of(&submission);
-            let current = active.routes.bulk(host, path).map(|route| route.name.as_str().to_owned());
-            submission.route = current.unwrap_or(submission.route);
+            let current_route = active.routes.bulk(host, path).map(|route| route.name.as_str().to_owned());
+            submission.route = current_route.unwrap_or(submission.route);
         }
         let job = submission.job.clone();
         let Some(partition) = self.batch_mut(index) else { return };
@@ -221,10 +237,10 @@
                     queue_token_limit: call.queue_token_limit,
                     ..JobSettings::default()
                 };
-                let entry = jobs_entry(&Entry::Submit { submission, settings });
+                let entry = encode_jobs_entry(&Entry::Submit { submission, settings });
                 if self.partitions[index].propose(now, entry, Some(waiter)).is_err() {
                     if let Some(partition) = self.batch_mut(index) {
-                        partition.not_proposed(&job);
+                        partition.release_admission(&job);
                     }
                     self.reply(waiter.peer, waiter.number, Reply::Unavailable);
                 }
@@ -232,9 +248,9 @@
         }
     }
 
-    /// A node has a job for this partition. What would be refused is refused without its bodies, and what is known is not wanted
-    /// again.
-    pub(crate) fn offered_to_leader(&mut self, waiter: Waiter, offer: &OfferJob) {
+    /// Handles the offer of a job by its name and size. A job that does not fit is rejected, and a known one
+    /// is acknowledged, without its bodies being sent.
+    pub(crate) fn offer_at_leader(&mut self, waiter: Waiter, offer: &OfferJob) {
         let Some(index) = self.led_index(offer.partition, waiter) else { return };
         let routes = self.offered_routes(&offer.route);
         let Some(partition) = self.batch_mut(index) else { return };
@@ -251,7 +267,7 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// The routes that a job may count on which is offered with the name of its route alone.
+    /// The routes whose limits may apply to a job that is offered with the name of its route alone.
     fn offered_routes<'a>(&self, name: &'a str) -> Vec<JobRoute<'a>> {
         let active = self.configuration.active();
         let named = active.into_iter().flat_map(|active| active.routes.bulk_named(name));
@@ -263,16 +279,17 @@
         routes
     }
 
+    /// Handles a read of a job's results. If there is none yet, the read waits for up to `hold_ms`.
     pub(crate) fn read_at_leader(
         &mut self,
         waiter: Waiter,
-        number: u8,
+        partition_number: u8,
         job: &str,
         resume_after: u64,
         hold_ms: u32,
     ) {
-        let Some(index) = self.led_index(number, waiter) else { return };
-        let read = self.next_serial();
+        let Some(index) = self.led_index(partition_number, waiter) else { return };
+        let number = self.next_serial();
         let now = self.now;
         let Some(partition) = self.batch_mut(index) else { return };
         let Some(job) = JobId::new(job).filter(|job| partition.jobs().contains(job)) else {
@@ -280,9 +297,9 @@
         };
         let resume_after = usize::try_from(resume_after).unwrap_or(usize::MAX);
         if hold_ms > 0 && !partition.has_result_after(&job, resume_after) {
-            partition.wait_for_result(PendingRead { read, waiter, job, resume_after });
+            partition.wait_for_result(PendingRead { number, waiter, job, resume_after });
             let until = now + Duration::from_millis(u64::from(hold_ms));
-            self.alarms.set(until, Timer::PendingReadExpires { read });
+            self.alarms.set(until, Timer::PendingReadExpires { read: number });
             return;
         }
         self.answer_read(index, waiter, &job, resume_after);
@@ -295,18 +312,18 @@
         }
         let max_bytes = max_page_bytes(self.settings.limits.link_mbps);
         let Some(partition) = self.batch_mut(index) else { return };
-        let reply = partition.page(job, resume_after, max_bytes);
+        let reply = partition.page_reply(job, resume_after, max_bytes);
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    fn answer_pending_reads(&mut self, index: usize, concerned: impl Fn(&JobId) -> bool) {
+    fn answer_pending_reads(&mut self, index: usize, is_affected: impl Fn(&JobId) -> bool) {
         let Some(partition) = self.batch_mut(index) else { return };
-        for read in partition.take_pending_reads(concerned) {
+        for read in partition.take_pending_reads(is_affected) {
             self.answer_read(index, read.waiter, &read.job, read.resume_after);
         }
     }
 
-    /// A read was pending for as long as it asked.
+    /// Answers a read whose waiting time is over.
     pub fn pending_read_expired(&mut self, number: u64) {
         for index in 0..self.partitions.len() {
             let Some(read) = self.batch_mut(index).and_then(|partition| partition.take_pending_read(number))
@@ -317,28 +334,39 @@
         }
     }
 
-    pub(crate) fn read_item_at_leader(&mut self, waiter: Waiter, number: u8, job: &str, item: &str) {
-        let Some(index) = self.led_index(number, waiter) else { return };
+    /// Handles a read of the body of an item.
+    pub(crate) fn read_item_at_leader(
+        &mut self,
+        waiter: Waiter,
+        partition_number: u8,
+        job: &str,
+        item: &str,
+    ) {
+        let Some(index) = self.led_index(partition_number, waiter) else { return };
         let Some(partition) = self.batch_mut(index) else { return };
-        let reply = partition.item_body(job, item);
+        let reply = partition.item_body_reply(job, item);
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    pub(crate) fn end_at_leader(&mut self, waiter: Waiter, number: u8, job: &str) {
+    /// Handles a client's request to end a job.
+    pub(crate) fn end_at_leader(&mut self, waiter: Waiter, partition_number: u8, job: &str) {
         let now = self.now;
-        let Some(index) = self.led_index(number, waiter) else { return };
+        let Some(index) = self.led_index(partition_number, waiter) else { return };
         let Some(partition) = self.batch_mut(index) else { return };
-        let Some(job) = JobId::new(job).filter(|job| partition.knows(job)) else {
+        let Some(job) = JobId::new(job).filter(|job| partition.is_known(job)) else {
             return self.reply(waiter.peer, waiter.number, not_found());
         };
-        if self.partitions[index].propose(now, jobs_entry(&Entry::Ended { job }), Some(waiter)).is_err() {
+        if self.partitions[index]
+            .propose(now, encode_jobs_entry(&Entry::Ended { job }), Some(waiter))
+            .is_err()
+        {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
     }
 
-    /// Whether the runner of a led partition has something to do later by itself: a backoff ends, a job is given up, or the
-    /// log has refused what it proposed.
-    pub(crate) fn runner_waits(&self, index: usize) -> bool {
+    /// Whether the runner of a led partition has to be called again without any event: because a backoff or
+    /// the time of a job ends, or because the log has rejected its proposals.
+    pub(crate) fn runner_needs_wake(&self, index: usize) -> bool {
         let host = &self.partitions[index];
         let Application::Batch(partition) = &host.application else { return false };
         let runner = partition.runner();
--- a/crates/tier/src/batch/mod.rs
+++ b/crates/tier/src/batch/mod.rs
@@ -1,8 +1,11 @@
-//! Batch jobs: the clients' interface, the state of the partitions that hold jobs, and the items that run on executors.
+//! Batch jobs: the HTTP interface, the replicated state of the partitions that hold jobs, and the items that
+//! run at executors.
 //!
-//! [`api`] checks calls and passes them to the leader of the job's partition, where [`leader`] answers them by the state that
-//! [`partition`] keeps; [`items`] runs the items of led partitions, and [`load_report`] tells the other leaders how many there
-//! are. `refusals` knows since when the log of a partition takes no results.
+//! [`api`] checks clients' requests and forwards them to the leader of the job's partition, where [`leader`]
+//! answers them from the state in [`partition`]. [`items`] runs the items of the partitions that this node
+//! leads, and [`load_report`] tells the leaders of the other partitions how many items are running and
+//! waiting. [`page_size`] limits the pages of results, and `refusals` notes since when the log of a partition
+//! has rejected results.
 
 pub mod api;
 pub mod items;
--- a/crates/tier/src/control/partition_host.rs
+++ b/crates/tier/src/control/partition_host.rs
@@ -3,7 +3,7 @@
 //! A [`PartitionHost`] owns all of these. It writes and syncs by itself; what is sent to others, and what the application does
 //! with a committed entry, is up to [`partitions`](crate::control::partitions).
 
-use crate::batch::partition::{BatchPartition, shared};
+use crate::batch::partition::{BatchPartition, shared_bytes};
 use crate::control::configuration_partition::ConfigurationPartition;
 use crate::control::disk_budget::DiskBudget;
 use crate::control::membership_maintenance::MembershipMaintenance;
@@ -164,7 +164,7 @@
             _ => None,
         });
         let Some(snapshot) = of_this_state else { return };
-        if let Err(error) = batch.restore(&shared(snapshot.clone())) {
+        if let Err(error) = batch.restore(&shared_bytes(snapshot.clone())) {
             warn!(partition = self.partition, %error, "own snapshot unreadable");
         }
     }
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -181,7 +181,7 @@
             Call::ShowPartition { partition } => self.show_partition_at_leader(waiter, partition),
             Call::FetchConfiguration { newer_than } => self.reply_with_configuration(waiter, newer_than),
             Call::SubmitJob(call) => self.submit_at_leader(waiter, call),
-            Call::OfferJob(offer) => self.offered_to_leader(waiter, &offer),
+            Call::OfferJob(offer) => self.offer_at_leader(waiter, &offer),
             Call::ReadJob { partition, job, resume_after, hold_ms } => {
                 self.read_at_leader(waiter, partition, &job, resume_after, hold_ms);
             }
--- a/crates/tier/tests/batch_partition.rs
+++ b/crates/tier/tests/batch_partition.rs
@@ -1,4 +1,5 @@
-//! The state of a batch partition in bytes: the form on disks stays, and what is restored refers to the bytes.
+//! The encoded state of a batch partition: its format on disk must not change, and a restored state refers to
+//! the encoded bytes instead of copying them.
 
 use grebeusher_batch::{
     Entry, Header, ItemSpec, JobId, JobSettings, Jobs, MAX_PAGE_BYTES, SharedBytes, Submission,
@@ -7,7 +8,7 @@
 use nanoserde::SerBin;
 use std::sync::Arc;
 
-/// The frame as it was first written to disks.
+/// The encoded state in the format that nodes have written to disk since the first version.
 #[derive(SerBin)]
 struct Frame {
     jobs: Vec<u8>,
@@ -19,11 +20,11 @@
         id: "a".into(),
         path: "/lots/a".into(),
         headers: vec![Header { name: "Accept".into(), value: "text/plain".into() }],
-        body: b"what is asked".to_vec().into(),
+        body: b"a prompt".to_vec().into(),
         token_count: 30,
     };
     let submission = Submission {
-        job: JobId::new("j").expect("a name"),
+        job: JobId::new("j").expect("a valid job id"),
         route: "lots".into(),
         service: "models".into(),
         host: "lots.example".into(),
@@ -40,10 +41,10 @@
 }
 
 #[test]
-fn a_state_from_the_disk_is_taken_over_and_written_alike() {
+fn a_state_from_the_disk_is_restored_and_encoded_identically() {
     let bytes = frame(&jobs());
     let mut partition = BatchPartition::new(1 << 20, 1);
-    partition.restore(&SharedBytes::from(bytes.clone())).expect("whole");
+    partition.restore(&SharedBytes::from(bytes.clone())).expect("a complete state");
     assert_eq!(partition.jobs(), &jobs());
     assert_eq!(partition.snapshot(), bytes.to_vec());
     let empty = Frame { jobs: Jobs::new().to_snapshot(), retiring: Vec::new() };
@@ -51,29 +52,29 @@
 }
 
 #[test]
-fn a_restored_state_refers_to_the_bytes_and_to_no_earlier_ones() {
+fn a_restored_state_refers_to_its_encoded_bytes_and_not_to_earlier_ones() {
     let (first, second) = (frame(&jobs()), frame(&jobs()));
     let mut partition = BatchPartition::new(1 << 20, 1);
-    partition.restore(&SharedBytes::from(first.clone())).expect("whole");
+    partition.restore(&SharedBytes::from(first.clone())).expect("a complete state");
     assert!(Arc::strong_count(&first) > 1);
-    partition.restore(&SharedBytes::from(second.clone())).expect("whole");
+    partition.restore(&SharedBytes::from(second.clone())).expect("a complete state");
     assert_eq!(Arc::strong_count(&first), 1);
     assert!(Arc::strong_count(&second) > 1);
-    let job = JobId::new("j").expect("a name");
-    assert_eq!(partition.jobs().item_body(&job, "a"), Some(&b"what is asked"[..]));
+    let job = JobId::new("j").expect("a valid job id");
+    assert_eq!(partition.jobs().item_body(&job, "a"), Some(&b"a prompt"[..]));
     assert_eq!(partition.jobs().read(&job, 0, MAX_PAGE_BYTES).map(|page| page.total), Some(1));
 }
 
 #[test]
-fn a_state_that_is_cut_off_or_lies_about_its_length_is_refused_and_changes_nothing() {
+fn a_truncated_state_or_one_with_a_wrong_length_is_rejected_and_changes_nothing() {
     let bytes = frame(&jobs());
     let mut partition = BatchPartition::new(1 << 20, 1);
-    partition.restore(&SharedBytes::from(bytes.clone())).expect("whole");
+    partition.restore(&SharedBytes::from(bytes.clone())).expect("a complete state");
     for end in 0..bytes.len() {
-        assert!(partition.restore(&SharedBytes::from(&bytes[..end])).is_err(), "cut at {end}");
+        assert!(partition.restore(&SharedBytes::from(&bytes[..end])).is_err(), "truncated at {end}");
     }
-    let mut long = bytes.to_vec();
-    long[..8].copy_from_slice(&u64::MAX.to_le_bytes());
-    assert!(matches!(partition.restore(&SharedBytes::from(long)), Err(RestoreError::CutOff)));
+    let mut wrong_length = bytes.to_vec();
+    wrong_length[..8].copy_from_slice(&u64::MAX.to_le_bytes());
+    assert!(matches!(partition.restore(&SharedBytes::from(wrong_length)), Err(RestoreError::Truncated)));
     assert_eq!(partition.jobs(), &jobs());
 }
