--- a/crates/tier/src/batch/api.rs
+++ b/crates/tier/src/batch/api.rs
@@ -2,7 +2,7 @@
 //! partition.
 
 use crate::control::api::{path_of, query_value};
-use crate::links::calls::{BatchQuestion, Continuation};
+use crate::links::calls::{BatchRequestKind, Continuation};
 use crate::links::messages::{Call, Reply, SubmitJob};
 use crate::node::Node;
 use crate::requests::exchange::ClientRequest;
@@ -146,7 +146,7 @@
             max_attempts: route.max_attempts,
             queue_token_limit: self.queue_token_limit_per_leader(route.queue_token_limit),
         });
-        let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Submit };
+        let continuation = Continuation::Batch { connection, serial, kind: BatchRequestKind::Submit };
         self.call_leader(partition, call, self.now + SUBMIT_TIMEOUT, continuation);
     }
 
@@ -161,7 +161,7 @@
         }
         let partition = partition_of_job(host, job, self.spreads_jobs());
         let call = Call::ReadJob { partition, job: job.to_owned(), resume_after, hold_ms: hold_ms as u32 };
-        let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Read };
+        let continuation = Continuation::Batch { connection, serial, kind: BatchRequestKind::Read };
         self.call_leader(partition, call, self.now + timeout, continuation);
     }
 
@@ -174,7 +174,7 @@
         }
         let partition = partition_of_job(host, job, self.spreads_jobs());
         let call = Call::ReadItem { partition, job: job.to_owned(), item: item.to_owned() };
-        let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::Read };
+        let continuation = Continuation::Batch { connection, serial, kind: BatchRequestKind::Read };
         self.call_leader(partition, call, self.now + CALL_TIMEOUT, continuation);
     }
 
@@ -184,16 +184,16 @@
         }
         let partition = partition_of_job(host, job, self.spreads_jobs());
         let call = Call::EndJob { partition, job: job.to_owned() };
-        let continuation = Continuation::Batch { connection, serial, question: BatchQuestion::End };
+        let continuation = Continuation::Batch { connection, serial, kind: BatchRequestKind::End };
         self.call_leader(partition, call, self.now + CALL_TIMEOUT, continuation);
     }
 
     /// Answers a client's batch request with the leader's reply.
-    pub fn batch_reply(&mut self, connection: usize, serial: u64, question: BatchQuestion, reply: Reply) {
+    pub fn batch_reply(&mut self, connection: usize, serial: u64, kind: BatchRequestKind, reply: Reply) {
         if !matches!(reply, Reply::Answer { status: 200 | 202, .. }) {
-            debug!(?question, reply = reply.name(), "batch call ended");
+            debug!(question = ?kind, reply = reply.name(), "batch call ended");
         }
-        let answer = match (question, reply) {
+        let answer = match (kind, reply) {
             (_, Reply::Answer { status: 429, body }) => {
                 http::answer(429, &[("Retry-After", RETRY_AFTER_S)], &body)
             }
@@ -202,7 +202,7 @@
             }
             // The job may have been accepted, so the client must not get a status that promises that it will
             // not run.
-            (BatchQuestion::Submit, Reply::Unclear) => http::answer(504, &[], b""),
+            (BatchRequestKind::Submit, Reply::Unclear) => http::answer(504, &[], b""),
             _ => http::answer(503, &[("Retry-After", RETRY_AFTER_S)], b""),
         };
         self.answer(connection, serial, answer);
--- a/crates/tier/src/links/calls/continuation.rs
+++ b/crates/tier/src/links/calls/continuation.rs
@@ -1,48 +1,48 @@
-//! Who waits for the reply to a call, and what was asked.
+//! The receiver of the reply to a call, and the operation that the receiver requested.
 
 use crate::control::active_configuration::FetchSource;
 use crate::links::messages::CallNumber;
 use std::net::SocketAddrV4;
 
-/// Who waits for the reply to a call.
+/// The receiver of the reply to a call.
 #[derive(Clone, Debug)]
 pub(crate) enum Continuation {
-    /// An order or a question of the operator.
+    /// An operator's request.
     Operator { connection: usize, serial: u64, question: OperatorQuestion },
-    /// A batch call of a client.
-    Batch { connection: usize, serial: u64, question: BatchQuestion },
-    /// A configuration for this node itself.
+    /// A client's request about a batch job.
+    Batch { connection: usize, serial: u64, kind: BatchRequestKind },
+    /// This node itself, which fetches a newer configuration.
     Configuration(FetchSource),
-    /// A bootstrap that a replica confirms.
+    /// This node itself, which bootstraps a partition and waits for a voter's confirmation.
     Bootstrap { partition: u8, voter: u64 },
-    /// Another node's call that this node passes on.
+    /// Another node, whose call this node forwards.
     Forwarded { peer: SocketAddrV4, number: CallNumber },
-    /// One partition's verdict on a storage node that is to be emptied, for a request to all partitions.
+    /// An operator's request to retire a storage node, which waits for the replies of all partitions.
     Retire { request: u64 },
-    /// The versions of all services for this node itself.
+    /// This node itself, which fetches the versions of all services.
     Rollouts,
 }
 
-/// What the operator asked.
+/// The kind of an operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorQuestion {
-    /// `Configuration.Replace`.
+    /// The operator replaces the configuration (`Configuration.Replace`).
     Replace,
-    /// `Configuration.Show`.
+    /// The operator reads the configuration (`Configuration.Show`).
     Show,
-    /// The status of a partition.
+    /// The operator reads the status of a partition.
     Partition,
-    /// `Rollouts.Begin` or `Rollouts.Show`.
+    /// The operator begins or reads a roll-out (`Rollouts.Begin` or `Rollouts.Show`).
     Rollout,
 }
 
-/// What a client asked about a batch job.
+/// The kind of a client's request about a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BatchQuestion {
-    /// A job is submitted.
+pub enum BatchRequestKind {
+    /// The client submits a job.
     Submit,
-    /// Results or a body are read.
+    /// The client reads the results of a job or the body of an item.
     Read,
-    /// The job is ended.
+    /// The client ends a job.
     End,
 }
--- a/crates/tier/src/links/calls/pending_call.rs
+++ b/crates/tier/src/links/calls/pending_call.rs
@@ -1,4 +1,4 @@
-//! One call that waits for its reply: its attempts so far and what the next one sends.
+//! A call that waits for its reply: its attempts so far, and the message that the next attempt sends.
 
 use super::continuation::Continuation;
 use crate::links::messages::{Call, OfferJob};
@@ -7,23 +7,29 @@
 use nanoserde::{DeBin, SerBin};
 use std::net::SocketAddrV4;
 
-/// How often one round of attempts goes to the same node because others name it as the leader.
+/// The most attempts per round that are sent to the same node, even if other nodes name it as the leader
+/// again.
 const MAX_HINTED_ATTEMPTS: usize = 2;
-/// Batch jobs of this many bytes and more are offered before they are sent.
+/// Batch jobs of at least this many bytes are offered by name and size before they are sent.
 const MIN_OFFERED_BYTES: usize = 4 * 1024;
 
 /// A call that waits for its reply.
 pub(super) struct PendingCall {
     pub(super) call: Call,
-    /// The partition whose leader is meant; `None`: one node is meant.
+    /// The partition whose leader the call is for; `None` if it is for one particular node.
     pub(super) partition: Option<u8>,
-    pub(super) to: Option<SocketAddrV4>,
-    pub(super) tried: Vec<SocketAddrV4>,
-    pub(super) began: Instant,
-    pub(super) until: Instant,
-    pub(super) expires: Instant,
-    /// Whether an attempt was left unanswered, so that it may still be taken.
-    pub(super) may_be_taken: bool,
+    /// The node that the next attempt goes to: the one that the call is for, or the one that another node
+    /// named as the leader.
+    pub(super) next_node: Option<SocketAddrV4>,
+    /// The nodes that the attempts of this round were sent to, in order.
+    pub(super) tried_nodes: Vec<SocketAddrV4>,
+    pub(super) started_at: Instant,
+    /// The time at which the whole call is given up.
+    pub(super) deadline: Instant,
+    /// The time at which the current attempt, or the pause before the next one, is over.
+    pub(super) timeout_at: Instant,
+    /// Whether an attempt was not answered, so that it may still be accepted.
+    pub(super) may_be_accepted: bool,
     /// What the last attempt sent.
     pub(super) sent: Sent,
     pub(super) continuation: Continuation,
@@ -32,43 +38,46 @@
 /// What the last attempt of a call sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sent {
-    /// There was none yet.
+    /// There was no attempt yet.
     Nothing,
-    /// The call as it is.
+    /// It sent the complete call.
     Complete,
-    /// A batch job by its name and size only.
-    Offer(Path),
+    /// It sent the offer of a batch job, with its name and size only.
+    Offer(AttemptPath),
 }
 
-/// Whether an attempt goes to the node that is to answer it.
+/// The path of an attempt to the node that is to answer it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Path {
-    /// It does.
+pub(super) enum AttemptPath {
+    /// The attempt is sent to that node itself.
     Direct,
-    /// Another node forwards it.
+    /// The attempt is sent to another node, which forwards it.
     Relayed,
 }
 
 impl PendingCall {
-    /// The next attempt goes to the leader that another node named, unless that one was tried twice already.
-    pub(super) fn follow_hint(&mut self, hinted: Option<SocketAddrV4>) {
+    /// Chooses the leader that another node named for the next attempt, unless it was tried
+    /// [`MAX_HINTED_ATTEMPTS`] times already.
+    pub(super) fn follow_leader_hint(&mut self, hinted: Option<SocketAddrV4>) {
         let Some(hinted) = hinted else { return };
-        if self.tried.iter().filter(|&&tried| tried == hinted).count() < MAX_HINTED_ATTEMPTS {
-            self.to = Some(hinted);
+        if self.tried_nodes.iter().filter(|&&tried| tried == hinted).count() < MAX_HINTED_ATTEMPTS {
+            self.next_node = Some(hinted);
         }
     }
 
-    /// Whether a batch job is submitted.
+    /// Whether the call submits a batch job.
     pub(super) fn is_submission(&self) -> bool {
         matches!(self.call, Call::SubmitJob(_))
     }
 
-    /// Whether it is forwarded for a node whose offer of it was accepted.
+    /// Whether the next attempt is the first one of a call that is forwarded for another node. If the call
+    /// submits a job, that node has offered the job already where necessary.
     pub(super) fn offer_was_accepted(&self) -> bool {
         self.sent == Sent::Nothing && matches!(self.continuation, Continuation::Forwarded { .. })
     }
 
-    /// The small call that asks after a batch job first; nothing for what is small itself.
+    /// The call that offers a batch job by its name and size; `None` if the call submits no job or is small
+    /// itself.
     pub(super) fn offer(&self) -> Option<Call> {
         let Call::SubmitJob(call) = &self.call else { return None };
         if call.submission.len() < MIN_OFFERED_BYTES {
@@ -84,12 +93,12 @@
         }))
     }
 
-    /// What a relay is sent so that it forwards `call` in the time that is left.
-    pub(super) fn forwarded(&self, call: &Call, now: Instant) -> Call {
-        let time_left_ms = self.until.since(now).nanos() / 1_000_000;
+    /// Wraps `call` for a relay, which is to forward it within the time that is left.
+    pub(super) fn wrap_for_relay(&self, call: &Call, now: Instant) -> Call {
+        let time_left_ms = self.deadline.since(now).nanos() / 1_000_000;
         Call::Forward {
             partition: self.partition.unwrap_or_default(),
-            within_ms: u32::try_from(time_left_ms).unwrap_or(u32::MAX),
+            timeout_ms: u32::try_from(time_left_ms).unwrap_or(u32::MAX),
             call: SerBin::serialize_bin(call),
         }
     }
--- a/crates/tier/src/links/calls/time_limits.rs
+++ b/crates/tier/src/links/calls/time_limits.rs
@@ -1,31 +1,34 @@
-//! How long an attempt of a call may take.
+//! The time limits for attempts of a call.
 
 use crate::links::messages::Call;
 use grebeusher_time::Duration;
 
-/// An attempt that is not answered by then is repeated at another node. Leaders answer once a quorum has synced.
+/// An attempt that is not answered after this time is repeated at another node. The time allows for a leader
+/// that replies only once a quorum has written to disk.
 pub(super) const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
-/// What a large call gets at least of a link that others use too (bytes a second).
+/// The minimum speed that is assumed for a large call on a link that others use too (bytes per second).
 const MIN_LINK_BYTES_PER_S: u64 = 200_000;
-/// What a page of results may take beyond the time that the leader may hold a read: it queues behind those of other readers.
+/// The additional time for a page of results, beside the time that the leader may delay the reply: the page
+/// waits in the link's queue behind the pages of other readers.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// When an attempt of a call is repeated at another node, from the moment that it is sent.
+/// The time from sending an attempt of a call until it is repeated at another node.
 pub(super) fn attempt_timeout(call: &Call) -> Duration {
     ATTEMPT_TIMEOUT + extra_time(call)
 }
 
-/// How much longer than usual a call may take without a fault: the leader holds reads, and large calls need their
-/// time on links that many of them share. Guards against large calls being sent again and again while they wait in the
-/// queue of a link: what was meant to help then keeps the leader's link full for good.
+/// The additional time that a call may take without a fault: leaders delay the replies to reads, and large
+/// calls take time on shared links. Without it, large calls would be repeated while they wait in the queue of
+/// a link, and the copies would keep the leader's link overloaded.
 fn extra_time(call: &Call) -> Duration {
-    let in_transit = |bytes: usize| Duration::from_nanos(bytes as u64 * 1_000_000_000 / MIN_LINK_BYTES_PER_S);
+    let transfer_time =
+        |bytes: usize| Duration::from_nanos(bytes as u64 * 1_000_000_000 / MIN_LINK_BYTES_PER_S);
     match call {
         Call::ReadJob { hold_ms, .. } => Duration::from_millis(u64::from(*hold_ms)) + PAGE_TIMEOUT,
-        Call::SubmitJob(submission) => in_transit(submission.submission.len()),
-        Call::ReplaceConfiguration { body, .. } => in_transit(body.len()),
-        // The relay tries more than one node.
-        Call::Forward { call, .. } => ATTEMPT_TIMEOUT + in_transit(call.len()),
+        Call::SubmitJob(submission) => transfer_time(submission.submission.len()),
+        Call::ReplaceConfiguration { body, .. } => transfer_time(body.len()),
+        // The relay may try more than one node.
+        Call::Forward { call, .. } => ATTEMPT_TIMEOUT + transfer_time(call.len()),
         _ => Duration::from_nanos(0),
     }
 }
--- a/crates/tier/src/links/connections.rs
+++ b/crates/tier/src/links/connections.rs
@@ -1,8 +1,9 @@
-//! The connections of a node: what each is for, and how they are found, opened and closed.
+//! The table of a node's connections: their purposes, and how they are found, opened and closed.
 //!
-//! `ConnectionTable` owns every connection, the pool of idle ones to executors and the list of those with unread input.
-//! It knows nothing of requests and links: what a connection carries is up to its [`Role`]. An index may be given to another
-//! connection after a close, so whoever keeps an index over a call that may close it compares the serial number.
+//! `ConnectionTable` owns every connection, the pool of idle connections to executors and the list of
+//! connections with unread input. It does not depend on requests and links: the [`Role`] of a connection says
+//! what it carries. The index of a closed connection may be reused, so code that keeps an index across a call
+//! that may close the connection must compare the serial number.
 
 use crate::links::peer_links::{IncomingLink, OutgoingLink};
 use crate::links::socket::Socket;
@@ -16,52 +17,56 @@
 use std::io;
 use std::sync::Arc;
 
-/// What a connection is for.
+/// The purpose of a connection.
 pub enum Role {
-    /// Somebody calls this node over HTTP.
+    /// An HTTP connection from a client, an executor or an operator that calls this node.
     Server(ServerConnection),
-    /// This node calls an executor.
+    /// An HTTP connection on which this node calls an executor.
     Upstream(Upstream),
-    /// A link that another node speaks on.
+    /// A link on which another node sends frames to this one.
     Incoming(IncomingLink),
-    /// A link that this node speaks on.
+    /// A link on which this node sends frames to another one.
     Outgoing(OutgoingLink),
 }
 
-/// One connection.
+/// A connection of the node.
 pub struct Connection {
-    /// Its socket.
+    /// The socket of the connection.
     pub socket: Socket,
-    /// What it is for.
+    /// The purpose of the connection.
     pub role: Role,
+    /// The number of this connection, which no other connection of the process has had.
     pub(crate) serial: u64,
 }
 
 /// All connections of a node, by index.
 pub(crate) struct ConnectionTable {
     entries: Slab<Connection>,
-    /// Clients may not make the node hold more connections than this.
+    /// Further connections of clients are refused while the node has this many connections.
     max_connections: usize,
     last_serial: u64,
-    /// Idle connections to executors, by the executor's instance id; the one that was used last stands last.
+    /// The indices of idle connections to executors, by the executor's instance id; the most recently used
+    /// one is the last.
     idle_upstreams: FxHashMap<Arc<str>, Vec<usize>>,
-    /// Connections whose next request was read while the one before it was answered.
-    with_unread_input: Vec<usize>,
+    /// The indices of connections whose next request was read while the previous one was still being
+    /// answered.
+    unread_input: Vec<usize>,
 }
 
 impl ConnectionTable {
-    /// An empty table; clients may fill it up to `max_connections`.
+    /// Creates an empty table. Further connections of clients are refused once it holds `max_connections`.
     pub fn new(max_connections: usize) -> ConnectionTable {
         ConnectionTable {
             entries: Slab::new(),
             max_connections,
             last_serial: 0,
             idle_upstreams: FxHashMap::default(),
-            with_unread_input: Vec::new(),
+            unread_input: Vec::new(),
         }
     }
 
-    /// Adds a connection that `open` makes under the poller's key that it is given, and returns its index.
+    /// Adds the connection that `open` opens, and returns its index. `open` gets the key under which the
+    /// poller is to report the connection's events.
     pub fn add(
         &mut self,
         world: &dyn World,
@@ -76,24 +81,24 @@
         Ok(index)
     }
 
-    /// Closes a connection. An outgoing link is closed by [`PeerLinks`](crate::links::peer_links::PeerLinks), which knows it
-    /// by its address.
+    /// Closes a connection. Outgoing links must be closed by
+    /// [`PeerLinks`](crate::links::peer_links::PeerLinks), which also removes them from its own table.
     pub fn close(&mut self, index: usize) {
         let Some(connection) = self.entries.try_remove(index) else { return };
         if let Role::Upstream(upstream) = connection.role
             && !upstream.is_busy()
         {
-            self.forget_idle(upstream.instance(), index);
+            self.remove_idle(upstream.instance(), index);
         }
     }
 
-    fn forget_idle(&mut self, instance: &Arc<str>, index: usize) {
+    fn remove_idle(&mut self, instance: &Arc<str>, index: usize) {
         if let Some(indices) = self.idle_upstreams.get_mut(instance) {
             indices.retain(|&other| other != index);
         }
     }
 
-    /// Whether a client's further connection is to be refused.
+    /// Whether a further connection of a client is to be refused.
     pub fn is_full(&self) -> bool {
         self.entries.len() >= self.max_connections
     }
@@ -103,7 +108,7 @@
         self.entries.get(index)
     }
 
-    /// All connections with their indices.
+    /// Iterates over all connections with their indices.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &Connection)> {
         self.entries.iter()
     }
@@ -113,13 +118,13 @@
         self.entries.get(index).map_or(0, |connection| connection.serial)
     }
 
-    /// A number that nothing else of this process got.
+    /// Returns a number that it has not returned before in this process.
     pub fn next_serial(&mut self) -> u64 {
         self.last_serial += 1;
         self.last_serial
     }
 
-    /// The connection at an index, if it is of a client, an executor or an operator that calls this node.
+    /// The connection at an index, if a client, an executor or an operator calls this node on it.
     pub fn server_mut(&mut self, index: usize) -> Option<(&mut Socket, &mut ServerConnection)> {
         match self.entries.get_mut(index)? {
             Connection { socket, role: Role::Server(server), .. } => Some((socket, server)),
@@ -151,30 +156,30 @@
         }
     }
 
-    /// Stops reading from a connection, or resumes it.
+    /// Stops reading from a connection (`paused`), or resumes it.
     pub fn pause(&mut self, index: usize, paused: bool) {
         if let Some(connection) = self.entries.get_mut(index) {
-            // One that can't be watched any more fails at its next use.
+            // If this fails, the connection can't be polled any more, and its next use fails too.
             let _ = connection.socket.pause(paused);
         }
     }
 
-    /// Notes that the input of a connection holds a request that nobody has looked at.
+    /// Notes that the input of a connection contains a request that is not processed yet.
     pub fn note_unread_input(&mut self, index: usize) {
-        self.with_unread_input.push(index);
+        self.unread_input.push(index);
     }
 
-    /// The connections that [`ConnectionTable::note_unread_input`] noted; the list is empty after it.
+    /// Removes and returns the indices that [`ConnectionTable::note_unread_input`] noted.
     pub fn take_unread_input(&mut self) -> Vec<usize> {
-        std::mem::take(&mut self.with_unread_input)
+        std::mem::take(&mut self.unread_input)
     }
 
-    /// Puts a connection into the pool of its executor.
+    /// Adds an idle connection to the pool of its executor.
     pub fn put_idle(&mut self, instance: Arc<str>, index: usize) {
         self.idle_upstreams.entry(instance).or_default().push(index);
     }
 
-    /// Takes a usable connection to an executor out of the pool. Those that are past their time are closed on the way.
+    /// Takes a usable connection to an executor out of the pool. Expired ones that it finds are closed.
     pub fn take_idle(&mut self, instance: &Arc<str>, now: Instant) -> Option<usize> {
         loop {
             let index = self.idle_upstreams.get_mut(instance)?.pop()?;
@@ -192,7 +197,7 @@
         indices.into_iter().for_each(|index| self.close(index));
     }
 
-    /// Closes the idle connections to executors that are past their time.
+    /// Closes the idle connections to executors that have expired.
     pub fn close_expired_idle(&mut self, now: Instant) {
         let is_expired = |index: &usize| match self.get(*index).map(|connection| &connection.role) {
             Some(Role::Upstream(upstream)) => !upstream.is_usable(now),
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -1,6 +1,7 @@
-//! Where links, calls and the registry meet in the node: frames and calls go to the module they are for, replies go back.
+//! Connects the links, the pending calls and the registry with the rest of the node: passes frames and calls
+//! to the modules that handle them, and sends the replies.
 //!
-//! This module owns nothing. It is the only one that lends the links and the pending calls what they need of the node.
+//! This module owns no state. No other module gives the links and the pending calls access to the node.
 
 use crate::control::partition_host::Waiter;
 use crate::control::peer_directory::PeerDirectory;
@@ -16,8 +17,11 @@
 use std::net::SocketAddrV4;
 
 impl Node {
-    /// Lets the links do something with what they use of the node.
-    pub(crate) fn with_links<T>(&mut self, act: impl FnOnce(&mut PeerLinks, &mut LinkContext<'_>) -> T) -> T {
+    /// Calls `action` with the links and the parts of the node that they use.
+    pub(crate) fn with_links<T>(
+        &mut self,
+        action: impl FnOnce(&mut PeerLinks, &mut LinkContext<'_>) -> T,
+    ) -> T {
         let mut context = LinkContext {
             now: self.now,
             world: &*self.world,
@@ -25,10 +29,10 @@
             alarms: &mut self.alarms,
             traffic: &mut self.traffic,
         };
-        act(&mut self.links, &mut context)
+        action(&mut self.links, &mut context)
     }
 
-    /// Sends a frame to a node, which may be this one. It may be lost, as any on a network.
+    /// Sends a frame to a node, which may be this one. Delivery is not guaranteed.
     pub fn send_frame(&mut self, to: SocketAddrV4, channel: Channel, payload: &[u8]) {
         if to == self.links.own_address() {
             return self.receive_frame(to, channel, payload);
@@ -36,7 +40,8 @@
         self.with_links(|links, context| links.send(context, to, channel, payload));
     }
 
-    /// Takes the frames that have come on an incoming link.
+    /// Reads an incoming link and handles the frames that have arrived. Closes the link if its peer has
+    /// closed it.
     pub(crate) fn incoming_ready(&mut self, index: usize) {
         let serial = self.connections.serial(index);
         let read = peer_links::read_incoming(&mut self.connections, index);
@@ -51,7 +56,7 @@
         }
     }
 
-    /// A frame of another node, or of this one to itself.
+    /// Handles a frame from another node, or from this node to itself.
     pub fn receive_frame(&mut self, from: SocketAddrV4, channel: Channel, payload: &[u8]) {
         self.calls.received_from(from);
         match channel {
@@ -70,13 +75,13 @@
             }
             Channel::Reply => {
                 if let Ok(envelope) = <ReplyEnvelope as DeBin>::deserialize_bin(payload) {
-                    self.step_call(|calls, peers| calls.receive_reply(from, envelope, peers));
+                    self.step_call(|calls, peers| calls.handle_reply(from, envelope, peers));
                 }
             }
         }
     }
 
-    /// The peers as they are known now.
+    /// A view of the peers that are known now.
     pub(crate) fn peer_directory(&self) -> PeerDirectory<'_> {
         PeerDirectory {
             now: self.now,
@@ -86,47 +91,47 @@
         }
     }
 
-    /// The node that leads a partition, by the highest term that any has announced.
+    /// The address of the node that leads a partition, according to the announcement with the highest term.
     pub fn known_leader(&self, partition: u8) -> Option<SocketAddrV4> {
         self.peer_directory().leader(partition)
     }
 
-    /// Calls the leader of a partition, wherever it is, until `until`.
+    /// Sends a call to the leader of a partition, at whichever node it is, and tries again until `deadline`.
     pub(crate) fn call_leader(
         &mut self,
         partition: u8,
         call: Call,
-        until: Instant,
+        deadline: Instant,
         continuation: Continuation,
     ) {
         let target = CallTarget::Leader(partition);
-        self.step_call(|calls, peers| calls.begin(target, call, until, continuation, peers));
+        self.step_call(|calls, peers| calls.begin(target, call, deadline, continuation, peers));
     }
 
-    /// Calls one node.
+    /// Sends a call to one node and waits for its reply until `deadline` at the latest.
     pub(crate) fn call_node(
         &mut self,
         to: SocketAddrV4,
         call: Call,
-        until: Instant,
+        deadline: Instant,
         continuation: Continuation,
     ) {
         let target = CallTarget::Node(to);
-        self.step_call(|calls, peers| calls.begin(target, call, until, continuation, peers));
+        self.step_call(|calls, peers| calls.begin(target, call, deadline, continuation, peers));
     }
 
-    /// Forwards a call of another node to the leader of a partition.
-    fn forward_call(&mut self, waiter: Waiter, partition: u8, within_ms: u32, call: &[u8]) {
+    /// Forwards another node's encoded call to the leader of a partition.
+    fn forward_call(&mut self, waiter: Waiter, partition: u8, timeout_ms: u32, call: &[u8]) {
         let Ok(call) = <Call as DeBin>::deserialize_bin(call) else { return };
-        let until = self.now + Duration::from_millis(u64::from(within_ms));
+        let deadline = self.now + Duration::from_millis(u64::from(timeout_ms));
         let continuation = Continuation::Forwarded { peer: waiter.peer, number: waiter.number };
-        self.call_leader(partition, call, until, continuation);
+        self.call_leader(partition, call, deadline, continuation);
     }
 
-    /// Lets the pending calls go on, and takes the step that follows.
+    /// Calls `action` with the pending calls, and carries out the step that it returns.
     pub(crate) fn step_call(
         &mut self,
-        act: impl FnOnce(&mut PendingCalls, &PeerDirectory<'_>) -> Option<CallStep>,
+        action: impl FnOnce(&mut PendingCalls, &PeerDirectory<'_>) -> Option<CallStep>,
     ) {
         let peers = PeerDirectory {
             now: self.now,
@@ -134,9 +139,9 @@
             leaders: &self.leaders,
             own_address: self.links.own_address(),
         };
-        match act(&mut self.calls, &peers) {
-            Some(CallStep::Send { target, envelope, expires }) => {
-                self.alarms.set(expires, Timer::CallExpires { number: envelope.number });
+        match action(&mut self.calls, &peers) {
+            Some(CallStep::Send { target, envelope, timeout_at }) => {
+                self.alarms.set(timeout_at, Timer::CallExpires { number: envelope.number });
                 self.send_frame(target, Channel::Call, &SerBin::serialize_bin(&envelope));
             }
             Some(CallStep::RetryAt { number, at }) => drop(self.alarms.set(at, Timer::CallRetry { number })),
@@ -147,7 +152,8 @@
 
     fn end_call(&mut self, ended: EndedCall) {
         if let Some(unresponsive) = ended.unresponsive {
-            // A link that was idle may have been forgotten on the way, and the system takes a while to notice.
+            // A device on the path may have dropped the state of an idle connection; the operating system
+            // notices that late.
             self.links.close_link_to(&mut self.connections, unresponsive);
         }
         let reply = ended.reply;
@@ -155,8 +161,8 @@
             Continuation::Operator { connection, serial, question } => {
                 self.operator_reply(connection, serial, question, reply);
             }
-            Continuation::Batch { connection, serial, question } => {
-                self.batch_reply(connection, serial, question, reply);
+            Continuation::Batch { connection, serial, kind } => {
+                self.batch_reply(connection, serial, kind, reply);
             }
             Continuation::Configuration(source) => self.fetched_configuration(reply, source),
             Continuation::Bootstrap { partition, voter } => self.bootstrap_reply(partition, voter, &reply),
@@ -166,12 +172,13 @@
         }
     }
 
-    /// Replies to a node's call.
+    /// Sends the reply to a node's call.
     pub fn reply(&mut self, to: SocketAddrV4, number: CallNumber, reply: Reply) {
         let envelope = ReplyEnvelope { number, reply };
         self.send_frame(to, Channel::Reply, &SerBin::serialize_bin(&envelope));
     }
 
+    /// Passes a node's call to the module that handles it.
     fn receive_call(&mut self, from: SocketAddrV4, envelope: CallEnvelope) {
         let waiter = Waiter { peer: from, number: envelope.number };
         match envelope.call {
@@ -189,8 +196,8 @@
                 self.read_item_at_leader(waiter, partition, &job, &item);
             }
             Call::EndJob { partition, job } => self.end_at_leader(waiter, partition, &job),
-            Call::Forward { partition, within_ms, call } => {
-                self.forward_call(waiter, partition, within_ms, &call);
+            Call::Forward { partition, timeout_ms, call } => {
+                self.forward_call(waiter, partition, timeout_ms, &call);
             }
             Call::BeginRetire { partition, node } => self.begin_retire_at_leader(waiter, partition, &node),
             Call::ShowRetire { partition, node } => self.show_retire_at_leader(waiter, partition, &node),
@@ -200,7 +207,8 @@
         }
     }
 
-    /// Only a process of the first start is bootstrapped; the reply leaves when it is on disk.
+    /// Bootstraps a partition with its voters; only a process that is configured for the first start of the
+    /// system accepts this. The reply is sent once the state is on disk.
     fn bootstrap_partition(&mut self, waiter: Waiter, partition: u8, voters: &[u64]) {
         let group = Group::of(voters.iter().copied().map(ReplicaId));
         let bootstrap = self.settings.bootstrap;
@@ -217,7 +225,7 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// Does what the registry wants done.
+    /// Runs the registry's timers, sends its messages and handles its events.
     pub fn pump_registry(&mut self) {
         let now = self.now;
         if now >= self.registry.next_wake() {
@@ -250,7 +258,7 @@
         }
     }
 
-    /// The partitions that hold batch jobs.
+    /// The numbers of the partitions that hold batch jobs.
     pub fn batch_partitions(&self) -> Vec<u8> {
         (1..=crate::batch::api::BATCH_PARTITIONS).collect()
     }
--- a/crates/tier/src/links/messages.rs
+++ b/crates/tier/src/links/messages.rs
@@ -1,28 +1,29 @@
-//! The messages between nodes other than those of the registry and the replicas: calls and their replies.
+//! The messages between nodes: the channels of frames, the envelopes of replica messages, load reports, and
+//! calls with their replies. The messages of the registry are defined in its own crate.
 
 use grebeusher_rollout::RolloutOrder;
 use nanoserde::{DeBin, SerBin};
 
-/// The channel that a frame on a link belongs to.
+/// The kind of message in a frame on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Channel {
-    /// Members, executors and other soft state.
+    /// The registry's messages about members, executors and other soft state.
     Registry = 1,
-    /// Messages between replicas of a partition.
+    /// Messages between the replicas of a partition.
     Quorum = 2,
     /// A call that wants a reply.
     Call = 3,
     /// The reply to a call.
     Reply = 4,
-    /// Popular prefixes of prompts.
+    /// Reports on popular prompt prefixes.
     Popularity = 5,
-    /// The load of batch partitions, between their leaders.
+    /// Reports on the load of batch partitions, which their leaders send each other.
     BatchLoad = 6,
 }
 
 impl Channel {
-    /// The channel of a frame; `None` for one that this version does not know.
+    /// The channel that a byte in a frame stands for; `None` if this version does not know it.
     pub fn from_byte(byte: u8) -> Option<Channel> {
         Some(match byte {
             1 => Channel::Registry,
@@ -39,42 +40,45 @@
 /// A message between two replicas of a partition.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct QuorumEnvelope {
-    /// The partition of the control state.
+    /// The number of the partition.
     pub partition: u8,
     /// The sender's disk identity.
     pub from: u64,
-    /// The disk identity that it is meant for.
+    /// The receiver's disk identity.
     pub to: u64,
-    /// The message as `quorum` encodes it.
+    /// The message as `grebeusher-quorum` encodes it.
     pub message: Vec<u8>,
 }
 
-/// The items of a partition, as its leader reports them to the leaders of the others.
+/// A report on the items of a batch partition, which its leader sends to the leaders of the other partitions.
 #[derive(Clone, Copy, Debug, SerBin, DeBin)]
 pub struct BatchLoad {
-    /// The partition.
+    /// The number of the partition.
     pub partition: u8,
-    /// Items that run.
+    /// The number of running items.
     pub running: u32,
-    /// Items that wait for room.
+    /// The number of items that wait for capacity at an executor.
     pub waiting: u32,
 }
 
-/// The number of a call, which its reply carries. It is unique over all incarnations of all processes at an address, as replies may
-/// come late, after the process that called has ended and another one has its address.
+/// The number of a call, which its reply repeats. It is unique among all processes that ever use the caller's
+/// address, as a reply may arrive after the process that made the call has ended and another one uses its
+/// address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct CallNumber(pub u64);
 
-/// Gives out the numbers of a process's calls.
+/// Generates the numbers of a process's calls.
 #[derive(Debug)]
 pub struct CallNumbers {
+    /// The number of the next call.
     next: u64,
 }
 
 impl CallNumbers {
-    /// Begins at a number that was drawn for this incarnation of the process, out of so many that two incarnations never meet.
-    pub fn starting_at(drawn: u64) -> CallNumbers {
-        CallNumbers { next: drawn }
+    /// Starts at a random number, so that the numbers of two processes at the same address never overlap in
+    /// practice.
+    pub fn starting_at(random: u64) -> CallNumbers {
+        CallNumbers { next: random }
     }
 
     /// The number of the next call.
@@ -88,66 +92,66 @@
 /// A call with the number that its reply will carry.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct CallEnvelope {
-    /// Of this call of the sender.
+    /// The number of the call.
     pub number: CallNumber,
-    /// What is asked.
+    /// The call itself.
     pub call: Call,
 }
 
-/// The reply to the call of the same number.
+/// A reply with the number of its call.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct ReplyEnvelope {
     /// The number of the call.
     pub number: CallNumber,
-    /// What is answered.
+    /// The reply itself.
     pub reply: Reply,
 }
 
-/// What one node asks of another.
+/// A request of one node to another.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Call {
-    /// Bootstraps a partition with these disk identities as its voters; only at the first start of the whole system.
+    /// Bootstraps a partition with its first voters; only at the first start of the whole system.
     Bootstrap {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
         /// The disk identities of all its voters.
         voters: Vec<u64>,
     },
-    /// Takes a configuration on top of `base`; for the leader of the configuration.
+    /// Replaces the configuration of version `base`; for the leader of the configuration.
     ReplaceConfiguration {
-        /// The version that the change builds on; 0 for the first one.
+        /// The version that the new configuration replaces; 0 for the first configuration.
         base: u64,
-        /// The new configuration.
+        /// The new configuration, as the operator sent it.
         body: Vec<u8>,
     },
-    /// The newest configuration, proven by the leader's lease.
+    /// Asks the leader of the configuration for the newest version, which the leader confirms by its lease.
     ShowConfiguration,
-    /// What the leader of a partition says of it, for operators.
+    /// Asks the leader of a partition for the partition's status, for an operator.
     ShowPartition {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
     },
-    /// The newest configuration that the node knows, if it is newer than this version.
+    /// Asks a node for the newest configuration that it knows, if it is newer than a version.
     FetchConfiguration {
         /// The version that the caller has.
         newer_than: u64,
     },
-    /// Takes a batch job; for the leader of the partition.
+    /// Submits a batch job; for the leader of the partition.
     SubmitJob(SubmitJob),
     /// Reads the results of a job; for the leader of the partition.
     ReadJob {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
         /// The id of the job.
         job: String,
-        /// The offset after which results are listed.
+        /// The number of results that the caller already has; the reply lists those after them.
         resume_after: u64,
-        /// How long the leader may hold the read until there is a result (milliseconds).
+        /// How long the leader may delay the reply until there is a result (milliseconds).
         hold_ms: u32,
     },
-    /// The body of an item that is not listed yet; for the leader of the partition.
+    /// Reads the body of an item whose result is not listed yet; for the leader of the partition.
     ReadItem {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
         /// The id of the job.
         job: String,
@@ -156,96 +160,99 @@
     },
     /// Ends a job; for the leader of the partition.
     EndJob {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
         /// The id of the job.
         job: String,
     },
-    /// Passes a call, encoded, on to the leader of a partition, for a node that can't reach it; within this many milliseconds.
+    /// Asks a node to forward a call to the leader of a partition, which the caller can't reach.
     Forward {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
-        /// How long the call may take (milliseconds).
-        within_ms: u32,
+        /// How long the forwarded call may take (milliseconds).
+        timeout_ms: u32,
         /// The encoded call.
         call: Vec<u8>,
     },
     /// Asks the leader of a partition to move its data off a storage node.
     BeginRetire {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
         /// The name of the storage node.
         node: String,
     },
     /// Asks the leader of a partition whether its data has left a storage node.
     ShowRetire {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
         /// The name of the storage node.
         node: String,
     },
-    /// Asks the leader of a partition whether it wants a batch job, before its bodies are sent, and what became of it if they were.
+    /// Asks the leader of a partition whether it would accept a batch job before the bodies are sent, or what
+    /// became of the job if they were sent already.
     OfferJob(OfferJob),
-    /// Takes an operator's order to roll a version out; for the leader of the configuration.
+    /// Begins a roll-out that an operator ordered; for the leader of the configuration.
     BeginRollout(RolloutOrder),
-    /// How far the roll-out of a service is; for the leader of the configuration.
+    /// Asks for the progress of the roll-out of a service; for the leader of the configuration.
     ShowRollout {
-        /// The service.
+        /// The name of the service.
         service: String,
     },
-    /// The versions of all services, if they have changed since this revision; for the leader of the configuration.
+    /// Asks for the versions of all services, if they have changed since a revision; for the leader of the
+    /// configuration.
     SyncRollouts {
-        /// The revision that the caller has; 0 for none.
+        /// The revision that the caller has; 0 if it has none.
         newer_than: u64,
     },
 }
 
-/// A batch job by its name and size. The bodies go only to a leader that wants them: on a link that is full, copies of them
-/// that are refused, or were there already, would keep it full.
+/// The offer of a batch job by its name and size. The bodies are sent only to a leader that asks for them: on
+/// an overloaded link, copies of bodies that the leader rejects or already has would keep the link
+/// overloaded.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct OfferJob {
-    /// The partition that the job belongs to.
+    /// The number of the partition that the job belongs to.
     pub partition: u8,
-    /// Its id.
+    /// The id of the job.
     pub job: String,
-    /// Its route.
+    /// The name of the job's route.
     pub route: String,
-    /// The tokens of all of its items.
+    /// The total number of tokens of the job's items.
     pub tokens: u64,
-    /// The most tokens that may wait on the route; 0: no limit.
+    /// The most tokens that may wait on the route at this leader; 0 for no limit.
     pub queue_token_limit: u64,
 }
 
-/// A batch job on its way to the leader of its partition.
+/// The submission of a batch job to the leader of its partition.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub struct SubmitJob {
-    /// The partition that the job belongs to.
+    /// The number of the partition that the job belongs to.
     pub partition: u8,
-    /// The submission as `archive` encodes it.
+    /// The encoded [`Submission`](grebeusher_batch::Submission).
     pub submission: Vec<u8>,
-    /// Due this long after the first send, in milliseconds.
+    /// The job should be complete this long after the client first sent it (milliseconds).
     pub completion_target_ms: u64,
-    /// Items may be given up this long after the first send, in milliseconds.
+    /// Items may be given up this long after the client first sent the job (milliseconds).
     pub retention_ms: u64,
-    /// How many answers of 500 an item gets.
+    /// An item has failed after this many responses with status 500.
     pub max_attempts: u32,
-    /// The most tokens that may wait on the route; 0: no limit.
+    /// The most tokens that may wait on the route at this leader; 0 for no limit.
     pub queue_token_limit: u64,
 }
 
-/// What a node answers.
+/// The reply of a node to a call.
 #[derive(Clone, Debug, SerBin, DeBin)]
 pub enum Reply {
-    /// The node doesn't own the partition; perhaps this one (by name) does.
+    /// The node does not lead the partition.
     NotLeader {
-        /// The name of the node that may lead it.
+        /// The name of the node that probably leads it, if known.
         leader: Option<String>,
     },
-    /// The node leads the partition and can't say now.
+    /// The node leads the partition but can't answer the call now.
     Unavailable,
-    /// What was asked may or may not come to be.
+    /// The outcome is unknown: the call may still take effect.
     Unclear,
-    /// Done.
+    /// The call was carried out.
     Done,
     /// An HTTP status with its body.
     Answer {
@@ -254,21 +261,21 @@
         /// The body.
         body: Vec<u8>,
     },
-    /// A complete configuration; version 0 and empty: none that is newer.
+    /// A complete configuration. Version 0 with an empty body means that the node knows no newer one.
     Configuration {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
         /// The configuration, as the operator sent it.
         body: Vec<u8>,
     },
-    /// The job that was offered is not here: it is to be sent complete.
+    /// The offered job is not known yet and would be accepted: the caller is to send it with its bodies.
     Wanted,
     /// The versions of all services, as `grebeusher-rollout` encodes them.
     Rollouts(Vec<u8>),
 }
 
 impl Reply {
-    /// What it is, for the log.
+    /// The kind of reply, as it is logged.
     pub fn name(&self) -> String {
         match self {
             Reply::NotLeader { .. } => "no leader".to_owned(),
--- a/crates/tier/src/links/mod.rs
+++ b/crates/tier/src/links/mod.rs
@@ -1,9 +1,11 @@
-//! Everything that travels between nodes: the links, the frames on them, and calls with their replies.
+//! The communication between nodes: links, the frames on them, and calls with their replies.
 //!
-//! Three types own the state: [`connections`]' table has every socket, [`peer_links`]' links know which peer has which
-//! connection and when to dial again, [`calls`]' pending calls wait for replies. None of them knows another: they take sockets,
-//! clock and peers by argument and return what is to be done. [`dispatch`] alone joins them in `impl Node` and hands each
-//! frame to the module it is for. [`messages`] is the format on the wire, and its order of variants must stay.
+//! Three types own the state: the table in [`connections`] owns every socket, the links in [`peer_links`]
+//! know which connection belongs to which peer and when a peer may be dialled again, and the pending calls in
+//! [`calls`] wait for replies. They don't depend on each other: they get sockets, the time and the peers as
+//! arguments and return what is to be done. Only [`dispatch`] connects them, in `impl Node`, and passes each
+//! frame to the module that handles it. [`messages`] defines the wire format, so the order of its variants
+//! must not change.
 
 pub mod calls;
 pub mod connections;
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -1,8 +1,10 @@
-//! Links to the peers: one outgoing connection to each node that this one sends to, incoming ones from any.
+//! Links to the other nodes (peers): one outgoing connection to each node that this one sends frames to, and
+//! incoming connections from the nodes that send frames to this one.
 //!
-//! `PeerLinks` owns which address has which link, which links have unwritten frames, and when a peer may be dialled again.
-//! Its sockets stand in the `ConnectionTable` and its timers in the loop's alarms; both come in by `LinkContext`. It is the
-//! only one that opens or closes links. What a frame means is up to [`dispatch`](crate::links::dispatch).
+//! `PeerLinks` owns the table of outgoing links by address, the list of links with unwritten frames, and the
+//! times at which peers may be dialled again. The sockets are in the `ConnectionTable` and the timers among
+//! the event loop's alarms; `LinkContext` gives access to both. Only this module opens or closes links.
+//! [`dispatch`](crate::links::dispatch) handles the frames.
 
 use crate::links::connections::{ConnectionTable, Role};
 use crate::links::link_progress::LinkProgress;
@@ -18,73 +20,80 @@
 use std::net::SocketAddrV4;
 use tracing::debug;
 
-/// A link that has not come up by then is given up, with all that waits on it, and dialled anew at the next frame. A
-/// packet that opens a connection and finds no machine is sent again only after a second, so that waiting longer than
-/// a round trip takes gains nothing: after a loss of all power nodes that start a moment apart would not hear of each
-/// other for that second.
+/// A link that is not established after this time is closed together with the frames queued on it; the next
+/// frame dials anew. The operating system repeats a lost SYN packet only after a second, so waiting longer
+/// than a round trip gains nothing: after a power loss of all machines, nodes that start at slightly
+/// different times would not reach each other for that second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Bytes that a peer has not taken for this long show that it can't be reached: the link is begun anew.
+/// If none of the queued bytes could be sent for this long, the peer can't be reached: the link is closed,
+/// and dialled anew at a later frame.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A link that nothing was sent on for this long is closed.
+/// A link on which no frame was sent for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(20_000);
-/// The most that waits on a link (bytes). More is dropped: whoever sends repeats what was not acknowledged.
-const MAX_WAITING: usize = 12 * 1024 * 1024;
-/// After a link could not be made, the next is tried only after this.
+/// The most bytes that may be queued on a link. Further frames are dropped: their senders repeat what is not
+/// acknowledged.
+const MAX_QUEUED_BYTES: usize = 12 * 1024 * 1024;
+/// After a link has failed, its peer is dialled again only after this time.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(150);
 
-/// How many links one turn of the loop accepts.
+/// The most links that are accepted in one turn of the event loop.
 const MAX_ACCEPTS: usize = 64;
 
-/// An outgoing link.
+/// A link on which this node sends frames.
 pub struct OutgoingLink {
+    /// The peer's address.
     address: SocketAddrV4,
     progress: LinkProgress,
-    used: Instant,
+    /// When a frame was last sent on the link, or the link was dialled.
+    last_used: Instant,
 }
 
-/// An incoming link.
+/// A link on which a peer sends frames.
 pub struct IncomingLink {
     decoder: FrameDecoder,
-    /// The sender's address, once its hello has come.
+    /// The peer's address; `None` until its hello has arrived.
     peer: Option<SocketAddrV4>,
 }
 
-/// A frame of a peer that is for this node.
+/// A frame that this node received from a peer.
 pub(crate) struct ReceivedFrame {
-    /// The address that the peer is known by.
+    /// The address of the peer, as its hello gave it.
     pub peer: SocketAddrV4,
-    /// What the payload belongs to.
+    /// The kind of message in the payload.
     pub channel: Channel,
     /// The encoded message.
     pub payload: Vec<u8>,
 }
 
-/// What the links use of the rest of the node.
+/// The parts of the node that the links use.
 pub(crate) struct LinkContext<'a> {
-    /// The time of this turn of the loop.
+    /// The time of this turn of the event loop.
     pub now: Instant,
-    /// Dials.
+    /// The operating system, which opens connections.
     pub world: &'a dyn World,
-    /// Holds the sockets.
+    /// The table that holds the sockets.
     pub connections: &'a mut ConnectionTable,
-    /// Takes the time-outs of connecting.
+    /// The event loop's alarms, for the time-outs of connecting.
     pub alarms: &'a mut Alarms<Timer>,
-    /// Counts the frames.
+    /// The counters of sent and received frames.
     pub traffic: &'a mut Traffic,
 }
 
 /// The links of a node.
 pub(crate) struct PeerLinks {
-    /// The address that the peers know this node by.
+    /// The address under which the peers know this node.
     own_address: SocketAddrV4,
     listener: Box<dyn Listener>,
+    /// The connection index of the outgoing link to each peer, by the peer's address.
     outgoing: FxHashMap<SocketAddrV4, usize>,
+    /// The connection indices of links on which frames were queued in this turn of the event loop.
     unflushed: Vec<usize>,
+    /// The times before which peers may not be dialled again, by the peer's address.
     redial_after: FxHashMap<SocketAddrV4, Instant>,
 }
 
 impl PeerLinks {
-    /// No links yet.
+    /// Creates the state without any links.
     pub fn new(own_address: SocketAddrV4, listener: Box<dyn Listener>) -> PeerLinks {
         PeerLinks {
             own_address,
@@ -95,12 +104,13 @@
         }
     }
 
-    /// The address that the peers know this node by.
+    /// The address under which the peers know this node.
     pub fn own_address(&self) -> SocketAddrV4 {
         self.own_address
     }
 
-    /// Puts a frame on the link to a peer, which is dialled if there is none. The frame may be lost, as any on a network.
+    /// Queues a frame on the link to a peer, and dials the peer if there is no link. Delivery is not
+    /// guaranteed.
     pub fn send(
         &mut self,
         context: &mut LinkContext<'_>,
@@ -110,11 +120,11 @@
     ) {
         let Some(index) = self.link_to(context, to) else { return };
         let Some((socket, outgoing)) = context.connections.outgoing_mut(index) else { return };
-        outgoing.used = context.now;
-        if socket.waiting() + payload.len() > MAX_WAITING {
+        outgoing.last_used = context.now;
+        if socket.waiting() + payload.len() > MAX_QUEUED_BYTES {
             return;
         }
-        outgoing.progress.put(context.now, socket.waiting());
+        outgoing.progress.record_queued(context.now, socket.waiting());
         socket.put(&link::encode_frame(channel as u8, payload));
         context.traffic.count_sent(channel, payload);
         if !self.unflushed.contains(&index) {
@@ -122,7 +132,7 @@
         }
     }
 
-    /// Writes what this turn of the loop put on links.
+    /// Writes the frames that were queued in this turn of the event loop.
     pub fn flush(&mut self, context: &mut LinkContext<'_>) {
         for index in std::mem::take(&mut self.unflushed) {
             self.flush_link(context, index);
@@ -135,12 +145,13 @@
             return;
         }
         if socket.flush().is_err() {
-            return self.fail(context, index);
+            return self.close_failed(context, index);
         }
-        outgoing.progress.flushed(context.now, socket.sent(), socket.waiting());
+        outgoing.progress.record_flushed(context.now, socket.sent(), socket.waiting());
     }
 
-    /// The link to a peer; `None` while it may not be dialled again.
+    /// The connection index of the link to a peer, which is dialled if there is none; `None` if the peer may
+    /// not be dialled yet or dialling fails.
     fn link_to(&mut self, context: &mut LinkContext<'_>, to: SocketAddrV4) -> Option<usize> {
         if let Some(&index) = self.outgoing.get(&to) {
             return Some(index);
@@ -158,7 +169,7 @@
 
     fn dial(&self, context: &mut LinkContext<'_>, to: SocketAddrV4) -> Option<usize> {
         let now = context.now;
-        let outgoing = OutgoingLink { address: to, progress: LinkProgress::new(now), used: now };
+        let outgoing = OutgoingLink { address: to, progress: LinkProgress::new(now), last_used: now };
         let dial = |world: &dyn World, key| Socket::dial_link(world, to, key);
         let index = context.connections.add(context.world, dial, Role::Outgoing(outgoing)).ok()?;
         let serial = context.connections.serial(index);
@@ -168,7 +179,8 @@
         Some(index)
     }
 
-    /// Closes a link that should have come up by now. It was waited for long enough: the next frame dials anew.
+    /// Closes a link that is not established after [`CONNECT_TIMEOUT`]. The next frame may dial anew at once,
+    /// as the peer has had its time already.
     pub fn connect_expired(&mut self, connections: &mut ConnectionTable, index: usize, serial: u64) {
         if connections.serial(index) != serial {
             return;
@@ -179,7 +191,7 @@
         }
     }
 
-    /// Closes the link to a peer: the next frame dials anew.
+    /// Closes the link to a peer. The next frame dials anew.
     pub fn close_link_to(&mut self, connections: &mut ConnectionTable, address: SocketAddrV4) {
         if let Some(&index) = self.outgoing.get(&address) {
             self.close(connections, index);
@@ -193,73 +205,75 @@
         connections.close(index);
     }
 
-    /// Closes a link that failed; the peer is dialled again only after a pause.
-    fn fail(&mut self, context: &mut LinkContext<'_>, index: usize) {
+    /// Closes a link that failed. The peer is dialled again only after [`RECONNECT_BACKOFF`].
+    fn close_failed(&mut self, context: &mut LinkContext<'_>, index: usize) {
         if let Some((_, outgoing)) = context.connections.outgoing_mut(index) {
             self.redial_after.insert(outgoing.address, context.now + RECONNECT_BACKOFF);
         }
         self.close(context.connections, index);
     }
 
-    /// Handles an event of an outgoing link.
+    /// Handles an event that the poller reports for an outgoing link.
     pub fn outgoing_ready(&mut self, context: &mut LinkContext<'_>, index: usize, readable: bool) {
         let Some((socket, outgoing)) = context.connections.outgoing_mut(index) else { return };
         if socket.is_connecting() {
             match socket.connected() {
                 Ok(true) => {}
                 Ok(false) => return,
-                Err(_) => return self.fail(context, index),
+                Err(_) => return self.close_failed(context, index),
             }
         }
         if readable {
-            // The peer sends nothing on this side: its end is all that can come.
+            // The peer sends nothing on this connection, so the only thing to read is the end of the
+            // connection.
             match socket.read() {
                 Ok(Reading::Open { .. }) => drop(socket.take_input()),
                 _ => {
                     debug!(peer = %outgoing.address, "link ended");
-                    return self.fail(context, index);
+                    return self.close_failed(context, index);
                 }
             }
         }
         self.flush_link(context, index);
     }
 
-    /// Closes links that are stuck, and those that nothing was sent on for long.
+    /// Closes links that are stalled, and those on which no frame was sent for [`IDLE_TIMEOUT`].
     pub fn sweep(&mut self, context: &mut LinkContext<'_>) {
-        let is_over = |index: &usize| {
+        let is_expired = |index: &usize| {
             let Some(connection) = context.connections.get(*index) else { return false };
             let Role::Outgoing(outgoing) = &connection.role else { return false };
-            let waiting = connection.socket.waiting();
-            outgoing.progress.is_stuck(context.now, waiting, STALL_TIMEOUT)
-                || context.now.since(outgoing.used) > IDLE_TIMEOUT
+            let queued_bytes = connection.socket.waiting();
+            outgoing.progress.is_stalled(context.now, queued_bytes, STALL_TIMEOUT)
+                || context.now.since(outgoing.last_used) > IDLE_TIMEOUT
         };
-        let over: Vec<usize> = self.outgoing.values().copied().filter(is_over).collect();
-        over.into_iter().for_each(|index| self.fail(context, index));
+        let expired: Vec<usize> = self.outgoing.values().copied().filter(is_expired).collect();
+        expired.into_iter().for_each(|index| self.close_failed(context, index));
         self.redial_after.retain(|_, after| context.now < *after);
     }
 
-    /// Accepts the links of peers that wait to connect.
+    /// Accepts the links of peers that are waiting to connect.
     pub fn accept(&self, context: &mut LinkContext<'_>) {
         for _ in 0..MAX_ACCEPTS {
             match self.listener.accept() {
-                Ok(arrival) => admit(context, arrival),
+                Ok(accepted) => add_incoming(context, accepted),
                 Err(_) => return,
             }
         }
     }
 }
 
-fn admit(context: &mut LinkContext<'_>, arrival: Box<dyn Accepted>) {
+fn add_incoming(context: &mut LinkContext<'_>, accepted: Box<dyn Accepted>) {
     let incoming = IncomingLink { decoder: FrameDecoder::default(), peer: None };
-    let open = |_: &dyn World, key| Socket::accepted(arrival, key);
-    // A link that can't be watched is lost, and its peer dials anew.
+    let open = |_: &dyn World, key| Socket::accepted(accepted, key);
+    // A link that can't be registered with the poller is closed, and its peer dials anew.
     let _ = context.connections.add(context.world, open, Role::Incoming(incoming));
 }
 
-/// Reads what has come on an incoming link into its decoder.
+/// Reads the bytes that have arrived on an incoming link into its decoder.
 ///
 /// # Errors
-/// The peer has closed the link, or it failed: it is to be closed once its frames are taken.
+/// The peer has closed the link, or it failed. The caller is to close it after handling the frames in the
+/// decoder.
 pub(crate) fn read_incoming(connections: &mut ConnectionTable, index: usize) -> Result<(), LinkClosed> {
     let Some((socket, incoming)) = connections.incoming_mut(index) else { return Ok(()) };
     let reading = socket.read();
@@ -270,22 +284,23 @@
     }
 }
 
-/// The other side of a link is gone.
+/// The error for an incoming link that its peer has closed or that has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LinkClosed;
 
-/// The next complete frame of an incoming link. A link with an invalid frame is closed.
+/// Takes the next complete frame of an incoming link from its decoder. A link with an invalid frame is
+/// closed.
 pub(crate) fn next_received(connections: &mut ConnectionTable, index: usize) -> Option<ReceivedFrame> {
     loop {
         let (_, incoming) = connections.incoming_mut(index)?;
         let received = match incoming.decoder.next_frame() {
             Ok(None) => return None,
-            Ok(Some(frame)) => incoming.take_frame(frame),
+            Ok(Some(frame)) => incoming.interpret_frame(frame),
             Err(error) => Err(error),
         };
         match received {
             Ok(Some(received)) => return Some(received),
-            // A hello, or a frame of a channel that this version does not know.
+            // The frame was a hello, or belongs to a channel that this version does not know.
             Ok(None) => {}
             Err(error) => {
                 debug!(%error, "link with an invalid frame closed");
@@ -297,7 +312,9 @@
 }
 
 impl IncomingLink {
-    fn take_frame(&mut self, frame: Frame) -> Result<Option<ReceivedFrame>, link::LinkError> {
+    /// Interprets a frame: the first one of a link is the peer's hello, which gives `None`, as does an
+    /// unknown channel.
+    fn interpret_frame(&mut self, frame: Frame) -> Result<Option<ReceivedFrame>, link::LinkError> {
         let Some(peer) = self.peer else {
             self.peer = Some(link::decode_hello(&frame)?.address);
             return Ok(None);
--- a/crates/tier/src/links/socket.rs
+++ b/crates/tier/src/links/socket.rs
@@ -1,61 +1,67 @@
-//! One TCP connection: its socket, what was read and is not yet understood, and what waits to be written.
+//! A TCP connection: its socket, the bytes that were read but not processed yet, and the bytes that are to be
+//! written.
 
 use crate::runtime::io::{Accepted, Stream, World};
 use grebeusher_transport::poller::Interest;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddrV4;
 
-/// How much one turn of the loop reads from one connection, so that others have theirs.
-const MAX_READ: usize = 256 * 1024;
-/// The most that one read takes. It goes to the stack first, so that a connection's buffer is only as large as what came.
-const READ_STEP: usize = 16 * 1024;
+/// One turn of the event loop stops reading from a connection after this many bytes, so that other
+/// connections are served too. Written bytes are removed from the front of the output once they exceed this.
+const MAX_READ_BYTES: usize = 256 * 1024;
+/// The most bytes that one system call reads. They are read to the stack first, so that a connection's buffer
+/// is only as large as the bytes in it.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a read found.
+/// The result of reading from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reading {
-    /// The connection stays open; `bytes` came.
+    /// The connection is still open.
     Open {
-        /// How many bytes came.
+        /// The number of bytes that were read.
         bytes: usize,
     },
-    /// The peer has ended its side; `bytes` came before.
+    /// The peer has closed its side of the connection.
     Ended {
-        /// How many bytes came.
+        /// The number of bytes that were read before that.
         bytes: usize,
     },
 }
 
-/// A non-blocking connection. Its buffers take no memory while they are empty: connections are many, and most of them wait
-/// at any time.
+/// A non-blocking connection. Its buffers take no memory while they are empty, as a node has many
+/// connections, most of which are idle at any time.
 pub struct Socket {
     stream: Box<dyn Stream>,
+    /// The bytes that were read but not processed yet.
     input: Vec<u8>,
+    /// The bytes that are to be written, of which the first `written` are written already.
     output: Vec<u8>,
     written: usize,
-    /// All bytes that the peer's side has taken.
+    /// The number of bytes written since the connection was opened.
     sent: u64,
-    /// Whether reading is paused, as whoever takes the bytes does not.
+    /// Whether reading is paused because the receiver of the bytes can't take more.
     paused: bool,
+    /// Whether the connection is not established yet.
     connecting: bool,
 }
 
 impl Socket {
-    /// Takes over an accepted connection.
-    pub fn accepted(arrival: Box<dyn Accepted>, key: usize) -> io::Result<Socket> {
-        Ok(Socket::over(arrival.watch(key)?, false))
+    /// Creates a socket from an accepted connection, whose events the poller reports under `key`.
+    pub fn accepted(accepted: Box<dyn Accepted>, key: usize) -> io::Result<Socket> {
+        Ok(Socket::from_stream(accepted.watch(key)?, false))
     }
 
-    /// Begins to connect.
+    /// Begins to connect to an executor's address. The poller reports the connection's events under `key`.
     pub fn dial(world: &dyn World, address: SocketAddrV4, key: usize) -> io::Result<Socket> {
-        Ok(Socket::over(world.dial(address, key)?, true))
+        Ok(Socket::from_stream(world.dial(address, key)?, true))
     }
 
-    /// Begins to connect to another node.
+    /// Begins to connect to another node. The poller reports the connection's events under `key`.
     pub fn dial_link(world: &dyn World, address: SocketAddrV4, key: usize) -> io::Result<Socket> {
-        Ok(Socket::over(world.dial_link(address, key)?, true))
+        Ok(Socket::from_stream(world.dial_link(address, key)?, true))
     }
 
-    fn over(stream: Box<dyn Stream>, connecting: bool) -> Socket {
+    fn from_stream(stream: Box<dyn Stream>, connecting: bool) -> Socket {
         Socket {
             stream,
             input: Vec::new(),
@@ -67,15 +73,15 @@
         }
     }
 
-    /// Whether the connection is still coming up.
+    /// Whether the connection is not established yet.
     pub fn is_connecting(&self) -> bool {
         self.connecting
     }
 
-    /// Asks whether a dialled connection has come up.
+    /// Checks whether a dialled connection is established.
     ///
     /// # Errors
-    /// The reason why it never will.
+    /// The reason why connecting failed.
     pub fn connected(&mut self) -> io::Result<bool> {
         if !self.connecting {
             return Ok(true);
@@ -88,17 +94,17 @@
         Ok(true)
     }
 
-    /// Reads what there is, up to a bound for one turn.
+    /// Reads the bytes that have arrived, up to the limit for one turn of the event loop.
     pub fn read(&mut self) -> io::Result<Reading> {
         let mut bytes = 0;
-        let mut piece = [0; READ_STEP];
-        while bytes < MAX_READ {
-            match self.stream.read(&mut piece) {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        while bytes < MAX_READ_BYTES {
+            match self.stream.read(&mut chunk) {
                 Ok(0) => return Ok(Reading::Ended { bytes }),
                 Ok(count) => {
-                    self.input.extend_from_slice(&piece[..count]);
+                    self.input.extend_from_slice(&chunk[..count]);
                     bytes += count;
-                    if count < READ_STEP {
+                    if count < READ_CHUNK_BYTES {
                         break;
                     }
                 }
@@ -110,12 +116,12 @@
         Ok(Reading::Open { bytes })
     }
 
-    /// What was read and is not yet understood.
+    /// The bytes that were read but not processed yet.
     pub fn input(&self) -> &[u8] {
         &self.input
     }
 
-    /// The first `count` bytes of the input are done with.
+    /// Removes the first `count` bytes of the input, which are processed.
     pub fn consume(&mut self, count: usize) {
         self.input.drain(..count);
         if self.input.is_empty() {
@@ -123,12 +129,13 @@
         }
     }
 
-    /// Takes all that was read.
+    /// Removes and returns the whole input.
     pub fn take_input(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.input)
     }
 
-    /// Gives back what `take_input` took, less what is done with.
+    /// Puts the bytes that `take_input` returned back as the input, without the first `consumed` ones, which
+    /// are processed.
     pub fn restore_input(&mut self, mut bytes: Vec<u8>, consumed: usize) {
         debug_assert!(self.input.is_empty());
         if consumed < bytes.len() {
@@ -137,22 +144,22 @@
         }
     }
 
-    /// Puts bytes behind what waits to be written; nothing is written yet.
+    /// Appends bytes to the output. They are written by [`Socket::flush`].
     pub fn put(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// How many bytes were written since the connection was opened.
+    /// The number of bytes written since the connection was opened.
     pub fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// How many bytes wait to be written.
+    /// The number of bytes in the output that are not written yet.
     pub fn waiting(&self) -> usize {
         self.output.len() - self.written
     }
 
-    /// Writes what the peer takes now.
+    /// Writes as much of the output as the connection accepts now.
     pub fn flush(&mut self) -> io::Result<()> {
         if self.connecting {
             return Ok(());
@@ -172,14 +179,14 @@
         if self.written == self.output.len() {
             self.output = Vec::new();
             self.written = 0;
-        } else if self.written > MAX_READ {
+        } else if self.written > MAX_READ_BYTES {
             self.output.drain(..self.written);
             self.written = 0;
         }
         self.update_interest()
     }
 
-    /// Stops reading, or resumes it.
+    /// Stops reading (`paused`), or resumes it.
     pub fn pause(&mut self, paused: bool) -> io::Result<()> {
         self.paused = paused;
         self.update_interest()
@@ -193,7 +200,7 @@
         self.stream.set_interest(interest)
     }
 
-    /// Says that nothing more will be written.
+    /// Closes the sending side of the connection.
     pub fn end_writing(&mut self) {
         self.stream.end_writing();
     }
--- a/crates/tier/tests/calls.rs
+++ b/crates/tier/tests/calls.rs
@@ -1,4 +1,4 @@
-//! What a call between nodes has come to, where some copies of it were left unanswered.
+//! The reply that the caller of another node gets if some attempts of its call were not answered.
 
 use grebeusher_tier::links::calls::final_reply;
 use grebeusher_tier::links::messages::{Call, Reply, SubmitJob};
@@ -27,24 +27,24 @@
 }
 
 #[rstest]
-fn a_rejection_is_not_final_while_another_attempt_may_be_taken(#[values(429, 503)] refusal: u16) {
-    // Given a job of which one copy was left unanswered, when another copy is refused,
-    let reply = final_reply(&submission(), true, Some(answer(refusal)));
-    // then the client is not told that the job will never run: the first copy may yet be taken.
+fn a_rejection_is_not_final_while_another_attempt_may_be_accepted(#[values(429, 503)] rejection: u16) {
+    // Given a job of which one attempt was not answered, when another attempt is rejected,
+    let reply = final_reply(&submission(), true, Some(answer(rejection)));
+    // then the client is not told that the job will never run, as the first attempt may still be accepted.
     assert!(matches!(reply, Reply::Unclear));
 }
 
 #[rstest]
-fn a_rejection_is_final_when_every_attempt_was_answered(#[values(429, 503)] refusal: u16) {
-    let reply = final_reply(&submission(), false, Some(answer(refusal)));
-    assert_eq!(status(&reply), Some(refusal));
+fn a_rejection_is_final_when_every_attempt_was_answered(#[values(429, 503)] rejection: u16) {
+    let reply = final_reply(&submission(), false, Some(answer(rejection)));
+    assert_eq!(status(&reply), Some(rejection));
 }
 
 #[rstest]
-fn an_accepted_job_stays_accepted_whatever_became_of_other_attempts(
-    #[values(false, true)] may_be_taken: bool,
+fn an_accepted_job_stays_accepted_whatever_the_outcome_of_other_attempts(
+    #[values(false, true)] may_be_accepted: bool,
 ) {
-    let reply = final_reply(&submission(), may_be_taken, Some(answer(202)));
+    let reply = final_reply(&submission(), may_be_accepted, Some(answer(202)));
     assert_eq!(status(&reply), Some(202));
 }
 
@@ -62,19 +62,20 @@
 }
 
 #[rstest]
-#[case::lost_race_with_a_copy_on_its_way(412, true, None)]
-#[case::lost_race(412, false, Some(412))]
+#[case::base_mismatch_with_an_unanswered_attempt(412, true, None)]
+#[case::base_mismatch(412, false, Some(412))]
 #[case::invalid(400, true, Some(400))]
-#[case::taken(200, true, Some(200))]
-fn a_change_is_rejected_only_if_no_attempt_can_be_taken(
-    #[case] answered: u16,
-    #[case] may_be_taken: bool,
+#[case::accepted(200, true, Some(200))]
+fn a_change_is_rejected_only_if_no_attempt_can_be_accepted(
+    #[case] leader_status: u16,
+    #[case] may_be_accepted: bool,
     #[case] expected: Option<u16>,
 ) {
-    // Given a change of which one copy may still be on its way, when the leader refuses another copy because of its base,
+    // Given a change of which one attempt may still be under way, when the leader answers another attempt,
     let change = Call::ReplaceConfiguration { base: 5, body: Vec::new() };
-    let reply = final_reply(&change, may_be_taken, Some(answer(answered)));
-    // then nothing is known: the base may be there by the time that the first copy comes.
+    let reply = final_reply(&change, may_be_accepted, Some(answer(leader_status)));
+    // then a rejection because of the base version is not final: the base may be committed before the first
+    // attempt arrives.
     assert_eq!(status(&reply), expected);
     assert_eq!(matches!(reply, Reply::Unclear), expected.is_none());
 }
--- a/crates/tier/tests/link_progress.rs
+++ b/crates/tier/tests/link_progress.rs
@@ -1,4 +1,4 @@
-//! When an outgoing link counts as stuck and is begun anew.
+//! The conditions under which an outgoing link counts as stalled, and is closed and dialled anew.
 
 use grebeusher_tier::links::link_progress::LinkProgress;
 use grebeusher_time::{Duration, Instant};
@@ -10,43 +10,43 @@
 }
 
 #[test]
-fn a_link_on_which_bytes_move_is_not_stuck_however_much_is_put_on_it() {
-    // Given a link on which more is put in each turn than goes out, so that ever more waits,
+fn a_link_that_sends_bytes_is_not_stalled_however_many_are_queued() {
+    // Given a link on which more bytes are queued in each turn than are sent, so that the queue grows,
     let mut link = LinkProgress::new(at(0));
-    let (mut sent, mut waiting) = (0, 0);
+    let (mut sent_bytes, mut queued_bytes) = (0, 0);
     for turn in 1..100 {
-        link.put(at(turn * 100), waiting);
-        waiting += 20_000;
-        sent += 5_000;
-        waiting -= 5_000;
-        // when it moves all the same,
-        link.flushed(at(turn * 100), sent, waiting);
-        // then it stays.
-        assert!(!link.is_stuck(at(turn * 100 + 99), waiting, STALL_TIMEOUT));
+        link.record_queued(at(turn * 100), queued_bytes);
+        queued_bytes += 20_000;
+        sent_bytes += 5_000;
+        queued_bytes -= 5_000;
+        // when some bytes are sent in each turn,
+        link.record_flushed(at(turn * 100), sent_bytes, queued_bytes);
+        // then the link is never stalled.
+        assert!(!link.is_stalled(at(turn * 100 + 99), queued_bytes, STALL_TIMEOUT));
     }
 }
 
 #[test]
-fn a_link_whose_bytes_are_not_taken_is_stuck() {
-    // Given a link that carried something,
+fn a_link_that_sends_none_of_its_queued_bytes_is_stalled() {
+    // Given a link that has sent some bytes,
     let mut link = LinkProgress::new(at(0));
-    link.put(at(100), 0);
-    link.flushed(at(100), 1_000, 500);
-    // when nothing more is taken, though more is put on it and turns go by,
+    link.record_queued(at(100), 0);
+    link.record_flushed(at(100), 1_000, 500);
+    // when it sends no more, although more bytes are queued in later turns,
     for turn in 2..20 {
-        link.put(at(turn * 100), 500);
-        link.flushed(at(turn * 100), 1_000, 700);
+        link.record_queued(at(turn * 100), 500);
+        link.record_flushed(at(turn * 100), 1_000, 700);
     }
-    // then it is stuck after a while, and not before.
-    assert!(!link.is_stuck(at(1_600), 700, STALL_TIMEOUT));
-    assert!(link.is_stuck(at(1_601), 700, STALL_TIMEOUT));
+    // then it is stalled after the time-out, and not before.
+    assert!(!link.is_stalled(at(1_600), 700, STALL_TIMEOUT));
+    assert!(link.is_stalled(at(1_601), 700, STALL_TIMEOUT));
 }
 
 #[test]
-fn a_link_that_was_idle_is_not_stuck_when_something_is_put_on_it() {
+fn a_link_that_was_idle_is_not_stalled_when_bytes_are_queued() {
     let mut link = LinkProgress::new(at(0));
-    link.flushed(at(100), 1_000, 0);
-    link.put(at(9_000), 0);
-    assert!(!link.is_stuck(at(9_100), 300, STALL_TIMEOUT));
-    assert!(!link.is_stuck(at(90_000), 0, STALL_TIMEOUT));
+    link.record_flushed(at(100), 1_000, 0);
+    link.record_queued(at(9_000), 0);
+    assert!(!link.is_stalled(at(9_100), 300, STALL_TIMEOUT));
+    assert!(!link.is_stalled(at(90_000), 0, STALL_TIMEOUT));
 }
--- a/crates/tier/tests/stable_bytes.rs
+++ b/crates/tier/tests/stable_bytes.rs
@@ -101,7 +101,7 @@
 #[case::forward(
     Call::Forward {
         partition: 4,
-        within_ms: 0x0a0b_0c0d,
+        timeout_ms: 0x0a0b_0c0d,
         call: Call::EndJob { partition: 4, job: "job".to_owned() }.serialize_bin(),
     },
     "0900040d0c0b0a0e0000000000000008000403000000000000006a6f62"
