--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -85,7 +85,7 @@
             if !self.partitions[index].leads() || self.stopping() {
                 continue;
             }
-            if let Some(partition) = self.batch_mut(index) {
+            if let Some(partition) = self.batch_partition_mut(index) {
                 partition.runner_mut().tick(now);
             }
             // A leader whose process was suspended may have been replaced without knowing it yet.
@@ -108,20 +108,20 @@
     /// configuration.
     fn idle_tokens(&mut self, index: usize) -> u64 {
         let Some(active) = self.configuration.active().cloned() else { return 0 };
-        let Some(partition) = self.batch_mut(index) else { return 0 };
+        let Some(partition) = self.batch_partition_mut(index) else { return 0 };
         active.routes.bulk_routes().map(|(route, _)| partition.runner().idle_tokens(route)).sum()
     }
 
     /// Logs the progress of a led partition's items at an interval, as long as the results of some are not
     /// listed yet.
-    pub(crate) fn log_items(&mut self, index: usize) {
+    pub(crate) fn log_item_progress(&mut self, index: usize) {
         let (now, partition_number) = (self.now, self.partitions[index].partition);
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         if !partition.runner().has_unlisted_items() || !partition.take_progress_log_due(now) {
             return;
         }
         let waiting_tokens = self.idle_tokens(index);
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let runner = partition.runner();
         debug!(
             partition = partition_number,
@@ -182,7 +182,7 @@
             }
         }
         let capacity = |route: RouteIndex| routes_with_capacity.contains(&route).then_some(u64::MAX);
-        let (jobs, runner) = self.batch_mut(index)?.jobs_and_runner();
+        let (jobs, runner) = self.batch_partition_mut(index)?.jobs_and_runner();
         runner.next_item(jobs, now, &capacity)
     }
 
@@ -244,7 +244,7 @@
 
     fn end_run(&mut self, index: usize, run: RunId, outcome: RunOutcome) {
         let now = self.now;
-        if let Some(partition) = self.batch_mut(index) {
+        if let Some(partition) = self.batch_partition_mut(index) {
             partition.runner_mut().run_ended(run, outcome, now);
         }
         self.wake_items();
@@ -290,7 +290,7 @@
         let (index, run_id) = (active.partition_index, active.run_id);
         let mut events = Vec::new();
         let is_valid = active.reader.push(bytes, |event| events.push(event)).is_ok();
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let all_accepted = events.iter().all(|event| {
             partition.runner_mut().run_event(run_id, event.id, &event.data, now) == EventDisposition::Accepted
         });
@@ -345,7 +345,7 @@
     /// Closes the connections of the runs that the partition's runner has cancelled.
     pub fn abort_cancelled_runs(&mut self, index: usize) {
         let now = self.now;
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let cancelled: Vec<RunId> = partition.runner_mut().take_cancelled();
         if cancelled.is_empty() {
             return;
--- a/crates/tier/src/batch/leader.rs
+++ b/crates/tier/src/batch/leader.rs
@@ -30,7 +30,7 @@
 impl Node {
     /// The batch partition at an index of the node's partitions; `None` for the partition of the
     /// configuration.
-    pub(crate) fn batch_mut(&mut self, index: usize) -> Option<&mut BatchPartition> {
+    pub(crate) fn batch_partition_mut(&mut self, index: usize) -> Option<&mut BatchPartition> {
         match &mut self.partitions.get_mut(index)?.application {
             Application::Batch(partition) => Some(partition),
             Application::Configuration(_) => None,
@@ -41,7 +41,7 @@
     pub(crate) fn restore_batch(&mut self, index: usize, bytes: Blob) -> Result<(), RunError> {
         let (now, partition_number) = (self.now, self.partitions[index].partition);
         let unreadable = |reason: String| RunError::State { partition: partition_number, reason };
-        if let Some(partition) = self.batch_mut(index) {
+        if let Some(partition) = self.batch_partition_mut(index) {
             partition.restore(&shared_bytes(bytes)).map_err(|e| unreadable(e.to_string()))?;
             partition.track_restored_jobs(now);
         }
@@ -61,12 +61,12 @@
         let status = match payload.split_first() {
             Some((&JOBS_ENTRY, _)) => {
                 let entry = Entry::from_shared(&payload.skip(1)).map_err(|e| unreadable(e.to_string()))?;
-                let Some(partition) = self.batch_mut(index) else { return Ok(()) };
+                let Some(partition) = self.batch_partition_mut(index) else { return Ok(()) };
                 let applied = partition.apply(entry, now);
                 self.after_applied(index, &applied)
             }
             Some((&RETIRE_ENTRY, name)) => {
-                let Some(partition) = self.batch_mut(index) else { return Ok(()) };
+                let Some(partition) = self.batch_partition_mut(index) else { return Ok(()) };
                 partition.retiring.insert(String::from_utf8_lossy(name).into_owned());
                 200
             }
@@ -83,7 +83,7 @@
     fn after_applied(&mut self, index: usize, applied: &Applied) -> u16 {
         match applied {
             Applied::Submitted { job, .. } => {
-                let Some(partition) = self.batch_mut(index) else { return 202 };
+                let Some(partition) = self.batch_partition_mut(index) else { return 202 };
                 for waiter in partition.take_pending_submissions(job) {
                     self.reply(waiter.peer, waiter.number, answer(202));
                 }
@@ -108,7 +108,7 @@
     /// Handles that this replica of a batch partition has become its leader (`leads`) or has ceased to be.
     pub(crate) fn batch_leader_changed(&mut self, index: usize, leads: bool) {
         let (now, wall_ms) = (self.now, self.wall_ms());
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let InterruptedCalls { reads, submissions } = partition.leader_changed(leads, now, wall_ms);
         for read in reads {
             self.reply(read.waiter.peer, read.waiter.number, Reply::Unavailable);
@@ -128,7 +128,7 @@
     pub(crate) fn set_routes_of_jobs(&mut self) {
         let Some(active) = self.configuration.active().cloned() else { return };
         for index in 0..self.partitions.len() {
-            if let Some(partition) = self.batch_mut(index) {
+            if let Some(partition) = self.batch_partition_mut(index) {
                 partition.set_routes(active.routes.clone());
             }
         }
@@ -138,7 +138,7 @@
     /// there.
     pub(crate) fn checkpoint_batch(&mut self, index: usize) {
         while let Some(entry) =
-            self.batch_mut(index).and_then(|partition| partition.runner_mut().checkpoint())
+            self.batch_partition_mut(index).and_then(|partition| partition.runner_mut().checkpoint())
         {
             if let Err(error) = self.propose_for_runner(index, entry) {
                 info!(partition = self.partitions[index].partition, %error, "unfinished texts not proposed");
@@ -150,7 +150,7 @@
     /// Proposes the results of items and their progress.
     pub(crate) fn propose_results(&mut self, index: usize) {
         while let Some(entry) =
-            self.batch_mut(index).and_then(|partition| partition.runner_mut().next_proposal())
+            self.batch_partition_mut(index).and_then(|partition| partition.runner_mut().next_proposal())
         {
             let proposed = self.propose_for_runner(index, entry);
             self.log_rejections(index, proposed.as_ref().err());
@@ -164,7 +164,7 @@
     fn propose_for_runner(&mut self, index: usize, entry: Entry) -> Result<(), ProposeError> {
         let proposed = self.partitions[index].propose(self.now, encode_jobs_entry(&entry), None);
         if proposed.is_err()
-            && let Some(partition) = self.batch_mut(index)
+            && let Some(partition) = self.batch_partition_mut(index)
         {
             partition.runner_mut().not_proposed(entry);
         }
@@ -200,7 +200,7 @@
         let now = self.now;
         // Readers may come somewhat later than the bound, and a client first sent the job before it was accepted.
         let retention = Duration::from_seconds(self.settings.bounds.status_s + 10.0);
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let jobs = partition.runner().expired_jobs(partition.jobs(), now, retention);
         if !jobs.is_empty() {
             // A rejected entry is proposed again at the next maintenance of the replica groups.
@@ -222,7 +222,7 @@
             submission.route = current_route.unwrap_or(submission.route);
         }
         let job = submission.job.clone();
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         match partition.admit(&submission, call.queue_token_limit) {
             Admission::AlreadyAccepted => self.reply(waiter.peer, waiter.number, answer(202)),
             Admission::Pending => partition.wait_for_submission(job, waiter),
@@ -239,7 +239,7 @@
                 };
                 let entry = encode_jobs_entry(&Entry::Submit { submission, settings });
                 if self.partitions[index].propose(now, entry, Some(waiter)).is_err() {
-                    if let Some(partition) = self.batch_mut(index) {
+                    if let Some(partition) = self.batch_partition_mut(index) {
                         partition.release_admission(&job);
                     }
                     self.reply(waiter.peer, waiter.number, Reply::Unavailable);
@@ -253,7 +253,7 @@
     pub(crate) fn offer_at_leader(&mut self, waiter: Waiter, offer: &OfferJob) {
         let Some(index) = self.led_index(offer.partition, waiter) else { return };
         let routes = self.offered_routes(&offer.route);
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let Some(job) = JobId::new(&offer.job) else {
             return self.reply(waiter.peer, waiter.number, answer(400));
         };
@@ -291,7 +291,7 @@
         let Some(index) = self.led_index(partition_number, waiter) else { return };
         let number = self.next_serial();
         let now = self.now;
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let Some(job) = JobId::new(job).filter(|job| partition.jobs().contains(job)) else {
             return self.reply(waiter.peer, waiter.number, not_found());
         };
@@ -311,13 +311,13 @@
             return self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
         let max_bytes = max_page_bytes(self.settings.limits.link_mbps);
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let reply = partition.page_reply(job, resume_after, max_bytes);
         self.reply(waiter.peer, waiter.number, reply);
     }
 
     fn answer_pending_reads(&mut self, index: usize, is_affected: impl Fn(&JobId) -> bool) {
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         for read in partition.take_pending_reads(is_affected) {
             self.answer_read(index, read.waiter, &read.job, read.resume_after);
         }
@@ -326,7 +326,8 @@
     /// Answers a read whose waiting time is over.
     pub fn pending_read_expired(&mut self, number: u64) {
         for index in 0..self.partitions.len() {
-            let Some(read) = self.batch_mut(index).and_then(|partition| partition.take_pending_read(number))
+            let Some(read) =
+                self.batch_partition_mut(index).and_then(|partition| partition.take_pending_read(number))
             else {
                 continue;
             };
@@ -343,7 +344,7 @@
         item: &str,
     ) {
         let Some(index) = self.led_index(partition_number, waiter) else { return };
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let reply = partition.item_body_reply(job, item);
         self.reply(waiter.peer, waiter.number, reply);
     }
@@ -352,7 +353,7 @@
     pub(crate) fn end_at_leader(&mut self, waiter: Waiter, partition_number: u8, job: &str) {
         let now = self.now;
         let Some(index) = self.led_index(partition_number, waiter) else { return };
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         let Some(job) = JobId::new(job).filter(|job| partition.is_known(job)) else {
             return self.reply(waiter.peer, waiter.number, not_found());
         };
--- a/crates/tier/src/control/api.rs
+++ b/crates/tier/src/control/api.rs
@@ -3,7 +3,7 @@
 use crate::control::partition_host::Waiter;
 use crate::control::partition_status::PartitionReport;
 use crate::control::retire::RetireQuestion;
-use crate::links::calls::{Continuation, OperatorQuestion};
+use crate::links::calls::{Continuation, OperatorRequestKind};
 use crate::links::messages::{Call, Reply};
 use crate::node::Node;
 use crate::requests::exchange::ClientRequest;
@@ -168,8 +168,8 @@
             return;
         }
         let call = Call::ReplaceConfiguration { base, body: request.body };
-        let question = OperatorQuestion::Replace;
-        let continuation = Continuation::Operator { connection, serial, question };
+        let kind = OperatorRequestKind::Replace;
+        let continuation = Continuation::Operator { connection, serial, kind };
         self.call_leader(CONFIGURATION_PARTITION, call, self.now + waits, continuation);
     }
 
@@ -177,8 +177,8 @@
         if self.refuse_call_if_too_late(connection, OPERATOR_TIMEOUT) {
             return;
         }
-        let question = OperatorQuestion::Show;
-        let continuation = Continuation::Operator { connection, serial, question };
+        let kind = OperatorRequestKind::Show;
+        let continuation = Continuation::Operator { connection, serial, kind };
         self.call_leader(
             CONFIGURATION_PARTITION,
             Call::ShowConfiguration,
@@ -189,8 +189,8 @@
 
     /// The operator's question for a partition, forwarded to its leader.
     fn partition_request(&mut self, connection: usize, serial: u64, partition: u8) {
-        let question = OperatorQuestion::Partition;
-        let continuation = Continuation::Operator { connection, serial, question };
+        let kind = OperatorRequestKind::Partition;
+        let continuation = Continuation::Operator { connection, serial, kind };
         let call = Call::ShowPartition { partition };
         self.call_leader(partition, call, self.now + OPERATOR_TIMEOUT, continuation);
     }
@@ -213,16 +213,20 @@
         &mut self,
         connection: usize,
         serial: u64,
-        question: OperatorQuestion,
+        kind: OperatorRequestKind,
         reply: Reply,
     ) {
-        let answer = match (question, reply) {
-            (OperatorQuestion::Partition, Reply::Answer { status, body }) => {
+        let answer = match (kind, reply) {
+            (OperatorRequestKind::Partition, Reply::Answer { status, body }) => {
                 http::answer(status, &[TEXT], &body)
             }
             (_, Reply::Answer { status, body }) => http::answer(status, &[JSON], &body),
-            (OperatorQuestion::Show, Reply::Configuration { version: 0, .. }) => http::answer(404, &[], b""),
-            (OperatorQuestion::Show, Reply::Configuration { body, .. }) => http::answer(200, &[JSON], &body),
+            (OperatorRequestKind::Show, Reply::Configuration { version: 0, .. }) => {
+                http::answer(404, &[], b"")
+            }
+            (OperatorRequestKind::Show, Reply::Configuration { body, .. }) => {
+                http::answer(200, &[JSON], &body)
+            }
             (_, Reply::Unclear) => http::answer(504, &[], b""),
             _ => http::answer(503, &[("Retry-After", "0.1")], b""),
         };
--- a/crates/tier/src/control/membership_maintenance.rs
+++ b/crates/tier/src/control/membership_maintenance.rs
@@ -120,7 +120,7 @@
                 self.maintain_rollouts(index);
                 warn_of_sole_replica(&mut self.partitions[index], &self.registry, self.now);
                 self.forget_old_jobs(index);
-                self.log_items(index);
+                self.log_item_progress(index);
             }
         }
         if !self.stopping() {
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -194,7 +194,7 @@
         let now = self.now;
         let Some(index) = self.led_index(number, waiter) else { return };
         let refused = |status| Reply::Answer { status, body: Vec::new() };
-        let Some(partition) = self.batch_mut(index) else { return };
+        let Some(partition) = self.batch_partition_mut(index) else { return };
         if partition.retiring.contains(node) {
             return self.reply(waiter.peer, waiter.number, Reply::Done);
         }
--- a/crates/tier/src/control/rollouts.rs
+++ b/crates/tier/src/control/rollouts.rs
@@ -6,7 +6,7 @@
 use crate::control::configuration_partition::ConfigurationPartition;
 use crate::control::partition_host::{Application, Waiter};
 use crate::control::rollout_sync::NodeTime;
-use crate::links::calls::{Continuation, OperatorQuestion};
+use crate::links::calls::{Continuation, OperatorRequestKind};
 use crate::links::messages::{Call, Reply};
 use crate::node::Node;
 use grebeusher_registry::{Executor, Registry};
@@ -47,8 +47,8 @@
         if self.refuse_call_if_too_late(connection, OPERATOR_TIMEOUT) {
             return;
         }
-        let question = OperatorQuestion::Rollout;
-        let continuation = Continuation::Operator { connection, serial, question };
+        let kind = OperatorRequestKind::Rollout;
+        let continuation = Continuation::Operator { connection, serial, kind };
         self.call_leader(CONFIGURATION_PARTITION, call, self.now + OPERATOR_TIMEOUT, continuation);
     }
 
--- a/crates/tier/src/links/calls/continuation.rs
+++ b/crates/tier/src/links/calls/continuation.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Continuation {
     /// An operator's request.
-    Operator { connection: usize, serial: u64, question: OperatorQuestion },
+    Operator { connection: usize, serial: u64, kind: OperatorRequestKind },
     /// A client's request about a batch job.
     Batch { connection: usize, serial: u64, kind: BatchRequestKind },
     /// This node itself, which fetches a newer configuration.
@@ -25,7 +25,7 @@
 
 /// The kind of an operator's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OperatorQuestion {
+pub enum OperatorRequestKind {
     /// The operator replaces the configuration (`Configuration.Replace`).
     Replace,
     /// The operator reads the configuration (`Configuration.Show`).
--- a/crates/tier/src/links/calls/mod.rs
+++ b/crates/tier/src/links/calls/mod.rs
@@ -14,7 +14,7 @@
 mod pending_call;
 mod time_limits;
 
-pub use continuation::{BatchRequestKind, OperatorQuestion};
+pub use continuation::{BatchRequestKind, OperatorRequestKind};
 pub use final_reply::final_reply;
 
 pub(crate) use continuation::Continuation;
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -75,7 +75,7 @@
             }
             Channel::Reply => {
                 if let Ok(envelope) = <ReplyEnvelope as DeBin>::deserialize_bin(payload) {
-                    self.step_call(|calls, peers| calls.handle_reply(from, envelope, peers));
+                    self.run_call_step(|calls, peers| calls.handle_reply(from, envelope, peers));
                 }
             }
         }
@@ -105,7 +105,7 @@
         continuation: Continuation,
     ) {
         let target = CallTarget::Leader(partition);
-        self.step_call(|calls, peers| calls.begin(target, call, deadline, continuation, peers));
+        self.run_call_step(|calls, peers| calls.begin(target, call, deadline, continuation, peers));
     }
 
     /// Sends a call to one node and waits for its reply until `deadline` at the latest.
@@ -117,7 +117,7 @@
         continuation: Continuation,
     ) {
         let target = CallTarget::Node(to);
-        self.step_call(|calls, peers| calls.begin(target, call, deadline, continuation, peers));
+        self.run_call_step(|calls, peers| calls.begin(target, call, deadline, continuation, peers));
     }
 
     /// Forwards another node's encoded call to the leader of a partition.
@@ -129,7 +129,7 @@
     }
 
     /// Calls `action` with the pending calls, and carries out the step that it returns.
-    pub(crate) fn step_call(
+    pub(crate) fn run_call_step(
         &mut self,
         action: impl FnOnce(&mut PendingCalls, &PeerDirectory<'_>) -> Option<CallStep>,
     ) {
@@ -158,8 +158,8 @@
         }
         let reply = ended.reply;
         match ended.continuation {
-            Continuation::Operator { connection, serial, question } => {
-                self.operator_reply(connection, serial, question, reply);
+            Continuation::Operator { connection, serial, kind } => {
+                self.operator_reply(connection, serial, kind, reply);
             }
             Continuation::Batch { connection, serial, kind } => {
                 self.batch_reply(connection, serial, kind, reply);
@@ -226,7 +226,7 @@
     }
 
     /// Runs the registry's timers, sends its messages and handles its events.
-    pub fn pump_registry(&mut self) {
+    pub fn run_registry(&mut self) {
         let now = self.now;
         if now >= self.registry.next_wake() {
             self.traffic.registry_ticks += 1;
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -190,9 +190,9 @@
         if !self.exit {
             self.serve_waiting_input();
         }
-        self.pump_registry();
+        self.run_registry();
         self.pump_partitions()?;
-        self.pump_registry();
+        self.run_registry();
         if std::mem::take(&mut self.routing_changed) {
             self.update_routing();
         }
@@ -257,8 +257,8 @@
                 self.links.connect_expired(&mut self.connections, connection, serial);
             }
             Timer::ItemResponseTimeout { run } => self.item_response_timeout(run),
-            Timer::CallExpires { number } => self.step_call(|calls, peers| calls.expire(number, peers)),
-            Timer::CallRetry { number } => self.step_call(|calls, peers| calls.retry(number, peers)),
+            Timer::CallExpires { number } => self.run_call_step(|calls, peers| calls.expire(number, peers)),
+            Timer::CallRetry { number } => self.run_call_step(|calls, peers| calls.retry(number, peers)),
             Timer::PendingReadExpires { read } => self.pending_read_expired(read),
             Timer::Bootstrap => self.drive_bootstrap(),
             Timer::MaintainGroups => self.maintain_groups(),
