--- a/crates/tier/src/links/connections.rs
+++ b/crates/tier/src/links/connections.rs
@@ -157,10 +157,10 @@
     }
 
     /// Stops reading from a connection (`paused`), or resumes it.
-    pub fn pause(&mut self, index: usize, paused: bool) {
+    pub fn set_paused(&mut self, index: usize, paused: bool) {
         if let Some(connection) = self.entries.get_mut(index) {
             // If this fails, the connection can't be polled any more, and its next use fails too.
-            let _ = connection.socket.pause(paused);
+            let _ = connection.socket.set_paused(paused);
         }
     }
 
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -9,7 +9,7 @@
 use crate::links::connections::{ConnectionTable, Role};
 use crate::links::link_progress::LinkProgress;
 use crate::links::messages::Channel;
-use crate::links::socket::{Reading, Socket};
+use crate::links::socket::{ReadOutcome, Socket};
 use crate::runtime::io::{Accepted, Listener, World};
 use crate::runtime::timers::Timer;
 use crate::runtime::traffic::Traffic;
@@ -121,11 +121,11 @@
         let Some(index) = self.link_to(context, to) else { return };
         let Some((socket, outgoing)) = context.connections.outgoing_mut(index) else { return };
         outgoing.last_used = context.now;
-        if socket.waiting() + payload.len() > MAX_QUEUED_BYTES {
+        if socket.unsent_bytes() + payload.len() > MAX_QUEUED_BYTES {
             return;
         }
-        outgoing.progress.record_queued(context.now, socket.waiting());
-        socket.put(&link::encode_frame(channel as u8, payload));
+        outgoing.progress.record_queued(context.now, socket.unsent_bytes());
+        socket.append_output(&link::encode_frame(channel as u8, payload));
         context.traffic.count_sent(channel, payload);
         if !self.unflushed.contains(&index) {
             self.unflushed.push(index);
@@ -147,7 +147,7 @@
         if socket.flush().is_err() {
             return self.close_failed(context, index);
         }
-        outgoing.progress.record_flushed(context.now, socket.sent(), socket.waiting());
+        outgoing.progress.record_flushed(context.now, socket.sent_bytes(), socket.unsent_bytes());
     }
 
     /// The connection index of the link to a peer, which is dialled if there is none; `None` if the peer may
@@ -175,7 +175,7 @@
         let serial = context.connections.serial(index);
         context.alarms.set(now + CONNECT_TIMEOUT, Timer::LinkExpires { connection: index, serial });
         let (socket, _) = context.connections.outgoing_mut(index)?;
-        socket.put(&link::encode_hello(&Hello::new(self.own_address)));
+        socket.append_output(&link::encode_hello(&Hello::new(self.own_address)));
         Some(index)
     }
 
@@ -227,7 +227,7 @@
             // The peer sends nothing on this connection, so the only thing to read is the end of the
             // connection.
             match socket.read() {
-                Ok(Reading::Open { .. }) => drop(socket.take_input()),
+                Ok(ReadOutcome::Open { .. }) => drop(socket.take_input()),
                 _ => {
                     debug!(peer = %outgoing.address, "link ended");
                     return self.close_failed(context, index);
@@ -242,7 +242,7 @@
         let is_expired = |index: &usize| {
             let Some(connection) = context.connections.get(*index) else { return false };
             let Role::Outgoing(outgoing) = &connection.role else { return false };
-            let queued_bytes = connection.socket.waiting();
+            let queued_bytes = connection.socket.unsent_bytes();
             outgoing.progress.is_stalled(context.now, queued_bytes, STALL_TIMEOUT)
                 || context.now.since(outgoing.last_used) > IDLE_TIMEOUT
         };
@@ -279,7 +279,7 @@
     let reading = socket.read();
     incoming.decoder.feed(&socket.take_input());
     match reading {
-        Ok(Reading::Open { .. }) => Ok(()),
+        Ok(ReadOutcome::Open { .. }) => Ok(()),
         _ => Err(LinkClosed),
     }
 }
--- a/crates/tier/src/links/socket.rs
+++ b/crates/tier/src/links/socket.rs
@@ -15,7 +15,7 @@
 
 /// The result of reading from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadOutcome {
     /// The connection is still open.
     Open {
         /// The number of bytes that were read.
@@ -95,12 +95,12 @@
     }
 
     /// Reads the bytes that have arrived, up to the limit for one turn of the event loop.
-    pub fn read(&mut self) -> io::Result<Reading> {
+    pub fn read(&mut self) -> io::Result<ReadOutcome> {
         let mut bytes = 0;
         let mut chunk = [0; READ_CHUNK_BYTES];
         while bytes < MAX_READ_BYTES {
             match self.stream.read(&mut chunk) {
-                Ok(0) => return Ok(Reading::Ended { bytes }),
+                Ok(0) => return Ok(ReadOutcome::Ended { bytes }),
                 Ok(count) => {
                     self.input.extend_from_slice(&chunk[..count]);
                     bytes += count;
@@ -113,7 +113,7 @@
                 Err(error) => return Err(error),
             }
         }
-        Ok(Reading::Open { bytes })
+        Ok(ReadOutcome::Open { bytes })
     }
 
     /// The bytes that were read but not processed yet.
@@ -145,17 +145,17 @@
     }
 
     /// Appends bytes to the output. They are written by [`Socket::flush`].
-    pub fn put(&mut self, bytes: &[u8]) {
+    pub fn append_output(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
     /// The number of bytes written since the connection was opened.
-    pub fn sent(&self) -> u64 {
+    pub fn sent_bytes(&self) -> u64 {
         self.sent
     }
 
     /// The number of bytes in the output that are not written yet.
-    pub fn waiting(&self) -> usize {
+    pub fn unsent_bytes(&self) -> usize {
         self.output.len() - self.written
     }
 
@@ -187,7 +187,7 @@
     }
 
     /// Stops reading (`paused`), or resumes it.
-    pub fn pause(&mut self, paused: bool) -> io::Result<()> {
+    pub fn set_paused(&mut self, paused: bool) -> io::Result<()> {
         self.paused = paused;
         self.update_interest()
     }
@@ -195,7 +195,7 @@
     fn update_interest(&mut self) -> io::Result<()> {
         let interest = Interest {
             readable: !self.paused && !self.connecting,
-            writable: self.connecting || self.waiting() > 0,
+            writable: self.connecting || self.unsent_bytes() > 0,
         };
         self.stream.set_interest(interest)
     }
--- a/crates/tier/src/requests/dispatch.rs
+++ b/crates/tier/src/requests/dispatch.rs
@@ -3,7 +3,7 @@
 //!
 //! This module owns nothing. It is the only one that lends [`Requests`] what it needs of the node.
 
-use crate::links::socket::Reading;
+use crate::links::socket::ReadOutcome;
 use crate::node::Node;
 use crate::requests::exchange::ClientRequest;
 use crate::requests::plane::{RequestContext, Requests};
@@ -63,8 +63,8 @@
         let read = self.with_requests(|requests, context| requests.read_server(context, index));
         match read {
             None => {}
-            Some(Ok(Reading::Open { .. })) => self.server_input(index),
-            Some(Ok(Reading::Ended { .. })) => {
+            Some(Ok(ReadOutcome::Open { .. })) => self.server_input(index),
+            Some(Ok(ReadOutcome::Ended { .. })) => {
                 self.server_input(index);
                 self.with_requests(|requests, context| requests.server_ended(context, index));
             }
@@ -116,7 +116,7 @@
             }
         }
         let Some((socket, _)) = self.connections.upstream_mut(index) else { return };
-        if (writable || socket.waiting() > 0) && socket.flush().is_err() {
+        if (writable || socket.unsent_bytes() > 0) && socket.flush().is_err() {
             // What the executor answered before it closed may still be read.
             return self.read_upstream(index);
         }
@@ -137,8 +137,8 @@
         let Some((socket, _)) = self.connections.upstream_mut(index) else { return };
         socket.restore_input(bytes, consumed);
         match reading {
-            Ok(Reading::Open { .. }) => {}
-            Ok(Reading::Ended { .. }) => self.upstream_ended(index),
+            Ok(ReadOutcome::Open { .. }) => {}
+            Ok(ReadOutcome::Ended { .. }) => self.upstream_ended(index),
             Err(_) => self.fail_upstream(index),
         }
     }
@@ -201,7 +201,7 @@
             AnswerEnd::Call { user, closes } => {
                 let instance = upstream.instance().clone();
                 // An executor may answer before it has read the complete request, and then wait for the rest of it.
-                if closes || socket.waiting() > 0 {
+                if closes || socket.unsent_bytes() > 0 {
                     self.connections.close(index);
                 } else {
                     self.connections.put_idle(instance, index);
--- a/crates/tier/src/requests/exchange/mod.rs
+++ b/crates/tier/src/requests/exchange/mod.rs
@@ -230,7 +230,7 @@
         self.write_client_chunk(context, client, serial, &complete);
         // Both ways hold back: what the client doesn't take isn't read from the executor.
         if self.unwritten(context, client) > MAX_UNWRITTEN {
-            context.connections.pause(connection, true);
+            context.connections.set_paused(connection, true);
             self.paused_by_client(context, client, connection);
         }
     }
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -5,7 +5,7 @@
 //! answer never reaches whoever has the connection next.
 
 use crate::links::connections::{Connection, ConnectionTable, Role};
-use crate::links::socket::{Reading, Socket};
+use crate::links::socket::{ReadOutcome, Socket};
 use crate::requests::exchange::ClientRequest;
 use crate::requests::plane::{RequestContext, Requests};
 use crate::requests::server_connection::{
@@ -49,7 +49,7 @@
         &self,
         context: &mut RequestContext<'_>,
         index: usize,
-    ) -> Option<io::Result<Reading>> {
+    ) -> Option<io::Result<ReadOutcome>> {
         let (socket, _) = context.connections.server_mut(index)?;
         Some(socket.read())
     }
@@ -91,11 +91,11 @@
             self.server_gone(context, index);
             return false;
         }
-        let waiting = socket.waiting();
+        let waiting = socket.unsent_bytes();
         let resumes = if waiting < MAX_UNWRITTEN / 2 { server.take_held_back() } else { None };
         let ends = waiting == 0 && server.is_ending();
         if let Some(upstream) = resumes {
-            context.connections.pause(upstream, false);
+            context.connections.set_paused(upstream, false);
         }
         if ends {
             context.connections.close(index);
@@ -107,8 +107,8 @@
     /// The peer will send no more: what is under way is of no use to it.
     pub(super) fn server_ended(&mut self, context: &mut RequestContext<'_>, index: usize) {
         let Some((socket, server)) = context.connections.server_mut(index) else { return };
-        if socket.waiting() > 0 && server.is_ending() {
-            let _ = socket.pause(true);
+        if socket.unsent_bytes() > 0 && server.is_ending() {
+            let _ = socket.set_paused(true);
             return;
         }
         self.server_gone(context, index);
@@ -186,7 +186,7 @@
             return;
         }
         let Some((socket, _)) = context.connections.server_mut(index) else { return };
-        socket.put(bytes);
+        socket.append_output(bytes);
         // A peer that is gone is noticed by the loop's next event; here the exchange is in the middle of its step.
         let _ = socket.flush();
     }
@@ -203,15 +203,15 @@
             return;
         }
         let Some((socket, _)) = context.connections.server_mut(index) else { return };
-        socket.put(format!("{:x}\r\n", bytes.len()).as_bytes());
-        socket.put(bytes);
-        socket.put(b"\r\n");
+        socket.append_output(format!("{:x}\r\n", bytes.len()).as_bytes());
+        socket.append_output(bytes);
+        socket.append_output(b"\r\n");
         let _ = socket.flush();
     }
 
     /// How much a client has not taken yet.
     pub fn unwritten(&mut self, context: &mut RequestContext<'_>, index: usize) -> usize {
-        context.connections.server_mut(index).map_or(0, |(socket, _)| socket.waiting())
+        context.connections.server_mut(index).map_or(0, |(socket, _)| socket.unsent_bytes())
     }
 
     /// Remembers that a connection to an executor waits for this client.
@@ -239,7 +239,7 @@
         }
         let Some((socket, server)) = context.connections.server_mut(index) else { return };
         match server.answered(now, stopping) {
-            AfterAnswer::Ends if socket.waiting() == 0 => {
+            AfterAnswer::Ends if socket.unsent_bytes() == 0 => {
                 socket.end_writing();
                 context.connections.close(index);
             }
--- a/crates/tier/src/requests/server_connection.rs
+++ b/crates/tier/src/requests/server_connection.rs
@@ -134,7 +134,7 @@
         }
         socket.consume(length);
         if head.headers.get("Expect").is_some_and(|value| value.eq_ignore_ascii_case("100-continue")) {
-            socket.put(b"HTTP/1.1 100 Continue\r\n\r\n");
+            socket.append_output(b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         self.closes = head.headers.closes;
         let reader = BodyReader::new(framing);
--- a/crates/tier/src/requests/upstream.rs
+++ b/crates/tier/src/requests/upstream.rs
@@ -50,12 +50,12 @@
         while let Some(index) = context.connections.take_idle(&target.instance, context.now) {
             let Some((socket, upstream)) = context.connections.upstream_mut(index) else { continue };
             upstream.start_call(user, attempt_id);
-            socket.put(request);
+            socket.append_output(request);
             if socket.flush().is_ok() {
                 return Ok(index);
             }
             // The write failed at once, before a byte went out: the executor had closed the connection.
-            let nothing_sent = socket.waiting() == request.len();
+            let nothing_sent = socket.unsent_bytes() == request.len();
             upstream.take_user();
             context.connections.close(index);
             if !nothing_sent {
@@ -78,7 +78,7 @@
         let added = context.connections.add(context.world, open, Role::Upstream(upstream));
         let index = added.map_err(|_| Failure::NeverSent)?;
         if let Some((socket, _)) = context.connections.upstream_mut(index) {
-            socket.put(request);
+            socket.append_output(request);
         }
         let serial = context.connections.serial(index);
         context
