--- a/crates/tier/src/batch/api.rs
+++ b/crates/tier/src/batch/api.rs
@@ -59,8 +59,9 @@
     }
 
     /// The most tokens that may wait on a route at one leader; 0 is no limit. If jobs are spread, each leader
-    /// gets an equal share of the route's limit, so that the leaders together never admit more than the
-    /// limit. A leader whose share is used up may reject a job while other leaders still have room.
+    /// gets an equal share of the route's limit, but at least 1 token, so that the leaders together don't
+    /// admit more than the limit. A leader whose share is used up may reject a job although other leaders
+    /// could still admit it.
     fn queue_token_limit_per_leader(&self, queue_token_limit: u64) -> u64 {
         match queue_token_limit {
             0 => 0,
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Handles a client's request: one that reads or ends a batch job, one that submits a batch job, or a
-    /// live one for an executor.
+    /// Handles a client's request, which reads, ends or submits a batch job or is a live request for an
+    /// executor.
     pub fn client_request(&mut self, connection: usize, request: ClientRequest) {
         let serial = self.serial(connection);
         let Some(active) = self.configuration.active().cloned() else {
--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -35,16 +35,20 @@
 
 /// An item that is running at an executor.
 struct ActiveRun {
+    /// The index of the item's partition among the node's partitions.
     partition_index: usize,
     run_id: RunId,
+    /// The gateway's token of the attempt at the executor.
     attempt: AttemptToken,
+    /// The index of the connection to the executor.
     connection: usize,
+    /// The decoder of the events in the response.
     reader: EventReader,
-    /// The HTTP status of the response; 0 until its head has come.
+    /// The HTTP status of the response; 0 until its head has arrived.
     status: u16,
     /// Whether the response says that the executor did not run the item.
     not_executed: bool,
-    /// Whether the response carries the executor's seal.
+    /// Whether the response has the header `X-Grebeusher-Server-Seal`, with which executors mark their answers.
     sealed: bool,
     /// When the executor last sent something.
     last_activity: Instant,
@@ -53,6 +57,7 @@
 /// The items that this node is running at executors.
 #[derive(Default)]
 pub struct ItemRuns {
+    /// The active runs by key: a serial number by which their connections and timers refer to them.
     active: FxHashMap<u64, ActiveRun>,
     /// Whether the timer that calls [`Node::run_items`] is set.
     wake_scheduled: bool,
@@ -96,7 +101,7 @@
             self.abort_cancelled_runs(index);
             self.propose_results(index);
             needs_wake |= self.runner_needs_wake(index);
-            needs_wake |= self.configuration.active().is_none() || self.idle_tokens(index) > 0;
+            needs_wake |= self.configuration.active().is_none() || self.unstarted_tokens(index) > 0;
         }
         if needs_wake && !self.items.wake_scheduled {
             self.items.wake_scheduled = true;
@@ -106,7 +111,7 @@
 
     /// The total tokens of a partition's items that have not started yet, on the routes of the current
     /// configuration.
-    fn idle_tokens(&mut self, index: usize) -> u64 {
+    fn unstarted_tokens(&mut self, index: usize) -> u64 {
         let Some(active) = self.configuration.active().cloned() else { return 0 };
         let Some(partition) = self.batch_partition_mut(index) else { return 0 };
         active.routes.bulk_routes().map(|(route, _)| partition.runner().idle_tokens(route)).sum()
@@ -120,7 +125,7 @@
         if !partition.runner().has_unlisted_items() || !partition.take_progress_log_due(now) {
             return;
         }
-        let waiting_tokens = self.idle_tokens(index);
+        let waiting_tokens = self.unstarted_tokens(index);
         let Some(partition) = self.batch_partition_mut(index) else { return };
         let runner = partition.runner();
         debug!(
@@ -135,6 +140,7 @@
         );
     }
 
+    /// Starts items of a led partition while its share and the executors' capacity allow it.
     fn start_items(&mut self, index: usize) {
         for _ in 0..MAX_STARTS_PER_TURN {
             if !self.may_start_item(index) {
@@ -171,6 +177,7 @@
         self.items.load_reports.may_start(self.now, host.partition, host.load())
     }
 
+    /// The next item of a partition to run, on a route with a service that has capacity for batch items.
     fn next_run_order(&mut self, index: usize) -> Option<RunOrder> {
         let now = self.now;
         let active = self.configuration.active().cloned()?;
@@ -186,6 +193,8 @@
         runner.next_item(jobs, now, &capacity)
     }
 
+    /// Sends an item to an executor that the gateway chooses. If that fails, tells the runner that the item
+    /// was not executed.
     fn start_item(&mut self, index: usize, order: RunOrder) {
         let now = self.now;
         let point = self.random_point();
@@ -242,6 +251,7 @@
         }
     }
 
+    /// Tells the partition's runner the outcome of a run.
     fn end_run(&mut self, index: usize, run: RunId, outcome: RunOutcome) {
         let now = self.now;
         if let Some(partition) = self.batch_partition_mut(index) {
@@ -323,6 +333,7 @@
         self.finish_run(key, attempt_outcome, run_outcome);
     }
 
+    /// Removes an active run, and tells the gateway and the runner its outcome.
     fn finish_run(&mut self, key: u64, attempt_outcome: AttemptOutcome, run_outcome: RunOutcome) {
         let now = self.now;
         let Some(active) = self.items.active.remove(&key) else { return };
@@ -330,7 +341,7 @@
         self.end_run(active.partition_index, active.run_id, run_outcome);
     }
 
-    /// Aborts a run if its executor has sent nothing for [`SILENCE_TIMEOUT`]; otherwise sets the timer anew.
+    /// Aborts a run if its executor has sent nothing for `SILENCE_TIMEOUT`; otherwise sets the timer anew.
     pub fn item_response_timeout(&mut self, key: u64) {
         let now = self.now;
         let Some(active) = self.items.active.get(&key) else { return };
--- a/crates/tier/src/batch/leader.rs
+++ b/crates/tier/src/batch/leader.rs
@@ -153,7 +153,7 @@
             self.batch_partition_mut(index).and_then(|partition| partition.runner_mut().next_proposal())
         {
             let proposed = self.propose_for_runner(index, entry);
-            self.log_rejections(index, proposed.as_ref().err());
+            self.log_refusals(index, proposed.as_ref().err());
             if proposed.is_err() {
                 return;
             }
@@ -171,15 +171,15 @@
         proposed
     }
 
-    /// Logs the first rejected proposal of results, and the first one that is accepted after it. `rejection`
-    /// is the error of the latest proposal, if it was rejected.
-    fn log_rejections(&mut self, index: usize, rejection: Option<&ProposeError>) {
+    /// Logs the first refused proposal of results, and the first one that is accepted after it. `refusal`
+    /// is the error of the latest proposal, if it was refused.
+    fn log_refusals(&mut self, index: usize, refusal: Option<&ProposeError>) {
         let now = self.now;
         let host = &mut self.partitions[index];
         let (partition_number, transferring) = (host.partition, host.replica.is_transferring_leadership());
         let Application::Batch(partition) = &mut host.application else { return };
-        match rejection {
-            Some(error) if partition.refusals.record_rejected(now) => {
+        match refusal {
+            Some(error) if partition.refusals.record_refused(now) => {
                 info!(partition = partition_number, %error, transferring, "results not proposed");
             }
             Some(_) => {}
@@ -198,7 +198,8 @@
     /// Proposes to delete the jobs whose retention time is over.
     pub(crate) fn forget_old_jobs(&mut self, index: usize) {
         let now = self.now;
-        // Readers may come somewhat later than the bound, and a client first sent the job before it was accepted.
+        // Readers may come somewhat later than the bound, and a client first sent the job before it was
+        // accepted.
         let retention = Duration::from_seconds(self.settings.bounds.status_s + 10.0);
         let Some(partition) = self.batch_partition_mut(index) else { return };
         let jobs = partition.runner().expired_jobs(partition.jobs(), now, retention);
--- a/crates/tier/src/links/calls/mod.rs
+++ b/crates/tier/src/links/calls/mod.rs
@@ -140,6 +140,8 @@
         }
     }
 
+    /// Sends an attempt to a node: the offer of a large job that is not offered yet, otherwise the complete
+    /// call.
     fn send_attempt(
         &mut self,
         number: CallNumber,
@@ -158,6 +160,8 @@
         self.send(number, target, path, call, now)
     }
 
+    /// Sends `call` to a node, wrapped for forwarding if the node is a relay, and sets the time-out of the
+    /// attempt.
     fn send(
         &mut self,
         number: CallNumber,
@@ -236,6 +240,7 @@
         }
     }
 
+    /// Whether a node is not in the list of nodes to avoid.
     fn is_responsive(&self, address: &SocketAddrV4) -> bool {
         !self.unresponsive.contains_key(address)
     }
@@ -324,10 +329,12 @@
         is_due.then(|| self.attempt(number, peers)).flatten()
     }
 
+    /// Ends a call with the last reply that has arrived, if any.
     fn end(&mut self, number: CallNumber, reply: Option<Reply>, now: Instant) -> Option<CallStep> {
         self.remove(number, reply, now).map(CallStep::End)
     }
 
+    /// Removes a call that has ended, and determines its final reply.
     fn remove(&mut self, number: CallNumber, reply: Option<Reply>, now: Instant) -> Option<EndedCall> {
         let pending = self.calls.remove(&number)?;
         let duration = now.since(pending.started_at);
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -139,6 +139,7 @@
         }
     }
 
+    /// Writes the queued frames of an established link.
     fn flush_link(&mut self, context: &mut LinkContext<'_>, index: usize) {
         let Some((socket, outgoing)) = context.connections.outgoing_mut(index) else { return };
         if socket.is_connecting() {
@@ -167,6 +168,7 @@
         Some(index)
     }
 
+    /// Dials a peer and queues the hello frame; returns the new link's connection index.
     fn dial(&self, context: &mut LinkContext<'_>, to: SocketAddrV4) -> Option<usize> {
         let now = context.now;
         let outgoing = OutgoingLink { address: to, progress: LinkProgress::new(now), last_used: now };
@@ -198,6 +200,7 @@
         }
     }
 
+    /// Closes an outgoing link and removes it from the table.
     fn close(&mut self, connections: &mut ConnectionTable, index: usize) {
         if let Some((_, outgoing)) = connections.outgoing_mut(index) {
             self.outgoing.remove(&outgoing.address);
@@ -262,6 +265,7 @@
     }
 }
 
+/// Adds an accepted connection to the table as an incoming link.
 fn add_incoming(context: &mut LinkContext<'_>, accepted: Box<dyn Accepted>) {
     let incoming = IncomingLink { decoder: FrameDecoder::default(), peer: None };
     let open = |_: &dyn World, key| Socket::accepted(accepted, key);
