--- a/crates/tier/src/requests/dispatch.rs
+++ b/crates/tier/src/requests/dispatch.rs
@@ -3,7 +3,7 @@
 //!
 //! This module owns no state. It alone makes the [`RequestContext`] that lends [`Requests`] other parts of the node.
 
-use crate::links::socket::Reading;
+use crate::links::socket::ReadOutcome;
 use crate::node::Node;
 use crate::requests::exchange::ClientRequest;
 use crate::requests::plane::{RequestContext, Requests};
@@ -63,8 +63,8 @@
         let read = self.with_requests(|requests, context| requests.read_server(context, index));
         match read {
             None => {}
-            Some(Ok(Reading::Open { .. })) => self.dispatch_requests(index),
-            Some(Ok(Reading::Ended { .. })) => {
+            Some(Ok(ReadOutcome::Open { .. })) => self.dispatch_requests(index),
+            Some(Ok(ReadOutcome::Ended { .. })) => {
                 self.dispatch_requests(index);
                 self.with_requests(|requests, context| requests.handle_peer_end(context, index));
             }
@@ -116,7 +116,7 @@
             }
         }
         let Some((socket, _)) = self.connections.upstream_mut(index) else { return };
-        if (writable || socket.waiting() > 0) && socket.flush().is_err() {
+        if (writable || socket.unsent_bytes() > 0) && socket.flush().is_err() {
             // The executor may have sent a response before it closed the connection.
             return self.read_upstream(index);
         }
@@ -137,8 +137,8 @@
         let Some((socket, _)) = self.connections.upstream_mut(index) else { return };
         socket.restore_input(bytes, consumed);
         match reading {
-            Ok(Reading::Open { .. }) => {}
-            Ok(Reading::Ended { .. }) => self.handle_upstream_end(index),
+            Ok(ReadOutcome::Open { .. }) => {}
+            Ok(ReadOutcome::Ended { .. }) => self.handle_upstream_end(index),
             Err(_) => self.fail_upstream(index),
         }
     }
@@ -199,7 +199,7 @@
             ResponseEnd::Call { owner, must_close } => {
                 let instance = upstream.instance().clone();
                 // An executor may answer before it has read the complete request, and then wait for the rest of it.
-                if must_close || socket.waiting() > 0 {
+                if must_close || socket.unsent_bytes() > 0 {
                     self.connections.close(index);
                 } else {
                     self.connections.put_idle(instance, index);
--- a/crates/tier/src/requests/exchange/mod.rs
+++ b/crates/tier/src/requests/exchange/mod.rs
@@ -238,7 +238,7 @@
         self.write_client_chunk(context, client, serial, &complete_events);
         // Backpressure: while the client is slow to read, the executor's connection is not read.
         if self.unwritten_bytes(context, client) > MAX_UNWRITTEN_BYTES {
-            context.connections.pause(connection, true);
+            context.connections.set_paused(connection, true);
             self.note_paused_upstream(context, client, connection);
         }
     }
--- a/crates/tier/src/requests/server.rs
+++ b/crates/tier/src/requests/server.rs
@@ -5,7 +5,7 @@
 //! that a late response is never written to another connection that was given the same index.
 
 use crate::links::connections::{Connection, ConnectionTable, Role};
-use crate::links::socket::{Reading, Socket};
+use crate::links::socket::{ReadOutcome, Socket};
 use crate::requests::exchange::ClientRequest;
 use crate::requests::plane::{RequestContext, Requests};
 use crate::requests::server_connection::{
@@ -50,7 +50,7 @@
         &self,
         context: &mut RequestContext<'_>,
         index: usize,
-    ) -> Option<io::Result<Reading>> {
+    ) -> Option<io::Result<ReadOutcome>> {
         let (socket, _) = context.connections.server_mut(index)?;
         Some(socket.read())
     }
@@ -92,12 +92,12 @@
             self.drop_connection(context, index);
             return false;
         }
-        let unwritten_bytes = socket.waiting();
+        let unwritten_bytes = socket.unsent_bytes();
         let resumed_upstream =
             if unwritten_bytes < MAX_UNWRITTEN_BYTES / 2 { server.take_paused_upstream() } else { None };
         let is_finished = unwritten_bytes == 0 && server.is_closing();
         if let Some(upstream) = resumed_upstream {
-            context.connections.pause(upstream, false);
+            context.connections.set_paused(upstream, false);
         }
         if is_finished {
             context.connections.close(index);
@@ -110,8 +110,8 @@
     /// response is still being written, the connection stays open until that is done.
     pub(super) fn handle_peer_end(&mut self, context: &mut RequestContext<'_>, index: usize) {
         let Some((socket, server)) = context.connections.server_mut(index) else { return };
-        if socket.waiting() > 0 && server.is_closing() {
-            let _ = socket.pause(true);
+        if socket.unsent_bytes() > 0 && server.is_closing() {
+            let _ = socket.set_paused(true);
             return;
         }
         self.drop_connection(context, index);
@@ -191,7 +191,7 @@
             return;
         }
         let Some((socket, _)) = context.connections.server_mut(index) else { return };
-        socket.put(bytes);
+        socket.append_output(bytes);
         // The error of a broken connection is ignored, as the caller still works on the exchange. The next event of the
         // connection reports it.
         let _ = socket.flush();
@@ -210,15 +210,15 @@
             return;
         }
         let Some((socket, _)) = context.connections.server_mut(index) else { return };
-        socket.put(format!("{:x}\r\n", bytes.len()).as_bytes());
-        socket.put(bytes);
-        socket.put(b"\r\n");
+        socket.append_output(format!("{:x}\r\n", bytes.len()).as_bytes());
+        socket.append_output(bytes);
+        socket.append_output(b"\r\n");
         let _ = socket.flush();
     }
 
     /// The number of bytes that wait to be written to a client.
     pub fn unwritten_bytes(&mut self, context: &mut RequestContext<'_>, index: usize) -> usize {
-        context.connections.server_mut(index).map_or(0, |(socket, _)| socket.waiting())
+        context.connections.server_mut(index).map_or(0, |(socket, _)| socket.unsent_bytes())
     }
 
     /// Notes that the connection `upstream` to an executor is not read until this client has received more of its response.
@@ -246,7 +246,7 @@
         }
         let Some((socket, server)) = context.connections.server_mut(index) else { return };
         match server.finish_request(now, stopping) {
-            AfterResponse::Close if socket.waiting() == 0 => {
+            AfterResponse::Close if socket.unsent_bytes() == 0 => {
                 socket.end_writing();
                 context.connections.close(index);
             }
