--- a/crates/sizing/src/cut_offs.rs
+++ b/crates/sizing/src/cut_offs.rs
@@ -15,8 +15,7 @@
         CutOffs::default()
     }
 
-    /// The bounds below which lie these amounts of the summed work of `sorted`, the requests by size. One lane for all sizes
-    /// if an amount is not finite.
+    /// The bounds below which these sums of the work of `sorted` (by size) lie. One lane if an amount is not finite.
     pub fn at_sums(sorted: &[impl SampleEntry], amounts: &[f64], rule: BoundaryRule) -> CutOffs {
         if !amounts.iter().all(|amount| amount.is_finite()) {
             return CutOffs::one_lane();
--- a/crates/sizing/src/weight.rs
+++ b/crates/sizing/src/weight.rs
@@ -2,8 +2,7 @@
 
 use crate::options::WeightedCandidate;
 
-/// The minimum weight of an executor with a utilisation of at most 1. Load reports are late, and an executor that is never
-/// picked sends none.
+/// The minimum weight at a utilisation of at most 1. Reports are late, and an executor that is never picked sends none.
 pub const MIN_WEIGHT: f64 = 0.1;
 
 /// One minus the utilisation, but at least [`MIN_WEIGHT`]; from a utilisation of 1 on, [`MIN_WEIGHT`] divided by it, so that
@@ -15,8 +14,7 @@
     if utilisation < 1.0 { (1.0 - utilisation.max(0.0)).max(MIN_WEIGHT) } else { MIN_WEIGHT / utilisation }
 }
 
-/// The weight of each candidate times its factor. A candidate of unknown utilisation has the mean weight of the others before
-/// factors, or 1 if the utilisation of none is known.
+/// Each weight times its factor. An unknown one counts as the mean of the others before factors, or 1 if none is known.
 pub fn weights(candidates: &[WeightedCandidate]) -> Vec<f64> {
     let known: Vec<f64> = candidates.iter().filter_map(|c| c.utilisation.map(weight)).collect();
     let mean = if known.is_empty() { 1.0 } else { known.iter().sum::<f64>() / known.len() as f64 };
--- a/crates/sizing/tests/sizing.rs
+++ b/crates/sizing/tests/sizing.rs
@@ -205,8 +205,10 @@
         let without: Vec<u64> = members.iter().copied().filter(|member| *member != all[0]).collect();
         assert_eq!(order(key, &without), all[1..]);
     }
-    assert_eq!(keys_by_member.len(), 9);
-    assert!(keys_by_member.values().all(|count| (60..140).contains(count)), "{keys_by_member:?}");
+    assert!(
+        keys_by_member.len() == 9 && keys_by_member.values().all(|count| (60..140).contains(count)),
+        "{keys_by_member:?}"
+    );
 }
 
 #[rstest]
