--- a/crates/dispatch/src/decide/load_sharing.rs
+++ b/crates/dispatch/src/decide/load_sharing.rs
@@ -71,8 +71,8 @@
         }
         for (number, chunk) in sums.chunks(MAX_COUNTS_PER_MESSAGE).enumerate() {
             let (list_hash, first) = (self.sharing.list_hash, number * MAX_COUNTS_PER_MESSAGE);
-            let message = LoadMessage::Sums { list_hash, first, filled: chunk.to_vec() };
-            self.host.send_load(None, &message.encode());
+            self.host
+                .send_load(None, &LoadMessage::Sums { list_hash, first, filled: chunk.to_vec() }.encode());
             if self.sharing.aggregator == self.node {
                 self.record_sums(now, first, chunk);
             }
--- a/crates/dispatch/src/decide/pending.rs
+++ b/crates/dispatch/src/decide/pending.rs
@@ -17,7 +17,6 @@
     }
 }
 
-/// A request that awaits its final answer.
 #[derive(Default)]
 pub(super) struct Pending {
     pub(super) class: usize,
@@ -57,8 +56,7 @@
 
     /// Counts one request; returns whether it exceeds the share.
     pub(super) fn exceeds_share(&mut self, now: Instant) -> bool {
-        // A burst of two seconds' worth is allowed. Where the share is nearly nothing, a node sees too few requests to judge,
-        // and up to `MIN_BURST` of them are allowed.
+        // A burst of two seconds' worth is allowed, or of `MIN_BURST`: with a tiny share, a node sees too few to judge.
         const BURST_S: f64 = 2.0;
         const MIN_BURST: f64 = 4.0;
         let leaked = now.since(self.updated).seconds() * self.rate_per_s;
--- a/crates/dispatch/src/decide/placement.rs
+++ b/crates/dispatch/src/decide/placement.rs
@@ -24,13 +24,11 @@
         }
         let class = arrival.class.min(self.classes.len() - 1);
         let terms = &self.classes[class];
-        // This deadline determines the time left in all decisions. Clocks may differ by `error`; within it, a client's first
-        // attempt has the time that its class allows.
+        // Decisions use this deadline. Clocks may differ by `error`; within it, a first attempt has its class's time.
         let (reported, error) = (arrival.deadline, self.policy.deadline_error);
         let estimated = if arrival.repeat { reported } else { now + terms.deadline };
         let deadline = estimated.clamp(reported - error, reported + error);
-        // The latency objective counts from the client's first attempt. Guards against late repeats that displace requests
-        // which can still be in time.
+        // The objective counts from the client's first attempt. Guards against late repeats displacing timely ones.
         let first_sent = if arrival.repeat { now.min(deadline - terms.deadline) } else { now };
         let objective = terms.latency_objective + Duration::from_seconds(terms.stretch * size / slots);
         let over_share = self.quota_shares.get_mut(arrival.customer).is_some_and(|q| q.exceeds_share(now));
@@ -90,8 +88,13 @@
         let Some(pending) = self.requests.get_mut(&request) else { return };
         let e = &mut self.executors[executor.0];
         (pending.queued, self.attempts_in_flight) = (false, self.attempts_in_flight + 1);
-        let attempt = Attempt { executor, sent: now, open: true, may_have_run: true, cancelled: false };
-        pending.attempts.push(attempt);
+        pending.attempts.push(Attempt {
+            executor,
+            sent: now,
+            open: true,
+            may_have_run: true,
+            cancelled: false,
+        });
         if pending.attempts.len() > 1 && self.policy.retry_budget.is_some() {
             self.retry_times.push_back(now);
         }
--- a/crates/dispatch/src/decide/retry.rs
+++ b/crates/dispatch/src/decide/retry.rs
@@ -20,8 +20,10 @@
         if pending.queued && pending.queued_until <= now {
             return self.answer(request);
         }
-        let effect = self.classes[pending.class].effect;
-        if pending.response_started || pending.queued || effect == Effect::NonIdempotent {
+        if pending.response_started
+            || pending.queued
+            || self.classes[pending.class].effect == Effect::NonIdempotent
+        {
             return;
         }
         let active = pending.attempts.iter().enumerate().filter(|(_, a)| a.is_active());
@@ -42,7 +44,7 @@
         let hedging = self.policy.hedging;
         let waits = unstarted && now > attempt.sent && (hedging || self.policy.cancel_dequeues);
         let is_late = pending.slack_s(now) < 0.0;
-        let give_up = waits && hedging && is_late && effect.client_may_retry();
+        let give_up = waits && hedging && is_late && self.classes[pending.class].effect.client_may_retry();
         if silent {
             self.eject(now, executor);
         }
--- a/crates/dispatch/tests/dispatcher.rs
+++ b/crates/dispatch/tests/dispatcher.rs
@@ -395,7 +395,7 @@
     // Guards against a queued request without an answer, as its deadline passed between two rounds of housekeeping.
     let mut scenario = Scenario::of(0);
     scenario.arrive_with(1, NON_IDEMPOTENT, 100, 100);
-    let actions = scenario.host.actions.take();
+    let actions = scenario.host.0.take();
     let [Action::SetTimer(after, timer)] = actions[..] else { panic!("{actions:?}") };
     assert!(after < Duration::from_millis(100));
     scenario.now = scenario.now + after;
@@ -440,7 +440,7 @@
         let mut delays = Vec::new();
         for _ in 0..4 {
             scenario.node.executor_list_lost();
-            let [Action::SetTimer(after, timer)] = scenario.host.actions.take()[..] else {
+            let [Action::SetTimer(after, timer)] = scenario.host.0.take()[..] else {
                 panic!("expected one timer")
             };
             delays.push(after);
@@ -1120,7 +1120,7 @@
                 .node
                 .timer_fired(scenario.now, if request % 10 == 0 { 0 } else { FIRST_REQUEST_TIMER + request });
         }
-        scenario.host.actions.take()
+        scenario.host.0.take()
     };
     assert_eq!(run(), run());
 }
@@ -1185,8 +1185,11 @@
     let all = sent_messages.iter().find(|(to, _)| to.is_none()).expect("this node sends sums");
     returned.node.load_message_received(returned.now, 1, &all.1);
     returned.node.timer_fired(returned.now, 0);
-    let recipient = returned.sent_messages().last().map(|(to, _)| *to);
-    assert_eq!(recipient, Some(Some(1)), "the returned node sends to the new aggregator");
+    assert_eq!(
+        returned.sent_messages().last().map(|(to, _)| *to),
+        Some(Some(1)),
+        "the returned node sends to the new aggregator"
+    );
 }
 
 #[test]
@@ -1257,7 +1260,7 @@
     scenario.pass(150);
     scenario.node.timer_fired(scenario.now, FIRST_REQUEST_TIMER + 1);
     assert_eq!(
-        scenario.host.actions.take(),
+        scenario.host.0.take(),
         [Action::SetTimer(Duration::from_millis(2350), FIRST_REQUEST_TIMER + 1)]
     );
 }
@@ -1450,13 +1453,13 @@
 fn a_retry_waits_briefly_for_a_part_of_the_fleets_budget() {
     for is_granted in [true, false] {
         let mut scenario = Scenario::of(4);
-        scenario.host.denies_retries.set(true);
+        scenario.host.2.set(true);
         scenario.arrive(1, IDEMPOTENT, 100);
         let first = scenario.sent_to();
         scenario.end(1, 0, first, AttemptOutcome::Error);
         assert_eq!(scenario.actions(), [], "the request waits for the budget");
         scenario.pass(30);
-        scenario.host.denies_retries.set(!is_granted);
+        scenario.host.2.set(!is_granted);
         scenario.node.serve_queued(scenario.now);
         if is_granted {
             assert_ne!(scenario.sent_to(), first);
--- a/crates/dispatch/tests/support/mod.rs
+++ b/crates/dispatch/tests/support/mod.rs
@@ -25,42 +25,38 @@
 /// The recipient of a load message (`None` for all other nodes) and its bytes.
 pub type SentMessage = (Option<u64>, Vec<u8>);
 
-/// A host that records all actions; its clones share the records.
+/// A host that records all actions; its clones share the records. The parts are the actions, the sent load messages,
+/// and whether the fleet's retry budget is used up.
 #[derive(Clone, Default)]
-pub struct RecordingHost {
-    pub actions: Rc<RefCell<Vec<Action>>>,
-    pub sent_messages: Rc<RefCell<Vec<SentMessage>>>,
-    /// Whether the fleet's retry budget is used up.
-    pub denies_retries: Rc<Cell<bool>>,
-}
+pub struct RecordingHost(pub Rc<RefCell<Vec<Action>>>, pub Rc<RefCell<Vec<SentMessage>>>, pub Rc<Cell<bool>>);
 
 impl Host for RecordingHost {
     fn send_attempt(&mut self, request: RequestId, executor: ExecutorId, time_out: Duration) {
-        self.actions.borrow_mut().push(Action::Send(request.0, executor.0, time_out));
+        self.0.borrow_mut().push(Action::Send(request.0, executor.0, time_out));
     }
     fn may_retry(&mut self, _: RequestId) -> bool {
-        !self.denies_retries.get()
+        !self.2.get()
     }
     fn cancel(&mut self, attempt: AttemptId) {
-        self.actions.borrow_mut().push(Action::Cancel(attempt.request.0, attempt.number));
+        self.0.borrow_mut().push(Action::Cancel(attempt.request.0, attempt.number));
     }
     fn reject(&mut self, request: RequestId, _retry_after: Option<Duration>) {
-        self.actions.borrow_mut().push(Action::Reject(request.0));
+        self.0.borrow_mut().push(Action::Reject(request.0));
     }
     fn fail(&mut self, request: RequestId) {
-        self.actions.borrow_mut().push(Action::Fail(request.0));
+        self.0.borrow_mut().push(Action::Fail(request.0));
     }
     fn set_timer(&mut self, after: Duration, timer: u64) {
-        self.actions.borrow_mut().push(Action::SetTimer(after, timer));
+        self.0.borrow_mut().push(Action::SetTimer(after, timer));
     }
     fn probe(&mut self, executor: ExecutorId) {
-        self.actions.borrow_mut().push(Action::Probe(executor.0));
+        self.0.borrow_mut().push(Action::Probe(executor.0));
     }
     fn send_load(&mut self, node: Option<u64>, message: &[u8]) {
-        self.sent_messages.borrow_mut().push((node, message.to_vec()));
+        self.1.borrow_mut().push((node, message.to_vec()));
     }
     fn watch_executors(&mut self) {
-        self.actions.borrow_mut().push(Action::WatchExecutors);
+        self.0.borrow_mut().push(Action::WatchExecutors);
     }
 }
 
@@ -155,7 +151,7 @@
 
     /// Returns the load messages that were sent since the last call.
     pub fn sent_messages(&self) -> Vec<SentMessage> {
-        self.host.sent_messages.take()
+        self.host.1.take()
     }
 
     /// A node whose executors report starts or not.
@@ -190,7 +186,7 @@
         let entries: Vec<ListedExecutor> =
             names.iter().enumerate().map(|(i, name)| listing(i, name)).collect();
         self.node.update_executors(self.now, ListUpdate::Complete, &entries);
-        self.host.actions.borrow_mut().clear();
+        self.host.0.borrow_mut().clear();
     }
 
     /// Adds an executor to the list that has just started.
@@ -273,7 +269,7 @@
 
     /// Returns the actions since the last call, except timers.
     pub fn actions(&mut self) -> Vec<Action> {
-        let mut actions = self.host.actions.take();
+        let mut actions = self.host.0.take();
         actions.retain(|action| !matches!(action, Action::SetTimer(..)));
         actions
     }
