--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -318,8 +318,7 @@
 fn read_retry_budget(contract: &Object) -> Result<Option<RetryBudget>, ConfigError> {
     let Some(window) = contract.duration("budget_span_ns")? else { return Ok(None) };
     let base = contract.required_number("extra_free", 0.0..=1e9)?;
-    let ratio = contract.required_number("further_ratio", 0.0..=1e3)?;
-    Ok(Some(RetryBudget { window, base, ratio }))
+    Ok(Some(RetryBudget { window, base, ratio: contract.required_number("further_ratio", 0.0..=1e3)? }))
 }
 
 /// What is promised of cold executors must be told: nobody can keep to what is not known.
