--- a/crates/bench-adapter/src/wire.rs
+++ b/crates/bench-adapter/src/wire.rs
@@ -156,8 +156,10 @@
         open.attempts_in_flight += 1;
         let executor = &*wire.executor_names[executor.0];
         let (who, msg_id) = (wire.instance_id, &*open.msg_id);
-        let line = OutputLine::Issue { who, msg_id, executor, give_up_after_ns: time_out.nanos() };
-        append_line(&mut wire.lines, &line);
+        append_line(
+            &mut wire.lines,
+            &OutputLine::Issue { who, msg_id, executor, give_up_after_ns: time_out.nanos() },
+        );
     }
 
     fn cancel(&mut self, attempt: AttemptId) {
@@ -178,8 +180,10 @@
 
     fn set_timer(&mut self, after: Duration, timer: u64) {
         let wire = &mut *self.0.borrow_mut();
-        let line = OutputLine::SetAlarm { who: wire.instance_id, span_ns: after.nanos(), name: timer };
-        append_line(&mut wire.lines, &line);
+        append_line(
+            &mut wire.lines,
+            &OutputLine::SetAlarm { who: wire.instance_id, span_ns: after.nanos(), name: timer },
+        );
     }
 
     fn probe(&mut self, executor: ExecutorId) {
