--- a/crates/prefix-popularity/src/peer_contributions.rs
+++ b/crates/prefix-popularity/src/peer_contributions.rs
@@ -52,8 +52,7 @@
         if is_stale || is_full {
             return false;
         }
-        let received = ReceivedContribution { contribution, received_at: now };
-        self.by_origin.insert(received.contribution.origin, received);
+        self.by_origin.insert(contribution.origin, ReceivedContribution { contribution, received_at: now });
         true
     }
 
--- a/crates/prefix-popularity/src/settings.rs
+++ b/crates/prefix-popularity/src/settings.rs
@@ -83,11 +83,11 @@
         [
             setting_range("time_constant", millis(self.time_constant), 100.0..=HOUR_MS, "100 ms to an hour"),
             setting_range("min_report_interval", report_interval_ms, 100.0..=HOUR_MS, "100 ms to an hour"),
-            setting_range("shrink_delay", millis(self.shrink_delay), 0.0..=HOUR_MS, "at most an hour"),
+            setting_range("shrink_delay", millis(self.shrink_delay), 0.0..=HOUR_MS, "an hour at most"),
             setting_range("tracked_prefixes", tracked, 1.0..=MAX_TRACKED_PREFIXES as f64, "1 to 1024"),
             setting_range("reported_prefixes", reported, 1.0..=MAX_REPORTED_PREFIXES as f64, "1 to 16"),
-            setting_range("max_bytes_per_s", self.max_bytes_per_s, 1.0..=1e9, "1 to 1000000000"),
-            setting_range("home_tokens_per_s", self.home_tokens_per_s, 1.0..=1e9, "1 to 1000000000"),
+            setting_range("max_bytes_per_s", self.max_bytes_per_s, 1.0..=1e9, "1 at least"),
+            setting_range("home_tokens_per_s", self.home_tokens_per_s, 1.0..=1e9, "1 at least"),
             setting_range("shrink_ratio", self.shrink_ratio, 0.0..=1.0, "0 to 1"),
             setting_range("max_homes", self.max_homes as f64, 1.0..=255.0, "1 to 255"),
         ]
--- a/crates/prefix-popularity/tests/fleet/virtual_fleet.rs
+++ b/crates/prefix-popularity/tests/fleet/virtual_fleet.rs
@@ -97,11 +97,13 @@
             } else {
                 Duration::from_nanos(0)
             };
-            let deliver_at = self.now + delay;
-            self.in_flight.push((deliver_at, receiver, bytes.clone()));
+            self.in_flight.push((self.now + delay, receiver, bytes.clone()));
             if self.network.duplicates {
-                let deliver_again_at = deliver_at + Duration::from_millis(7_000);
-                self.in_flight.push((deliver_again_at, receiver, bytes.clone()));
+                self.in_flight.push((
+                    self.now + delay + Duration::from_millis(7_000),
+                    receiver,
+                    bytes.clone(),
+                ));
             }
         }
     }
