--- a/crates/node/src/coordinator.rs
+++ b/crates/node/src/coordinator.rs
@@ -117,14 +117,18 @@
     fn cancel_attempt(&self, id: AttemptId) {
         let state = self.state.borrow();
         let Some((executor, accepted, content)) = state.requests.open_attempt(id) else { return };
-        let faktory = self.faktory.as_ref().filter(|_| state.executors.worker(executor).is_some());
-        if let Some(faktory) = faktory {
+        if let Some(faktory) = self.faktory.as_ref().filter(|_| state.executors.worker(executor).is_some()) {
             return faktory.cancel_attempt(id);
         }
         // An attempt that is not accepted yet is cancelled by closing its connection, which every executor supports.
         if self.can_cancel || !accepted {
-            let address = state.executors.address(executor);
-            self.executors.cancel_attempt(id, executor, address, &content, accepted);
+            self.executors.cancel_attempt(
+                id,
+                executor,
+                state.executors.address(executor),
+                &content,
+                accepted,
+            );
         }
     }
 }
@@ -153,8 +157,7 @@
         state.requests.set_timeout(id, alarm);
         if let Some(job_log) = self.job_log.as_ref().filter(|_| content.durable) {
             let name = state.executors.name(executor);
-            let recorded = job_log.record_attempt(&content.call_id, id.number, name, content.non_idempotent);
-            if recorded.is_err() {
+            if job_log.record_attempt(&content.call_id, id.number, name, content.non_idempotent).is_err() {
                 // An attempt that is not on disk must not be sent: after a crash it would be sent a second time.
                 return state.unsent.push(id);
             }
@@ -660,7 +663,6 @@
         };
         let Job { id, tariff: class, target, headers, body, binding: non_idempotent, .. } = job;
         let (call_id, scope) = (id.into(), (arrival.class, arrival.customer));
-        let (durable, faktory_job) = (true, None);
         let content = RequestContent {
             call_id,
             class,
@@ -669,8 +671,8 @@
             body,
             non_idempotent,
             scope,
-            durable,
-            faktory_job,
+            durable: true,
+            faktory_job: None,
         };
         self.request_arrived(self.request_ids.next_id(), content, &arrival);
     }
@@ -730,8 +732,8 @@
     /// Handles a callback. It may come before the 202 of its attempt, more than once, or for a request that has ended or
     /// belonged to an earlier process, so it takes effect once or not at all.
     pub fn callback_received(&mut self, callback: CallBack) {
-        let job_log = self.host.job_log.clone().filter(|job_log| job_log.is_unresolved(&callback.id));
-        if let Some(job_log) = job_log {
+        if let Some(job_log) = self.host.job_log.clone().filter(|job_log| job_log.is_unresolved(&callback.id))
+        {
             return self.callback_of_unresolved_job(&job_log, callback);
         }
         let (request, executor) = {
@@ -741,13 +743,12 @@
         // An executor that reports the end of an attempt no longer runs it, whether or not anybody waits for it.
         let has_ended =
             matches!(callback.state, State::Done { .. } | State::Failed | State::Returned | State::Lost);
-        let ended_at = executor.filter(|_| has_ended);
-        if let (Some(executor), Some(possibly_running)) = (ended_at, &mut self.possibly_running) {
-            possibly_running.remove(&(executor, callback.id.as_str().into()));
+        if let (Some(executor), Some(running)) = (executor.filter(|_| has_ended), &mut self.possibly_running)
+        {
+            running.remove(&(executor, callback.id.as_str().into()));
         }
-        let Some((request, executor)) = request.zip(executor) else {
-            return self.counters.call_backs_unknown.increment();
-        };
+        let found = request.zip(executor);
+        let Some((request, executor)) = found else { return self.counters.call_backs_unknown.increment() };
         let attempt = self.host.state.borrow().requests.open_attempt_at(request, executor);
         let report = self.reports.object(&callback.load);
         match (attempt, callback.state) {
@@ -794,8 +795,9 @@
 
     /// Handles a callback that another process of this node received; `false` if this process does not have its request.
     pub fn take_forwarded_callback(&mut self, body: &[u8]) -> bool {
-        let callback = serde_json::from_slice::<CallBack>(body).ok();
-        let callback = callback.filter(|callback| self.has_open_request(&callback.id));
+        let callback = serde_json::from_slice::<CallBack>(body)
+            .ok()
+            .filter(|callback| self.has_open_request(&callback.id));
         callback.map(|callback| self.callback_received(callback)).is_some()
     }
 
@@ -833,11 +835,12 @@
             AttemptOutcome::Unusable => self.counters.ended_unusable.increment(),
         }
         let has_run = matches!(outcome, AttemptOutcome::Served | AttemptOutcome::Error);
-        let may_be_running = !has_run && !outcome.proves_not_executed();
-        if let Some(possibly_running) = self.possibly_running.as_mut().filter(|_| may_be_running) {
+        if let Some(running) =
+            self.possibly_running.as_mut().filter(|_| !has_run && !outcome.proves_not_executed())
+        {
             let content = self.host.state.borrow().requests.content(id.request);
             if let Some(content) = content {
-                possibly_running.insert((executor, content.call_id.clone()), self.host.clock.now());
+                running.insert((executor, content.call_id.clone()), self.host.clock.now());
             }
         }
         if outcome != AttemptOutcome::Served {
@@ -952,13 +955,16 @@
                 Ok(address) => state.executors.set_address(executor, address),
                 Err(e) => {
                     self.counters.list_bad.increment();
-                    let (name, address) = (&entry.instance_id, &entry.host_port);
-                    warn!("executor list: {name} has an invalid address {address:?}: {e}");
+                    warn!(
+                        "executor list: {} has an invalid address {:?}: {e}",
+                        entry.instance_id, entry.host_port
+                    );
                 }
             }
             let address = state.executors.address(executor);
-            let keep = address.filter(|_| status != ExecutorStatus::Gone);
-            self.host.executors.close_idle_connections(executor, keep);
+            self.host
+                .executors
+                .close_idle_connections(executor, address.filter(|_| status != ExecutorStatus::Gone));
             // A start in the future would keep the executor in slow start until then.
             let started = Instant((entry.started_at_ms.unwrap_or(0.0) * 1e6) as u64).min(now);
             let age_s = now.since(started).seconds();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -25,8 +25,9 @@
     let signals = Signals::catch().map_err(|e| format!("cannot install signal handlers: {e}"))?;
     let config_path =
         env::var_os(CONFIG_PATH_VARIABLE).ok_or_else(|| format!("{CONFIG_PATH_VARIABLE} is not set"))?;
-    let node = Node::start(PathBuf::from(config_path), signals, inherited_listener)?;
-    node.run().map_err(|e| format!("event loop failed: {e}"))
+    Node::start(PathBuf::from(config_path), signals, inherited_listener)?
+        .run()
+        .map_err(|e| format!("event loop failed: {e}"))
 }
 
 fn main() -> ExitCode {
--- a/crates/node/src/state/budget_shares.rs
+++ b/crates/node/src/state/budget_shares.rs
@@ -132,8 +132,10 @@
         budget_use: BudgetUse,
         scope: BudgetScope,
     ) -> impl Iterator<Item = &mut Purse> {
-        let counting = self.shares.iter_mut().filter(move |share| share.counts(budget_use, scope));
-        counting.map(|share| &mut share.purse)
+        self.shares
+            .iter_mut()
+            .filter(move |share| share.counts(budget_use, scope))
+            .map(|share| &mut share.purse)
     }
 
     /// Spends one unit of each budget that counts this, or of none of them if one has no unit left.
@@ -255,8 +257,9 @@
             "edition = 2\n[[budgets.of]]\ntariff = \"a\"",
             "edition = 3\n[[budgets.of]]\ntariff = \"z\"",
         );
-        let unknown_class = shares.reload(now, &unknown_class);
-        assert!(unknown_class.is_err_and(|error| error.contains("budgets.of[0].tariff")));
+        assert!(
+            shares.reload(now, &unknown_class).is_err_and(|error| error.contains("budgets.of[0].tariff"))
+        );
         assert_eq!(shares.editions(), (2, 0), "nothing has changed");
         let newer = settings_with(
             "edition = 2\n[[budgets.of]]\ntariff = \"a\"\nunits = 8",
--- a/crates/node/src/state/job_log.rs
+++ b/crates/node/src/state/job_log.rs
@@ -158,8 +158,10 @@
             }
             let attempt = page.sendings.iter().find(|sent| sent.open).map_or(0, |sent| sent.number);
             let deadline = from_unix_ms(job.ends_ms);
-            let timeout = if job.binding { deadline } else { deadline.min(now + self.progress_timeout) };
-            timeouts.set(timeout, job.id.clone());
+            timeouts.set(
+                if job.binding { deadline } else { deadline.min(now + self.progress_timeout) },
+                job.id.clone(),
+            );
             unresolved.insert(job.id.clone(), UnresolvedJob { job, attempt, deadline });
         }
         info!(
@@ -180,8 +182,7 @@
         let JobLogState { unresolved, timeouts, .. } = &mut *state;
         if let Some(unresolved) = unresolved.get(id).filter(|unresolved| !unresolved.job.binding) {
             // The earlier timeout is ignored when it fires, as there is a later one.
-            let timeout = unresolved.deadline.min(self.clock.now() + self.progress_timeout);
-            timeouts.set(timeout, id.to_owned());
+            timeouts.set(unresolved.deadline.min(self.clock.now() + self.progress_timeout), id.to_owned());
         }
     }
 
--- a/crates/node/src/state/replicated_state.rs
+++ b/crates/node/src/state/replicated_state.rs
@@ -73,11 +73,11 @@
             }
         }
         let grants = self.budgets.apply(&Entry { passed_ms, wholes, asks });
-        let maintenance_outcomes = self.maintenance.apply(passed_ms, steps, fixed_hash).into_iter();
-        let maintenance_outcomes = maintenance_outcomes.map(|outcome| match outcome {
-            maintenance::Outcome::Permit(permit) => Outcome::Permit(permit),
-            maintenance::Outcome::Moved(moved) => Outcome::Moved(moved),
-        });
+        let maintenance_outcomes =
+            self.maintenance.apply(passed_ms, steps, fixed_hash).into_iter().map(|outcome| match outcome {
+                maintenance::Outcome::Permit(permit) => Outcome::Permit(permit),
+                maintenance::Outcome::Moved(moved) => Outcome::Moved(moved),
+            });
         grants.into_iter().map(Outcome::BudgetGrant).chain(maintenance_outcomes).collect()
     }
 
--- a/crates/node/src/state/requests.rs
+++ b/crates/node/src/state/requests.rs
@@ -71,8 +71,8 @@
 impl OpenRequests {
     pub fn insert(&mut self, id: RequestId, content: RequestContent) {
         self.by_call_id.insert(content.call_id.clone(), id);
-        let content = Rc::new(content);
-        self.requests.insert(id, OpenRequest { content, attempts: Vec::new(), answered: false });
+        self.requests
+            .insert(id, OpenRequest { content: Rc::new(content), attempts: Vec::new(), answered: false });
     }
 
     pub fn find(&self, call_id: &str) -> Option<RequestId> {
@@ -125,8 +125,9 @@
     /// The number of open attempts at each executor that has some.
     pub fn open_attempts_by_executor(&self) -> BTreeMap<ExecutorId, u16> {
         let mut counts = BTreeMap::new();
-        let attempts = self.requests.values().flat_map(|request| &request.attempts);
-        for attempt in attempts.filter(|attempt| attempt.open) {
+        for attempt in
+            self.requests.values().flat_map(|request| &request.attempts).filter(|attempt| attempt.open)
+        {
             let count: &mut u16 = counts.entry(attempt.executor).or_default();
             *count = count.saturating_add(1);
         }
--- a/crates/node/tests/durable_jobs/mod.rs
+++ b/crates/node/tests/durable_jobs/mod.rs
@@ -174,8 +174,8 @@
 ) {
     for stream in listener.incoming() {
         let Ok(stream) = stream else { return };
-        let (run_counts, test_ended) = (run_counts.clone(), test_ended.clone());
-        let mut stream = BufReader::new(stream);
+        let (run_counts, test_ended, mut stream) =
+            (run_counts.clone(), test_ended.clone(), BufReader::new(stream));
         std::thread::spawn(move || {
             while let Some(id) = read_request_id(&mut stream) {
                 let (run_counts, test_ended) = (run_counts.clone(), test_ended.clone());
@@ -217,8 +217,10 @@
     for process in 0..processes {
         for number in 0..4 {
             let (id, non_idempotent) = (format!("job-{process:04}-{number}"), rng.random::<bool>());
-            let class = if non_idempotent { "reserve" } else { "search" };
-            assert_eq!(world.submit_durable(&id, class, 4500), 202);
+            assert_eq!(
+                world.submit_durable(&id, if non_idempotent { "reserve" } else { "search" }, 4500),
+                202
+            );
             jobs.push((id, non_idempotent));
         }
         std::thread::sleep(Duration::from_millis(rng.random_range(0..25)));
