--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -3,14 +3,14 @@
 
 mod coordinator;
 mod interfaces;
-mod life;
+mod process;
 mod state;
 mod wire;
 
 use grebeusher_transport::signals::Signals;
-use life::logger;
-use life::node::Node;
-use life::upgrade;
+use process::logger;
+use process::node::Node;
+use process::upgrade;
 use std::env;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/node/src/life/node.rs
+++ b/crates/node/src/process/node.rs
@@ -2,7 +2,7 @@
 
 use crate::coordinator::{ClosedExecutors, Coordinator, OptionalComponents};
 use crate::interfaces::{DescriptorHolder, FaktoryFrontend, PeerMessenger, SiblingProcesses};
-use crate::life::limits;
+use crate::process::limits;
 use crate::state::clock::{self, Clock};
 use crate::state::counters::Counters;
 use crate::state::executor_list::ExecutorListUpdate;
@@ -10,15 +10,15 @@
 use crate::state::metrics::{Gauges, MetricsText};
 use crate::state::requests::RequestIds;
 use crate::state::reserved_descriptors::ReservedDescriptors;
-use crate::wire::calls;
 use crate::wire::checks::Checks;
 use crate::wire::clients::Clients;
 use crate::wire::console::{Console, Office};
 use crate::wire::discovery::Discovery;
 use crate::wire::executors::Executors;
 use crate::wire::faktory::Faktory;
-use crate::wire::fellows::{self, Fellows};
-use crate::wire::sibling::{self, Siblings};
+use crate::wire::one_shot;
+use crate::wire::peers::{self, Fellows};
+use crate::wire::siblings::{self, Siblings};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_health_reporting::{Fitness, Seen, Stands, Verdict};
 use grebeusher_maintenance::Command;
@@ -195,10 +195,10 @@
             ))
         });
         let console_at = console_at(posting.console)?;
-        let further = console_at.map_or(0, |_| calls::DESCRIPTORS)
-            + siblings.as_ref().map_or(0, |_| sibling::DESCRIPTORS)
-            + fronts.health_checks.as_ref().map_or(0, |posted| posted.count() * calls::DESCRIPTORS)
-            + fleet.as_ref().and_then(|fleet| fleet.peers.as_ref()).map_or(0, |_| fellows::DESCRIPTORS)
+        let further = console_at.map_or(0, |_| one_shot::DESCRIPTORS)
+            + siblings.as_ref().map_or(0, |_| siblings::DESCRIPTORS)
+            + fronts.health_checks.as_ref().map_or(0, |posted| posted.count() * one_shot::DESCRIPTORS)
+            + fleet.as_ref().and_then(|fleet| fleet.peers.as_ref()).map_or(0, |_| peers::DESCRIPTORS)
             + fronts.faktory.as_ref().map_or(0, |posted| posted.max_connections() + 1);
         let (from_outside, to_executors) = limits::connections(posting.sockets, further);
         let request_ids = RequestIds::default();
--- a/crates/node/src/wire/checks.rs
+++ b/crates/node/src/wire/checks.rs
@@ -1,7 +1,7 @@
 //! Where other balancers ask whether the node should get traffic: a line of text on connecting, or an HTTP health call.
 
 use crate::state::clock::Clock;
-use crate::wire::calls::Calls;
+use crate::wire::one_shot::Calls;
 use grebeusher_dispatch::time::Instant;
 use grebeusher_health_reporting::Verdict;
 use grebeusher_node_config::frontends::HealthCheckSettings;
--- a/crates/node/src/wire/console.rs
+++ b/crates/node/src/wire/console.rs
@@ -1,7 +1,7 @@
 //! The console: a second address at which the staff ask how the node is and send its clients away.
 
 use crate::state::clock::Clock;
-use crate::wire::calls::Calls;
+use crate::wire::one_shot::Calls;
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::Duration;
 use grebeusher_transport::http::{self, Request};
--- a/crates/node/src/wire/mod.rs
+++ b/crates/node/src/wire/mod.rs
@@ -1,17 +1,17 @@
 //! What is spoken on the wire: HTTP, with clients and executors, and the list from discovery.
 
 pub mod call_backs;
-pub mod calls;
 pub mod checks;
 pub mod clients;
 pub mod console;
 pub mod discovery;
 pub mod executors;
 pub mod faktory;
-pub mod fellows;
 pub mod load;
-pub mod settling;
-pub mod sibling;
+pub mod one_shot;
+pub mod peers;
+pub mod siblings;
+pub mod voter_group;
 
 use grebeusher_transport::http::Limits;
 
--- a/crates/node/src/wire/fellows.rs
+++ b/crates/node/src/wire/peers.rs
@@ -7,7 +7,7 @@
 use crate::state::clock::Clock;
 use crate::state::counters::Counters;
 use crate::state::replicated_state::{Outcome, ReplicatedState, StateCommand};
-use crate::wire::settling::Settling;
+use crate::wire::voter_group::Settling;
 use grebeusher_budgets::{Holder, Wholes};
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
--- a/crates/node/src/wire/settling.rs
+++ b/crates/node/src/wire/voter_group.rs
@@ -2,7 +2,7 @@
 //! whichever leads.
 
 use crate::state::replicated_state::{Outcome, ReplicatedState, StateCommand};
-use crate::wire::fellows::{KEEPER, OUTCOME, Post, STEP};
+use crate::wire::peers::{KEEPER, OUTCOME, Post, STEP};
 use grebeusher_budgets::{Ask, Grant};
 use grebeusher_dispatch::time::Instant;
 use grebeusher_volatile_raft::{GroupOrigin, Host, Voter};
