--- a/crates/node/src/coordinator.rs
+++ b/crates/node/src/coordinator.rs
@@ -13,7 +13,7 @@
 use crate::state::executor_list::ExecutorListUpdate;
 use crate::state::job_log::{JobLog, JobStatus, from_unix_ms, unix_ms};
 use crate::state::requests::{OpenRequests, RequestContent, RequestIds};
-use crate::wire::call_backs::{CallBack, State};
+use crate::wire::call_backs::{Callback, State};
 use crate::wire::load::Reports;
 use grebeusher_dispatch::decide::Dispatcher;
 use grebeusher_dispatch::host::Host;
@@ -693,7 +693,7 @@
     }
 
     /// Handles a callback for an unresolved job of an earlier process.
-    fn callback_of_unresolved_job(&mut self, job_log: &JobLog, callback: CallBack) {
+    fn callback_of_unresolved_job(&mut self, job_log: &JobLog, callback: Callback) {
         match callback.state {
             State::Started | State::Running => job_log.progress_reported(&callback.id),
             State::Done { result } => {
@@ -731,7 +731,7 @@
 
     /// Handles a callback. It may come before the 202 of its attempt, more than once, or for a request that has ended or
     /// belonged to an earlier process, so it takes effect once or not at all.
-    pub fn callback_received(&mut self, callback: CallBack) {
+    pub fn callback_received(&mut self, callback: Callback) {
         if let Some(job_log) = self.host.job_log.clone().filter(|job_log| job_log.is_unresolved(&callback.id))
         {
             return self.callback_of_unresolved_job(&job_log, callback);
@@ -795,7 +795,7 @@
 
     /// Handles a callback that another process of this node received; `false` if this process does not have its request.
     pub fn take_forwarded_callback(&mut self, body: &[u8]) -> bool {
-        let callback = serde_json::from_slice::<CallBack>(body)
+        let callback = serde_json::from_slice::<Callback>(body)
             .ok()
             .filter(|callback| self.has_open_request(&callback.id));
         callback.map(|callback| self.callback_received(callback)).is_some()
--- a/crates/node/src/process/logger.rs
+++ b/crates/node/src/process/logger.rs
@@ -1,5 +1,5 @@
-//! The log: one line an event on standard error, with the Unix time in seconds, the level and the part. Readable text, or JSON with
-//! the fields of each event and whose it is.
+//! The log: one line for each event on standard error, with the Unix time in seconds, the level and the module; as
+//! text, or as JSON with the fields of the event and the name of the node.
 
 use std::fmt;
 use std::io::stderr;
@@ -11,63 +11,68 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Says how much is logged: `error`, `warn`, `info` (if it says nothing), `debug` or `trace`.
+/// The environment variable of the log level: `error`, `warn`, `info` (the default), `debug` or `trace`.
 pub const LEVEL: &str = "GREBEUSHER_LOG";
-/// Says how: `text` (if it says nothing) or `json`.
+/// The environment variable of the log format: `text` (the default) or `json`.
 pub const FORM: &str = "GREBEUSHER_LOG_FORM";
 
-/// As operators know it from lists and call-backs.
+/// The Unix time in seconds, as in the executor list and in callbacks.
 struct UnixTime;
 
 impl FormatTime for UnixTime {
-    fn format_time(&self, w: &mut Writer<'_>) -> fmt::Result {
+    fn format_time(&self, writer: &mut Writer<'_>) -> fmt::Result {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        write!(w, "{:.3}", now.as_secs_f64())
+        write!(writer, "{:.3}", now.as_secs_f64())
     }
 }
 
-/// The message alone: it says in words what the fields say.
-struct Words;
+/// The text format: the message alone, as it contains the values of the fields.
+struct TextFormat;
 
-impl<S, N> FormatEvent<S, N> for Words
+impl<S, N> FormatEvent<S, N> for TextFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, _: &FmtContext<'_, S, N>, mut w: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let part = event.metadata().target().rsplit("::").next().unwrap_or_default();
-        UnixTime.format_time(&mut w)?;
-        write!(w, " {} {part}: ", event.metadata().level())?;
-        let mut message = Message { w: &mut w, said: Ok(()) };
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut writer: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
+        let module = event.metadata().target().rsplit("::").next().unwrap_or_default();
+        UnixTime.format_time(&mut writer)?;
+        write!(writer, " {} {module}: ", event.metadata().level())?;
+        let mut message = MessageWriter { writer: &mut writer, result: Ok(()) };
         event.record(&mut message);
-        message.said?;
-        writeln!(w)
+        message.result?;
+        writeln!(writer)
     }
 }
 
-struct Message<'a, 'w> {
-    w: &'a mut Writer<'w>,
-    said: fmt::Result,
+struct MessageWriter<'a, 'writer> {
+    writer: &'a mut Writer<'writer>,
+    result: fmt::Result,
 }
 
-impl tracing::field::Visit for Message<'_, '_> {
+impl tracing::field::Visit for MessageWriter<'_, '_> {
     fn record_debug(&mut self, field: &tracing::field::Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
-            self.said = write!(self.w, "{value:?}");
+            self.result = write!(self.writer, "{value:?}");
         }
     }
 }
 
 pub fn start(level: Option<&str>, form: Option<&str>) {
     let level = level.and_then(|level| level.parse().ok()).unwrap_or(LevelFilter::INFO);
-    // A log that nobody reads must not stop the node: what can't be written is lost.
-    let lines = tracing_subscriber::fmt().log_internal_errors(false);
-    let lines = lines.with_max_level(level).with_ansi(false).with_writer(stderr);
-    // Only a second logger is an error, and there is none.
+    // A log that nobody reads must not stop the node: lines that cannot be written are lost.
+    let builder = tracing_subscriber::fmt().log_internal_errors(false);
+    let builder = builder.with_max_level(level).with_ansi(false).with_writer(stderr);
+    // Only a second logger would be an error, and there is none.
     let _ = match form {
         Some("json") => {
-            lines.json().flatten_event(true).with_span_list(false).with_timer(UnixTime).try_init()
+            builder.json().flatten_event(true).with_span_list(false).with_timer(UnixTime).try_init()
         }
-        _ => lines.event_format(Words).try_init(),
+        _ => builder.event_format(TextFormat).try_init(),
     };
 }
--- a/crates/node/src/process/mod.rs
+++ b/crates/node/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! Start, reload and stop: what a node is told, its log, and its phases from start to exit.
+//! The process of a node: start, reload and stop, its limits, and its log.
 
 pub mod limits;
 pub mod logger;
--- a/crates/node/src/wire/call_backs.rs
+++ b/crates/node/src/wire/call_backs.rs
@@ -1,4 +1,4 @@
-//! Call-backs: what executors tell of the jobs they took.
+//! Callbacks: the messages by which executors report the progress and the end of accepted requests.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -6,7 +6,7 @@
 pub const PATH: &str = "/v1/job-events";
 
 #[derive(Deserialize)]
-pub struct CallBack {
+pub struct Callback {
     pub id: String,
     pub from: String,
     #[serde(flatten)]
@@ -15,7 +15,7 @@
     pub load: Value,
 }
 
-/// What became of a job, in the protocol's words.
+/// The state of a request at the executor, in the words of the protocol.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "state", rename_all = "lowercase")]
 pub enum State {
@@ -28,7 +28,7 @@
     Failed,
     Returned,
     Lost,
-    /// A word that is not known here, and says nothing.
+    /// A state that this version does not know; it is ignored.
     #[serde(other)]
     Other,
 }
--- a/crates/node/src/wire/checks.rs
+++ b/crates/node/src/wire/checks.rs
@@ -1,7 +1,8 @@
-//! Where other balancers ask whether the node should get traffic: a line of text on connecting, or an HTTP health call.
+//! Health checks of external load balancers: an agent check, answered by a line of text on connecting, and an HTTP
+//! health check.
 
 use crate::state::clock::Clock;
-use crate::wire::one_shot::Calls;
+use crate::wire::one_shot::OneShotServer;
 use grebeusher_dispatch::time::Instant;
 use grebeusher_health_reporting::Verdict;
 use grebeusher_node_config::frontends::HealthCheckSettings;
@@ -10,41 +11,42 @@
 use std::io;
 use std::rc::Rc;
 
-/// Keys under which the loop knows a listener and its connections.
+/// The poller keys of a listener, and of its connections by their indices.
 type Keys = (usize, fn(usize) -> usize);
 
-pub struct Checks {
-    agent: Option<Calls>,
-    health: Option<Calls>,
+pub struct HealthChecks {
+    agent: Option<OneShotServer>,
+    health: Option<OneShotServer>,
 }
 
-impl Checks {
+impl HealthChecks {
     pub fn listen(
         settings: &HealthCheckSettings,
         (agent, health): (Keys, Keys),
         common: (&Rc<Poller>, Clock),
-    ) -> Result<Checks, String> {
+    ) -> Result<HealthChecks, String> {
         let listen = |key: &str, at: Option<std::net::SocketAddr>, keys: Keys| {
-            let calls =
-                at.map(|at| Calls::listen(at, settings.min_interval(), keys, common).map_err(|e| (at, e)));
-            calls.transpose().map_err(|(at, e)| format!("checks.{key}: {at}: {e}"))
+            let server = at.map(|at| {
+                OneShotServer::listen(at, settings.min_interval(), keys, common).map_err(|e| (at, e))
+            });
+            server.transpose().map_err(|(at, e)| format!("checks.{key}: {at}: {e}"))
         };
         let agent = listen("agent", settings.agent, agent)?;
-        Ok(Checks { agent, health: listen("health", settings.health, health)? })
+        Ok(HealthChecks { agent, health: listen("health", settings.health, health)? })
     }
 
-    /// Where it is asked, for the log.
+    /// The addresses of the checks, for the log.
     pub fn addresses(&self) -> io::Result<String> {
-        let mut said = Vec::new();
-        for (what, calls) in [("agent checks", &self.agent), ("health calls", &self.health)] {
-            if let Some(calls) = calls {
-                said.push(format!("{what} at {}", calls.address()?));
+        let mut texts = Vec::new();
+        for (name, server) in [("agent checks", &self.agent), ("health calls", &self.health)] {
+            if let Some(server) = server {
+                texts.push(format!("{name} at {}", server.address()?));
             }
         }
-        Ok(said.join(", "))
+        Ok(texts.join(", "))
     }
 
-    /// A balancer connects for an agent check: it is told at once, whatever it may say.
+    /// Accepts agent checks. The response is sent on connecting, whatever the balancer may send.
     pub fn accept_agent(&self, mut verdict: impl FnMut() -> Verdict) {
         if let Some(agent) = &self.agent {
             agent.accept(|| Some(verdict().line().into_bytes()));
@@ -57,29 +59,29 @@
         }
     }
 
-    pub fn stirred_agent(&self, place: usize) {
+    pub fn handle_agent_event(&self, index: usize) {
         if let Some(agent) = &self.agent {
-            // All have their answer by now.
-            agent.stirred(place, |_| Vec::new());
+            // The connection was answered when it was accepted.
+            agent.handle_event(index, |_| Vec::new());
         }
     }
 
-    pub fn stirred_health(&self, place: usize, verdict: impl FnOnce() -> Verdict) {
+    pub fn handle_health_event(&self, index: usize, verdict: impl FnOnce() -> Verdict) {
         if let Some(health) = &self.health {
-            health.stirred(place, |request| answer(request, verdict));
+            health.handle_event(index, |request| answer(request, verdict));
         }
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
-        self.agent.iter().chain(&self.health).filter_map(Calls::next_due).min()
+    pub fn next_timeout(&self) -> Option<Instant> {
+        self.agent.iter().chain(&self.health).filter_map(OneShotServer::next_timeout).min()
     }
 
-    pub fn due(&self) {
-        self.agent.iter().chain(&self.health).for_each(Calls::due);
+    pub fn handle_timeouts(&self) {
+        self.agent.iter().chain(&self.health).for_each(OneShotServer::handle_timeouts);
     }
 }
 
-/// Whatever path a balancer was told to ask at.
+/// Answers an HTTP health check on any path, as each balancer is configured with its own.
 fn answer(request: &Request, verdict: impl FnOnce() -> Verdict) -> Vec<u8> {
     match request.method.as_str() {
         "GET" | "OPTIONS" => {
--- a/crates/node/src/wire/clients.rs
+++ b/crates/node/src/wire/clients.rs
@@ -1,5 +1,5 @@
-//! The server side: those who connect to this node. Clients bring work units and wait for their answers;
-//! executors call back on the same address.
+//! Inbound connections. Clients send requests and wait for their responses; executors send callbacks to the same
+//! address.
 
 use crate::coordinator::Coordinator;
 use crate::interfaces::{CallerId, ClientResponder, DescriptorHolder};
@@ -8,7 +8,7 @@
 use crate::state::counters::Counters;
 use crate::state::requests::{RequestContent, RequestIds};
 use crate::wire::LIMITS;
-use crate::wire::call_backs::{self, CallBack};
+use crate::wire::call_backs::{self, Callback};
 use grebeusher_dispatch::Arrival;
 use grebeusher_dispatch::ids::RequestId;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
@@ -25,66 +25,72 @@
 use std::rc::Rc;
 use tracing::{debug, info, trace, warn};
 
-/// A connection's first request must be whole this long after it was taken in, a later one after its first byte,
-/// and an answer taken within as long: honest clients need two seconds on the slowest of lines, and the others are owed
-/// an error or a close within 3 s; this leaves a busy moment to either side. Guards against sockets held by those who
-/// say nothing or never end.
+/// The time limit for the first request of a connection from its establishment, for a later one from its first byte,
+/// and for reading a response. Well-behaved clients need two seconds on the slowest lines, and the others have to get
+/// an error or a close within 3 s; this leaves time for a busy moment to both. Guards against sockets held by clients
+/// that send nothing or never finish.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2600);
-/// How long the rest of what was refused is read and dropped: the 60 MB of a bad client within 6 s of connecting.
+/// How long further input of a rejected client is read and discarded: 60 MB of a faulty client within 6 s of
+/// connecting.
 const LINGER: Duration = Duration::from_millis(4000);
-/// And of what comes behind the last answer on a connection: some round trips, until the client has seen its end.
-const LINGER_BRIEFLY: Duration = Duration::from_millis(500);
-/// So many are taken in before others have their turn: more wait outside for microseconds only.
-const AT_ONCE: usize = 64;
-/// A usual request is far smaller than this: only larger ones are asked whether there is memory for them.
-const LARGE: usize = 16 * 1024;
-/// Beside a request in hand only the end of the connection is of interest.
-const BESIDE: usize = 4 * 1024;
-/// What an executor's request line holds at most, by what common servers bear, and an id in it.
+/// How long input after the last response on a connection is read and discarded: some round trips, until the client has
+/// seen the end of the connection.
+const SHORT_LINGER: Duration = Duration::from_millis(500);
+/// The number of connections that are accepted before other events are handled: further ones wait for microseconds
+/// only.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
+/// A usual request is far smaller than this number of bytes: available memory is checked for larger ones only.
+const LARGE_REQUEST: usize = 16 * 1024;
+/// The number of bytes that are read ahead of the next request while one is open: meanwhile only the end of the
+/// connection matters.
+const MAX_READ_AHEAD: usize = 4 * 1024;
+/// The longest target of a request in bytes, by what common servers accept in the request line to an executor, and the
+/// longest ID in it.
 const MAX_TARGET: usize = 4096;
 const MAX_ID: usize = 128;
-/// Before the path of work that outlives the process, where there is a ledger.
-const LASTING: &str = "/durable/";
-/// What the node writes itself at the head of each attempt.
+/// The path prefix of durable requests, where there is a job log.
+const DURABLE_PREFIX: &str = "/durable/";
+/// The headers that the node writes itself at the head of each attempt.
 const OWN_HEADERS: [&str; 4] = ["Host", "X-Call-Id", "X-Call-Class", "X-Budget-Ms"];
-/// How long no connection is taken in after the system had no room for one: some are closed meanwhile.
-const BREATHER: Duration = Duration::from_millis(50);
-/// The longest patience that a client may name: a day, far beyond any work; it keeps sums of times in range.
+/// How long no connection is accepted after the system had no descriptor for one: some are closed meanwhile.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The longest deadline that a client may set, in milliseconds from now: a day, far beyond any request. It keeps sums
+/// of times in range.
 const MAX_PATIENCE_MS: u64 = 86_400_000;
 
-/// One connection that was taken in.
+/// An inbound connection of a client or an executor.
 struct Caller {
     connection: Connection,
     serial: u64,
-    /// The work unit whose answer it waits for.
-    in_hand: Option<RequestId>,
-    /// Its call-back was passed to another process of the node, and waits for the answer.
-    passed_on: bool,
-    /// Its tariff, and the length of the body that it brought.
-    tariff: usize,
-    body: usize,
-    /// Since when a request is waited for that is not whole yet: the first one, or one that has begun.
-    waited_since: Option<Instant>,
-    came: Instant,
+    /// The request whose response the client waits for.
+    open_request: Option<RequestId>,
+    /// Its callback was forwarded to another process of the node, and waits for the answer.
+    is_forwarded: bool,
+    /// The class of its open request, and the length of the body of that request in bytes.
+    class: usize,
+    body_bytes: usize,
+    /// Since when a request is awaited that is not complete yet: the first one, or one that has begun.
+    request_due_since: Option<Instant>,
+    accepted_at: Instant,
     last_used: Instant,
-    /// How much of a request that is not whole yet has come, and in how many pieces.
-    begun: (usize, u32),
-    /// Has brought work, as those do whom the node is for.
-    is_usual: bool,
-    calls_back: bool,
-    /// To be closed once all is written.
-    closes: bool,
-    /// Has had its last answer: until then the rest of what it sends is read and dropped before the socket is closed, or
-    /// the answer would be lost with it.
+    /// The number of bytes of an incomplete request that have arrived, and in how many reads.
+    partial_request: (usize, u32),
+    /// The connection has sent a request, as the connections do that the node is for.
+    has_sent_request: bool,
+    is_executor: bool,
+    /// The connection is closed once all is written.
+    closes_after_write: bool,
+    /// The last response is written or being written: until then further input is discarded before the socket is
+    /// closed. Guards against a reset, by which the client would lose the response.
     lingers_until: Option<Instant>,
-    /// What comes is read and dropped.
-    drops: bool,
+    /// Input is read and discarded.
+    discards_input: bool,
 }
 
 impl Caller {
-    /// Whether it waits for an answer that others have to give.
+    /// Whether the connection waits for a response that depends on others.
     fn is_busy(&self) -> bool {
-        self.in_hand.is_some() || self.passed_on
+        self.open_request.is_some() || self.is_forwarded
     }
 
     fn is_idle(&self) -> bool {
@@ -93,85 +99,95 @@
             || (!self.is_busy() && buffer.unread().is_empty() && !buffer.waits_to_write())
     }
 
-    /// How soon it may be closed to make room, if at all: first who was refused, then who says nothing or only asks
-    /// how the node is, then who began a request and stopped, then idle clients, then who goes on with one piece
-    /// after the other, then idle call-backs, which executors say again elsewhere; those whose answer is due never.
-    fn sheds(&self, now: Instant) -> Option<(u8, Instant)> {
-        // A request may be under way to a fresh or idle connection, and would be lost: a round trip and a busy
-        // moment for those who have yet to say a word, more for a client that answers go back and forth with.
-        const FRESH: Duration = Duration::from_millis(50);
-        const USUAL: Duration = Duration::from_millis(250);
-        let (order, after) = match self {
+    /// How soon the connection may be closed to make room, if at all. The order is: rejected clients, connections that
+    /// have sent nothing or only asked for the state of the node, those that began a request and stalled, idle clients,
+    /// those that go on sending a request in pieces, and idle connections of executors, which repeat callbacks on
+    /// another connection. Connections with an open request are never closed.
+    fn eviction_order(&self, now: Instant) -> Option<(u8, Instant)> {
+        // The minimum idle times. A request may be on its way on a new or idle connection, and would be lost: a round
+        // trip and a busy moment for connections that have sent nothing yet, more for clients that exchange requests
+        // and responses.
+        const IDLE_GRACE: Duration = Duration::from_millis(50);
+        const ACTIVE_GRACE: Duration = Duration::from_millis(250);
+        let (rank, grace) = match self {
             Caller { lingers_until: Some(_), .. } => (0, Duration::from_millis(0)),
             _ if self.is_busy() => return None,
-            // Guards against a node whose descriptors are all held by executors that have nothing to say, while its
-            // clients wait outside.
-            Caller { calls_back: true, .. } if self.is_idle() => (5, USUAL),
-            Caller { calls_back: true, .. } => return None,
-            Caller { is_usual: false, .. } if self.is_idle() => (1, FRESH),
-            // Guards against honest clients on slow lines that go with a crowd which stops half way.
-            Caller { is_usual: false, begun: (_, 2..), .. } => (4, USUAL),
-            Caller { is_usual: false, .. } => (2, FRESH),
-            _ if self.is_idle() => (3, USUAL),
+            // Guards against a node whose descriptors are all held by idle executors while its clients wait in the
+            // listen backlog.
+            Caller { is_executor: true, .. } if self.is_idle() => (5, ACTIVE_GRACE),
+            Caller { is_executor: true, .. } => return None,
+            Caller { has_sent_request: false, .. } if self.is_idle() => (1, IDLE_GRACE),
+            // Guards against closing well-behaved clients on slow lines together with a crowd that stalls half way.
+            Caller { has_sent_request: false, partial_request: (_, 2..), .. } => (4, ACTIVE_GRACE),
+            Caller { has_sent_request: false, .. } => (2, IDLE_GRACE),
+            _ if self.is_idle() => (3, ACTIVE_GRACE),
             _ => return None,
         };
-        (now.since(self.last_used) >= after).then_some((order, self.last_used))
+        (now.since(self.last_used) >= grace).then_some((rank, self.last_used))
     }
 
-    /// What it takes of the memory: bytes not understood yet, and the body in hand.
-    fn holds(&self) -> usize {
-        self.connection.buffer.unread().len() + self.body
+    /// The memory that the connection takes, in bytes: unparsed input, and the body of the open request.
+    fn held_bytes(&self) -> usize {
+        self.connection.buffer.unread().len() + self.body_bytes
     }
 
-    /// Reads what has come.
-    fn take_in(&mut self) -> io::Result<Reading> {
-        let reading = if self.drops { Reading::Open } else { self.connection.read()? };
-        self.bear_no_flood();
-        if self.drops && reading == Reading::Open { self.connection.read_and_discard() } else { Ok(reading) }
+    /// Reads available input.
+    fn read(&mut self) -> io::Result<Reading> {
+        let reading = if self.discards_input { Reading::Open } else { self.connection.read()? };
+        self.discard_excess();
+        if self.discards_input && reading == Reading::Open {
+            self.connection.read_and_discard()
+        } else {
+            Ok(reading)
+        }
     }
 
-    /// What somebody sends beyond the beginning of a next request, while one is in hand, is dropped, and the connection
-    /// closed behind the answer. Guards against an end that nobody hears of behind what is not read.
-    fn bear_no_flood(&mut self) {
-        if self.in_hand.is_some() && self.connection.buffer.unread().len() >= BESIDE {
-            (self.closes, self.drops) = (true, true);
+    /// Discards what a client sends beyond the beginning of the next request while one is open, and closes the
+    /// connection after the response. Guards against an end of the connection that is not noticed behind unread input.
+    fn discard_excess(&mut self) {
+        if self.open_request.is_some() && self.connection.buffer.unread().len() >= MAX_READ_AHEAD {
+            (self.closes_after_write, self.discards_input) = (true, true);
         }
-        if self.drops {
-            self.drop_unread();
+        if self.discards_input {
+            self.discard_unread();
         }
     }
 
-    fn drop_unread(&mut self) {
+    fn discard_unread(&mut self) {
         let unread = self.connection.buffer.unread().len();
         self.connection.buffer.done_with(unread);
     }
 
-    /// Writes what can be written, and watches for what comes next; `false` when the connection is over.
-    fn carry_on(&mut self, now: Instant, slow: &mut Alarms<(usize, u64)>, place: usize) -> bool {
-        self.bear_no_flood();
+    /// Writes what can be written, and sets what the poller watches for; `false` when the connection is finished.
+    fn flush(&mut self, now: Instant, timeouts: &mut Alarms<(usize, u64)>, index: usize) -> bool {
+        self.discard_excess();
         let buffer = &self.connection.buffer;
-        // What was read while an answer was due is looked at as soon as that is written.
-        let more = !self.is_busy() && self.waited_since.is_none() && !buffer.unread().is_empty();
-        let written = self.connection.write().and_then(|()| self.connection.watch(more));
-        if written.is_err() || !self.closes || self.is_busy() || self.connection.buffer.waits_to_write() {
+        // Input that was read while a response was pending is parsed as soon as that is written.
+        let has_unparsed = !self.is_busy() && self.request_due_since.is_none() && !buffer.unread().is_empty();
+        let written = self.connection.write().and_then(|()| self.connection.watch(has_unparsed));
+        if written.is_err()
+            || !self.closes_after_write
+            || self.is_busy()
+            || self.connection.buffer.waits_to_write()
+        {
             return written.is_ok();
         }
-        // The rest is read and dropped. Guards against a next request in that moment, over which the end of the connection
-        // would take the answer with it.
-        self.drops = true;
+        // Further input is read and discarded. Guards against a next request at that moment, for which the end of the
+        // connection would make the client lose the response.
+        self.discards_input = true;
         if self.lingers_until.is_none() {
-            self.lingers_until = Some(now + LINGER_BRIEFLY);
-            slow.set(now + LINGER_BRIEFLY, (place, self.serial));
+            self.lingers_until = Some(now + SHORT_LINGER);
+            timeouts.set(now + SHORT_LINGER, (index, self.serial));
         }
         self.connection.shutdown_write().is_ok()
     }
 }
 
 struct Callers {
-    kept: Slab<Caller>,
-    by_unit: HashMap<RequestId, usize>,
-    /// Until when a request must be whole, or an answer taken, by place and serial.
-    slow: Alarms<(usize, u64)>,
+    connections: Slab<Caller>,
+    by_request: HashMap<RequestId, usize>,
+    /// The time limits for requests and for reading responses, by index and serial number of the connection.
+    timeouts: Alarms<(usize, u64)>,
     next_serial: u64,
 }
 
@@ -180,30 +196,31 @@
     poller: Rc<Poller>,
     clock: Clock,
     counters: Rc<Counters>,
-    /// Keys under which the loop knows the listener and the connections, from their places.
+    /// The poller keys of the listener, and of a connection by its index.
     listener_key: usize,
     key: fn(usize) -> usize,
-    most: Cell<usize>,
-    /// Bytes that requests may take together.
-    room: Cell<usize>,
-    /// Whether those who wait to connect are taken in.
-    takes_in: Cell<bool>,
+    max_connections: Cell<usize>,
+    /// The memory that all requests together may take, in bytes.
+    max_request_bytes: Cell<usize>,
+    /// Whether connections are accepted.
+    accepts: Cell<bool>,
     settings: DeploymentSettings,
     callers: RefCell<Callers>,
     request_ids: RequestIds,
     ready: Cell<bool>,
-    /// Answers ask for the end of their connections.
-    winding_down: Cell<bool>,
-    /// After word to stop: what comes from the first on must be answered by the second.
-    ends: Cell<Option<(Instant, Instant)>>,
-    paused_until: Cell<Option<Instant>>,
-    wants_room: Cell<bool>,
+    /// Responses ask clients to close their connections.
+    closes_connections: Cell<bool>,
+    /// Set when the node is told to stop: requests that arrive from the first time on have to be answered by the
+    /// second.
+    cutoff: Cell<Option<(Instant, Instant)>>,
+    accept_paused_until: Cell<Option<Instant>>,
+    needs_descriptor: Cell<bool>,
 }
 
-/// Whether work is posted there that only its client waits for.
-fn is_work(target: &str) -> bool {
+/// Whether a POST to this target is a request that is not durable, for which only its client waits.
+fn is_work_request(target: &str) -> bool {
     let path = target.split('?').next().unwrap_or_default();
-    path != call_backs::PATH && !path.starts_with(LASTING)
+    path != call_backs::PATH && !path.starts_with(DURABLE_PREFIX)
 }
 
 impl Clients {
@@ -211,7 +228,7 @@
         listener: TcpListener,
         settings: &DeploymentSettings,
         request_ids: &RequestIds,
-        (most, room): (usize, usize),
+        (max_connections, max_request_bytes): (usize, usize),
         (listener_key, key): (usize, fn(usize) -> usize),
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
     ) -> io::Result<Clients> {
@@ -223,22 +240,22 @@
             counters: counters.clone(),
             listener_key,
             key,
-            most: Cell::new(most),
-            room: Cell::new(room),
-            takes_in: Cell::new(true),
+            max_connections: Cell::new(max_connections),
+            max_request_bytes: Cell::new(max_request_bytes),
+            accepts: Cell::new(true),
             settings: settings.clone(),
             callers: RefCell::new(Callers {
-                kept: Slab::new(),
-                by_unit: HashMap::new(),
-                slow: Alarms::default(),
+                connections: Slab::new(),
+                by_request: HashMap::new(),
+                timeouts: Alarms::default(),
                 next_serial: 0,
             }),
             request_ids: request_ids.clone(),
             ready: Cell::new(false),
-            winding_down: Cell::new(false),
-            ends: Cell::new(None),
-            paused_until: Cell::new(None),
-            wants_room: Cell::new(false),
+            closes_connections: Cell::new(false),
+            cutoff: Cell::new(None),
+            accept_paused_until: Cell::new(None),
+            needs_descriptor: Cell::new(false),
         })
     }
 
@@ -246,559 +263,571 @@
         self.listener.local_addr()
     }
 
-    /// How many connections may be held from now on, and how many bytes their requests may take.
-    pub fn hold(&self, (most, room): (usize, usize)) {
-        self.most.set(most);
-        self.room.set(room);
+    /// Sets the maximum number of connections, and the memory that their requests may take, in bytes.
+    pub fn set_limits(&self, (max_connections, max_request_bytes): (usize, usize)) {
+        self.max_connections.set(max_connections);
+        self.max_request_bytes.set(max_request_bytes);
     }
 
-    /// Whether those who wait to connect are taken in from now on, or left to another process.
-    pub fn take_in_new(&self, takes_in: bool) {
-        if self.takes_in.replace(takes_in) != takes_in {
-            self.listen_on();
+    /// Sets whether connections are accepted here, or left to another process.
+    pub fn set_accepting(&self, accepts: bool) {
+        if self.accepts.replace(accepts) != accepts {
+            self.watch_listener();
         }
     }
 
-    /// Work units taken in that have no answer yet.
-    pub fn open_units(&self) -> usize {
-        self.callers.borrow().by_unit.len()
+    /// The number of requests that have no response yet.
+    pub fn open_requests(&self) -> usize {
+        self.callers.borrow().by_request.len()
     }
 
-    /// How many work units may be in hand: a third of the connections is kept for call-backs.
-    pub fn most_units(&self) -> usize {
-        self.most.get() * 2 / 3
+    /// The maximum number of open requests: a third of the connections is reserved for callbacks.
+    pub fn max_open_requests(&self) -> usize {
+        self.max_connections.get() * 2 / 3
     }
 
-    /// The names of the tariffs, by their places.
-    pub fn tariffs(&self) -> &[String] {
+    /// The names of the request classes, by their indices.
+    pub fn class_names(&self) -> &[String] {
         &self.settings.tariff_names
     }
 
-    pub fn say_ready(&self, ready: bool) {
+    pub fn set_ready(&self, ready: bool) {
         self.ready.set(ready);
     }
 
-    /// What comes from then on has its answer by the other time. Guards against units that the end of the process
-    /// would find without one.
-    pub fn end_by(&self, from: Instant, last: Instant) {
-        self.ends.set(Some((from, last)));
+    /// Sets that requests that arrive at `from` or later are answered by `deadline`. Guards against requests that are
+    /// still open when the process ends.
+    pub fn set_cutoff(&self, from: Instant, deadline: Instant) {
+        self.cutoff.set(Some((from, deadline)));
     }
 
-    /// Whether from now on each answer to a client asks for the end of its connection.
-    pub fn wind_down(&self, winding_down: bool) {
-        self.winding_down.set(winding_down);
+    /// Sets whether each response to a client asks it to close the connection.
+    pub fn set_closing_connections(&self, closes_connections: bool) {
+        self.closes_connections.set(closes_connections);
     }
 
-    /// Closes connections on which nothing was in hand for a while, but for those that call-backs come on, and those
-    /// whose request has stopped half way. Guards against a crowd of these that a node waits for before its end.
+    /// Closes connections on which no request was open for a while, except those of executors; also those whose request
+    /// has stalled. Guards against a node that waits before its end for a crowd of such connections.
     pub fn close_idle(&self, idle_for: Duration) {
-        // Pieces of a request on a slow line are a few round trips apart.
-        const STOPPED: Duration = Duration::from_millis(500);
+        // The pieces of a request on a slow line are a few round trips apart.
+        const STALL_TIMEOUT: Duration = Duration::from_millis(500);
         let now = self.clock.now();
-        let goes_on = |caller: &Caller| {
-            !caller.is_idle() && (caller.begun.1 == 0 || now.since(caller.last_used) < STOPPED)
+        let is_active = |caller: &Caller| {
+            !caller.is_idle()
+                && (caller.partial_request.1 == 0 || now.since(caller.last_used) < STALL_TIMEOUT)
         };
-        self.callers.borrow_mut().kept.retain(|_, caller| {
-            // What has come and was not read is a request that the end of the connection would lose.
-            caller.calls_back
-                || goes_on(caller)
+        self.callers.borrow_mut().connections.retain(|_, caller| {
+            // Input that has arrived but was not read is a request that closing the connection would lose.
+            caller.is_executor
+                || is_active(caller)
                 || now.since(caller.last_used) < idle_for
                 || (caller.lingers_until.is_none() && caller.connection.has_pending_input())
         });
     }
 
-    /// Whether all who asked have their answers, and nobody is there who might yet ask. Clients came before `noticed`;
-    /// who came later and has nothing in hand calls back, and will again, or is of a crowd that never ends.
-    pub fn owes_nothing(&self, noticed: Instant) -> bool {
+    /// Whether all requests are answered, and no client is left that may send another. Clients connected before
+    /// `drain_noticed_at`. A connection that came later and has no open request is of an executor, which will repeat
+    /// its callback, or of a client that reconnects for ever.
+    pub fn is_drained(&self, drain_noticed_at: Instant) -> bool {
         let callers = self.callers.borrow();
-        let waits = |caller: &Caller| caller.is_busy() || caller.connection.buffer.waits_to_write();
-        let is_over = |caller: &Caller| {
-            (caller.calls_back && caller.is_idle()) || (caller.came > noticed && !waits(caller))
+        let awaits_response = |caller: &Caller| caller.is_busy() || caller.connection.buffer.waits_to_write();
+        let is_finished = |caller: &Caller| {
+            (caller.is_executor && caller.is_idle())
+                || (caller.accepted_at > drain_noticed_at && !awaits_response(caller))
         };
-        callers.by_unit.is_empty() && callers.kept.iter().all(|(_, caller)| is_over(caller))
+        callers.by_request.is_empty() && callers.connections.iter().all(|(_, caller)| is_finished(caller))
     }
 
-    /// Takes in those who wait to connect.
+    /// Accepts waiting connections.
     pub fn accept(&self) {
-        if self.paused_until.get().is_some() || !self.takes_in.get() {
+        if self.accept_paused_until.get().is_some() || !self.accepts.get() {
             return;
         }
-        for _ in 0..AT_ONCE {
-            let full = self.callers.borrow().kept.len() >= self.most.get();
-            let sheds = if full { self.first_to_shed() } else { None };
-            if full && sheds.is_none() {
-                // All are at work. Whoever is taken in is owed an answer, so newcomers wait outside.
-                self.paused_until.set(Some(self.clock.now() + BREATHER));
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            let is_full = self.callers.borrow().connections.len() >= self.max_connections.get();
+            let evicted = if is_full { self.next_to_evict() } else { None };
+            if is_full && evicted.is_none() {
+                // All connections have open requests. An accepted client must get a response, so new connections wait
+                // in the listen backlog.
+                self.accept_paused_until.set(Some(self.clock.now() + ACCEPT_PAUSE));
                 return;
             }
             match self.listener.accept() {
                 Ok((stream, _)) => {
-                    sheds.inspect(|&place| self.shed(place));
-                    self.take_in(stream);
+                    evicted.inspect(|&index| self.evict(index));
+                    self.add_connection(stream);
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(e) => {
-                    // No room for another descriptor. Guards against a loop that turns on a listener it
-                    // can't serve: make room, and look again after a breather.
+                    // The system has no descriptor for another connection. Guards against a busy loop on a listener
+                    // that can't be served: closes a connection, and accepts again after a pause.
                     self.counters.accepts_failed.increment();
-                    warn!("connections can't be taken in: {e}");
+                    warn!("cannot accept connections: {e}");
                     if !self.release_descriptor() {
-                        self.wants_room.set(true);
+                        self.needs_descriptor.set(true);
                     }
-                    self.paused_until.set(Some(self.clock.now() + BREATHER));
+                    self.accept_paused_until.set(Some(self.clock.now() + ACCEPT_PAUSE));
                     return;
                 }
             }
         }
-        self.listen_on();
+        self.watch_listener();
     }
 
-    fn listen_on(&self) {
-        let event = Event { readable: self.takes_in.get(), ..Event::none(self.listener_key) };
+    fn watch_listener(&self) {
+        let event = Event { readable: self.accepts.get(), ..Event::none(self.listener_key) };
         if let Err(e) = self.poller.modify(&self.listener, event) {
-            warn!("the listener can't be watched: {e}");
+            warn!("cannot watch the listener: {e}");
         }
     }
 
-    fn take_in(&self, stream: TcpStream) {
+    fn add_connection(&self, stream: TcpStream) {
         let now = self.clock.now();
         let mut callers = self.callers.borrow_mut();
-        let Callers { kept, slow, next_serial, .. } = &mut *callers;
+        let Callers { connections, timeouts, next_serial, .. } = &mut *callers;
         let serial = *next_serial;
         *next_serial += 1;
-        let place = kept.vacant_entry();
-        match Connection::from_stream(stream, &self.poller, (self.key)(place.key())) {
+        let entry = connections.vacant_entry();
+        match Connection::from_stream(stream, &self.poller, (self.key)(entry.key())) {
             Ok(connection) => {
                 self.counters.callers_accepted.increment();
-                slow.set(now + REQUEST_TIMEOUT, (place.key(), serial));
-                place.insert(Caller {
+                timeouts.set(now + REQUEST_TIMEOUT, (entry.key(), serial));
+                entry.insert(Caller {
                     connection,
                     serial,
-                    in_hand: None,
-                    passed_on: false,
-                    tariff: 0,
-                    body: 0,
-                    waited_since: Some(now),
-                    came: now,
+                    open_request: None,
+                    is_forwarded: false,
+                    class: 0,
+                    body_bytes: 0,
+                    request_due_since: Some(now),
+                    accepted_at: now,
                     last_used: now,
-                    begun: (0, 0),
-                    is_usual: false,
-                    calls_back: false,
-                    closes: false,
+                    partial_request: (0, 0),
+                    has_sent_request: false,
+                    is_executor: false,
+                    closes_after_write: false,
                     lingers_until: None,
-                    drops: false,
+                    discards_input: false,
                 });
             }
             Err(e) => {
                 self.counters.accepts_failed.increment();
-                warn!("a connection can't be watched: {e}");
+                warn!("cannot watch an accepted connection: {e}");
             }
         }
     }
 
-    /// The connection that is closed first for want of room.
-    fn first_to_shed(&self) -> Option<usize> {
+    /// The index of the connection that is to be closed first to make room.
+    fn next_to_evict(&self) -> Option<usize> {
         let (now, callers) = (self.clock.now(), self.callers.borrow());
-        let sheds = callers.kept.iter().filter_map(|(place, caller)| Some((caller.sheds(now)?, place)));
-        sheds.min().map(|(_, place)| place)
+        let candidates = callers
+            .connections
+            .iter()
+            .filter_map(|(index, caller)| Some((caller.eviction_order(now)?, index)));
+        candidates.min().map(|(_, index)| index)
     }
 
-    fn shed(&self, place: usize) {
+    fn evict(&self, index: usize) {
         self.counters.callers_shed.increment();
-        self.callers.borrow_mut().kept.remove(place);
+        self.callers.borrow_mut().connections.remove(index);
     }
 
-    /// Whether newcomers wait for a descriptor, and no caller's can be had.
-    pub fn wants_room(&self) -> bool {
-        self.wants_room.take()
+    /// Whether new connections wait for a descriptor that no connection here can release. Resets the flag.
+    pub fn needs_descriptor(&self) -> bool {
+        self.needs_descriptor.take()
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
-        self.callers.borrow().slow.next_at().into_iter().chain(self.paused_until.get()).min()
+    pub fn next_timeout(&self) -> Option<Instant> {
+        self.callers.borrow().timeouts.next_at().into_iter().chain(self.accept_paused_until.get()).min()
     }
 
-    /// What falls due: requests that came too slowly, and the end of a breather.
-    pub fn due(&self) {
+    /// Handles requests that came too slowly, and the end of a pause in accepting.
+    pub fn handle_timeouts(&self) {
         let now = self.clock.now();
-        while let Some((place, serial)) = { self.callers.borrow_mut().slow.due(now) } {
+        while let Some((index, serial)) = { self.callers.borrow_mut().timeouts.due(now) } {
             let mut callers = self.callers.borrow_mut();
-            let Some(caller) = callers.kept.get(place).filter(|caller| caller.serial == serial) else {
+            let Some(caller) = callers.connections.get(index).filter(|caller| caller.serial == serial) else {
                 continue;
             };
-            let unwritten = caller.connection.buffer.waits_to_write();
-            let silent = caller.connection.buffer.unread().is_empty();
-            let waited = caller.waited_since.is_some_and(|at| now.since(at) >= REQUEST_TIMEOUT);
+            let has_unwritten = caller.connection.buffer.waits_to_write();
+            let is_silent = caller.connection.buffer.unread().is_empty();
+            let is_overdue = caller.request_due_since.is_some_and(|at| now.since(at) >= REQUEST_TIMEOUT);
             if caller.lingers_until.is_some_and(|until| until <= now)
-                || (unwritten && now.since(caller.last_used) >= REQUEST_TIMEOUT)
-                || (waited && silent)
+                || (has_unwritten && now.since(caller.last_used) >= REQUEST_TIMEOUT)
+                || (is_overdue && is_silent)
             {
-                callers.kept.remove(place);
-            } else if waited {
+                callers.connections.remove(index);
+            } else if is_overdue {
                 drop(callers);
-                self.reject(place, Malformed(408));
+                self.reject(index, Malformed(408));
             }
         }
-        if self.paused_until.get().is_some_and(|until| until <= now) {
-            self.paused_until.set(None);
-            self.listen_on();
+        if self.accept_paused_until.get().is_some_and(|until| until <= now) {
+            self.accept_paused_until.set(None);
+            self.watch_listener();
         }
     }
 
-    /// Something can be read from or written to a connection.
-    pub fn stirred(&self, place: usize, coordinator: &mut Coordinator) {
+    /// Handles readiness of a connection for reading or writing.
+    pub fn handle_event(&self, index: usize, coordinator: &mut Coordinator) {
         let reading = {
             let mut callers = self.callers.borrow_mut();
-            let Some(caller) = callers.kept.get_mut(place) else { return };
-            caller.take_in()
+            let Some(caller) = callers.connections.get_mut(index) else { return };
+            caller.read()
         };
-        while let Some(request) = self.next_request(place) {
-            // Whoever has closed is gone. Guards against a node that stood still and sends, as it wakes, the work of
-            // clients that have left meanwhile: their requests and their ends are read together.
-            let left = !matches!(reading, Ok(Reading::Open));
-            if left && request.method == "POST" && is_work(&request.target) {
+        while let Some(request) = self.next_request(index) {
+            // A client that has closed its connection is gone. Guards against a node that was stopped for a while and
+            // then sends the requests of clients that have left meanwhile: the requests and the ends of their
+            // connections are read together.
+            let has_left = !matches!(reading, Ok(Reading::Open));
+            if has_left && request.method == "POST" && is_work_request(&request.target) {
                 self.counters.withdrawn_unread.increment();
                 continue;
             }
-            self.serve(place, request, coordinator);
+            self.serve(index, request, coordinator);
         }
         match reading {
-            Ok(Reading::Open) => self.carry_on(place, coordinator),
-            // Whoever has closed waits for nothing any more.
-            Ok(Reading::Ended) | Err(_) => self.lost(place, coordinator),
+            Ok(Reading::Open) => self.flush_caller(index, coordinator),
+            // A client that has closed its connection waits for nothing any more.
+            Ok(Reading::Ended) | Err(_) => self.connection_lost(index, coordinator),
         }
     }
 
-    fn carry_on(&self, place: usize, coordinator: &mut Coordinator) {
-        let goes_on = {
-            let Callers { kept, slow, .. } = &mut *self.callers.borrow_mut();
-            kept.get_mut(place).is_none_or(|caller| caller.carry_on(self.clock.now(), slow, place))
+    fn flush_caller(&self, index: usize, coordinator: &mut Coordinator) {
+        let is_open = {
+            let Callers { connections, timeouts, .. } = &mut *self.callers.borrow_mut();
+            connections.get_mut(index).is_none_or(|caller| caller.flush(self.clock.now(), timeouts, index))
         };
-        if !goes_on {
-            self.lost(place, coordinator);
+        if !is_open {
+            self.connection_lost(index, coordinator);
         }
     }
 
-    /// A connection is gone, and with it whoever waited there.
-    fn lost(&self, place: usize, coordinator: &mut Coordinator) {
-        let left = {
+    /// Handles the loss of a connection, and with it of the client that waited there.
+    fn connection_lost(&self, index: usize, coordinator: &mut Coordinator) {
+        let withdrawn = {
             let mut callers = self.callers.borrow_mut();
-            let Some(caller) = callers.kept.try_remove(place) else { return };
-            caller.in_hand.inspect(|unit| {
-                callers.by_unit.remove(unit);
+            let Some(caller) = callers.connections.try_remove(index) else { return };
+            caller.open_request.inspect(|request_id| {
+                callers.by_request.remove(request_id);
             })
         };
-        if let Some(unit) = left {
+        if let Some(request_id) = withdrawn {
             self.counters.withdrawn.increment();
-            coordinator.request_withdrawn(unit);
+            coordinator.request_withdrawn(request_id);
         }
     }
 
-    /// The next whole request, unless one is in hand.
-    fn next_request(&self, place: usize) -> Option<Request> {
+    /// The next complete request, unless one is open.
+    fn next_request(&self, index: usize) -> Option<Request> {
         let now = self.clock.now();
         let mut callers = self.callers.borrow_mut();
-        let Callers { kept, slow, .. } = &mut *callers;
-        let caller = kept.get_mut(place).filter(|caller| !caller.is_busy() && !caller.closes)?;
-        // Guards against answers piling up for somebody who asks and does not read.
+        let Callers { connections, timeouts, .. } = &mut *callers;
+        let caller =
+            connections.get_mut(index).filter(|caller| !caller.is_busy() && !caller.closes_after_write)?;
+        // Guards against responses that pile up for a client that sends requests and does not read.
         if caller.connection.buffer.waits_to_write() || caller.connection.buffer.unread().is_empty() {
             return None;
         }
         match http::request(caller.connection.buffer.unread(), &LIMITS) {
             Ok(Some((request, length))) => {
                 caller.connection.buffer.done_with(length);
-                (caller.waited_since, caller.last_used, caller.begun) = (None, now, (0, 0));
-                caller.closes = request.headers.closes;
+                (caller.request_due_since, caller.last_used, caller.partial_request) = (None, now, (0, 0));
+                caller.closes_after_write = request.headers.closes;
                 Some(request)
             }
             Ok(None) => {
-                if caller.waited_since.is_none() {
-                    caller.waited_since = Some(now);
-                    slow.set(now + REQUEST_TIMEOUT, (place, caller.serial));
+                if caller.request_due_since.is_none() {
+                    caller.request_due_since = Some(now);
+                    timeouts.set(now + REQUEST_TIMEOUT, (index, caller.serial));
                 }
-                let (length, pieces) = caller.begun;
+                let (length, reads) = caller.partial_request;
                 if caller.connection.buffer.unread().len() > length {
-                    caller.begun = (caller.connection.buffer.unread().len(), pieces + 1);
+                    caller.partial_request = (caller.connection.buffer.unread().len(), reads + 1);
                     caller.last_used = now;
                 }
-                if caller.holds() > LARGE && !self.has_room(kept) {
+                if caller.held_bytes() > LARGE_REQUEST && !self.has_memory(connections) {
                     drop(callers);
-                    self.reject(place, Malformed(413));
+                    self.reject(index, Malformed(413));
                 }
                 None
             }
             Err(malformed) => {
                 drop(callers);
-                self.reject(place, malformed);
+                self.reject(index, malformed);
                 None
             }
         }
     }
 
-    /// Answers what is no request, and closes.
-    fn reject(&self, place: usize, Malformed(status): Malformed) {
+    /// Answers an invalid request, and closes the connection.
+    fn reject(&self, index: usize, Malformed(status): Malformed) {
         self.counters.bad_requests.increment();
-        debug!("caller {place} is answered {status} and closed");
+        debug!("invalid request on connection {index}: answered {status} and closed");
         {
             let mut callers = self.callers.borrow_mut();
-            let Callers { kept, slow, .. } = &mut *callers;
-            if let Some(caller) = kept.get_mut(place) {
-                caller.drop_unread();
-                (caller.waited_since, caller.closes) = (None, true);
+            let Callers { connections, timeouts, .. } = &mut *callers;
+            if let Some(caller) = connections.get_mut(index) {
+                caller.discard_unread();
+                (caller.request_due_since, caller.closes_after_write) = (None, true);
                 let until = self.clock.now() + LINGER;
-                (caller.lingers_until, caller.drops) = (Some(until), true);
-                slow.set(until, (place, caller.serial));
+                (caller.lingers_until, caller.discards_input) = (Some(until), true);
+                timeouts.set(until, (index, caller.serial));
             }
         }
-        self.write(place, status, None, b"");
+        self.write_response(index, status, None, b"");
     }
 
-    fn serve(&self, place: usize, request: Request, coordinator: &mut Coordinator) {
+    fn serve(&self, index: usize, request: Request, coordinator: &mut Coordinator) {
         let path = request.target.split('?').next().unwrap_or_default();
         match (request.method.as_str(), path) {
-            ("GET", "/ready") if self.ready.get() => self.write(place, 200, None, b"ready\n"),
-            ("GET", "/ready") => self.write(place, 503, None, b"not ready\n"),
+            ("GET", "/ready") if self.ready.get() => self.write_response(index, 200, None, b"ready\n"),
+            ("GET", "/ready") => self.write_response(index, 503, None, b"not ready\n"),
             ("GET", "/counters") => {
                 let text = self.counters.to_string();
-                self.write(place, 200, None, text.as_bytes());
+                self.write_response(index, 200, None, text.as_bytes());
             }
-            ("GET", path) if path.starts_with(LASTING) && coordinator.has_job_log() => {
-                let (status, result) = coordinator.durable_job_result(&path[LASTING.len()..]);
-                self.write(place, status, None, &result);
+            ("GET", path) if path.starts_with(DURABLE_PREFIX) && coordinator.has_job_log() => {
+                let (status, result) = coordinator.durable_job_result(&path[DURABLE_PREFIX.len()..]);
+                self.write_response(index, status, None, &result);
             }
-            ("POST", path) if path.starts_with(LASTING) && coordinator.has_job_log() => {
-                match self.brought(request, true) {
-                    Ok((content, arrival)) => self.arrived_to_last(place, content, &arrival, coordinator),
-                    Err(malformed) => self.reject(place, malformed),
+            ("POST", path) if path.starts_with(DURABLE_PREFIX) && coordinator.has_job_log() => {
+                match self.parse_request(request, true) {
+                    Ok((content, arrival)) => self.accept_durable(index, content, &arrival, coordinator),
+                    Err(malformed) => self.reject(index, malformed),
                 }
             }
-            ("POST", call_backs::PATH) => self.call_back(place, &request, coordinator),
-            ("POST", _) => match self.brought(request, false) {
-                Ok((content, arrival)) => self.arrived(place, content, &arrival, coordinator),
-                Err(malformed) => self.reject(place, malformed),
+            ("POST", call_backs::PATH) => self.receive_callback(index, &request, coordinator),
+            ("POST", _) => match self.parse_request(request, false) {
+                Ok((content, arrival)) => self.accept_request(index, content, &arrival, coordinator),
+                Err(malformed) => self.reject(index, malformed),
             },
-            _ => self.reject(place, Malformed(404)),
+            _ => self.reject(index, Malformed(404)),
         }
     }
 
-    fn call_back(&self, place: usize, request: &Request, coordinator: &mut Coordinator) {
+    fn receive_callback(&self, index: usize, request: &Request, coordinator: &mut Coordinator) {
         self.counters.call_backs.increment();
-        trace!("call-back {}", String::from_utf8_lossy(&request.body));
-        match serde_json::from_slice::<CallBack>(&request.body) {
-            Ok(call) => {
+        trace!("callback {}", String::from_utf8_lossy(&request.body));
+        match serde_json::from_slice::<Callback>(&request.body) {
+            Ok(callback) => {
                 {
                     let mut callers = self.callers.borrow_mut();
-                    let Some(caller) = callers.kept.get_mut(place) else { return };
-                    caller.calls_back |= coordinator.knows_executor(&call.from);
-                    let id = (place, caller.serial);
-                    if !coordinator.has_open_request(&call.id)
+                    let Some(caller) = callers.connections.get_mut(index) else { return };
+                    caller.is_executor |= coordinator.knows_executor(&callback.from);
+                    let id = (index, caller.serial);
+                    if !coordinator.has_open_request(&callback.id)
                         && coordinator.forward_callback(id, &request.body)
                     {
-                        caller.passed_on = true;
+                        caller.is_forwarded = true;
                         return;
                     }
                 }
-                // Answered whatever it names: an executor asks again until it is.
-                self.write(place, 204, None, b"");
-                coordinator.callback_received(call);
+                // The callback is answered whatever it names: the executor repeats it until it is.
+                self.write_response(index, 204, None, b"");
+                coordinator.callback_received(callback);
             }
             Err(e) => {
                 self.counters.call_backs_bad.increment();
-                debug!("a call-back can't be read: {e}");
-                self.reject(place, Malformed(400));
+                debug!("invalid callback: {e}");
+                self.reject(index, Malformed(400));
             }
         }
     }
 
-    /// What a request for work says, in the words of the decisions; the units of the wire end here.
-    /// One that is `durable` outlives the process, and so does the patience for it.
-    fn brought(&self, request: Request, durable: bool) -> Result<(RequestContent, Arrival), Malformed> {
+    /// Parses a request, and converts its units to those of the dispatcher. A `durable` request outlives the process,
+    /// so the end of the process does not limit its deadline.
+    fn parse_request(&self, request: Request, durable: bool) -> Result<(RequestContent, Arrival), Malformed> {
         let Request { mut target, headers, body, .. } = request;
         if durable {
-            // What is left is what executors get.
-            target.drain(..LASTING.len() - 1);
+            // Executors get the path without the prefix.
+            target.drain(..DURABLE_PREFIX.len() - 1);
         }
         let header = |name| headers.get(name);
-        let bad = Malformed(400);
+        let invalid = Malformed(400);
         trace!("{target} {headers:?}");
-        // Both become part of a request line, the id when the job is given up.
-        let speakable = |text: &str, longest| {
-            (1..=longest).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
+        // Target and ID become part of a request line, the ID in a cancellation.
+        let is_token = |text: &str, max_length| {
+            (1..=max_length).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
         };
-        if !target.starts_with('/') || !speakable(&target, MAX_TARGET) {
-            return Err(bad);
+        if !target.starts_with('/') || !is_token(&target, MAX_TARGET) {
+            return Err(invalid);
         }
-        let call_id = headers.once("X-Call-Id")?.filter(|id| speakable(id, MAX_ID)).ok_or(bad)?;
-        let first = target.split(['/', '?']).nth(1).unwrap_or_default();
-        let named = headers.once("X-Call-Class")?.unwrap_or(first);
-        let tariff =
-            self.settings.tariff_names.iter().position(|name| name == named).ok_or(Malformed(404))?;
-        if named != first {
-            return Err(bad);
+        let call_id = headers.once("X-Call-Id")?.filter(|id| is_token(id, MAX_ID)).ok_or(invalid)?;
+        let first_segment = target.split(['/', '?']).nth(1).unwrap_or_default();
+        let class_name = headers.once("X-Call-Class")?.unwrap_or(first_segment);
+        let class =
+            self.settings.tariff_names.iter().position(|name| name == class_name).ok_or(Malformed(404))?;
+        if class_name != first_segment {
+            return Err(invalid);
         }
-        let digits = |ms: &&str| ms.bytes().all(|b| b.is_ascii_digit());
-        let patience_ms = headers.once("X-Budget-Ms")?.filter(digits).and_then(|ms| ms.parse::<u64>().ok());
-        let patience = Duration::from_millis(patience_ms.ok_or(bad)?.min(MAX_PATIENCE_MS));
+        let numeric = |ms: &&str| ms.bytes().all(|b| b.is_ascii_digit());
+        let patience_ms = headers.once("X-Budget-Ms")?.filter(numeric).and_then(|ms| ms.parse::<u64>().ok());
+        let patience = Duration::from_millis(patience_ms.ok_or(invalid)?.min(MAX_PATIENCE_MS));
         let now = self.clock.now();
-        let asks_until = now + patience;
-        let cut =
-            self.ends.get().filter(|(from, _)| now >= *from && !durable).map_or(asks_until, |(_, last)| last);
-        let patience_ends = asks_until.min(cut);
+        let deadline = now + patience;
+        let limit =
+            self.cutoff.get().filter(|(from, _)| now >= *from && !durable).map_or(deadline, |(_, last)| last);
+        let usable_deadline = deadline.min(limit);
         let customer = self.settings.customer(header("X-Caller"));
         let hint_us = header("X-Call-Cost").and_then(|us| us.parse::<f64>().ok());
         let hint = hint_us
             .filter(|us| us.is_finite() && *us > 0.0)
             .map(|us| Duration::from_nanos((us * 1000.0) as u64));
         let info = header("X-Call-Info").unwrap_or_default();
-        let figures = info.split(',').filter_map(|pair| pair.split_once('='));
+        let info_pairs = info.split(',').filter_map(|pair| pair.split_once('='));
         let slots =
-            figures.filter(|(name, _)| name.trim() == "slots").find_map(|(_, n)| n.trim().parse().ok());
+            info_pairs.filter(|(name, _)| name.trim() == "slots").find_map(|(_, n)| n.trim().parse().ok());
         let arrival = Arrival {
-            class: tariff,
+            class,
             customer,
-            deadline: patience_ends,
-            // Where the patience is cut the first try can't be told from it.
-            repeat: header("X-Again") == Some("1") && patience_ends == asks_until,
+            deadline: usable_deadline,
+            // If the deadline is cut, the first attempt of the client can't be told from a repeated one by it.
+            repeat: header("X-Again") == Some("1") && usable_deadline == deadline,
             hint,
             slots: slots.unwrap_or(1.0),
             over_budget: false,
         };
         let content = RequestContent {
             call_id: call_id.into(),
-            class: named.to_owned(),
+            class: class_name.to_owned(),
             target,
             headers: headers.passed_on(&OWN_HEADERS),
             body,
-            non_idempotent: self.settings.is_binding(tariff),
-            scope: (tariff, arrival.customer),
+            non_idempotent: self.settings.is_binding(class),
+            scope: (class, arrival.customer),
             durable,
             faktory_job: None,
         };
         Ok((content, arrival))
     }
 
-    /// Takes work that outlives the process: the client hears that it is taken, and asks for its end later.
-    fn arrived_to_last(
+    /// Accepts a durable request: the client gets the status, and asks for the result later.
+    fn accept_durable(
         &self,
-        place: usize,
+        index: usize,
         content: RequestContent,
         arrival: &Arrival,
         coordinator: &mut Coordinator,
     ) {
         let status = coordinator.accept_durable(content, arrival);
-        self.write(place, status, None, b"");
+        self.write_response(index, status, None, b"");
     }
 
-    fn arrived(
+    fn accept_request(
         &self,
-        place: usize,
+        index: usize,
         content: RequestContent,
         arrival: &Arrival,
         coordinator: &mut Coordinator,
     ) {
         if coordinator.has_open_request(&content.call_id) {
-            // An id is new with every request: one that is still in hand would be told from the other by
-            // nothing, here and at the executors.
-            return self.reject(place, Malformed(409));
+            // Each request has a new ID: nothing would tell this request from the open one with the same ID, here or at
+            // the executors.
+            return self.reject(index, Malformed(409));
         }
-        // A third of the connections is kept for call-backs: each executor holds some, and without them no unit in
-        // hand would ever be answered.
-        let crowded = {
+        // A third of the connections is reserved for callbacks: each executor holds some, and without them no open
+        // request would ever be answered.
+        let is_overloaded = {
             let callers = self.callers.borrow();
-            callers.by_unit.len() * 3 >= self.most.get() * 2
-                || (content.body.len() > LARGE && !self.has_room(&callers.kept))
+            callers.by_request.len() * 3 >= self.max_connections.get() * 2
+                || (content.body.len() > LARGE_REQUEST && !self.has_memory(&callers.connections))
         };
-        if crowded {
-            // Nothing has run of this one.
+        if is_overloaded {
+            // Nothing of this request has run.
             self.counters.units.increment();
             self.counters.turned_back.increment(arrival.class);
-            if let Some(caller) = self.callers.borrow_mut().kept.get_mut(place) {
-                caller.closes |= self.winding_down.get();
+            if let Some(caller) = self.callers.borrow_mut().connections.get_mut(index) {
+                caller.closes_after_write |= self.closes_connections.get();
             }
-            return self.write(place, 503, None, b"");
+            return self.write_response(index, 503, None, b"");
         }
-        let unit = self.request_ids.next_id();
+        let request_id = self.request_ids.next_id();
         {
             let mut callers = self.callers.borrow_mut();
-            callers.by_unit.insert(unit, place);
-            if let Some(caller) = callers.kept.get_mut(place) {
-                (caller.in_hand, caller.tariff) = (Some(unit), arrival.class);
-                (caller.body, caller.is_usual) = (content.body.len(), true);
-                caller.connection.set_max_unread(BESIDE);
+            callers.by_request.insert(request_id, index);
+            if let Some(caller) = callers.connections.get_mut(index) {
+                (caller.open_request, caller.class) = (Some(request_id), arrival.class);
+                (caller.body_bytes, caller.has_sent_request) = (content.body.len(), true);
+                caller.connection.set_max_unread(MAX_READ_AHEAD);
             }
         }
         self.counters.units.increment();
-        coordinator.request_arrived(unit, content, arrival);
+        coordinator.request_arrived(request_id, content, arrival);
     }
 
-    /// Whether requests leave memory for more. Guards against large or endless ones, hundreds at once, that end the
-    /// node for want of it.
-    fn has_room(&self, kept: &Slab<Caller>) -> bool {
-        kept.iter().map(|(_, caller)| caller.holds()).sum::<usize>() < self.room.get()
+    /// Whether the memory for requests is not used up. Guards against large or endless requests, hundreds at once, that
+    /// exhaust the memory of the node.
+    fn has_memory(&self, connections: &Slab<Caller>) -> bool {
+        connections.iter().map(|(_, caller)| caller.held_bytes()).sum::<usize>()
+            < self.max_request_bytes.get()
     }
 
-    fn write(&self, place: usize, status: u16, come_back: Option<f64>, body: &[u8]) {
+    fn write_response(&self, index: usize, status: u16, retry_after: Option<f64>, body: &[u8]) {
         let mut callers = self.callers.borrow_mut();
-        let Callers { kept, slow, .. } = &mut *callers;
-        let Some(caller) = kept.get_mut(place) else { return };
-        let come_back = come_back.map(|wait| format!("{wait:.3}"));
-        let come_back = come_back.as_deref().map(|wait| ("Retry-After", wait));
-        let further: Vec<_> = come_back.into_iter().chain(caller.closes.then_some(http::CLOSE)).collect();
-        caller.connection.buffer.put(&http::answer(status, &further, body));
-        if !caller.carry_on(self.clock.now(), slow, place) {
-            kept.remove(place);
+        let Callers { connections, timeouts, .. } = &mut *callers;
+        let Some(caller) = connections.get_mut(index) else { return };
+        let retry_after = retry_after.map(|wait| format!("{wait:.3}"));
+        let retry_after = retry_after.as_deref().map(|wait| ("Retry-After", wait));
+        let extra_headers: Vec<_> =
+            retry_after.into_iter().chain(caller.closes_after_write.then_some(http::CLOSE)).collect();
+        caller.connection.buffer.put(&http::answer(status, &extra_headers, body));
+        if !caller.flush(self.clock.now(), timeouts, index) {
+            connections.remove(index);
         } else if caller.connection.buffer.waits_to_write() {
-            slow.set(self.clock.now() + REQUEST_TIMEOUT, (place, caller.serial));
+            timeouts.set(self.clock.now() + REQUEST_TIMEOUT, (index, caller.serial));
         }
     }
 
-    pub fn log_standing(&self) {
+    pub fn log_connection_counts(&self) {
         let callers = self.callers.borrow();
         info!(
-            "connections from outside: {}, waiting for answers: {}",
-            callers.kept.len(),
-            callers.by_unit.len()
+            "inbound connections: {}, open requests: {}",
+            callers.connections.len(),
+            callers.by_request.len()
         );
     }
 }
 
 impl DescriptorHolder for Clients {
     fn release_descriptor(&self) -> bool {
-        let spared = self.first_to_shed();
-        spared.inspect(|&place| self.shed(place)).is_some()
+        let evicted = self.next_to_evict();
+        evicted.inspect(|&index| self.evict(index)).is_some()
     }
 }
 
 impl ClientResponder for Clients {
-    /// The final answer to a work unit; the one place where one is given.
-    fn respond(&self, unit: RequestId, status: u16, come_back: Option<Duration>, body: &[u8]) {
-        let (place, tariff) = {
+    /// Sends the final response to a request, as the only method that does.
+    fn respond(&self, request_id: RequestId, status: u16, retry_after: Option<Duration>, body: &[u8]) {
+        let (index, class) = {
             let mut callers = self.callers.borrow_mut();
-            let Some(place) = callers.by_unit.remove(&unit) else { return };
-            let Some(caller) = callers.kept.get_mut(place) else { return };
-            (caller.in_hand, caller.body, caller.last_used) = (None, 0, self.clock.now());
+            let Some(index) = callers.by_request.remove(&request_id) else { return };
+            let Some(caller) = callers.connections.get_mut(index) else { return };
+            (caller.open_request, caller.body_bytes, caller.last_used) = (None, 0, self.clock.now());
             caller.connection.set_max_unread(MAX_UNREAD);
-            caller.closes |= self.winding_down.get();
-            (place, caller.tariff)
+            caller.closes_after_write |= self.closes_connections.get();
+            (index, caller.class)
         };
-        self.counters.responded(tariff, status);
-        self.write(place, status, come_back.map(Duration::seconds), body);
+        self.counters.responded(class, status);
+        self.write_response(index, status, retry_after.map(Duration::seconds), body);
     }
 
-    /// Looks at the connection itself, whose end the loop may not have come to. What did not come by a client's connection
-    /// is waited for.
-    fn is_waiting(&self, unit: RequestId) -> bool {
+    /// Checks the socket itself, as its end may not have reached the event loop yet. A request that did not come on a
+    /// client connection is always waited for.
+    fn is_waiting(&self, request_id: RequestId) -> bool {
         let callers = &mut *self.callers.borrow_mut();
-        let caller = callers.by_unit.get(&unit).and_then(|&place| callers.kept.get_mut(place));
-        caller.is_none_or(|caller| matches!(caller.take_in(), Ok(Reading::Open)))
+        let caller =
+            callers.by_request.get(&request_id).and_then(|&index| callers.connections.get_mut(index));
+        caller.is_none_or(|caller| matches!(caller.read(), Ok(Reading::Open)))
     }
 
-    /// A call-back that was passed on has its answer.
-    fn callback_forwarded(&self, (place, serial): CallerId, status: u16) {
-        match self.callers.borrow_mut().kept.get_mut(place) {
-            Some(caller) if caller.serial == serial => caller.passed_on = false,
+    /// Answers a callback that was forwarded.
+    fn callback_forwarded(&self, (index, serial): CallerId, status: u16) {
+        match self.callers.borrow_mut().connections.get_mut(index) {
+            Some(caller) if caller.serial == serial => caller.is_forwarded = false,
             _ => return,
         }
-        self.write(place, status, None, b"");
+        self.write_response(index, status, None, b"");
     }
 }
--- a/crates/node/src/wire/console.rs
+++ b/crates/node/src/wire/console.rs
@@ -1,7 +1,8 @@
-//! The console: a second address at which the staff ask how the node is and send its clients away.
+//! The console: a second address, at which operators read the node's metrics and state, drain the node, and submit
+//! maintenance commands.
 
 use crate::state::clock::Clock;
-use crate::wire::one_shot::Calls;
+use crate::wire::one_shot::OneShotServer;
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::Duration;
 use grebeusher_transport::http::{self, Request};
@@ -11,25 +12,26 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// What the console asks of the node.
-pub trait Office {
+/// The operations of the node that the console offers.
+pub trait NodeControl {
     fn is_ready(&self) -> bool;
-    /// What `/stats` shows.
-    fn figures(&self) -> String;
-    /// The plan by which machines are taken out, and the other nodes, as JSON; `None` where there is nothing of the kind.
+    /// The text of `/stats`: metrics as statsd lines.
+    fn metrics(&self) -> String;
+    /// The maintenance plan and its state, and the other nodes, as JSON; `None` where maintenance or peers are not
+    /// configured.
     fn fleet(&self) -> Option<String>;
     fn members(&self) -> Option<String>;
-    /// Hands a command to the keepers under a name, under which `fleet` shows its answer; the error says what is wrong with
-    /// it.
-    fn says(&mut self, name: u64, what: &str, body: &[u8]) -> Result<(), String>;
-    /// Clients go elsewhere until further word.
-    fn send_away(&mut self);
-    /// Back to work; `false` once the node has been told to stop.
-    fn take_back(&mut self) -> bool;
+    /// Submits a maintenance command to the voters under a name, under which `fleet` shows its result; the error says
+    /// why the command is invalid.
+    fn submit_command(&mut self, name: u64, text: &str, body: &[u8]) -> Result<(), String>;
+    /// Starts to drain the node: clients are sent elsewhere until `end_drain`.
+    fn start_drain(&mut self);
+    /// Ends a drain; `false` if the node has been told to stop.
+    fn end_drain(&mut self) -> bool;
 }
 
 pub struct Console {
-    calls: Calls,
+    server: OneShotServer,
 }
 
 impl Console {
@@ -38,62 +40,62 @@
         keys: (usize, fn(usize) -> usize),
         common: (&Rc<Poller>, Clock),
     ) -> io::Result<Console> {
-        Ok(Console { calls: Calls::listen(at, Duration::from_nanos(0), keys, common)? })
+        Ok(Console { server: OneShotServer::listen(at, Duration::from_nanos(0), keys, common)? })
     }
 
     pub fn address(&self) -> io::Result<SocketAddr> {
-        self.calls.address()
+        self.server.address()
     }
 
     pub fn accept(&self) {
-        self.calls.accept(|| None);
+        self.server.accept(|| None);
     }
 
-    pub fn stirred(&self, place: usize, office: &mut impl Office) {
-        self.calls.stirred(place, |request| answer(request, office));
+    pub fn handle_event(&self, index: usize, control: &mut impl NodeControl) {
+        self.server.handle_event(index, |request| answer(request, control));
     }
 }
 
-/// What a call is answered.
-fn answer(request: &Request, office: &mut impl Office) -> Vec<u8> {
+/// The response to a request.
+fn answer(request: &Request, control: &mut impl NodeControl) -> Vec<u8> {
     let path = request.target.split('?').next().unwrap_or_default();
-    let say = |yes: bool, no: u16, what: &str| {
-        http::answer(if yes { 200 } else { no }, &[http::CLOSE], what.as_bytes())
+    let reply = |succeeded: bool, failure_status: u16, text: &str| {
+        http::answer(if succeeded { 200 } else { failure_status }, &[http::CLOSE], text.as_bytes())
     };
     match (path, request.method.as_str()) {
-        ("/healthcheck", "GET") if office.is_ready() => say(true, 503, "ready\n"),
-        ("/healthcheck", "GET") => say(false, 503, "not ready\n"),
+        ("/healthcheck", "GET") if control.is_ready() => reply(true, 503, "ready\n"),
+        ("/healthcheck", "GET") => reply(false, 503, "not ready\n"),
         ("/healthcheck/fail", "POST") => {
-            info!("clients are sent away");
-            office.send_away();
-            say(true, 409, "clients are sent away\n")
+            info!("drain requested at the console");
+            control.start_drain();
+            reply(true, 409, "clients are sent away\n")
         }
         ("/healthcheck/ok", "POST") => {
-            let back = office.take_back();
-            info!("back to work: {back}");
-            say(back, 409, if back { "back to work\n" } else { "the node was told to stop\n" })
+            let serving = control.end_drain();
+            info!("end of the drain requested at the console; the node serves: {serving}");
+            reply(serving, 409, if serving { "back to work\n" } else { "the node was told to stop\n" })
         }
-        ("/stats", "GET") => say(true, 503, &office.figures()),
-        ("/fleet", "GET") => match office.fleet() {
-            Some(shown) => say(true, 404, &shown),
-            None => say(false, 404, "no machines are taken out here\n"),
+        ("/stats", "GET") => reply(true, 503, &control.metrics()),
+        ("/fleet", "GET") => match control.fleet() {
+            Some(status) => reply(true, 404, &status),
+            None => reply(false, 404, "no machines are taken out here\n"),
         },
-        ("/fleet/members", "GET") => match office.members() {
-            Some(members) => say(true, 404, &members),
-            None => say(false, 404, "this node knows no others\n"),
+        ("/fleet/members", "GET") => match control.members() {
+            Some(members) => reply(true, 404, &members),
+            None => reply(false, 404, "this node knows no others\n"),
         },
         (path, "POST") if path.starts_with("/fleet/") => {
-            let what = &path["/fleet/".len()..];
+            let text = &path["/fleet/".len()..];
             let query = request.target.split_once("?name=").and_then(|(_, name)| name.parse().ok());
-            // Whoever asks again by the same name has it done once.
+            // A command that is sent again under the same name is carried out once.
             let name =
-                query.unwrap_or_else(|| fixed_hash(&format!("{what} {:?}", std::time::Instant::now())));
-            match office.says(name, what, &request.body) {
+                query.unwrap_or_else(|| fixed_hash(&format!("{text} {:?}", std::time::Instant::now())));
+            match control.submit_command(name, text, &request.body) {
                 Ok(()) => {
-                    info!("plan: {what} goes to the keepers as {name}");
+                    info!("maintenance: command {text} is submitted to the voters as {name}");
                     http::answer(202, &[http::CLOSE], format!("{name}\n").as_bytes())
                 }
-                Err(wrong) => http::answer(400, &[http::CLOSE], format!("{wrong}\n").as_bytes()),
+                Err(error) => http::answer(400, &[http::CLOSE], format!("{error}\n").as_bytes()),
             }
         }
         ("/healthcheck" | "/stats" | "/fleet" | "/fleet/members", _) => {
--- a/crates/node/src/wire/discovery.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -1,4 +1,4 @@
-//! The list of executors: a watch at discovery that holds one JSON object a line.
+//! The executor list: a watch at discovery, whose response is a stream of JSON objects, one to a line.
 
 use crate::coordinator::Coordinator;
 use crate::interfaces::{DescriptorHolder, ExecutorListSource};
@@ -17,47 +17,48 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// A connection comes up within round trips, or the path is cut off.
+/// A connection is established within a few round trips, or the network path is cut.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Calls are worked through in turn, so the first line may wait; discovery itself fails a call that waits for 3 s. What
-/// says nothing for longer has fallen silent.
+/// Discovery works through watch requests in turn, so the first line may be delayed; discovery itself fails a request
+/// that waits for 3 s. A longer silence means that it does not answer.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(3200);
-/// One that has said nothing for so long is not waited for alone: another goes beside it, and the first line of either
-/// counts. What is usual before it in turn is over by then, and there is time for another before the list is out of date.
-/// Sooner they crowd a discovery that is slow, or has just come back. Guards against the whole of that time spent on a
-/// call that nobody will answer.
+/// After this long without a line a second watch is opened beside the first, and the first line of either counts. The
+/// usual delay is over by then, and time is left for another watch before the list is out of date. Earlier second
+/// watches would crowd a discovery that is slow or has just come back. Guards against the whole of that time spent on a
+/// request that is never answered.
 const RETRY_DELAY: Duration = Duration::from_millis(2000);
-/// An empty line comes every 2 s while nothing changes: a quarter more is a path that is cut off, and leaves time for a
-/// call that waits as long as any may.
+/// While nothing changes discovery sends an empty line every 2 s. A quarter more means that the network path is cut,
+/// and leaves time for a request that waits as long as any may.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// After word to move, what has changed counts as told 2 s sooner than otherwise.
-const MOVED: Duration = Duration::from_millis(2000);
-/// So long without a word, over some ten calls: discovery is out of reach, and the last list is as good as any. Its users
-/// are told of no change meanwhile. Guards against nodes that serve nobody for as long as discovery is being mended.
+/// After a change of the address, the list counts as confirmed 2 s earlier than it was.
+const MOVE_MARGIN: Duration = Duration::from_millis(2000);
+/// After this long without a line, over some ten watches, discovery is treated as unreachable, and the last list as
+/// current: its other users are told of no change either. Guards against nodes that serve nobody as long as discovery
+/// is being repaired.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(30_000);
-/// A line holds the whole list at most: thousands of executors. One that is longer never ends, and the watch
-/// falls silent.
+/// The longest line in bytes: it holds the whole list of thousands of executors. A longer line is not read to its end,
+/// and the watch times out.
 const MAX_LINE: usize = 1024 * 1024;
 
-/// The calls that may be open at once; one of them is the watch as soon as a line has come on it.
-pub const CALLS: usize = 2;
+/// The number of watches that may be open at once; the first to receive a line replaces the other.
+pub const MAX_WATCHES: usize = 2;
 
 #[derive(Default)]
 struct Watch {
     connection: Option<Connection>,
-    dialling: bool,
-    listening: bool,
-    /// How much of what was read has been freed of its chunks: lines, and the beginning of one.
-    plain: usize,
-    /// When its silence counts as its end; also when it could not be opened at all.
-    silent_at: Option<Instant>,
-    /// When another goes beside it.
-    ask_again_at: Option<Instant>,
-    /// When it was called for.
-    called: Instant,
-    /// A line has come.
-    lives: bool,
-    turned_away: bool,
+    is_connecting: bool,
+    head_received: bool,
+    /// The number of unread bytes that are already free of chunk framing: complete lines, and the beginning of one.
+    decoded_bytes: usize,
+    /// When the watch is treated as ended if no line comes; also set if it could not be opened at all.
+    times_out_at: Option<Instant>,
+    /// When a second watch is opened beside this one.
+    retry_at: Option<Instant>,
+    /// When the watch was opened.
+    opened_at: Instant,
+    /// A line has been received.
+    is_live: bool,
+    was_rejected: bool,
 }
 
 pub struct Discovery {
@@ -65,29 +66,30 @@
     poller: Rc<Poller>,
     clock: Clock,
     counters: Rc<Counters>,
-    /// The loop knows each by one.
-    keys: [usize; CALLS],
-    calls: RefCell<[Watch; CALLS]>,
-    /// What the next one goes on from.
-    version: Cell<u64>,
-    heard: Cell<bool>,
-    /// As of when all that discovery had was known here: a line came, be it an empty one, or nobody was there to tell.
-    proved: Cell<Instant>,
-    /// It has said that it serves nobody now since its last line: it is there, and busy or down.
-    turns_away: Cell<bool>,
-    /// The first failure since the last line.
+    /// The poller key of each watch.
+    keys: [usize; MAX_WATCHES],
+    watches: RefCell<[Watch; MAX_WATCHES]>,
+    /// The generation of the list from which the next watch continues.
+    known_generation: Cell<u64>,
+    update_received: Cell<bool>,
+    /// The time as of which the list was confirmed: a line came, even an empty one, or discovery was down and could
+    /// inform nobody.
+    confirmed_at: Cell<Instant>,
+    /// Since the last line discovery has answered a watch with an error: it is up, but busy or not serving.
+    rejects_watches: Cell<bool>,
+    /// The time of the first failure since the last line.
     failing_since: Cell<Option<Instant>>,
-    /// Whom a watch without a descriptor asks for one.
-    others: Vec<Rc<dyn DescriptorHolder>>,
+    /// Components that can release a descriptor for a watch.
+    descriptor_holders: Vec<Rc<dyn DescriptorHolder>>,
 }
 
 impl Discovery {
-    /// `version`: what is known of the list from before.
+    /// `update` is the list that is known at the start.
     pub fn new(
-        others: Vec<Rc<dyn DescriptorHolder>>,
+        descriptor_holders: Vec<Rc<dyn DescriptorHolder>>,
         address: SocketAddr,
-        version: &ExecutorListUpdate,
-        keys: [usize; CALLS],
+        update: &ExecutorListUpdate,
+        keys: [usize; MAX_WATCHES],
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
     ) -> Discovery {
         Discovery {
@@ -96,240 +98,249 @@
             clock,
             counters: counters.clone(),
             keys,
-            calls: RefCell::default(),
-            version: Cell::new(version.generation),
-            heard: Cell::new(false),
-            proved: Cell::new(clock.now()),
-            turns_away: Cell::new(false),
+            watches: RefCell::default(),
+            known_generation: Cell::new(update.generation),
+            update_received: Cell::new(false),
+            confirmed_at: Cell::new(clock.now()),
+            rejects_watches: Cell::new(false),
             failing_since: Cell::new(None),
-            others,
+            descriptor_holders,
         }
     }
 
-    /// Discovery is at this address from now on. What the watch at the old one has said is taken in first, and
-    /// the new one goes on from there. Guards against losing word of a drain between the two.
-    pub fn moved(&self, address: SocketAddr, coordinator: &mut Coordinator) {
+    /// Changes the address of discovery. Lines that the watch at the old address has received are applied first, and
+    /// the new watch continues from there. Guards against losing the drain of an executor between the two.
+    pub fn set_address(&self, address: SocketAddr, coordinator: &mut Coordinator) {
         if self.address.replace(address) == address {
             return;
         }
-        for place in 0..CALLS {
-            self.stirred(place, self.proved.get(), coordinator);
+        for index in 0..MAX_WATCHES {
+            self.handle_event(index, self.confirmed_at.get(), coordinator);
         }
-        *self.calls.borrow_mut() = Default::default();
-        self.proves(self.proved.get().min(self.clock.now() - MOVED), false, coordinator);
+        *self.watches.borrow_mut() = Default::default();
+        self.confirm(self.confirmed_at.get().min(self.clock.now() - MOVE_MARGIN), false, coordinator);
         self.watch();
     }
 
-    /// Whether it has said anything since the start of this process, be it that nothing has changed.
-    pub fn was_heard(&self) -> bool {
-        self.heard.get()
+    /// Whether a line, even an empty one, was received since the start of this process.
+    pub fn was_update_received(&self) -> bool {
+        self.update_received.get()
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
-        let calls = self.calls.borrow();
-        calls.iter().flat_map(|call| [call.silent_at, call.ask_again_at]).flatten().min()
+    pub fn next_timeout(&self) -> Option<Instant> {
+        let watches = self.watches.borrow();
+        watches.iter().flat_map(|watch| [watch.times_out_at, watch.retry_at]).flatten().min()
     }
 
-    pub fn due(&self, coordinator: &mut Coordinator) {
+    pub fn handle_timeouts(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
-        for place in 0..CALLS {
-            let (silent, slow) = {
-                let call = &mut self.calls.borrow_mut()[place];
-                let slow = call.ask_again_at.take_if(|at| *at <= now).is_some();
-                (call.silent_at.is_some_and(|at| at <= now), slow)
+        for index in 0..MAX_WATCHES {
+            let (is_silent, is_slow) = {
+                let watch = &mut self.watches.borrow_mut()[index];
+                let is_slow = watch.retry_at.take_if(|at| *at <= now).is_some();
+                (watch.times_out_at.is_some_and(|at| at <= now), is_slow)
             };
-            if silent {
-                self.broken(place, "it is silent", coordinator);
-            } else if slow {
+            if is_silent {
+                self.watch_ended(index, "no line within the timeout", coordinator);
+            } else if is_slow {
                 coordinator.executor_list_lost();
             }
         }
     }
 
-    fn broken(&self, place: usize, what: &str, coordinator: &mut Coordinator) {
+    fn watch_ended(&self, index: usize, reason: &str, coordinator: &mut Coordinator) {
         let now = self.clock.now();
-        let call = std::mem::take(&mut self.calls.borrow_mut()[place]);
+        let watch = std::mem::take(&mut self.watches.borrow_mut()[index]);
         self.counters.watches_broken.increment();
-        info!("watch of the executor list ended after {:.1} s: {what}", now.since(call.called).seconds());
+        info!(
+            "watch of the executor list ended after {:.1} s: {reason}",
+            now.since(watch.opened_at).seconds()
+        );
         let since = self.failing_since.get().unwrap_or(now);
         self.failing_since.set(Some(since));
-        if now.since(since) >= UNREACHABLE_TIMEOUT && call.called > self.proved.get() {
-            self.proves(call.called, false, coordinator);
+        if now.since(since) >= UNREACHABLE_TIMEOUT && watch.opened_at > self.confirmed_at.get() {
+            self.confirm(watch.opened_at, false, coordinator);
         }
         coordinator.executor_list_lost();
     }
 
-    /// All that discovery had then is known here, as it said or as nobody could have been told more.
-    fn proves(&self, as_of: Instant, heard: bool, coordinator: &mut Coordinator) {
-        self.proved.set(as_of);
-        coordinator.executor_list_confirmed(as_of, heard);
+    /// The list here is what discovery had at `as_of`. `answered` says that discovery itself sent a line; otherwise
+    /// nobody could have been told of a later change.
+    fn confirm(&self, as_of: Instant, answered: bool, coordinator: &mut Coordinator) {
+        self.confirmed_at.set(as_of);
+        coordinator.executor_list_confirmed(as_of, answered);
     }
 
-    /// Something can be read, or the connection has come up; what can be read now came after `as_of`.
-    pub fn stirred(&self, place: usize, as_of: Instant, coordinator: &mut Coordinator) {
-        let (mut ended, refused) = {
-            let watch = &mut self.calls.borrow_mut()[place];
+    /// Handles readiness of a watch for reading, or the establishment of its connection. Input that is read now arrived
+    /// after `as_of`.
+    pub fn handle_event(&self, index: usize, as_of: Instant, coordinator: &mut Coordinator) {
+        let (mut end_reason, refused_watch) = {
+            let watch = &mut self.watches.borrow_mut()[index];
             match watch.advance(self.clock.now()) {
-                Ok(ended) => (ended.then(|| "discovery closed it".to_owned()), None),
+                Ok(end_reason) => (end_reason.then(|| "closed by discovery".to_owned()), None),
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
-                    (Some(e.to_string()), Some(watch.called))
+                    (Some(e.to_string()), Some(watch.opened_at))
                 }
                 Err(e) => (Some(e.to_string()), None),
             }
         };
-        self.turns_away.set(self.turns_away.get() | self.calls.borrow()[place].turned_away);
-        // Where nobody listens nobody has been told of anything.
-        if let Some(called) = refused.filter(|called| *called > self.proved.get()) {
-            self.proves(called, false, coordinator);
+        self.rejects_watches.set(self.rejects_watches.get() | self.watches.borrow()[index].was_rejected);
+        // Discovery is down if it refuses a connection, so it has told nobody of a change.
+        if let Some(opened_at) = refused_watch.filter(|opened_at| *opened_at > self.confirmed_at.get()) {
+            self.confirm(opened_at, false, coordinator);
         }
-        let mut missed_some = false;
-        // What came before the end still counts.
-        // The borrow must end before the coordinator is told, which may open the watch anew.
-        while let Some(line) = { self.calls.borrow_mut()[place].next_line() } {
-            let known = self.version.get();
+        let mut has_gap = false;
+        // Lines that came before the end of the watch still count. The borrow has to end before the coordinator is
+        // called, which may open a new watch.
+        while let Some(line) = { self.watches.borrow_mut()[index].next_line() } {
+            let known_generation = self.known_generation.get();
             if line.is_some() {
                 self.counters.list_lines.increment();
             }
-            let missed = match line {
+            let gap = match line {
                 None => None,
-                // Changes to an older list than this one: what lies between is not known.
-                Some(Ok(version)) if !version.reset && version.generation < known => {
-                    Some(format!("changes of version {} came after {known}", version.generation))
+                // The changes are relative to an older list than the known one; the changes between the two are
+                // unknown.
+                Some(Ok(update)) if !update.reset && update.generation < known_generation => {
+                    Some(format!("changes of version {} came after {known_generation}", update.generation))
                 }
-                Some(Ok(version)) => {
-                    self.version.set(version.generation);
-                    coordinator.executor_list_received(&version);
+                Some(Ok(update)) => {
+                    self.known_generation.set(update.generation);
+                    coordinator.executor_list_received(&update);
                     None
                 }
-                Some(Err(e)) => Some(format!("a line can't be read: {e}")),
+                Some(Err(e)) => Some(format!("invalid line: {e}")),
             };
-            if let Some(what) = missed {
-                // What it said is missing from now on: the whole list is asked for.
+            if let Some(reason) = gap {
+                // The content of this line is missing from now on, so the next watch asks for the whole list.
                 self.counters.list_bad.increment();
-                warn!("the list: {what}");
-                self.version.set(0);
-                (ended, missed_some) = (Some("a line could not be used".to_owned()), true);
+                warn!("executor list: {reason}");
+                self.known_generation.set(0);
+                (end_reason, has_gap) = (Some("a line could not be used".to_owned()), true);
                 break;
             }
-            // Lines alone prove that it is alive. Guards against chunks that never make one.
-            self.lives(place);
-            self.heard.set(true);
+            // Only complete lines prove that the watch is alive. Guards against chunks that never complete a line.
+            self.mark_live(index);
+            self.update_received.set(true);
             self.failing_since.set(None);
-            self.turns_away.set(false);
-            self.proves(as_of.max(self.proved.get()), true, coordinator);
+            self.rejects_watches.set(false);
+            self.confirm(as_of.max(self.confirmed_at.get()), true, coordinator);
         }
-        if let Some(what) = ended {
-            // Up to the end of a watch that was not silent all was told.
-            if self.calls.borrow()[place].lives && as_of > self.proved.get() && !missed_some {
-                self.proves(as_of, false, coordinator);
+        if let Some(reason) = end_reason {
+            // Everything up to the end of a watch that was not silent has been received.
+            if self.watches.borrow()[index].is_live && as_of > self.confirmed_at.get() && !has_gap {
+                self.confirm(as_of, false, coordinator);
             }
-            self.broken(place, &what, coordinator);
+            self.watch_ended(index, &reason, coordinator);
         }
     }
 
-    /// A line has come on it: it is the watch, and no other is needed.
-    fn lives(&self, place: usize) {
-        let mut calls = self.calls.borrow_mut();
-        let watch = &mut calls[place];
-        watch.silent_at = Some(self.clock.now() + SILENCE_TIMEOUT);
-        watch.ask_again_at = None;
-        if !std::mem::replace(&mut watch.lives, true) {
-            let others = calls.iter_mut().enumerate().filter(|(other, _)| *other != place);
-            others.for_each(|(_, call)| *call = Watch::default());
+    /// The watch has received a line: it is the one to keep, and any other is closed.
+    fn mark_live(&self, index: usize) {
+        let mut watches = self.watches.borrow_mut();
+        let watch = &mut watches[index];
+        watch.times_out_at = Some(self.clock.now() + SILENCE_TIMEOUT);
+        watch.retry_at = None;
+        if !std::mem::replace(&mut watch.is_live, true) {
+            let descriptor_holders = watches.iter_mut().enumerate().filter(|(other, _)| *other != index);
+            descriptor_holders.for_each(|(_, watch)| *watch = Watch::default());
         }
     }
 }
 
 impl Watch {
-    /// The next line that has come; nothing stands in it if it only says that all is well.
+    /// The next complete line; the inner `None` stands for an empty line, by which discovery says that nothing has
+    /// changed.
     fn next_line(&mut self) -> Option<Option<serde_json::Result<ExecutorListUpdate>>> {
         let buffer = &mut self.connection.as_mut()?.buffer;
-        let line = buffer.unread()[..self.plain].split_inclusive(|&byte| byte == b'\n').next()?;
-        let (length, text) = (line.len(), line.strip_suffix(b"\n")?.trim_ascii());
-        let version = (!text.is_empty()).then(|| serde_json::from_slice(text));
+        let line = buffer.unread()[..self.decoded_bytes].split_inclusive(|&byte| byte == b'\n').next()?;
+        let (length, request) = (line.len(), line.strip_suffix(b"\n")?.trim_ascii());
+        let update = (!request.is_empty()).then(|| serde_json::from_slice(request));
         buffer.done_with(length);
-        self.plain -= length;
-        Some(version)
+        self.decoded_bytes -= length;
+        Some(update)
     }
 
-    /// Reads what has come; whether the watch has ended.
+    /// Reads input; returns whether the watch has ended.
     fn advance(&mut self, now: Instant) -> io::Result<bool> {
         let Some(connection) = &mut self.connection else { return Ok(false) };
-        if self.dialling {
+        if self.is_connecting {
             if !connection.is_connected()? {
                 connection.watch(true)?;
                 return Ok(false);
             }
-            self.dialling = false;
-            self.silent_at = Some(now + FIRST_LINE_TIMEOUT);
+            self.is_connecting = false;
+            self.times_out_at = Some(now + FIRST_LINE_TIMEOUT);
         }
         connection.write()?;
-        let ended = connection.read()? == Reading::Ended;
-        let malformed = |m: http::Malformed| io::Error::other(format!("malformed answer ({})", m.0));
-        if !self.listening {
+        let end_reason = connection.read()? == Reading::Ended;
+        let malformed = |m: http::Malformed| io::Error::other(format!("malformed response ({})", m.0));
+        if !self.head_received {
             let head = http::response_head(connection.buffer.unread(), &LIMITS).map_err(malformed)?;
             let Some((head, length)) = head else {
                 connection.watch(false)?;
-                return Ok(ended);
+                return Ok(end_reason);
             };
             if head.status != 200 {
-                self.turned_away = true;
+                self.was_rejected = true;
                 return Err(io::Error::other(format!("discovery answered {}", head.status)));
             }
             connection.buffer.done_with(length);
-            self.listening = true;
+            self.head_received = true;
         }
         while let Some((data, length)) =
-            http::chunk(&connection.buffer.unread()[self.plain..], &LIMITS).map_err(malformed)?
+            http::chunk(&connection.buffer.unread()[self.decoded_bytes..], &LIMITS).map_err(malformed)?
         {
             if data.is_empty() {
                 return Ok(true);
             }
-            connection.buffer.cut(self.plain + data.end..self.plain + length);
-            connection.buffer.cut(self.plain..self.plain + data.start);
-            self.plain += data.len();
+            connection.buffer.cut(self.decoded_bytes + data.end..self.decoded_bytes + length);
+            connection.buffer.cut(self.decoded_bytes..self.decoded_bytes + data.start);
+            self.decoded_bytes += data.len();
         }
         connection.watch(false)?;
-        Ok(ended)
+        Ok(end_reason)
     }
 }
 
 impl ExecutorListSource for Discovery {
-    /// Calls for the watch, unless it lives or as many calls wait for it as may.
+    /// Opens a watch, unless one is live or the maximum number of watches is open.
     fn watch(&self) {
-        let mut calls = self.calls.borrow_mut();
-        if calls.iter().any(|call| call.lives) {
+        let mut watches = self.watches.borrow_mut();
+        if watches.iter().any(|watch| watch.is_live) {
             return;
         }
-        let vacant = calls.iter().position(|call| call.connection.is_none() && call.silent_at.is_none());
-        let Some(place) = vacant else { return };
-        let watch = &mut calls[place];
+        let free =
+            watches.iter().position(|watch| watch.connection.is_none() && watch.times_out_at.is_none());
+        let Some(index) = free else { return };
+        let watch = &mut watches[index];
         let address = self.address.get();
         self.counters.watches.increment();
-        let text = format!(
+        let request = format!(
             "GET /v1/endpoints?stream=1&index={} HTTP/1.1\r\nHost: {}\r\n\r\n",
-            self.version.get(),
+            self.known_generation.get(),
             address
         );
-        // Guards against a node that hears of no drain since its table is full.
-        let opened = Connection::dial_with_reclaim(&self.others, address, &self.poller, self.keys[place])
-            .map(|mut connection| {
-                connection.buffer.put(text.as_bytes());
-                connection.set_max_unread(MAX_LINE);
-                connection
-            });
+        // Guards against a node that learns of no drain because its descriptor table is full.
+        let connection =
+            Connection::dial_with_reclaim(&self.descriptor_holders, address, &self.poller, self.keys[index])
+                .map(|mut connection| {
+                    connection.buffer.put(request.as_bytes());
+                    connection.set_max_unread(MAX_LINE);
+                    connection
+                });
         let now = self.clock.now();
-        watch.called = now;
-        match opened {
+        watch.opened_at = now;
+        match connection {
             Ok(connection) => {
-                (watch.connection, watch.dialling) = (Some(connection), true);
-                watch.silent_at = Some(now + CONNECT_TIMEOUT);
-                // Guards against twice the calls at one that has too many.
-                watch.ask_again_at = Some(now + RETRY_DELAY).filter(|_| !self.turns_away.get());
+                (watch.connection, watch.is_connecting) = (Some(connection), true);
+                watch.times_out_at = Some(now + CONNECT_TIMEOUT);
+                // Guards against twice the number of watches at a discovery that is overloaded.
+                watch.retry_at = Some(now + RETRY_DELAY).filter(|_| !self.rejects_watches.get());
             }
             Err(e) => {
-                warn!("discovery can't be reached: {e}");
-                watch.silent_at = Some(now);
+                warn!("cannot connect to discovery: {e}");
+                watch.times_out_at = Some(now);
             }
         }
     }
--- a/crates/node/src/wire/executors.rs
+++ b/crates/node/src/wire/executors.rs
@@ -1,4 +1,4 @@
-//! The client side: connections to executors, on which allocations are sent and given up, and probes made.
+//! Connections to executors, on which attempts and cancellations are sent and probes are made.
 
 use crate::coordinator::Coordinator;
 use crate::interfaces::{DescriptorHolder, ExecutorTransport};
@@ -22,52 +22,55 @@
 use std::rc::Rc;
 use tracing::{debug, trace};
 
-/// Giving up and probing are answered beside the work, within round trips: a second is silence.
+/// The response timeout of cancellations and probes. Executors answer them beside their work, within round trips: after
+/// a second there is no answer to come.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A job is taken within round trips as well, long before it starts. An executor that stands still for a moment is
-/// borne for half a second; for longer where the job can go to no other, as there is nothing to be won by it.
+/// The time in which an executor has to accept an attempt. It accepts within round trips as well, long before the
+/// request starts to run. A brief stall of the executor is tolerated for half a second, and for longer where the
+/// request may go to no other executor, as then nothing is gained by giving up.
 const ACCEPT_TIMEOUT: Duration = Duration::from_millis(500);
 const NON_IDEMPOTENT_ACCEPT_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A binding job goes only on a connection that was in use a moment ago: executors may close what stands idle long
-/// before the settings' time, and a reset then says that it may have run.
-const BINDING_IDLE: Duration = Duration::from_millis(50);
+/// A non-idempotent request is sent only on a connection that was in use this recently. Executors may close idle
+/// connections long before the configured time, and after a reset the request would count as one that may have run.
+const NON_IDEMPOTENT_MAX_IDLE: Duration = Duration::from_millis(50);
 
-/// Asking a job back is answered within round trips by an executor that is there: its unit waits for no other.
+/// The response timeout of the cancellation of an unacknowledged attempt. An executor that is up answers within round
+/// trips; the request is sent to no other executor meanwhile.
 const STATUS_QUERY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Whether a job may never run twice.
-type Binding = bool;
+/// Whether a request must never run twice.
+type NonIdempotent = bool;
 
-/// What a connection is used for now.
+/// What a connection is in use for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Use {
-    Allocation(AttemptId, Binding),
-    GivingUp(AttemptId),
-    AskingBack(AttemptId, AttemptOutcome),
+enum Purpose {
+    Attempt(AttemptId, NonIdempotent),
+    Cancellation(AttemptId),
+    UnacknowledgedCancellation(AttemptId, AttemptOutcome),
     Probe,
     Idle,
 }
 
-struct Line {
+struct PooledConnection {
     connection: Connection,
     executor: ExecutorId,
     address: SocketAddr,
     serial: u64,
-    dialling: bool,
-    /// Not all of what it is used for has been written yet.
-    unsent: bool,
-    used: Use,
-    /// When to stop waiting for what it is used for, or to retire it.
-    due: Option<Alarm>,
+    is_connecting: bool,
+    /// The message has not been written completely yet.
+    is_writing: bool,
+    purpose: Purpose,
+    /// The alarm at which the response times out, or at which the idle connection is closed.
+    timeout: Option<Alarm>,
     idle_since: Instant,
 }
 
-struct Lines {
-    kept: Slab<Line>,
-    dues: Alarms<(usize, u64)>,
+struct ConnectionPool {
+    connections: Slab<PooledConnection>,
+    timeouts: Alarms<(usize, u64)>,
     next_serial: u64,
-    /// What ended while the decisions were speaking; told as soon as they listen again.
-    untold: Vec<(ExecutorId, Use, AttemptOutcome)>,
+    /// Outcomes that arose during a call of the dispatcher; they are reported once that call has returned.
+    unreported: Vec<(ExecutorId, Purpose, AttemptOutcome)>,
 }
 
 pub struct Executors {
@@ -75,19 +78,19 @@
     clock: Clock,
     counters: Rc<Counters>,
     key: fn(usize) -> usize,
-    most: Cell<usize>,
+    max_connections: Cell<usize>,
     dial_time_out: Duration,
-    retire_after: Duration,
-    lines: RefCell<Lines>,
-    /// Whom a dial without a descriptor asks for one.
-    others: Vec<Rc<dyn DescriptorHolder>>,
+    idle_timeout: Duration,
+    pool: RefCell<ConnectionPool>,
+    /// Components that can release a descriptor for a new connection.
+    descriptor_holders: Vec<Rc<dyn DescriptorHolder>>,
 }
 
 impl Executors {
     pub fn new(
-        others: Vec<Rc<dyn DescriptorHolder>>,
-        most: usize,
-        (dial_time_out, retire_after): (Duration, Duration),
+        descriptor_holders: Vec<Rc<dyn DescriptorHolder>>,
+        max_connections: usize,
+        (dial_time_out, idle_timeout): (Duration, Duration),
         key: fn(usize) -> usize,
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
     ) -> Executors {
@@ -96,376 +99,431 @@
             clock,
             counters: counters.clone(),
             key,
-            most: Cell::new(most),
+            max_connections: Cell::new(max_connections),
             dial_time_out,
-            retire_after,
-            lines: RefCell::new(Lines {
-                kept: Slab::new(),
-                dues: Alarms::default(),
+            idle_timeout,
+            pool: RefCell::new(ConnectionPool {
+                connections: Slab::new(),
+                timeouts: Alarms::default(),
                 next_serial: 0,
-                untold: Vec::new(),
+                unreported: Vec::new(),
             }),
-            others,
+            descriptor_holders,
         }
     }
 
-    /// How many connections may be held from now on.
-    pub fn hold(&self, most: usize) {
-        self.most.set(most);
+    /// Sets the maximum number of connections.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
     }
 
-    /// Sends a message on a connection that stands idle, or on a new one.
-    fn speak(&self, executor: ExecutorId, address: Option<SocketAddr>, used: Use, message: &[u8]) {
-        let mut lines = self.lines.borrow_mut();
-        let place = address.ok_or_else(|| io::Error::other("no address")).and_then(|address| {
-            let good_for = if let Use::Allocation(_, true) = used { BINDING_IDLE } else { self.retire_after };
-            match self.idle_line(&mut lines, executor, address) {
-                Some(place) if self.clock.now().since(lines.kept[place].idle_since) < good_for => Ok(place),
-                idle => {
-                    // The new one takes its place, or they would pile up.
-                    idle.inspect(|&place| drop(lines.kept.remove(place)));
-                    self.dial(&mut lines, executor, address)
+    /// Sends a message on an idle connection, or on a new one.
+    fn send(&self, executor: ExecutorId, address: Option<SocketAddr>, purpose: Purpose, message: &[u8]) {
+        let mut pool = self.pool.borrow_mut();
+        let index =
+            address.ok_or_else(|| io::Error::other("the executor has no address")).and_then(|address| {
+                let max_idle = if let Purpose::Attempt(_, true) = purpose {
+                    NON_IDEMPOTENT_MAX_IDLE
+                } else {
+                    self.idle_timeout
+                };
+                match self.find_idle(&mut pool, executor, address) {
+                    Some(index) if self.clock.now().since(pool.connections[index].idle_since) < max_idle => {
+                        Ok(index)
+                    }
+                    found => {
+                        // The new connection replaces the idle one. Guards against idle connections that pile up.
+                        found.inspect(|&index| drop(pool.connections.remove(index)));
+                        self.dial(&mut pool, executor, address)
+                    }
                 }
-            }
-        });
-        let place = match place {
-            Ok(place) => place,
+            });
+        let index = match index {
+            Ok(index) => index,
             Err(e) => {
                 debug!("no connection to executor {}: {e}", executor.0);
                 self.counters.dials_failed.increment();
-                let ending = if none_left(&e) { AttemptOutcome::CutOff } else { AttemptOutcome::Refused };
-                return lines.untold.push((executor, used, ending));
+                let outcome =
+                    if is_connection_shortage(&e) { AttemptOutcome::CutOff } else { AttemptOutcome::Refused };
+                return pool.unreported.push((executor, purpose, outcome));
             }
         };
-        let Lines { kept, dues, .. } = &mut *lines;
-        let line = &mut kept[place];
-        (line.used, line.unsent) = (used, true);
-        line.connection.buffer.put(message);
-        if line.dialling {
-            wait(place, line, dues, self.clock.now() + self.dial_time_out);
+        let ConnectionPool { connections, timeouts, .. } = &mut *pool;
+        let pooled = &mut connections[index];
+        (pooled.purpose, pooled.is_writing) = (purpose, true);
+        pooled.connection.buffer.put(message);
+        if pooled.is_connecting {
+            set_timeout(index, pooled, timeouts, self.clock.now() + self.dial_time_out);
         } else {
-            self.wait_for_answer(place, line, dues);
+            self.wait_for_answer(index, pooled, timeouts);
         }
-        // A failure shows when the loop looks at the connection: it is watched for that.
-        let written = if line.dialling { Ok(()) } else { self.write(line) };
-        if written.and_then(|()| line.connection.watch(line.dialling)).is_err() {
-            let ending = broken(&kept.remove(place));
-            lines.untold.push((executor, used, ending));
+        // A failure is noticed when the event loop handles the connection, which is watched for that.
+        let written = if pooled.is_connecting { Ok(()) } else { self.write(pooled) };
+        if written.and_then(|()| pooled.connection.watch(pooled.is_connecting)).is_err() {
+            let outcome = outcome_when_broken(&connections.remove(index));
+            pool.unreported.push((executor, purpose, outcome));
         }
     }
 
-    /// The one used last: the others may then be retired. Guards against a request written to a connection
-    /// that the executor has closed a moment ago: it would have to count as one that may have run.
-    fn idle_line(&self, lines: &mut Lines, executor: ExecutorId, address: SocketAddr) -> Option<usize> {
+    /// The idle connection that was used last, so that the others can expire. Guards against a request on a connection
+    /// that the executor has just closed: it would have to count as one that may have run.
+    fn find_idle(
+        &self,
+        pool: &mut ConnectionPool,
+        executor: ExecutorId,
+        address: SocketAddr,
+    ) -> Option<usize> {
         let now = self.clock.now();
         loop {
-            let fit = lines.kept.iter().filter(|(_, line)| {
-                line.used == Use::Idle
-                    && line.executor == executor
-                    && line.address == address
-                    && now.since(line.idle_since) < self.retire_after
+            let candidates = pool.connections.iter().filter(|(_, pooled)| {
+                pooled.purpose == Purpose::Idle
+                    && pooled.executor == executor
+                    && pooled.address == address
+                    && now.since(pooled.idle_since) < self.idle_timeout
             });
-            let (place, _) = fit.max_by_key(|(_, line)| line.idle_since)?;
-            let connection = &mut lines.kept[place].connection;
+            let (index, _) = candidates.max_by_key(|(_, pooled)| pooled.idle_since)?;
+            let connection = &mut pool.connections[index].connection;
             if matches!(connection.read(), Ok(Reading::Open)) && connection.buffer.unread().is_empty() {
-                return Some(place);
+                return Some(index);
             }
-            lines.kept.remove(place);
+            pool.connections.remove(index);
         }
     }
 
-    fn dial(&self, lines: &mut Lines, executor: ExecutorId, address: SocketAddr) -> io::Result<usize> {
-        if lines.kept.len() >= self.most.get() {
-            let in_use = || io::Error::new(ErrorKind::QuotaExceeded, "all connections are in use");
-            drop_oldest_idle(lines).ok_or_else(in_use)?;
+    fn dial(
+        &self,
+        pool: &mut ConnectionPool,
+        executor: ExecutorId,
+        address: SocketAddr,
+    ) -> io::Result<usize> {
+        if pool.connections.len() >= self.max_connections.get() {
+            let all_in_use =
+                || io::Error::new(ErrorKind::QuotaExceeded, "the maximum number of connections is in use");
+            drop_oldest_idle(pool).ok_or_else(all_in_use)?;
         }
-        let serial = lines.next_serial;
-        lines.next_serial += 1;
-        let key = (self.key)(lines.kept.vacant_key());
-        let dialled = match Connection::dial(address, &self.poller, key) {
-            // No descriptor left: one idle connection makes room, or others who can spare one. Guards against units that
-            // are turned back while those who call from outside hold all descriptors.
-            Err(e) if none_left(&e) && drop_oldest_idle(lines).is_some() => {
-                Connection::dial(address, &self.poller, (self.key)(lines.kept.vacant_key()))?
+        let serial = pool.next_serial;
+        pool.next_serial += 1;
+        let key = (self.key)(pool.connections.vacant_key());
+        let connected = match Connection::dial(address, &self.poller, key) {
+            // The process has no descriptor left: closes an idle connection, or asks other components to release a
+            // descriptor. Guards against requests that are rejected while inbound connections hold all descriptors.
+            Err(e) if is_connection_shortage(&e) && drop_oldest_idle(pool).is_some() => {
+                Connection::dial(address, &self.poller, (self.key)(pool.connections.vacant_key()))?
             }
-            Err(e) if none_left(&e) => {
-                Connection::dial_with_reclaim(&self.others, address, &self.poller, key)?
+            Err(e) if is_connection_shortage(&e) => {
+                Connection::dial_with_reclaim(&self.descriptor_holders, address, &self.poller, key)?
             }
-            dialled => dialled?,
+            connected => connected?,
         };
         self.counters.dials.increment();
-        Ok(lines.kept.insert(Line {
-            connection: dialled,
+        Ok(pool.connections.insert(PooledConnection {
+            connection: connected,
             executor,
             address,
             serial,
-            dialling: true,
-            unsent: false,
-            used: Use::Idle,
-            due: None,
+            is_connecting: true,
+            is_writing: false,
+            purpose: Purpose::Idle,
+            timeout: None,
             idle_since: self.clock.now(),
         }))
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
-        let lines = self.lines.borrow();
-        if lines.untold.is_empty() { lines.dues.next_at() } else { Some(Instant(0)) }
+    pub fn next_timeout(&self) -> Option<Instant> {
+        let pool = self.pool.borrow();
+        if pool.unreported.is_empty() { pool.timeouts.next_at() } else { Some(Instant(0)) }
     }
 
-    /// What fell due: connections that never came up, silence, and idle connections to be retired.
-    pub fn due(&self, coordinator: &mut Coordinator) {
+    /// Handles connections that were not established in time, responses that did not come in time, and idle connections
+    /// that have expired.
+    pub fn handle_timeouts(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         loop {
-            let Some((place, serial)) = ({ self.lines.borrow_mut().dues.due(now) }) else { break };
-            let waits_for = || {
-                let lines = self.lines.borrow();
-                lines.kept.get(place).filter(|line| line.serial == serial).map(|line| (line.used, line.due))
+            let Some((index, serial)) = ({ self.pool.borrow_mut().timeouts.due(now) }) else { break };
+            let current_purpose = || {
+                let pool = self.pool.borrow();
+                pool.connections
+                    .get(index)
+                    .filter(|pooled| pooled.serial == serial)
+                    .map(|pooled| (pooled.purpose, pooled.timeout))
             };
-            let before = waits_for();
+            let before = current_purpose();
             if before.is_none() {
                 continue;
             }
-            // A last look. Guards against an answer that has come while others had their turn: an executor that has said
-            // that it took a job is not told otherwise by the end of a connection, and another would be a second copy.
-            self.stirred(place, coordinator);
-            if waits_for() != before {
+            // Checks the connection once more. Guards against a response that came while other events were handled: an
+            // executor that has accepted a request must not see its connection closed, and another attempt would be a
+            // second copy.
+            self.handle_event(index, coordinator);
+            if current_purpose() != before {
                 continue;
             }
-            let mut lines = self.lines.borrow_mut();
-            let line = lines.kept.remove(place);
-            match line.used {
-                Use::Idle => self.counters.idle_retired.increment(),
-                used => {
-                    let ending = match broken(&line) {
-                        _ if line.dialling => {
+            let mut pool = self.pool.borrow_mut();
+            let pooled = pool.connections.remove(index);
+            match pooled.purpose {
+                Purpose::Idle => self.counters.idle_retired.increment(),
+                purpose => {
+                    let outcome = match outcome_when_broken(&pooled) {
+                        _ if pooled.is_connecting => {
                             self.counters.dials_failed.increment();
                             AttemptOutcome::Refused
                         }
-                        // Nothing came back, and nothing broke. Its sisters may be as silent: the next dial shows
-                        // whether anybody is there.
+                        // There was no response, but the connection did not break. The executor's idle connections may
+                        // be as unresponsive: they are closed, so that the next attempt connects anew and shows whether
+                        // the executor is up.
                         AttemptOutcome::Reset => {
-                            lines.kept.retain(|_, l| l.executor != line.executor || l.used != Use::Idle);
+                            pool.connections.retain(|_, other| {
+                                other.executor != pooled.executor || other.purpose != Purpose::Idle
+                            });
                             AttemptOutcome::TimedOut
                         }
                         other => other,
                     };
-                    lines.untold.push((line.executor, used, ending));
+                    pool.unreported.push((pooled.executor, purpose, outcome));
                 }
             }
         }
-        self.tell(coordinator);
+        self.report(coordinator);
     }
 
-    fn tell(&self, coordinator: &mut Coordinator) {
+    fn report(&self, coordinator: &mut Coordinator) {
         loop {
-            let Some((executor, used, ending)) = ({
-                let mut lines = self.lines.borrow_mut();
-                if lines.untold.is_empty() { None } else { Some(lines.untold.remove(0)) }
+            let Some((executor, purpose, outcome)) = ({
+                let mut pool = self.pool.borrow_mut();
+                if pool.unreported.is_empty() { None } else { Some(pool.unreported.remove(0)) }
             }) else {
                 return;
             };
-            match used {
-                Use::Allocation(id, _)
-                    if matches!(ending, AttemptOutcome::TimedOut | AttemptOutcome::Reset) =>
+            match purpose {
+                Purpose::Attempt(id, _)
+                    if matches!(outcome, AttemptOutcome::TimedOut | AttemptOutcome::Reset) =>
                 {
-                    coordinator.attempt_unacknowledged(id, ending);
+                    coordinator.attempt_unacknowledged(id, outcome);
                 }
-                Use::Allocation(id, _) => coordinator.attempt_ended(id, ending, None),
-                Use::GivingUp(id) => coordinator.cancellation_failed(id),
-                // Nobody is there, or stands still.
-                Use::AskingBack(id, before) => coordinator.attempt_ended(id, before, None),
-                Use::Probe => coordinator.probe_completed(executor, None),
-                Use::Idle => {}
+                Purpose::Attempt(id, _) => coordinator.attempt_ended(id, outcome, None),
+                Purpose::Cancellation(id) => coordinator.cancellation_failed(id),
+                // The executor is down or does not respond.
+                Purpose::UnacknowledgedCancellation(id, outcome) => {
+                    coordinator.attempt_ended(id, outcome, None);
+                }
+                Purpose::Probe => coordinator.probe_completed(executor, None),
+                Purpose::Idle => {}
             }
         }
     }
 
-    /// Something can be read from or written to a connection, or it has come up.
-    pub fn stirred(&self, place: usize, coordinator: &mut Coordinator) {
-        let answer = {
-            let mut lines = self.lines.borrow_mut();
-            let Lines { kept, dues, .. } = &mut *lines;
-            let Some(line) = kept.get_mut(place) else { return };
-            match self.advance(place, line, dues, coordinator) {
+    /// Handles readiness of a connection for reading or writing, or its establishment.
+    pub fn handle_event(&self, index: usize, coordinator: &mut Coordinator) {
+        let result = {
+            let mut pool = self.pool.borrow_mut();
+            let ConnectionPool { connections, timeouts, .. } = &mut *pool;
+            let Some(pooled) = connections.get_mut(index) else { return };
+            match self.advance(index, pooled, timeouts, coordinator) {
                 Ok(None) => return,
                 Ok(Some(response)) => {
-                    let (executor, used) = (line.executor, line.used);
+                    let (executor, purpose) = (pooled.executor, pooled.purpose);
                     if response.headers.closes {
-                        lines.kept.remove(place);
+                        pool.connections.remove(index);
                     } else {
-                        self.stand_idle(&mut lines, place);
+                        self.make_idle(&mut pool, index);
                     }
-                    Ok((executor, used, response))
+                    Ok((executor, purpose, response))
                 }
                 Err(e) => {
-                    let line = lines.kept.remove(place);
-                    if line.used != Use::Idle {
-                        debug!("connection to executor {} broke: {e}", line.executor.0);
+                    let pooled = pool.connections.remove(index);
+                    if pooled.purpose != Purpose::Idle {
+                        debug!("connection to executor {} failed: {e}", pooled.executor.0);
                     }
-                    if line.dialling {
+                    if pooled.is_connecting {
                         self.counters.dials_failed.increment();
                     }
-                    let refused = line.dialling && e.kind() == ErrorKind::ConnectionRefused;
-                    let ending = if refused { AttemptOutcome::Refused } else { broken(&line) };
-                    Err((line.executor, line.used, ending))
+                    let refused = pooled.is_connecting && e.kind() == ErrorKind::ConnectionRefused;
+                    let outcome =
+                        if refused { AttemptOutcome::Refused } else { outcome_when_broken(&pooled) };
+                    Err((pooled.executor, pooled.purpose, outcome))
                 }
             }
         };
-        if let Err((executor, _, AttemptOutcome::Refused)) = &answer {
+        if let Err((executor, _, AttemptOutcome::Refused)) = &result {
             coordinator.executor_down(*executor);
         }
-        match answer {
-            Ok((executor, used, response)) => self.answered(executor, used, &response, coordinator),
-            Err(ended) => {
-                self.lines.borrow_mut().untold.push(ended);
-                self.tell(coordinator);
+        match result {
+            Ok((executor, purpose, response)) => {
+                self.response_received(executor, purpose, &response, coordinator);
+            }
+            Err(ended_attempt) => {
+                self.pool.borrow_mut().unreported.push(ended_attempt);
+                self.report(coordinator);
             }
         }
     }
 
-    /// Moves one connection on: the answer if it is whole, an error if the connection is of no more use.
+    /// Advances one connection: returns the response once it is complete, and an error if the connection is no longer
+    /// usable.
     fn advance(
         &self,
-        place: usize,
-        line: &mut Line,
-        dues: &mut Alarms<(usize, u64)>,
+        index: usize,
+        pooled: &mut PooledConnection,
+        timeouts: &mut Alarms<(usize, u64)>,
         coordinator: &mut Coordinator,
     ) -> io::Result<Option<Response>> {
-        if line.dialling {
-            if !line.connection.is_connected()? {
-                line.connection.watch(true)?;
+        if pooled.is_connecting {
+            if !pooled.connection.is_connected()? {
+                pooled.connection.watch(true)?;
                 return Ok(None);
             }
-            if let Use::Allocation(id, _) = line.used
-                && !coordinator.may_send(id, line.executor)
+            if let Purpose::Attempt(id, _) = pooled.purpose
+                && !coordinator.may_send(id, pooled.executor)
             {
-                return Err(io::Error::other("it came up too late"));
+                return Err(io::Error::other("the connection was established too late"));
             }
-            line.dialling = false;
-            self.wait_for_answer(place, line, dues);
+            pooled.is_connecting = false;
+            self.wait_for_answer(index, pooled, timeouts);
         }
-        self.write(line)?;
-        let reading = line.connection.read()?;
-        let read = http::response(line.connection.buffer.unread(), &LIMITS);
-        let read = read.map_err(|m| io::Error::other(format!("malformed answer ({})", m.0)))?;
+        self.write(pooled)?;
+        let reading = pooled.connection.read()?;
+        let read = http::response(pooled.connection.buffer.unread(), &LIMITS);
+        let read = read.map_err(|m| io::Error::other(format!("malformed response ({})", m.0)))?;
         if let Some((mut response, length)) = read
-            && line.used != Use::Idle
-            && !line.connection.buffer.waits_to_write()
+            && pooled.purpose != Purpose::Idle
+            && !pooled.connection.buffer.waits_to_write()
         {
-            line.connection.buffer.done_with(length);
+            pooled.connection.buffer.done_with(length);
             if reading == Reading::Open {
-                line.connection.watch(false)?;
+                pooled.connection.watch(false)?;
             }
             response.headers.closes |= reading == Reading::Ended;
             return Ok(Some(response));
         }
-        // Nothing is to be said on a connection that stands idle.
+        // An idle connection expects no input.
         if reading == Reading::Ended
-            || (line.used == Use::Idle && !line.connection.buffer.unread().is_empty())
+            || (pooled.purpose == Purpose::Idle && !pooled.connection.buffer.unread().is_empty())
         {
             return Err(ErrorKind::ConnectionReset.into());
         }
-        line.connection.watch(false)?;
+        pooled.connection.watch(false)?;
         Ok(None)
     }
 
-    /// Writes what can be written. An attempt counts once its last byte is gone.
-    fn write(&self, line: &mut Line) -> io::Result<()> {
-        line.connection.write()?;
-        if line.unsent && !line.connection.buffer.waits_to_write() {
-            line.unsent = false;
-            if let Use::Allocation(..) = line.used {
+    /// Writes what can be written. An attempt is counted as sent once its last byte is written.
+    fn write(&self, pooled: &mut PooledConnection) -> io::Result<()> {
+        pooled.connection.write()?;
+        if pooled.is_writing && !pooled.connection.buffer.waits_to_write() {
+            pooled.is_writing = false;
+            if let Purpose::Attempt(..) = pooled.purpose {
                 self.counters.relayed.increment();
             }
         }
         Ok(())
     }
 
-    fn stand_idle(&self, lines: &mut Lines, place: usize) {
-        let Lines { kept, dues, .. } = lines;
-        let line = &mut kept[place];
-        (line.used, line.idle_since) = (Use::Idle, self.clock.now());
-        wait(place, line, dues, line.idle_since + self.retire_after);
+    fn make_idle(&self, pool: &mut ConnectionPool, index: usize) {
+        let ConnectionPool { connections, timeouts, .. } = pool;
+        let pooled = &mut connections[index];
+        (pooled.purpose, pooled.idle_since) = (Purpose::Idle, self.clock.now());
+        set_timeout(index, pooled, timeouts, pooled.idle_since + self.idle_timeout);
     }
 
-    /// Guards against a unit that waits for the whole of its patience on a connection that fell silent, and against
-    /// taking its executor for full meanwhile.
-    fn wait_for_answer(&self, place: usize, line: &mut Line, dues: &mut Alarms<(usize, u64)>) {
-        let within = match line.used {
-            Use::Allocation(_, true) => NON_IDEMPOTENT_ACCEPT_TIMEOUT,
-            Use::Allocation(_, false) => ACCEPT_TIMEOUT,
-            Use::AskingBack(..) => STATUS_QUERY_TIMEOUT,
+    /// Guards against a request that waits until its deadline on a connection that no longer responds, while its
+    /// executor is taken to be busy.
+    fn wait_for_answer(
+        &self,
+        index: usize,
+        pooled: &mut PooledConnection,
+        timeouts: &mut Alarms<(usize, u64)>,
+    ) {
+        let timeout = match pooled.purpose {
+            Purpose::Attempt(_, true) => NON_IDEMPOTENT_ACCEPT_TIMEOUT,
+            Purpose::Attempt(_, false) => ACCEPT_TIMEOUT,
+            Purpose::UnacknowledgedCancellation(..) => STATUS_QUERY_TIMEOUT,
             _ => ANSWER_TIMEOUT,
         };
-        wait(place, line, dues, self.clock.now() + within);
+        set_timeout(index, pooled, timeouts, self.clock.now() + timeout);
     }
 
-    /// Closes what is used for this; whether some answer had come on it, after which its end tells the executor nothing.
-    fn closes(&self, used: Use) -> bool {
-        let mut lines = self.lines.borrow_mut();
-        let Some(place) = lines.kept.iter().find(|(_, line)| line.used == used).map(|(place, _)| place)
+    /// Closes the connection that is in use for this purpose. Returns whether part of a response had come on it, as
+    /// then its end no longer tells the executor anything.
+    fn close_used_for(&self, purpose: Purpose) -> bool {
+        let mut pool = self.pool.borrow_mut();
+        let Some(index) =
+            pool.connections.iter().find(|(_, pooled)| pooled.purpose == purpose).map(|(index, _)| index)
         else {
             return false;
         };
-        let mut line = lines.kept.remove(place);
-        // One that is broken has no more to say.
-        let _ = line.connection.read();
-        !line.connection.buffer.unread().is_empty()
+        let mut pooled = pool.connections.remove(index);
+        // A read error means only that nothing more can be read.
+        let _ = pooled.connection.read();
+        !pooled.connection.buffer.unread().is_empty()
     }
 
-    /// What the answer to a request means, by the protocol's table.
-    fn answered(&self, executor: ExecutorId, used: Use, response: &Response, coordinator: &mut Coordinator) {
-        trace!("{used:?} at executor {}: {response:?}", executor.0);
+    /// Interprets a response by the protocol's table.
+    fn response_received(
+        &self,
+        executor: ExecutorId,
+        purpose: Purpose,
+        response: &Response,
+        coordinator: &mut Coordinator,
+    ) {
+        trace!("{purpose:?} at executor {}: {response:?}", executor.0);
         let report = response.headers.get(load::HEADER).and_then(|text| coordinator.reports().text(text));
-        let unstarted = response.headers.get("X-Rejected") == Some("1");
-        match (used, response.status) {
-            (Use::Allocation(id, _), 202) => coordinator.attempt_accepted(id),
-            (Use::Allocation(id, _), 503 | 504) if unstarted => {
+        let not_started = response.headers.get("X-Rejected") == Some("1");
+        match (purpose, response.status) {
+            (Purpose::Attempt(id, _), 202) => coordinator.attempt_accepted(id),
+            (Purpose::Attempt(id, _), 503 | 504) if not_started => {
                 coordinator.attempt_ended(id, AttemptOutcome::Full, report);
             }
-            // The client's fault, not the executor's: an id that is another's, say.
-            (Use::Allocation(id, _), 400..500) => {
+            // The client's mistake and not the executor's, for example an ID that another request has.
+            (Purpose::Attempt(id, _), 400..500) => {
                 coordinator.attempt_ended(id, AttemptOutcome::Unusable, report);
             }
-            (Use::Allocation(id, _), _) => coordinator.attempt_ended(id, AttemptOutcome::Error, report),
-            (Use::GivingUp(id), ..500) => coordinator.attempt_ended(id, AttemptOutcome::Cancelled, None),
-            (Use::GivingUp(id), _) => coordinator.cancellation_failed(id),
-            (Use::AskingBack(id, before), _) => coordinator.attempt_ended(id, before, None),
-            (Use::Probe, _) => {
+            (Purpose::Attempt(id, _), _) => coordinator.attempt_ended(id, AttemptOutcome::Error, report),
+            (Purpose::Cancellation(id), ..500) => {
+                coordinator.attempt_ended(id, AttemptOutcome::Cancelled, None);
+            }
+            (Purpose::Cancellation(id), _) => coordinator.cancellation_failed(id),
+            (Purpose::UnacknowledgedCancellation(id, outcome), _) => {
+                coordinator.attempt_ended(id, outcome, None);
+            }
+            (Purpose::Probe, _) => {
                 let report = report.or_else(|| coordinator.reports().body(&response.body));
                 coordinator.probe_completed(executor, report);
             }
-            (Use::Idle, _) => {}
+            (Purpose::Idle, _) => {}
         }
     }
 }
 
-/// How what a connection was used for ended when it broke: nothing has run of a request whose last byte was
-/// not written. Guards against taking an executor for restarted, and so for cold, that reset a connection: only
-/// one that refuses is gone.
-fn broken(line: &Line) -> AttemptOutcome {
-    let unsent = line.dialling || line.connection.buffer.waits_to_write();
-    if unsent { AttemptOutcome::CutOff } else { AttemptOutcome::Reset }
+/// The outcome of what a connection was in use for when the connection broke. Nothing has run of a request whose last
+/// byte was not written. Guards against taking an executor that reset a connection to be restarted, and so in slow
+/// start: only one that refuses connections is down.
+fn outcome_when_broken(pooled: &PooledConnection) -> AttemptOutcome {
+    let is_writing = pooled.is_connecting || pooled.connection.buffer.waits_to_write();
+    if is_writing { AttemptOutcome::CutOff } else { AttemptOutcome::Reset }
 }
 
-/// Whether a connection is lacking on this side: the node's own number is used up, or the system's descriptors.
-fn none_left(e: &io::Error) -> bool {
+/// Whether this side lacks a connection: the node's own limit is reached, or the system has no descriptor left.
+fn is_connection_shortage(e: &io::Error) -> bool {
     e.kind() == ErrorKind::QuotaExceeded || is_descriptor_exhaustion(e)
 }
 
-fn wait(place: usize, line: &mut Line, dues: &mut Alarms<(usize, u64)>, until: Instant) {
-    let due = dues.set(until, (place, line.serial));
-    line.due.replace(due).inspect(|&before| dues.unset(before));
+fn set_timeout(
+    index: usize,
+    pooled: &mut PooledConnection,
+    timeouts: &mut Alarms<(usize, u64)>,
+    until: Instant,
+) {
+    let alarm = timeouts.set(until, (index, pooled.serial));
+    pooled.timeout.replace(alarm).inspect(|&previous| timeouts.unset(previous));
 }
 
-fn drop_oldest_idle(lines: &mut Lines) -> Option<()> {
-    let idle = lines.kept.iter().filter(|(_, line)| line.used == Use::Idle);
-    let (place, _) = idle.min_by_key(|(_, line)| line.idle_since)?;
-    lines.kept.remove(place);
+fn drop_oldest_idle(pool: &mut ConnectionPool) -> Option<()> {
+    let found = pool.connections.iter().filter(|(_, pooled)| pooled.purpose == Purpose::Idle);
+    let (index, _) = found.min_by_key(|(_, pooled)| pooled.idle_since)?;
+    pool.connections.remove(index);
     Some(())
 }
 
-fn deletion(content: &RequestContent, address: Option<SocketAddr>) -> Vec<u8> {
+fn cancellation_request(content: &RequestContent, address: Option<SocketAddr>) -> Vec<u8> {
     let (id, host) = (&content.call_id, host(address));
     format!("DELETE /jobs/{id} HTTP/1.1\r\nHost: {host}\r\nContent-Length: 0\r\n\r\n").into_bytes()
 }
@@ -474,11 +532,11 @@
     address.map(|address| address.to_string()).unwrap_or_default()
 }
 
-/// An idle connection gives up its descriptor to a client. Guards against work that waits outside until its patience is
-/// over while connections to executors stand idle.
+/// Closes an idle connection to give its descriptor to a client. Guards against requests that wait in the listen
+/// backlog until their deadlines while connections to executors are idle.
 impl DescriptorHolder for Executors {
     fn release_descriptor(&self) -> bool {
-        drop_oldest_idle(&mut self.lines.borrow_mut()).is_some()
+        drop_oldest_idle(&mut self.pool.borrow_mut()).is_some()
     }
 }
 
@@ -489,10 +547,10 @@
         executor: ExecutorId,
         address: Option<SocketAddr>,
         content: &RequestContent,
-        time_out: Duration,
+        timeout: Duration,
     ) {
         let RequestContent { call_id, class, target, headers, body, non_idempotent, .. } = content;
-        let (budget, length) = (time_out.nanos() / 1_000_000, body.len());
+        let (budget, length) = (timeout.nanos() / 1_000_000, body.len());
         let head = format!(
             "POST {target} HTTP/1.1\r\nHost: {}\r\nX-Call-Id: {call_id}\r\nX-Call-Class: {class}\r\n\
              X-Budget-Ms: {budget}\r\n{headers}Content-Length: {length}\r\n\r\n",
@@ -501,10 +559,10 @@
         let mut message = head.into_bytes();
         message.extend_from_slice(body);
         self.counters.allocations.increment();
-        self.speak(executor, address, Use::Allocation(id, *non_idempotent), &message);
+        self.send(executor, address, Purpose::Attempt(id, *non_idempotent), &message);
     }
 
-    /// Gives up an allocation: before it was taken by closing its connection, later by asking for it.
+    /// Cancels an attempt: closes its connection if it is not accepted yet, and otherwise sends a cancellation.
     fn cancel_attempt(
         &self,
         id: AttemptId,
@@ -513,11 +571,11 @@
         content: &RequestContent,
         accepted: bool,
     ) {
-        let used = Use::Allocation(id, content.non_idempotent);
-        if !accepted && !self.closes(used) {
-            return self.lines.borrow_mut().untold.push((executor, used, AttemptOutcome::Cancelled));
+        let purpose = Purpose::Attempt(id, content.non_idempotent);
+        if !accepted && !self.close_used_for(purpose) {
+            return self.pool.borrow_mut().unreported.push((executor, purpose, AttemptOutcome::Cancelled));
         }
-        self.speak(executor, address, Use::GivingUp(id), &deletion(content, address));
+        self.send(executor, address, Purpose::Cancellation(id), &cancellation_request(content, address));
     }
 
     fn cancel_unacknowledged(
@@ -526,22 +584,27 @@
         executor: ExecutorId,
         address: Option<SocketAddr>,
         content: &RequestContent,
-        ending: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
-        self.speak(executor, address, Use::AskingBack(id, ending), &deletion(content, address));
+        self.send(
+            executor,
+            address,
+            Purpose::UnacknowledgedCancellation(id, outcome),
+            &cancellation_request(content, address),
+        );
     }
 
     fn probe(&self, executor: ExecutorId, address: Option<SocketAddr>) {
         self.counters.probes.increment();
         let message = format!("GET /status/load HTTP/1.1\r\nHost: {}\r\n\r\n", host(address));
-        self.speak(executor, address, Use::Probe, message.as_bytes());
+        self.send(executor, address, Purpose::Probe, message.as_bytes());
     }
 
-    /// Connections to an executor that has left, or has moved, are of no more use.
-    fn close_idle_connections(&self, executor: ExecutorId, but: Option<SocketAddr>) {
-        let mut lines = self.lines.borrow_mut();
-        lines.kept.retain(|_, line| {
-            line.executor != executor || line.used != Use::Idle || Some(line.address) == but
+    /// Closes the idle connections to an executor that is gone or has moved, as they are no longer usable.
+    fn close_idle_connections(&self, executor: ExecutorId, keep: Option<SocketAddr>) {
+        let mut pool = self.pool.borrow_mut();
+        pool.connections.retain(|_, pooled| {
+            pooled.executor != executor || pooled.purpose != Purpose::Idle || Some(pooled.address) == keep
         });
     }
 }
