--- a/crates/node/src/wire/faktory.rs
+++ b/crates/node/src/wire/faktory.rs
@@ -1,5 +1,5 @@
-//! The Faktory front: clients push jobs and wait for the final answer, workers fetch them. A worker is an executor to the
-//! decisions; a job that they send to it waits here for its next fetch.
+//! The Faktory frontend: clients push jobs and wait for their final answers, workers fetch jobs. To the dispatcher a
+//! worker is an executor; a job that is assigned to a worker waits here for its next fetch.
 
 use crate::coordinator::Coordinator;
 use crate::interfaces::FaktoryFrontend;
@@ -29,55 +29,55 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// A fetch that finds nothing is answered so after this, as the specification has it.
-const FETCH_WAITS: Duration = Duration::from_millis(2000);
-/// Who connects says who it is within this, and goes on with a line that it has begun.
+/// A fetch that finds no job is answered after this time, as the specification says.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(2000);
+/// The time in which a connection has to send HELLO, and the time in which a line that has begun has to be complete.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(3000);
 const LINE_TIMEOUT: Duration = Duration::from_millis(5000);
-/// So many are taken in before others have their turn.
-const AT_ONCE: usize = 32;
-/// How often a password is hashed: as often as the job server of the specification asks for.
+/// The number of connections that are accepted before other events are handled.
+const MAX_ACCEPTS_PER_TURN: usize = 32;
+/// The iterations of the password hash, as many as the specification's job server uses.
 const ITERATIONS: u32 = 1545;
-/// The largest body that an executor takes.
+/// The largest body in bytes that an executor accepts.
 const MAX_BODY: usize = 64 * 1024;
-/// The longest patience that a client may name: a day.
+/// The longest deadline that a client may set, in milliseconds from now: a day.
 const MAX_PATIENCE_MS: u64 = 86_400_000;
 
 /// What a connection waits for.
 #[derive(Clone, Debug, PartialEq)]
-enum Waits {
+enum Waiting {
     Nothing,
-    /// For the final answer to the job that it pushed.
+    /// The final answer to the job that it pushed.
     Push(RequestId),
-    /// For a job of one of these queues, until then.
+    /// A job of one of these queues, until this time.
     Fetch(Vec<String>, Instant),
 }
 
-struct Peer {
+struct FaktoryClient {
     connection: Connection,
     serial: u64,
     greeting: Greeting,
     admitted: bool,
     worker: Option<usize>,
-    waits: Waits,
-    /// Since when a line has begun that is not whole, or nothing was said at all.
-    begun: Option<Instant>,
-    closes: bool,
+    waiting: Waiting,
+    /// Since when a line has begun that is not complete, or HELLO is awaited.
+    line_started: Option<Instant>,
+    closes_after_write: bool,
 }
 
-/// What the decisions are told as soon as they listen again.
-enum Untold {
+/// An event that is reported to the coordinator once its current call has returned.
+enum UnreportedEvent {
     Fetched(AttemptId),
     Ended(AttemptId, AttemptOutcome),
 }
 
-struct Inside {
-    peers: Slab<Peer>,
-    /// Who waits for the answer to a unit, and its tariff.
-    by_unit: HashMap<RequestId, (usize, usize)>,
-    table: Reservations<AttemptId>,
-    untold: Vec<Untold>,
-    dues: Alarms<(usize, u64)>,
+struct FrontendState {
+    clients: Slab<FaktoryClient>,
+    /// The index of the connection that waits for the answer to each request, and the class of the request.
+    by_request: HashMap<RequestId, (usize, usize)>,
+    reservations: Reservations<AttemptId>,
+    unreported: Vec<UnreportedEvent>,
+    timeouts: Alarms<(usize, u64)>,
     next_serial: u64,
 }
 
@@ -88,26 +88,26 @@
     counters: Rc<Counters>,
     listener_key: usize,
     key: fn(usize) -> usize,
-    most: usize,
+    max_connections: usize,
     password: Option<String>,
     reserve_for: Duration,
     settings: DeploymentSettings,
     request_ids: RequestIds,
-    /// The node sends its clients away: nothing new is taken or handed out.
-    leaves: Cell<bool>,
+    /// The node is draining: pushes are rejected and no job is handed to workers.
+    is_draining: Cell<bool>,
     salt: Cell<u64>,
-    inside: RefCell<Inside>,
+    state: RefCell<FrontendState>,
 }
 
 impl Faktory {
     pub fn listen(
-        posted: &FaktorySettings,
+        frontend: &FaktorySettings,
         settings: &DeploymentSettings,
         (seed, request_ids): (u64, &RequestIds),
         (listener_key, key): (usize, fn(usize) -> usize),
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
     ) -> io::Result<Faktory> {
-        let listener = listen::listen(posted.listen)?;
+        let listener = listen::listen(frontend.listen)?;
         poller.add(&listener, Event::readable(listener_key))?;
         Ok(Faktory {
             listener,
@@ -116,19 +116,19 @@
             counters: counters.clone(),
             listener_key,
             key,
-            most: posted.max_connections(),
-            password: posted.password.clone(),
-            reserve_for: posted.reservation(),
+            max_connections: frontend.max_connections(),
+            password: frontend.password.clone(),
+            reserve_for: frontend.reservation(),
             settings: settings.clone(),
             request_ids: request_ids.clone(),
-            leaves: Cell::new(false),
+            is_draining: Cell::new(false),
             salt: Cell::new(seed),
-            inside: RefCell::new(Inside {
-                peers: Slab::new(),
-                by_unit: HashMap::new(),
-                table: Reservations::new(posted.fetch_timeout(), posted.heartbeat_timeout()),
-                untold: Vec::new(),
-                dues: Alarms::default(),
+            state: RefCell::new(FrontendState {
+                clients: Slab::new(),
+                by_request: HashMap::new(),
+                reservations: Reservations::new(frontend.fetch_timeout(), frontend.heartbeat_timeout()),
+                unreported: Vec::new(),
+                timeouts: Alarms::default(),
                 next_serial: 0,
             }),
         })
@@ -138,69 +138,72 @@
         self.listener.local_addr()
     }
 
-    /// Whether the node sends its clients away: pushes are turned back, and nothing more is handed out.
-    pub fn leave(&self, leaves: bool) {
-        self.leaves.set(leaves);
+    /// Sets whether the node is draining: then pushes are rejected and no job is handed to workers.
+    pub fn set_draining(&self, is_draining: bool) {
+        self.is_draining.set(is_draining);
     }
 
-    /// Whether all who pushed have their answers.
-    pub fn owes_nothing(&self) -> bool {
-        let inside = self.inside.borrow();
-        let unwritten = |peer: &Peer| peer.connection.buffer.waits_to_write();
-        inside.by_unit.is_empty() && !inside.peers.iter().any(|(_, peer)| unwritten(peer))
+    /// Whether all pushed jobs are answered and all answers are written.
+    pub fn is_drained(&self) -> bool {
+        let state = self.state.borrow();
+        let has_unwritten = |client: &FaktoryClient| client.connection.buffer.waits_to_write();
+        state.by_request.is_empty() && !state.clients.iter().any(|(_, client)| has_unwritten(client))
     }
 
-    pub fn open_units(&self) -> usize {
-        self.inside.borrow().by_unit.len()
+    pub fn open_requests(&self) -> usize {
+        self.state.borrow().by_request.len()
     }
 
     pub fn accept(&self) {
-        listen::take_in(&self.listener, AT_ONCE, "Faktory clients", |stream| self.take_in(stream));
+        listen::take_in(&self.listener, MAX_ACCEPTS_PER_TURN, "Faktory clients", |stream| {
+            self.add_client(stream);
+        });
         if let Err(e) = self.poller.modify(&self.listener, Event::readable(self.listener_key)) {
-            warn!("the front can't be watched: {e}");
+            warn!("cannot watch the Faktory listener: {e}");
         }
     }
 
-    fn take_in(&self, stream: TcpStream) {
+    fn add_client(&self, stream: TcpStream) {
         let now = self.clock.now();
-        let mut inside = self.inside.borrow_mut();
-        let Inside { peers, dues, next_serial, .. } = &mut *inside;
-        if peers.len() >= self.most {
-            // Guards against thousands of idle fetching workers on descriptors that others need. Dropped unread: it
-            // has said nothing yet, and is told in one write that the system takes at once.
-            let full = Answer::Error("no connection is left, come again".to_owned());
-            let _ = io::Write::write(&mut &stream, &full.bytes());
+        let mut state = self.state.borrow_mut();
+        let FrontendState { clients, timeouts, next_serial, .. } = &mut *state;
+        if clients.len() >= self.max_connections {
+            // Guards against thousands of idle fetching workers on descriptors that others need. The connection is
+            // closed without reading: the client has sent nothing yet, and the error is one write that the system takes
+            // at once.
+            let rejection = Answer::Error("no connection is left, come again".to_owned());
+            let _ = io::Write::write(&mut &stream, &rejection.bytes());
             return;
         }
-        let place = peers.vacant_entry();
-        match Connection::from_stream(stream, &self.poller, (self.key)(place.key())) {
+        let entry = clients.vacant_entry();
+        match Connection::from_stream(stream, &self.poller, (self.key)(entry.key())) {
             Ok(mut connection) => {
                 connection.set_max_unread(MAX_LINE + 2);
                 let greeting = self.greeting();
                 connection.buffer.put(&greeting.says().bytes());
                 let serial = *next_serial;
                 *next_serial += 1;
-                dues.set(now + HANDSHAKE_TIMEOUT, (place.key(), serial));
-                let (admitted, worker, closes) = (false, None, false);
-                let begun = Some(now);
-                let peer = place.insert(Peer {
+                timeouts.set(now + HANDSHAKE_TIMEOUT, (entry.key(), serial));
+                let (admitted, worker, closes_after_write) = (false, None, false);
+                let line_started = Some(now);
+                let client = entry.insert(FaktoryClient {
                     connection,
                     serial,
                     greeting,
                     admitted,
                     worker,
-                    waits: Waits::Nothing,
-                    begun,
-                    closes,
+                    waiting: Waiting::Nothing,
+                    line_started,
+                    closes_after_write,
                 });
-                // What fails shows when the loop looks at the connection.
-                let _ = peer.connection.write().and_then(|()| peer.connection.watch(false));
+                // A failure is noticed when the event loop handles the connection next.
+                let _ = client.connection.write().and_then(|()| client.connection.watch(false));
             }
-            Err(e) => warn!("a connection can't be watched: {e}"),
+            Err(e) => warn!("cannot watch a Faktory connection: {e}"),
         }
     }
 
-    /// Each connection has a salt of its own.
+    /// The greeting of a new connection; each has a salt of its own.
     fn greeting(&self) -> Greeting {
         let Some(password) = &self.password else { return Greeting::open() };
         let salt = self.salt.get();
@@ -208,157 +211,162 @@
         Greeting::with(password, &format!("{salt:016x}"), ITERATIONS)
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
-        let inside = self.inside.borrow();
-        if !inside.untold.is_empty() {
+    pub fn next_timeout(&self) -> Option<Instant> {
+        let state = self.state.borrow();
+        if !state.unreported.is_empty() {
             return Some(Instant(0));
         }
-        inside.dues.next_at().into_iter().chain(inside.table.next_due()).min()
+        state.timeouts.next_at().into_iter().chain(state.reservations.next_due()).min()
     }
 
-    /// What fell due: fetches that found nothing, silent peers, jobs that nobody fetched, reservations that are over,
-    /// workers without a heartbeat.
-    pub fn due(&self, coordinator: &mut Coordinator) {
+    /// Handles fetches that found no job, silent connections, jobs that nobody fetched, reservations that have expired,
+    /// and workers without a heartbeat.
+    pub fn handle_timeouts(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
-        while let Some((place, serial)) = { self.inside.borrow_mut().dues.due(now) } {
-            let mut inside = self.inside.borrow_mut();
-            let Some(peer) = inside.peers.get_mut(place).filter(|peer| peer.serial == serial) else {
+        while let Some((index, serial)) = { self.state.borrow_mut().timeouts.due(now) } {
+            let mut state = self.state.borrow_mut();
+            let Some(client) = state.clients.get_mut(index).filter(|client| client.serial == serial) else {
                 continue;
             };
-            if matches!(&peer.waits, Waits::Fetch(_, until) if *until <= now) {
-                peer.waits = Waits::Nothing;
-                inside.say(place, &Answer::Nothing);
-            } else if peer.begun.is_some_and(|begun| {
-                now.since(begun) >= if peer.admitted { LINE_TIMEOUT } else { HANDSHAKE_TIMEOUT }
+            if matches!(&client.waiting, Waiting::Fetch(_, until) if *until <= now) {
+                client.waiting = Waiting::Nothing;
+                state.send(index, &Answer::Nothing);
+            } else if client.line_started.is_some_and(|line_started| {
+                now.since(line_started) >= if client.admitted { LINE_TIMEOUT } else { HANDSHAKE_TIMEOUT }
             }) {
-                drop(inside);
-                self.lost(place, coordinator);
+                drop(state);
+                self.connection_lost(index, coordinator);
             }
         }
-        let (ended, silent) = self.inside.borrow_mut().table.due(now);
-        self.inside.borrow_mut().ended(ended);
+        let (ended, silent) = self.state.borrow_mut().reservations.due(now);
+        self.state.borrow_mut().attempts_ended(ended);
         for worker in silent {
-            info!("worker {} fell silent", self.inside.borrow().table.wid(worker));
-            self.stands(worker, coordinator);
+            info!(
+                "Faktory worker {} sent no heartbeat in time",
+                self.state.borrow().reservations.wid(worker)
+            );
+            self.report_worker_status(worker, coordinator);
         }
-        self.tell(coordinator);
+        self.report_events(coordinator);
     }
 
-    fn tell(&self, coordinator: &mut Coordinator) {
-        let untold = std::mem::take(&mut self.inside.borrow_mut().untold);
-        for told in untold {
-            match told {
-                Untold::Fetched(id) => coordinator.attempt_fetched(id),
-                Untold::Ended(id, AttemptOutcome::Served) => coordinator.attempt_completed(id, b""),
-                Untold::Ended(id, ending) => coordinator.attempt_ended(id, ending, None),
+    fn report_events(&self, coordinator: &mut Coordinator) {
+        let unreported = std::mem::take(&mut self.state.borrow_mut().unreported);
+        for event in unreported {
+            match event {
+                UnreportedEvent::Fetched(id) => coordinator.attempt_fetched(id),
+                UnreportedEvent::Ended(id, AttemptOutcome::Served) => coordinator.attempt_completed(id, b""),
+                UnreportedEvent::Ended(id, outcome) => coordinator.attempt_ended(id, outcome, None),
             }
         }
     }
 
-    /// Tells the decisions how a worker stands.
-    fn stands(&self, worker: usize, coordinator: &mut Coordinator) {
-        let (wid, standing) = {
-            let inside = self.inside.borrow();
-            (inside.table.wid(worker).to_owned(), inside.table.standing(worker))
+    /// Reports the status of a worker to the coordinator.
+    fn report_worker_status(&self, worker: usize, coordinator: &mut Coordinator) {
+        let (wid, worker_status) = {
+            let state = self.state.borrow();
+            (state.reservations.wid(worker).to_owned(), state.reservations.standing(worker))
         };
-        coordinator.worker_status_changed(worker, &wid, standing);
+        coordinator.worker_status_changed(worker, &wid, worker_status);
     }
 
-    /// Something can be read from or written to a connection.
-    pub fn stirred(&self, place: usize, coordinator: &mut Coordinator) {
-        let reading = match self.inside.borrow_mut().peers.get_mut(place) {
-            Some(peer) => peer.connection.write().and_then(|()| peer.connection.read()),
+    /// Handles readiness of a connection for reading or writing.
+    pub fn handle_event(&self, index: usize, coordinator: &mut Coordinator) {
+        let reading = match self.state.borrow_mut().clients.get_mut(index) {
+            Some(client) => client.connection.write().and_then(|()| client.connection.read()),
             None => return,
         };
-        while let Some(command) = self.next_command(place) {
-            self.serve(place, command, coordinator);
+        while let Some(command) = self.next_command(index) {
+            self.serve(index, command, coordinator);
         }
-        let over = {
-            let mut inside = self.inside.borrow_mut();
-            match (reading, inside.peers.get_mut(place)) {
-                (_, None) => return self.tell(coordinator),
-                (Ok(Reading::Open), Some(peer)) => {
-                    let done = peer.closes && !peer.connection.buffer.waits_to_write();
-                    done || peer.connection.watch(false).is_err()
+        let is_finished = {
+            let mut state = self.state.borrow_mut();
+            match (reading, state.clients.get_mut(index)) {
+                (_, None) => return self.report_events(coordinator),
+                (Ok(Reading::Open), Some(client)) => {
+                    let done = client.closes_after_write && !client.connection.buffer.waits_to_write();
+                    done || client.connection.watch(false).is_err()
                 }
                 (Ok(Reading::Ended) | Err(_), Some(_)) => true,
             }
         };
-        if over {
-            self.lost(place, coordinator);
+        if is_finished {
+            self.connection_lost(index, coordinator);
         }
-        self.tell(coordinator);
+        self.report_events(coordinator);
     }
 
-    /// The next whole command; an error for what is none.
-    fn next_command(&self, place: usize) -> Option<Result<Command, String>> {
+    /// The next complete command; an error for an invalid one.
+    fn next_command(&self, index: usize) -> Option<Result<Command, String>> {
         let now = self.clock.now();
-        let mut inside = self.inside.borrow_mut();
-        let Inside { peers, dues, .. } = &mut *inside;
-        let peer = peers.get_mut(place).filter(|peer| !peer.closes && peer.waits == Waits::Nothing)?;
-        // Guards against answers piling up for somebody who asks and does not read.
-        if peer.connection.buffer.waits_to_write() {
+        let mut state = self.state.borrow_mut();
+        let FrontendState { clients, timeouts, .. } = &mut *state;
+        let client = clients
+            .get_mut(index)
+            .filter(|client| !client.closes_after_write && client.waiting == Waiting::Nothing)?;
+        // Guards against answers that pile up for a client that sends commands and does not read.
+        if client.connection.buffer.waits_to_write() {
             return None;
         }
-        match line(peer.connection.buffer.unread()) {
+        match line(client.connection.buffer.unread()) {
             Ok(Some((text, length))) => {
                 let command = read(text);
-                peer.connection.buffer.done_with(length);
-                if peer.admitted {
-                    peer.begun = None;
+                client.connection.buffer.done_with(length);
+                if client.admitted {
+                    client.line_started = None;
                 }
                 Some(command)
             }
             Ok(None) => {
-                if peer.begun.is_none() && !peer.connection.buffer.unread().is_empty() {
-                    peer.begun = Some(now);
-                    dues.set(now + LINE_TIMEOUT, (place, peer.serial));
+                if client.line_started.is_none() && !client.connection.buffer.unread().is_empty() {
+                    client.line_started = Some(now);
+                    timeouts.set(now + LINE_TIMEOUT, (index, client.serial));
                 }
                 None
             }
             Err(_) => {
-                peer.closes = true;
-                inside.say(place, &Answer::Error(format!("a command is a line of {MAX_LINE} bytes at most")));
+                client.closes_after_write = true;
+                state.send(index, &Answer::Error(format!("a command is a line of {MAX_LINE} bytes at most")));
                 None
             }
         }
     }
 
-    fn serve(&self, place: usize, command: Result<Command, String>, coordinator: &mut Coordinator) {
-        debug!("peer {place}: {command:?}");
+    fn serve(&self, index: usize, command: Result<Command, String>, coordinator: &mut Coordinator) {
+        debug!("Faktory connection {index}: {command:?}");
         let now = self.clock.now();
-        let (admitted, worker) = match self.inside.borrow().peers.get(place) {
-            Some(peer) => (peer.admitted, peer.worker),
+        let (admitted, worker) = match self.state.borrow().clients.get(index) {
+            Some(client) => (client.admitted, client.worker),
             None => return,
         };
         let answer = match (command, worker) {
-            (Err(what), _) => Err(what),
+            (Err(message), _) => Err(message),
             (Ok(Command::End), _) => {
-                if let Some(peer) = self.inside.borrow_mut().peers.get_mut(place) {
-                    peer.closes = true;
+                if let Some(client) = self.state.borrow_mut().clients.get_mut(index) {
+                    client.closes_after_write = true;
                 }
                 Ok(Some(Answer::Ok))
             }
             (Ok(Command::Hello(hello)), _) if !admitted => {
-                let admits = self.inside.borrow().peers[place].greeting.admits(&hello);
-                if admits.is_ok() {
-                    self.admitted(place, hello.wid.as_deref(), coordinator);
+                let admission = self.state.borrow().clients[index].greeting.admits(&hello);
+                if admission.is_ok() {
+                    self.admitted(index, hello.wid.as_deref(), coordinator);
                 } else {
-                    self.inside.borrow_mut().peers[place].closes = true;
+                    self.state.borrow_mut().clients[index].closes_after_write = true;
                 }
-                admits.map(|()| Some(Answer::Ok))
+                admission.map(|()| Some(Answer::Ok))
             }
             (Ok(Command::Hello(_)), _) => Err("said hello before".to_owned()),
             _ if !admitted => Err("say HELLO first".to_owned()),
-            (Ok(Command::Push(job)), _) => self.push(place, *job, coordinator),
+            (Ok(Command::Push(job)), _) => self.push(index, *job, coordinator),
             (Ok(Command::Info), _) => Ok(Some(Answer::Bulk(self.info()))),
             (Ok(Command::Fetch(queues)), Some(_)) => {
-                let mut inside = self.inside.borrow_mut();
-                let until = now + FETCH_WAITS;
-                inside.peers[place].waits = Waits::Fetch(queues, until);
-                if self.leaves.get() || !inside.fetch(place, now) {
-                    let serial = inside.peers[place].serial;
-                    inside.dues.set(until, (place, serial));
+                let mut state = self.state.borrow_mut();
+                let until = now + FETCH_TIMEOUT;
+                state.clients[index].waiting = Waiting::Fetch(queues, until);
+                if self.is_draining.get() || !state.fetch(index, now) {
+                    let serial = state.clients[index].serial;
+                    state.timeouts.set(until, (index, serial));
                 }
                 Ok(None)
             }
@@ -373,38 +381,41 @@
             (Ok(_), None) => Err("only workers do so: say HELLO with a wid".to_owned()),
         };
         match answer {
-            Ok(Some(answer)) => self.inside.borrow_mut().say(place, &answer),
+            Ok(Some(answer)) => self.state.borrow_mut().send(index, &answer),
             Ok(None) => {}
-            Err(what) => {
+            Err(message) => {
                 self.counters.faktory_errors.increment();
-                self.inside.borrow_mut().say(place, &Answer::Error(what));
+                self.state.borrow_mut().send(index, &Answer::Error(message));
             }
         }
     }
 
-    fn admitted(&self, place: usize, wid: Option<&str>, coordinator: &mut Coordinator) {
+    fn admitted(&self, index: usize, wid: Option<&str>, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         let worker = {
-            let mut inside = self.inside.borrow_mut();
+            let mut state = self.state.borrow_mut();
             let worker = wid.map(|wid| {
-                let known = inside.table.worker(wid);
-                let stood = known.map(|worker| inside.table.standing(worker));
-                (inside.table.hello(now, wid), stood)
+                let known_worker = state.reservations.worker(wid);
+                let earlier_status = known_worker.map(|worker| state.reservations.standing(worker));
+                (state.reservations.hello(now, wid), earlier_status)
             });
-            let peer = &mut inside.peers[place];
-            (peer.admitted, peer.begun, peer.worker) = (true, None, worker.map(|(worker, _)| worker));
-            worker.filter(|(_, stood)| stood.is_none_or(|stood| stood == Standing::Gone))
+            let client = &mut state.clients[index];
+            (client.admitted, client.line_started, client.worker) =
+                (true, None, worker.map(|(worker, _)| worker));
+            worker.filter(|(_, earlier_status)| {
+                earlier_status.is_none_or(|earlier_status| earlier_status == Standing::Gone)
+            })
         };
         if let Some((worker, _)) = worker {
-            info!("worker {} is there", wid.unwrap_or_default());
-            self.stands(worker, coordinator);
+            info!("Faktory worker {} connected", wid.unwrap_or_default());
+            self.report_worker_status(worker, coordinator);
         }
     }
 
     fn settle(&self, worker: usize, jid: &str, end: End) -> Result<Option<Answer>, String> {
-        let mut inside = self.inside.borrow_mut();
-        let ended = inside.table.settle(worker, jid, end)?;
-        inside.ended([ended]);
+        let mut state = self.state.borrow_mut();
+        let ended = state.reservations.settle(worker, jid, end)?;
+        state.attempts_ended([ended]);
         Ok(Some(Answer::Ok))
     }
 
@@ -412,66 +423,67 @@
         &self,
         worker: usize,
         wid: &str,
-        says: Option<WorkerState>,
+        reported_state: Option<WorkerState>,
         coordinator: &mut Coordinator,
     ) -> Result<Option<Answer>, String> {
-        if self.inside.borrow().table.worker(wid) != Some(worker) {
+        if self.state.borrow().reservations.worker(wid) != Some(worker) {
             return Err("a heartbeat is of the worker that said HELLO here".to_owned());
         }
-        let stood = self.inside.borrow().table.standing(worker);
-        let ended = self.inside.borrow_mut().table.beat(self.clock.now(), worker, says);
-        self.inside.borrow_mut().ended(ended);
-        if self.inside.borrow().table.standing(worker) != stood {
-            self.stands(worker, coordinator);
+        let earlier_status = self.state.borrow().reservations.standing(worker);
+        let ended = self.state.borrow_mut().reservations.beat(self.clock.now(), worker, reported_state);
+        self.state.borrow_mut().attempts_ended(ended);
+        if self.state.borrow().reservations.standing(worker) != earlier_status {
+            self.report_worker_status(worker, coordinator);
         }
-        let quiet = json!({"state": "quiet"}).to_string();
-        Ok(Some(if self.leaves.get() { Answer::Bulk(quiet) } else { Answer::Ok }))
+        let quiet_state = json!({"state": "quiet"}).to_string();
+        Ok(Some(if self.is_draining.get() { Answer::Bulk(quiet_state) } else { Answer::Ok }))
     }
 
     fn info(&self) -> String {
-        let inside = self.inside.borrow();
-        let (waiting, fetched) = inside.table.counts();
+        let state = self.state.borrow();
+        let (waiting, fetched) = state.reservations.counts();
         let c = &self.counters;
         json!({"faktory": {"total_enqueued": waiting, "total_working": fetched,
             "total_processed": c.fulfilled.total(), "total_failures": c.forfeited.total(),
-            "connections": inside.peers.len(), "workers": inside.table.present().count()}})
+            "connections": state.clients.len(), "workers": state.reservations.present().count()}})
         .to_string()
     }
 
-    /// A client pushes a job, and waits for its final answer.
-    fn push(&self, place: usize, job: Job, coordinator: &mut Coordinator) -> Result<Option<Answer>, String> {
-        let names = &self.settings.tariff_names;
-        let tariff = names.iter().position(|name| *name == job.queue);
-        let tariff = tariff
-            .ok_or_else(|| format!("no tariff {:?}: a queue is one of {}", job.queue, names.join(", ")))?;
-        let figure = |name: &str| job.custom[name].as_u64();
-        if let Some(wrong) = ["patience_ms", "cost_us"]
+    /// Accepts a job that a client pushes; the client then waits for the final answer.
+    fn push(&self, index: usize, job: Job, coordinator: &mut Coordinator) -> Result<Option<Answer>, String> {
+        let class_names = &self.settings.tariff_names;
+        let class = class_names.iter().position(|name| *name == job.queue);
+        let class = class.ok_or_else(|| {
+            format!("no tariff {:?}: a queue is one of {}", job.queue, class_names.join(", "))
+        })?;
+        let custom_number = |name: &str| job.custom[name].as_u64();
+        if let Some(invalid_field) = ["patience_ms", "cost_us"]
             .into_iter()
-            .find(|name| !job.custom[name].is_null() && figure(name).is_none_or(|n| n == 0))
+            .find(|name| !job.custom[name].is_null() && custom_number(name).is_none_or(|n| n == 0))
         {
-            return Err(format!("custom.{wrong}: expected a whole number above 0"));
+            return Err(format!("custom.{invalid_field}: expected a whole number above 0"));
         }
         if coordinator.has_open_request(&job.jid) {
             return Err(format!("job {} is in hand", job.jid));
         }
-        let line = job.text;
-        if line.len() > MAX_BODY {
+        let json = job.text;
+        if json.len() > MAX_BODY {
             return Err(format!("a job has {MAX_BODY} bytes at most"));
         }
         self.counters.units.increment();
-        if self.leaves.get() {
-            self.counters.turned_back.increment(tariff);
+        if self.is_draining.get() {
+            self.counters.turned_back.increment(class);
             return Err("turned back: this node is leaving, pushing it elsewhere is harmless".to_owned());
         }
         let now = self.clock.now();
-        let patience = figure("patience_ms")
-            .map_or(self.settings.deadline(tariff), |ms| Duration::from_millis(ms.min(MAX_PATIENCE_MS)));
+        let patience = custom_number("patience_ms")
+            .map_or(self.settings.deadline(class), |ms| Duration::from_millis(ms.min(MAX_PATIENCE_MS)));
         let arrival = Arrival {
-            class: tariff,
+            class,
             customer: self.settings.customer(None),
             deadline: now + patience,
             repeat: job.custom["again"].as_bool().unwrap_or(false),
-            hint: figure("cost_us").map(|us| Duration::from_nanos(us.saturating_mul(1000))),
+            hint: custom_number("cost_us").map(|us| Duration::from_nanos(us.saturating_mul(1000))),
             slots: 1.0,
             over_budget: false,
         };
@@ -480,90 +492,95 @@
             class: job.queue.clone(),
             target: format!("/{}", job.queue),
             headers: String::new(),
-            body: line.clone().into_bytes(),
-            non_idempotent: self.settings.is_binding(tariff),
-            scope: (tariff, arrival.customer),
+            body: json.clone().into_bytes(),
+            non_idempotent: self.settings.is_binding(class),
+            scope: (class, arrival.customer),
             durable: false,
             faktory_job: Some(FaktoryJob {
-                json: line,
+                json,
                 priority: job.priority,
                 reserve_for: job.reserve_for.map(|s| Duration::from_millis(s.saturating_mul(1000).max(1000))),
             }),
         };
-        let unit = self.request_ids.next_id();
+        let request_id = self.request_ids.next_id();
         {
-            let mut inside = self.inside.borrow_mut();
-            inside.by_unit.insert(unit, (place, tariff));
-            inside.peers[place].waits = Waits::Push(unit);
+            let mut state = self.state.borrow_mut();
+            state.by_request.insert(request_id, (index, class));
+            state.clients[index].waiting = Waiting::Push(request_id);
         }
-        coordinator.request_arrived(unit, content, &arrival);
+        coordinator.request_arrived(request_id, content, &arrival);
         Ok(None)
     }
 
-    /// A connection is gone, and with it whoever waited there, and what its worker had if it was the last one.
-    fn lost(&self, place: usize, coordinator: &mut Coordinator) {
-        let (unit, worker) = {
-            let mut inside = self.inside.borrow_mut();
-            let Some(peer) = inside.peers.try_remove(place) else { return };
-            let unit = if let Waits::Push(unit) = peer.waits { Some(unit) } else { None };
-            if let Some(unit) = &unit {
-                inside.by_unit.remove(unit);
+    /// Handles the loss of a connection: the client that waited there is gone, and if it was the last connection of a
+    /// worker, its attempts have ended.
+    fn connection_lost(&self, index: usize, coordinator: &mut Coordinator) {
+        let (request_id, worker) = {
+            let mut state = self.state.borrow_mut();
+            let Some(client) = state.clients.try_remove(index) else { return };
+            let request_id =
+                if let Waiting::Push(request_id) = client.waiting { Some(request_id) } else { None };
+            if let Some(request_id) = &request_id {
+                state.by_request.remove(request_id);
             }
-            let worker = peer.worker.inspect(|&worker| {
-                let ended = inside.table.broke(worker);
-                inside.ended(ended);
+            let worker = client.worker.inspect(|&worker| {
+                let ended = state.reservations.broke(worker);
+                state.attempts_ended(ended);
             });
-            (unit, worker)
+            (request_id, worker)
         };
-        if let Some(unit) = unit {
+        if let Some(request_id) = request_id {
             self.counters.withdrawn.increment();
-            coordinator.request_withdrawn(unit);
+            coordinator.request_withdrawn(request_id);
         }
         if let Some(worker) = worker
-            && self.inside.borrow().table.standing(worker) == Standing::Gone
+            && self.state.borrow().reservations.standing(worker) == Standing::Gone
         {
-            info!("worker {} is gone", self.inside.borrow().table.wid(worker));
-            self.stands(worker, coordinator);
+            info!("Faktory worker {} disconnected", self.state.borrow().reservations.wid(worker));
+            self.report_worker_status(worker, coordinator);
         }
     }
 }
 
-impl Inside {
-    fn say(&mut self, place: usize, answer: &Answer) {
-        let Some(peer) = self.peers.get_mut(place) else { return };
-        peer.connection.buffer.put(&answer.bytes());
-        // Watched also for what was read meanwhile. What fails shows when the loop looks at the connection.
-        let more = !peer.connection.buffer.unread().is_empty();
-        let _ = peer.connection.write().and_then(|()| peer.connection.watch(more));
+impl FrontendState {
+    fn send(&mut self, index: usize, answer: &Answer) {
+        let Some(client) = self.clients.get_mut(index) else { return };
+        client.connection.buffer.put(&answer.bytes());
+        // Watches also for input that was read meanwhile. A failure is noticed when the event loop handles the
+        // connection next.
+        let has_unread = !client.connection.buffer.unread().is_empty();
+        let _ = client.connection.write().and_then(|()| client.connection.watch(has_unread));
     }
 
-    /// Gives a peer that waits the job that it gets, if there is one.
-    fn fetch(&mut self, place: usize, now: Instant) -> bool {
-        let peer = &self.peers[place];
-        let (Waits::Fetch(queues, _), Some(worker)) = (&peer.waits, peer.worker) else { return false };
-        let Some((id, body)) = self.table.fetch(now, worker, queues) else { return false };
-        self.peers[place].waits = Waits::Nothing;
-        self.untold.push(Untold::Fetched(id));
-        self.say(place, &Answer::Bulk(body));
+    /// Hands the waiting worker on this connection a job, if there is one for it.
+    fn fetch(&mut self, index: usize, now: Instant) -> bool {
+        let client = &self.clients[index];
+        let (Waiting::Fetch(queues, _), Some(worker)) = (&client.waiting, client.worker) else {
+            return false;
+        };
+        let Some((id, body)) = self.reservations.fetch(now, worker, queues) else { return false };
+        self.clients[index].waiting = Waiting::Nothing;
+        self.unreported.push(UnreportedEvent::Fetched(id));
+        self.send(index, &Answer::Bulk(body));
         true
     }
 
-    fn ended(&mut self, ended: impl IntoIterator<Item = (AttemptId, End)>) {
-        self.untold.extend(ended.into_iter().map(|(id, end)| {
-            let ending = match end {
+    fn attempts_ended(&mut self, ended: impl IntoIterator<Item = (AttemptId, End)>) {
+        self.unreported.extend(ended.into_iter().map(|(id, end)| {
+            let outcome = match end {
                 End::Done => AttemptOutcome::Served,
                 End::Failed => AttemptOutcome::Error,
                 End::Unfetched => AttemptOutcome::Full,
                 End::Broken => AttemptOutcome::Reset,
                 End::Expired => AttemptOutcome::TimedOut,
             };
-            Untold::Ended(id, ending)
+            UnreportedEvent::Ended(id, outcome)
         }));
     }
 }
 
-/// What came by HTTP, as a job for a worker.
-fn brought(content: &RequestContent, reserve_for: Duration) -> String {
+/// The job for a worker of a request that came by HTTP.
+fn job_json(content: &RequestContent, reserve_for: Duration) -> String {
     let body = String::from_utf8_lossy(&content.body);
     json!({"jid": &*content.call_id, "jobtype": content.class, "queue": content.class, "args": [body],
         "reserve_for": reserve_for.nanos() / 1_000_000_000, "custom": {"target": content.target}})
@@ -571,75 +588,78 @@
 }
 
 impl FaktoryFrontend for Faktory {
-    /// The final answer, if the unit was pushed here.
-    fn respond(&self, unit: RequestId, status: u16) -> bool {
-        let mut inside = self.inside.borrow_mut();
-        let Some((place, tariff)) = inside.by_unit.remove(&unit) else { return false };
-        self.counters.responded(tariff, status);
-        if inside.peers.contains(place) {
+    /// Sends the final answer, if the request was pushed here.
+    fn respond(&self, request_id: RequestId, status: u16) -> bool {
+        let mut state = self.state.borrow_mut();
+        let Some((index, class)) = state.by_request.remove(&request_id) else { return false };
+        self.counters.responded(class, status);
+        if state.clients.contains(index) {
             let answer = match status {
                 200 => Answer::Ok,
                 503 => Answer::Error("turned back: pushing it again is harmless".to_owned()),
                 _ => Answer::Error("forfeited: it may have run".to_owned()),
             };
-            inside.peers[place].waits = Waits::Nothing;
-            inside.say(place, &answer);
+            state.clients[index].waiting = Waiting::Nothing;
+            state.send(index, &answer);
         }
         true
     }
 
-    /// The decisions send a unit to a worker; `false` if it can't have it, or nothing is handed out any more.
-    fn assign(&self, worker: usize, id: AttemptId, content: &RequestContent, time_out: Duration) -> bool {
-        if self.leaves.get() {
+    /// Assigns a request to a worker; `false` if the worker can't take it or the node is draining.
+    fn assign(&self, worker: usize, id: AttemptId, content: &RequestContent, timeout: Duration) -> bool {
+        if self.is_draining.get() {
             return false;
         }
         let now = self.clock.now();
-        let pushed = content.faktory_job.as_ref();
-        let reserve_for = pushed.and_then(|p| p.reserve_for).unwrap_or(self.reserve_for).min(time_out);
-        let body = pushed.map_or_else(|| brought(content, reserve_for), |p| p.json.clone());
+        let faktory_job = content.faktory_job.as_ref();
+        let reserve_for =
+            faktory_job.and_then(|job| job.reserve_for).unwrap_or(self.reserve_for).min(timeout);
+        let body = faktory_job.map_or_else(|| job_json(content, reserve_for), |job| job.json.clone());
         let job = Handed {
             token: id,
             jid: content.call_id.to_string(),
             queue: content.class.clone(),
-            priority: pushed.map_or(5, |p| p.priority),
+            priority: faktory_job.map_or(5, |job| job.priority),
             body,
             reserve_for,
         };
-        let mut inside = self.inside.borrow_mut();
-        if !inside.table.hand(now, worker, job) {
+        let mut state = self.state.borrow_mut();
+        if !state.reservations.hand(now, worker, job) {
             return false;
         }
-        // Whoever of this worker waits for such a job has it at once.
-        let waits = |peer: &Peer| {
-            let fits = |queues: &[String]| queues.contains(&content.class);
-            peer.worker == Some(worker) && matches!(&peer.waits, Waits::Fetch(queues, _) if fits(queues))
+        // A connection of this worker that waits for such a job gets it at once.
+        let awaits_class = |client: &FaktoryClient| {
+            let includes_class = |queues: &[String]| queues.contains(&content.class);
+            client.worker == Some(worker)
+                && matches!(&client.waiting, Waiting::Fetch(queues, _) if includes_class(queues))
         };
-        let place = inside.peers.iter().find(|(_, peer)| waits(peer)).map(|(place, _)| place);
-        if let Some(place) = place {
-            inside.fetch(place, now);
+        let index = state.clients.iter().find(|(_, client)| awaits_class(client)).map(|(index, _)| index);
+        if let Some(index) = index {
+            state.fetch(index, now);
         }
         true
     }
 
-    /// A worker could not have what the decisions sent to it: nothing of it has run.
+    /// The worker could not take the attempt, so nothing of it has run.
     fn assignment_failed(&self, id: AttemptId) {
-        self.inside.borrow_mut().untold.push(Untold::Ended(id, AttemptOutcome::Full));
+        self.state.borrow_mut().unreported.push(UnreportedEvent::Ended(id, AttemptOutcome::Full));
     }
 
-    /// Nobody waits any more for what was handed to a worker. One that has fetched it can't be told, and what it says
-    /// of it later is answered with an error.
+    /// The result of an assigned attempt is no longer wanted. A worker that has fetched it can't be told, and its later
+    /// report is answered with an error.
     fn cancel_attempt(&self, id: AttemptId) {
-        let mut inside = self.inside.borrow_mut();
-        if inside.table.withdraw(id).is_some() {
-            inside.untold.push(Untold::Ended(id, AttemptOutcome::Cancelled));
+        let mut state = self.state.borrow_mut();
+        if state.reservations.withdraw(id).is_some() {
+            state.unreported.push(UnreportedEvent::Ended(id, AttemptOutcome::Cancelled));
         }
     }
 
-    /// The names of the workers that are there, and how they stand.
+    /// The IDs and the status of the connected workers.
     fn workers(&self) -> Vec<(String, Standing)> {
-        let inside = self.inside.borrow();
-        let table = &inside.table;
-        let shown = |at: usize| (table.wid(at).to_owned(), table.standing(at));
-        table.present().map(shown).collect()
+        let state = self.state.borrow();
+        let reservations = &state.reservations;
+        let with_status =
+            |worker: usize| (reservations.wid(worker).to_owned(), reservations.standing(worker));
+        reservations.present().map(with_status).collect()
     }
 }
--- a/crates/node/src/wire/load.rs
+++ b/crates/node/src/wire/load.rs
@@ -1,4 +1,5 @@
-//! Load reports: an object in a call-back or a probe's answer, or `TEXT name=value, ...` in a header.
+//! Load reports of executors: a JSON object in a callback or in a probe's response, or `TEXT name=value, ...` in a
+//! header.
 
 use grebeusher_dispatch::LoadReport;
 use grebeusher_node_config::{DeploymentSettings, ReportLayout};
@@ -6,20 +7,20 @@
 
 pub const HEADER: &str = "X-Load-Report";
 
-/// Reads reports by the names that this deployment gives their values.
+/// Parses load reports by the field names that the deployment configures.
 pub struct Reports {
     names: Vec<String>,
-    places: ReportLayout,
+    layout: ReportLayout,
 }
 
 impl Reports {
     pub fn of(settings: &DeploymentSettings) -> Reports {
-        Reports { names: settings.report_fields.clone(), places: settings.places }
+        Reports { names: settings.report_fields.clone(), layout: settings.places }
     }
 
     pub fn object(&self, load: &Value) -> Option<LoadReport> {
         load.as_object()?;
-        Some(self.places.report(|at| load[self.names.get(at)?.as_str()].as_f64()))
+        Some(self.layout.report(|index| load[self.names.get(index)?.as_str()].as_f64()))
     }
 
     pub fn text(&self, text: &str) -> Option<LoadReport> {
@@ -30,10 +31,10 @@
             .filter_map(|(name, value)| Some((name.trim(), value.trim().parse().ok()?)))
             .collect();
         let value = |wanted: &String| pairs.iter().find(|(name, _)| name == wanted).map(|(_, value)| *value);
-        Some(self.places.report(|at| value(self.names.get(at)?)))
+        Some(self.layout.report(|index| value(self.names.get(index)?)))
     }
 
-    /// A report that stands alone as a body, in either form.
+    /// Parses a report that is the whole body of a response, in either form.
     pub fn body(&self, body: &[u8]) -> Option<LoadReport> {
         let text = std::str::from_utf8(body).ok()?;
         self.text(text).or_else(|| self.object(&serde_json::from_str(text).ok()?))
--- a/crates/node/src/wire/mod.rs
+++ b/crates/node/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! What is spoken on the wire: HTTP, with clients and executors, and the list from discovery.
+//! The network protocols of the node: HTTP with clients and executors, the executor list from discovery, the Faktory
+//! protocol, and datagrams between nodes.
 
 pub mod call_backs;
 pub mod checks;
@@ -15,9 +16,9 @@
 
 use grebeusher_transport::http::Limits;
 
-/// How large messages may be.
+/// The largest HTTP messages that the node reads, in bytes, and the most headers.
 pub const LIMITS: Limits = Limits {
-    // Twice what common servers bear; the protocol's heads take some hundred bytes and a dozen lines.
+    // Twice what common servers accept; a head of the protocol takes some hundred bytes and a dozen lines.
     most_head: 16 * 1024,
     most_headers: 64,
     // The protocol's own limit.
--- a/crates/node/src/wire/one_shot.rs
+++ b/crates/node/src/wire/one_shot.rs
@@ -1,5 +1,6 @@
-//! Short calls: one to a connection, answered in the turn of the loop in which it is whole, or on connecting where nothing
-//! is asked. Descriptors of their own, so that a crowd of clients shuts no caller out.
+//! A server for connections with one request each, as for health checks and the console. A request is answered in the
+//! turn of the event loop in which it is complete; where no request is expected, the response is sent on connecting.
+//! Its descriptors are reserved, so that a crowd of clients can't shut these callers out.
 
 use crate::state::clock::Clock;
 use crate::state::connection::Connection;
@@ -16,57 +17,58 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Descriptors that are set aside for one such address: the listener, and the connections that it holds at once. A handful
-/// of callers come; some connect and say nothing, and the oldest of these make room.
-pub const DESCRIPTORS: usize = 1 + MOST;
-const MOST: usize = 16;
-/// A call is a line and a few headers; a plan of 500 machines with long names comes to half of this. What is longer is
-/// answered 413 and not kept.
-const MAX_CALL: usize = 64 * 1024;
+/// The descriptors that are reserved for one such address: the listener, and the connections that it holds at once.
+/// There are only a few callers; some connect and send nothing, and the oldest of these are closed first for new ones.
+pub const DESCRIPTORS: usize = 1 + MAX_CONNECTIONS;
+const MAX_CONNECTIONS: usize = 16;
+/// The longest request in bytes. A request is a line and a few headers; a plan of 500 machines with long names takes
+/// half of this. A longer request is answered 413 and not kept in memory.
+const MAX_REQUEST: usize = 64 * 1024;
 
-/// Somebody who called, or may yet.
-struct Visitor {
+/// A connection whose request is awaited or has been answered.
+struct OneShotConnection {
     connection: Connection,
-    since: Instant,
-    /// Has had the answer: the rest is read and dropped until it closes, or the answer would be lost with it.
+    accepted_at: Instant,
+    /// The response has been sent: further input is read and discarded until the client closes. Guards against a reset
+    /// of the connection, by which the client would lose the response.
     answered: bool,
 }
 
-pub struct Calls {
+pub struct OneShotServer {
     listener: TcpListener,
     poller: Rc<Poller>,
     clock: Clock,
-    /// Keys under which the loop knows the listener and the connections, from their places.
+    /// The poller keys of the listener, and of a connection by its index.
     listener_key: usize,
     key: fn(usize) -> usize,
-    visitors: RefCell<Slab<Visitor>>,
-    /// The least time between two callers that are taken in, and when the next one may be.
-    apart: Duration,
-    next_at: Cell<Instant>,
-    /// Those who wait outside are left there until then.
-    waits_until: Cell<Option<Instant>>,
+    connections: RefCell<Slab<OneShotConnection>>,
+    /// The minimum interval between two accepted connections, and the time from which the next one may be accepted.
+    min_interval: Duration,
+    next_accept_at: Cell<Instant>,
+    /// New connections wait in the listen backlog until then.
+    accepts_again_at: Cell<Option<Instant>>,
 }
 
-impl Calls {
-    /// `apart`: those who come sooner after each other wait outside; nothing where nobody floods.
+impl OneShotServer {
+    /// `min_interval` is the minimum interval between two accepted connections; 0 sets no limit.
     pub fn listen(
         at: SocketAddr,
-        apart: Duration,
+        min_interval: Duration,
         (listener_key, key): (usize, fn(usize) -> usize),
         (poller, clock): (&Rc<Poller>, Clock),
-    ) -> io::Result<Calls> {
+    ) -> io::Result<OneShotServer> {
         let listener = listen::listen(at)?;
         poller.add(&listener, Event::readable(listener_key))?;
-        Ok(Calls {
+        Ok(OneShotServer {
             listener,
             poller: poller.clone(),
             clock,
             listener_key,
             key,
-            visitors: RefCell::default(),
-            apart,
-            next_at: Cell::new(Instant(0)),
-            waits_until: Cell::new(None),
+            connections: RefCell::default(),
+            min_interval,
+            next_accept_at: Cell::new(Instant(0)),
+            accepts_again_at: Cell::new(None),
         })
     }
 
@@ -74,97 +76,102 @@
         self.listener.local_addr()
     }
 
-    /// Takes in those who wait to call, and says to them at once what is to be said unasked.
-    pub fn accept(&self, mut unasked: impl FnMut() -> Option<Vec<u8>>) {
-        // Some that come in one moment are no flood.
-        const TOGETHER: f64 = 16.0;
-        for _ in 0..MOST {
+    /// Accepts waiting connections, and sends each the greeting, where there is one, as its response.
+    pub fn accept(&self, mut greeting: impl FnMut() -> Option<Vec<u8>>) {
+        // The number of connections that may arrive at once without being delayed.
+        const BURST: f64 = 16.0;
+        for _ in 0..MAX_CONNECTIONS {
             let now = self.clock.now();
-            let next_at = self.next_at.get().max(now - self.apart.scaled(TOGETHER));
-            if next_at > now {
-                self.waits_until.set(Some(next_at));
+            let next_accept_at = self.next_accept_at.get().max(now - self.min_interval.scaled(BURST));
+            if next_accept_at > now {
+                self.accepts_again_at.set(Some(next_accept_at));
                 return;
             }
-            let take = |stream| self.take_in(stream, unasked());
-            if listen::take_in(&self.listener, 1, "callers", take) == 0 {
+            let add = |stream| self.add_connection(stream, greeting());
+            if listen::take_in(&self.listener, 1, "callers", add) == 0 {
                 break;
             }
-            self.next_at.set(next_at + self.apart);
+            self.next_accept_at.set(next_accept_at + self.min_interval);
         }
-        self.watch();
+        self.watch_listener();
     }
 
-    fn watch(&self) {
+    fn watch_listener(&self) {
         if let Err(e) = self.poller.modify(&self.listener, Event::readable(self.listener_key)) {
-            warn!("an address for calls can't be watched: {e}");
+            warn!("cannot watch the listener of single requests: {e}");
         }
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
-        self.waits_until.get()
+    pub fn next_timeout(&self) -> Option<Instant> {
+        self.accepts_again_at.get()
     }
 
-    /// Those who wait outside may come in again.
-    pub fn due(&self) {
-        if self.waits_until.get().is_some_and(|until| until <= self.clock.now()) {
-            self.waits_until.set(None);
-            self.watch();
+    /// Resumes accepting after the pause.
+    pub fn handle_timeouts(&self) {
+        if self.accepts_again_at.get().is_some_and(|until| until <= self.clock.now()) {
+            self.accepts_again_at.set(None);
+            self.watch_listener();
         }
     }
 
-    /// Guards against callers that say nothing and hold all places: whoever came first of them makes room, those who have
-    /// their answers before, and those who have not read it last.
-    fn take_in(&self, stream: TcpStream, unasked: Option<Vec<u8>>) {
-        let mut visitors = self.visitors.borrow_mut();
-        if visitors.len() >= MOST {
-            let order = |v: &Visitor| match v.connection.buffer.waits_to_write() {
-                false => (u8::from(!v.answered), v.since),
-                true => (2, v.since),
-            };
-            let first = visitors.iter().min_by_key(|(_, visitor)| order(visitor)).map(|(place, _)| place);
-            first.inspect(|&place| drop(visitors.remove(place)));
+    /// Guards against callers that send nothing and hold all connections: at the limit one is closed for the new one.
+    /// Answered connections go first, then unanswered ones, then those whose client has not read the response; of each
+    /// group the oldest.
+    fn add_connection(&self, stream: TcpStream, greeting: Option<Vec<u8>>) {
+        let mut connections = self.connections.borrow_mut();
+        if connections.len() >= MAX_CONNECTIONS {
+            let eviction_order =
+                |pending: &OneShotConnection| match pending.connection.buffer.waits_to_write() {
+                    false => (u8::from(!pending.answered), pending.accepted_at),
+                    true => (2, pending.accepted_at),
+                };
+            let evicted =
+                connections.iter().min_by_key(|(_, pending)| eviction_order(pending)).map(|(index, _)| index);
+            evicted.inspect(|&index| drop(connections.remove(index)));
         }
-        let place = visitors.vacant_entry();
-        match Connection::from_stream(stream, &self.poller, (self.key)(place.key())) {
+        let entry = connections.vacant_entry();
+        match Connection::from_stream(stream, &self.poller, (self.key)(entry.key())) {
             Ok(mut connection) => {
-                connection.set_max_unread(MAX_CALL);
-                let answered = unasked.is_some();
-                if let Some(text) = unasked {
+                connection.set_max_unread(MAX_REQUEST);
+                let answered = greeting.is_some();
+                if let Some(text) = greeting {
                     connection.buffer.put(&text);
                 }
-                let visitor = place.insert(Visitor { connection, since: self.clock.now(), answered });
-                // What fails shows when the loop looks at the connection.
-                let _ = if answered { visitor.written(Reading::Open) } else { Ok(()) };
+                let pending =
+                    entry.insert(OneShotConnection { connection, accepted_at: self.clock.now(), answered });
+                // A failure is noticed when the event loop handles the connection next.
+                let _ = if answered { pending.flush(Reading::Open) } else { Ok(()) };
             }
-            Err(e) => warn!("a call can't be watched: {e}"),
+            Err(e) => warn!("cannot watch a connection of a single request: {e}"),
         }
     }
 
-    /// Something can be read from or written to a connection.
-    pub fn stirred(&self, place: usize, answer: impl FnOnce(&Request) -> Vec<u8>) {
-        let mut visitors = self.visitors.borrow_mut();
-        let Some(visitor) = visitors.get_mut(place) else { return };
-        if visitor.moved(answer).is_err() {
-            visitors.remove(place);
+    /// Handles readiness of a connection for reading or writing.
+    pub fn handle_event(&self, index: usize, respond: impl FnOnce(&Request) -> Vec<u8>) {
+        let mut connections = self.connections.borrow_mut();
+        let Some(pending) = connections.get_mut(index) else { return };
+        if pending.advance(respond).is_err() {
+            connections.remove(index);
         }
     }
 }
 
-impl Visitor {
-    /// Reads what came, answers the call if it is whole, and writes; an error when the connection is over.
-    fn moved(&mut self, answer: impl FnOnce(&Request) -> Vec<u8>) -> io::Result<()> {
+impl OneShotConnection {
+    /// Reads input, answers the request once it is complete, and writes; returns an error when the connection is
+    /// finished.
+    fn advance(&mut self, respond: impl FnOnce(&Request) -> Vec<u8>) -> io::Result<()> {
         let reading =
             if self.answered { self.connection.read_and_discard()? } else { self.connection.read()? };
         if !self.answered {
             let unread = self.connection.buffer.unread();
-            let whole = match http::request(unread, &LIMITS) {
-                Ok(None) if unread.len() >= MAX_CALL => Err(Malformed(413)),
-                whole => whole,
+            let parsed = match http::request(unread, &LIMITS) {
+                Ok(None) if unread.len() >= MAX_REQUEST => Err(Malformed(413)),
+                parsed => parsed,
             };
-            let answer = match whole {
+            let answer = match parsed {
                 Ok(None) if reading == Reading::Ended => return Err(ErrorKind::UnexpectedEof.into()),
                 Ok(None) => None,
-                Ok(Some((request, _))) => Some(answer(&request)),
+                Ok(Some((request, _))) => Some(respond(&request)),
                 Err(Malformed(status)) => Some(http::answer(status, &[http::CLOSE], b"")),
             };
             if let Some(answer) = answer {
@@ -174,11 +181,11 @@
                 self.answered = true;
             }
         }
-        self.written(reading)
+        self.flush(reading)
     }
 
-    /// Writes what can be written; once the answer is gone nothing more will come.
-    fn written(&mut self, reading: Reading) -> io::Result<()> {
+    /// Writes what can be written, and shuts the sending side down after the response.
+    fn flush(&mut self, reading: Reading) -> io::Result<()> {
         self.connection.write()?;
         if self.answered && !self.connection.buffer.waits_to_write() {
             if reading == Reading::Ended {
--- a/crates/node/src/wire/peers.rs
+++ b/crates/node/src/wire/peers.rs
@@ -1,5 +1,6 @@
-//! The other nodes of the fleet: one UDP socket for who is there, for what each has seen of executors' starts, and for the
-//! words of the decisions. Each datagram is marked with the fleet's secret; what is not is dropped and counted.
+//! The other nodes of the fleet. One UDP socket serves membership, observations of executors that are down or
+//! restarted, load messages of the dispatcher, and the messages of voters. Each datagram carries a tag that is made
+//! with the secret of the fleet; datagrams without it are dropped and counted.
 
 use crate::coordinator::{ClosedExecutors, Coordinator, LearnedEstimates};
 use crate::interfaces::PeerMessenger;
@@ -7,7 +8,7 @@
 use crate::state::clock::Clock;
 use crate::state::counters::Counters;
 use crate::state::replicated_state::{Outcome, ReplicatedState, StateCommand};
-use crate::wire::voter_group::Settling;
+use crate::wire::voter_group::VoterGroup;
 use grebeusher_budgets::{Holder, Wholes};
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
@@ -25,54 +26,60 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Descriptors that are set aside for it.
+/// The descriptors that are reserved for the socket.
 pub const DESCRIPTORS: usize = 1;
-/// What this version writes first; one that begins otherwise is another's.
+/// The first byte of each datagram of this version; datagrams with another one are of another version.
 const VERSION: u8 = 3;
-const MARK: usize = 16;
-/// What a datagram holds, by its second byte.
+const TAG_BYTES: usize = 16;
+/// The kinds of datagrams, in the second byte.
 const MEMBERSHIP: u8 = 1;
-const WORD: u8 = 2;
-/// Of one keeper to another.
-pub const KEEPER: u8 = 3;
-/// What is to be settled, and what came of it.
-pub const STEP: u8 = 4;
+const LOAD: u8 = 2;
+/// A message of one voter to another.
+pub const VOTER: u8 = 3;
+/// A command for the replicated state of the voters, and the outcome of one.
+pub const COMMAND: u8 = 4;
 pub const OUTCOME: u8 = 5;
-/// So many datagrams are read in one turn of the loop: a flood of them must not keep clients waiting.
-const AT_ONCE: usize = 256;
-/// Something was decided: whoever sends by a permission should ask for a new one now. Only a hint.
+/// The number of datagrams that are read in one turn of the event loop. Guards against a flood of them that keeps
+/// clients waiting.
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
+/// The voters have made a decision: nodes with a permission should ask for a new one now. It is only a hint.
 const NUDGE: u8 = 6;
-/// What a newcomer has missed of executors' starts.
-const MISSED: u8 = 7;
-/// A node that has just started asks what it has missed, with where it is reached.
-const ASKS_MISSED: u8 = 8;
-/// What another has learnt of work and of executors' kinds.
-const LEARNT: u8 = 9;
-/// So many of those who hear of a newcomer tell it: one may be gone itself, and its datagram lost.
-const TELLERS: u64 = 3;
-/// A node that has just started asks so often at first: most of a fleet may have been restarted with it, and know as little.
-const ASKS_APART: Duration = Duration::from_millis(250);
+/// Observations of executors that a node which has just started has missed.
+const OBSERVATIONS: u8 = 7;
+/// A node that has just started asks for missed observations and learned estimates; the body is its address.
+const OBSERVATIONS_ASK: u8 = 8;
+/// What the sender has learned about requests and kinds of executors.
+const LEARNED: u8 = 9;
+/// The number of nodes that send a newly joined node what it has missed: one may be down itself, and its datagram may
+/// get lost.
+const INFORMERS: u64 = 3;
+/// The interval of the first asks for missed observations of a node that has just started, and their number: most of a
+/// fleet may have been restarted with it, and know as little.
+const FIRST_ASK_INTERVAL: Duration = Duration::from_millis(250);
 const FIRST_ASKS: u32 = 20;
-/// Later it asks so often, until it knows so many sizes of work: their mean is off by a sixth or so where a few are long.
-const LATER_ASKS_APART: Duration = Duration::from_millis(2000);
-const KNOWS_ENOUGH: usize = 200;
-/// Budgets that were read anew are told to the keepers so often, and again whenever they answer by older ones.
-const BUDGETS_TOLD: u32 = 3;
-const BUDGETS_TOLD_APART: Duration = Duration::from_millis(500);
-/// Decisions come in clusters: one nudge for all of them.
-const NUDGES_APART: Duration = Duration::from_millis(100);
-/// The longest datagram that UDP has. What nodes say to each other all the time fits `MAX_BYTES`; a plan and what staff see of
-/// it does not, and is asked for again if a piece of it gets lost on the way.
-const LONGEST: usize = 65_536;
-/// Staff who look at a plan are shown it as long after they asked; then it is not sent any more.
-const LOOK: Duration = Duration::from_millis(3000);
-/// Whoever leads looks so often what the list says: a machine that is back makes way for the next.
+/// The interval of later asks, until the node knows this many request sizes: their mean is off by about a sixth where a
+/// few are long.
+const LATER_ASK_INTERVAL: Duration = Duration::from_millis(2000);
+const ENOUGH_SIZES: usize = 200;
+/// The number and the interval of the commands that tell the voters of reloaded budgets; they are sent again whenever
+/// the voters answer by an older edition.
+const BUDGET_ANNOUNCEMENTS: u32 = 3;
+const BUDGET_ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(500);
+/// Decisions come in clusters: one nudge is sent for all decisions in this time.
+const NUDGE_INTERVAL: Duration = Duration::from_millis(100);
+/// The longest datagram of UDP, in bytes. Regular messages between nodes fit `MAX_BYTES` of the membership; a plan and
+/// its status do not, and are asked for again if a fragment is lost.
+const MAX_DATAGRAM: usize = 65_536;
+/// The voters send the status of the plan for this long after operators last read it.
+const VIEWER_TIMEOUT: Duration = Duration::from_millis(3000);
+/// The interval at which the leader passes the executor list to the maintenance state: a machine that is back makes way
+/// for the next.
 const VIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// A start that is longer ago than this is no news: executors are warm by then.
-const RECENT: Duration = Duration::from_millis(60_000);
+/// Observations older than this are not sent: executors have left slow start by then.
+const MAX_OBSERVATION_AGE: Duration = Duration::from_millis(60_000);
 
-/// Writes and reads what stands around each datagram: version, kind and a mark over all of it that only those who know
-/// the fleet's name and secret can make.
+/// Encodes and decodes the frame of each datagram: the version, the kind, and a tag over all of it that only nodes with
+/// the name and the secret of the fleet can make.
 struct Frame {
     fleet: String,
     key: [u8; 16],
@@ -80,10 +87,10 @@
 
 impl Frame {
     fn new(fleet: &str, secret: &str) -> Frame {
-        Frame { fleet: fleet.to_owned(), key: key(secret) }
+        Frame { fleet: fleet.to_owned(), key: derive_key(secret) }
     }
 
-    fn mark(&self, version: u8, kind: u8, body: &[u8]) -> [u8; MARK] {
+    fn tag(&self, version: u8, kind: u8, body: &[u8]) -> [u8; TAG_BYTES] {
         let mut hasher = SipHasher24::new_with_key(&self.key);
         hasher.write(&[version, kind, self.fleet.len() as u8]);
         hasher.write(self.fleet.as_bytes());
@@ -91,550 +98,617 @@
         hasher.finish128().as_bytes()
     }
 
-    fn around(&self, kind: u8, body: &[u8]) -> Vec<u8> {
+    fn encode(&self, kind: u8, body: &[u8]) -> Vec<u8> {
         let mut datagram = vec![VERSION, kind];
-        datagram.extend_from_slice(&self.mark(VERSION, kind, body));
+        datagram.extend_from_slice(&self.tag(VERSION, kind, body));
         datagram.extend_from_slice(body);
         datagram
     }
 
-    /// The kind and what it holds; `None` for what is another's, forged or cut short.
-    fn inside<'a>(&self, datagram: &'a [u8]) -> Option<(u8, &'a [u8])> {
+    /// The kind and the body of a datagram; `None` if it is of another fleet or version, forged or truncated.
+    fn decode<'a>(&self, datagram: &'a [u8]) -> Option<(u8, &'a [u8])> {
         let (head, rest) = datagram.split_at_checked(2)?;
-        let (mark, body) = rest.split_at_checked(MARK)?;
+        let (tag, body) = rest.split_at_checked(TAG_BYTES)?;
         let (version, kind) = (head[0], head[1]);
-        (version == VERSION && self.mark(version, kind, body) == mark).then_some((kind, body))
+        (version == VERSION && self.tag(version, kind, body) == tag).then_some((kind, body))
     }
 }
 
-/// A key of the length that is wanted, out of a secret of any.
-fn key(secret: &str) -> [u8; 16] {
+/// Derives a key of the needed length from a secret of any length.
+fn derive_key(secret: &str) -> [u8; 16] {
     let mut hasher = SipHasher24::new();
     hasher.write(secret.as_bytes());
     hasher.finish128().as_bytes()
 }
 
-/// The socket, and who is where.
-pub struct Post {
+/// The socket, and the addresses of the other nodes.
+pub struct PeerSocket {
     socket: UdpSocket,
     frame: Frame,
     addresses: RefCell<BTreeMap<u32, SocketAddr>>,
-    /// Where keepers were last: who is taken for gone and is not must still be reached.
-    keepers: RefCell<BTreeMap<u32, Option<SocketAddr>>>,
-    /// Where those who ask for something say that they are. Guards against a keeper that has just started, leads and does
-    /// not know yet whom it answers.
+    /// The last known addresses of voters: one that membership takes to be down, but is not, must still be reached.
+    voters: RefCell<BTreeMap<u32, Option<SocketAddr>>>,
+    /// The addresses that nodes gave in their commands. Guards against a voter that has just started, leads, and does
+    /// not know the addresses of nodes that it answers.
     askers: RefCell<BTreeMap<u32, SocketAddr>>,
-    /// This node's number, and where others reach it.
+    /// This node's number, and the address at which others reach it.
     pub own: (u32, SocketAddr),
     pub counters: Rc<Counters>,
 }
 
-impl Post {
-    fn say(&self, to: SocketAddr, kind: u8, body: &[u8]) {
-        match self.socket.send_to(&self.frame.around(kind, body), to) {
+impl PeerSocket {
+    fn send_frame(&self, target: SocketAddr, kind: u8, body: &[u8]) {
+        match self.socket.send_to(&self.frame.encode(kind, body), target) {
             Ok(_) => self.counters.datagrams_sent.increment(),
-            // Lost on the way or here is the same.
+            // A datagram that is lost here is like one that is lost on the way.
             Err(_) => self.counters.datagrams_failed.increment(),
         }
     }
 
-    /// To one node, by its number; nobody hears it if it is not known to be there.
-    pub fn say_bytes(&self, node: u32, kind: u8, body: &[u8]) {
-        let known = self.addresses.borrow().get(&node).copied();
-        let known = known.or_else(|| self.keepers.borrow().get(&node).copied().flatten());
-        if let Some(to) = known.or_else(|| self.askers.borrow().get(&node).copied()) {
-            self.say(to, kind, body);
+    /// Sends to a node by its number; does nothing if no address of it is known.
+    pub fn send_bytes(&self, node: u32, kind: u8, body: &[u8]) {
+        let addresses_of_voters = self.addresses.borrow().get(&node).copied();
+        let addresses_of_voters =
+            addresses_of_voters.or_else(|| self.voters.borrow().get(&node).copied().flatten());
+        if let Some(target) = addresses_of_voters.or_else(|| self.askers.borrow().get(&node).copied()) {
+            self.send_frame(target, kind, body);
         }
     }
 
-    /// Somebody asks, and says where it is.
-    pub fn asked_by(&self, (node, address): (u32, SocketAddr)) {
+    /// Records the address that a node gave in its command.
+    pub fn record_asker(&self, (node, address): (u32, SocketAddr)) {
         self.askers.borrow_mut().insert(node, address);
     }
 
-    fn say_what(&self, to: SocketAddr, kind: u8, what: &impl Serialize) {
-        if let Ok(body) = postcard::to_allocvec(what) {
-            self.say(to, kind, &body);
+    fn send_message(&self, target: SocketAddr, kind: u8, message: &impl Serialize) {
+        if let Ok(body) = postcard::to_allocvec(message) {
+            self.send_frame(target, kind, &body);
         }
     }
 
-    pub fn say_to(&self, node: u32, kind: u8, what: &impl Serialize) {
-        if let Ok(body) = postcard::to_allocvec(what) {
-            self.say_bytes(node, kind, &body);
+    pub fn send_message_to(&self, node: u32, kind: u8, message: &impl Serialize) {
+        if let Ok(body) = postcard::to_allocvec(message) {
+            self.send_bytes(node, kind, &body);
         }
     }
 }
 
-/// Acts for membership; what it leaves for the loop is taken from there.
-struct Hand {
-    post: Rc<Post>,
-    words: Rc<RefCell<Vec<ExecutorObservation>>>,
+/// The host of the membership; what the event loop has to handle is collected in shared lists.
+struct MembershipHost {
+    peer_socket: Rc<PeerSocket>,
+    observations: Rc<RefCell<Vec<ExecutorObservation>>>,
     newcomers: Rc<RefCell<Vec<u32>>>,
 }
 
-impl Host for Hand {
-    fn send(&mut self, to: SocketAddr, datagram: &[u8]) {
-        self.post.say(to, MEMBERSHIP, datagram);
+impl Host for MembershipHost {
+    fn send(&mut self, target: SocketAddr, datagram: &[u8]) {
+        self.peer_socket.send_frame(target, MEMBERSHIP, datagram);
     }
 
-    fn member_up(&mut self, fellow: Member) {
-        let Member { address, number, generation } = fellow;
+    fn member_up(&mut self, member: Member) {
+        let Member { address, number, generation } = member;
         info!(
-            fellow = number,
+            member = number,
             start = generation,
-            "node {number} is there, at {address}, start {generation}"
+            "node {number} joined at {address}, generation {generation}"
         );
-        self.post.counters.fellows_came.increment();
-        self.newcomers.borrow_mut().push(fellow.number);
-        self.post.addresses.borrow_mut().insert(fellow.number, fellow.address);
-        if let Some(keeper) = self.post.keepers.borrow_mut().get_mut(&fellow.number) {
-            *keeper = Some(fellow.address);
+        self.peer_socket.counters.fellows_came.increment();
+        self.newcomers.borrow_mut().push(member.number);
+        self.peer_socket.addresses.borrow_mut().insert(member.number, member.address);
+        if let Some(voter) = self.peer_socket.voters.borrow_mut().get_mut(&member.number) {
+            *voter = Some(member.address);
         }
     }
 
-    fn member_down(&mut self, fellow: Member) {
-        let Member { number, generation, .. } = fellow;
-        info!(fellow = number, start = generation, "node {number} is gone, start {generation}");
-        self.post.counters.fellows_went.increment();
-        let mut addresses = self.post.addresses.borrow_mut();
-        if addresses.get(&fellow.number) == Some(&fellow.address) {
-            addresses.remove(&fellow.number);
+    fn member_down(&mut self, member: Member) {
+        let Member { number, generation, .. } = member;
+        info!(member = number, start = generation, "node {number} left or failed, generation {generation}");
+        self.peer_socket.counters.fellows_went.increment();
+        let mut addresses = self.peer_socket.addresses.borrow_mut();
+        if addresses.get(&member.number) == Some(&member.address) {
+            addresses.remove(&member.number);
         }
     }
 
-    fn executor_observed(&mut self, word: ExecutorObservation) {
-        self.words.borrow_mut().push(word);
+    fn executor_observed(&mut self, observation: ExecutorObservation) {
+        self.observations.borrow_mut().push(observation);
     }
 }
 
-pub struct Fellows {
-    post: Rc<Post>,
+pub struct Peers {
+    peer_socket: Rc<PeerSocket>,
     poller: Rc<Poller>,
     key: usize,
     clock: Clock,
     own: u32,
     count: u64,
-    words: Rc<RefCell<Vec<ExecutorObservation>>>,
-    /// Nodes of which it was heard that they are there, and that have not been told yet what they have missed.
+    observations: Rc<RefCell<Vec<ExecutorObservation>>>,
+    /// Nodes that have joined, and have not been sent yet what they missed.
     newcomers: Rc<RefCell<Vec<u32>>>,
-    membership: RefCell<Membership<Hand>>,
-    school: Cell<School>,
-    settling: Option<RefCell<Settling>>,
-    parts: Option<RefCell<BudgetShares>>,
-    /// When the keepers are told next of budgets that they do not go by yet, and how often they are without a word back.
-    tells_budgets: Cell<(Instant, u32)>,
-    works: Option<Office>,
+    membership: RefCell<Membership<MembershipHost>>,
+    catch_up: Cell<CatchUp>,
+    voter_group: Option<RefCell<VoterGroup>>,
+    budget_shares: Option<RefCell<BudgetShares>>,
+    /// When the voters are told next of budgets that they do not apply yet, and how many announcements are left.
+    budget_announcements: Cell<(Instant, u32)>,
+    maintenance: Option<MaintenanceAgent>,
     datagram: RefCell<Vec<u8>>,
 }
 
-/// How far a node that has just started has got in learning what others know.
+/// The progress of a node that has just started in learning what the others know.
 #[derive(Clone, Copy)]
-struct School {
-    asks_at: Instant,
-    asked: u32,
-    is_over: bool,
+struct CatchUp {
+    next_ask_at: Instant,
+    ask_count: u32,
+    is_done: bool,
 }
 
-/// This node's side of taking machines out.
-struct Office {
+/// This node's part in maintenance: its permission to send to executors, and what it reports to the voters.
+struct MaintenanceAgent {
     permission: RefCell<Permission>,
-    /// This node is itself to go, and has nothing in hand any more: it sends nothing before it hears that it may stay.
-    is_through: Cell<bool>,
-    /// When what is closed may be more than before; nothing before the first word.
-    changes_at: Cell<Option<Instant>>,
-    viewed: Cell<Instant>,
-    /// When the others are told that something was decided here.
-    nudges_at: Cell<Option<Instant>>,
-    /// When staff looked last, and what came for them.
-    looked: Cell<Option<Instant>>,
-    shown: RefCell<Option<(Instant, Shown)>>,
+    /// This node is to be taken out itself, and has no open request: it sends nothing until it hears that it may stay.
+    is_drained: Cell<bool>,
+    /// When more executors may have to be closed; `None` before the first permission.
+    closed_changes_at: Cell<Option<Instant>>,
+    list_viewed_at: Cell<Instant>,
+    /// When the other nodes are told of a decision that was made here.
+    next_nudge_at: Cell<Option<Instant>>,
+    /// When operators last read the status of the plan, and the latest status with the time of its arrival.
+    viewed_at: Cell<Option<Instant>>,
+    plan_status: RefCell<Option<(Instant, Shown)>>,
 }
 
-impl Fellows {
-    /// Listens beside the clients' address, and knocks at the fleet's contacts. `own`: this node's number, and how many
-    /// there are by what it was told.
+impl Peers {
+    /// Listens at the IP address of the clients' listener, and contacts the configured nodes to join the fleet. `own`
+    /// and `count` are this node's number and the configured number of nodes.
     #[expect(clippy::too_many_lines, reason = "the steps of a start in their order; to be split")]
-    pub fn meet(
+    pub fn start(
         fleet: &fleet::FleetSettings,
-        posted: &fleet::PeerSettings,
+        settings: &fleet::PeerSettings,
         names: (&[String], &[String]),
         listen: SocketAddr,
         (own, count, zone): (u64, u64, &str),
         seed: u64,
         (key, poller, clock, counters): (usize, &Rc<Poller>, Clock, &Rc<Counters>),
-    ) -> Result<Fellows, String> {
-        let at = SocketAddr::new(listen.ip(), posted.port);
-        let wrong = |e: io::Error| format!("fellows.port: {at}: {e}");
-        let socket = UdpSocket::bind(at).map_err(wrong)?;
-        socket.set_nonblocking(true).map_err(wrong)?;
-        poller.add(&socket, Event::readable(key)).map_err(wrong)?;
-        let frame = Frame::new(&posted.fleet, &posted.secret);
-        let keepers = fleet.voters.as_ref();
-        let known = keepers.iter().flat_map(|keepers| &keepers.nodes).map(|number| (*number, None));
-        let post = Rc::new(Post {
+    ) -> Result<Peers, String> {
+        let at = SocketAddr::new(listen.ip(), settings.port);
+        let with_address = |e: io::Error| format!("fellows.port: {at}: {e}");
+        let socket = UdpSocket::bind(at).map_err(with_address)?;
+        socket.set_nonblocking(true).map_err(with_address)?;
+        poller.add(&socket, Event::readable(key)).map_err(with_address)?;
+        let frame = Frame::new(&settings.fleet, &settings.secret);
+        let voters = fleet.voters.as_ref();
+        let addresses_of_voters =
+            voters.iter().flat_map(|voters| &voters.nodes).map(|number| (*number, None));
+        let peer_socket = Rc::new(PeerSocket {
             socket,
             frame,
             addresses: RefCell::default(),
-            keepers: RefCell::new(known.collect()),
+            voters: RefCell::new(addresses_of_voters.collect()),
             askers: RefCell::default(),
-            own: (own as u32, posted.known_as.unwrap_or(at)),
+            own: (own as u32, settings.known_as.unwrap_or(at)),
             counters: counters.clone(),
         });
-        let words: Rc<RefCell<Vec<ExecutorObservation>>> = Rc::default();
+        let observations: Rc<RefCell<Vec<ExecutorObservation>>> = Rc::default();
         let newcomers: Rc<RefCell<Vec<u32>>> = Rc::default();
-        let hand = Hand { post: post.clone(), words: words.clone(), newcomers: newcomers.clone() };
+        let host = MembershipHost {
+            peer_socket: peer_socket.clone(),
+            observations: observations.clone(),
+            newcomers: newcomers.clone(),
+        };
         let now = clock.now();
-        let fellow = Member { address: post.own.1, number: post.own.0, generation: now.0 / 1_000_000 };
-        let holder = Holder { number: fellow.number, generation: fellow.generation };
+        let member =
+            Member { address: peer_socket.own.1, number: peer_socket.own.0, generation: now.0 / 1_000_000 };
+        let holder = Holder { number: member.number, generation: member.generation };
         let budgets = fleet.budgets.as_ref();
-        let parts = budgets.map(|posted| BudgetShares::new(now, posted, names, holder).map(RefCell::new));
-        let parts = parts.transpose()?;
+        let budget_shares =
+            budgets.map(|settings| BudgetShares::new(now, settings, names, holder).map(RefCell::new));
+        let budget_shares = budget_shares.transpose()?;
         let permission = fleet
             .maintenance
             .as_ref()
             .map_or(Duration::from_nanos(0), grebeusher_node_config::fleet::MaintenanceSettings::permission);
-        let names = (fixed_hash(&at.to_string()), fixed_hash(&node_name(fellow.number)));
-        let works = fleet.maintenance.as_ref().map(|_| Office {
-            is_through: Cell::new(false),
-            permission: RefCell::new(Permission::new(holder, names, permission).standing_in(zone)),
-            changes_at: Cell::new(None),
-            viewed: Cell::new(now),
-            nudges_at: Cell::new(None),
-            looked: Cell::new(None),
-            shown: RefCell::default(),
+        let name_hashes = (fixed_hash(&at.to_string()), fixed_hash(&node_name(member.number)));
+        let maintenance = fleet.maintenance.as_ref().map(|_| MaintenanceAgent {
+            is_drained: Cell::new(false),
+            permission: RefCell::new(Permission::new(holder, name_hashes, permission).standing_in(zone)),
+            closed_changes_at: Cell::new(None),
+            list_viewed_at: Cell::new(now),
+            next_nudge_at: Cell::new(None),
+            viewed_at: Cell::new(None),
+            plan_status: RefCell::default(),
         });
-        let settling = keepers.map(|keepers| {
-            let (wholes, lease) = budgets.map_or_else(
+        let voter_group = voters.map(|voters| {
+            let (fleet_budgets, lease) = budgets.map_or_else(
                 || (Wholes::default(), Duration::from_nanos(0)),
-                |posted| (budget_shares::fleet_budgets(posted), posted.lease()),
+                |settings| (budget_shares::fleet_budgets(settings), settings.lease()),
+            );
+            let initial_state = ReplicatedState::empty(
+                fleet_budgets,
+                lease,
+                Works::empty(permission, count as u32, &voters.nodes),
             );
-            let empty =
-                ReplicatedState::empty(wholes, lease, Works::empty(permission, count as u32, &keepers.nodes));
-            let settling = Settling::new(now, &keepers.nodes, fellow.number, seed ^ now.0, empty, &post);
-            RefCell::new(settling)
+            let voter_group =
+                VoterGroup::new(now, &voters.nodes, member.number, seed ^ now.0, initial_state, &peer_socket);
+            RefCell::new(voter_group)
         });
-        let mut membership = Membership::new(fellow, count as u32, seed, hand);
-        membership.join(now, &posted.contacts);
-        info!("fellows: {} at {at}, known as {}", posted.fleet, fellow.address);
-        Ok(Fellows {
-            post,
+        let mut membership = Membership::new(member, count as u32, seed, host);
+        membership.join(now, &settings.contacts);
+        info!("peers: fleet {} at {at}, reached at {}", settings.fleet, member.address);
+        Ok(Peers {
+            peer_socket,
             poller: poller.clone(),
             key,
             clock,
             own: own as u32,
             count,
-            words,
+            observations,
             newcomers,
             membership: RefCell::new(membership),
-            school: Cell::new(School { asks_at: now, asked: 0, is_over: false }),
-            settling,
-            parts,
-            tells_budgets: Cell::new((now, 0)),
-            works,
-            datagram: RefCell::new(vec![0; LONGEST]),
+            catch_up: Cell::new(CatchUp { next_ask_at: now, ask_count: 0, is_done: false }),
+            voter_group,
+            budget_shares,
+            budget_announcements: Cell::new((now, 0)),
+            maintenance,
+            datagram: RefCell::new(vec![0; MAX_DATAGRAM]),
         })
     }
 
-    /// Who leads the keepers as far as this node knows, and how much is settled at this one.
-    pub fn settled(&self) -> (Option<u32>, Option<u64>) {
-        self.settling.as_ref().map_or((None, None), |settling| settling.borrow().figures())
+    /// The number of the node that leads the voters, as far as this node knows, and the number of log entries that its
+    /// own voter has applied.
+    pub fn voter_status(&self) -> (Option<u32>, Option<u64>) {
+        self.voter_group.as_ref().map_or((None, None), |voter_group| voter_group.borrow().status())
     }
 
-    /// How many others are there.
+    /// The number of other live nodes.
     pub fn count(&self) -> usize {
         self.membership.borrow().members().count()
     }
 
-    /// Of each budget what this node may spend, and what it has.
-    pub fn parts(&self) -> Vec<(String, u32, usize)> {
+    /// For each budget: its name, the units that this node may spend in a window now, and the units that it spent in
+    /// the latest window.
+    pub fn budget_usage(&self) -> Vec<(String, u32, usize)> {
         let now = self.clock.now();
-        self.parts.as_ref().map_or_else(Vec::new, |parts| parts.borrow_mut().usage(now))
+        self.budget_shares
+            .as_ref()
+            .map_or_else(Vec::new, |budget_shares| budget_shares.borrow_mut().usage(now))
     }
 
-    /// The edition of the budgets in this node's file, and of those by which the keepers have answered it last.
-    pub fn editions(&self) -> Option<(u64, u64)> {
-        self.parts.as_ref().map(|parts| parts.borrow().editions())
+    /// The edition of the budgets in this node's file, and the edition by which the voters last answered.
+    pub fn budget_editions(&self) -> Option<(u64, u64)> {
+        self.budget_shares.as_ref().map(|budget_shares| budget_shares.borrow().editions())
     }
 
-    /// The operators' file was read anew. Only budgets change while a node runs; an error names what is wrong, or waits for the
-    /// next start, and changes nothing.
-    pub fn reads(&self, fleet: &fleet::FleetSettings) -> Result<(), String> {
-        let (Some(parts), Some(posted)) = (&self.parts, &fleet.budgets) else {
-            return match (&self.parts, &fleet.budgets) {
+    /// Applies a reloaded fleet file. Only budgets change while a node runs; other changes wait for the next start. An
+    /// error says what is invalid, and nothing changes.
+    pub fn reload(&self, fleet: &fleet::FleetSettings) -> Result<(), String> {
+        let (Some(budget_shares), Some(settings)) = (&self.budget_shares, &fleet.budgets) else {
+            return match (&self.budget_shares, &fleet.budgets) {
                 (None, None) => Ok(()),
-                _ => Err("budgets: to come or go as a whole it takes a start of the node".to_owned()),
+                _ => {
+                    Err("budgets: adding or removing the whole section takes a restart of the node"
+                        .to_owned())
+                }
             };
         };
         let now = self.clock.now();
-        let before = parts.borrow().editions().0;
-        parts.borrow_mut().reload(now, posted)?;
-        if parts.borrow().editions().0 > before {
-            let edition = posted.edition;
-            info!(edition, "budgets: edition {edition} was read, before it {before}");
-            self.tells_budgets.set((now, BUDGETS_TOLD));
+        let earlier = budget_shares.borrow().editions().0;
+        budget_shares.borrow_mut().reload(now, settings)?;
+        if budget_shares.borrow().editions().0 > earlier {
+            let edition = settings.edition;
+            info!(edition, "budgets: edition {edition} read, replacing edition {earlier}");
+            self.budget_announcements.set((now, BUDGET_ANNOUNCEMENTS));
         }
         Ok(())
     }
 
-    /// Tells the keepers of budgets that are newer than those they go by.
-    fn tells_budgets(&self, now: Instant) {
-        let Some((parts, settling)) = self.parts.as_ref().zip(self.settling.as_ref()) else { return };
-        let ((at, times), (read, settled)) = (self.tells_budgets.get(), parts.borrow().editions());
-        // Who has had no answer yet does not know by which they go.
-        let behind = settled > 0 && settled < read;
-        if now < at || (times == 0 && !behind) || settled >= read {
+    /// Tells the voters of budgets that are newer than those that they apply.
+    fn announce_budgets(&self, now: Instant) {
+        let Some((budget_shares, voter_group)) = self.budget_shares.as_ref().zip(self.voter_group.as_ref())
+        else {
+            return;
+        };
+        let ((at, remaining), (own_edition, applied_edition)) =
+            (self.budget_announcements.get(), budget_shares.borrow().editions());
+        // A node that has no answer yet does not know the edition that the voters apply.
+        let is_behind = applied_edition > 0 && applied_edition < own_edition;
+        if now < at || (remaining == 0 && !is_behind) || applied_edition >= own_edition {
             return;
         }
-        self.tells_budgets.set((now + BUDGETS_TOLD_APART, times.saturating_sub(1)));
-        settling.borrow_mut().ask(now, StateCommand::Budgets(parts.borrow().fleet_budgets()));
+        self.budget_announcements.set((now + BUDGET_ANNOUNCEMENT_INTERVAL, remaining.saturating_sub(1)));
+        voter_group.borrow_mut().submit(now, StateCommand::Budgets(budget_shares.borrow().fleet_budgets()));
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
-        let asks = self.parts.as_ref().and_then(|parts| parts.borrow().next_timeout(self.clock.now()));
-        let settles = self.settling.as_ref().and_then(|settling| settling.borrow().next_due());
-        let works = self.works.as_ref().and_then(|works| works.next_due(self.leads()));
-        let school = Some(self.school.get()).filter(|school| !school.is_over && self.count() > 0);
-        let school = school.map(|school| school.asks_at);
-        let (tells_at, times) = self.tells_budgets.get();
-        let tells = (times > 0).then_some(tells_at);
-        let dues = [self.membership.borrow().next_timeout(), asks, settles, works, school, tells];
-        dues.into_iter().flatten().min()
-    }
-
-    /// Whether this node leads the keepers.
-    fn leads(&self) -> bool {
-        self.settling.as_ref().is_some_and(|settling| settling.borrow().where_it_leads(|_| ()).is_some())
+    pub fn next_timeout(&self) -> Option<Instant> {
+        let budget_timeout = self
+            .budget_shares
+            .as_ref()
+            .and_then(|budget_shares| budget_shares.borrow().next_timeout(self.clock.now()));
+        let voter_timeout =
+            self.voter_group.as_ref().and_then(|voter_group| voter_group.borrow().next_timeout());
+        let maintenance_timeout =
+            self.maintenance.as_ref().and_then(|maintenance| maintenance.next_timeout(self.is_leader()));
+        let catch_up = Some(self.catch_up.get()).filter(|catch_up| !catch_up.is_done && self.count() > 0);
+        let catch_up = catch_up.map(|catch_up| catch_up.next_ask_at);
+        let (tells_at, remaining) = self.budget_announcements.get();
+        let announcement = (remaining > 0).then_some(tells_at);
+        let timeouts = [
+            self.membership.borrow().next_timeout(),
+            budget_timeout,
+            voter_timeout,
+            maintenance_timeout,
+            catch_up,
+            announcement,
+        ];
+        timeouts.into_iter().flatten().min()
+    }
+
+    /// Whether this node leads the voters.
+    fn is_leader(&self) -> bool {
+        self.voter_group
+            .as_ref()
+            .is_some_and(|voter_group| voter_group.borrow().with_leading_state(|_| ()).is_some())
     }
 
-    /// Whether this node may send anywhere: where machines are taken out it needs a word of the keepers first.
-    pub fn has_word(&self) -> bool {
-        self.works.as_ref().is_none_or(|works| works.permission.borrow().has_word())
+    /// Whether this node may send to executors: with maintenance it needs a permission of the voters first.
+    pub fn may_send(&self) -> bool {
+        self.maintenance.as_ref().is_none_or(|maintenance| maintenance.permission.borrow().has_word())
     }
 
-    /// Whether this node's own machine is to go out for work.
-    pub fn is_to_go(&self) -> bool {
-        self.works.as_ref().is_some_and(|works| works.permission.borrow().goes())
+    /// Whether this node's own machine is to be taken out for maintenance.
+    pub fn is_to_leave(&self) -> bool {
+        self.maintenance.as_ref().is_some_and(|maintenance| maintenance.permission.borrow().goes())
     }
 
-    /// This node is to go, and its clients are sent away. Once nothing that it sent may still run and it has no part of a budget it sends
-    /// nothing any more, and says so.
-    pub fn is_through(&self, coordinator: &mut Coordinator) {
-        let Some(works) = self.works.as_ref().filter(|works| !works.is_through.get()) else { return };
-        let longest = works.permission.borrow().longest_unit();
-        let holds = self.parts.as_ref().is_some_and(|parts| parts.borrow().holds_grants(self.clock.now()));
-        if !holds
-            && coordinator.outstanding_by_executor(longest).is_empty()
+    /// This node is to be taken out, and its clients have been sent elsewhere. Once nothing that it sent may still be
+    /// running and it holds no share of a budget, it stops sending and reports that to the voters.
+    pub fn report_if_drained(&self, coordinator: &mut Coordinator) {
+        let Some(maintenance) = self.maintenance.as_ref().filter(|maintenance| !maintenance.is_drained.get())
+        else {
+            return;
+        };
+        let max_run_time = maintenance.permission.borrow().longest_unit();
+        let holds_grants = self
+            .budget_shares
+            .as_ref()
+            .is_some_and(|budget_shares| budget_shares.borrow().holds_grants(self.clock.now()));
+        if !holds_grants
+            && coordinator.outstanding_by_executor(max_run_time).is_empty()
             && !coordinator.has_requests_awaiting_budget()
         {
-            info!("this node is through: it may go out for work");
-            works.is_through.set(true);
-            works.permission.borrow_mut().hurry();
-            works.closes(self.clock.now(), coordinator);
+            info!("maintenance: this node is drained and may be taken out");
+            maintenance.is_drained.set(true);
+            maintenance.permission.borrow_mut().hurry();
+            maintenance.apply_closed(self.clock.now(), coordinator);
         }
     }
 
-    /// A turn of the loop begins. Guards against a node that stood still while its permission ran out, and sends to a machine
-    /// that is out by now as it goes on with what has come meanwhile.
-    pub fn wakes(&self, coordinator: &mut Coordinator) {
-        if let Some(works) = &self.works {
-            works.wakes(self.clock.now(), coordinator);
+    /// Called at the start of each turn of the event loop. Guards against a node that was stopped while its permission
+    /// expired, and then sends queued requests to a machine that is out by now.
+    pub fn check_permission(&self, coordinator: &mut Coordinator) {
+        if let Some(maintenance) = &self.maintenance {
+            maintenance.check_permission(self.clock.now(), coordinator);
         }
     }
 
-    /// What is asked of the keepers, and what whoever leads tells of the list.
-    fn works(&self, coordinator: &mut Coordinator) {
-        let Some((works, settling)) = self.works.as_ref().zip(self.settling.as_ref()) else { return };
+    /// Submits what this node asks of the voters about maintenance, and, if it leads, passes the executor list to them.
+    fn run_maintenance(&self, coordinator: &mut Coordinator) {
+        let Some((maintenance, voter_group)) = self.maintenance.as_ref().zip(self.voter_group.as_ref())
+        else {
+            return;
+        };
         let now = self.clock.now();
-        works.wakes(now, coordinator);
-        if let Some(ask) = works.ask(now, coordinator, &self.post.counters) {
-            settling.borrow_mut().ask(now, StateCommand::Maintenance(maintenance::Step::Asks(ask)));
-        }
-        if settling.borrow_mut().has_moved() && works.nudges_at.get().is_none() {
-            works.nudges_at.set(Some(now + NUDGES_APART));
-        }
-        if works.nudges_at.get().is_some_and(|at| at <= now) {
-            works.nudges_at.set(None);
-            works.permission.borrow_mut().nudged(now);
-            self.post.addresses.borrow().values().for_each(|&to| self.post.say(to, NUDGE, &[]));
-        }
-        if now < works.viewed.get() + VIEW_INTERVAL {
+        maintenance.check_permission(now, coordinator);
+        if let Some(ask) = maintenance.next_ask(now, coordinator, &self.peer_socket.counters) {
+            voter_group.borrow_mut().submit(now, StateCommand::Maintenance(maintenance::Step::Asks(ask)));
+        }
+        if voter_group.borrow_mut().take_plan_moved() && maintenance.next_nudge_at.get().is_none() {
+            maintenance.next_nudge_at.set(Some(now + NUDGE_INTERVAL));
+        }
+        if maintenance.next_nudge_at.get().is_some_and(|at| at <= now) {
+            maintenance.next_nudge_at.set(None);
+            maintenance.permission.borrow_mut().nudged(now);
+            self.peer_socket
+                .addresses
+                .borrow()
+                .values()
+                .for_each(|&target| self.peer_socket.send_frame(target, NUDGE, &[]));
+        }
+        if now < maintenance.list_viewed_at.get() + VIEW_INTERVAL {
             return;
         }
-        let seen = settling.borrow().where_it_leads(|state| {
+        let seen = voter_group.borrow().with_leading_state(|state| {
             (state.maintenance.view().clone(), state.maintenance.watched().collect::<Vec<u64>>())
         });
         let Some((seen, watched)) = seen else { return };
-        works.viewed.set(now);
+        maintenance.list_viewed_at.set(now);
         let view = coordinator.maintenance_view(watched.into_iter());
         if view != seen {
-            settling.borrow_mut().ask(now, StateCommand::Maintenance(maintenance::Step::Sees(view)));
+            voter_group.borrow_mut().submit(now, StateCommand::Maintenance(maintenance::Step::Sees(view)));
         }
     }
 
-    /// Hands a command of the staff to the keepers, under a name by which it is answered and done once.
-    pub fn says(&self, name: u64, command: Command) {
-        if let Some(settling) = &self.settling {
-            let step = StateCommand::Maintenance(maintenance::Step::Says(name, command));
-            settling.borrow_mut().ask(self.clock.now(), step);
+    /// Submits a maintenance command of the operators to the voters, under a name by which it is answered and carried
+    /// out once.
+    pub fn submit_command(&self, name: u64, command: Command) {
+        if let Some(voter_group) = &self.voter_group {
+            let offset = StateCommand::Maintenance(maintenance::Step::Says(name, command));
+            voter_group.borrow_mut().submit(self.clock.now(), offset);
         }
     }
 
-    /// What staff see: milliseconds since it came and the state, if machines are taken out here and any has come.
-    pub fn shows(&self) -> Option<Option<(u64, Shown)>> {
-        let works = self.works.as_ref()?;
+    /// The status of the plan, and milliseconds since it arrived; the inner `None` if none has arrived yet, the outer
+    /// if maintenance is not configured.
+    pub fn plan_status(&self) -> Option<Option<(u64, Shown)>> {
+        let maintenance = self.maintenance.as_ref()?;
         let now = self.clock.now();
-        works.looked.set(Some(now));
-        let shown = works.shown.borrow();
-        Some(shown.as_ref().map(|(at, shown)| (now.since(*at).nanos() / 1_000_000, shown.clone())))
+        maintenance.viewed_at.set(Some(now));
+        let plan_status = maintenance.plan_status.borrow();
+        Some(
+            plan_status
+                .as_ref()
+                .map(|(at, plan_status)| (now.since(*at).nanos() / 1_000_000, plan_status.clone())),
+        )
     }
 
-    /// The others that are there: number, address, start, and milliseconds since when.
+    /// The other live nodes: number, address, generation, and milliseconds since they joined.
     pub fn members(&self) -> Vec<(u32, SocketAddr, u64, u64)> {
         let now = self.clock.now();
         let membership = self.membership.borrow();
-        let member = |LiveMember { member: fellow, since }| {
-            (fellow.number, fellow.address, fellow.generation, now.since(since).nanos() / 1_000_000)
+        let member = |LiveMember { member, since }| {
+            (member.number, member.address, member.generation, now.since(since).nanos() / 1_000_000)
         };
         let mut members: Vec<_> = membership.members().map(member).collect();
         members.sort_unstable();
         members
     }
 
-    /// Asks the keepers for what is wanted now.
-    fn asks(&self) {
-        let Some((parts, settling)) = self.parts.as_ref().zip(self.settling.as_ref()) else { return };
+    /// Asks the voters for the budget shares that are needed now.
+    fn ask_for_budgets(&self) {
+        let Some((budget_shares, voter_group)) = self.budget_shares.as_ref().zip(self.voter_group.as_ref())
+        else {
+            return;
+        };
         let now = self.clock.now();
-        for ask in parts.borrow_mut().due_asks(now) {
-            settling.borrow_mut().ask(now, StateCommand::BudgetAsk(ask));
+        for ask in budget_shares.borrow_mut().due_asks(now) {
+            voter_group.borrow_mut().submit(now, StateCommand::BudgetAsk(ask));
         }
     }
 
-    pub fn due(&self, coordinator: &mut Coordinator) {
+    pub fn handle_timeouts(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         self.membership.borrow_mut().handle_timeout(now);
-        if let Some(settling) = &self.settling {
-            settling.borrow_mut().due(now);
+        if let Some(voter_group) = &self.voter_group {
+            voter_group.borrow_mut().handle_timeouts(now);
         }
-        self.asks();
-        self.tells_budgets(now);
-        self.asks_missed(now);
-        self.works(coordinator);
-        self.hand_on(coordinator);
+        self.ask_for_budgets();
+        self.announce_budgets(now);
+        self.ask_for_observations(now);
+        self.run_maintenance(coordinator);
+        self.deliver(coordinator);
     }
 
-    pub fn stirred(&self, coordinator: &mut Coordinator) {
+    pub fn handle_event(&self, coordinator: &mut Coordinator) {
         let mut datagram = self.datagram.borrow_mut();
-        for _ in 0..AT_ONCE {
-            match self.post.socket.recv_from(&mut datagram) {
-                Ok((length, _)) => self.hears(&datagram[..length], coordinator),
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            match self.peer_socket.socket.recv_from(&mut datagram) {
+                Ok((length, _)) => self.datagram_received(&datagram[..length], coordinator),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                // What one sent earlier met nobody there.
+                // An earlier datagram was sent to an address where nobody listens.
                 Err(_) => {}
             }
         }
-        self.hand_on(coordinator);
-        if let Err(e) = self.poller.modify(&self.post.socket, Event::readable(self.key)) {
-            warn!("fellows are not heard any more: {e}");
+        self.deliver(coordinator);
+        if let Err(e) = self.poller.modify(&self.peer_socket.socket, Event::readable(self.key)) {
+            warn!("cannot watch the socket of the peers: {e}");
         }
     }
 
-    fn hears(&self, datagram: &[u8], coordinator: &mut Coordinator) {
-        self.post.counters.datagrams_came.increment();
-        let understood = match self.post.frame.inside(datagram) {
+    fn datagram_received(&self, datagram: &[u8], coordinator: &mut Coordinator) {
+        self.peer_socket.counters.datagrams_came.increment();
+        let is_valid = match self.peer_socket.frame.decode(datagram) {
             Some((MEMBERSHIP, body)) => self.membership.borrow_mut().receive(self.clock.now(), body).is_ok(),
-            Some((WORD, body)) => match body.split_first_chunk() {
-                Some((from, word)) => {
-                    coordinator.load_message_received(u64::from(u32::from_be_bytes(*from)), word);
+            Some((LOAD, body)) => match body.split_first_chunk() {
+                Some((from, message)) => {
+                    coordinator.load_message_received(u64::from(u32::from_be_bytes(*from)), message);
                     true
                 }
                 None => false,
             },
-            Some((MISSED, body)) => match postcard::from_bytes::<Vec<ExecutorObservation>>(body) {
-                Ok(missed) => {
-                    self.words.borrow_mut().extend(missed);
+            Some((OBSERVATIONS, body)) => match postcard::from_bytes::<Vec<ExecutorObservation>>(body) {
+                Ok(observations) => {
+                    self.observations.borrow_mut().extend(observations);
                     true
                 }
                 Err(_) => false,
             },
-            Some((ASKS_MISSED, body)) => match postcard::from_bytes::<SocketAddr>(body) {
+            Some((OBSERVATIONS_ASK, body)) => match postcard::from_bytes::<SocketAddr>(body) {
                 Ok(newcomer) => {
-                    self.teaches(newcomer, coordinator);
+                    self.send_knowledge(newcomer, coordinator);
                     true
                 }
                 Err(_) => false,
             },
-            Some((LEARNT, body)) => match postcard::from_bytes(body) {
-                Ok(lesson) => {
-                    self.learns(&lesson, coordinator);
+            Some((LEARNED, body)) => match postcard::from_bytes(body) {
+                Ok(estimates) => {
+                    self.merge_knowledge(&estimates, coordinator);
                     true
                 }
                 Err(_) => false,
             },
             Some((NUDGE, _)) => self
-                .works
+                .maintenance
                 .as_ref()
-                .map(|works| works.permission.borrow_mut().nudged(self.clock.now()))
+                .map(|maintenance| maintenance.permission.borrow_mut().nudged(self.clock.now()))
                 .is_some(),
-            Some((kind @ (KEEPER | STEP | OUTCOME), body)) => {
-                let settling = self.settling.as_ref();
-                settling.is_some_and(|settling| settling.borrow_mut().heard(self.clock.now(), kind, body))
+            Some((kind @ (VOTER | COMMAND | OUTCOME), body)) => {
+                let voter_group = self.voter_group.as_ref();
+                voter_group.is_some_and(|voter_group| {
+                    voter_group.borrow_mut().datagram_received(self.clock.now(), kind, body)
+                })
             }
             _ => false,
         };
-        if !understood {
-            self.post.counters.datagrams_bad.increment();
+        if !is_valid {
+            self.peer_socket.counters.datagrams_bad.increment();
         }
     }
 
-    /// What was heard of executors goes to the decisions, and what was settled to whom it is for.
-    fn hand_on(&self, coordinator: &mut Coordinator) {
-        let settled = self.settling.as_ref().map(|settling| settling.borrow_mut().outcomes());
-        for outcome in settled.into_iter().flatten() {
-            match (outcome, &self.parts, &self.works) {
-                (Outcome::BudgetGrant(grant), Some(parts), _) => parts.borrow_mut().apply_grant(&grant),
-                (Outcome::Permit(permit), _, Some(works)) => {
-                    works.granted(self.clock.now(), permit, coordinator);
+    /// Passes observations to the coordinator, and outcomes of the voters to their receivers.
+    fn deliver(&self, coordinator: &mut Coordinator) {
+        let outcomes = self.voter_group.as_ref().map(|voter_group| voter_group.borrow_mut().outcomes());
+        for outcome in outcomes.into_iter().flatten() {
+            match (outcome, &self.budget_shares, &self.maintenance) {
+                (Outcome::BudgetGrant(grant), Some(budget_shares), _) => {
+                    budget_shares.borrow_mut().apply_grant(&grant);
+                }
+                (Outcome::Permit(permit), _, Some(maintenance)) => {
+                    maintenance.permit_received(self.clock.now(), permit, coordinator);
                 }
                 _ => {}
             }
         }
-        let words = std::mem::take(&mut *self.words.borrow_mut());
-        for ExecutorObservation { executor, at_ms, gone } in words {
+        let observations = std::mem::take(&mut *self.observations.borrow_mut());
+        for ExecutorObservation { executor, at_ms, gone } in observations {
             coordinator.executor_observed(executor, Instant(at_ms.saturating_mul(1_000_000)), gone);
         }
-        self.tells_newcomers(coordinator);
+        self.inform_newcomers(coordinator);
         coordinator.budget_granted();
     }
 
-    /// Who has just come has not heard what was told before: the next few by their numbers tell it.
-    fn tells_newcomers(&self, coordinator: &Coordinator) {
+    /// Sends newly joined nodes the observations that they missed; the nodes with the next few numbers do so.
+    fn inform_newcomers(&self, coordinator: &Coordinator) {
         let newcomers = std::mem::take(&mut *self.newcomers.borrow_mut());
         let (own, count) = (u64::from(self.own), self.count.max(1));
-        let mine = |node: &u32| (1..=TELLERS).contains(&((own + count - u64::from(*node) % count) % count));
-        let mine: Vec<u32> = newcomers.into_iter().filter(mine).collect();
-        if mine.is_empty() {
+        let informed_here =
+            |node: &u32| (1..=INFORMERS).contains(&((own + count - u64::from(*node) % count) % count));
+        let informed_here: Vec<u32> = newcomers.into_iter().filter(informed_here).collect();
+        if informed_here.is_empty() {
             return;
         }
-        let missed = Self::missed(coordinator);
-        if !missed.is_empty() {
-            mine.into_iter().for_each(|node| self.post.say_to(node, MISSED, &missed));
+        let recent_observations = Self::recent_observations(coordinator);
+        if !recent_observations.is_empty() {
+            informed_here
+                .into_iter()
+                .for_each(|node| self.peer_socket.send_message_to(node, OBSERVATIONS, &recent_observations));
         }
     }
 
-    fn missed(coordinator: &Coordinator) -> Vec<ExecutorObservation> {
-        let word = |(executor, at, gone): (u64, Instant, bool)| ExecutorObservation {
+    fn recent_observations(coordinator: &Coordinator) -> Vec<ExecutorObservation> {
+        let observation = |(executor, at, gone): (u64, Instant, bool)| ExecutorObservation {
             executor,
             at_ms: at.0 / 1_000_000,
             gone,
         };
-        coordinator.recent_observations(RECENT).map(word).collect()
+        coordinator.recent_observations(MAX_OBSERVATION_AGE).map(observation).collect()
     }
 
-    /// Asks a few others, each time the next ones, for what it has missed and what they know of work. Guards against a node that
-    /// takes the few units that it has seen itself for all: several such nodes push cold executors over.
-    fn asks_missed(&self, now: Instant) {
-        let School { asks_at, asked, is_over } = self.school.get();
-        if is_over || now < asks_at {
+    /// Asks a few other nodes, different ones each time, for missed observations and learned estimates. Guards against
+    /// a node that estimates by the few requests that it has seen itself: several such nodes overload executors in slow
+    /// start.
+    fn ask_for_observations(&self, now: Instant) {
+        let CatchUp { next_ask_at, ask_count, is_done } = self.catch_up.get();
+        if is_done || now < next_ask_at {
             return;
         }
         let membership = self.membership.borrow();
@@ -643,126 +717,135 @@
             return;
         }
         // Nodes that start together ask different ones.
-        let first = (u64::from(self.own) + u64::from(asked) * TELLERS) as usize;
+        let first_index = (u64::from(self.own) + u64::from(ask_count) * INFORMERS) as usize;
         if let Ok(body) = postcard::to_allocvec(&membership.own().address) {
-            for step in 0..others.len().min(TELLERS as usize) {
-                self.post.say(others[(first + step) % others.len()], ASKS_MISSED, &body);
+            for offset in 0..others.len().min(INFORMERS as usize) {
+                self.peer_socket.send_frame(
+                    others[(first_index + offset) % others.len()],
+                    OBSERVATIONS_ASK,
+                    &body,
+                );
             }
         }
-        let apart = if asked < FIRST_ASKS { ASKS_APART } else { LATER_ASKS_APART };
-        self.school.set(School { asks_at: now + apart, asked: asked + 1, is_over });
+        let interval = if ask_count < FIRST_ASKS { FIRST_ASK_INTERVAL } else { LATER_ASK_INTERVAL };
+        self.catch_up.set(CatchUp { next_ask_at: now + interval, ask_count: ask_count + 1, is_done });
     }
 
-    fn teaches(&self, newcomer: SocketAddr, coordinator: &Coordinator) {
-        let missed = Self::missed(coordinator);
-        if !missed.is_empty() {
-            self.post.say_what(newcomer, MISSED, &missed);
+    fn send_knowledge(&self, newcomer: SocketAddr, coordinator: &Coordinator) {
+        let recent_observations = Self::recent_observations(coordinator);
+        if !recent_observations.is_empty() {
+            self.peer_socket.send_message(newcomer, OBSERVATIONS, &recent_observations);
         }
-        self.post.say_what(newcomer, LEARNT, &coordinator.learned_estimates());
+        self.peer_socket.send_message(newcomer, LEARNED, &coordinator.learned_estimates());
     }
 
-    fn learns(&self, lesson: &LearnedEstimates, coordinator: &mut Coordinator) {
-        let school = self.school.get();
-        if !school.is_over {
-            let is_over = coordinator.merge_learned(lesson) >= KNOWS_ENOUGH;
-            self.school.set(School { is_over, ..school });
+    fn merge_knowledge(&self, estimates: &LearnedEstimates, coordinator: &mut Coordinator) {
+        let catch_up = self.catch_up.get();
+        if !catch_up.is_done {
+            let is_done = coordinator.merge_learned(estimates) >= ENOUGH_SIZES;
+            self.catch_up.set(CatchUp { is_done, ..catch_up });
         }
     }
 
-    /// Says that this node goes.
+    /// Tells the others that this node leaves.
     pub fn leave(&self) {
         self.membership.borrow_mut().leave(self.clock.now());
     }
 }
 
-impl Office {
-    fn next_due(&self, leads: bool) -> Option<Instant> {
-        let views = leads.then(|| self.viewed.get() + VIEW_INTERVAL);
-        let asks = Some(self.permission.borrow().next_due());
-        [views, asks, self.changes_at.get(), self.nudges_at.get()].into_iter().flatten().min()
+impl MaintenanceAgent {
+    fn next_timeout(&self, is_leader: bool) -> Option<Instant> {
+        let next_view = is_leader.then(|| self.list_viewed_at.get() + VIEW_INTERVAL);
+        let next_ask_at = Some(self.permission.borrow().next_due());
+        [next_view, next_ask_at, self.closed_changes_at.get(), self.next_nudge_at.get()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    fn wakes(&self, now: Instant, coordinator: &mut Coordinator) {
-        if self.changes_at.get().is_some_and(|at| now >= at) {
+    fn check_permission(&self, now: Instant, coordinator: &mut Coordinator) {
+        if self.closed_changes_at.get().is_some_and(|at| now >= at) {
             let for_s = self.permission.borrow().for_long(now).seconds();
             warn!(
                 for_s,
-                "no permission of the keepers since {for_s:.1} s: machines of the plan are kept away from"
+                "maintenance: no permission of the voters for {for_s:.1} s; sending nothing to machines of the plan"
             );
-            self.closes(now, coordinator);
+            self.apply_closed(now, coordinator);
         }
     }
 
-    fn closes(&self, now: Instant, coordinator: &mut Coordinator) {
+    fn apply_closed(&self, now: Instant, coordinator: &mut Coordinator) {
         let permission = self.permission.borrow();
-        self.changes_at.set(permission.changes_at(now));
-        coordinator.set_closed_executors(match permission.has_word() && !self.is_through.get() {
+        self.closed_changes_at.set(permission.changes_at(now));
+        coordinator.set_closed_executors(match permission.has_word() && !self.is_drained.get() {
             true => ClosedExecutors::Only(permission.closed(now).collect()),
             false => ClosedExecutors::All,
         });
     }
 
-    fn ask(
+    fn next_ask(
         &self,
         now: Instant,
         coordinator: &mut Coordinator,
         counters: &Counters,
     ) -> Option<maintenance::Ask> {
         let mut permission = self.permission.borrow_mut();
-        let shows = self.looked.get().is_some_and(|at| now.since(at) < LOOK);
-        if shows {
+        let is_viewed = self.viewed_at.get().is_some_and(|at| now.since(at) < VIEWER_TIMEOUT);
+        if is_viewed {
             permission.hurry();
         }
         if permission.next_due() > now {
             return None;
         }
-        let in_hand = coordinator.outstanding_by_executor(permission.longest_unit());
-        let tide = (counters.units.total(), counters.turned_back.total());
-        let says = (self.is_through.get(), shows);
-        permission.ask(now, |machine| in_hand.get(&machine).copied().unwrap_or(0), tide, says)
+        let outstanding = coordinator.outstanding_by_executor(permission.longest_unit());
+        let request_counts = (counters.units.total(), counters.turned_back.total());
+        let report = (self.is_drained.get(), is_viewed);
+        permission.ask(now, |machine| outstanding.get(&machine).copied().unwrap_or(0), request_counts, report)
     }
 
-    fn granted(&self, now: Instant, mut permit: Permit, coordinator: &mut Coordinator) {
-        if let Some(shown) = permit.shown.take() {
-            *self.shown.borrow_mut() = Some((now, shown));
+    fn permit_received(&self, now: Instant, mut permit: Permit, coordinator: &mut Coordinator) {
+        if let Some(plan_status) = permit.shown.take() {
+            *self.plan_status.borrow_mut() = Some((now, plan_status));
         }
         let changed = self.permission.borrow_mut().granted(&permit);
         if changed {
-            self.is_through.set(self.is_through.get() && self.permission.borrow().goes());
-            self.closes(now, coordinator);
+            self.is_drained.set(self.is_drained.get() && self.permission.borrow().goes());
+            self.apply_closed(now, coordinator);
         }
     }
 }
 
-impl PeerMessenger for Fellows {
-    fn send_load_message(&self, node: Option<u64>, word: &[u8]) {
+impl PeerMessenger for Peers {
+    fn send_load_message(&self, node: Option<u64>, message: &[u8]) {
         let mut body = self.own.to_be_bytes().to_vec();
-        body.extend_from_slice(word);
-        let addresses = self.post.addresses.borrow();
+        body.extend_from_slice(message);
+        let addresses = self.peer_socket.addresses.borrow();
         match node {
             Some(node) => {
-                if let Some(&to) = u32::try_from(node).ok().and_then(|node| addresses.get(&node)) {
-                    self.post.say(to, WORD, &body);
+                if let Some(&target) = u32::try_from(node).ok().and_then(|node| addresses.get(&node)) {
+                    self.peer_socket.send_frame(target, LOAD, &body);
                 }
             }
-            None => addresses.values().for_each(|&to| self.post.say(to, WORD, &body)),
+            None => addresses.values().for_each(|&target| self.peer_socket.send_frame(target, LOAD, &body)),
         }
     }
 
     fn try_spend(&self, budget_use: BudgetUse, scope: BudgetScope) -> bool {
         let now = self.clock.now();
-        self.parts.as_ref().is_none_or(|parts| parts.borrow_mut().try_spend(now, budget_use, scope))
+        self.budget_shares
+            .as_ref()
+            .is_none_or(|budget_shares| budget_shares.borrow_mut().try_spend(now, budget_use, scope))
     }
 
     fn try_spend_after_wait(&self, budget_use: BudgetUse, scope: BudgetScope) -> bool {
         let now = self.clock.now();
-        self.parts
-            .as_ref()
-            .is_none_or(|parts| parts.borrow_mut().try_spend_after_wait(now, budget_use, scope))
+        self.budget_shares.as_ref().is_none_or(|budget_shares| {
+            budget_shares.borrow_mut().try_spend_after_wait(now, budget_use, scope)
+        })
     }
 
     fn broadcast_observation(&self, executor: u64, at: Instant, gone: bool) {
-        if self.clock.now().since(at) < RECENT {
+        if self.clock.now().since(at) < MAX_OBSERVATION_AGE {
             self.membership
                 .borrow_mut()
                 .broadcast(self.clock.now(), ExecutorObservation { executor, at_ms: at.0 / 1_000_000, gone });
@@ -771,53 +854,53 @@
 }
 
 #[cfg(test)]
-mod stories {
+mod tests {
     use super::*;
 
     fn frame(fleet: &str, secret: &str) -> Frame {
         Frame::new(fleet, secret)
     }
 
-    /// Guards against a datagram of another fleet, without the secret, cut short, changed or of another version.
+    /// Guards against accepting a datagram of another fleet or version, without the secret, truncated or changed.
     #[test]
-    fn only_what_the_fleet_has_marked_is_read() {
+    fn only_datagrams_with_the_tag_of_the_fleet_are_accepted() {
         let own = frame("lipa", "hush");
-        let datagram = own.around(WORD, b"abc");
-        assert_eq!(own.inside(&datagram), Some((WORD, &b"abc"[..])));
-        assert!(frame("lipa-2", "hush").inside(&datagram).is_none());
-        assert!(frame("lipa", "loud").inside(&datagram).is_none());
+        let datagram = own.encode(LOAD, b"abc");
+        assert_eq!(own.decode(&datagram), Some((LOAD, &b"abc"[..])));
+        assert!(frame("lipa-2", "hush").decode(&datagram).is_none());
+        assert!(frame("lipa", "loud").decode(&datagram).is_none());
         for length in 0..datagram.len() {
-            assert!(own.inside(&datagram[..length]).is_none());
+            assert!(own.decode(&datagram[..length]).is_none());
         }
         for at in 0..datagram.len() {
             let mut changed = datagram.clone();
             changed[at] ^= 1;
-            assert!(own.inside(&changed).is_none(), "byte {at}");
+            assert!(own.decode(&changed).is_none(), "byte {at}");
         }
     }
 
-    /// Failure: a keeper that had just started and led knew some dozen of three hundred, and answered nobody else for most of a
-    /// minute; plans and budgets stood still for so long.
+    /// Guards against a voter that has just started and leads, but knows the addresses of some dozen of three hundred
+    /// nodes: it answered no other for most of a minute, and plans and budgets stood still meanwhile.
     #[test]
-    fn who_asks_is_answered_where_it_says_that_it_is_though_nobody_has_told_of_it() {
+    fn a_node_is_answered_at_the_address_that_it_gives_even_if_membership_does_not_know_it() {
         let bound = || UdpSocket::bind("127.0.0.1:0").expect("a free port");
         let (socket, asker) = (bound(), bound());
-        asker.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a time-out");
-        let at = asker.local_addr().expect("an address");
-        let post = Post {
+        asker.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a read timeout is set");
+        let at = asker.local_addr().expect("the socket has an address");
+        let peer_socket = PeerSocket {
             socket,
             frame: Frame::new("lipa", "hush"),
             addresses: RefCell::default(),
-            keepers: RefCell::default(),
+            voters: RefCell::default(),
             askers: RefCell::default(),
             own: (1, at),
             counters: Rc::default(),
         };
-        post.say_bytes(60, OUTCOME, b"lost");
-        post.asked_by((60, at));
-        post.say_bytes(60, OUTCOME, b"granted");
+        peer_socket.send_bytes(60, OUTCOME, b"lost");
+        peer_socket.record_asker((60, at));
+        peer_socket.send_bytes(60, OUTCOME, b"granted");
         let mut datagram = [0; 100];
-        let length = asker.recv(&mut datagram).expect("it is answered");
-        assert_eq!(post.frame.inside(&datagram[..length]), Some((OUTCOME, &b"granted"[..])));
+        let length = asker.recv(&mut datagram).expect("the node is answered");
+        assert_eq!(peer_socket.frame.decode(&datagram[..length]), Some((OUTCOME, &b"granted"[..])));
     }
 }
--- a/crates/node/src/wire/siblings.rs
+++ b/crates/node/src/wire/siblings.rs
@@ -1,6 +1,6 @@
-//! The other processes of this node. While a new version starts beside the running one, both are one node to
-//! executors and to the limits: each listens on a socket file in a folder that they share, a new one calls on those
-//! that it finds there, and they tell each other what the other needs, one JSON object a line.
+//! The other processes of this node during an upgrade. While a new version runs beside the old one, executors and
+//! limits see both as one node. Each process listens on a socket file in a shared folder; a new process connects to
+//! those that it finds there. The processes exchange JSON objects, one to a line.
 
 use crate::coordinator::Coordinator;
 use crate::interfaces::{CallerId, SiblingProcesses};
@@ -20,60 +20,64 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// Descriptors that are set aside for it: the listener, and a few processes that wind down while another starts.
-pub const DESCRIPTORS: usize = 1 + MOST;
-const MOST: usize = 4;
-/// A sibling says who it is at once. One that is silent for longer is none.
+/// The descriptors that are reserved for sibling processes: the listener, and a few processes that stop while another
+/// starts.
+pub const DESCRIPTORS: usize = 1 + MAX_SIBLINGS;
+const MAX_SIBLINGS: usize = 4;
+/// A sibling identifies itself at once. A connection that stays silent for longer is closed.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// A sibling answers within a turn of its loop. An executor whose call-back waits longer is told to come again.
+/// A sibling answers within a turn of its event loop. An executor whose callback waits longer is asked to send it
+/// again.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// After so many in a row that were not answered the sibling counts as gone.
-const MAX_MISSED: u32 = 5;
-/// A call-back's body fits, with every byte of it escaped. What is longer is no word of a sibling's.
+/// After this many unanswered messages in a row the sibling is treated as gone.
+const MAX_MISSED_ANSWERS: u32 = 5;
+/// The longest line in bytes: the body of a callback fits with every byte of it escaped. A longer line is not a message
+/// of a sibling.
 const MAX_LINE: usize = 512 * 1024;
 
-/// What siblings tell each other.
+/// The messages between sibling processes.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Word {
-    /// Said first, by both: which node the teller is a process of.
+enum Message {
+    /// The first message in each direction: the name of the node that the sender is a process of.
     Node(String),
-    /// A call-back for a unit that the teller does not have, as it came.
+    /// A callback, as received, for a request that the sender does not have.
     CallBack { ask: u64, body: String },
-    /// Whether the teller has that unit, and has taken the call-back.
+    /// Whether the sender has that request, and has processed the callback.
     Taken { ask: u64, taken: bool },
-    /// The teller was told to stop: the other one has the cold executors now.
+    /// The sender was told to stop: the receiver sends to the executors in slow start from now on.
     Leaves,
 }
 
 struct Link {
     connection: Connection,
     serial: u64,
-    /// It was here before this process.
-    elder: bool,
-    /// It has said that it is of this node.
-    greeted: bool,
-    leaves: bool,
-    missed: u32,
+    /// The process was running before this one.
+    is_older: bool,
+    /// The process has identified itself as one of this node.
+    is_identified: bool,
+    is_stopping: bool,
+    missed_answers: u32,
 }
 
-/// A call-back that waits for the siblings that were asked.
-struct Asked {
+/// A callback that waits for answers of siblings, by their serial numbers.
+struct PendingCallback {
     caller: CallerId,
-    of: Vec<u64>,
+    siblings: Vec<u64>,
 }
 
 #[derive(Default)]
 struct Links {
-    kept: Slab<Link>,
+    table: Slab<Link>,
     next_serial: u64,
-    /// Until when a link must have been greeted.
-    ungreeted: Alarms<u64>,
-    asked: BTreeMap<u64, Asked>,
-    unanswered: Alarms<u64>,
+    /// When links that have not identified themselves are closed, by serial number.
+    handshake_timeouts: Alarms<u64>,
+    pending: BTreeMap<u64, PendingCallback>,
+    answer_timeouts: Alarms<u64>,
     next_ask: u64,
-    /// Call-backs that have their answer: whether a sibling said anything of them, and took them.
-    settled: Vec<(CallerId, Option<bool>)>,
+    /// Callbacks whose wait is over, with the answer: whether a sibling has processed it, or `None` if no sibling
+    /// answered.
+    resolved: Vec<(CallerId, Option<bool>)>,
 }
 
 pub struct Siblings {
@@ -88,9 +92,9 @@
 }
 
 impl Siblings {
-    /// Calls on all processes of `node` that have a socket file in the folder, and listens at one of its own.
-    /// Without a file nobody is met, and nothing else is lost.
-    pub fn meet(
+    /// Connects to all processes of `node` that have a socket file in the folder, and listens on a socket file of its
+    /// own. If it cannot listen, only later processes fail to find it.
+    pub fn connect(
         node: &str,
         folder: &Path,
         (listener_key, key): (usize, fn(usize) -> usize),
@@ -106,183 +110,201 @@
             key,
             links: RefCell::default(),
         };
-        let plain: String = node.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
-        for number in 0..MOST {
-            let path = folder.join(format!("grebeusher-{plain}-{number}.sock"));
-            match call(&path) {
-                Ok(socket) => siblings.take_in(socket, true),
+        let file_safe_name: String =
+            node.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '-' }).collect();
+        for number in 0..MAX_SIBLINGS {
+            let path = folder.join(format!("grebeusher-{file_safe_name}-{number}.sock"));
+            match connect_socket(&path) {
+                Ok(socket) => siblings.add_link(socket, true),
                 Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::ConnectionRefused) => {
                     if siblings.listener.is_none() {
                         siblings.listen(path);
                     }
                 }
-                Err(e) => warn!("{} is left alone: {e}", path.display()),
+                Err(e) => warn!("cannot connect to the sibling process at {}: {e}", path.display()),
             }
         }
         if siblings.listener.is_none() {
-            warn!("no process beside this one can reach it");
+            warn!("not listening for sibling processes: later processes cannot find this one");
         }
         siblings
     }
 
     fn listen(&mut self, path: PathBuf) {
-        // Nobody listens there: it is what a killed process left behind.
+        // No process listens on this file: a killed process left it behind.
         let _ = std::fs::remove_file(&path);
         let listening = Socket::new(Domain::UNIX, Type::STREAM, None).and_then(|socket| {
             socket.set_nonblocking(true)?;
             socket.bind(&SockAddr::unix(&path)?)?;
-            socket.listen(MOST as i32)?;
+            socket.listen(MAX_SIBLINGS as i32)?;
             self.poller.add(&socket, Event::readable(self.listener_key))?;
             Ok(socket)
         });
         match listening {
             Ok(listener) => (self.listener, self.path) = (Some(listener), path),
-            Err(e) => warn!("{} can't be listened at: {e}", path.display()),
+            Err(e) => warn!("cannot listen for sibling processes at {}: {e}", path.display()),
         }
     }
 
-    /// Takes in those who call.
+    /// Accepts connections of new processes.
     pub fn accept(&self) {
         let Some(listener) = &self.listener else { return };
         while let Ok((socket, _)) = listener.accept() {
-            self.take_in(socket, false);
+            self.add_link(socket, false);
         }
         if let Err(e) = self.poller.modify(listener, Event::readable(self.listener_key)) {
-            warn!("{} can't be watched: {e}", self.path.display());
+            warn!("cannot watch the socket file {}: {e}", self.path.display());
         }
     }
 
-    fn take_in(&self, socket: Socket, elder: bool) {
+    fn add_link(&self, socket: Socket, is_older: bool) {
         let mut links = self.links.borrow_mut();
-        if links.kept.len() >= MOST {
-            return warn!("one process more than {MOST} beside this one is left alone");
+        if links.table.len() >= MAX_SIBLINGS {
+            return warn!("closed the connection of a sibling process beyond the limit of {MAX_SIBLINGS}");
         }
         let serial = links.next_serial;
         links.next_serial += 1;
-        let key = (self.key)(links.kept.vacant_key());
+        let key = (self.key)(links.table.vacant_key());
         match Connection::from_socket(socket, &self.poller, key) {
             Ok(mut connection) => {
                 connection.set_max_unread(MAX_LINE);
-                let link = Link { connection, serial, elder, greeted: false, leaves: false, missed: 0 };
-                let place = links.kept.insert(link);
-                links.ungreeted.set(self.clock.now() + HANDSHAKE_TIMEOUT, serial);
-                links.say(place, &Word::Node(self.node.clone()));
+                let link = Link {
+                    connection,
+                    serial,
+                    is_older,
+                    is_identified: false,
+                    is_stopping: false,
+                    missed_answers: 0,
+                };
+                let index = links.table.insert(link);
+                links.handshake_timeouts.set(self.clock.now() + HANDSHAKE_TIMEOUT, serial);
+                links.send(index, &Message::Node(self.node.clone()));
             }
-            Err(e) => warn!("a process beside this one can't be watched: {e}"),
+            Err(e) => warn!("cannot watch the connection of a sibling process: {e}"),
         }
     }
 
-    /// Whether another process of this node is there.
-    pub fn any(&self) -> bool {
-        self.links.borrow().kept.iter().any(|(_, link)| link.greeted)
+    /// Whether another process of this node is connected.
+    pub fn has_any(&self) -> bool {
+        self.links.borrow().table.iter().any(|(_, link)| link.is_identified)
     }
 
-    /// Whether one is there that started later.
-    pub fn has_younger(&self) -> bool {
-        self.links.borrow().kept.iter().any(|(_, link)| link.greeted && !link.elder)
+    /// Whether a process that started later is connected.
+    pub fn has_newer(&self) -> bool {
+        self.links.borrow().table.iter().any(|(_, link)| link.is_identified && !link.is_older)
     }
 
-    /// Whether one that was here before still does all that it did.
-    pub fn has_elder(&self) -> bool {
-        self.links.borrow().kept.iter().any(|(_, link)| link.elder && !link.leaves)
+    /// Whether a process that started earlier is connected and has not been told to stop.
+    pub fn has_older(&self) -> bool {
+        self.links.borrow().table.iter().any(|(_, link)| link.is_older && !link.is_stopping)
     }
 
-    /// This process was told to stop.
-    pub fn say_leaves(&self) {
+    /// Tells the siblings that this process was told to stop.
+    pub fn announce_stop(&self) {
         let mut links = self.links.borrow_mut();
-        let places: Vec<usize> = links.kept.iter().map(|(place, _)| place).collect();
-        places.into_iter().for_each(|place| links.say(place, &Word::Leaves));
+        let indices: Vec<usize> = links.table.iter().map(|(index, _)| index).collect();
+        indices.into_iter().for_each(|index| links.send(index, &Message::Leaves));
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
+    pub fn next_timeout(&self) -> Option<Instant> {
         let links = self.links.borrow();
-        if !links.settled.is_empty() {
+        if !links.resolved.is_empty() {
             return Some(Instant(0));
         }
-        links.ungreeted.next_at().into_iter().chain(links.unanswered.next_at()).min()
+        links.handshake_timeouts.next_at().into_iter().chain(links.answer_timeouts.next_at()).min()
     }
 
-    /// What falls due: siblings that never said who they are, and call-backs that they did not answer. Guards against
-    /// one that is silent, which costs its bounded wait and nothing else.
-    pub fn due(&self, coordinator: &mut Coordinator) {
+    /// Closes links that did not identify themselves, and gives up on unanswered callbacks. Guards against a silent
+    /// sibling, which costs its bounded wait and nothing else.
+    pub fn handle_timeouts(&self, coordinator: &mut Coordinator) {
         let now = self.clock.now();
         let mut links = self.links.borrow_mut();
-        while let Some(serial) = links.ungreeted.due(now) {
-            if let Some(place) = links.place(serial).filter(|&place| !links.kept[place].greeted) {
-                links.drop(place, "it did not say who it is");
+        while let Some(serial) = links.handshake_timeouts.due(now) {
+            if let Some(index) = links.index_of(serial).filter(|&index| !links.table[index].is_identified) {
+                links.close(index, "it did not identify itself");
             }
         }
-        while let Some(ask) = links.unanswered.due(now) {
-            let Some(asked) = links.asked.remove(&ask) else { continue };
-            links.settled.push((asked.caller, None));
-            for place in asked.of.into_iter().filter_map(|serial| links.place(serial)).collect::<Vec<_>>() {
-                links.kept[place].missed += 1;
-                if links.kept[place].missed >= MAX_MISSED {
-                    links.drop(place, "it does not answer");
+        while let Some(ask) = links.answer_timeouts.due(now) {
+            let Some(waiting) = links.pending.remove(&ask) else { continue };
+            links.resolved.push((waiting.caller, None));
+            for index in
+                waiting.siblings.into_iter().filter_map(|serial| links.index_of(serial)).collect::<Vec<_>>()
+            {
+                links.table[index].missed_answers += 1;
+                if links.table[index].missed_answers >= MAX_MISSED_ANSWERS {
+                    links.close(index, "it does not answer");
                 }
             }
         }
         drop(links);
-        self.tell(coordinator);
+        self.report_resolved(coordinator);
     }
 
-    fn tell(&self, coordinator: &mut Coordinator) {
-        let settled = std::mem::take(&mut self.links.borrow_mut().settled);
-        settled.into_iter().for_each(|(caller, taken)| coordinator.callback_forwarded(caller, taken));
+    fn report_resolved(&self, coordinator: &mut Coordinator) {
+        let resolved = std::mem::take(&mut self.links.borrow_mut().resolved);
+        resolved.into_iter().for_each(|(caller, taken)| coordinator.callback_forwarded(caller, taken));
     }
 
-    /// Something can be read from or written to a link.
-    pub fn stirred(&self, place: usize, coordinator: &mut Coordinator) {
-        let reading = match self.links.borrow_mut().kept.get_mut(place) {
+    /// Handles readiness of a link for reading or writing.
+    pub fn handle_event(&self, index: usize, coordinator: &mut Coordinator) {
+        let reading = match self.links.borrow_mut().table.get_mut(index) {
             Some(link) => link.connection.write().and_then(|()| link.connection.read()),
             None => return,
         };
-        // The borrow must end before the coordinator is told.
-        while let Some(word) = { self.links.borrow_mut().next_word(place) } {
-            self.told(place, word, coordinator);
+        // The borrow has to end before the coordinator is called.
+        while let Some(message) = { self.links.borrow_mut().next_message(index) } {
+            self.message_received(index, message, coordinator);
         }
         {
             let mut links = self.links.borrow_mut();
-            let stuck = |link: &Link| link.connection.buffer.unread().len() >= MAX_LINE;
+            let is_overlong = |link: &Link| link.connection.buffer.unread().len() >= MAX_LINE;
             match reading {
-                Ok(Reading::Open) if links.kept.get(place).is_some_and(stuck) => {
-                    links.drop(place, "a line of it never ends");
+                Ok(Reading::Open) if links.table.get(index).is_some_and(is_overlong) => {
+                    links.close(index, "its line is too long");
                 }
                 Ok(Reading::Open) => {
-                    if links.kept.get(place).is_some_and(|link| link.connection.watch(false).is_err()) {
-                        links.drop(place, "it can't be watched");
+                    if links.table.get(index).is_some_and(|link| link.connection.watch(false).is_err()) {
+                        links.close(index, "the connection cannot be watched");
                     }
                 }
-                Ok(Reading::Ended) => links.drop(place, "it has ended"),
-                Err(e) => links.drop(place, &e.to_string()),
+                Ok(Reading::Ended) => links.close(index, "it closed the connection"),
+                Err(e) => links.close(index, &e.to_string()),
             }
         }
-        self.tell(coordinator);
+        self.report_resolved(coordinator);
     }
 
-    fn told(&self, place: usize, word: serde_json::Result<Word>, coordinator: &mut Coordinator) {
-        match word {
-            Ok(Word::CallBack { ask, body }) => {
+    fn message_received(
+        &self,
+        index: usize,
+        message: serde_json::Result<Message>,
+        coordinator: &mut Coordinator,
+    ) {
+        match message {
+            Ok(Message::CallBack { ask, body }) => {
                 let taken = coordinator.take_forwarded_callback(body.as_bytes());
-                self.links.borrow_mut().say(place, &Word::Taken { ask, taken });
+                self.links.borrow_mut().send(index, &Message::Taken { ask, taken });
             }
-            Ok(Word::Taken { ask, taken }) => self.links.borrow_mut().answered(place, ask, taken),
-            Ok(Word::Leaves) => {
-                if let Some(link) = self.links.borrow_mut().kept.get_mut(place) {
-                    info!("the process beside this one was told to stop");
-                    link.leaves = true;
+            Ok(Message::Taken { ask, taken }) => self.links.borrow_mut().answer_received(index, ask, taken),
+            Ok(Message::Leaves) => {
+                if let Some(link) = self.links.borrow_mut().table.get_mut(index) {
+                    info!("the sibling process was told to stop");
+                    link.is_stopping = true;
                 }
             }
-            Ok(Word::Node(name)) if name == self.node => {
-                if let Some(link) = self.links.borrow_mut().kept.get_mut(place) {
-                    info!("a process beside this one, {}", if link.elder { "older" } else { "younger" });
-                    link.greeted = true;
+            Ok(Message::Node(name)) if name == self.node => {
+                if let Some(link) = self.links.borrow_mut().table.get_mut(index) {
+                    info!(
+                        "connected to {} sibling process",
+                        if link.is_older { "an older" } else { "a newer" }
+                    );
+                    link.is_identified = true;
                 }
             }
-            Ok(Word::Node(name)) => {
-                self.links.borrow_mut().drop(place, &format!("it is of another node, {name:?}"));
+            Ok(Message::Node(name)) => {
+                self.links.borrow_mut().close(index, &format!("it belongs to another node, {name:?}"));
             }
-            Err(e) => self.links.borrow_mut().drop(place, &format!("what it says can't be read: {e}")),
+            Err(e) => self.links.borrow_mut().close(index, &format!("its message is invalid: {e}")),
         }
     }
 }
@@ -290,66 +312,67 @@
 impl Drop for Siblings {
     fn drop(&mut self) {
         if self.listener.is_some() {
-            // What stays behind is found stale by the next one.
+            // If the removal fails, the next process finds that nobody listens on the file, and removes it.
             let _ = std::fs::remove_file(&self.path);
         }
     }
 }
 
 impl Links {
-    fn place(&self, serial: u64) -> Option<usize> {
-        self.kept.iter().find(|(_, link)| link.serial == serial).map(|(place, _)| place)
+    fn index_of(&self, serial: u64) -> Option<usize> {
+        self.table.iter().find(|(_, link)| link.serial == serial).map(|(index, _)| index)
     }
 
-    fn say(&mut self, place: usize, word: &Word) {
-        let Some(link) = self.kept.get_mut(place) else { return };
-        let mut line = serde_json::to_vec(word).unwrap_or_default();
+    fn send(&mut self, index: usize, message: &Message) {
+        let Some(link) = self.table.get_mut(index) else { return };
+        let mut line = serde_json::to_vec(message).unwrap_or_default();
         line.push(b'\n');
         let connection = &mut link.connection;
         connection.buffer.put(&line);
-        let said = connection.write().and_then(|()| connection.watch(false));
-        if let Err(e) = said {
-            self.drop(place, &e.to_string());
-        } else if self.kept[place].connection.buffer.waiting() > MAX_LINE {
-            self.drop(place, "it does not listen");
+        let sent = connection.write().and_then(|()| connection.watch(false));
+        if let Err(e) = sent {
+            self.close(index, &e.to_string());
+        } else if self.table[index].connection.buffer.waiting() > MAX_LINE {
+            self.close(index, "it does not read");
         }
     }
 
-    fn next_word(&mut self, place: usize) -> Option<serde_json::Result<Word>> {
-        let buffer = &mut self.kept.get_mut(place)?.connection.buffer;
+    fn next_message(&mut self, index: usize) -> Option<serde_json::Result<Message>> {
+        let buffer = &mut self.table.get_mut(index)?.connection.buffer;
         let length = buffer.unread().iter().position(|&byte| byte == b'\n')? + 1;
-        let word = serde_json::from_slice(&buffer.unread()[..length]);
+        let message = serde_json::from_slice(&buffer.unread()[..length]);
         buffer.done_with(length);
-        Some(word)
+        Some(message)
     }
 
-    /// A sibling has answered a call-back that was passed to it: it is settled by the first that has taken it, or by
-    /// the last that has not.
-    fn answered(&mut self, place: usize, ask: u64, taken: bool) {
-        let Some(link) = self.kept.get_mut(place) else { return };
-        link.missed = 0;
-        let Some(asked) = self.asked.get_mut(&ask) else { return };
-        asked.of.retain(|serial| *serial != link.serial);
-        if taken || asked.of.is_empty() {
-            self.settled.extend(self.asked.remove(&ask).map(|asked| (asked.caller, Some(taken))));
+    /// A sibling has answered a forwarded callback. The callback is resolved by the first sibling that has its request,
+    /// or by the last one that has not.
+    fn answer_received(&mut self, index: usize, ask: u64, taken: bool) {
+        let Some(link) = self.table.get_mut(index) else { return };
+        link.missed_answers = 0;
+        let Some(waiting) = self.pending.get_mut(&ask) else { return };
+        waiting.siblings.retain(|serial| *serial != link.serial);
+        if taken || waiting.siblings.is_empty() {
+            self.resolved.extend(self.pending.remove(&ask).map(|waiting| (waiting.caller, Some(taken))));
         }
     }
 
-    /// The sibling is gone. Call-backs that only it could have taken come again, and then meet this process alone.
-    fn drop(&mut self, place: usize, why: &str) {
-        let Some(link) = self.kept.try_remove(place) else { return };
-        info!("the link to a process beside this one ended: {why}");
-        let gone = self.asked.extract_if(.., |_, asked| {
-            asked.of.retain(|serial| *serial != link.serial);
-            asked.of.is_empty()
+    /// Closes the link to a sibling. Callbacks that only it could still answer are resolved without an answer: the
+    /// executor sends them again, and they are then for this process alone.
+    fn close(&mut self, index: usize, reason: &str) {
+        let Some(link) = self.table.try_remove(index) else { return };
+        info!("the link to a sibling process was closed: {reason}");
+        let ownerless = self.pending.extract_if(.., |_, waiting| {
+            waiting.siblings.retain(|serial| *serial != link.serial);
+            waiting.siblings.is_empty()
         });
-        let gone: Vec<CallerId> = gone.map(|(_, asked)| asked.caller).collect();
-        self.settled.extend(gone.into_iter().map(|caller| (caller, None)));
+        let ownerless: Vec<CallerId> = ownerless.map(|(_, waiting)| waiting.caller).collect();
+        self.resolved.extend(ownerless.into_iter().map(|caller| (caller, None)));
     }
 }
 
-/// Calls at a socket file, without waiting for one whose listener does not take anybody in.
-fn call(path: &Path) -> io::Result<Socket> {
+/// Connects to a socket file; does not wait for a listener that accepts no connection.
+fn connect_socket(path: &Path) -> io::Result<Socket> {
     let socket = Socket::new(Domain::UNIX, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     socket.connect(&SockAddr::unix(path)?)?;
@@ -357,21 +380,24 @@
 }
 
 impl SiblingProcesses for Siblings {
-    /// Asks the siblings to take a call-back for a unit that this process does not have; `false` where none is
-    /// there. Whoever called is answered when they have answered.
+    /// Sends the siblings a callback for a request that this process does not have; `false` if there are no siblings.
+    /// The executor is answered once they have answered.
     fn forward_callback(&self, caller: CallerId, body: &[u8]) -> bool {
         let mut links = self.links.borrow_mut();
-        let met = links.kept.iter().filter(|(_, link)| link.greeted || link.elder);
-        let met: Vec<(usize, u64)> = met.map(|(place, link)| (place, link.serial)).collect();
+        let met = links.table.iter().filter(|(_, link)| link.is_identified || link.is_older);
+        let met: Vec<(usize, u64)> = met.map(|(index, link)| (index, link.serial)).collect();
         if met.is_empty() {
             return false;
         }
         let ask = links.next_ask;
         links.next_ask += 1;
-        links.asked.insert(ask, Asked { caller, of: met.iter().map(|(_, serial)| *serial).collect() });
-        links.unanswered.set(self.clock.now() + ANSWER_TIMEOUT, ask);
-        let word = Word::CallBack { ask, body: String::from_utf8_lossy(body).into_owned() };
-        met.into_iter().for_each(|(place, _)| links.say(place, &word));
+        links.pending.insert(
+            ask,
+            PendingCallback { caller, siblings: met.iter().map(|(_, serial)| *serial).collect() },
+        );
+        links.answer_timeouts.set(self.clock.now() + ANSWER_TIMEOUT, ask);
+        let message = Message::CallBack { ask, body: String::from_utf8_lossy(body).into_owned() };
+        met.into_iter().for_each(|(index, _)| links.send(index, &message));
         true
     }
 }
--- a/crates/node/src/wire/voter_group.rs
+++ b/crates/node/src/wire/voter_group.rs
@@ -1,8 +1,8 @@
-//! Where steps go that the keepers are to settle, and what comes back: through this node's own keeper, if it is one, or to
-//! whichever leads.
+//! Submits commands to the replicated state of the voters and receives their outcomes: through this node's own voter,
+//! if it is one, or through another voter, which forwards commands to the leader.
 
 use crate::state::replicated_state::{Outcome, ReplicatedState, StateCommand};
-use crate::wire::peers::{KEEPER, OUTCOME, Post, STEP};
+use crate::wire::peers::{COMMAND, OUTCOME, PeerSocket, VOTER};
 use grebeusher_budgets::{Ask, Grant};
 use grebeusher_dispatch::time::Instant;
 use grebeusher_volatile_raft::{GroupOrigin, Host, Voter};
@@ -11,34 +11,37 @@
 use std::rc::Rc;
 use tracing::{debug, info, warn};
 
-/// So many steps without a word back, and another keeper is asked, who hands on to whoever leads: units that wait for a part
-/// do not wait long.
-const PATIENCE: u32 = 1;
+/// After more unanswered commands than this, the next voter is asked: requests that wait for a budget grant do not wait
+/// long.
+const MAX_UNANSWERED: u32 = 1;
 
-struct Hand {
-    post: Rc<Post>,
+struct VoterHost {
+    peer_socket: Rc<PeerSocket>,
     own: u32,
-    keepers: Rc<[u32]>,
-    place: usize,
-    /// For this node itself.
+    voters: Rc<[u32]>,
+    index: usize,
+    /// Outcomes for this node itself.
     outcomes: Vec<Outcome>,
-    /// Something moved on that all nodes should ask for.
-    moved: bool,
+    /// The maintenance plan has advanced, so all nodes should ask for a new permission.
+    has_plan_moved: bool,
 }
 
-impl Host<ReplicatedState> for Hand {
-    fn send(&mut self, place: usize, datagram: &[u8]) {
-        self.post.say_bytes(self.keepers[place], KEEPER, datagram);
+impl Host<ReplicatedState> for VoterHost {
+    fn send(&mut self, index: usize, datagram: &[u8]) {
+        self.peer_socket.send_bytes(self.voters[index], VOTER, datagram);
     }
 
     fn applied(&mut self, outcome: Outcome) {
         match (outcome.node(), &outcome) {
-            (_, Outcome::Moved(moved)) => {
-                info!(decision = moved.number, "plan: decision {}: {}", moved.number, moved.what);
-                self.moved = true;
+            (_, Outcome::Moved(decision)) => {
+                info!(
+                    decision = decision.number,
+                    "maintenance: decision {}: {}", decision.number, decision.what
+                );
+                self.has_plan_moved = true;
             }
             (Some(node), _) if node != self.own => {
-                self.post.say_to(node, OUTCOME, &(self.place as u8, outcome));
+                self.peer_socket.send_message_to(node, OUTCOME, &(self.index as u8, outcome));
             }
             _ => self.outcomes.push(outcome),
         }
@@ -47,120 +50,136 @@
     fn joined_group(&mut self, group: u64, origin: GroupOrigin) {
         match origin {
             GroupOrigin::Bootstrapped => {
-                warn!(group, "keepers: group {group:016x} is founded here, as most keepers had nothing");
+                warn!(
+                    group,
+                    "voters: group {group:016x} bootstrapped by this node, as most voters had no state"
+                );
             }
-            GroupOrigin::Joined => info!(group, "keepers: this one belongs to group {group:016x}"),
+            GroupOrigin::Joined => info!(group, "voters: this node joined group {group:016x}"),
         }
     }
 
-    fn leader_changed(&mut self, place: usize, term: u64) {
-        let leader = self.keepers[place];
-        info!(leader, term, "keepers: node {leader} leads, term {term}");
-        self.post.counters.leaders.increment();
+    fn leader_changed(&mut self, index: usize, term: u64) {
+        let leader = self.voters[index];
+        info!(leader, term, "voters: node {leader} leads in term {term}");
+        self.peer_socket.counters.leaders.increment();
     }
 }
 
-pub struct Settling {
-    post: Rc<Post>,
-    keepers: Rc<[u32]>,
-    keeper: Option<Voter<ReplicatedState, Hand>>,
-    /// The keeper that is asked, by its place, and how often since it answered.
-    asked: usize,
+pub struct VoterGroup {
+    peer_socket: Rc<PeerSocket>,
+    voters: Rc<[u32]>,
+    voter: Option<Voter<ReplicatedState, VoterHost>>,
+    /// The index of the voter that is asked, and the number of commands since its last answer.
+    asked_voter: usize,
     unanswered: u32,
-    /// What came back from others.
+    /// Outcomes received from other voters.
     outcomes: Vec<Outcome>,
 }
 
-impl Settling {
-    /// `seed` is another one at each start.
+impl VoterGroup {
+    /// `seed` differs at each start of the process.
     pub fn new(
         now: Instant,
-        keepers: &[u32],
+        voters: &[u32],
         own: u32,
         seed: u64,
-        empty: ReplicatedState,
-        post: &Rc<Post>,
-    ) -> Settling {
-        let keepers: Rc<[u32]> = keepers.into();
-        let keeper = keepers.iter().position(|number| *number == own).map(|place| {
-            let hand = Hand {
-                post: post.clone(),
+        initial_state: ReplicatedState,
+        peer_socket: &Rc<PeerSocket>,
+    ) -> VoterGroup {
+        let voters: Rc<[u32]> = voters.into();
+        let voter = voters.iter().position(|number| *number == own).map(|index| {
+            let host = VoterHost {
+                peer_socket: peer_socket.clone(),
                 own,
-                keepers: keepers.clone(),
-                place,
+                voters: voters.clone(),
+                index,
                 outcomes: Vec::new(),
-                moved: false,
+                has_plan_moved: false,
             };
-            Voter::new(now, place, keepers.len(), seed, empty, hand)
+            Voter::new(now, index, voters.len(), seed, initial_state, host)
         });
-        // Those who ask begin with one each.
-        let asked = own as usize % keepers.len();
-        Settling { post: post.clone(), keepers, keeper, asked, unanswered: 0, outcomes: Vec::new() }
+        // Nodes start with different voters.
+        let asked_voter = own as usize % voters.len();
+        VoterGroup {
+            peer_socket: peer_socket.clone(),
+            voters,
+            voter,
+            asked_voter,
+            unanswered: 0,
+            outcomes: Vec::new(),
+        }
     }
 
-    /// The number of the node that leads, as far as it is known here, and how much is settled at this keeper.
-    pub fn figures(&self) -> (Option<u32>, Option<u64>) {
-        let own = self.keeper.as_ref();
-        let leader = own.map_or(Some(self.asked), grebeusher_volatile_raft::Voter::leader);
-        let settled = own.and_then(grebeusher_volatile_raft::Voter::applied).map(|(_, entries)| entries);
-        (leader.map(|place| self.keepers[place]), settled)
+    /// The number of the leader, as far as this node knows, and the number of log entries that its own voter has
+    /// applied.
+    pub fn status(&self) -> (Option<u32>, Option<u64>) {
+        let own = self.voter.as_ref();
+        let leader = own.map_or(Some(self.asked_voter), grebeusher_volatile_raft::Voter::leader);
+        let applied = own.and_then(grebeusher_volatile_raft::Voter::applied).map(|(_, entries)| entries);
+        (leader.map(|index| self.voters[index]), applied)
     }
 
-    pub fn next_due(&self) -> Option<Instant> {
-        self.keeper.as_ref().map(Voter::next_wake)
+    pub fn next_timeout(&self) -> Option<Instant> {
+        self.voter.as_ref().map(Voter::next_wake)
     }
 
-    pub fn due(&mut self, now: Instant) {
-        if let Some(keeper) = &mut self.keeper {
-            keeper.tick(now);
+    pub fn handle_timeouts(&mut self, now: Instant) {
+        if let Some(voter) = &mut self.voter {
+            voter.tick(now);
         }
     }
 
-    /// Wants a step settled; it may get lost.
-    pub fn ask(&mut self, now: Instant, step: StateCommand) {
-        if self.keeper.is_some() {
-            return self.hands_on(now, self.post.own, step, true);
+    /// Submits a command. It may get lost, so the caller repeats it.
+    pub fn submit(&mut self, now: Instant, command: StateCommand) {
+        if self.voter.is_some() {
+            return self.forward(now, self.peer_socket.own, command, true);
         }
         self.unanswered += 1;
-        if let StateCommand::BudgetAsk(Ask { budget, wants, keeps, ask, .. }) = &step {
-            let (to, unanswered) = (self.keepers[self.asked], self.unanswered);
-            debug!(budget, wants, keeps, ask, unanswered, "keepers: node {to} is asked for {wants} units");
+        if let StateCommand::BudgetAsk(Ask { budget, wants, keeps, ask, .. }) = &command {
+            let (to, unanswered) = (self.voters[self.asked_voter], self.unanswered);
+            debug!(budget, wants, keeps, ask, unanswered, "voters: asking node {to} for {wants} units");
         }
-        if self.unanswered > PATIENCE {
-            (self.asked, self.unanswered) = ((self.asked + 1) % self.keepers.len(), 0);
+        if self.unanswered > MAX_UNANSWERED {
+            (self.asked_voter, self.unanswered) = ((self.asked_voter + 1) % self.voters.len(), 0);
         }
-        self.post.say_to(self.keepers[self.asked], STEP, &(true, self.post.own, step));
+        self.peer_socket.send_message_to(
+            self.voters[self.asked_voter],
+            COMMAND,
+            &(true, self.peer_socket.own, command),
+        );
     }
 
-    /// To whoever leads. What another keeper has handed on goes no further: the two may be of different minds.
-    fn hands_on(&mut self, now: Instant, from: (u32, SocketAddr), step: StateCommand, further: bool) {
-        let Some(keeper) = &mut self.keeper else { return };
-        if keeper.is_leader() {
-            // A step that is rejected is lost like any other; who asked asks again.
-            let _ = keeper.propose(now, step);
-        } else if let Some(leader) = keeper.leader().filter(|_| further) {
-            self.post.say_to(self.keepers[leader], STEP, &(false, from, step));
+    /// Proposes the command if this node leads, or forwards it to the leader. A command that another voter has
+    /// forwarded is not forwarded again, as the two may take different nodes for the leader.
+    fn forward(&mut self, now: Instant, asker: (u32, SocketAddr), command: StateCommand, may_forward: bool) {
+        let Some(voter) = &mut self.voter else { return };
+        if voter.is_leader() {
+            // A rejected command counts as lost, and its sender repeats it.
+            let _ = voter.propose(now, command);
+        } else if let Some(leader) = voter.leader().filter(|_| may_forward) {
+            self.peer_socket.send_message_to(self.voters[leader], COMMAND, &(false, asker, command));
         }
     }
 
-    /// What others said; `false` if nothing can be made of it.
-    pub fn heard(&mut self, now: Instant, kind: u8, body: &[u8]) -> bool {
+    /// Handles a datagram of another node; `false` if it is malformed or not for this node.
+    pub fn datagram_received(&mut self, now: Instant, kind: u8, body: &[u8]) -> bool {
         match kind {
-            KEEPER => self.keeper.as_mut().is_some_and(|keeper| keeper.receive(now, body).is_ok()),
-            STEP => {
-                let Ok((further, from, step)) = postcard::from_bytes(body) else { return false };
-                self.post.asked_by(from);
-                self.hands_on(now, from, step, further);
-                self.keeper.is_some()
+            VOTER => self.voter.as_mut().is_some_and(|voter| voter.receive(now, body).is_ok()),
+            COMMAND => {
+                let Ok((may_forward, asker, command)) = postcard::from_bytes(body) else { return false };
+                self.peer_socket.record_asker(asker);
+                self.forward(now, asker, command, may_forward);
+                self.voter.is_some()
             }
             _ => {
-                let Ok((place, outcome)) = postcard::from_bytes::<(u8, Outcome)>(body) else { return false };
-                let place = usize::from(place);
-                if place < self.keepers.len() {
-                    (self.asked, self.unanswered) = (place, 0);
+                let Ok((index, outcome)) = postcard::from_bytes::<(u8, Outcome)>(body) else { return false };
+                let index = usize::from(index);
+                if index < self.voters.len() {
+                    (self.asked_voter, self.unanswered) = (index, 0);
                 }
                 if let Outcome::BudgetGrant(Grant { budget, number, units, ask, .. }) = &outcome {
-                    debug!(budget, grant = number, units, ask, "keepers: {units} units by grant {number}");
+                    debug!(budget, grant = number, units, ask, "voters: grant {number} of {units} units");
                 }
                 self.outcomes.push(outcome);
                 true
@@ -168,21 +187,21 @@
         }
     }
 
-    /// The state as it is settled here, if this node leads.
-    pub fn where_it_leads<R>(&self, reads: impl FnOnce(&ReplicatedState) -> R) -> Option<R> {
-        self.keeper.as_ref().filter(|keeper| keeper.is_leader())?.with_state(reads)
+    /// Reads the replicated state, if this node leads.
+    pub fn with_leading_state<R>(&self, read: impl FnOnce(&ReplicatedState) -> R) -> Option<R> {
+        self.voter.as_ref().filter(|voter| voter.is_leader())?.with_state(read)
     }
 
-    /// Whether the plan has moved on here since this was asked last.
-    pub fn has_moved(&mut self) -> bool {
-        self.keeper.as_mut().is_some_and(|keeper| mem::take(&mut keeper.host().moved))
+    /// Whether the plan has advanced here since the last call.
+    pub fn take_plan_moved(&mut self) -> bool {
+        self.voter.as_mut().is_some_and(|voter| mem::take(&mut voter.host().has_plan_moved))
     }
 
-    /// What was settled for this node.
+    /// Takes the outcomes for this node.
     pub fn outcomes(&mut self) -> Vec<Outcome> {
         let mut outcomes = mem::take(&mut self.outcomes);
-        if let Some(keeper) = &mut self.keeper {
-            outcomes.append(&mut keeper.host().outcomes);
+        if let Some(voter) = &mut self.voter {
+            outcomes.append(&mut voter.host().outcomes);
         }
         outcomes
     }
