--- a/crates/node/src/process/node.rs
+++ b/crates/node/src/process/node.rs
@@ -598,7 +598,7 @@
     /// Whether the known list is current enough to send by it.
     fn has_usable_list(&self) -> bool {
         let is_list_current = !self.has_predecessor
-            || self.discovery.was_update_received()
+            || self.discovery.has_received_line()
             || self.clock.now() >= self.started + UPDATE_TIMEOUT;
         let may_send = self.peers.as_ref().is_none_or(|peers| peers.may_send());
         is_list_current && may_send && self.coordinator.has_listed_executors()
@@ -717,10 +717,10 @@
         Some(json!({"leader": peers.voter_status().0, "members": members}).to_string())
     }
 
-    fn submit_command(&mut self, name: u64, error: &str, body: &[u8]) -> Result<(), String> {
+    fn submit_command(&mut self, name: u64, kind: &str, body: &[u8]) -> Result<(), String> {
         let peers = self.peers.as_ref().filter(|peers| peers.plan_status().is_some());
         let peers = peers.ok_or("this node takes no machines out: its file has no [maintenance]")?;
-        let command = match error {
+        let command = match kind {
             "submit" => {
                 let text = std::str::from_utf8(body).map_err(|_| "expected a plan in UTF-8".to_owned())?;
                 let mut plan = grebeusher_node_config::plan::read(text).map_err(|error| error.to_string())?;
@@ -731,13 +731,15 @@
             "resume" => Command::Resume,
             "withdraw" => Command::Withdraw,
             "idle" => {
-                let text = std::str::from_utf8(body).ok().and_then(|text| text.trim().rsplit_once(' '));
-                let text =
-                    text.and_then(|(machine, number)| Some((machine.to_owned(), number.parse().ok()?)));
-                let (machine, number) = text.ok_or("expected a machine and the number of a decision")?;
+                let machine_and_decision =
+                    std::str::from_utf8(body).ok().and_then(|text| text.trim().rsplit_once(' '));
+                let machine_and_decision = machine_and_decision
+                    .and_then(|(machine, number)| Some((machine.to_owned(), number.parse().ok()?)));
+                let (machine, number) =
+                    machine_and_decision.ok_or("expected a machine and the number of a decision")?;
                 Command::Idle(machine, number)
             }
-            _ => return Err(format!("expected submit, pause, resume, idle or withdraw, found {error:?}")),
+            _ => return Err(format!("expected submit, pause, resume, idle or withdraw, found {kind:?}")),
         };
         peers.submit_command(name, command);
         Ok(())
--- a/crates/node/src/wire/clients.rs
+++ b/crates/node/src/wire/clients.rs
@@ -75,7 +75,7 @@
     last_used: Instant,
     /// The number of bytes of an incomplete request that have arrived, and in how many reads.
     partial_request: (usize, u32),
-    /// The connection has sent a request, as the connections do that the node is for.
+    /// The connection has sent a request, unlike those that are silent or only check the state of the node.
     has_sent_request: bool,
     is_executor: bool,
     /// The connection is closed once all is written.
--- a/crates/node/src/wire/console.rs
+++ b/crates/node/src/wire/console.rs
@@ -23,7 +23,7 @@
     fn members(&self) -> Option<String>;
     /// Submits a maintenance command to the voters under a name, under which `fleet` shows its result; the error says
     /// why the command is invalid.
-    fn submit_command(&mut self, name: u64, text: &str, body: &[u8]) -> Result<(), String>;
+    fn submit_command(&mut self, name: u64, kind: &str, body: &[u8]) -> Result<(), String>;
     /// Starts to drain the node: clients are sent elsewhere until `end_drain`.
     fn start_drain(&mut self);
     /// Ends a drain; `false` if the node has been told to stop.
@@ -85,14 +85,14 @@
             None => reply(false, 404, "this node knows no others\n"),
         },
         (path, "POST") if path.starts_with("/fleet/") => {
-            let text = &path["/fleet/".len()..];
+            let kind = &path["/fleet/".len()..];
             let query = request.target.split_once("?name=").and_then(|(_, name)| name.parse().ok());
             // A command that is sent again under the same name is carried out once.
             let name =
-                query.unwrap_or_else(|| fixed_hash(&format!("{text} {:?}", std::time::Instant::now())));
-            match control.submit_command(name, text, &request.body) {
+                query.unwrap_or_else(|| fixed_hash(&format!("{kind} {:?}", std::time::Instant::now())));
+            match control.submit_command(name, kind, &request.body) {
                 Ok(()) => {
-                    info!("maintenance: command {text} is submitted to the voters as {name}");
+                    info!("maintenance: command {kind} is submitted to the voters as {name}");
                     http::answer(202, &[http::CLOSE], format!("{name}\n").as_bytes())
                 }
                 Err(error) => http::answer(400, &[http::CLOSE], format!("{error}\n").as_bytes()),
--- a/crates/node/src/wire/discovery.rs
+++ b/crates/node/src/wire/discovery.rs
@@ -71,7 +71,8 @@
     watches: RefCell<[Watch; MAX_WATCHES]>,
     /// The generation of the list from which the next watch continues.
     known_generation: Cell<u64>,
-    update_received: Cell<bool>,
+    /// A line was received since the start of this process.
+    line_received: Cell<bool>,
     /// The time as of which the list was confirmed: a line came, even an empty one, or discovery was down and could
     /// inform nobody.
     confirmed_at: Cell<Instant>,
@@ -100,7 +101,7 @@
             keys,
             watches: RefCell::default(),
             known_generation: Cell::new(update.generation),
-            update_received: Cell::new(false),
+            line_received: Cell::new(false),
             confirmed_at: Cell::new(clock.now()),
             rejects_watches: Cell::new(false),
             failing_since: Cell::new(None),
@@ -123,8 +124,8 @@
     }
 
     /// Whether a line, even an empty one, was received since the start of this process.
-    pub fn was_update_received(&self) -> bool {
-        self.update_received.get()
+    pub fn has_received_line(&self) -> bool {
+        self.line_received.get()
     }
 
     pub fn next_timeout(&self) -> Option<Instant> {
@@ -174,10 +175,10 @@
     /// Handles readiness of a watch for reading, or the establishment of its connection. Input that is read now arrived
     /// after `as_of`.
     pub fn handle_event(&self, index: usize, as_of: Instant, coordinator: &mut Coordinator) {
-        let (mut end_reason, refused_watch) = {
+        let (mut end_reason, refused_at) = {
             let watch = &mut self.watches.borrow_mut()[index];
             match watch.advance(self.clock.now()) {
-                Ok(end_reason) => (end_reason.then(|| "closed by discovery".to_owned()), None),
+                Ok(has_ended) => (has_ended.then(|| "closed by discovery".to_owned()), None),
                 Err(e) if e.kind() == ErrorKind::ConnectionRefused => {
                     (Some(e.to_string()), Some(watch.opened_at))
                 }
@@ -186,7 +187,7 @@
         };
         self.rejects_watches.set(self.rejects_watches.get() | self.watches.borrow()[index].was_rejected);
         // Discovery is down if it refuses a connection, so it has told nobody of a change.
-        if let Some(opened_at) = refused_watch.filter(|opened_at| *opened_at > self.confirmed_at.get()) {
+        if let Some(opened_at) = refused_at.filter(|opened_at| *opened_at > self.confirmed_at.get()) {
             self.confirm(opened_at, false, coordinator);
         }
         let mut has_gap = false;
@@ -221,7 +222,7 @@
             }
             // Only complete lines prove that the watch is alive. Guards against chunks that never complete a line.
             self.mark_live(index);
-            self.update_received.set(true);
+            self.line_received.set(true);
             self.failing_since.set(None);
             self.rejects_watches.set(false);
             self.confirm(as_of.max(self.confirmed_at.get()), true, coordinator);
@@ -242,8 +243,8 @@
         watch.times_out_at = Some(self.clock.now() + SILENCE_TIMEOUT);
         watch.retry_at = None;
         if !std::mem::replace(&mut watch.is_live, true) {
-            let descriptor_holders = watches.iter_mut().enumerate().filter(|(other, _)| *other != index);
-            descriptor_holders.for_each(|(_, watch)| *watch = Watch::default());
+            let others = watches.iter_mut().enumerate().filter(|(other, _)| *other != index);
+            others.for_each(|(_, watch)| *watch = Watch::default());
         }
     }
 }
@@ -254,8 +255,8 @@
     fn next_line(&mut self) -> Option<Option<serde_json::Result<ExecutorListUpdate>>> {
         let buffer = &mut self.connection.as_mut()?.buffer;
         let line = buffer.unread()[..self.decoded_bytes].split_inclusive(|&byte| byte == b'\n').next()?;
-        let (length, request) = (line.len(), line.strip_suffix(b"\n")?.trim_ascii());
-        let update = (!request.is_empty()).then(|| serde_json::from_slice(request));
+        let (length, text) = (line.len(), line.strip_suffix(b"\n")?.trim_ascii());
+        let update = (!text.is_empty()).then(|| serde_json::from_slice(text));
         buffer.done_with(length);
         self.decoded_bytes -= length;
         Some(update)
@@ -273,13 +274,13 @@
             self.times_out_at = Some(now + FIRST_LINE_TIMEOUT);
         }
         connection.write()?;
-        let end_reason = connection.read()? == Reading::Ended;
+        let has_ended = connection.read()? == Reading::Ended;
         let malformed = |m: http::Malformed| io::Error::other(format!("malformed response ({})", m.0));
         if !self.head_received {
             let head = http::response_head(connection.buffer.unread(), &LIMITS).map_err(malformed)?;
             let Some((head, length)) = head else {
                 connection.watch(false)?;
-                return Ok(end_reason);
+                return Ok(has_ended);
             };
             if head.status != 200 {
                 self.was_rejected = true;
@@ -299,7 +300,7 @@
             self.decoded_bytes += data.len();
         }
         connection.watch(false)?;
-        Ok(end_reason)
+        Ok(has_ended)
     }
 }
 
--- a/crates/node/src/wire/executors.rs
+++ b/crates/node/src/wire/executors.rs
@@ -36,7 +36,7 @@
 
 /// The response timeout of the cancellation of an unacknowledged attempt. An executor that is up answers within round
 /// trips; the request is sent to no other executor meanwhile.
-const STATUS_QUERY_TIMEOUT: Duration = Duration::from_millis(250);
+const UNACKNOWLEDGED_CANCELLATION_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Whether a request must never run twice.
 type NonIdempotent = bool;
@@ -79,7 +79,7 @@
     counters: Rc<Counters>,
     key: fn(usize) -> usize,
     max_connections: Cell<usize>,
-    dial_time_out: Duration,
+    connect_timeout: Duration,
     idle_timeout: Duration,
     pool: RefCell<ConnectionPool>,
     /// Components that can release a descriptor for a new connection.
@@ -90,7 +90,7 @@
     pub fn new(
         descriptor_holders: Vec<Rc<dyn DescriptorHolder>>,
         max_connections: usize,
-        (dial_time_out, idle_timeout): (Duration, Duration),
+        (connect_timeout, idle_timeout): (Duration, Duration),
         key: fn(usize) -> usize,
         (poller, clock, counters): (&Rc<Poller>, Clock, &Rc<Counters>),
     ) -> Executors {
@@ -100,7 +100,7 @@
             counters: counters.clone(),
             key,
             max_connections: Cell::new(max_connections),
-            dial_time_out,
+            connect_timeout,
             idle_timeout,
             pool: RefCell::new(ConnectionPool {
                 connections: Slab::new(),
@@ -153,7 +153,7 @@
         (pooled.purpose, pooled.is_writing) = (purpose, true);
         pooled.connection.buffer.put(message);
         if pooled.is_connecting {
-            set_timeout(index, pooled, timeouts, self.clock.now() + self.dial_time_out);
+            set_timeout(index, pooled, timeouts, self.clock.now() + self.connect_timeout);
         } else {
             self.wait_for_answer(index, pooled, timeouts);
         }
@@ -303,8 +303,8 @@
                 Purpose::Attempt(id, _) => coordinator.attempt_ended(id, outcome, None),
                 Purpose::Cancellation(id) => coordinator.cancellation_failed(id),
                 // The executor is down or does not respond.
-                Purpose::UnacknowledgedCancellation(id, outcome) => {
-                    coordinator.attempt_ended(id, outcome, None);
+                Purpose::UnacknowledgedCancellation(id, final_outcome) => {
+                    coordinator.attempt_ended(id, final_outcome, None);
                 }
                 Purpose::Probe => coordinator.probe_completed(executor, None),
                 Purpose::Idle => {}
@@ -435,7 +435,7 @@
         let timeout = match pooled.purpose {
             Purpose::Attempt(_, true) => NON_IDEMPOTENT_ACCEPT_TIMEOUT,
             Purpose::Attempt(_, false) => ACCEPT_TIMEOUT,
-            Purpose::UnacknowledgedCancellation(..) => STATUS_QUERY_TIMEOUT,
+            Purpose::UnacknowledgedCancellation(..) => UNACKNOWLEDGED_CANCELLATION_TIMEOUT,
             _ => ANSWER_TIMEOUT,
         };
         set_timeout(index, pooled, timeouts, self.clock.now() + timeout);
@@ -481,8 +481,8 @@
                 coordinator.attempt_ended(id, AttemptOutcome::Cancelled, None);
             }
             (Purpose::Cancellation(id), _) => coordinator.cancellation_failed(id),
-            (Purpose::UnacknowledgedCancellation(id, outcome), _) => {
-                coordinator.attempt_ended(id, outcome, None);
+            (Purpose::UnacknowledgedCancellation(id, final_outcome), _) => {
+                coordinator.attempt_ended(id, final_outcome, None);
             }
             (Purpose::Probe, _) => {
                 let report = report.or_else(|| coordinator.reports().body(&response.body));
--- a/crates/node/src/wire/peers.rs
+++ b/crates/node/src/wire/peers.rs
@@ -147,10 +147,9 @@
 
     /// Sends to a node by its number; does nothing if no address of it is known.
     pub fn send_bytes(&self, node: u32, kind: u8, body: &[u8]) {
-        let addresses_of_voters = self.addresses.borrow().get(&node).copied();
-        let addresses_of_voters =
-            addresses_of_voters.or_else(|| self.voters.borrow().get(&node).copied().flatten());
-        if let Some(target) = addresses_of_voters.or_else(|| self.askers.borrow().get(&node).copied()) {
+        let known_address = self.addresses.borrow().get(&node).copied();
+        let known_address = known_address.or_else(|| self.voters.borrow().get(&node).copied().flatten());
+        if let Some(target) = known_address.or_else(|| self.askers.borrow().get(&node).copied()) {
             self.send_frame(target, kind, body);
         }
     }
@@ -188,7 +187,7 @@
     fn member_up(&mut self, member: Member) {
         let Member { address, number, generation } = member;
         info!(
-            member = number,
+            fellow = number,
             start = generation,
             "node {number} joined at {address}, generation {generation}"
         );
@@ -202,7 +201,7 @@
 
     fn member_down(&mut self, member: Member) {
         let Member { number, generation, .. } = member;
-        info!(member = number, start = generation, "node {number} left or failed, generation {generation}");
+        info!(fellow = number, start = generation, "node {number} left or failed, generation {generation}");
         self.peer_socket.counters.fellows_went.increment();
         let mut addresses = self.peer_socket.addresses.borrow_mut();
         if addresses.get(&member.number) == Some(&member.address) {
@@ -220,6 +219,7 @@
     poller: Rc<Poller>,
     key: usize,
     clock: Clock,
+    /// This node's number, and the configured number of nodes.
     own: u32,
     count: u64,
     observations: Rc<RefCell<Vec<ExecutorObservation>>>,
@@ -250,6 +250,7 @@
     is_drained: Cell<bool>,
     /// When more executors may have to be closed; `None` before the first permission.
     closed_changes_at: Cell<Option<Instant>>,
+    /// When the executor list was last passed to the voters.
     list_viewed_at: Cell<Instant>,
     /// When the other nodes are told of a decision that was made here.
     next_nudge_at: Cell<Option<Instant>>,
@@ -278,13 +279,12 @@
         poller.add(&socket, Event::readable(key)).map_err(with_address)?;
         let frame = Frame::new(&settings.fleet, &settings.secret);
         let voters = fleet.voters.as_ref();
-        let addresses_of_voters =
-            voters.iter().flat_map(|voters| &voters.nodes).map(|number| (*number, None));
+        let voter_addresses = voters.iter().flat_map(|voters| &voters.nodes).map(|number| (*number, None));
         let peer_socket = Rc::new(PeerSocket {
             socket,
             frame,
             addresses: RefCell::default(),
-            voters: RefCell::new(addresses_of_voters.collect()),
+            voters: RefCell::new(voter_addresses.collect()),
             askers: RefCell::default(),
             own: (own as u32, settings.known_as.unwrap_or(at)),
             counters: counters.clone(),
--- a/crates/node/src/wire/siblings.rs
+++ b/crates/node/src/wire/siblings.rs
@@ -384,20 +384,20 @@
     /// The executor is answered once they have answered.
     fn forward_callback(&self, caller: CallerId, body: &[u8]) -> bool {
         let mut links = self.links.borrow_mut();
-        let met = links.table.iter().filter(|(_, link)| link.is_identified || link.is_older);
-        let met: Vec<(usize, u64)> = met.map(|(index, link)| (index, link.serial)).collect();
-        if met.is_empty() {
+        let asked_links = links.table.iter().filter(|(_, link)| link.is_identified || link.is_older);
+        let asked_links: Vec<(usize, u64)> = asked_links.map(|(index, link)| (index, link.serial)).collect();
+        if asked_links.is_empty() {
             return false;
         }
         let ask = links.next_ask;
         links.next_ask += 1;
         links.pending.insert(
             ask,
-            PendingCallback { caller, siblings: met.iter().map(|(_, serial)| *serial).collect() },
+            PendingCallback { caller, siblings: asked_links.iter().map(|(_, serial)| *serial).collect() },
         );
         links.answer_timeouts.set(self.clock.now() + ANSWER_TIMEOUT, ask);
         let message = Message::CallBack { ask, body: String::from_utf8_lossy(body).into_owned() };
-        met.into_iter().for_each(|(index, _)| links.send(index, &message));
+        asked_links.into_iter().for_each(|(index, _)| links.send(index, &message));
         true
     }
 }
