--- a/crates/node/tests/durable_jobs/mod.rs
+++ b/crates/node/tests/durable_jobs/mod.rs
@@ -1,6 +1,6 @@
 //! Durable jobs, which survive a restart of the node: each test kills nodes and starts new ones on the same job log.
 
-use crate::done;
+use crate::done_callback;
 use crate::fake::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -18,13 +18,13 @@
     let world = World::with_job_log(&[&listener], &job_log, None);
     assert_eq!(world.submit_durable("u1", "search", 9000), 202);
     let mut executor = accept(&listener);
-    let attempt = executor.hear();
+    let attempt = executor.receive();
     assert_eq!((attempt.start.as_str(), attempt.body.as_str()), ("POST /search HTTP/1.1", "work"));
     executor.answer(202, "");
     assert_eq!(world.submit_durable("u1", "search", 9000), 202, "a client that did not get the response");
     assert_eq!(world.durable_result("u1").status(), 202);
     assert_eq!(world.durable_result("u2").status(), 404);
-    assert_eq!(world.call_back("u1", done("result 1")), 204);
+    assert_eq!(world.send_callback("u1", done_callback("result 1")), 204);
     let result = world.wait_for_durable_result("u1");
     assert_eq!((result.status(), result.body.as_str()), (200, "result 1"));
     assert_eq!((world.counter("units"), world.counter("fulfilled"), world.counter("allocations")), (1, 1, 1));
@@ -43,27 +43,27 @@
     for id in ["done", "failed", "silent", "returned"] {
         assert_eq!(world.submit_durable(id, "reserve", 2500), 202);
         let mut executor = accept(&listener);
-        assert_eq!(executor.hear().header("X-Call-Id"), Some(id));
+        assert_eq!(executor.receive().header("X-Call-Id"), Some(id));
         executor.answer(202, "Connection: close\r\n");
     }
     world.kill();
     let world = World::with_job_log(&[&listener], &job_log, None);
-    assert_eq!(world.call_back("done", done("result 1")), 204);
+    assert_eq!(world.send_callback("done", done_callback("result 1")), 204);
     assert_eq!(world.wait_for_durable_result("done").body, "result 1");
-    assert_eq!(world.call_back("failed", json!({"state": "failed"})), 204);
+    assert_eq!(world.send_callback("failed", json!({"state": "failed"})), 204);
     assert_eq!(world.wait_for_durable_result("failed").status(), 500);
-    assert_eq!(world.call_back("returned", json!({"state": "returned"})), 204);
+    assert_eq!(world.send_callback("returned", json!({"state": "returned"})), 204);
     let mut executor = accept(&listener);
     assert_eq!(
-        executor.hear().header("X-Call-Id"),
+        executor.receive().header("X-Call-Id"),
         Some("returned"),
         "a job that was returned without being started may be sent again"
     );
     executor.answer(202, "Connection: close\r\n");
-    assert_eq!(world.call_back("returned", done("result 2")), 204);
+    assert_eq!(world.send_callback("returned", done_callback("result 2")), 204);
     assert_eq!(world.wait_for_durable_result("returned").body, "result 2");
     assert_eq!(world.wait_for_durable_result("silent").status(), 500, "at its deadline");
-    assert_eq!(world.call_back("silent", done("result after the deadline")), 204);
+    assert_eq!(world.send_callback("silent", done_callback("result after the deadline")), 204);
     assert_eq!((world.durable_result("silent").status(), world.counter("allocations")), (500, 1));
 }
 
@@ -74,7 +74,7 @@
     for id in ["runs", "lost"] {
         assert_eq!(world.submit_durable(id, "search", 9000), 202);
         let mut executor = accept(&listener);
-        assert_eq!(executor.hear().header("X-Call-Id"), Some(id));
+        assert_eq!(executor.receive().header("X-Call-Id"), Some(id));
         executor.answer(202, "Connection: close\r\n");
     }
     world.kill();
@@ -83,18 +83,18 @@
     let mut executor = {
         listener.set_nonblocking(true).expect("set to non-blocking");
         loop {
-            assert_eq!(world.call_back("runs", json!({"state": "running"})), 204);
+            assert_eq!(world.send_callback("runs", json!({"state": "running"})), 204);
             if let Ok((stream, _)) = listener.accept() {
                 stream.set_nonblocking(false).expect("set to blocking");
-                break Talk::over(stream);
+                break TestConnection::from_stream(stream);
             }
             std::thread::sleep(Duration::from_millis(50));
         }
     };
-    assert_eq!(executor.hear().header("X-Call-Id"), Some("lost"));
+    assert_eq!(executor.receive().header("X-Call-Id"), Some("lost"));
     executor.answer(202, "");
-    assert_eq!(world.call_back("lost", done("second attempt")), 204);
-    assert_eq!(world.call_back("runs", done("first attempt")), 204);
+    assert_eq!(world.send_callback("lost", done_callback("second attempt")), 204);
+    assert_eq!(world.send_callback("runs", done_callback("first attempt")), 204);
     assert_eq!(
         (world.wait_for_durable_result("lost").body, world.wait_for_durable_result("runs").body),
         ("second attempt".into(), "first attempt".into())
@@ -104,21 +104,21 @@
 
 #[test]
 fn after_a_restart_an_unsent_job_is_dispatched_or_rejected_if_its_deadline_has_passed() {
-    let (refusing, job_log) = (refusing(), Folder::new());
+    let (refusing_listener, job_log) = (refusing_listener(), Folder::new());
     let world = World::with_job_log(&[], &job_log, None);
     assert_eq!(world.submit_durable("later", "reserve", 5000), 202);
     assert_eq!(world.submit_durable("over", "reserve", 30), 202);
     world.kill();
     // Longer than the 30 ms of the second job. A longer sleep does no harm.
     std::thread::sleep(Duration::from_millis(40));
-    drop(refusing);
+    drop(refusing_listener);
     let listener = listener();
     let world = World::with_job_log(&[&listener], &job_log, None);
     assert_eq!(world.wait_for_durable_result("over").status(), 503);
     let mut executor = accept(&listener);
-    assert_eq!(executor.hear().header("X-Call-Id"), Some("later"));
+    assert_eq!(executor.receive().header("X-Call-Id"), Some("later"));
     executor.answer(202, "");
-    assert_eq!(world.call_back("later", done("")), 204);
+    assert_eq!(world.send_callback("later", done_callback("")), 204);
     assert_eq!(world.wait_for_durable_result("later").status(), 200);
 }
 
@@ -126,10 +126,10 @@
 fn a_job_log_belongs_to_one_process_and_without_one_there_are_no_durable_jobs() {
     let (listener, job_log) = (listener(), Folder::new());
     let world = World::with_job_log(&[&listener], &job_log, None);
-    let (status, log) = world.start_another_with(&world.posting_file().with_file_name("fronts.toml"));
+    let (status, log) = world.start_another_with(&world.config_path().with_file_name("fronts.toml"));
     assert!(!status.success() && log.contains("ledger.folder") && log.contains("another process"), "{log}");
     assert_eq!(world.submit_durable("u1", "search", 9000), 202);
-    let without_log = World::around(&listener);
+    let without_log = World::with_executor(&listener);
     assert_eq!(without_log.submit_durable("u1", "search", 9000), 400, "the path must begin with its class");
     assert_eq!(without_log.durable_result("u1").status(), 404);
 }
--- a/crates/node/tests/stable_bytes.rs
+++ b/crates/node/tests/stable_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes written by earlier versions that this one must read and write unchanged: the datagrams between nodes, and what their
-//! keepers agree on.
+//! Bytes that earlier versions have written, and that this version must read and write unchanged: the datagrams between
+//! nodes, and the replicated state of the voters.
 
 use grebeusher_budgets::{self as budgets, Division, Entry, Grant, Holder, Whole, Wholes};
 use grebeusher_dispatch::time::Duration;
@@ -31,10 +31,10 @@
     pairs.map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("it is hex")).collect()
 }
 
-/// Written as it was, and read as it was.
-fn both<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, pinned: &str) {
-    let written = hex(&postcard::to_allocvec(value).expect("it is written"));
-    assert_eq!(written, pinned, "{value:?}");
+/// Asserts that the value is written as these bytes, and read from them.
+fn assert_bytes<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, pinned: &str) {
+    let encoded = hex(&postcard::to_allocvec(value).expect("it is written"));
+    assert_eq!(encoded, pinned, "{value:?}");
     assert_eq!(postcard::from_bytes::<T>(&bytes(pinned)).as_ref(), Ok(value));
 }
 
@@ -142,35 +142,35 @@
 }
 
 #[test]
-fn what_is_said_of_budgets_is_as_it_was() {
-    both(&HOLDER, "0787d095ffbc31");
-    both(&budget_ask(), "0787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c");
-    both(&grant(), "0787d095ffbc31e4d2efd2a79acc8f8c010c2aab0203");
-    both(&wholes(), "0301e4d2efd2a79acc8f8c01f403dc0b0228");
-    both(
+fn the_messages_about_budgets_are_as_they_were() {
+    assert_bytes(&HOLDER, "0787d095ffbc31");
+    assert_bytes(&budget_ask(), "0787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c");
+    assert_bytes(&grant(), "0787d095ffbc31e4d2efd2a79acc8f8c010c2aab0203");
+    assert_bytes(&wholes(), "0301e4d2efd2a79acc8f8c01f403dc0b0228");
+    assert_bytes(
         &Entry { passed_ms: 300, wholes: Some(wholes()), asks: vec![budget_ask()] },
         "ac02010301e4d2efd2a79acc8f8c01f403dc0b0228010787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c",
     );
-    both(&Entry::default(), "000000");
+    assert_bytes(&Entry::default(), "000000");
 }
 
 #[test]
-fn the_division_of_budgets_is_as_it_was() {
+fn the_budget_state_is_as_it_was() {
     let mut division = Division::new(Duration::from_millis(2000), true);
     division.numbers_beyond(40);
-    both(&division, "00d00f28d00f0000");
+    assert_bytes(&division, "00d00f28d00f0000");
     division.apply(&Entry { wholes: Some(wholes()), ..Entry::default() });
     division.apply(&Entry { passed_ms: 5000, asks: vec![budget_ask()], ..Entry::default() });
     let ask = budgets::Ask { ask: 13, adopted: 42, ..budget_ask() };
     division.apply(&Entry { passed_ms: 5000, asks: vec![ask], ..Entry::default() });
-    both(
+    assert_bytes(
         &division,
         "904ed00f2abb1b0301e4d2efd2a79acc8f8c01a403eb0b010787d095ffbc31012aac02e05d010787d095ffbc31ac02e05d00000000",
     );
 }
 
 #[test]
-fn each_step_of_plans_is_as_it_was() {
+fn each_maintenance_step_is_as_it_was() {
     let commands = [
         (
             Command::Submit(Box::new(plan())),
@@ -182,12 +182,12 @@
         (Command::Withdraw, "04"),
     ];
     for (command, pinned) in commands {
-        // One that is added is to be added here as well.
+        // A new phase has to be added here as well.
         match command {
             Command::Submit(_) | Command::Pause | Command::Resume | Command::Idle(..) | Command::Withdraw => {
             }
         }
-        both(&command, pinned);
+        assert_bytes(&command, pinned);
     }
     let steps = [
         (Step::Asks(ask()), "000787d095ffbc31056e6f7274680d0e0f0110ac02011101e8071201"),
@@ -198,13 +198,13 @@
         match step {
             Step::Asks(_) | Step::Sees(_) | Step::Says(..) => {}
         }
-        both(&step, pinned);
+        assert_bytes(&step, pinned);
     }
-    both(&[WhenLost::Stop, WhenLost::GoOn], "0001");
+    assert_bytes(&[WhenLost::Stop, WhenLost::GoOn], "0001");
 }
 
 #[test]
-fn each_outcome_of_plans_is_as_it_was() {
+fn each_maintenance_outcome_is_as_it_was() {
     let moved = Moved { number: 44, what: "s-0 is out".to_owned() };
     let outcomes = [
         (
@@ -217,7 +217,7 @@
         match outcome {
             Outcome::Permit(_) | Outcome::Moved(_) => {}
         }
-        both(&outcome, pinned);
+        assert_bytes(&outcome, pinned);
     }
     let phases = [
         Phase::Waiting,
@@ -236,10 +236,10 @@
             Phase::Back | Phase::Done | Phase::Left | Phase::Lost => {}
         }
     }
-    both(&phases, "000102030405060708");
-    let words = phases.map(|phase| serde_json::to_value(phase).expect("it is JSON"));
+    assert_bytes(&phases, "000102030405060708");
+    let names = phases.map(|phase| serde_json::to_value(phase).expect("it is JSON"));
     let known = ["waiting", "next", "draining", "quiet", "out", "back", "done", "left", "lost"];
-    assert_eq!(words, known);
+    assert_eq!(names, known);
 }
 
 fn length(text: &str) -> u64 {
@@ -247,15 +247,15 @@
 }
 
 #[test]
-fn the_state_of_plans_is_as_it_was() {
+fn the_maintenance_state_is_as_it_was() {
     let mut works = Works::empty(Duration::from_millis(10_000), 40, &[0, 1, 2]);
-    both(&works, "00904e28030001020088270000000000000000000000");
+    assert_bytes(&works, "00904e28030001020088270000000000000000000000");
     let named = Plan { of_zones: Vec::new(), of_kinds: Vec::new(), ..plan() };
     let steps =
         vec![Step::Sees(view()), Step::Asks(ask()), Step::Says(300, Command::Submit(Box::new(named)))];
     works.apply(7000, steps, length);
     works.apply(70_000, vec![Step::Asks(Ask { ask: 14, ..ask() }), Step::Says(301, Command::Pause)], length);
-    both(
+    assert_bytes(
         &works,
         "c8d904904e28030001021588270107010787d095ffbc310ed8a7050e000f0110ac0201e807120107056e6f72746801110001056e6f727468ac02ab0201100180d095ffbc3102d836e80712c8d904e80712e80712010a6e6577206b65726e656c0203732d3003732d33000002056e6f72746805736f757468020304021e0507060104083c901c1f2001019a9999999999a93f0103732d33010901d83601056e6f727468010403732d300003056e6f72746801d8361300010000000003732d33000305736f75746801d83612000100000000066e6f646520330103060001d83614000000000000066e6f646520340104060001d83615000000000000000002ac021d74616b656e3a206e6577206b65726e656c2c2034206d616368696e6573ad0206706175736564",
     );
@@ -265,106 +265,108 @@
 const FLEET: &str = "lipa";
 const SECRET: &str = "what only the nodes know";
 
-/// The datagram around a body: version, kind, the mark that only those can make who know the fleet's secret, and the body.
+/// The datagram around a body: version, kind, a tag that only nodes with the secret of the fleet can make, and the
+/// body.
 fn datagram(kind: u8, body: &[u8]) -> Vec<u8> {
     let mut key = SipHasher24::new();
     key.write(SECRET.as_bytes());
-    let mut mark = SipHasher24::new_with_key(&key.finish128().as_bytes());
-    mark.write(&[VERSION, kind, FLEET.len() as u8]);
-    mark.write(FLEET.as_bytes());
-    mark.write(body);
-    [&[VERSION, kind][..], &mark.finish128().as_bytes(), body].concat()
+    let mut tag = SipHasher24::new_with_key(&key.finish128().as_bytes());
+    tag.write(&[VERSION, kind, FLEET.len() as u8]);
+    tag.write(FLEET.as_bytes());
+    tag.write(body);
+    [&[VERSION, kind][..], &tag.finish128().as_bytes(), body].concat()
 }
 
-fn written(what: &impl Serialize) -> Vec<u8> {
-    postcard::to_allocvec(what).expect("it is written")
+fn encoded(value: &impl Serialize) -> Vec<u8> {
+    postcard::to_allocvec(value).expect("it is written")
 }
 
-/// Nobody is there.
+/// An address at which nobody listens.
 const NOWHERE: &str = "127.0.0.1:9";
 
-/// One datagram of each kind, as node 2 sends it to node 1, with what it says.
+/// One datagram of each kind, as node 2 sends it to node 1: its name, the datagram, and the pinned bytes.
 #[expect(clippy::too_many_lines, reason = "one sample for each kind of datagram")]
 fn datagrams() -> Vec<(&'static str, Vec<u8>, &'static str)> {
-    let nowhere: SocketAddr = NOWHERE.parse().expect("an address");
-    let from = (7u32, nowhere);
-    let life = (0x5a5a_5a5a_5a5a_5a00_u64 | 1, 0x77_u64);
-    let words = [(0x8c1f_30d2_7a5b_e964_u64, 1_700_000_003_000_u64, true), (7, 1_700_000_004_000, false)]
-        .map(|(executor, at_ms, gone)| ExecutorObservation { executor, at_ms, gone });
+    let unused_address: SocketAddr = NOWHERE.parse().expect("an address");
+    let from = (7u32, unused_address);
+    let group = (0x5a5a_5a5a_5a5a_5a00_u64 | 1, 0x77_u64);
+    let observations =
+        [(0x8c1f_30d2_7a5b_e964_u64, 1_700_000_003_000_u64, true), (7, 1_700_000_004_000, false)]
+            .map(|(executor, at_ms, gone)| ExecutorObservation { executor, at_ms, gone });
     let moved = Moved { number: 44, what: "s-0 is out".to_owned() };
-    // The knock of a node that has just started, in the form of membership.
-    let knock = bytes("0120010db80000000000000000000000078a3e0282d095ffbc3100000a0100018a3e000006");
-    let lesson = (vec![(0.25_f32, 0.5_f32)], vec![("plain".to_owned(), (1.5_f32, 2.5_f32, 3.0_f32))]);
+    // The membership message of a node that has just started.
+    let join_message = bytes("0120010db80000000000000000000000078a3e0282d095ffbc3100000a0100018a3e000006");
+    let estimates = (vec![(0.25_f32, 0.5_f32)], vec![("plain".to_owned(), (1.5_f32, 2.5_f32, 3.0_f32))]);
     vec![
         (
             "membership",
-            datagram(1, &knock),
+            datagram(1, &join_message),
             "03016b4f98be98a773d8865501893fd86a9e0120010db80000000000000000000000078a3e0282d095ffbc3100000a0100018a3e000006",
         ),
         (
-            "a word of the decisions",
+            "a load message",
             datagram(2, &[0, 0, 0, 2, 1, 0xab, 0xcd, 3]),
             "030233468253393d57f7e9d5e55cb0aa38fb0000000201abcd03",
         ),
         (
-            "a keeper's hello",
-            datagram(3, &written(&(0u8, life.0, None::<u64>))),
+            "a hello of a voter",
+            datagram(3, &encoded(&(0u8, group.0, None::<u64>))),
             "0303cb66107dd24cb9d591920e4c7ade45eb0081b4e9d2a5cb96ad5a00",
         ),
         (
-            "a keeper's hello of a group",
-            datagram(3, &written(&(0u8, life.0, Some(life.1)))),
+            "a hello of a voter in a group",
+            datagram(3, &encoded(&(0u8, group.0, Some(group.1)))),
             "0303884ff20552768efbe62e52861b085cd80081b4e9d2a5cb96ad5a0177",
         ),
         (
-            "a piece of a keeper's message",
-            datagram(3, &written(&(1u8, life.0, life.1, 300u32, 1u16, 3u16, vec![1u8, 2, 3]))),
+            "a piece of a message of a voter",
+            datagram(3, &encoded(&(1u8, group.0, group.1, 300u32, 1u16, 3u16, vec![1u8, 2, 3]))),
             "0303f1fd36d54c677b0916688f2ac9ba8be10181b4e9d2a5cb96ad5a77ac02010303010203",
         ),
         (
-            "a step: a part of a budget",
-            datagram(4, &written(&(true, from, 0u8, budget_ask()))),
+            "a command: a budget ask",
+            datagram(4, &encoded(&(true, from, 0u8, budget_ask()))),
             "030477419987687d6f3ec200e95c5bce76d20107007f00000109000787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c",
         ),
         (
-            "a step: budgets",
-            datagram(4, &written(&(false, from, 1u8, wholes()))),
+            "a command: budgets",
+            datagram(4, &encoded(&(false, from, 1u8, wholes()))),
             "0304e0c23a3a3e63be397de5e04f01c8cfda0007007f00000109010301e4d2efd2a79acc8f8c01f403dc0b0228",
         ),
         (
-            "a step: plans",
-            datagram(4, &written(&(true, from, 2u8, Step::Asks(ask())))),
+            "a command: maintenance",
+            datagram(4, &encoded(&(true, from, 2u8, Step::Asks(ask())))),
             "0304b22b4cbfe6f0d2c921fe69290025f3610107007f0000010902000787d095ffbc31056e6f7274680d0e0f0110ac02011101e8071201",
         ),
         (
-            "an outcome: a part of a budget",
-            datagram(5, &written(&(2u8, 0u8, grant()))),
+            "an outcome: a budget grant",
+            datagram(5, &encoded(&(2u8, 0u8, grant()))),
             "0305cdd991b49954f7b599c17f0c91b55d1d02000787d095ffbc31e4d2efd2a79acc8f8c010c2aab0203",
         ),
         (
             "an outcome: a permit",
-            datagram(5, &written(&(2u8, 1u8, permit()))),
+            datagram(5, &encoded(&(2u8, 1u8, permit()))),
             "0305ff26e1f7dce10093ad965d7507f46b4702010787d095ffbc310d2c010310001101120220012c0a6e6577206b65726e656c0472756e73076e6f7468696e67ad020103732d3002ac022b04776f726b012d03796573",
         ),
         (
-            "an outcome: a move",
-            datagram(5, &written(&(2u8, 2u8, moved))),
+            "an outcome: a decision of maintenance",
+            datagram(5, &encoded(&(2u8, 2u8, moved))),
             "030524892e72e7611fe022640c499525ea5502022c0a732d30206973206f7574",
         ),
         ("a nudge", datagram(6, &[]), "03062035ee3b5458488b4db3561a88b71001"),
         (
-            "what was missed",
-            datagram(7, &written(&words.to_vec())),
+            "missed observations",
+            datagram(7, &encoded(&observations.to_vec())),
             "030745eb9953600834cadea769e58fe6509102e4d2efd2a79acc8f8c01b8e795ffbc310107a0ef95ffbc3100",
         ),
         (
-            "a question for what was missed",
-            datagram(8, &written(&nowhere)),
+            "an ask for missed observations",
+            datagram(8, &encoded(&unused_address)),
             "0308f41f9ca78344cf2f7598e81a001e94be007f00000109",
         ),
         (
-            "what was learnt",
-            datagram(9, &written(&lesson)),
+            "learned estimates",
+            datagram(9, &encoded(&estimates)),
             "0309aabcc39e575e053af52d66f0f915b042010000803e0000003f0105706c61696e0000c03f0000204000004040",
         ),
     ]
@@ -372,15 +374,15 @@
 
 #[test]
 fn each_kind_of_datagram_is_written_as_it_was() {
-    for (what, datagram, pinned) in datagrams() {
-        assert_eq!(hex(&datagram), pinned, "{what}");
+    for (name, datagram, pinned) in datagrams() {
+        assert_eq!(hex(&datagram), pinned, "{name}");
     }
 }
 
-/// A node on its own: number 1 of 3, in this fleet, with these keepers.
+/// A node on its own: number 1 of 3, in this fleet, with these voters.
 struct Node {
     child: Child,
-    listens: String,
+    http_address: String,
     datagrams: SocketAddr,
     folder: Folder,
 }
@@ -400,55 +402,55 @@
     }
 }
 
-/// Where the others reach it, by its file.
+/// The address of the node for others, by its settings.
 const KNOWN_AS: &str = "10.1.0.1:7946";
 
 impl Node {
-    fn start(keepers: &str) -> Node {
-        static MADE: AtomicUsize = AtomicUsize::new(0);
-        let number = MADE.fetch_add(1, Ordering::Relaxed);
+    fn start(voters: &str) -> Node {
+        static CREATED: AtomicUsize = AtomicUsize::new(0);
+        let number = CREATED.fetch_add(1, Ordering::Relaxed);
         let folder = std::env::temp_dir().join(format!("grebeusher-bytes-{}-{number}", process::id()));
-        std::fs::create_dir(&folder).expect("a folder of its own");
+        std::fs::create_dir(&folder).expect("a new folder");
         let folder = Folder(folder);
-        let free =
+        let datagram_address =
             UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port");
         let fleet = format!(
             "[fellows]\nfleet = {FLEET:?}\nsecret = {SECRET:?}\nport = {}\nknown_as = {KNOWN_AS:?}\n\
-             contacts = [{NOWHERE:?}]\n[keepers]\nnodes = {keepers}\n[maintenance]\n\
+             contacts = [{NOWHERE:?}]\n[keepers]\nnodes = {voters}\n[maintenance]\n\
              [budgets]\nedition = 3\n[[budgets.of]]\ntariff = \"search\"\nunits = 500\nwindow_ms = 1500\nfloor = 2\n\
              nodes = 40\n",
-            free.port()
+            datagram_address.port()
         );
         let settings = json!({"fleet_size": 3, "me": 1, "zones": ["a"], "kinds": ["m"], "caps": {"peers": true},
             "contract": {"cold_share": 0.15, "warm_within_ns": 24e9, "overload_factor": 2.5, "fall_ns": 1e9},
             "tariffs": [{"name": "search", "effect": "read_like", "quoted_time_ns": 4e9, "patience_ns": 10e9}]});
-        let posting = json!({"listen": "127.0.0.1:0", "discovery": NOWHERE, "settings": settings});
-        let (posting_at, fleet_at) = (folder.0.join("posting.json"), folder.0.join("fleet.toml"));
-        std::fs::write(&posting_at, posting.to_string()).expect("it is written");
-        std::fs::write(&fleet_at, fleet).expect("it is written");
+        let config = json!({"listen": "127.0.0.1:0", "discovery": NOWHERE, "settings": settings});
+        let (config_path, fleet_path) = (folder.0.join("posting.json"), folder.0.join("fleet.toml"));
+        std::fs::write(&config_path, config.to_string()).expect("it is written");
+        std::fs::write(&fleet_path, fleet).expect("it is written");
         let mut child = process::Command::new(env!("CARGO_BIN_EXE_grebeusher"))
-            .env("GW_CONFIG", &posting_at)
-            .env("GREBEUSHER_FLEET", &fleet_at)
+            .env("GW_CONFIG", &config_path)
+            .env("GREBEUSHER_FLEET", &fleet_path)
             .env("TMPDIR", &folder.0)
             .stderr(Stdio::piped())
             .spawn()
             .expect("it starts");
         let mut log = BufReader::new(child.stderr.take().expect("its log is a pipe"));
         let mut line = String::new();
-        let listens = loop {
+        let http_address = loop {
             line.clear();
             assert_ne!(log.read_line(&mut line).expect("the log is text"), 0, "the node ended at once");
             if let Some((_, at)) = line.split_once("listens at ") {
                 break at.split([' ', ';', ',', '\n']).next().unwrap_or_default().to_owned();
             }
         };
-        // What it says later is read and dropped, or it would wait for a reader.
+        // Further log lines are read and discarded. Guards against a node that blocks on a full pipe.
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Node { child, listens, datagrams: free, folder }
+        Node { child, http_address, datagrams: datagram_address, folder }
     }
 
     fn counter(&self, name: &str) -> u64 {
-        let mut stream = TcpStream::connect(&self.listens).expect("it listens");
+        let mut stream = TcpStream::connect(&self.http_address).expect("it listens");
         stream.write_all(b"GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n").expect("it reads");
         let mut text = String::new();
         stream.read_to_string(&mut text).expect("it answers");
@@ -457,112 +459,118 @@
         value.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
     }
 
-    /// The operators' file has newer budgets, and the node is told to read it.
-    fn posts_budgets(&self) {
+    /// Writes newer budgets into the fleet file, and makes the node reload it.
+    fn reload_newer_budgets(&self) {
         let file = self.folder.0.join("fleet.toml");
         let fleet = std::fs::read_to_string(&file).expect("it is there");
         std::fs::write(&file, fleet.replace("edition = 3", "edition = 4")).expect("it is written");
-        let told =
+        let status =
             process::Command::new("sh").args(["-c", &format!("kill -HUP {}", self.child.id())]).status();
-        assert!(told.expect("a shell").success());
+        assert!(status.expect("a shell").success());
     }
 
-    /// Waits until so many datagrams came, and tells how many of them it made nothing of.
-    fn bad_of(&self, came: u64) -> u64 {
+    /// Waits until this many datagrams have arrived, and returns how many of them the node has rejected.
+    fn bad_datagrams(&self, arrived: u64) -> u64 {
         let started = Instant::now();
-        while self.counter("datagrams_came") < came {
-            assert!(started.elapsed() < FAR_TOO_LONG, "datagrams got lost");
+        while self.counter("datagrams_came") < arrived {
+            assert!(started.elapsed() < TIMEOUT, "datagrams got lost");
             std::thread::sleep(Duration::from_millis(5));
         }
         self.counter("datagrams_bad")
     }
 }
 
-const FAR_TOO_LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[test]
 fn a_node_reads_each_kind_of_datagram_as_it_was() {
     let node = Node::start("[0, 1, 2]");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let say = |datagram: &[u8]| socket.send_to(datagram, node.datagrams).expect("it is sent");
-    let mut came = 0;
-    for (what, _, pinned) in datagrams() {
-        say(&bytes(pinned));
-        came += 1;
-        assert_eq!(node.bad_of(came), 0, "{what}");
+    let send = |datagram: &[u8]| socket.send_to(datagram, node.datagrams).expect("it is sent");
+    let mut sent = 0;
+    for (name, _, pinned) in datagrams() {
+        send(&bytes(pinned));
+        sent += 1;
+        assert_eq!(node.bad_datagrams(sent), 0, "{name}");
     }
-    // What is of another version or kind, cut short, or marked by others is noticed.
-    let mut wrong: Vec<Vec<u8>> = Vec::new();
+    // Datagrams of another version or kind, truncated ones, and ones with a wrong tag are counted as bad.
+    let mut invalid: Vec<Vec<u8>> = Vec::new();
     for (_, datagram, _) in datagrams() {
-        wrong.push([&[VERSION + 1], &datagram[1..]].concat());
-        wrong.push(datagram[..datagram.len().min(17)].to_vec());
+        invalid.push([&[VERSION + 1], &datagram[1..]].concat());
+        invalid.push(datagram[..datagram.len().min(17)].to_vec());
     }
-    wrong.push(datagram(10, &[]));
-    wrong.push(datagram(4, &written(&(true, (7u32, node.datagrams), 3u8))));
-    for (bad, datagram) in wrong.iter().enumerate() {
-        say(datagram);
-        came += 1;
-        assert_eq!(node.bad_of(came), bad as u64 + 1, "{}", hex(datagram));
+    invalid.push(datagram(10, &[]));
+    invalid.push(datagram(4, &encoded(&(true, (7u32, node.datagrams), 3u8))));
+    for (number, datagram) in invalid.iter().enumerate() {
+        send(datagram);
+        sent += 1;
+        assert_eq!(node.bad_datagrams(sent), number as u64 + 1, "{}", hex(datagram));
     }
 }
 
-/// What a node sends to node 0, by kind, until there is one of each of these; of steps one of each sort.
-fn heard_from(node: &Node, wanted: &[(u8, Option<u8>)]) -> BTreeMap<(u8, Option<u8>), Vec<u8>> {
+/// The bodies of datagrams that the node sends to node 0, by kind, until there is one of each wanted kind; of commands,
+/// one of each variant.
+fn received_from(node: &Node, expected: &[(u8, Option<u8>)]) -> BTreeMap<(u8, Option<u8>), Vec<u8>> {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    socket.set_read_timeout(Some(FAR_TOO_LONG)).expect("a time-out");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("a timeout is set");
     let own = socket.local_addr().expect("an address");
-    let there: SocketAddr = KNOWN_AS.parse().expect("an address");
-    // A knock in the form of membership, by which node 0 is known to be here.
-    let knock = (own, 0u32, 1_700_000_000_000_u64, 0u16, (there, 0u32, 0u64), 6u8);
-    socket.send_to(&datagram(1, &written(&knock)), node.datagrams).expect("it is sent");
-    socket.send_to(&datagram(8, &written(&own)), node.datagrams).expect("it is sent");
-    let mut heard = BTreeMap::new();
+    let node_address: SocketAddr = KNOWN_AS.parse().expect("an address");
+    // A membership message by which the node learns that node 0 is at this address.
+    let join_message = (own, 0u32, 1_700_000_000_000_u64, 0u16, (node_address, 0u32, 0u64), 6u8);
+    socket.send_to(&datagram(1, &encoded(&join_message)), node.datagrams).expect("it is sent");
+    socket.send_to(&datagram(8, &encoded(&own)), node.datagrams).expect("it is sent");
+    let mut received = BTreeMap::new();
     let mut buffer = [0; 2048];
     let started = Instant::now();
-    while wanted.iter().any(|wanted| !heard.contains_key(wanted)) {
-        assert!(started.elapsed() < FAR_TOO_LONG, "only these came: {:?}", heard.keys());
-        let (length, _) = socket.recv_from(&mut buffer).expect("it says something");
+    while expected.iter().any(|expected| !received.contains_key(expected)) {
+        assert!(started.elapsed() < TIMEOUT, "only these arrived: {:?}", received.keys());
+        let (length, _) = socket.recv_from(&mut buffer).expect("the node sends a datagram");
         let (kind, body) = (buffer[1], &buffer[18..length]);
-        assert_eq!(hex(&buffer[..length]), hex(&datagram(kind, body)), "the mark is as it was");
-        let sort = (kind == 4).then(|| {
+        assert_eq!(hex(&buffer[..length]), hex(&datagram(kind, body)), "the tag is as it was");
+        let variant = (kind == 4).then(|| {
             let step: (bool, (u32, SocketAddr), u8) = postcard::take_from_bytes(body).expect("a step").0;
             step.2
         });
-        heard.entry((kind, sort)).or_insert_with(|| body.to_vec());
+        received.entry((kind, variant)).or_insert_with(|| body.to_vec());
     }
-    heard
+    received
 }
 
 #[test]
 fn a_node_writes_datagrams_as_it_did() {
     let node = Node::start("[0]");
-    let there: SocketAddr = KNOWN_AS.parse().expect("an address");
-    node.posts_budgets();
-    let wanted = [(1, None), (2, None), (4, Some(1)), (4, Some(2)), (8, None), (9, None)];
-    let heard = heard_from(&node, &wanted);
-    // What it asks for, what it has learnt, and the budgets by its file, with the hash by which they are named.
+    let node_address: SocketAddr = KNOWN_AS.parse().expect("an address");
+    node.reload_newer_budgets();
+    let expected = [(1, None), (2, None), (4, Some(1)), (4, Some(2)), (8, None), (9, None)];
+    let received = received_from(&node, &expected);
+    // The node's ask for observations, its learned estimates, and the budgets of its file with the hash that names
+    // them.
     for (kind, pinned) in [
         ((8, None), "000a0100018a3e"),
         ((9, None), "0000"),
         ((4, Some(1)), "0101000a0100018a3e010401ddebf7c8ad89a59cfe01f403dc0b0228"),
     ] {
-        assert_eq!(hex(&heard[&kind]), pinned, "{kind:?}");
+        assert_eq!(hex(&received[&kind]), pinned, "{kind:?}");
     }
-    // What it says by its clock is read back.
-    type Told = (bool, (u32, SocketAddr), u8, Step);
-    let body = &heard[&(4, Some(2))];
-    let step: Told = postcard::from_bytes(body).expect("it is a step");
-    assert_eq!((hex(&written(&step)), step.0, step.1), (hex(body), true, (1, there)));
+    // A command that contains the time is read and written back.
+    type MaintenanceMessage = (bool, (u32, SocketAddr), u8, Step);
+    let body = &received[&(4, Some(2))];
+    let step: MaintenanceMessage = postcard::from_bytes(body).expect("it is a step");
+    assert_eq!((hex(&encoded(&step)), step.0, step.1), (hex(body), true, (1, node_address)));
     assert!(matches!(step.3, Step::Asks(ask) if ask.holder.number == 1 && ask.zone == "a"));
-    assert_eq!(heard[&(2, None)][..4], [0, 0, 0, 1], "a word begins with who says it");
+    assert_eq!(
+        received[&(2, None)][..4],
+        [0, 0, 0, 1],
+        "a load message begins with the number of its sender"
+    );
 }
 
 #[test]
-fn a_keeper_says_hello_as_it_did() {
+fn a_voter_sends_its_hello_as_it_did() {
     let node = Node::start("[0, 1, 2]");
-    let heard = heard_from(&node, &[(3, None)]);
+    let received = received_from(&node, &[(3, None)]);
     type Hello = (u8, u64, Option<u64>);
-    let hello: Hello = postcard::from_bytes(&heard[&(3, None)]).expect("it is a hello");
-    assert_eq!((hello.0, hello.1 & 0xff, hello.2), (0, 2, None), "of the second place, in no group");
-    assert_eq!(written(&hello), heard[&(3, None)]);
+    let hello: Hello = postcard::from_bytes(&received[&(3, None)]).expect("it is a hello");
+    assert_eq!((hello.0, hello.1 & 0xff, hello.2), (0, 2, None), "index 2, in no group");
+    assert_eq!(encoded(&hello), received[&(3, None)]);
 }
