--- a/crates/node/src/process/node.rs
+++ b/crates/node/src/process/node.rs
@@ -306,7 +306,7 @@
         }
         coordinator.executor_list_received(&known);
         // The list in the settings counts as confirmed now, so it expires as any list does. Guards against a node that
-        // never hears from discovery, and uses that list for good.
+        // never receives a line from discovery, and uses that list for good.
         coordinator.executor_list_confirmed(clock.now(), false);
         coordinator.recover();
         log_unsupported_settings(settings, peers.is_some());
@@ -360,7 +360,7 @@
         let start = self.started.0 / 1_000_000;
         let _own = tracing::info_span!("of", node = %self.name, start).entered();
         // The list in the settings may be enough to serve. Guards against a load balancer that asks before the end of
-        // the first turn of the loop, and hears that no executor is known.
+        // the first turn of the loop, and is told that no executor is known.
         self.update_phase();
         let mut events = Vec::new();
         while self.phase != Phase::Gone {
--- a/crates/node/src/process/upgrade.rs
+++ b/crates/node/src/process/upgrade.rs
@@ -13,7 +13,10 @@
 
 /// The inherited listening socket; `None` if the node has to bind one itself. Must be called once, and before anything
 /// is opened.
-#[expect(unsafe_code, reason = "a descriptor that the platform opened can only be taken over so")]
+#[expect(
+    unsafe_code,
+    reason = "a descriptor that the service manager opened can only be taken over by its number"
+)]
 pub fn inherited() -> Result<Option<TcpListener>, String> {
     let Some(text) = env::var_os(DESCRIPTOR_VARIABLE) else { return Ok(None) };
     let error = |reason: &str| format!("{DESCRIPTOR_VARIABLE}: {reason}, found {text:?}");
--- a/crates/node/src/wire/checks.rs
+++ b/crates/node/src/wire/checks.rs
@@ -37,13 +37,13 @@
 
     /// The addresses of the checks, for the log.
     pub fn addresses(&self) -> io::Result<String> {
-        let mut texts = Vec::new();
+        let mut addresses = Vec::new();
         for (name, server) in [("agent checks", &self.agent), ("health calls", &self.health)] {
             if let Some(server) = server {
-                texts.push(format!("{name} at {}", server.address()?));
+                addresses.push(format!("{name} at {}", server.address()?));
             }
         }
-        Ok(texts.join(", "))
+        Ok(addresses.join(", "))
     }
 
     /// Accepts agent checks. The response is sent on connecting, whatever the balancer may send.
--- a/crates/node/src/wire/one_shot.rs
+++ b/crates/node/src/wire/one_shot.rs
@@ -45,7 +45,7 @@
     /// The minimum interval between two accepted connections, and the time from which the next one may be accepted.
     min_interval: Duration,
     next_accept_at: Cell<Instant>,
-    /// New connections wait in the listen backlog until then.
+    /// Until this time new connections wait in the listen backlog.
     accepts_again_at: Cell<Option<Instant>>,
 }
 
@@ -96,6 +96,7 @@
         self.watch_listener();
     }
 
+    /// Makes the poller report the next waiting connection.
     fn watch_listener(&self) {
         if let Err(e) = self.poller.modify(&self.listener, Event::readable(self.listener_key)) {
             warn!("cannot watch the listener of single requests: {e}");
@@ -121,12 +122,14 @@
         let mut connections = self.connections.borrow_mut();
         if connections.len() >= MAX_CONNECTIONS {
             let eviction_order =
-                |pending: &OneShotConnection| match pending.connection.buffer.waits_to_write() {
-                    false => (u8::from(!pending.answered), pending.accepted_at),
-                    true => (2, pending.accepted_at),
+                |candidate: &OneShotConnection| match candidate.connection.buffer.waits_to_write() {
+                    false => (u8::from(!candidate.answered), candidate.accepted_at),
+                    true => (2, candidate.accepted_at),
                 };
-            let evicted =
-                connections.iter().min_by_key(|(_, pending)| eviction_order(pending)).map(|(index, _)| index);
+            let evicted = connections
+                .iter()
+                .min_by_key(|(_, candidate)| eviction_order(candidate))
+                .map(|(index, _)| index);
             evicted.inspect(|&index| drop(connections.remove(index)));
         }
         let entry = connections.vacant_entry();
--- a/crates/node/src/wire/peers.rs
+++ b/crates/node/src/wire/peers.rs
@@ -246,7 +246,7 @@
 /// This node's part in maintenance: its permission to send to executors, and what it reports to the voters.
 struct MaintenanceAgent {
     permission: RefCell<Permission>,
-    /// This node is to be taken out itself, and has no open request: it sends nothing until it hears that it may stay.
+    /// This node is to be taken out itself, and has no open request: it sends nothing until the voters let it stay.
     is_drained: Cell<bool>,
     /// When more executors may have to be closed; `None` before the first permission.
     closed_changes_at: Cell<Option<Instant>>,
--- a/crates/node/tests/checks/mod.rs
+++ b/crates/node/tests/checks/mod.rs
@@ -72,20 +72,20 @@
 fn a_flood_of_checks_is_accepted_slowly_and_delays_no_request() {
     let executor_listener = listener();
     let world = World::with_frontends(&[&executor_listener], &format!("{BOTH_CHECKS}per_s = 1\n"));
-    let agent = world.agent.expect("an address");
+    let agent = world.agent.expect("the node has an agent check");
     let mut flood: Vec<TcpStream> =
-        (0..200).map(|_| TcpStream::connect(agent).expect("it listens")).collect();
+        (0..200).map(|_| TcpStream::connect(agent).expect("the node listens")).collect();
     let mut client = world.submit("u1", "search", 9000);
     let mut executor = accept(&executor_listener);
     assert_eq!(executor.receive().header("X-Call-Id"), Some("u1"));
     executor.answer(202, "");
-    assert_eq!(world.send_callback("u1", crate::done_callback("in its turn")), 204);
-    assert_eq!(client.receive().body, "in its turn");
+    assert_eq!(world.send_callback("u1", crate::done_callback("served")), 204);
+    assert_eq!(client.receive().body, "served");
     assert_eq!(world.ask_console("GET /healthcheck").status(), 200);
     // The node accepts one check a second, so most of these have no answer yet.
     let mut answered = 0;
     for stream in &mut flood {
-        stream.set_nonblocking(true).expect("a mode");
+        stream.set_nonblocking(true).expect("the stream is non-blocking");
         answered += usize::from(matches!(stream.peek(&mut [0; 4]), Ok(1..)));
     }
     assert!((1..100).contains(&answered), "{answered}");
@@ -100,7 +100,7 @@
         ("[checks]\nagent = \"127.0.0.1:0\"\nper_s = 0\n", "checks.per_s: expected a whole number from 1"),
         ("[checks]\nhealth = \"127.0.0.1\"\n", "checks.health: invalid socket address"),
     ] {
-        std::fs::write(&path, text).expect("it is written");
+        std::fs::write(&path, text).expect("the frontend file is written");
         let (ended, log) = world.start_another_with(&path);
         assert!(!ended.success() && log.contains(expected), "{expected}: {log}");
     }
--- a/crates/node/tests/fake/mod.rs
+++ b/crates/node/tests/fake/mod.rs
@@ -200,9 +200,9 @@
         let stream = TcpStream::connect(self.agent.expect("the node has this health check"))
             .expect("the listener is open");
         let mut balancer = TestConnection::from_stream(stream);
-        let said = balancer.read_line();
+        let verdict = balancer.read_line();
         assert!(balancer.is_closed());
-        said
+        verdict
     }
 
     /// The response to an HTTP health check.
@@ -466,10 +466,10 @@
     socket.listen(0).expect("the listener is open");
     let listener: TcpListener = socket.into();
     SockRef::from(&listener).set_read_timeout(Some(TIMEOUT)).expect("a timeout is set");
-    let at = listener.local_addr().expect("an address");
+    let address = listener.local_addr().expect("the listener has an address");
     // One connection fits into the queue; of the next the system drops the first SYN, which is sent again a second
     // later.
-    let fillers = vec![TcpStream::connect(at).expect("the queue holds one connection")];
+    let fillers = vec![TcpStream::connect(address).expect("the queue holds one connection")];
     (listener, fillers)
 }
 
--- a/crates/node/tests/faktory/mod.rs
+++ b/crates/node/tests/faktory/mod.rs
@@ -63,7 +63,7 @@
     let mut worker = world.worker("w1");
     worker.send("FETCH search\r\n");
     let mut over_http = world.submit("u2", "search", 5000);
-    let job = worker.receive_bulk().expect("the unit as a job");
+    let job = worker.receive_bulk().expect("the request as a job");
     assert_eq!((job["jid"].as_str(), job["args"][0].as_str()), (Some("u2"), Some("work")));
     assert_eq!(worker.exchange_line(&ack("u2")), "+OK");
     assert_eq!(over_http.receive().status(), 200);
@@ -92,7 +92,7 @@
     drop(next);
     let mut last = world.worker("w3");
     last.send("FETCH search\r\n");
-    assert_eq!(last.receive_bulk().expect("it was sent again")["jid"], "job-00002");
+    assert_eq!(last.receive_bulk().expect("the job was sent again")["jid"], "job-00002");
     assert_eq!(last.exchange_line(&ack("job-00002")), "+OK");
     assert_eq!(client.read_line(), "+OK");
 }
@@ -134,16 +134,16 @@
         let answer = world.push(jid, queue, extra_fields).read_line();
         assert!(answer.starts_with("-ERR") && answer.contains(expected_text), "{answer}");
     }
-    let mut anyone = world.connect_faktory();
-    assert!(anyone.exchange_line("INFO").contains("say HELLO first"));
-    assert!(anyone.exchange_line("HELLO {\"v\":1}").contains("version"));
-    assert!(anyone.is_closed());
+    let mut client_without_hello = world.connect_faktory();
+    assert!(client_without_hello.exchange_line("INFO").contains("say HELLO first"));
+    assert!(client_without_hello.exchange_line("HELLO {\"v\":1}").contains("version"));
+    assert!(client_without_hello.is_closed());
     let mut client = world.connect_faktory();
     assert_eq!(client.exchange_line("HELLO {\"v\":2}"), "+OK");
     assert!(client.exchange_line("FETCH search").contains("only workers"));
     assert!(client.exchange_line("FLUSH").contains("can't be had"));
     client.send("INFO\r\n");
-    assert_eq!(client.receive_bulk().expect("figures")["faktory"]["workers"], 2);
+    assert_eq!(client.receive_bulk().expect("the metrics")["faktory"]["workers"], 2);
     assert_eq!(client.exchange_line("END"), "+OK");
     assert!(client.is_closed());
     let mut overlong_client = world.connect_faktory();
@@ -191,7 +191,7 @@
         .map(|_| {
             TestConnection::from_stream(
                 std::net::TcpStream::connect(world.faktory.expect("the node has a Faktory frontend"))
-                    .expect("it listens"),
+                    .expect("the frontend listens"),
             )
         })
         .collect();
@@ -254,7 +254,7 @@
         ),
         ("[resque]\n", "resque: unknown field"),
     ] {
-        std::fs::write(&path, text).expect("it is written");
+        std::fs::write(&path, text).expect("the frontend file is written");
         let world = World::with_console(&[]);
         let (ended, log) = world.start_another_with(&path);
         assert!(!ended.success() && log.contains(expected), "{expected}: {log}");
@@ -274,7 +274,7 @@
             Ok(())
         });
         let mut consumer = consumer.connect(Some(&worker_url)).expect("the connection is admitted");
-        while !consumer.run_one(0, &["search"]).expect("it fetches") {}
+        while !consumer.run_one(0, &["search"]).expect("the worker fetches") {}
     });
     let mut producer = faktory::Producer::connect(Some(&url)).expect("the connection is admitted");
     let mut job = faktory::Job::new("import", vec!["a", "b"]);
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -637,7 +637,7 @@
     drop(busy);
     let mut unanswered = accept(&world.discovery);
     unanswered.receive();
-    assert!(unanswered.is_closed(), "it is closed after its timeout");
+    assert!(unanswered.is_closed(), "the watch is closed after its timeout");
     assert_eq!(world.counter("watches"), 2, "no other watch was opened meanwhile");
 }
 
@@ -845,7 +845,7 @@
     while world.counter("list_lines") == 0 {}
     drop(executor);
     let mut second = accept(&other);
-    assert_eq!(second.receive().header("X-Call-Id"), Some("u1"), "it may run again");
+    assert_eq!(second.receive().header("X-Call-Id"), Some("u1"), "the request may run again");
     assert_eq!(world.send_callback("u1", json!({"state": "done", "result": "the first one's"})), 204);
     assert_eq!(client.receive().body, "the first one's");
     assert!(second.is_closed(), "the second attempt is cancelled");
@@ -920,7 +920,7 @@
     // The queue of connections holds one and is full: a new connection gets no answer, as from a machine that is cut
     // off.
     let executor_listener = refusing_listener();
-    socket2::SockRef::from(&executor_listener).listen(0).expect("it listens");
+    socket2::SockRef::from(&executor_listener).listen(0).expect("the listener is open");
     let _first = TcpStream::connect(address(&executor_listener)).expect("the queue holds one");
     let world = World::with_executor(&executor_listener);
     assert_eq!(world.submit("u1", "reserve", 8000).receive().status(), 503);
@@ -1212,7 +1212,7 @@
     let _watch = confirmed_watch(&third);
     third.wait_until_ready();
     second.signal("TERM");
-    assert!(second.wait_for_exit().success(), "it had accepted no request");
+    assert!(second.wait_for_exit().success(), "the process had accepted no request");
     assert_eq!(third.send_callback("u1", done_callback("by the first")), 204);
     assert_eq!(client.receive().body, "by the first");
     assert!(first.wait_for_exit().success());
@@ -1274,7 +1274,7 @@
         let output = Command::new("sh")
             .args(["-c", &script, env!("CARGO_BIN_EXE_grebeusher")])
             .output()
-            .expect("it starts");
+            .expect("the node starts");
         let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success());
         assert!(log.contains("GW_INHERITED_FD: ") && log.contains(expected), "{number}: {log}");
--- a/crates/node/tests/stable_bytes.rs
+++ b/crates/node/tests/stable_bytes.rs
@@ -28,12 +28,12 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let pairs = (0..hex.len()).step_by(2);
-    pairs.map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("it is hex")).collect()
+    pairs.map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("the text is hexadecimal")).collect()
 }
 
 /// Asserts that the value is written as these bytes, and read from them.
 fn assert_bytes<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, pinned: &str) {
-    let encoded = hex(&postcard::to_allocvec(value).expect("it is written"));
+    let encoded = hex(&postcard::to_allocvec(value).expect("the value is written"));
     assert_eq!(encoded, pinned, "{value:?}");
     assert_eq!(postcard::from_bytes::<T>(&bytes(pinned)).as_ref(), Ok(value));
 }
@@ -237,7 +237,7 @@
         }
     }
     assert_bytes(&phases, "000102030405060708");
-    let names = phases.map(|phase| serde_json::to_value(phase).expect("it is JSON"));
+    let names = phases.map(|phase| serde_json::to_value(phase).expect("the phase is JSON"));
     let known = ["waiting", "next", "draining", "quiet", "out", "back", "done", "left", "lost"];
     assert_eq!(names, known);
 }
@@ -278,7 +278,7 @@
 }
 
 fn encoded(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_allocvec(value).expect("it is written")
+    postcard::to_allocvec(value).expect("the value is written")
 }
 
 /// An address at which nobody listens.
@@ -426,15 +426,15 @@
             "tariffs": [{"name": "search", "effect": "read_like", "quoted_time_ns": 4e9, "patience_ns": 10e9}]});
         let config = json!({"listen": "127.0.0.1:0", "discovery": NOWHERE, "settings": settings});
         let (config_path, fleet_path) = (folder.0.join("posting.json"), folder.0.join("fleet.toml"));
-        std::fs::write(&config_path, config.to_string()).expect("it is written");
-        std::fs::write(&fleet_path, fleet).expect("it is written");
+        std::fs::write(&config_path, config.to_string()).expect("the value is written");
+        std::fs::write(&fleet_path, fleet).expect("the value is written");
         let mut child = process::Command::new(env!("CARGO_BIN_EXE_grebeusher"))
             .env("GW_CONFIG", &config_path)
             .env("GREBEUSHER_FLEET", &fleet_path)
             .env("TMPDIR", &folder.0)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("it starts");
+            .expect("the node starts");
         let mut log = BufReader::new(child.stderr.take().expect("its log is a pipe"));
         let mut line = String::new();
         let http_address = loop {
@@ -450,10 +450,10 @@
     }
 
     fn counter(&self, name: &str) -> u64 {
-        let mut stream = TcpStream::connect(&self.http_address).expect("it listens");
-        stream.write_all(b"GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n").expect("it reads");
+        let mut stream = TcpStream::connect(&self.http_address).expect("the node listens");
+        stream.write_all(b"GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n").expect("the node reads");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("it answers");
+        stream.read_to_string(&mut text).expect("the node answers");
         let value =
             text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.split(' ').next());
         value.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("no {name} in {text}"))
@@ -462,8 +462,8 @@
     /// Writes newer budgets into the fleet file, and makes the node reload it.
     fn reload_newer_budgets(&self) {
         let file = self.folder.0.join("fleet.toml");
-        let fleet = std::fs::read_to_string(&file).expect("it is there");
-        std::fs::write(&file, fleet.replace("edition = 3", "edition = 4")).expect("it is written");
+        let fleet = std::fs::read_to_string(&file).expect("the fleet file is read");
+        std::fs::write(&file, fleet.replace("edition = 3", "edition = 4")).expect("the value is written");
         let status =
             process::Command::new("sh").args(["-c", &format!("kill -HUP {}", self.child.id())]).status();
         assert!(status.expect("a shell").success());
@@ -486,7 +486,7 @@
 fn a_node_reads_each_kind_of_datagram_as_it_was() {
     let node = Node::start("[0, 1, 2]");
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let send = |datagram: &[u8]| socket.send_to(datagram, node.datagrams).expect("it is sent");
+    let send = |datagram: &[u8]| socket.send_to(datagram, node.datagrams).expect("the datagram is sent");
     let mut sent = 0;
     for (name, _, pinned) in datagrams() {
         send(&bytes(pinned));
@@ -517,8 +517,8 @@
     let node_address: SocketAddr = KNOWN_AS.parse().expect("an address");
     // A membership message by which the node learns that node 0 is at this address.
     let join_message = (own, 0u32, 1_700_000_000_000_u64, 0u16, (node_address, 0u32, 0u64), 6u8);
-    socket.send_to(&datagram(1, &encoded(&join_message)), node.datagrams).expect("it is sent");
-    socket.send_to(&datagram(8, &encoded(&own)), node.datagrams).expect("it is sent");
+    socket.send_to(&datagram(1, &encoded(&join_message)), node.datagrams).expect("the datagram is sent");
+    socket.send_to(&datagram(8, &encoded(&own)), node.datagrams).expect("the datagram is sent");
     let mut received = BTreeMap::new();
     let mut buffer = [0; 2048];
     let started = Instant::now();
@@ -528,7 +528,8 @@
         let (kind, body) = (buffer[1], &buffer[18..length]);
         assert_eq!(hex(&buffer[..length]), hex(&datagram(kind, body)), "the tag is as it was");
         let variant = (kind == 4).then(|| {
-            let step: (bool, (u32, SocketAddr), u8) = postcard::take_from_bytes(body).expect("a step").0;
+            let step: (bool, (u32, SocketAddr), u8) =
+                postcard::take_from_bytes(body).expect("the body is a command").0;
             step.2
         });
         received.entry((kind, variant)).or_insert_with(|| body.to_vec());
@@ -555,7 +556,7 @@
     // A command that contains the time is read and written back.
     type MaintenanceMessage = (bool, (u32, SocketAddr), u8, Step);
     let body = &received[&(4, Some(2))];
-    let step: MaintenanceMessage = postcard::from_bytes(body).expect("it is a step");
+    let step: MaintenanceMessage = postcard::from_bytes(body).expect("the body is a command");
     assert_eq!((hex(&encoded(&step)), step.0, step.1), (hex(body), true, (1, node_address)));
     assert!(matches!(step.3, Step::Asks(ask) if ask.holder.number == 1 && ask.zone == "a"));
     assert_eq!(
@@ -570,7 +571,7 @@
     let node = Node::start("[0, 1, 2]");
     let received = received_from(&node, &[(3, None)]);
     type Hello = (u8, u64, Option<u64>);
-    let hello: Hello = postcard::from_bytes(&received[&(3, None)]).expect("it is a hello");
+    let hello: Hello = postcard::from_bytes(&received[&(3, None)]).expect("the body is a hello");
     assert_eq!((hello.0, hello.1 & 0xff, hello.2), (0, 2, None), "index 2, in no group");
     assert_eq!(encoded(&hello), received[&(3, None)]);
 }
--- a/crates/node/tests/stable_words.rs
+++ b/crates/node/tests/stable_words.rs
@@ -143,7 +143,7 @@
         .env_clear()
         .envs(variables.iter().copied())
         .output()
-        .expect("it starts");
+        .expect("the node starts");
     assert!(!output.status.success());
     let log = String::from_utf8_lossy(&output.stderr).into_owned();
     let last = log.lines().last().unwrap_or_default();
@@ -156,8 +156,8 @@
     let config = folder.0.join("posting.json");
     let settings = settings();
     let text = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings}).to_string();
-    std::fs::write(&config, text).expect("it is written");
-    let config = config.to_str().expect("it is text");
+    std::fs::write(&config, text).expect("the settings file is written");
+    let config = config.to_str().expect("the path is text");
     let cases = [
         (vec![], "ERROR grebeusher: GW_CONFIG is not set"),
         (
@@ -198,9 +198,10 @@
         .env_clear()
         .env("GREBEUSHER_LOG_FORM", "json")
         .output()
-        .expect("it starts");
-    let line: serde_json::Value = serde_json::from_slice(&output.stderr).expect("it is one line of JSON");
-    let line = line.as_object().expect("it is an object");
+        .expect("the node starts");
+    let line: serde_json::Value =
+        serde_json::from_slice(&output.stderr).expect("the log is one line of JSON");
+    let line = line.as_object().expect("the line is an object");
     let keys = line.keys().map(String::as_str).collect::<Vec<_>>().join(" ");
     assert_eq!(keys, "level message target timestamp");
 }
