--- a/crates/node/src/wire/peers.rs
+++ b/crates/node/src/wire/peers.rs
@@ -408,11 +408,11 @@
         else {
             return;
         };
-        let ((at, remaining), (own_edition, applied_edition)) =
+        let ((announce_at, remaining), (own_edition, applied_edition)) =
             (self.budget_announcements.get(), budget_shares.borrow().editions());
         // A node that has no answer yet does not know the edition that the voters apply.
         let is_behind = applied_edition > 0 && applied_edition < own_edition;
-        if now < at || (remaining == 0 && !is_behind) || applied_edition >= own_edition {
+        if now < announce_at || (remaining == 0 && !is_behind) || applied_edition >= own_edition {
             return;
         }
         self.budget_announcements.set((now + BUDGET_ANNOUNCEMENT_INTERVAL, remaining.saturating_sub(1)));
@@ -430,8 +430,8 @@
             self.maintenance.as_ref().and_then(|maintenance| maintenance.next_timeout(self.is_leader()));
         let catch_up = Some(self.catch_up.get()).filter(|catch_up| !catch_up.is_done && self.count() > 0);
         let catch_up = catch_up.map(|catch_up| catch_up.next_ask_at);
-        let (tells_at, remaining) = self.budget_announcements.get();
-        let announcement = (remaining > 0).then_some(tells_at);
+        let (announce_at, remaining) = self.budget_announcements.get();
+        let announcement = (remaining > 0).then_some(announce_at);
         let timeouts = [
             self.membership.borrow().next_timeout(),
             budget_timeout,
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -25,9 +25,8 @@
     assert_eq!(sent.header("X-Call-Id"), Some("u1"));
     executor.answer(202, "");
     assert_eq!(world.send_callback("u1", json!({"state": "started"})), 204);
-    let done_callback =
-        json!({"state": "done", "result": "so be it", "load": {"load_share": 0.5, "x0": 1.0}});
-    assert_eq!(world.send_callback("u1", done_callback), 204);
+    let callback = json!({"state": "done", "result": "so be it", "load": {"load_share": 0.5, "x0": 1.0}});
+    assert_eq!(world.send_callback("u1", callback), 204);
     let answer = client.receive();
     assert_eq!((answer.status(), answer.body.as_str()), (200, "so be it"));
     // Both connections are kept for the next request.
@@ -102,8 +101,8 @@
         executor.answer(status, "X-Rejected: 1\r\n");
     }
     for executor in ["s-0", "s-1"] {
-        let done_callback = json!({"from": executor, "state": "done", "result": "the second time"});
-        assert_eq!(world.send_callback("u1", done_callback), 204);
+        let callback = json!({"from": executor, "state": "done", "result": "the second time"});
+        assert_eq!(world.send_callback("u1", callback), 204);
     }
     assert_eq!(client.receive().body, "the second time");
     assert_eq!((world.counter("ended_full"), world.counter("allocations")), (1, 2));
@@ -182,8 +181,8 @@
     let executor_listener = listener();
     let world = World::with_settings(&[&executor_listener, &executor_listener], settings(), 1024, 1024);
     let mut client = world.submit("u1", "search", 9000);
-    let mut silent = accept(&executor_listener);
-    silent.receive();
+    let mut unresponsive = accept(&executor_listener);
+    unresponsive.receive();
     // The attempt is cancelled; the cancellation is not answered either.
     assert_eq!(accept(&executor_listener).receive().start, "DELETE /jobs/u1 HTTP/1.1");
     let mut executor = accept(&executor_listener);
@@ -193,16 +192,16 @@
             world.send_callback("u1", json!({"from": executor, "state": state, "result": "yes"}));
         }
     }
-    assert!(silent.is_closed(), "the first attempt is cancelled");
+    assert!(unresponsive.is_closed(), "the first attempt is cancelled");
     assert_eq!(client.receive().status(), 200);
     // If a callback has reported the start, only the acknowledgement got lost.
     client.send(&request_text("u2", "search", 3000));
-    let mut silent = accept(&executor_listener);
-    silent.receive();
+    let mut unresponsive = accept(&executor_listener);
+    unresponsive.receive();
     for executor in ["s-0", "s-1"] {
         world.send_callback("u2", json!({"from": executor, "state": "started"}));
     }
-    assert!(silent.is_closed());
+    assert!(unresponsive.is_closed());
     for executor in ["s-0", "s-1"] {
         world.send_callback("u2", json!({"from": executor, "state": "done", "result": "u2's"}));
     }
@@ -228,8 +227,8 @@
         let (second, mut executor) = accept_any(&[&listeners[1 - first]]);
         assert_eq!((second, executor.receive().header("X-Call-Id")), (0, Some("u1")));
         executor.answer(202, "");
-        let done_callback = json!({"from": format!("s-{}", 1 - first), "state": "done", "result": "once"});
-        assert_eq!(world.send_callback("u1", done_callback), 204);
+        let callback = json!({"from": format!("s-{}", 1 - first), "state": "done", "result": "once"});
+        assert_eq!(world.send_callback("u1", callback), 204);
         assert_eq!(client.receive().body, "once");
         drop(silent);
     }
@@ -239,7 +238,7 @@
 fn a_request_that_is_accepted_at_the_moment_of_the_timeout_goes_to_no_other() {
     // Guards against a second copy: the 202 arrived while other events were handled, and its connection was closed
     // unread.
-    const CROWD: usize = 1100; // more than the loop is confirmed_watch of at once
+    const CROWD: usize = 1100; // more than the poller reports at once
     let (first, second) = (listener(), listener());
     let world = World::with_settings(&[&first, &second], settings(), 4096, 4096);
     let mut crowd: Vec<TestConnection> = (0..CROWD).map(|_| world.connect()).collect();
@@ -258,8 +257,8 @@
     }
     world.signal("CONT");
     crowd.iter_mut().for_each(|client| assert_eq!(client.receive().status(), 200));
-    let done_callback = json!({"from": format!("s-{index}"), "state": "done", "result": "once"});
-    assert_eq!(world.send_callback("u1", done_callback), 204);
+    let callback = json!({"from": format!("s-{index}"), "state": "done", "result": "once"});
+    assert_eq!(world.send_callback("u1", callback), 204);
     assert_eq!(client.receive().body, "once");
     assert_eq!((world.counter("allocations"), world.counter("accepted")), (1, 1));
 }
@@ -301,7 +300,7 @@
             "the new connection replaces the idle one"
         );
         before = Some(executor);
-        std::thread::sleep(std::time::Duration::from_millis(100)); // at least as long, which is what counts
+        std::thread::sleep(std::time::Duration::from_millis(100)); // a longer sleep does no harm
     }
 }
 
@@ -341,11 +340,11 @@
             break;
         }
     }
-    let mut late = world.submit("u2", "search", 9000);
+    let mut late_client = world.submit("u2", "search", 9000);
     executor.receive();
     executor.answer(202, "");
     assert!(balancer.is_closed(), "idle connections are closed after the detection time");
-    for (id, client) in [("u1", &mut client), ("u2", &mut late)] {
+    for (id, client) in [("u1", &mut client), ("u2", &mut late_client)] {
         assert_eq!(world.send_callback(id, json!({"state": "done", "result": id})), 204);
         let answer = client.receive();
         assert_eq!((answer.status(), answer.header("Connection")), (200, Some("close")));
@@ -358,18 +357,18 @@
     // Guards against requests that are still unanswered when the process ends.
     let executor_listener = listener();
     let world = World::with_executor(&executor_listener);
-    let mut first = world.submit("u1", "search", 9000);
+    let mut first_client = world.submit("u1", "search", 9000);
     let mut executor = accept(&executor_listener);
     executor.receive();
     executor.answer(202, "");
     world.signal("TERM");
-    std::thread::sleep(std::time::Duration::from_millis(1000)); // at least as long, which is what counts
-    let mut late = world.submit("u2", "search", 9000);
+    std::thread::sleep(std::time::Duration::from_millis(1000)); // a longer sleep does no harm
+    let mut late_client = world.submit("u2", "search", 9000);
     executor.receive();
     executor.answer(202, "");
-    assert_eq!(late.receive().status(), 503, "long before its deadline");
+    assert_eq!(late_client.receive().status(), 503, "long before its deadline");
     world.send_callback("u1", json!({"state": "done", "result": "u1"}));
-    assert_eq!(first.receive().status(), 200);
+    assert_eq!(first_client.receive().status(), 200);
     assert!(world.wait_for_exit().success());
 }
 
@@ -477,13 +476,13 @@
     let executor_listener = listener();
     let world =
         World::with_limits(&[&executor_listener], settings(), json!({"sockets": 1024, "memory_mb": 1}), 1024);
-    let half = "POST /search HTTP/1.1\r\nX-Call-Id: u\r\nX-Budget-Ms: 900\r\nContent-Length: 60000\r\n\r\n";
+    let head = "POST /search HTTP/1.1\r\nX-Call-Id: u\r\nX-Budget-Ms: 900\r\nContent-Length: 60000\r\n\r\n";
     let mut clients: Vec<TestConnection> = (0..10).map(|_| world.connect()).collect();
     for client in &mut clients {
-        client.send(&(half.to_owned() + &"x".repeat(50_000)));
+        client.send(&(head.to_owned() + &"x".repeat(50_000)));
     }
     while world.counter("bad_requests") < 5 {}
-    let _usual = world.submit("u1", "search", 9000);
+    let _usual_client = world.submit("u1", "search", 9000);
     assert_eq!(
         accept(&executor_listener).receive().header("X-Call-Id"),
         Some("u1"),
@@ -550,25 +549,25 @@
 
 #[test]
 fn the_list_is_followed_despite_a_silent_watch_and_an_invalid_line() {
-    let (executor_listener, moved) = (listener(), listener());
+    let (executor_listener, new_listener) = (listener(), listener());
     let world = World::with_executor(&executor_listener);
-    let (silent, version) = open_watch(&world);
+    let (silent_watch, version) = open_watch(&world);
     assert_eq!(version, "41", "the watch starts from the list of the settings file");
     let (mut watch, version) = open_watch(&world);
     assert_eq!(version, "41", "the first watch has sent no line");
-    drop(silent);
+    drop(silent_watch);
     // The line is split over two chunks, and one of its entries is invalid.
-    let line = json!({"generation": 42, "reset": false, "instances": [{"instanceId": 7}, list_entry(0, &moved, "active")]});
+    let line = json!({"generation": 42, "reset": false, "instances": [{"instanceId": 7}, list_entry(0, &new_listener, "active")]});
     let line = format!("{line}\n");
     let (first, second) = line.split_at(30);
     watch.send(&(chunk(first) + &chunk(second)));
     watch.send(&chunk("{broken\n"));
-    let (_third, version) = open_watch(&world);
+    let (_third_watch, version) = open_watch(&world);
     assert_eq!(version, "0", "the whole list is requested after the invalid line");
     assert_eq!((world.counter("list_lines"), world.counter("list_bad")), (2, 2));
     let _client = world.submit("u1", "search", 9000);
     assert_eq!(
-        accept(&moved).receive().header("X-Call-Id"),
+        accept(&new_listener).receive().header("X-Call-Id"),
         Some("u1"),
         "the request goes to the new address"
     );
@@ -577,7 +576,7 @@
 #[test]
 fn a_reload_moves_the_watch_and_does_not_lose_a_drain() {
     // Guards against a node that ends on SIGHUP, and loses its open requests.
-    let (executor_listener, elsewhere) = (listener(), listener());
+    let (executor_listener, new_discovery) = (listener(), listener());
     let world = World::with_executor(&executor_listener);
     let (mut watch, _) = open_watch(&world);
     let mut client = world.submit("u1", "search", 9000);
@@ -587,8 +586,8 @@
     world.replace_config("{\"name\": \"half a fi");
     let line = json!({"generation": 42, "reset": false, "instances": [list_entry(0, &executor_listener, "leaving")]});
     watch.send(&chunk(&format!("{line}\n")));
-    world.move_discovery(&elsewhere);
-    let (mut moved, version) = open_watch_at(&elsewhere);
+    world.move_discovery(&new_discovery);
+    let (mut new_watch, version) = open_watch_at(&new_discovery);
     assert_eq!(version, "42", "the last line of the old watch is known");
     assert!(watch.is_closed());
     assert_eq!(world.submit("u2", "search", 1500).receive().status(), 503, "nothing is sent to the executor");
@@ -598,7 +597,7 @@
     world.signal("TERM");
     world.move_discovery(&world.discovery);
     assert_eq!(open_watch(&world).1, "42");
-    assert!(moved.is_closed());
+    assert!(new_watch.is_closed());
     drop(client);
     assert!(world.wait_for_exit().success());
 }
@@ -704,8 +703,8 @@
     let (executor_listener, discovery) = (refusing_listener(), refusing_listener());
     let world = World::with_executor(&executor_listener);
     world.move_discovery(&discovery);
-    let refused = Instant::now();
-    while refused.elapsed() < Duration::from_millis(7500) {
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_millis(7500) {
         std::thread::sleep(Duration::from_millis(250));
     }
     let before = world.counter("allocations");
@@ -743,8 +742,8 @@
     watch.send(&chunk(&format!("{line}\n")));
     world.wait_for_counter("list_lines", 1);
     drop(fill);
-    let mut late = accept_after_filler(&executor_listener);
-    assert!(late.is_closed(), "nothing is written to it");
+    let mut executor = accept_after_filler(&executor_listener);
+    assert!(executor.is_closed(), "nothing is written to it");
     assert_eq!(client.receive().status(), 503, "nothing has run");
     assert_eq!(world.counter("relayed"), 0);
 }
@@ -760,10 +759,10 @@
     // The node is stopped, so it sees the end of the client and the established connection in the same turn of the
     // loop.
     world.signal("STOP");
-    let mut late = accept_after_filler(&executor_listener);
+    let mut executor = accept_after_filler(&executor_listener);
     drop((client, fill));
     world.signal("CONT");
-    assert!(late.is_closed(), "nothing is written to it");
+    assert!(executor.is_closed(), "nothing is written to it");
     world.wait_for_counter("withdrawn", 1);
     assert_eq!(world.counter("relayed"), 0);
 }
@@ -962,8 +961,8 @@
     assert_eq!(executor.receive().header("X-Call-Id"), Some("u1"));
     executor.answer(202, "");
     assert_eq!(world.send_callback("u1", json!({"state": "running", "share": 0.5})), 204);
-    let done_callback = json!({"state": "done", "result": "yes", "load": {"depth": 2, "load_share": 0.5}});
-    assert_eq!(world.send_callback("u1", done_callback), 204);
+    let callback = json!({"state": "done", "result": "yes", "load": {"depth": 2, "load_share": 0.5}});
+    assert_eq!(world.send_callback("u1", callback), 204);
     assert_eq!(client.receive().body, "yes");
     let line =
         json!({"generation": 42, "reset": false, "instances": [list_entry(0, &executor_listener, "left")]});
@@ -1036,11 +1035,11 @@
     let executor_listener = listener();
     let world = World::with_console(&[&executor_listener]);
     let silent: Vec<TestConnection> = (0..40).map(|_| world.connect_console()).collect();
-    let half: Vec<TestConnection> = (0..40)
+    let incomplete: Vec<TestConnection> = (0..40)
         .map(|_| {
-            let mut half = world.connect_console();
-            half.send("GET /healthch");
-            half
+            let mut incomplete = world.connect_console();
+            incomplete.send("GET /healthch");
+            incomplete
         })
         .collect();
     assert_eq!(world.ask_console("GET /healthcheck").status(), 200);
@@ -1051,14 +1050,14 @@
     assert_eq!((wrong.status(), wrong.header("Allow")), (405, Some("POST")));
     assert_eq!(world.ask_console("GET /elsewhere").status(), 404);
     assert_eq!(world.ask_console("POST /healthcheck/ok").status(), 200, "the node still serves");
-    let long = "POST /fleet/submit HTTP/1.1\r\nContent-Length: 70000\r\n\r\n";
-    for (call, status) in [("no call at all\r\n\r\n", 400), (&"x".repeat(17_000), 431), (long, 413)] {
+    let too_long = "POST /fleet/submit HTTP/1.1\r\nContent-Length: 70000\r\n\r\n";
+    for (call, status) in [("no call at all\r\n\r\n", 400), (&"x".repeat(17_000), 431), (too_long, 413)] {
         let mut operator = world.connect_console();
         operator.send(call);
         assert_eq!(operator.receive().status(), status);
     }
     assert!(world.is_ready(), "none of these requests has changed anything");
-    drop((silent, half));
+    drop((silent, incomplete));
 }
 
 #[test]
@@ -1077,13 +1076,13 @@
         assert!(!world.is_ready());
         assert_eq!(world.ask_console("GET /healthcheck").status(), 503);
     }
-    let mut late = world.submit("u2", "search", 9000);
+    let mut late_client = world.submit("u2", "search", 9000);
     executor.receive();
     executor.answer(202, "");
     assert!(balancer.is_closed(), "idle connections are closed after the detection time");
     world.signal("HUP");
     world.wait_for_counter("postings_read", 1);
-    for (id, client) in [("u1", &mut first_client), ("u2", &mut late)] {
+    for (id, client) in [("u1", &mut first_client), ("u2", &mut late_client)] {
         assert_eq!(world.send_callback(id, json!({"state": "done", "result": id})), 204);
         let answer = client.receive();
         assert_eq!((answer.status(), answer.header("Connection")), (200, Some("close")));
@@ -1091,11 +1090,11 @@
     assert!(!world.is_ready(), "a reload does not end the drain");
     assert_eq!(world.ask_console("POST /healthcheck/ok").status(), 200);
     assert!(world.is_ready());
-    let mut back = world.submit("u3", "search", 9000);
+    let mut new_client = world.submit("u3", "search", 9000);
     executor.receive();
     executor.answer(202, "");
     assert_eq!(world.send_callback("u3", json!({"state": "done", "result": "u3"})), 204);
-    assert_eq!(back.receive().header("Connection"), None, "the connection stays open");
+    assert_eq!(new_client.receive().header("Connection"), None, "the connection stays open");
 }
 
 #[test]
@@ -1147,8 +1146,8 @@
     let old = World::with_inherited_listener(&[&executor_listener], Folder::new());
     let _watch = confirmed_watch(&old);
     let (mut first, _executor) = accepted_request(&old, &executor_listener, "u1");
-    let mut kept = old.connect();
-    assert_eq!(kept.send_callback("u1", json!({"state": "started"})), 204);
+    let mut callback_connection = old.connect();
+    assert_eq!(callback_connection.send_callback("u1", json!({"state": "started"})), 204);
     let new = old.start_sibling();
     assert_eq!(new.ask_console("GET /healthcheck").status(), 503, "the list of the settings file may be old");
     assert_eq!(old.ask_console("GET /healthcheck").status(), 200);
@@ -1157,7 +1156,11 @@
     old.signal("TERM");
     while old.ask_console("GET /healthcheck").status() == 200 {}
     let (mut second, _executor) = accepted_request(&new, &executor_listener, "u2");
-    assert_eq!(kept.send_callback("u2", done_callback("by the new one")), 204, "the old process forwards it");
+    assert_eq!(
+        callback_connection.send_callback("u2", done_callback("by the new one")),
+        204,
+        "the old process forwards it"
+    );
     assert_eq!(second.receive().body, "by the new one");
     assert_eq!(new.send_callback("u1", done_callback("by the old one")), 204, "the new process forwards it");
     let answer = first.receive();
@@ -1234,18 +1237,19 @@
 
 #[test]
 fn an_invalid_incomplete_or_silent_sibling_costs_a_bounded_wait() {
-    for expected in ["nonsense\n", "{\"node\":\"another\"}\n", "{\"node\":\"n0", ""] {
+    for text in ["nonsense\n", "{\"node\":\"another\"}\n", "{\"node\":\"n0", ""] {
         let (executor_listener, folder) = (listener(), Folder::new());
-        let odd = UnixListener::bind(folder.0.join("grebeusher-n0-0.sock")).expect("a socket file");
+        let sibling_listener =
+            UnixListener::bind(folder.0.join("grebeusher-n0-0.sock")).expect("a socket file");
         let node = World::with_inherited_listener(&[&executor_listener], folder);
-        let (mut sibling, _) = odd.accept().expect("the node connects");
-        sibling.write_all(expected.as_bytes()).expect("the node reads it");
+        let (mut sibling, _) = sibling_listener.accept().expect("the node connects");
+        sibling.write_all(text.as_bytes()).expect("the node reads it");
         let _watch = confirmed_watch(&node);
         node.wait_until_ready();
         let (mut client, _executor) = accepted_request(&node, &executor_listener, "u1");
         // Until the sibling is closed, a callback may be its own and has to be sent again: ten times at most.
         let statuses = (0..10).map(|_| node.send_callback("of another life", done_callback("")));
-        assert!(statuses.into_iter().any(|status| status == 204), "{expected}");
+        assert!(statuses.into_iter().any(|status| status == 204), "{text}");
         assert_eq!(node.send_callback("u1", done_callback("so be it")), 204);
         assert_eq!(client.receive().body, "so be it");
     }
@@ -1254,9 +1258,9 @@
 #[test]
 fn without_a_socket_file_a_node_serves_alone() {
     let (executor_listener, folder) = (listener(), Folder::new());
-    let far = folder.0.join("a-long-name".repeat(12));
-    std::fs::create_dir(&far).expect("a folder whose path is too long for a socket file");
-    let node = World::with_inherited_listener(&[&executor_listener], Folder(far));
+    let long_path = folder.0.join("a-long-name".repeat(12));
+    std::fs::create_dir(&long_path).expect("a folder whose path is too long for a socket file");
+    let node = World::with_inherited_listener(&[&executor_listener], Folder(long_path));
     let (mut client, _executor) = accepted_request(&node, &executor_listener, "u1");
     assert_eq!(node.send_callback("u1", done_callback("so be it")), 204);
     assert_eq!(client.receive().body, "so be it");
@@ -1347,19 +1351,19 @@
     // one on a slow line.
     let executor_listener = listener();
     let world = World::with_settings(&[&executor_listener], settings(), 64, 1024);
-    let whole = request_text("u1", "search", 9000);
-    let mut slow = world.connect();
-    let (first, rest) = whole.split_at(20);
-    slow.send(first);
+    let text = request_text("u1", "search", 9000);
+    let mut slow_client = world.connect();
+    let (first, rest) = text.split_at(20);
+    slow_client.send(first);
     let mut crowd = Vec::new();
     for piece in rest.as_bytes().chunks(20) {
         // A connection is not closed in its first 50 ms, and the others wait in the listen backlog.
         std::thread::sleep(std::time::Duration::from_millis(60));
-        slow.send(std::str::from_utf8(piece).expect("text"));
+        slow_client.send(std::str::from_utf8(piece).expect("text"));
         for _ in 0..20 {
-            let mut stops = world.connect();
-            stops.send("POST /search HTTP/1.1\r\nX-Call");
-            crowd.push(stops);
+            let mut stalled_client = world.connect();
+            stalled_client.send("POST /search HTTP/1.1\r\nX-Call");
+            crowd.push(stalled_client);
         }
     }
     let mut executor = accept(&executor_listener);
@@ -1396,9 +1400,9 @@
     let executor_listener = listener();
     let world = World::with_executor(&executor_listener);
     world.signal("STOP");
-    let mut gone = world.connect();
-    gone.send(&request_text("u1", "search", 9000));
-    drop(gone);
+    let mut client = world.connect();
+    client.send(&request_text("u1", "search", 9000));
+    drop(client);
     world.signal("CONT");
     let _client = world.submit("u2", "search", 9000);
     let mut executor = accept(&executor_listener);
