--- a/crates/batch/src/jobs/job.rs
+++ b/crates/batch/src/jobs/job.rs
@@ -96,8 +96,11 @@
         let name_bytes = self.route.len() + self.service.len() + self.host.len();
         let open_bytes: usize = self.open_items().map(|(_, item)| item.memory_bytes()).sum();
         let result_bytes: usize = self.results.iter().map(ListedResult::memory_bytes).sum();
-        let slot_bytes = self.open_items.len() * size_of::<Option<Box<OpenItem>>>();
-        size_of::<Job>() + name_bytes + slot_bytes + open_bytes + result_bytes
+        size_of::<Job>()
+            + name_bytes
+            + self.open_items.len() * size_of::<Option<Box<OpenItem>>>()
+            + open_bytes
+            + result_bytes
     }
 
     /// Adds the result of an item at the next position, unless the item has a result or the job has ended. Returns
--- a/crates/batch/tests/batches/fixture.rs
+++ b/crates/batch/tests/batches/fixture.rs
@@ -109,8 +109,10 @@
 /// The results of a job by position: the item id, the state and the text.
 pub fn listed_results(jobs: &Jobs, name: &str) -> Vec<(String, ResultState, String)> {
     let page = jobs.read(&job(name), 0, MAX_PAGE_BYTES).expect("the job is known");
-    let results = page.results.iter();
-    results.map(|result| (result.item_id().into(), result.state(), result.text().into())).collect()
+    page.results
+        .iter()
+        .map(|result| (result.item_id().into(), result.state(), result.text().into()))
+        .collect()
 }
 
 /// Unlimited capacity on all routes.
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum OrderError {
     /// The body is too large, nested too deeply, or not a JSON object.
-    #[snafu(display("expected a JSON object of at most {MAX_BODY_BYTES} bytes"))]
+    #[snafu(display("not an object in JSON of at most {MAX_BODY_BYTES} bytes"))]
     NotAnObject,
     /// A field is missing or invalid.
     #[snafu(display("{field}: expected {expected}"))]
@@ -67,15 +67,13 @@
 fn parse_name(fields: &HashMap<String, JsonValue>, field: &'static str) -> Result<String, OrderError> {
     let text = fields.get(field).and_then(|value| value.get::<String>());
     let text = text.filter(|text| !text.is_empty() && text.len() <= MAX_NAME_BYTES);
-    text.cloned().ok_or(OrderError::Field { field, expected: "a string of 1 to 256 bytes" })
+    text.cloned().ok_or(OrderError::Field { field, expected: "a text of 1 to 256 bytes" })
 }
 
 fn parse_ramp_ms(fields: &HashMap<String, JsonValue>) -> Result<u64, OrderError> {
     let seconds = fields.get("ramp_s").and_then(|value| value.get::<f64>()).copied();
     let seconds = seconds.filter(|seconds| *seconds > 0.0 && *seconds <= MAX_RAMP_S);
-    let seconds = seconds.ok_or(OrderError::Field {
-        field: "ramp_s",
-        expected: "a number of seconds above 0, at most a week",
-    })?;
+    let seconds =
+        seconds.ok_or(OrderError::Field { field: "ramp_s", expected: "seconds above 0, at most a week" })?;
     Ok((seconds * 1000.0) as u64)
 }
