--- a/crates/tier/src/runtime/io.rs
+++ b/crates/tier/src/runtime/io.rs
@@ -1,7 +1,7 @@
-//! The outside world of a node: clocks, sockets, signals, its settings file and its disk.
+//! The environment of a node: clocks, sockets, signals, the settings file and the disk.
 //!
-//! The loop and everything below it reach the system only through these traits, so that the same code also runs in a
-//! simulated world. Calls go through a table of functions once for a read or a write, not once for a byte.
+//! The event loop and all code that it calls use the operating system only through these traits, so that the same code also
+//! runs in a simulation. The cost of dynamic dispatch is one virtual call per read or write, not per byte.
 
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_quorum::{RestoredState, Write};
@@ -12,149 +12,151 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// What one process has of the world. All its operations return at once, but for `wait` and those of the disk.
+/// The environment of one process. No operation blocks, except `wait` and the operations of the disk.
 pub trait World {
-    /// The steady clock, since the process started.
+    /// Returns the time of the monotonic clock since the process started.
     fn now(&self) -> Instant;
 
-    /// The time of day, in milliseconds since 1970.
+    /// Returns the time of day, in milliseconds since 1970.
     fn wall_ms(&self) -> u64;
 
-    /// A number that nobody can guess: a seed, or an identity.
+    /// Returns an unpredictable random number, for a seed or an identity.
     fn random(&self) -> u64;
 
     /// Waits for events, at most for `span`, and replaces the content of `events` by them.
     ///
     /// # Errors
-    /// The system refuses to wait, which no later call would mend.
+    /// Fails if the system can't wait. Later calls would fail too.
     fn wait(&self, span: Duration, events: &mut Vec<Event>) -> io::Result<()>;
 
-    /// Listens at an address; its events carry `key`.
+    /// Listens at an address. The events of the listener have the key `key`.
     ///
     /// # Errors
-    /// The address can't be had.
+    /// Fails if the address can't be bound.
     fn listen(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Listener>>;
 
-    /// Begins to connect. The stream becomes writable when the connection has come up or failed.
+    /// Starts to connect to an address. The stream becomes writable when the connection is established or has failed.
     ///
     /// # Errors
-    /// It fails at once: no descriptor, no route.
+    /// Fails if the connection can't be started, as there is no file descriptor or no route.
     fn dial(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Stream>>;
 
-    /// Begins to connect to another node. As [`World::dial`], and the connection breaks by itself when what was written on it
-    /// has not arrived for [`grebeusher_transport::socket::USER_TIMEOUT`]. Guards against a link that something on the way
-    /// has silently forgotten: the system takes all that is written on it, and nothing comes.
+    /// Starts to connect to another node. As [`World::dial`], and the connection fails if data that was written on it is not
+    /// acknowledged for [`grebeusher_transport::socket::USER_TIMEOUT`]. Guards against a connection that a middlebox has
+    /// silently forgotten: the system accepts all data that is written on it, and none arrives.
     ///
     /// # Errors
-    /// It fails at once.
+    /// Fails if the connection can't be started.
     fn dial_link(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Stream>>;
 
-    /// The signals that came since this was last asked. Their event carries [`keys::SIGNALS`](crate::node::keys::SIGNALS).
+    /// Returns the signals received since the last call. Their event has the key
+    /// [`keys::SIGNALS`](crate::node::keys::SIGNALS).
     fn signals(&self) -> Signalled;
 
-    /// The content of the settings file as it stands now.
+    /// Returns the present content of the settings file.
     ///
     /// # Errors
-    /// It can't be read.
+    /// Fails if the file can't be read.
     fn settings(&self) -> io::Result<String>;
 
-    /// The identity of the disk at `folder`; made and synced if there is none.
+    /// Returns the identity of the disk at `folder`. Creates and syncs one if there is none.
     ///
     /// # Errors
-    /// The disk refuses or is damaged.
+    /// Fails if the disk does, or if its data is corrupt.
     fn identity(&self, folder: &Path) -> Result<Identity, StoreError>;
 
-    /// What was kept as a hint under a name in `folder`: nothing if there is none that is complete. Correctness never depends on it.
+    /// Returns the content of the hint file with a name in `folder`; `None` if there is no complete one. Hints are an
+    /// optimization: correctness never depends on them.
     fn read_hint(&self, _folder: &Path, _name: &str) -> Option<Vec<u8>> {
         None
     }
 
-    /// Keeps a hint for a later process, in the stead of an earlier one of that name.
+    /// Writes a hint file for a later process, replacing an earlier one with that name.
     ///
     /// # Errors
-    /// The disk refuses.
+    /// Fails if the disk does.
     fn keep_hint(&self, _folder: &Path, _name: &str, _bytes: &[u8]) -> io::Result<()> {
         Ok(())
     }
 
-    /// Opens the files of a partition in `folder`, with what they hold.
+    /// Opens the files of a partition in `folder` and reads the stored state.
     ///
     /// # Errors
-    /// The disk refuses or is damaged.
+    /// Fails if the disk does, or if its data is corrupt.
     fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError>;
 }
 
-/// The signals that came.
+/// The received signals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Signalled {
-    /// The process is to end.
+    /// Whether SIGTERM was received: the process is to shut down.
     pub stop: bool,
-    /// The settings file has changed.
+    /// Whether SIGHUP was received: the settings file is to be read again.
     pub reload: bool,
 }
 
-/// An address that is listened at. Dropped, it is closed.
+/// A listening socket. Closed when dropped.
 pub trait Listener {
-    /// Takes in the next one that waits to connect.
+    /// Accepts the next incoming connection.
     ///
     /// # Errors
-    /// `WouldBlock` if nobody waits.
+    /// Fails with `WouldBlock` if there is none.
     fn accept(&self) -> io::Result<Box<dyn Accepted>>;
 }
 
-/// A connection that was taken in and is not watched yet. Dropped, it is closed.
+/// An accepted connection that is not registered with the poller yet. Closed when dropped.
 pub trait Accepted {
-    /// Watches it for reading, under a key.
+    /// Registers the connection with the poller for reading. The events of the connection have the key `key`.
     ///
     /// # Errors
-    /// The system refuses; the connection is closed then.
+    /// Fails if the system can't register the connection, which is then closed.
     fn watch(self: Box<Self>, key: usize) -> io::Result<Box<dyn Stream>>;
 }
 
-/// One connection. Dropped, it is closed.
+/// A connection. Closed when dropped.
 pub trait Stream {
-    /// Reads what there is; 0 if the peer has ended its side.
+    /// Reads the available bytes and returns their number, which is 0 if the peer has closed its side.
     ///
     /// # Errors
-    /// `WouldBlock` if there is nothing, or the connection is broken.
+    /// Fails with `WouldBlock` if no bytes are available, or with another error if the connection has failed.
     fn read(&mut self, bytes: &mut [u8]) -> io::Result<usize>;
 
-    /// Writes as much as is taken now.
+    /// Writes as many bytes as the system accepts now and returns their number.
     ///
     /// # Errors
-    /// `WouldBlock` if nothing is, or the connection is broken.
+    /// Fails with `WouldBlock` if the system accepts none, or with another error if the connection has failed.
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Whether a dialled connection has come up.
+    /// Whether an outgoing connection is established.
     ///
     /// # Errors
-    /// The reason why it never will.
+    /// Fails if the connection has failed, with the reason.
     fn connected(&mut self) -> io::Result<bool>;
 
-    /// Waits for something else from now on.
+    /// Replaces the events that the poller reports for the connection.
     ///
     /// # Errors
-    /// The system refuses.
+    /// Fails if the system can't change the registration.
     fn set_interest(&mut self, interest: Interest) -> io::Result<()>;
 
-    /// Says that nothing more will be written.
+    /// Shuts down the writing side of the connection.
     fn end_writing(&mut self);
 }
 
 /// The files of a replica.
 pub trait PartitionStore {
-    /// Writes a batch; it lasts once [`PartitionStore::sync`] has returned.
+    /// Writes a batch, which is durable once [`PartitionStore::sync`] has returned.
     ///
     /// # Errors
-    /// The disk is full or fails.
+    /// Fails if the disk is full or fails.
     fn write(&mut self, writes: &[Write]) -> Result<(), StoreError>;
 
-    /// Makes everything that was written last.
+    /// Makes all earlier writes durable.
     ///
     /// # Errors
-    /// The disk fails.
+    /// Fails if the disk does.
     fn sync(&mut self) -> Result<(), StoreError>;
 }
 
-/// The world of a process, shared by all that belongs to it.
+/// The environment of a process, shared by all of its components.
 pub type SharedWorld = Rc<dyn World>;
--- a/crates/tier/src/runtime/log_ring.rs
+++ b/crates/tier/src/runtime/log_ring.rs
@@ -1,7 +1,8 @@
-//! The log: a ring of lines in memory that is written out before an error line, and little else.
+//! The log: a ring buffer of lines in memory, which are written out before each error line, and immediate output of lines
+//! of the higher levels.
 //!
-//! A line is `SECONDS LEVEL MODULE: MESSAGE FIELD=VALUE ...`. The ring owns the kept lines; where written lines go is up to the
-//! sink that it is given.
+//! A line has the form `SECONDS LEVEL MODULE: MESSAGE FIELD=VALUE ...`. The ring owns the buffered lines and passes written
+//! lines to a sink.
 
 use std::collections::VecDeque;
 use std::fmt::{Debug, Write};
@@ -11,40 +12,46 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Level, Metadata, Subscriber};
 
-/// How many lines the ring keeps.
-const LINES: usize = 256;
-/// A line is cut off after this many bytes.
-const MAX_LINE: usize = 400;
+/// The maximum number of lines in the ring buffer.
+const MAX_LINES: usize = 256;
+/// The length in bytes to which a line is truncated.
+const MAX_LINE_BYTES: usize = 400;
 
-/// Takes the lines that are written.
+/// The function that outputs the written lines.
 pub type LineSink = Box<dyn Fn(&str) + Send + Sync>;
 
-/// A subscriber that keeps the last lines, and writes them out before the next error.
+/// A `tracing` subscriber that buffers the last lines and writes them out before the next error.
 pub struct LogRing {
     started: Instant,
-    /// Lines up to this level are kept.
-    kept: Level,
-    /// Lines up to this level are written at once.
-    written: Level,
+    /// The most verbose level of the lines that are buffered.
+    buffered_level: Level,
+    /// The most verbose level of the lines that are written at once.
+    written_level: Level,
     lines: Mutex<VecDeque<String>>,
     sink: LineSink,
 }
 
 impl LogRing {
-    /// A ring that keeps lines up to `kept` and writes those up to `written` at once.
-    pub fn new(kept: Level, written: Level, sink: LineSink) -> LogRing {
-        LogRing { started: Instant::now(), kept, written, lines: Mutex::new(VecDeque::new()), sink }
+    /// Creates a ring that buffers lines up to `buffered_level` and writes those up to `written_level` at once.
+    pub fn new(buffered_level: Level, written_level: Level, sink: LineSink) -> LogRing {
+        LogRing {
+            started: Instant::now(),
+            buffered_level,
+            written_level,
+            lines: Mutex::new(VecDeque::new()),
+            sink,
+        }
     }
 
     fn line(&self, event: &Event<'_>) -> String {
         let seconds = self.started.elapsed().as_secs_f64();
         let mut line = format!("{seconds:.3} {}", event_text(event));
-        line.truncate(line.floor_char_boundary(MAX_LINE));
+        line.truncate(line.floor_char_boundary(MAX_LINE_BYTES));
         line
     }
 }
 
-/// An event as a line of the log without its time: `LEVEL MODULE: MESSAGE FIELD=VALUE ...`.
+/// Formats an event as a line of the log without the time: `LEVEL MODULE: MESSAGE FIELD=VALUE ...`.
 pub fn event_text(event: &Event<'_>) -> String {
     let mut text = EventText::default();
     event.record(&mut text);
@@ -56,7 +63,7 @@
 
 impl Subscriber for LogRing {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        *metadata.level() <= self.kept
+        *metadata.level() <= self.buffered_level
     }
 
     fn event(&self, event: &Event<'_>) {
@@ -68,11 +75,11 @@
                 (self.sink)(&format!("  {earlier}"));
             }
         }
-        if level <= self.written {
+        if level <= self.written_level {
             (self.sink)(&line);
             return;
         }
-        if lines.len() == LINES {
+        if lines.len() == MAX_LINES {
             lines.pop_front();
         }
         lines.push_back(line);
@@ -91,7 +98,7 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// The message of an event, and its fields as ` name=value` in their order.
+/// The message of an event, and its fields formatted as ` name=value` in their order.
 #[derive(Default)]
 struct EventText {
     message: String,
--- a/crates/tier/src/runtime/mod.rs
+++ b/crates/tier/src/runtime/mod.rs
@@ -1,8 +1,8 @@
-//! What a process needs around its state: the outside world behind traits, start and stop, timers, the log.
+//! The runtime environment of a node: input and output behind traits, start and shutdown, timers, the log.
 //!
-//! [`io`] is all that the rest of the crate knows of the system, [`system`] its implementation for a process of the operating
-//! system; the in-memory fleet of the `simulation` crate has another one. [`start`] opens what a node starts with, [`stop`]
-//! owns the decisions of a graceful shutdown. The names in [`traffic`] stand in reports and must stay.
+//! The rest of the crate uses the operating system only through the traits in [`io`]. [`system`] implements them for a real
+//! process, and the `simulation` crate implements them in memory. [`start`] opens the resources of a node, and [`stop`] owns
+//! the decisions of a graceful shutdown. The names in [`traffic`] are written in reports and must not change.
 
 pub mod io;
 pub mod log_ring;
--- a/crates/tier/src/runtime/start.rs
+++ b/crates/tier/src/runtime/start.rs
@@ -1,4 +1,4 @@
-//! The start of a process: its settings, its disk, its addresses.
+//! The start of a process: reading the settings, opening the disk and the listeners.
 
 use crate::batch::api::BATCH_PARTITIONS;
 use crate::batch::partition::BatchPartition;
@@ -19,28 +19,28 @@
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-/// Descriptors that are kept for links, executors and the disk.
-const KEPT_DESCRIPTORS: u64 = 600;
+/// The number of file descriptors that are reserved for links, executors and the disk.
+const RESERVED_DESCRIPTORS: u64 = 600;
 
-/// What a process starts with.
+/// The opened resources that a node starts with.
 pub struct Start {
-    /// Its settings.
+    /// The settings of the node.
     pub settings: Settings,
-    /// All that is outside.
+    /// The environment of the process.
     pub world: SharedWorld,
-    /// Its addresses.
+    /// The listening sockets.
     pub listeners: Listeners,
-    /// Members and executors: only itself so far.
+    /// The registry, which has only this node as a member so far.
     pub registry: Registry,
-    /// The identity of its disk.
+    /// The identity of the disk; `None` if the node holds no replicas.
     pub identity: Option<ReplicaId>,
-    /// Its replicas.
+    /// The replicas of partitions on this node.
     pub partitions: Vec<PartitionHost>,
-    /// For all that is left to chance.
+    /// The seed of all random numbers of the node.
     pub seed: u64,
 }
 
-/// The addresses that everybody but the other nodes connects to.
+/// The listeners for all connections except those of the other nodes. Each is `None` if the settings have no such address.
 pub struct ClientListeners {
     frontend: Option<Box<dyn Listener>>,
     readiness: Option<Box<dyn Listener>>,
@@ -48,9 +48,9 @@
 }
 
 impl ClientListeners {
-    /// The address of an entrance, if this process has one.
-    pub(crate) fn get(&self, entrance: ListenerKind) -> Option<&dyn Listener> {
-        let listener = match entrance {
+    /// Returns the listener of a kind, if this process has one.
+    pub(crate) fn get(&self, kind: ListenerKind) -> Option<&dyn Listener> {
+        let listener = match kind {
             ListenerKind::Frontend => &self.frontend,
             ListenerKind::Readiness => &self.readiness,
             ListenerKind::Control => &self.control,
@@ -59,82 +59,82 @@
     }
 }
 
-/// The addresses that a process listens at.
+/// The listening sockets of a process.
 pub struct Listeners {
-    /// Clients, the platform's health checks, executors and operators.
+    /// The listeners for clients, readiness checks of the platform, executors and operators.
     pub clients: ClientListeners,
-    /// Other nodes.
+    /// The listener for other nodes.
     pub internal: Box<dyn Listener>,
-    /// The address that other nodes know it by.
+    /// The address of this node for other nodes.
     pub internal_address: SocketAddrV4,
-    /// How many connections clients may make the process hold.
+    /// The maximum number of connections that the process accepts.
     pub max_connections: usize,
 }
 
-/// Why a process can't start.
+/// The error of a failed start of a process.
 #[derive(Debug, Snafu)]
 pub enum StartError {
     /// The settings file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     SettingsFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The settings are wrong.
+    /// The settings are invalid.
     #[snafu(display("{}: {source}", path.display()))]
     InvalidSettings {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The field and what was expected.
+        /// The invalid field and a description of its valid values.
         source: SettingsError,
     },
-    /// There are no ports for the traffic between nodes.
+    /// The settings have no port for the links between nodes.
     #[snafu(display("internal_ports: at least one port is needed"))]
     NoInternalPort,
-    /// An address can't be listened at.
+    /// Listening at an address has failed.
     #[snafu(display("listening at {address}: {source}"))]
     Listen {
-        /// The address.
+        /// The address to listen at.
         address: SocketAddrV4,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The system's side of the loop can't be had.
+    /// The poller or the signal handler can't be created.
     #[snafu(display("the loop: {source}"), context(false))]
     Loop {
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The identity of the disk can't be read or made.
+    /// The identity of the disk can't be read or created.
     #[snafu(display("the identity of the disk: {source}"))]
     DiskIdentity {
-        /// What the store says.
+        /// The error of the store.
         source: StoreError,
     },
     /// A partition can't be opened.
     #[snafu(display("{source}"), context(false))]
     Partition {
-        /// Why.
+        /// The error of the partition.
         source: RunError,
     },
 }
 
-/// Reads and checks the settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
-/// The file can't be read or a field is wrong.
+/// Fails if the file can't be read or a field is invalid.
 pub fn read_settings(path: &Path) -> Result<Settings, StartError> {
     let text = std::fs::read_to_string(path).context(SettingsFileSnafu { path })?;
     Settings::read(&text).context(InvalidSettingsSnafu { path })
 }
 
 impl Start {
-    /// Opens all that a process of these settings needs.
+    /// Opens the listeners and the partitions of a process with these settings.
     ///
     /// # Errors
-    /// An address, the disk or the loop can't be had.
+    /// Fails if an address can't be bound or the disk fails.
     pub fn open(settings: Settings, world: SharedWorld) -> Result<Start, StartError> {
         let seed = world.random();
         let listeners = Listeners::open(&settings, &*world)?;
@@ -160,12 +160,12 @@
                 frontend: optional(settings.bindings.frontend, keys::FRONTEND)?,
             },
             internal_address,
-            max_connections: descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64) as usize,
+            max_connections: descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64) as usize,
         })
     }
 }
 
-/// The partitions whose replicas a process of this class holds.
+/// Returns the partitions whose replicas a machine of this class holds.
 fn partitions_of(class: &MachineClass) -> Vec<u8> {
     match class {
         MachineClass::Edge => vec![CONFIGURATION_PARTITION],
@@ -179,25 +179,35 @@
     world: &dyn World,
     seed: u64,
 ) -> Result<(Option<ReplicaId>, Vec<PartitionHost>), StartError> {
-    let data = match &settings.data_path {
-        Some(data) if settings.quorum_member => data,
+    let data_folder = match &settings.data_path {
+        Some(data_folder) if settings.quorum_member => data_folder,
         _ => return Ok((None, Vec::new())),
     };
-    let identity = world.identity(data).context(DiskIdentitySnafu)?;
-    let disk = settings.limits.disk_mb.unwrap_or(64) as usize * 1024 * 1024;
-    let memory = settings.limits.memory_mb as usize * 1024 * 1024;
+    let identity = world.identity(data_folder).context(DiskIdentitySnafu)?;
+    let disk_bytes = settings.limits.disk_mb.unwrap_or(64) as usize * 1024 * 1024;
+    let memory_bytes = settings.limits.memory_mb as usize * 1024 * 1024;
     let mut partitions = Vec::new();
     for partition in partitions_of(&settings.machine_class) {
         let seed = seed.wrapping_add(u64::from(partition) + 1);
         let (application, budget) = if partition == CONFIGURATION_PARTITION {
-            let budget = DiskBudget::for_configuration(disk);
+            let budget = DiskBudget::for_configuration(disk_bytes);
             (Application::Configuration(ConfigurationPartition::default()), budget)
         } else {
-            let budget = DiskBudget::for_batch_partition(disk, memory);
-            (Application::Batch(Box::new(BatchPartition::new(budget.max_job_bytes(memory), seed))), budget)
+            let budget = DiskBudget::for_batch_partition(disk_bytes, memory_bytes);
+            (
+                Application::Batch(Box::new(BatchPartition::new(budget.max_job_bytes(memory_bytes), seed))),
+                budget,
+            )
         };
         let config = ReplicaConfig { budget, link_mbps: settings.limits.link_mbps, seed };
-        partitions.push(PartitionHost::open(world, data, partition, identity.id, application, config)?);
+        partitions.push(PartitionHost::open(
+            world,
+            data_folder,
+            partition,
+            identity.id,
+            application,
+            config,
+        )?);
     }
     Ok((Some(identity.id), partitions))
 }
@@ -232,13 +242,13 @@
     Registry::new(grebeusher_registry::Settings { member, seeds, timings, losses }, seed, Instant(0))
 }
 
-/// What of the core may be lost at once.
+/// Returns how many machines and zones may be lost at once without loss of service, by the settings.
 pub fn losses_of(settings: &Settings) -> Losses {
-    let borne = settings.fault_tolerance;
-    Losses { machines: borne.machine_losses as usize, zones: borne.zones as usize }
+    let tolerated = settings.fault_tolerance;
+    Losses { machines: tolerated.machine_losses as usize, zones: tolerated.zones as usize }
 }
 
-/// The internal addresses of the seeds: all machines use the same ports.
+/// Returns the internal addresses of the seed nodes. All machines use the same internal ports.
 pub fn seed_addresses(settings: &Settings) -> Vec<SocketAddrV4> {
     let port = settings.internal_ports.first;
     settings.seed_nodes.iter().map(|seed| SocketAddrV4::new(*seed.ip(), port)).collect()
--- a/crates/tier/src/runtime/stop.rs
+++ b/crates/tier/src/runtime/stop.rs
@@ -1,7 +1,8 @@
-//! How a process ends: not ready at once, then serving on until the platform sends nobody any more, then what is open.
+//! Graceful shutdown of a process. It reports itself not ready at once, accepts new requests until the platform has noticed
+//! that, and then completes the requests in progress.
 //!
-//! Where the platform has no other node in reach it goes on sending requests to one that stops, until its end. A stopping
-//! process therefore takes only what it can still finish: see [`GracefulShutdown::accepts`].
+//! If the platform can reach no other node, it sends requests to this one until the process exits. A process that shuts
+//! down therefore accepts only requests that it can still complete: see [`GracefulShutdown::accepts`].
 
 use crate::control::partitions::HandOver;
 use crate::node::Node;
@@ -18,92 +19,101 @@
 use std::io;
 use tracing::warn;
 
-/// The platform misses a node after two checks, a second apart; until then it sends new connections.
+/// The minimum time from SIGTERM to the exit. The platform notices that a node is not ready after two checks, a second apart;
+/// until then it sends new connections.
 const SERVE_WHILE_STOPPING_DURATION: Duration = Duration::from_millis(2600);
-/// Every request that is read in this time is taken. The operators bear that a request is cut which was sent in the first
-/// three seconds and still ran in the last sixth of the grace period; the rest is for its way here and a late signal.
+/// How long after SIGTERM every request that is read is accepted. The operators tolerate that a request is cut off which was
+/// sent in the first three seconds and still runs in the last sixth of the grace period; the difference to three seconds
+/// allows for the transfer of the request and a late signal.
 const ACCEPT_ALL_DURATION: Duration = Duration::from_millis(2400);
-/// The process ends this long before it would be killed, or this part of the grace period before, whichever is shorter.
+/// How long before the end of the grace period, when it would be killed, the process exits: this duration, or the share
+/// [`EXIT_MARGIN_SHARE`] of the grace period if that is shorter.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
+/// The maximum share of the grace period that remains after the exit.
 const EXIT_MARGIN_SHARE: f64 = 0.125;
-/// What is left between the last moment of a request's time and the end, for its answer to leave.
+/// The minimum time between the time-out of a request and the exit, in which the answer is sent.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// An answer that is sent complete takes mostly less than this many latency objectives, and never counts as shorter than
-/// `MIN_USUAL`. One that takes longer all the same hears 504 at the end.
-const USUAL_OBJECTIVES: f64 = 4.0;
-const MIN_USUAL: Duration = Duration::from_millis(1000);
-/// The `Retry-After` of a rejected request: another node serves it at once (seconds).
+/// The typical time of an unstreamed response as a multiple of the latency objective of the route: most responses take less.
+/// A request that takes longer is answered 504 at the exit.
+const TYPICAL_LATENCY_OBJECTIVES: f64 = 4.0;
+/// The minimum of the typical time of an unstreamed response.
+const MIN_TYPICAL_RESPONSE_TIME: Duration = Duration::from_millis(1000);
+/// The value of `Retry-After` in the answer to a refused request, in seconds. It is short, as another node can serve the
+/// request at once.
 const RETRY_ELSEWHERE_S: &str = "0.1";
 
-/// The shutdown of a process that got SIGTERM.
+/// The times of the shutdown of a process that has received SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GracefulShutdown {
+    /// When SIGTERM was received.
     since: Instant,
     exits_at: Instant,
 }
 
 impl GracefulShutdown {
-    /// Of a process that got SIGTERM at `since`, and would be killed `grace` later.
+    /// Starts the shutdown of a process that has received SIGTERM at `since` and would be killed `grace` later.
     pub fn new(since: Instant, grace: Duration) -> GracefulShutdown {
         let margin = EXIT_MARGIN.min(grace.scaled(EXIT_MARGIN_SHARE));
         GracefulShutdown { since, exits_at: since + grace.saturating_sub(margin) }
     }
 
-    /// When the process ends at the latest.
+    /// Returns when the process exits at the latest.
     pub fn exits_at(&self) -> Instant {
         self.exits_at
     }
 
-    /// Whether the process may end as soon as nothing is under way.
+    /// Whether the process may exit once no request is in progress.
     pub fn may_exit(&self, now: Instant) -> bool {
         now.since(self.since) >= SERVE_WHILE_STOPPING_DURATION
     }
 
-    /// Whether something that lasts `longest` from now on is surely over when the process ends.
-    pub fn ends_in_time(&self, now: Instant, longest: Duration) -> bool {
-        now + longest + ANSWER_MARGIN <= self.exits_at
+    /// Whether an operation that takes at most `max_duration` from now on ends before the process exits.
+    pub fn ends_in_time(&self, now: Instant, max_duration: Duration) -> bool {
+        now + max_duration + ANSWER_MARGIN <= self.exits_at
     }
 
-    /// Whether a request that is read now is still taken: any at first, later those that are over in time. A stream must
-    /// be, whatever happens, as nothing can complete it once its head is out; of a complete answer the usual time counts.
+    /// Whether a request that is read now is still accepted: at first every request, later those that end before the exit. The
+    /// whole time-out of a stream must fit, as a stream can't be completed otherwise once its head is sent. Of an unstreamed
+    /// response the typical time must fit.
     pub fn accepts(&self, now: Instant, route: &Route, time_left: Duration) -> bool {
         if now.since(self.since) < ACCEPT_ALL_DURATION {
             return true;
         }
-        let longest = match route.route_type {
+        let max_duration = match route.route_type {
             RouteType::Streaming => time_left,
             _ => {
-                let usual = Duration::from_millis(route.target_latency_ms).scaled(USUAL_OBJECTIVES);
-                time_left.min(MIN_USUAL.max(usual))
+                let typical_time =
+                    Duration::from_millis(route.target_latency_ms).scaled(TYPICAL_LATENCY_OBJECTIVES);
+                time_left.min(MIN_TYPICAL_RESPONSE_TIME.max(typical_time))
             }
         };
-        self.ends_in_time(now, longest)
+        self.ends_in_time(now, max_duration)
     }
 }
 
-/// Why the settings stay as they were read.
+/// The error of a failed reload of the settings.
 #[derive(Debug, Snafu)]
 enum ReloadError {
-    /// The file can't be read.
+    /// The settings file can't be read.
     #[snafu(display("{source}"), context(false))]
     Unreadable {
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A field is wrong.
+    /// A field of the settings is invalid.
     #[snafu(display("{source}"), context(false))]
     Invalid {
-        /// The field and what was expected.
+        /// The invalid field and a description of its valid values.
         source: SettingsError,
     },
 }
 
-fn read_again(world: &dyn World) -> Result<Settings, ReloadError> {
+fn reread_settings(world: &dyn World) -> Result<Settings, ReloadError> {
     Ok(Settings::read(&world.settings()?)?)
 }
 
 impl Node {
-    /// Begins to stop: nobody is to be sent here any more, and others take over what this process leads.
+    /// Starts the graceful shutdown: the node announces that it leaves and hands its leaderships over.
     pub(crate) fn begin_shutdown(&mut self) {
         let shutdown =
             GracefulShutdown::new(self.now, Duration::from_seconds(self.settings.bounds.grace_period_s));
@@ -113,8 +123,8 @@
         self.hand_over_partitions(HandOver::First);
     }
 
-    /// Refuses a client's request that would not be over before this process ends; whether it did. Nothing of it has left
-    /// this node, so that the refusal is a promise.
+    /// Refuses a client's request that would not end before this process exits, and returns whether it did. No part of the
+    /// request has left this node, so that the client can rely on the refusal.
     pub(crate) fn refuse_if_too_late(
         &mut self,
         connection: usize,
@@ -127,25 +137,27 @@
             return false;
         }
         self.requests.counters.refused += 1;
-        self.refuse_here(connection);
+        self.answer_refusal(connection);
         true
     }
 
-    /// Refuses a call that would wait for another node for up to `longest` if this process may end before; whether it did.
-    pub(crate) fn refuse_call_if_too_late(&mut self, connection: usize, longest: Duration) -> bool {
-        if self.shutdown.is_none_or(|shutdown| shutdown.ends_in_time(self.now, longest)) {
+    /// Refuses a call that may wait for another node for up to `max_duration` if this process may exit earlier, and returns
+    /// whether it did.
+    pub(crate) fn refuse_call_if_too_late(&mut self, connection: usize, max_duration: Duration) -> bool {
+        if self.shutdown.is_none_or(|shutdown| shutdown.ends_in_time(self.now, max_duration)) {
             return false;
         }
-        self.refuse_here(connection);
+        self.answer_refusal(connection);
         true
     }
 
-    fn refuse_here(&mut self, connection: usize) {
+    /// Answers 503 with a short `Retry-After`.
+    fn answer_refusal(&mut self, connection: usize) {
         let serial = self.serial(connection);
         self.answer(connection, serial, http::answer(503, &[("Retry-After", RETRY_ELSEWHERE_S)], b""));
     }
 
-    /// Ends the process once nothing is under way any more.
+    /// Exits the process if the platform has noticed the shutdown and no request is in progress.
     pub(crate) fn exit_when_idle(&mut self) {
         if !self.shutdown.is_some_and(|shutdown| shutdown.may_exit(self.now)) {
             return;
@@ -156,15 +168,15 @@
         }
     }
 
-    /// The last turn: who still waits gets an answer, and the others hear that this process has left, so that nobody waits
-    /// for it.
+    /// Exits the process with this turn of the loop: answers all clients that wait, and announces to the other nodes that this
+    /// node has left, so that they don't wait for it.
     pub(crate) fn exit_now(&mut self) {
         for pending in pending_responses(&self.connections) {
             match pending {
                 PendingResponse::Exchange(exchange) => {
                     self.with_requests(|requests, context| requests.stop_exchange(context, exchange));
                 }
-                // What was asked of another node may have been done there.
+                // Another node may have executed the call.
                 PendingResponse::Call(connection) => {
                     let serial = self.serial(connection);
                     self.answer(connection, serial, http::answer(504, &[], b""));
@@ -175,11 +187,11 @@
         self.exit = true;
     }
 
-    /// Reads the settings file anew. One that can't be read changes nothing.
+    /// Reads the settings file again. If it is unreadable or invalid, the settings do not change.
     pub fn reload_settings(&mut self) {
-        match read_again(&*self.world) {
+        match reread_settings(&*self.world) {
             Ok(settings) => {
-                // Addresses, name and disk never change while the process runs.
+                // The other settings, such as addresses, name and disk, never change while the process runs.
                 self.settings.bounds = settings.bounds;
                 self.settings.seed_nodes = settings.seed_nodes;
                 self.settings.fault_tolerance = settings.fault_tolerance;
--- a/crates/tier/src/runtime/system.rs
+++ b/crates/tier/src/runtime/system.rs
@@ -1,4 +1,4 @@
-//! The real world of a process: the poller's sockets, the system's clocks and files.
+//! The environment of a real process: sockets of the poller, clocks and files of the operating system.
 
 use crate::node::keys;
 use crate::runtime::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
@@ -18,29 +18,30 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::debug;
 
-/// The world of a process of the operating system.
+/// The environment of a process of the operating system.
 pub struct System {
     poller: Rc<Poller>,
     signals: Registered<Signals>,
-    started: std::time::Instant,
+    started_at: std::time::Instant,
     settings_path: PathBuf,
 }
 
 impl System {
-    /// The world of this process, whose settings are in a file. From here on signals no longer end it.
+    /// Creates the environment of this process, whose settings are in a file. From here on SIGTERM and SIGHUP are events and
+    /// no longer end the process.
     ///
     /// # Errors
-    /// The system has no descriptors left.
+    /// Fails if the system has no file descriptors left.
     pub fn open(settings_path: PathBuf) -> io::Result<System> {
         let poller = Rc::new(Poller::new()?);
         let signals = poller.register(Signals::catch()?, keys::SIGNALS, Interest::READABLE)?;
-        Ok(System { poller, signals, started: std::time::Instant::now(), settings_path })
+        Ok(System { poller, signals, started_at: std::time::Instant::now(), settings_path })
     }
 }
 
 impl World for System {
     fn now(&self) -> Instant {
-        Instant(self.started.elapsed().as_nanos() as u64)
+        Instant(self.started_at.elapsed().as_nanos() as u64)
     }
 
     fn wall_ms(&self) -> u64 {
@@ -68,7 +69,7 @@
     fn dial_link(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Stream>> {
         let stream = socket::dial(address)?;
         if let Err(error) = socket::prepare_link(&stream) {
-            // It is a link all the same, that is only later known to be dead.
+            // The link works without the time-out, but its failure is detected later.
             debug!(peer = %address, %error, "link without a time-out");
         }
         let stream = self.poller.register(stream, key, Interest::WRITABLE)?;
@@ -91,17 +92,17 @@
 
     fn read_hint(&self, folder: &Path, name: &str) -> Option<Vec<u8>> {
         let bytes = std::fs::read(folder.join(name)).ok()?;
-        let (sum, content) = bytes.split_first_chunk::<4>()?;
-        (crc32fast::hash(content) == u32::from_le_bytes(*sum)).then(|| content.to_vec())
+        let (checksum, content) = bytes.split_first_chunk::<4>()?;
+        (crc32fast::hash(content) == u32::from_le_bytes(*checksum)).then(|| content.to_vec())
     }
 
     fn keep_hint(&self, folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let next = folder.join(format!("{name}.next"));
-        let mut file = File::create(&next)?;
+        let temporary = folder.join(format!("{name}.next"));
+        let mut file = File::create(&temporary)?;
         file.write_all(&crc32fast::hash(bytes).to_le_bytes())?;
         file.write_all(bytes)?;
         file.sync_data()?;
-        std::fs::rename(&next, folder.join(name))?;
+        std::fs::rename(&temporary, folder.join(name))?;
         File::open(folder)?.sync_all()
     }
 
@@ -170,7 +171,7 @@
     }
 
     fn end_writing(&mut self) {
-        // The peer may have gone already; the connection is closed next in any case.
+        // The peer may have closed the connection already. The connection is dropped next in any case.
         let _ = self.0.get().shutdown(std::net::Shutdown::Write);
     }
 }
--- a/crates/tier/src/runtime/timers.rs
+++ b/crates/tier/src/runtime/timers.rs
@@ -1,72 +1,72 @@
-//! What falls due in a node.
+//! The timers of a node.
 
 use crate::links::messages::CallNumber;
 
-/// One timer of the loop. Serials guard against indices that were given to another connection or exchange meanwhile.
+/// A timer of the event loop. The serial numbers detect that an index has been reused by another connection or exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// A connection to an executor should have come up.
+    /// The time-out for connecting to an executor.
     ConnectExpires {
         /// The index of the connection.
         connection: usize,
-        /// The serial number of what the index meant.
+        /// The serial number of the connection.
         serial: u64,
     },
-    /// A link to another node should have come up.
+    /// The time-out for connecting to another node.
     LinkExpires {
         /// The index of the connection.
         connection: usize,
-        /// The serial number of what the index meant.
+        /// The serial number of the connection.
         serial: u64,
     },
-    /// An exchange's deadline.
+    /// The deadline of an exchange.
     ExchangeDeadline {
         /// The index of the exchange.
         exchange: usize,
-        /// The serial number of what the index meant.
+        /// The serial number of the exchange.
         serial: u64,
     },
-    /// An exchange waits for a first event or an answer for suspiciously long.
+    /// The time-out for the first event or the response of an attempt of an exchange.
     ExchangeResponseTimeout {
         /// The index of the exchange.
         exchange: usize,
-        /// The serial number of what the index meant.
+        /// The serial number of the exchange.
         serial: u64,
         /// The number of the attempt.
         attempt: u32,
     },
-    /// An item's run is silent for too long.
+    /// The time-out for an event or the response of an item's run.
     ItemResponseTimeout {
         /// The key of the run.
         run: u64,
     },
-    /// A call to another node should have been answered.
+    /// The time-out of a call to another node.
     CallExpires {
         /// The number of the call.
         number: CallNumber,
     },
-    /// A call is to be tried at another node.
+    /// The retry of a call at another node.
     CallRetry {
         /// The number of the call.
         number: CallNumber,
     },
-    /// A read that waits for a result is answered.
+    /// The end of the time for which a read waits for results.
     PendingReadExpires {
         /// The key of the read.
         read: u64,
     },
-    /// The bootstrapping node looks whether the partitions can be bootstrapped.
+    /// The periodic check whether the partitions can be bootstrapped.
     Bootstrap,
-    /// Leaders look after their groups.
+    /// The periodic maintenance of the groups that this node leads.
     MaintainGroups,
-    /// The node asks which versions of services get requests.
+    /// The next call for the versions of services that get requests.
     SyncRollouts,
-    /// Slow housekeeping.
+    /// The periodic cleanup of idle connections and expired state.
     Sweep,
-    /// Executors that have fallen silent are looked for.
+    /// The next check for unresponsive executors.
     ReviewExecutors,
-    /// Items are started where there is room.
+    /// The next start of items on executors that have free capacity.
     RunItems,
-    /// The process ends at the latest.
+    /// The latest time at which the process exits.
     Exit,
 }
--- a/crates/tier/src/runtime/traffic.rs
+++ b/crates/tier/src/runtime/traffic.rs
@@ -1,10 +1,10 @@
-//! What a process does by itself, in numbers: turns of its loop, timers, and frames to and from other nodes. For the reports
-//! of what a node costs at rest.
+//! Counters of a node's own activity: iterations of the event loop, timers, and frames to and from other nodes. Reports on
+//! the idle cost of a node use them.
 
 use crate::links::messages::Channel;
 use crate::runtime::timers::Timer;
 
-/// The kinds of frames: the registry's messages in the order of their tags, then the other channels.
+/// The kinds of frames: the messages of the registry in the order of their tags, then the other channels.
 pub const FRAME_KINDS: [&str; 17] = [
     "join",
     "welcome",
@@ -25,43 +25,43 @@
     "batch_load",
 ];
 
-/// The kinds of timers that a process sets.
+/// The kinds of timers that are counted separately.
 pub const TIMER_KINDS: [&str; 8] =
     ["found", "group_upkeep", "sweep", "review_executors", "run_items", "call", "link", "other"];
 
-/// How many of the kinds are the registry's.
+/// The number of kinds that are messages of the registry.
 const REGISTRY_KINDS: usize = 12;
 
-/// Frames of one kind.
+/// The number and size of the frames of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// How many.
+    /// The number of frames.
     pub frames: u64,
-    /// Bytes of their payloads.
+    /// The sum of the sizes of their payloads, in bytes.
     pub bytes: u64,
 }
 
-/// Counters that only rise.
+/// The counters since the start of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Turns of the loop.
+    /// The number of iterations of the event loop.
     pub turns: u64,
-    /// Turns in which a socket or a signal was ready.
+    /// The number of iterations in which a socket or a signal was ready.
     pub turns_by_events: u64,
-    /// Turns in which the registry had something due.
+    /// The number of iterations in which the registry had a timer due.
     pub registry_ticks: u64,
-    /// Times that a replica of a partition had something due.
+    /// How often a replica of a partition had a timer due.
     pub partition_ticks: u64,
-    /// Timers that fell due, by [`TIMER_KINDS`].
+    /// The number of timers that have expired, by the kinds of [`TIMER_KINDS`].
     pub timers: [u64; TIMER_KINDS.len()],
-    /// Frames to other nodes, by [`FRAME_KINDS`].
+    /// The frames to other nodes, by the kinds of [`FRAME_KINDS`].
     pub sent: [Tally; FRAME_KINDS.len()],
-    /// Frames from other nodes, by [`FRAME_KINDS`].
+    /// The frames from other nodes, by the kinds of [`FRAME_KINDS`].
     pub received: [Tally; FRAME_KINDS.len()],
 }
 
 impl Traffic {
-    /// Counts a timer.
+    /// Counts an expired timer.
     pub fn count_timer(&mut self, timer: Timer) {
         let kind = match timer {
             Timer::Bootstrap => 0,
@@ -89,7 +89,7 @@
 
 fn count(tallies: &mut [Tally; FRAME_KINDS.len()], channel: Channel, payload: &[u8]) {
     let kind = match channel {
-        // What no message begins with is counted with the last of them.
+        // A frame with an unknown tag is counted as the last kind of the registry.
         Channel::Registry => payload.first().map_or(0, |tag| usize::from(*tag)).min(REGISTRY_KINDS - 1),
         Channel::Quorum => REGISTRY_KINDS,
         Channel::Call => REGISTRY_KINDS + 1,
