--- a/crates/tier/src/control/api.rs
+++ b/crates/tier/src/control/api.rs
@@ -1,4 +1,5 @@
-//! The control plane's HTTP interface: heartbeats of executors, orders of the operator, the platform's checks.
+//! The HTTP interface of the control plane: heartbeats of executors, calls of the operator and readiness checks of the
+//! platform.
 
 use crate::control::partition_host::Waiter;
 use crate::control::partition_status::PartitionReport;
@@ -17,27 +18,29 @@
 
 /// The partition that holds the configuration.
 pub const CONFIGURATION_PARTITION: u8 = 0;
-/// The operator goes on to another node after a second of silence; a configuration is settled by then, or the answer says
-/// that it is not known.
+/// How long an operator's call may take. The operator retries at another node after a second without an answer; by then
+/// this node answers with the outcome, or that the outcome is unknown.
 pub(crate) const OPERATOR_TIMEOUT: Duration = Duration::from_millis(950);
-/// A large configuration gets more, as its caller waits for longer.
+/// How long a call that replaces a large configuration may take. The callers of these wait longer.
 const LARGE_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(1800);
-/// From this size on a configuration is large (bytes).
-const LARGE_CONFIGURATION: usize = 256 * 1024;
+/// The size in bytes above which a configuration is large.
+const LARGE_CONFIGURATION_BYTES: usize = 256 * 1024;
 
-/// As much of the path of an unknown call is logged (characters).
-const MAX_LOGGED_PATH: usize = 80;
+/// The maximum length of the path of an unknown call in the log, in characters.
+const MAX_LOGGED_PATH_CHARS: usize = 80;
 
+/// The header of answers with a JSON body.
 pub(crate) const JSON: (&str, &str) = ("Content-Type", "application/json");
+/// The header of answers with a plain text body.
 const TEXT: (&str, &str) = ("Content-Type", "text/plain");
 
-/// Executors that wait until the other nodes know of their call.
+/// The executors whose calls are answered once the other nodes have acknowledged them.
 #[derive(Default)]
 pub(crate) struct PendingAcknowledgements {
     waiters: FxHashMap<CallToken, ExecutorWaiter>,
 }
 
-/// The connection of an executor that waits.
+/// The connection of an executor that waits for an answer.
 struct ExecutorWaiter {
     connection: usize,
     serial: u64,
@@ -50,7 +53,7 @@
 }
 
 impl Node {
-    /// The platform's check.
+    /// Answers a readiness check of the platform.
     pub fn readiness_request(&mut self, connection: usize, request: &ClientRequest) {
         let serial = self.serial(connection);
         let path = path_of(&request.head.target);
@@ -62,7 +65,7 @@
         self.answer(connection, serial, http::answer(status, &[], b""));
     }
 
-    /// A call of an executor or of the operator.
+    /// Handles a call of an executor or of the operator.
     pub fn control_request(&mut self, connection: usize, request: ClientRequest) {
         let serial = self.serial(connection);
         let path = path_of(&request.head.target).to_owned();
@@ -92,7 +95,7 @@
                 _ => self.answer(connection, serial, http::answer(404, &[], b"")),
             },
             (method, _) => {
-                let path: String = path.chars().take(MAX_LOGGED_PATH).collect();
+                let path: String = path.chars().take(MAX_LOGGED_PATH_CHARS).collect();
                 warn!(method, path, "unknown call refused");
                 self.answer(connection, serial, http::answer(404, &[], b""));
             }
@@ -131,22 +134,22 @@
         self.routing_changed = true;
     }
 
-    /// Answers the executors whose calls every node knows of by now, and those that have waited for long enough.
+    /// Answers the executors whose calls the other nodes have acknowledged, and those whose calls have timed out.
     pub(crate) fn answer_acknowledged(&mut self) {
-        let settled = self.registry.take_completed_calls(self.now);
-        for token in settled.acknowledged {
+        let completed = self.registry.take_completed_calls(self.now);
+        for token in completed.acknowledged {
             if let Some(waiter) = self.acknowledgements.waiters.remove(&token) {
                 self.answer(waiter.connection, waiter.serial, http::answer(200, &[JSON], b"{}"));
             }
         }
-        for token in settled.rejected {
+        for token in completed.rejected {
             if let Some(waiter) = self.acknowledgements.waiters.remove(&token) {
                 self.not_acknowledged(waiter.connection, waiter.serial);
             }
         }
     }
 
-    /// An executor whose call this node can't vouch for goes on to another node.
+    /// Answers 503 to an executor whose call was not acknowledged, so that the executor retries at another node.
     fn not_acknowledged(&mut self, connection: usize, serial: u64) {
         self.answer(connection, serial, http::answer(503, &[], b""));
     }
@@ -162,15 +165,15 @@
             let reason = invalid.to_string();
             return self.answer(connection, serial, http::answer(400, &[], reason.as_bytes()));
         }
-        let large = request.body.len() > LARGE_CONFIGURATION;
-        let waits = if large { LARGE_CONFIGURATION_TIMEOUT } else { OPERATOR_TIMEOUT };
-        if self.refuse_call_if_too_late(connection, waits) {
+        let is_large = request.body.len() > LARGE_CONFIGURATION_BYTES;
+        let timeout = if is_large { LARGE_CONFIGURATION_TIMEOUT } else { OPERATOR_TIMEOUT };
+        if self.refuse_call_if_too_late(connection, timeout) {
             return;
         }
         let call = Call::ReplaceConfiguration { base, body: request.body };
         let question = OperatorQuestion::Replace;
         let continuation = Continuation::Operator { connection, serial, question };
-        self.call_leader(CONFIGURATION_PARTITION, call, self.now + waits, continuation);
+        self.call_leader(CONFIGURATION_PARTITION, call, self.now + timeout, continuation);
     }
 
     fn show(&mut self, connection: usize, serial: u64) {
@@ -187,7 +190,7 @@
         );
     }
 
-    /// The operator's question for a partition, forwarded to its leader.
+    /// Forwards the operator's request for the status of a partition to the leader of the partition.
     fn partition_request(&mut self, connection: usize, serial: u64, partition: u8) {
         let question = OperatorQuestion::Partition;
         let continuation = Continuation::Operator { connection, serial, question };
@@ -195,7 +198,7 @@
         self.call_leader(partition, call, self.now + OPERATOR_TIMEOUT, continuation);
     }
 
-    /// The leader's status of a partition.
+    /// Replies with the status of a partition that this node leads.
     pub(crate) fn show_partition_at_leader(&mut self, waiter: Waiter, partition: u8) {
         let Some(index) = self.led_index(partition, waiter) else { return };
         let report = PartitionReport {
@@ -208,7 +211,7 @@
         self.reply(waiter.peer, waiter.number, Reply::Answer { status: 200, body });
     }
 
-    /// The leader's reply to the operator's call.
+    /// Answers an operator's call with the reply of the leader.
     pub fn operator_reply(
         &mut self,
         connection: usize,
@@ -230,12 +233,12 @@
     }
 }
 
-/// The path of a request's target, without its query.
+/// Returns the path of a request target, without the query.
 pub fn path_of(target: &str) -> &str {
     target.split('?').next().unwrap_or(target)
 }
 
-/// The value of a parameter of a target's query.
+/// Returns the value of a query parameter of a request target.
 pub fn query_value<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let query = target.split_once('?')?.1;
     query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
--- a/crates/tier/src/control/bootstrap.rs
+++ b/crates/tier/src/control/bootstrap.rs
@@ -1,11 +1,12 @@
-//! The first start of the whole system: one node names the voters of every partition, once.
+//! The bootstrap of the whole system: at its first start one node chooses the initial voters of every partition.
 //!
-//! All processes of the first start get the same seeds, and only they are started with `bootstrap`. The first seed's node
-//! bootstraps; the others step in, one after the other, only if no partition has shown a leader for long. A replica accepts one
-//! bootstrap in its lifetime, so a second one changes nothing where the first was received.
+//! All processes of the first start have the same list of seeds, and only they run with the setting `bootstrap`. The node
+//! of the first seed bootstraps the partitions. The nodes of the other seeds do so one after the other, each after a longer
+//! delay, and only if no partition has a known leader by then. A replica accepts only one bootstrap in its lifetime, so that
+//! a second bootstrap has no effect on the replicas that received the first.
 //!
-//! `Bootstrapper` owns the groups that this node has chosen and which voters have confirmed. It decides by the members that
-//! it is given and returns the requests that are to be sent.
+//! `Bootstrapper` owns the chosen groups and records which voters have confirmed them. It decides by the members that are
+//! passed to it and returns the requests to be sent.
 
 use crate::batch::api::BATCH_PARTITIONS;
 use crate::control::api::CONFIGURATION_PARTITION;
@@ -19,71 +20,72 @@
 use grebeusher_time::{Duration, DurationExt, Instant};
 use std::collections::BTreeMap;
 
-/// How often the bootstrapping node looks.
+/// How often a node that may bootstrap the partitions checks whether it can.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// No further replica has joined for this long: those that start together are all there.
+/// How long the number of replicas must not have changed, so that all replicas that start together have joined.
 const STABILITY_DURATION: Duration = Duration::from_millis(900);
-/// Fewer replicas than a group needs are waited for this long.
+/// How long to wait from the start of the process for enough replicas for a whole group.
 const MORE_REPLICAS_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Each further seed waits this much longer before it bootstraps.
+/// The additional delay of each further seed in the list before it bootstraps.
 const NEXT_SEED_DELAY: Duration = Duration::from_millis(6000);
-/// A replica that does not confirm is asked again after this.
+/// After how long a request is sent again to a replica that has not confirmed it.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The state of a node that may bootstrap the partitions.
 pub(crate) struct Bootstrapper {
-    /// Its index among the seeds.
+    /// The index of this node in the list of seeds.
     seed_rank: u64,
-    /// How many replicas had joined at `joined_at`.
-    replicas: usize,
+    /// The number of replicas that had joined at `joined_at`.
+    replica_count: usize,
     /// When the number of replicas last changed.
     joined_at: Instant,
-    /// The groups that it has chosen, by partition.
+    /// The chosen voters by partition; empty until they are chosen.
     groups: BTreeMap<u8, Vec<Voter>>,
 }
 
 struct Voter {
     replica: u64,
     confirmed: bool,
-    asked: Option<Instant>,
+    /// When the last request was sent; `None` before the first.
+    requested_at: Option<Instant>,
 }
 
 impl Voter {
     fn is_due(&self, now: Instant) -> bool {
-        !self.confirmed && self.asked.is_none_or(|at| now >= at + CONFIRM_TIMEOUT)
+        !self.confirmed && self.requested_at.is_none_or(|at| now >= at + CONFIRM_TIMEOUT)
     }
 }
 
-/// Asks a voter to take its group.
+/// A request to a voter to accept the voters of its partition.
 struct BootstrapRequest {
     partition: u8,
     voter: u64,
     voters: Vec<u64>,
 }
 
-/// The replicas of the first start, by the class of their machine.
-struct FirstReplicas {
-    edges: Vec<Candidate>,
-    stores: Vec<Candidate>,
+/// The replicas that take part in the first start, by the class of their node.
+struct InitialReplicas {
+    edge: Vec<Candidate>,
+    storage: Vec<Candidate>,
 }
 
 impl Bootstrapper {
-    /// The state of this process, if it may ever bootstrap.
+    /// Returns the initial state, or `None` if this process never bootstraps: it must be a seed with the setting `bootstrap`.
     pub fn for_settings(settings: &Settings) -> Option<Bootstrapper> {
         if !settings.bootstrap {
             return None;
         }
-        let own = settings.bindings.control_plane?;
-        let rank = settings.seed_nodes.iter().position(|seed| *seed == own)?;
+        let own_address = settings.bindings.control_plane?;
+        let rank = settings.seed_nodes.iter().position(|seed| *seed == own_address)?;
         Some(Bootstrapper {
             seed_rank: rank as u64,
-            replicas: 0,
+            replica_count: 0,
             joined_at: Instant(0),
             groups: BTreeMap::new(),
         })
     }
 
-    /// Before this the seeds that come earlier in the list have their turn.
+    /// Returns when this node may bootstrap. Until then the seeds earlier in the list may.
     fn starts_at(&self) -> Instant {
         Instant(0) + NEXT_SEED_DELAY.scaled(self.seed_rank as f64)
     }
@@ -92,43 +94,43 @@
         !self.groups.is_empty()
     }
 
-    /// Chooses the voters of each partition, `size` of them, once the replicas that start together are there.
-    fn choose_groups(&mut self, now: Instant, size: usize, first: &FirstReplicas) {
-        if !self.are_all_there(now, size, first) {
+    /// Chooses `size` voters for each partition, once all replicas that start together have joined.
+    fn choose_groups(&mut self, now: Instant, size: usize, initial: &InitialReplicas) {
+        if !self.have_all_joined(now, size, initial) {
             return;
         }
-        self.groups.insert(CONFIGURATION_PARTITION, choose_voters(&first.edges, size, 0));
+        self.groups.insert(CONFIGURATION_PARTITION, choose_voters(&initial.edge, size, 0));
         for partition in 1..=BATCH_PARTITIONS {
-            self.groups.insert(partition, choose_voters(&first.stores, size, partition));
+            self.groups.insert(partition, choose_voters(&initial.storage, size, partition));
         }
     }
 
-    fn are_all_there(&mut self, now: Instant, size: usize, first: &FirstReplicas) -> bool {
-        let (edges, stores) = (first.edges.len(), first.stores.len());
-        if self.replicas != edges + stores {
-            self.replicas = edges + stores;
+    fn have_all_joined(&mut self, now: Instant, size: usize, initial: &InitialReplicas) -> bool {
+        let (edge_count, storage_count) = (initial.edge.len(), initial.storage.len());
+        if self.replica_count != edge_count + storage_count {
+            self.replica_count = edge_count + storage_count;
             self.joined_at = now;
         }
         let is_stable = now.since(self.joined_at) >= STABILITY_DURATION;
-        let are_enough = edges >= size && stores >= size;
-        let waited = now >= Instant(0) + MORE_REPLICAS_TIMEOUT;
-        is_stable && edges > 0 && stores > 0 && (are_enough || waited)
+        let are_enough = edge_count >= size && storage_count >= size;
+        let is_timed_out = now >= Instant(0) + MORE_REPLICAS_TIMEOUT;
+        is_stable && edge_count > 0 && storage_count > 0 && (are_enough || is_timed_out)
     }
 
-    /// The requests that are due: to each voter that has not confirmed, again and again.
+    /// Returns the requests that are due: one to each voter that has not confirmed, and again after [`CONFIRM_TIMEOUT`].
     fn take_due_requests(&mut self, now: Instant) -> Vec<BootstrapRequest> {
         let mut requests = Vec::new();
         for (&partition, group) in &mut self.groups {
             let voters: Vec<u64> = group.iter().map(|voter| voter.replica).collect();
             for voter in group.iter_mut().filter(|voter| voter.is_due(now)) {
-                voter.asked = Some(now);
+                voter.requested_at = Some(now);
                 requests.push(BootstrapRequest { partition, voter: voter.replica, voters: voters.clone() });
             }
         }
         requests
     }
 
-    /// Whether all voters have confirmed their groups.
+    /// Whether all voters have confirmed the voters of their partitions.
     fn is_complete(&self) -> bool {
         self.has_chosen() && self.groups.values().flatten().all(|voter| voter.confirmed)
     }
@@ -143,18 +145,18 @@
 
 fn choose_voters(candidates: &[Candidate], size: usize, partition: u8) -> Vec<Voter> {
     let chosen = spread_over_zones(candidates, size, usize::from(partition));
-    chosen.into_iter().map(|replica| Voter { replica, confirmed: false, asked: None }).collect()
+    chosen.into_iter().map(|replica| Voter { replica, confirmed: false, requested_at: None }).collect()
 }
 
 impl Node {
-    /// Bootstraps the partitions when the replicas of the first start are there.
+    /// Bootstraps the partitions once the replicas of the first start have joined. Called at each [`POLL_INTERVAL`].
     pub(crate) fn drive_bootstrap(&mut self) {
         let now = self.now;
         let Some(bootstrapper) = &self.bootstrapper else { return };
         let has_chosen = bootstrapper.has_chosen();
         if now >= bootstrapper.starts_at() {
             if !has_chosen && self.any_partition_is_led() {
-                // Another seed was first.
+                // Another seed has bootstrapped the partitions.
                 self.bootstrapper = None;
                 return;
             }
@@ -174,18 +176,19 @@
     }
 
     fn choose_groups(&mut self) {
-        let of_class = |class: Class| -> Vec<Candidate> {
+        let candidates_of = |class: Class| -> Vec<Candidate> {
             let members = self.registry.members().filter(|member| member.class == class && member.bootstrap);
             members.filter(|member| member.serves()).filter_map(Candidate::of).collect()
         };
-        let first = FirstReplicas { edges: of_class(Class::Edge), stores: of_class(Class::Storage) };
+        let initial =
+            InitialReplicas { edge: candidates_of(Class::Edge), storage: candidates_of(Class::Storage) };
         let size = self.group_size();
         if let Some(bootstrapper) = &mut self.bootstrapper {
-            bootstrapper.choose_groups(self.now, size, &first);
+            bootstrapper.choose_groups(self.now, size, &initial);
         }
     }
 
-    /// Asks each voter that has not confirmed; whether all have.
+    /// Sends the requests that are due. Returns whether all voters have confirmed.
     fn send_bootstrap_requests(&mut self) -> bool {
         let now = self.now;
         let Some(bootstrapper) = &mut self.bootstrapper else { return true };
@@ -199,14 +202,15 @@
         is_complete
     }
 
-    /// A voter's reply to its bootstrap.
+    /// Handles the reply of a voter to a bootstrap request.
     pub(crate) fn bootstrap_reply(&mut self, partition: u8, voter: u64, reply: &Reply) {
         if let (Some(bootstrapper), Reply::Done) = (&mut self.bootstrapper, reply) {
             bootstrapper.confirm(partition, voter);
         }
     }
 
-    /// How many voters a partition has: `f` may be lost, and a majority must be left.
+    /// Returns the number of voters of a partition: a majority of them remains after the loss of as many machines as the
+    /// settings tolerate.
     pub fn group_size(&self) -> usize {
         2 * self.settings.fault_tolerance.machine_losses.max(1) as usize + 1
     }
--- a/crates/tier/src/control/configuration_partition.rs
+++ b/crates/tier/src/control/configuration_partition.rs
@@ -1,7 +1,7 @@
 //! Partition 0: the operator's configuration, changed by compare-and-set, and the versions of its services.
 //!
-//! [`ConfigurationPartition`] owns the replicated register and the changes that are proposed and not yet committed, and the
-//! replicated state of roll-outs. What is done about these is up to [`rollouts`](crate::control::rollouts).
+//! [`ConfigurationPartition`] owns the replicated register, the changes that are proposed and not yet committed, and the
+//! replicated state of roll-outs. [`rollouts`](crate::control::rollouts) handles the calls about roll-outs.
 
 use crate::control::api::CONFIGURATION_PARTITION;
 use crate::control::partition_host::{Application, Waiter};
@@ -13,24 +13,24 @@
 use std::fmt::Display;
 use std::sync::Arc;
 
-/// What a replica of partition 0 keeps.
+/// The state of a replica of partition 0.
 #[derive(Default)]
 pub struct ConfigurationPartition {
     register: ConfigurationRegister,
     pending: Pending,
     rollouts: Rollouts,
-    /// Entries on roll-outs that this leader has proposed and that are not applied yet.
-    pending_rollouts: usize,
+    /// The number of roll-out entries that this leader has proposed and that are not applied yet.
+    pending_rollout_entries: usize,
 }
 
-/// The first byte of a snapshot with the state of roll-outs. One without begins with the register's own format, which is
-/// another.
+/// The first byte of a snapshot that contains the state of roll-outs. A snapshot without it begins with the format byte of
+/// the register, which differs.
 const SNAPSHOT_WITH_ROLLOUTS: u8 = 2;
-/// The length of the length that follows (bytes).
+/// The size in bytes of the length field that follows.
 const LENGTH_BYTES: usize = 4;
 
 impl ConfigurationPartition {
-    /// The complete state: the state of roll-outs with its length, if there is any, and the register.
+    /// Encodes the whole state: the state of roll-outs after its length, if there is any, and the register.
     pub fn snapshot(&self) -> Vec<u8> {
         let register = self.register.encode();
         if self.rollouts.is_empty() {
@@ -41,16 +41,16 @@
         [&[SNAPSHOT_WITH_ROLLOUTS], &length.to_le_bytes()[..], &rollouts, &register].concat()
     }
 
-    /// What was under way belongs to another leadership.
+    /// Forgets the proposals in progress, which belong to an earlier leadership.
     pub fn leader_changed(&mut self) {
         self.pending.clear();
-        self.pending_rollouts = 0;
+        self.pending_rollout_entries = 0;
     }
 
-    /// Takes the state of a snapshot.
+    /// Replaces the state by that of a snapshot.
     ///
     /// # Errors
-    /// The bytes can't be read.
+    /// Fails if the snapshot can't be decoded.
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), RunError> {
         let (rollouts, register) = split_snapshot(bytes)?;
         self.rollouts = rollouts;
@@ -59,14 +59,14 @@
         Ok(())
     }
 
-    /// Applies a committed entry; the HTTP status that its caller gets.
+    /// Applies a committed entry and returns the HTTP status for its caller.
     ///
     /// # Errors
-    /// The entry can't be read.
+    /// Fails if the entry can't be decoded.
     pub fn apply(&mut self, entry: &[u8]) -> Result<u16, RunError> {
         if entry.first() == Some(&ENTRY_FORMAT) {
             let entry = RolloutEntry::decode(entry).map_err(unreadable)?;
-            self.pending_rollouts = self.pending_rollouts.saturating_sub(1);
+            self.pending_rollout_entries = self.pending_rollout_entries.saturating_sub(1);
             return Ok(status_of(self.rollouts.apply(entry)));
         }
         let entry = Entry::decode(entry).map_err(unreadable)?;
@@ -74,28 +74,28 @@
         Ok(self.register.apply(&entry).answer().status())
     }
 
-    /// The versions of all services, by what is committed.
+    /// Returns the committed versions of all services.
     pub fn rollouts(&self) -> &Rollouts {
         &self.rollouts
     }
 
-    /// Whether an entry on roll-outs is proposed and not applied yet.
+    /// Whether a roll-out entry is proposed and not applied yet.
     pub(crate) fn has_pending_rollouts(&self) -> bool {
-        self.pending_rollouts > 0
+        self.pending_rollout_entries > 0
     }
 
-    /// An entry on roll-outs was proposed.
+    /// Records that a roll-out entry was proposed.
     pub(crate) fn rollout_proposed(&mut self) {
-        self.pending_rollouts += 1;
+        self.pending_rollout_entries += 1;
     }
 
-    /// The newest committed configuration as a reply; version 0 and empty before there is one.
+    /// Returns a reply with the newest committed configuration. If there is none, it has version 0 and an empty body.
     fn newest(&self) -> Reply {
         Reply::Configuration { version: self.register.version(), body: self.register.body().to_vec() }
     }
 }
 
-/// The state of roll-outs in a snapshot, and the bytes of the register.
+/// Splits a snapshot into the state of roll-outs and the bytes of the register.
 fn split_snapshot(bytes: &[u8]) -> Result<(Rollouts, &[u8]), RunError> {
     if bytes.first() != Some(&SNAPSHOT_WITH_ROLLOUTS) {
         return Ok((Rollouts::default(), bytes));
@@ -107,7 +107,7 @@
     Ok((Rollouts::decode(rollouts).map_err(|error| unreadable(format!("{error:?}")))?, register))
 }
 
-/// The HTTP status of the call whose entry on a roll-out was applied.
+/// Returns the HTTP status for the caller whose roll-out entry was applied.
 fn status_of(applied: Applied) -> u16 {
     match applied {
         Applied::Accepted | Applied::AlreadyAccepted => 200,
@@ -148,15 +148,16 @@
         for waiter in waiters {
             self.reply(waiter.peer, waiter.number, Reply::Answer { status, body: b"{}".to_vec() });
         }
-        // Calls that this change decided are judged by their nodes anew.
+        // The verdicts on these calls depended on this change. Their nodes retry them.
         for waiter in std::mem::take(&mut self.partitions[index].deferred) {
             self.reply(waiter.peer, waiter.number, Reply::Unavailable);
         }
         Ok(())
     }
 
-    /// Puts the newest committed configuration in force here; the relays take it to the others. Once for all that was
-    /// committed in a turn: a member that catches up on hundreds of changes reads one configuration, not each of them.
+    /// Puts the newest committed configuration in force on this node; the nodes without a replica fetch it from their peers.
+    /// Called once for all entries committed in a turn, so that a replica that catches up on hundreds of changes parses one
+    /// configuration, not each of them.
     pub(crate) fn serve_committed(&mut self, index: usize) {
         let Application::Configuration(partition) = &self.partitions[index].application else { return };
         let version = partition.register.version();
@@ -167,7 +168,7 @@
         self.activate_configuration(version, body);
     }
 
-    /// An operator's change, at the leader or at a node that is taken for it.
+    /// Handles a call that replaces the configuration, which was sent to this node as the presumed leader.
     pub(crate) fn replace_at_leader(&mut self, waiter: Waiter, base: u64, body: Vec<u8>) {
         let now = self.now;
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
@@ -199,7 +200,7 @@
         }
     }
 
-    /// The newest configuration, at the leader.
+    /// Replies with the newest configuration, if this node is the leader.
     pub(crate) fn show_at_leader(&mut self, waiter: Waiter) {
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let Application::Configuration(partition) = &self.partitions[index].application else { return };
@@ -207,7 +208,8 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// The index of a partition that this node leads under a lease; otherwise the caller gets the name of the leader.
+    /// Returns the index of a partition that this node leads under a valid lease. Otherwise replies to the caller with the
+    /// name of the leader, or that the partition is unavailable.
     pub(crate) fn led_index(&mut self, partition: u8, waiter: Waiter) -> Option<usize> {
         let now = self.clock();
         let Some(index) = self.partitions.iter().position(|host| host.partition == partition) else {
--- a/crates/tier/src/control/disk_budget.rs
+++ b/crates/tier/src/control/disk_budget.rs
@@ -1,58 +1,63 @@
-//! How much of a disk each partition may take, and so when its log is written anew as a snapshot.
+//! The disk and memory budget of each partition, which determines when its log is compacted into a snapshot.
 
 use crate::batch::api::BATCH_PARTITIONS;
 
-/// The share of a disk that the partitions use: identities, hints and the file system's own need some.
+/// The share of a disk that the partitions may use. The disk identity, the hints and the file system need the rest.
 const USED_SHARE: f64 = 0.95;
-/// A log may always take this share of its partition's room, so that a large state is not written anew for every little entry.
-const MIN_LOG_SHARE: usize = 8;
-/// The share of a partition's room that its state may take.
+/// A log may always take the budget of its partition divided by this, so that a large state is not written again for every
+/// small entry.
+const MIN_LOG_DIVISOR: usize = 8;
+/// The share of the budget of a partition that its state may take.
 const MAX_STATE_SHARE: f64 = 0.8;
-/// The share of the memory that the log of one partition may take before it is written anew, where the disk would bear more.
-/// Three logs leave half of the memory, in which one of them after another can be written anew.
-const LOG_MEMORY_SHARE: usize = 6;
-/// The share of the memory that the jobs of one partition may take.
-const JOBS_MEMORY_SHARE: usize = 4;
+/// The log of one partition may take the memory divided by this before it is compacted, even if the disk could hold more.
+/// Three logs leave half of the memory free, in which they are compacted one after the other.
+const LOG_MEMORY_DIVISOR: usize = 6;
+/// The jobs of one partition may take the memory divided by this.
+const JOBS_MEMORY_DIVISOR: usize = 4;
 
-/// What one partition may take.
+/// The disk and memory budget of one partition.
 ///
-/// The jobs refer to the entries in memory, so in addition to the log they cost next to nothing, and what a long log costs in excess
-/// are the bodies of items that are done: about a third of it, as texts are the longer ones and are kept for readers. A
-/// snapshot is a copy of all that is kept. While it is made it takes memory in addition to the log, and once more on its way to the disk:
-/// at that moment the partition takes the log and two or three times the texts, and is smaller only after it. So at its peak
-/// a partition takes least if the log is written anew as late as the disk and the memory bear.
+/// The jobs refer to the log entries in memory, so that they take almost no memory in addition to the log. The excess of a
+/// long log is the bodies of completed items: about a third of the log, as the result texts are longer and are kept for
+/// readers. A snapshot is a copy of the whole state. It takes memory in addition to the log while it is made, and once more
+/// while it is written to the disk: at that moment the partition takes the memory of the log and two or three times that of
+/// the texts, and only after it less. The peak is therefore lowest if the log is compacted as late as the disk and the
+/// memory allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiskBudget {
-    /// For its state and its log, on the disk (bytes).
+    /// The maximum size of state and log on the disk, in bytes.
     partition_bytes: usize,
-    /// For its log, in memory (bytes).
-    max_log: usize,
+    /// The maximum size of the log in memory, in bytes.
+    max_log_bytes: usize,
 }
 
 impl DiskBudget {
-    /// Of a batch partition. A node may hold replicas of all of them, and each is written anew next to its former state, one at a
-    /// time: that takes one share more.
+    /// Returns the budget of a batch partition on a node with a disk and a memory of these sizes, in bytes. A node may hold
+    /// replicas of all batch partitions. A new snapshot is written next to the former one, of one partition at a time, which
+    /// takes one more share.
     pub fn for_batch_partition(disk: usize, memory: usize) -> DiskBudget {
         let shares = usize::from(BATCH_PARTITIONS) + 1;
         let used = disk as f64 * USED_SHARE;
-        DiskBudget { partition_bytes: used as usize / shares, max_log: memory / LOG_MEMORY_SHARE }
+        DiskBudget { partition_bytes: used as usize / shares, max_log_bytes: memory / LOG_MEMORY_DIVISOR }
     }
 
-    /// Of the configuration, which is small: its log is kept short so that new members catch up quickly.
+    /// Returns the budget of the configuration partition on a disk of this size, in bytes. The configuration is small: its log
+    /// is kept short so that new members catch up quickly.
     pub fn for_configuration(disk: usize) -> DiskBudget {
-        const MAX_LOG: usize = 2 * 1024 * 1024;
-        DiskBudget { partition_bytes: disk / 4, max_log: MAX_LOG }
+        const MAX_LOG_BYTES: usize = 2 * 1024 * 1024;
+        DiskBudget { partition_bytes: disk / 4, max_log_bytes: MAX_LOG_BYTES }
     }
 
-    /// The size of the log beyond which it is written anew, for a state of so many bytes.
+    /// Returns the size of the log above which it is compacted, in bytes, for a state of `state` bytes.
     pub fn max_log_bytes(self, state: usize) -> usize {
-        let least = (self.partition_bytes / MIN_LOG_SHARE).min(self.max_log);
-        self.partition_bytes.saturating_sub(state).clamp(least, self.max_log)
+        let min_log = (self.partition_bytes / MIN_LOG_DIVISOR).min(self.max_log_bytes);
+        self.partition_bytes.saturating_sub(state).clamp(min_log, self.max_log_bytes)
     }
 
-    /// What the jobs of a partition may cost: of the memory, and of the disk that is to hold them.
+    /// Returns the maximum size of the jobs of a partition, in bytes, on a node with `memory` bytes of memory: the disk must
+    /// hold them too.
     pub fn max_job_bytes(self, memory: usize) -> usize {
         let state = self.partition_bytes as f64 * MAX_STATE_SHARE;
-        (memory / JOBS_MEMORY_SHARE).min(state as usize)
+        (memory / JOBS_MEMORY_DIVISOR).min(state as usize)
     }
 }
--- a/crates/tier/src/control/membership_maintenance.rs
+++ b/crates/tier/src/control/membership_maintenance.rs
@@ -1,7 +1,8 @@
-//! How leaders maintain the groups of their partitions: voters that are gone are replaced by others.
+//! Maintenance of the groups by the leaders of partitions: lost voters are replaced by other nodes.
 //!
-//! [`MembershipMaintenance`] owns what a leader remembers of one group: absent voters, excluded candidates, when it last logged.
-//! Only this module and [`retire`](crate::control::retire) change the voters of a running group.
+//! [`MembershipMaintenance`] owns what a leader records about one group: absent voters, excluded candidates and the time of
+//! the last log line. Only this module changes the voters of a running group, also for
+//! [`retire`](crate::control::retire).
 
 use crate::control::leader_balance::HandOverPlan;
 use crate::control::partition_host::{PartitionHost, class_of_partition};
@@ -16,33 +17,33 @@
 use std::collections::BTreeMap;
 use tracing::{debug, info, warn};
 
-/// How often leaders check their groups.
+/// How often leaders check the groups of their partitions.
 pub const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(200);
-/// A voter whose node is not there for this long makes room for another. Its node has then been silent for over two
-/// seconds; a group that waits for longer may meet the next loss without being repaired from the first.
+/// How long the node of a voter must be absent before the voter is replaced. The node has then been silent for over two
+/// seconds. With a longer time-out the next loss may come before the group is repaired after the first.
 const ABSENCE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A node that did not catch up in a change of a group is excluded for this long, while there are others.
+/// How long a node that did not catch up during a change of a group is excluded, if there are other candidates.
 const EXCLUSION_DURATION: Duration = Duration::from_millis(10_000);
-/// How often a replica is logged whose term and group stay.
+/// How often the state of a replica is logged while its term and group do not change.
 const LOG_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// What a leader remembers of one group.
+/// What a leader records about one group.
 #[derive(Debug, Default)]
 pub struct MembershipMaintenance {
-    /// Since when voters are absent, as this leader sees it.
+    /// The absent voters, and when this leader first saw each of them absent.
     absent_since: BTreeMap<ReplicaId, Instant>,
-    /// The nodes that the change which was begun last takes in.
+    /// The voters that the last requested change adds.
     joining: Vec<ReplicaId>,
-    /// Nodes that did not catch up in a change, and until when they are excluded.
+    /// The nodes that did not catch up during a change, and until when they are excluded.
     excluded_until: BTreeMap<ReplicaId, Instant>,
     pub(crate) sole_replica_warning: SoleReplicaWarning,
-    /// The term and group that were last logged.
+    /// The term and the log index of the group that were last logged.
     logged: (Term, Index),
     logged_at: Instant,
 }
 
 impl MembershipMaintenance {
-    /// Begins anew, as the leadership has ended.
+    /// Forgets everything about the group, as the leadership has ended.
     pub fn leadership_ended(&mut self) {
         self.absent_since.clear();
         self.joining.clear();
@@ -50,8 +51,8 @@
         self.sole_replica_warning = SoleReplicaWarning::default();
     }
 
-    /// The replica was asked to change its group to these voters. Guards against the exclusion of nodes that a refused change
-    /// never waited for.
+    /// Records that the replica was asked to change its group from `voters` to `next`. Only if the replica has accepted the
+    /// change are the added voters recorded: a refused change never waits for them, and they must not be excluded.
     pub fn change_requested(
         &mut self,
         voters: &[ReplicaId],
@@ -63,26 +64,28 @@
         }
     }
 
-    /// No change is under way: a node that the last one was to take in and that is no voter did not catch up, though it
-    /// lives. Guards against waiting for it again and again while others could step in.
+    /// Called while no change is in progress. A node that the last change was to add and that is not a voter did not catch
+    /// up, though it is alive. It is excluded, so that the leader does not wait for it again and again while other nodes
+    /// could join.
     pub fn change_ended(&mut self, now: Instant, voters: &[ReplicaId]) {
-        let in_vain = std::mem::take(&mut self.joining).into_iter().filter(|node| !voters.contains(node));
-        self.excluded_until.extend(in_vain.map(|node| (node, now + EXCLUSION_DURATION)));
+        let not_joined = std::mem::take(&mut self.joining).into_iter().filter(|node| !voters.contains(node));
+        self.excluded_until.extend(not_joined.map(|node| (node, now + EXCLUSION_DURATION)));
         self.excluded_until.retain(|_, until| now < *until);
     }
 
-    /// The candidates without those that are excluded; all of them if no other could join the voters.
+    /// Returns the candidates that are not excluded, or all of them if no other node could join the voters.
     pub fn usable(&self, voters: &[ReplicaId], alive: Vec<Candidate>) -> Vec<Candidate> {
         let replica = |candidate: &Candidate| ReplicaId(candidate.replica);
         let is_voter = |candidate: &Candidate| voters.contains(&replica(candidate));
-        let kept = |candidate: &&Candidate| {
+        let is_usable = |candidate: &&Candidate| {
             is_voter(candidate) || !self.excluded_until.contains_key(&replica(candidate))
         };
-        let usable: Vec<Candidate> = alive.iter().filter(kept).cloned().collect();
+        let usable: Vec<Candidate> = alive.iter().filter(is_usable).cloned().collect();
         if usable.iter().all(is_voter) { alive } else { usable }
     }
 
-    /// Whether a replica is to be logged: its term or group has changed, or it was logged a while ago. Notes that it is.
+    /// Returns whether the state of the replica is to be logged now, because its term or group has changed or
+    /// [`LOG_INTERVAL`] has passed, and records it as logged.
     fn take_log_due(&mut self, now: Instant, state: (Term, Index)) -> bool {
         if self.logged == state && now < self.logged_at + LOG_INTERVAL {
             return false;
@@ -92,20 +95,20 @@
         true
     }
 
-    /// The voters whose nodes have been absent for long.
-    fn absent(&mut self, now: Instant, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
+    /// Returns the voters whose nodes have been absent for at least [`ABSENCE_TIMEOUT`].
+    fn absent_voters(&mut self, now: Instant, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
         let is_alive = |voter: &ReplicaId| alive.iter().any(|candidate| candidate.replica == voter.0);
         self.absent_since.retain(|voter, _| voters.contains(voter) && !is_alive(voter));
         for voter in voters.iter().filter(|voter| !is_alive(voter)) {
             self.absent_since.entry(*voter).or_insert(now);
         }
-        let long = self.absent_since.iter().filter(|(_, since)| now.since(**since) >= ABSENCE_TIMEOUT);
-        long.map(|(voter, _)| *voter).collect()
+        let timed_out = self.absent_since.iter().filter(|(_, since)| now.since(**since) >= ABSENCE_TIMEOUT);
+        timed_out.map(|(voter, _)| *voter).collect()
     }
 }
 
-/// The last digits of an identity, which tell the few of a group apart.
-fn short(replica: ReplicaId) -> u64 {
+/// Returns the last four digits of a disk identity, which suffice to distinguish the members of a group in the log.
+fn short_id(replica: ReplicaId) -> u64 {
     replica.0 % 10_000
 }
 
@@ -126,16 +129,17 @@
         if !self.stopping() {
             self.balance_leadership();
         } else {
-            // A successor that did not take over, or one that handed the partition back, must not keep it here until the end.
+            // A hand-over is repeated if the successor did not take the leadership or has returned it: otherwise this node would
+            // lead the partition until it exits.
             self.hand_over_partitions(HandOver::Repeated);
         }
     }
 
-    /// Hands one batch partition to another node where this one leads too many.
+    /// Hands the leadership of one batch partition to another node if this node leads too many.
     fn balance_leadership(&mut self) {
         let (partitions, registry) = (&self.partitions, &self.registry);
-        let chosen = self.leader_balancer.choose(self.now, partitions, registry, &self.leaders);
-        let Some(HandOverPlan { index, successor }) = chosen else { return };
+        let plan = self.leader_balancer.choose(self.now, partitions, registry, &self.leaders);
+        let Some(HandOverPlan { index, successor }) = plan else { return };
         let partition = self.partitions[index].partition;
         info!(partition, "leadership handed over for balance");
         self.checkpoint_batch(index);
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Changes the group of a partition that this node leads, if its voters call for it.
+    /// Starts the next change of the group of a partition that this node leads, if one is needed and none is in progress.
     fn maintain_group(&mut self, index: usize) {
         let now = self.now;
         let replica = &self.partitions[index].replica;
@@ -168,14 +172,14 @@
         }
     }
 
-    /// The voters that are to be replaced: their node is to be emptied, lost its disk, or has been absent for long.
+    /// Returns the voters to be replaced: their node is being retired, has lost its disk, or has been absent for too long.
     fn lost_voters(&mut self, index: usize, voters: &[ReplicaId], alive: &[Candidate]) -> Vec<ReplicaId> {
         let host = &mut self.partitions[index];
         let registry = &self.registry;
-        let retired = retiring_replicas(host, registry);
-        let absent = host.maintenance.absent(self.now, voters, alive);
+        let retiring = retiring_replicas(host, registry);
+        let absent = host.maintenance.absent_voters(self.now, voters, alive);
         let is_lost = |voter: &&ReplicaId| {
-            retired.contains(voter)
+            retiring.contains(voter)
                 || absent.contains(voter)
                 || self.replica_names.is_superseded(**voter, registry)
         };
@@ -183,22 +187,22 @@
     }
 }
 
-/// Logs each change of a replica's term or group, and its state once a second.
+/// Logs the state of a replica at each change of its term or group, and at each [`LOG_INTERVAL`].
 fn log_replica(host: &mut PartitionHost, now: Instant) {
     let replica = &host.replica;
     if !host.maintenance.take_log_due(now, (replica.term(), replica.group_index())) {
         return;
     }
     let (group, last) = (replica.group(), replica.last());
-    let members: Vec<u64> = group.members().map(short).collect();
+    let members: Vec<u64> = group.members().map(short_id).collect();
     debug!(
         partition = host.partition,
-        replica = short(replica.identity()),
+        replica = short_id(replica.identity()),
         term = replica.term().0,
         commit = replica.commit_index().0,
         last_index = last.index.0,
         last_term = last.term.0,
-        leader = replica.leader_hint().map_or(0, short),
+        leader = replica.leader_hint().map_or(0, short_id),
         voters = group.voters.len(),
         outgoing = group.outgoing.len(),
         ?members,
@@ -207,7 +211,7 @@
     );
 }
 
-/// The nodes that may hold a replica of a partition.
+/// Returns the live nodes that may hold a replica of a partition.
 fn candidates(host: &PartitionHost, registry: &Registry) -> Vec<Candidate> {
     let class = class_of_partition(host.partition);
     let retiring = host.retiring_nodes();
@@ -216,7 +220,7 @@
     alive.filter_map(Candidate::of).collect()
 }
 
-/// The disk identities of the nodes that a partition's data is to leave.
+/// Returns the disk identities of the nodes that are being retired from a partition.
 fn retiring_replicas(host: &PartitionHost, registry: &Registry) -> Vec<ReplicaId> {
     let retiring = host.retiring_nodes();
     let members = retiring.iter().filter_map(|name| registry.member(name));
--- a/crates/tier/src/control/mod.rs
+++ b/crates/tier/src/control/mod.rs
@@ -1,13 +1,13 @@
-//! The control plane: the partitions that this node has a replica of, who leads them, the operator's configuration, and the
-//! HTTP interface of executors and operators.
+//! The control plane: the replicas of partitions on this node, the leaders of the partitions, the operator's
+//! configuration, and the HTTP interface for executors and operators.
 //!
-//! [`partitions`] drives the replicas; what a partition's log means is up to [`configuration_partition`] and
-//! [`batch::partition`](crate::batch::partition). [`membership_maintenance`], [`leader_balance`], [`retire`] and [`bootstrap`]
-//! change the groups of replicas and their leaders; nothing else does.
+//! [`partitions`] drives the replicas; [`configuration_partition`] and [`batch::partition`](crate::batch::partition) apply
+//! the entries of the logs. Only [`membership_maintenance`], [`leader_balance`], [`retire`] and [`bootstrap`] change the
+//! groups of replicas and their leaders.
 //!
-//! Each concern owns its state in a type of its module, such as [`active_configuration`]'s served configuration, and decides
-//! by the registry, the partitions and the time that it is given. The text of [`status`] and [`partition_status`] is an interface
-//! of the operators and must stay.
+//! Each module owns its state in one type, such as the served configuration in [`active_configuration`], and decides by
+//! the registry, the partitions and the time that are passed to it. The output of [`status`] and [`partition_status`] is
+//! an interface for operators and must not change.
 
 pub mod active_configuration;
 pub mod api;
--- a/crates/tier/src/control/partition_host.rs
+++ b/crates/tier/src/control/partition_host.rs
@@ -1,7 +1,7 @@
 //! One replica of a partition on this node: its files, its application, and the calls that wait for its commits.
 //!
-//! A [`PartitionHost`] owns all of these. It writes and syncs by itself; what is sent to others, and what the application does
-//! with a committed entry, is up to [`partitions`](crate::control::partitions).
+//! A [`PartitionHost`] owns all of these. It writes and syncs the files; [`partitions`](crate::control::partitions) sends
+//! the messages and passes committed entries to the application.
 
 use crate::batch::partition::{BatchPartition, shared};
 use crate::control::configuration_partition::ConfigurationPartition;
@@ -19,86 +19,88 @@
 use std::path::Path;
 use tracing::{info, warn};
 
-/// On a link below this, jobs and results on their way to the replicas hold heartbeats up for some hundred milliseconds.
+/// The bandwidth of a link in Mbit/s below which jobs and results sent to the replicas delay heartbeats by several hundred
+/// milliseconds.
 const SLOW_LINK_MBPS: f64 = 200.0;
 
-/// What a partition keeps.
+/// The replicated state machine of a partition.
 pub enum Application {
-    /// Partition 0.
+    /// The state of partition 0.
     Configuration(ConfigurationPartition),
-    /// The others.
+    /// The state of any other partition.
     Batch(Box<BatchPartition>),
 }
 
-/// Who waits for a proposal to be committed.
+/// A call of a node that waits for a proposal to be committed.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiter {
     /// The calling node.
     pub peer: SocketAddrV4,
-    /// The number of its call.
+    /// The number that the calling node gave the call.
     pub number: CallNumber,
 }
 
-/// What a replica must know of its machine.
+/// The properties of the machine that a replica depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaConfig {
-    /// What the partition may take of the disk.
+    /// The disk and memory budget of the partition.
     pub budget: DiskBudget,
-    /// The machine's own link.
+    /// The bandwidth of the machine's link, in Mbit/s.
     pub link_mbps: f64,
-    /// For what is left to chance.
+    /// The seed of the replica's random numbers.
     pub seed: u64,
 }
 
-/// Who waited at an index of the log when its entry was applied.
+/// The calls that waited for an index of the log when the entry at that index was applied.
 #[derive(Debug, Default)]
 pub(crate) struct AppliedWaiters {
-    /// Those whose entry it is.
+    /// The calls that proposed this entry.
     pub waiters: Vec<Waiter>,
-    /// Those whose entry was replaced by it: what became of it is unclear.
+    /// The calls that proposed another entry at this index, in an earlier term. Their outcome is unknown.
     pub lost: Vec<Waiter>,
 }
 
-/// What a change of the leadership leaves behind.
+/// A change of the leadership of this node.
 pub(crate) enum Leadership {
-    /// The node acts as the leader from now on.
+    /// The node has begun to act as the leader.
     Began,
-    /// It does not any more.
+    /// The node has ceased to act as the leader.
     Ended {
-        /// Calls whose entries may still be committed.
+        /// The calls whose entries may still be committed.
         proposed: Vec<Waiter>,
-        /// Calls of which nothing was proposed.
+        /// The calls for which nothing was proposed.
         deferred: Vec<Waiter>,
     },
 }
 
 /// A replica of a partition on this node.
 pub struct PartitionHost {
-    /// Which partition.
+    /// The number of the partition.
     pub partition: u8,
-    /// Its agreement.
+    /// The state of the consensus protocol.
     pub replica: Replica,
     store: Box<dyn PartitionStore>,
-    /// Its state.
+    /// The replicated state machine.
     pub application: Application,
-    /// Calls by the proposal that decides them.
+    /// The calls that wait for a commit, by the index and term of the entry that was proposed for them.
     pub waiters: BTreeMap<Index, (Term, Vec<Waiter>)>,
-    /// Calls that are judged anew after the next commit.
+    /// The calls that can't be decided before the next commit.
     pub deferred: Vec<Waiter>,
+    /// The index of the last applied entry.
     applied: Index,
     budget: DiskBudget,
-    /// The log is written anew beyond this (bytes).
-    compact_at: usize,
-    /// Since when the application acts as the leader's.
+    /// The size of the log at which it is compacted, in bytes.
+    compact_at_bytes: usize,
+    /// Since when this node acts as the leader; `None` if it does not.
     leader_since: Option<Instant>,
     pub(crate) maintenance: MembershipMaintenance,
 }
 
 impl PartitionHost {
-    /// Opens the replica of a partition in its folder below `data`.
+    /// Opens the replica of a partition in the folder of the partition below `data`.
     ///
     /// # Errors
-    /// The disk refuses, or the state on it can't be read.
+    /// Fails if the disk does, or if the stored state can't be read.
     pub fn open(
         world: &dyn World,
         data: &Path,
@@ -121,23 +123,23 @@
             deferred: Vec::new(),
             applied: Index(0),
             budget: config.budget,
-            compact_at: config.budget.max_log_bytes(0),
+            compact_at_bytes: config.budget.max_log_bytes(0),
             leader_since: None,
             maintenance: MembershipMaintenance::default(),
         })
     }
 
-    /// When the replica next has something to do by itself.
+    /// Returns when the replica next has a timer due.
     pub fn next_wake(&self) -> Instant {
         self.replica.next_wake()
     }
 
-    /// Whether this node acts as the partition's leader.
+    /// Whether this node acts as the leader of the partition.
     pub fn leads(&self) -> bool {
         self.leader_since.is_some()
     }
 
-    /// Since when this node acts as the partition's leader.
+    /// Returns since when this node acts as the leader of the partition; `None` if it does not.
     pub fn leader_since(&self) -> Option<Instant> {
         self.leader_since
     }
@@ -154,22 +156,22 @@
         self.store.sync().map_err(|source| RunError::Disk { partition, source })
     }
 
-    /// Lets the application refer to the snapshot of it that was just written, in the stead of the entries that it replaces:
-    /// otherwise these stayed in memory for the texts in them, in addition to a snapshot with the same texts. A snapshot of
-    /// another state than the application's, which came from the leader, is loaded later and not here.
+    /// Lets the application refer to the snapshot of its state that was just written, instead of the entries that the snapshot
+    /// replaces. Otherwise the entries would stay in memory for the texts in them, in addition to a snapshot with the same
+    /// texts. A snapshot from the leader has another state than the application and is loaded later, not here.
     fn refer_to_snapshot(&mut self, writes: &[Write]) {
         let Application::Batch(batch) = &mut self.application else { return };
-        let of_this_state = writes.iter().find_map(|write| match write {
+        let own_snapshot = writes.iter().find_map(|write| match write {
             Write::Snapshot { snapshot, .. } if snapshot.last.index == self.applied => Some(&snapshot.bytes),
             _ => None,
         });
-        let Some(snapshot) = of_this_state else { return };
+        let Some(snapshot) = own_snapshot else { return };
         if let Err(error) = batch.restore(&shared(snapshot.clone())) {
             warn!(partition = self.partition, %error, "own snapshot unreadable");
         }
     }
 
-    /// The items of a batch partition; none for the configuration.
+    /// Returns the number of items of a batch partition by state; zeros for the configuration partition.
     pub(crate) fn load(&self) -> PartitionLoad {
         match &self.application {
             Application::Batch(batch) => batch.runner().load(),
@@ -177,7 +179,7 @@
         }
     }
 
-    /// The nodes that the partition's data is to leave.
+    /// Returns the names of the nodes that are being retired from the partition.
     pub(crate) fn retiring_nodes(&self) -> Vec<String> {
         match &self.application {
             Application::Batch(batch) => batch.retiring.iter().cloned().collect(),
@@ -185,10 +187,11 @@
         }
     }
 
-    /// Proposes an entry whose commit answers a call.
+    /// Proposes an entry. The call of `waiter` is answered when the entry is committed.
     ///
     /// # Errors
-    /// The replica does not take it. Nothing is proposed, and the call is not answered here.
+    /// Fails if the replica does not accept the proposal. Nothing is proposed then, and the caller of this function must answer
+    /// the call.
     pub fn propose(
         &mut self,
         now: Instant,
@@ -201,9 +204,9 @@
         Ok(())
     }
 
-    /// Writes the log anew as a snapshot of the application's state where it has grown beyond its bound.
+    /// Replaces the log by a snapshot of the application's state if the log has reached its maximum size.
     pub(crate) fn compact_if_due(&mut self) {
-        if self.replica.log_bytes() < self.compact_at {
+        if self.replica.log_bytes() < self.compact_at_bytes {
             return;
         }
         let snapshot = match &self.application {
@@ -214,26 +217,26 @@
         if let Err(error) = self.replica.compact(self.applied, snapshot) {
             warn!(partition = self.partition, bytes = size, %error, "no snapshot made");
         }
-        self.compact_at = self.budget.max_log_bytes(size);
+        self.compact_at_bytes = self.budget.max_log_bytes(size);
     }
 
-    /// A state that came from the leader takes the place of the application's.
-    pub(crate) fn restored(&mut self, index: Index) {
+    /// Records that the application was restored from a snapshot that ends with the entry at `index`.
+    pub(crate) fn note_restored(&mut self, index: Index) {
         self.applied = index;
     }
 
-    /// The bound of the log follows the size of the state that is being restored.
-    pub(crate) fn expect_state_of(&mut self, bytes: usize) {
-        self.compact_at = self.budget.max_log_bytes(bytes);
+    /// Adjusts the maximum size of the log to a state of `bytes` bytes, which is about to be restored.
+    pub(crate) fn adjust_log_bound(&mut self, bytes: usize) {
+        self.compact_at_bytes = self.budget.max_log_bytes(bytes);
     }
 
-    /// The entries up to there are applied.
+    /// Records that the entries up to `index` are applied.
     pub(crate) fn note_applied(&mut self, index: Index) {
         self.applied = self.applied.max(index);
     }
 
-    /// The calls that wait for the entry of this index and term, which is applied now, and those that wait for another entry
-    /// at this index, which can't be committed any more.
+    /// Removes and returns the calls that wait for the entry with this index and term, which is being applied, and those that
+    /// wait for another entry at this index, which can't be committed any more.
     pub(crate) fn take_waiters(&mut self, index: Index, term: Term) -> AppliedWaiters {
         match self.waiters.remove(&index) {
             Some((proposed, waiters)) if proposed == term => AppliedWaiters { waiters, lost: Vec::new() },
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Begins or ends to act as the leader, as the replica's term and lease say. `None` if nothing has changed.
+    /// Begins or ceases to act as the leader by the role and the lease of the replica. Returns `None` if nothing has changed.
     pub(crate) fn update_leadership(&mut self, now: Instant) -> Option<Leadership> {
         let leads = self.replica.is_leader() && (self.leads() || self.replica.lease_holds(now));
         if leads == self.leads() {
@@ -261,21 +264,22 @@
         Some(Leadership::Ended { proposed, deferred: std::mem::take(&mut self.deferred) })
     }
 
-    /// The voter with the longest log of those whose nodes run and are not about to end.
+    /// Returns the voter with the longest log of those whose nodes are alive and not shutting down.
     pub(crate) fn live_successor(&self, registry: &Registry) -> Option<ReplicaId> {
-        let stays = |successor: &ReplicaId| {
+        let is_alive = |successor: &ReplicaId| {
             let member = registry.member_by_replica(successor.0);
             member.is_some_and(|member| member.state == MemberState::Alive)
         };
-        self.replica.transfer_candidates().into_iter().find(stays)
+        self.replica.transfer_candidates().into_iter().find(is_alive)
     }
 }
 
-/// The spans of a partition's leadership. Reads need the lease, and the loss of a leader is noticed within `election_timeout_max`.
+/// Returns the timing of the consensus protocol for a partition. Reads need the lease, and the loss of a leader is detected
+/// within `election_timeout_max`.
 fn timing(partition: u8, link_mbps: f64) -> Timing {
-    let configuration = partition == crate::control::api::CONFIGURATION_PARTITION;
-    let (heartbeat, min, max) = if configuration {
-        // The configuration's replicas share their processor with the traffic, so they are given more time.
+    let is_configuration = partition == crate::control::api::CONFIGURATION_PARTITION;
+    let (heartbeat_ms, min_ms, max_ms) = if is_configuration {
+        // The replicas of the configuration share the processor with client traffic and need longer time-outs.
         (100, 450, 800)
     } else if link_mbps < SLOW_LINK_MBPS {
         (100, 600, 1000)
@@ -283,14 +287,14 @@
         (80, 400, 750)
     };
     Timing {
-        heartbeat_interval: Duration::from_millis(heartbeat),
-        election_timeout_min: Duration::from_millis(min),
-        election_timeout_max: Duration::from_millis(max),
-        lease_duration: Duration::from_millis(min * 85 / 100),
+        heartbeat_interval: Duration::from_millis(heartbeat_ms),
+        election_timeout_min: Duration::from_millis(min_ms),
+        election_timeout_max: Duration::from_millis(max_ms),
+        lease_duration: Duration::from_millis(min_ms * 85 / 100),
     }
 }
 
-/// The machines that hold a partition.
+/// Returns the class of the machines that hold the replicas of a partition.
 pub fn class_of_partition(partition: u8) -> Class {
     if partition == crate::control::api::CONFIGURATION_PARTITION { Class::Edge } else { Class::Storage }
 }
--- a/crates/tier/src/control/partition_status.rs
+++ b/crates/tier/src/control/partition_status.rs
@@ -1,4 +1,4 @@
-//! What the leader of a partition says of it, for operators: its term, its group, its jobs.
+//! The status of a partition for operators, as its leader reports it: the term, the group and the jobs.
 
 use crate::control::partition_host::{Application, PartitionHost};
 use crate::control::replica_status::{replica_statuses, sole_replica_name};
@@ -6,16 +6,16 @@
 use grebeusher_registry::Registry;
 use std::fmt::{self, Display, Formatter};
 
-/// So many jobs get a line of their own; a status stays readable, and the reply small.
+/// The maximum number of jobs that get a line each, so that the status stays readable and the reply small.
 const MAX_JOBS: usize = 500;
 
-/// What the leader says of a partition, a line for each thing.
+/// The status of a partition, formatted as one line for each replica property, voter and job.
 pub(crate) struct PartitionReport<'a> {
-    /// The partition.
+    /// The replica of the partition on this node, which leads the partition.
     pub host: &'a PartitionHost,
-    /// The members, for the names of the voters.
+    /// The registry, for the names of the voters.
     pub registry: &'a Registry,
-    /// The name of this node.
+    /// The name of this node, the leader.
     pub node_name: &'a str,
     /// The version of the configuration in force.
     pub configuration_version: u64,
--- a/crates/tier/src/control/partitions.rs
+++ b/crates/tier/src/control/partitions.rs
@@ -1,7 +1,7 @@
-//! The replicas of partitions that this node holds: their messages, their commits, their leadership.
+//! The driver of the replicas on this node: their messages, commits and leaderships.
 //!
-//! This module moves what the replicas want done between them, the disk, the links and the applications. Each replica's state
-//! is its [`PartitionHost`](crate::control::partition_host::PartitionHost).
+//! This module carries out what the replicas request of the disk, the links and the applications. The state of each replica
+//! is in its [`PartitionHost`](crate::control::partition_host::PartitionHost).
 
 use crate::control::leader_index::{LedPartition, LedPartitions};
 use crate::control::partition_host::{Application, AppliedWaiters, Leadership, Waiter};
@@ -12,17 +12,17 @@
 use std::net::SocketAddrV4;
 use tracing::warn;
 
-/// Which attempt of a stopping process to hand its partitions over.
+/// The attempt of a process that shuts down to hand its partitions over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HandOver {
-    /// At the start of the shutdown: to any voter, if none stays.
+    /// The attempt at the start of the shutdown: to any voter, if all are shutting down.
     First,
-    /// Later, to voters that stay only.
+    /// A later attempt: only to voters that are not shutting down.
     Repeated,
 }
 
 impl Node {
-    /// Does what the replicas want done: writes, one sync for all that came in this turn, messages, commits.
+    /// Carries out what the replicas request: writes, one sync for everything received in this turn, messages, commits.
     pub fn pump_partitions(&mut self) -> Result<(), RunError> {
         for index in 0..self.partitions.len() {
             self.pump_partition(index)?;
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Does what a replica wants done, in the order in which it is safe.
+    /// Carries out what a replica requests, in an order that is safe: messages that depend on writes are sent after the sync.
     fn handle_ready(&mut self, index: usize) -> Result<(), RunError> {
         let partition = self.partitions[index].partition;
         let ready = self.partitions[index].replica.take_ready();
@@ -52,7 +52,7 @@
         let host = &mut self.partitions[index];
         host.write(&ready.writes)?;
         if ready.must_sync {
-            // What was already put on links for other partitions need not wait for this disk.
+            // Frames that other partitions have already queued on links need not wait for this disk.
             host.sync()?;
         }
         host.replica.synced();
@@ -60,9 +60,9 @@
             self.send_quorum(partition, to, &message);
         }
         if let Some(restore) = ready.restore {
-            self.partitions[index].expect_state_of(restore.bytes.as_slice().len());
+            self.partitions[index].adjust_log_bound(restore.bytes.as_slice().len());
             self.restore_partition(index, restore.bytes)?;
-            self.partitions[index].restored(restore.index);
+            self.partitions[index].note_restored(restore.index);
         }
         self.apply_committed(index, ready.committed)?;
         let host = &mut self.partitions[index];
@@ -72,7 +72,7 @@
     }
 
     fn apply_committed(&mut self, index: usize, entries: Vec<Committed>) -> Result<(), RunError> {
-        let is_changed = !entries.is_empty();
+        let has_entries = !entries.is_empty();
         for entry in entries {
             let host = &mut self.partitions[index];
             host.note_applied(entry.index);
@@ -80,7 +80,7 @@
             self.reply_unclear(lost);
             self.apply_to_partition(index, entry.payload, waiters)?;
         }
-        if is_changed {
+        if has_entries {
             self.serve_committed(index);
         }
         Ok(())
@@ -98,7 +98,7 @@
         self.send_frame(address, Channel::Quorum, &SerBin::serialize_bin(&envelope));
     }
 
-    /// A message of another replica has come.
+    /// Passes a message of another replica to the replica of its partition.
     pub fn receive_quorum(&mut self, payload: &[u8]) {
         let Ok(envelope) = <QuorumEnvelope as DeBin>::deserialize_bin(payload) else { return };
         if self.identity != Some(ReplicaId(envelope.to)) {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Begins or ends to act as the leader of a partition.
+    /// Begins or ceases to act as the leader of a partition, if the state of the replica has changed.
     fn update_leadership(&mut self, index: usize) {
         let Some(change) = self.partitions[index].update_leadership(self.now) else { return };
         let leads = matches!(change, Leadership::Began);
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Announces to all nodes which partitions this node leads, at which terms.
+    /// Announces to all nodes the partitions that this node leads, with the terms.
     fn announce_leadership(&mut self) {
         let led = self.partitions.iter().filter(|host| host.leads());
         let led = LedPartitions {
@@ -170,23 +170,23 @@
         }
     }
 
-    /// The partitions that this node acts as the leader of.
+    /// Returns the partitions that this node leads.
     pub fn led_partitions(&self) -> impl Iterator<Item = u8> + '_ {
         self.partitions.iter().filter(|host| host.leads()).map(|host| host.partition)
     }
 
-    /// The voters of a partition that this node leads, if their group is decided and no other one is on its way.
+    /// Returns the voters of a partition that this node leads, if their group is committed and no change is in progress.
     pub fn settled_voters(&self, partition: u8) -> Option<&[ReplicaId]> {
         let host = self.partitions.iter().find(|host| host.partition == partition && host.leads())?;
         host.replica.is_group_stable().then(|| host.replica.group().voters.as_slice())
     }
 
-    /// The identity of this node's disk.
+    /// Returns the identity of this node's disk; `None` if the node holds no replicas.
     pub fn replica_id(&self) -> Option<ReplicaId> {
         self.identity
     }
 
-    /// Gives the leadership of partitions to others, as this process is about to end.
+    /// Hands the leaderships of this node over to other nodes, as this process is shutting down.
     pub(crate) fn hand_over_partitions(&mut self, attempt: HandOver) {
         let now = self.now;
         for index in 0..self.partitions.len() {
@@ -195,7 +195,7 @@
                 continue;
             }
             let successor = self.partitions[index].live_successor(&self.registry);
-            // Where all voters are about to end the partition goes to one of them, once: not round and round among them.
+            // If all voters are shutting down, the leadership is handed over only once, so that it does not circulate among them.
             if successor.is_none() && attempt == HandOver::Repeated {
                 continue;
             }
@@ -206,12 +206,12 @@
         }
     }
 
-    /// The internal address of the node with a disk identity.
+    /// Returns the internal address of the node with a disk identity.
     pub fn address_of_replica(&self, replica: u64) -> Option<SocketAddrV4> {
         self.registry.member_by_replica(replica).map(|member| member.address)
     }
 
-    /// The name of the leader of a partition, as its replica here knows it.
+    /// Returns the name of the leader of a partition, as far as the replica on this node knows.
     pub fn leader_name(&self, index: usize) -> Option<String> {
         let leader = self.partitions[index].replica.leader_hint()?;
         self.registry.member_by_replica(leader.0).map(|member| member.name.clone())
--- a/crates/tier/src/control/peer_directory.rs
+++ b/crates/tier/src/control/peer_directory.rs
@@ -1,4 +1,4 @@
-//! Which node to ask: the members of the registry and the leaders that they announce, at one moment.
+//! The choice of the node to call, by the members of the registry and the leaders that they announce.
 
 use crate::control::leader_index::LeaderIndex;
 use crate::control::partition_host::class_of_partition;
@@ -6,25 +6,26 @@
 use grebeusher_time::Instant;
 use std::net::SocketAddrV4;
 
-/// A read-only view of the peers. It owns nothing.
+/// A read-only view of the peers at one moment.
 pub(crate) struct PeerDirectory<'a> {
     /// The time of this turn of the loop.
     pub now: Instant,
-    /// The members.
+    /// The registry, for the members.
     pub registry: &'a Registry,
-    /// The leaders of the partitions.
+    /// The index of the leaders of partitions.
     pub leaders: &'a LeaderIndex,
-    /// The address that the peers know this node by.
+    /// The internal address of this node.
     pub own_address: SocketAddrV4,
 }
 
 impl PeerDirectory<'_> {
-    /// The node that leads a partition, by the highest term that any has announced.
+    /// Returns the address of the node that leads a partition: the one with the highest announced term.
     pub fn leader(&self, partition: u8) -> Option<SocketAddrV4> {
         self.leaders.leader(self.registry, partition)
     }
 
-    /// The next node to be asked for the leader of a partition: the announced leader, then any that holds a replica.
+    /// Returns the next node to try as the leader of a partition: the announced leader if it is not in `tried`, then any live
+    /// node of the class that holds replicas of the partition.
     pub fn leader_candidate(&self, partition: u8, tried: &[SocketAddrV4]) -> Option<SocketAddrV4> {
         let untried = |address: &SocketAddrV4| !tried.contains(address);
         if let Some(leader) = self.leader(partition).filter(untried) {
@@ -37,7 +38,7 @@
         self.pick(&addresses)
     }
 
-    /// A node that may reach a leader which this one can't: any other edge node that is `usable`.
+    /// Returns a node that may reach a leader that this node can't reach: any other live edge node that is `usable`.
     pub fn relay_candidate(&self, usable: impl Fn(&SocketAddrV4) -> bool) -> Option<SocketAddrV4> {
         let edges = self.registry.live_members().filter(|member| member.class == Class::Edge);
         let others = edges.map(|member| member.address).filter(|address| *address != self.own_address);
@@ -51,12 +52,12 @@
         others.any(|address| address != self.own_address && usable(&address))
     }
 
-    /// The internal address of a node.
+    /// Returns the internal address of the node with a name.
     pub fn address_of(&self, name: &str) -> Option<SocketAddrV4> {
         self.registry.member(name).map(|member| member.address)
     }
 
-    /// One of some addresses, another one at another time.
+    /// Returns one of the addresses. The choice varies with the time.
     fn pick(&self, addresses: &[SocketAddrV4]) -> Option<SocketAddrV4> {
         addresses.get(self.now.0 as usize % addresses.len().max(1)).copied()
     }
--- a/crates/tier/src/control/replica_placement.rs
+++ b/crates/tier/src/control/replica_placement.rs
@@ -1,4 +1,5 @@
-//! Which nodes hold the replicas of a partition: spread over zones, the same wherever it is worked out from the same members.
+//! The choice of the nodes that hold the replicas of a partition. They are spread over the zones. The choice is
+//! deterministic, so that all nodes with the same members make the same one.
 
 use grebeusher_quorum::ReplicaId;
 use grebeusher_registry::Member;
@@ -7,24 +8,24 @@
 /// A node that could hold a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its disk identity.
+    /// The disk identity of the node.
     pub replica: u64,
-    /// Its zone.
+    /// The zone of the node.
     pub zone: String,
-    /// Its name, by which all nodes order the candidates.
+    /// The name of the node, by which the candidates are ordered.
     pub name: String,
 }
 
 impl Candidate {
-    /// A member with a disk; `None` for one without.
+    /// Returns the candidate for a member; `None` if the member has no disk.
     pub fn of(member: &Member) -> Option<Candidate> {
         Some(Candidate { replica: member.replica?, zone: member.zone.clone(), name: member.name.clone() })
     }
 }
 
-/// Chooses `count` candidates with as few in one zone as can be. `turn` names where the choice begins, so that the
-/// partitions don't all fall to the same nodes.
-pub fn spread_over_zones(candidates: &[Candidate], count: usize, turn: usize) -> Vec<u64> {
+/// Chooses `count` candidates, with as few as possible in the same zone, and returns their disk identities. `offset` rotates
+/// the zones and the nodes of each zone, so that the partitions are not all placed on the same nodes.
+pub fn spread_over_zones(candidates: &[Candidate], count: usize, offset: usize) -> Vec<u64> {
     let mut zones: BTreeMap<&str, Vec<&Candidate>> = BTreeMap::new();
     for candidate in candidates {
         zones.entry(&candidate.zone).or_default().push(candidate);
@@ -32,11 +33,11 @@
     let mut queues: Vec<Vec<&Candidate>> = zones.into_values().collect();
     for queue in &mut queues {
         queue.sort_by(|a, b| a.name.cmp(&b.name));
-        let shift = turn % queue.len();
+        let shift = offset % queue.len();
         queue.rotate_left(shift);
     }
     if !queues.is_empty() {
-        let shift = turn % queues.len();
+        let shift = offset % queues.len();
         queues.rotate_left(shift);
     }
     let mut chosen = Vec::new();
@@ -53,15 +54,18 @@
     chosen
 }
 
-/// Which candidate best joins a group whose members stand in `zones`: one of the zone with the fewest of them.
+/// Returns the best candidate to join a group whose members are in `zones`: one in the zone with the fewest members.
 pub fn best_joiner<'a>(candidates: &'a [Candidate], zones: &[String]) -> Option<&'a Candidate> {
-    let crowd = |candidate: &Candidate| zones.iter().filter(|zone| **zone == candidate.zone).count();
-    candidates.iter().min_by(|a, b| crowd(a).cmp(&crowd(b)).then_with(|| a.name.cmp(&b.name)))
+    let members_in_zone =
+        |candidate: &Candidate| zones.iter().filter(|zone| **zone == candidate.zone).count();
+    candidates
+        .iter()
+        .min_by(|a, b| members_in_zone(a).cmp(&members_in_zone(b)).then_with(|| a.name.cmp(&b.name)))
 }
 
-/// The voters that a group should have next; `None` if it is well as it is. One step at a time: a lost voter makes room for
-/// a living candidate, and for nobody only where `wanted` others are left; then the group grows or shrinks to `wanted`.
-/// `own` never leaves a group for being too many.
+/// Returns the voters that a group should have next, or `None` if it needs no change. Each call makes one step: a lost voter
+/// is replaced by a live candidate, or removed without replacement only if `wanted` other voters are left. When no voter is
+/// lost, the group grows or shrinks to `wanted` voters. The voter `own` is never removed to shrink the group.
 pub fn next_voters(
     voters: &[ReplicaId],
     lost: &[ReplicaId],
@@ -76,11 +80,11 @@
     let kept = members.into_iter().filter(|candidate| is_kept(&ReplicaId(candidate.replica)));
     let zones: Vec<String> = kept.map(|candidate| candidate.zone.clone()).collect();
     let joiner = best_joiner(&joiners, &zones).map(|candidate| ReplicaId(candidate.replica));
-    let without = |gone: ReplicaId| voters.iter().copied().filter(move |voter| *voter != gone);
+    let without = |removed: ReplicaId| voters.iter().copied().filter(move |voter| *voter != removed);
     match (voters.iter().copied().find(|voter| !is_kept(voter)), joiner) {
-        (Some(gone), Some(joiner)) => Some(without(gone).chain([joiner]).collect()),
-        (Some(gone), None) if voters.iter().filter(|voter| is_kept(voter)).count() >= wanted => {
-            Some(without(gone).collect())
+        (Some(lost_voter), Some(joiner)) => Some(without(lost_voter).chain([joiner]).collect()),
+        (Some(lost_voter), None) if voters.iter().filter(|voter| is_kept(voter)).count() >= wanted => {
+            Some(without(lost_voter).collect())
         }
         (None, Some(joiner)) if voters.len() < wanted => {
             Some(voters.iter().copied().chain([joiner]).collect())
--- a/crates/tier/src/control/replica_status.rs
+++ b/crates/tier/src/control/replica_status.rs
@@ -1,4 +1,4 @@
-//! How far the replicas of a partition are, and a warning where one machine holds the only complete one.
+//! The progress of the replicas of a partition, and a warning if only one machine holds a complete replica.
 
 use crate::control::partition_host::PartitionHost;
 use grebeusher_quorum::{Index, ReplicaId};
@@ -6,23 +6,24 @@
 use grebeusher_time::{Duration, Instant};
 use tracing::warn;
 
-/// A sole replica that lasts for less is one that others are just about to follow.
+/// How long a replica must be the only complete one before a warning. Within less time the others usually catch up.
 const WARN_DELAY: Duration = Duration::from_millis(1500);
-/// Between two warnings of the same.
+/// The interval between two warnings about the same partition.
 const WARN_INTERVAL: Duration = Duration::from_millis(5000);
 
-/// Up to where a voter has the log of a partition on its disk.
+/// How much of the log of a partition a voter has on its disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// The voter.
+    /// The disk identity of the voter.
     pub voter: ReplicaId,
-    /// The last entry that it has, as far as the leader knows.
+    /// The index of the last entry that the voter has synced, as far as the leader knows.
     pub synced: Index,
-    /// Whether its node runs, as far as is known.
+    /// Whether the node of the voter runs, as far as this node knows.
     pub is_alive: bool,
 }
 
-/// The only running voter that has all that is committed, where the group has others.
+/// Returns the voter that is the only running one with all committed entries; `None` if the group has no other voters, or
+/// if none or several have them.
 pub fn sole_replica(replicas: &[ReplicaStatus], commit: Index) -> Option<ReplicaId> {
     let mut holders = replicas.iter().filter(|replica| replica.is_alive && replica.synced >= commit);
     match (holders.next(), holders.next()) {
@@ -31,30 +32,32 @@
     }
 }
 
-/// Since when a partition has had only one complete replica, and when that was last logged.
+/// Decides when to warn that a partition has only one complete replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SoleReplicaWarning {
+    /// Since when there has been only one; `None` while there are several.
     since: Option<Instant>,
-    logged: Option<Instant>,
+    /// When the last warning was logged.
+    logged_at: Option<Instant>,
 }
 
 impl SoleReplicaWarning {
-    /// Takes the present state; whether a warning is due now.
-    pub fn observe(&mut self, now: Instant, is_alone: bool) -> bool {
-        if !is_alone {
+    /// Records whether there is only one complete replica now. Returns whether a warning is due.
+    pub fn observe(&mut self, now: Instant, is_sole: bool) -> bool {
+        if !is_sole {
             *self = SoleReplicaWarning::default();
             return false;
         }
-        let lasts = now.since(*self.since.get_or_insert(now)) >= WARN_DELAY;
-        let due = self.logged.is_none_or(|logged| now.since(logged) >= WARN_INTERVAL);
-        if lasts && due {
-            self.logged = Some(now);
+        let is_lasting = now.since(*self.since.get_or_insert(now)) >= WARN_DELAY;
+        let is_due = self.logged_at.is_none_or(|logged_at| now.since(logged_at) >= WARN_INTERVAL);
+        if is_lasting && is_due {
+            self.logged_at = Some(now);
         }
-        lasts && due
+        is_lasting && is_due
     }
 }
 
-/// The replicas of a partition that this node leads.
+/// Returns the progress of each replica of a partition that this node leads.
 pub(crate) fn replica_statuses(host: &PartitionHost, registry: &Registry) -> Vec<ReplicaStatus> {
     let is_alive = |voter: ReplicaId| {
         registry.member_by_replica(voter.0).is_some_and(grebeusher_registry::Member::serves)
@@ -63,14 +66,15 @@
     replicas.map(|(voter, synced)| ReplicaStatus { voter, synced, is_alive: is_alive(voter) }).collect()
 }
 
-/// The name of the machine that holds the only complete replica of a partition that this node leads, if one does.
+/// Returns the name of the node with the only complete replica of a partition that this node leads; `None` if several are
+/// complete.
 pub(crate) fn sole_replica_name(host: &PartitionHost, registry: &Registry) -> Option<String> {
     let holder = sole_replica(&replica_statuses(host, registry), host.replica.commit_index())?;
     let member = registry.member_by_replica(holder.0);
     Some(member.map_or_else(|| format!("disk {:016x}", holder.0), |member| member.name.clone()))
 }
 
-/// Warns in the log where one machine holds the only complete replica of a partition for long.
+/// Logs a warning if one node has held the only complete replica of a partition for at least [`WARN_DELAY`].
 pub(crate) fn warn_of_sole_replica(host: &mut PartitionHost, registry: &Registry, now: Instant) {
     let holder = sole_replica_name(host, registry);
     if host.maintenance.sole_replica_warning.observe(now, holder.is_some())
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -1,7 +1,9 @@
-//! Emptying a storage machine: the operator's calls at an edge node, and what the leader of each batch partition says to them.
+//! Retirement of a storage machine, which moves its data to other machines: the operator's calls at an edge node, and the
+//! replies of the leader of each batch partition.
 //!
-//! A refusal rests on what the proven leaders of all partitions say, not on what one node knows of the others: a node that was
-//! cut off or has just started knows few machines. Whoever can't be sure says 503.
+//! A refusal depends on the replies of the leaders of all partitions, which hold leases, and not on the registry of one
+//! node: a node that was partitioned from the others or has just started knows few machines. A node that can't decide
+//! answers 503.
 
 use crate::batch::partition::RETIRE_ENTRY;
 use crate::control::api::{JSON, OPERATOR_TIMEOUT};
@@ -16,141 +18,143 @@
 use rustc_hash::FxHashMap;
 use tracing::info;
 
-/// A machine that is away for less than this may be back: it counts neither as there nor as gone.
+/// How long a machine must have been absent to count as lost. Within this time it may return, and counts neither as present
+/// nor as lost.
 const RETURN_TIMEOUT: Duration = Duration::from_millis(20_000);
 
-/// What the operator asks about a storage machine.
+/// The operator's call about a storage machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireQuestion {
-    /// `Retire.Begin`.
+    /// The call `Retire.Begin`.
     Begin,
-    /// `Retire.Show`.
+    /// The call `Retire.Show`.
     Show,
 }
 
-/// What the leader of one partition says.
+/// The reply of the leader of one partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionVerdict {
-    /// The order is taken, or the partition's data has left the machine.
+    /// The request is accepted, or the data of the partition has left the machine.
     Done,
-    /// The partition's data is still there.
+    /// The data of the partition is still on the machine.
     NotYet,
-    /// The leader knows no such machine.
-    Unknown,
+    /// The leader does not know the machine.
+    UnknownMachine,
     /// Too few machines would be left.
     TooFew,
-    /// Nothing, or nothing for sure.
-    Unsure,
+    /// There is no reply, or the leader could not decide.
+    Undecided,
 }
 
 impl PartitionVerdict {
-    /// The verdict that a reply carries.
+    /// Returns the verdict that a reply means.
     pub fn of(reply: &Reply) -> PartitionVerdict {
         match reply {
             Reply::Done | Reply::Answer { status: 200, .. } => PartitionVerdict::Done,
             Reply::Answer { status: 202, .. } => PartitionVerdict::NotYet,
-            Reply::Answer { status: 404, .. } => PartitionVerdict::Unknown,
+            Reply::Answer { status: 404, .. } => PartitionVerdict::UnknownMachine,
             Reply::Answer { status: 409, .. } => PartitionVerdict::TooFew,
-            _ => PartitionVerdict::Unsure,
+            _ => PartitionVerdict::Undecided,
         }
     }
 }
 
-/// What the verdicts of all partitions come to.
+/// The outcome of an operator's call, combined from the verdicts of all partitions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireOutcome {
-    /// The order is taken.
-    Taken,
-    /// The machine is being emptied.
+    /// The request is accepted.
+    Accepted,
+    /// Data is still being moved from the machine.
     Active,
-    /// The machine is empty.
+    /// The machine holds no more data.
     Complete,
     /// There is no such machine.
     NoSuchMachine,
     /// Too few machines would be left.
     TooFew,
-    /// It is to be asked again.
-    Unsure,
+    /// The outcome is not known. The operator is to retry.
+    Undecided,
 }
 
-/// What the verdicts of all partitions come to. `known_here`: whether this node knows the machine itself.
+/// Combines the verdicts of all partitions. `is_known_locally` tells whether the registry of this node has the machine.
 pub fn combined_outcome(
     question: RetireQuestion,
     verdicts: &[PartitionVerdict],
-    known_here: bool,
+    is_known_locally: bool,
 ) -> RetireOutcome {
     let any = |wanted: PartitionVerdict| verdicts.contains(&wanted);
     let all = |wanted: PartitionVerdict| verdicts.iter().all(|verdict| *verdict == wanted);
-    if any(PartitionVerdict::Unsure) || verdicts.is_empty() {
-        return RetireOutcome::Unsure;
+    if any(PartitionVerdict::Undecided) || verdicts.is_empty() {
+        return RetireOutcome::Undecided;
     }
-    if all(PartitionVerdict::Unknown) && !known_here {
+    if all(PartitionVerdict::UnknownMachine) && !is_known_locally {
         return RetireOutcome::NoSuchMachine;
     }
-    if any(PartitionVerdict::Unknown) {
-        return RetireOutcome::Unsure;
+    if any(PartitionVerdict::UnknownMachine) {
+        return RetireOutcome::Undecided;
     }
     if any(PartitionVerdict::TooFew) {
         return RetireOutcome::TooFew;
     }
     match question {
-        RetireQuestion::Begin => RetireOutcome::Taken,
+        RetireQuestion::Begin => RetireOutcome::Accepted,
         RetireQuestion::Show if all(PartitionVerdict::Done) => RetireOutcome::Complete,
         RetireQuestion::Show => RetireOutcome::Active,
     }
 }
 
-/// An operator's request that every batch partition has to answer.
+/// An operator's call that waits for the verdicts of all batch partitions.
 struct RetireRequest {
     connection: usize,
     serial: u64,
     question: RetireQuestion,
-    known_here: bool,
-    partitions: usize,
+    is_known_locally: bool,
+    partition_count: usize,
     verdicts: Vec<PartitionVerdict>,
 }
 
-/// The operators' requests that wait for verdicts of partitions.
+/// The operator's calls that wait for verdicts, by their serial numbers.
 #[derive(Default)]
 pub(crate) struct RetireRequests {
     pending: FxHashMap<u64, RetireRequest>,
 }
 
 impl RetireRequests {
-    /// Notes one partition's verdict; the request, once it was the last one.
+    /// Adds the verdict of one partition. Removes and returns the request if it was the last one.
     fn add_verdict(&mut self, number: u64, verdict: PartitionVerdict) -> Option<RetireRequest> {
         let request = self.pending.get_mut(&number)?;
         request.verdicts.push(verdict);
-        if request.verdicts.len() < request.partitions {
+        if request.verdicts.len() < request.partition_count {
             return None;
         }
         self.pending.remove(&number)
     }
 }
 
-/// The HTTP answer to an operator.
+/// Encodes the HTTP answer to an operator.
 fn http_answer(outcome: RetireOutcome) -> Vec<u8> {
     let (status, body): (u16, &[u8]) = match outcome {
-        RetireOutcome::Taken => (200, b"{}"),
+        RetireOutcome::Accepted => (200, b"{}"),
         RetireOutcome::Active => (200, b"{\"state\":\"active\"}"),
         RetireOutcome::Complete => (200, b"{\"state\":\"complete\"}"),
         RetireOutcome::NoSuchMachine => (404, b"{}"),
         RetireOutcome::TooFew => (409, b"{}"),
-        RetireOutcome::Unsure => (503, b"{}"),
+        RetireOutcome::Undecided => (503, b"{}"),
     };
     http::answer(status, &[JSON], body)
 }
 
-/// How many machines would be left for a partition.
+/// The number of machines that would be left to hold the replicas of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Remaining {
-    there: usize,
-    /// Of those that are away for a short time.
+    /// The number of machines that are alive or only suspected of failure.
+    present: usize,
+    /// The number of machines that have been absent for less than [`RETURN_TIMEOUT`].
     may_return: usize,
 }
 
 impl Node {
-    /// An operator's call about a storage machine.
+    /// Handles an operator's call about a storage machine: asks the leaders of all batch partitions.
     pub(crate) fn retire(&mut self, connection: usize, serial: u64, node: &str, question: RetireQuestion) {
         if self.refuse_call_if_too_late(connection, OPERATOR_TIMEOUT) {
             return;
@@ -160,8 +164,8 @@
             connection,
             serial,
             question,
-            known_here: self.knows_storage_node(node),
-            partitions: partitions.len(),
+            is_known_locally: self.knows_storage_node(node),
+            partition_count: partitions.len(),
             verdicts: Vec::new(),
         };
         let number = self.next_serial();
@@ -177,15 +181,15 @@
         }
     }
 
-    /// One partition's verdict on a storage machine that is to be emptied.
+    /// Handles the reply of the leader of one partition. Answers the operator once all have replied.
     pub(crate) fn retire_reply(&mut self, number: u64, reply: &Reply) {
         let verdict = PartitionVerdict::of(reply);
         let Some(request) = self.retire_requests.add_verdict(number, verdict) else { return };
-        let outcome = combined_outcome(request.question, &request.verdicts, request.known_here);
+        let outcome = combined_outcome(request.question, &request.verdicts, request.is_known_locally);
         self.answer(request.connection, request.serial, http_answer(outcome));
     }
 
-    /// Whether a name is that of a machine that keeps data, dead ones of late included.
+    /// Whether the registry has a storage machine with this name. The registry also keeps machines that failed recently.
     fn knows_storage_node(&self, name: &str) -> bool {
         self.registry.member(name).is_some_and(|member| member.class == Class::Storage)
     }
@@ -193,19 +197,19 @@
     pub(crate) fn begin_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
         let now = self.now;
         let Some(index) = self.led_index(number, waiter) else { return };
-        let refused = |status| Reply::Answer { status, body: Vec::new() };
+        let refusal = |status| Reply::Answer { status, body: Vec::new() };
         let Some(partition) = self.batch_mut(index) else { return };
         if partition.retiring.contains(node) {
             return self.reply(waiter.peer, waiter.number, Reply::Done);
         }
         if !self.knows_storage_node(node) {
-            return self.reply(waiter.peer, waiter.number, refused(404));
+            return self.reply(waiter.peer, waiter.number, refusal(404));
         }
         let wanted = self.group_size();
         let remaining = self.remaining_without(index, node);
-        if remaining.there < wanted {
-            let may_be_enough = remaining.there + remaining.may_return >= wanted;
-            let reply = if may_be_enough { Reply::Unavailable } else { refused(409) };
+        if remaining.present < wanted {
+            let may_be_enough = remaining.present + remaining.may_return >= wanted;
+            let reply = if may_be_enough { Reply::Unavailable } else { refusal(409) };
             return self.reply(waiter.peer, waiter.number, reply);
         }
         let mut entry = vec![RETIRE_ENTRY];
@@ -215,7 +219,7 @@
         }
     }
 
-    /// The machines that could hold a partition when one more is emptied.
+    /// Counts the machines that could hold a partition after one more machine is retired.
     fn remaining_without(&mut self, index: usize, node: &str) -> Remaining {
         let class = class_of_partition(self.partitions[index].partition);
         let retiring = self.partitions[index].retiring_nodes();
@@ -225,11 +229,11 @@
                 && member.name != node
                 && !retiring.contains(&member.name)
         });
-        let mut remaining = Remaining { there: 0, may_return: 0 };
+        let mut remaining = Remaining { present: 0, may_return: 0 };
         for member in others {
             let since = self.registry.state_since(&member.name).unwrap_or(self.now);
             match member.state {
-                MemberState::Alive | MemberState::Suspect => remaining.there += 1,
+                MemberState::Alive | MemberState::Suspect => remaining.present += 1,
                 _ if self.now.since(since) < RETURN_TIMEOUT => remaining.may_return += 1,
                 _ => {}
             }
@@ -237,15 +241,16 @@
         remaining
     }
 
-    /// 200: the partition's data has left the node; 202: not yet.
+    /// Replies whether the data of the partition has left the node. The reply is `Done` if it has, and an answer with status
+    /// 202 if it has not or 404 if there is no such node.
     pub(crate) fn show_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
         let Some(index) = self.led_index(number, waiter) else { return };
-        let asked = self.partitions[index].retiring_nodes().iter().any(|retiring| retiring == node);
-        let known = asked || self.knows_storage_node(node);
-        let reply = if asked && self.is_complete_without(index, node) {
+        let is_retiring = self.partitions[index].retiring_nodes().iter().any(|retiring| retiring == node);
+        let is_known = is_retiring || self.knows_storage_node(node);
+        let reply = if is_retiring && self.is_complete_without(index, node) {
             info!(partition = number, node, "retired node holds no more data");
             Reply::Done
-        } else if known {
+        } else if is_known {
             Reply::Answer { status: 202, body: Vec::new() }
         } else {
             Reply::Answer { status: 404, body: Vec::new() }
@@ -253,18 +258,18 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// Whether a partition's group stands without a node as if that had never been there: the group that does not name it is
-    /// decided, so that each committed entry is on a quorum of it, and all its voters are living nodes. A voter that nobody
-    /// can name, or whose node is away, may be a former identity of that node or a loss that has still to be mended: with
-    /// the machine gone the next loss might leave no quorum.
+    /// Whether the group of a partition is complete without a node: the group without the node is committed, so that a quorum
+    /// of it has each committed entry, and all voters are running nodes. A voter with an unknown name or an absent node may be
+    /// a former identity of the retired node, or a loss that is not repaired yet: once the retired machine is removed, the
+    /// next loss might leave no quorum.
     fn is_complete_without(&self, index: usize, node: &str) -> bool {
         let replica = &self.partitions[index].replica;
-        let lives_elsewhere = |voter: &ReplicaId| {
+        let is_on_another_node = |voter: &ReplicaId| {
             let member = self.registry.member_by_replica(voter.0);
             member.is_some_and(|member| member.serves() && member.name != node)
         };
         replica.is_group_stable()
             && replica.group().voters.len() >= self.group_size()
-            && replica.group().voters.iter().all(lives_elsewhere)
+            && replica.group().voters.iter().all(is_on_another_node)
     }
 }
--- a/crates/tier/src/control/rollout_sync.rs
+++ b/crates/tier/src/control/rollout_sync.rs
@@ -1,8 +1,8 @@
-//! How each node learns which versions of services get requests.
+//! Synchronization of the service versions that get requests, from the leader of the configuration to each node.
 //!
-//! [`RolloutSync`] owns what this node knows. A node asks the leader when it starts, while it sees executors whose version is
-//! not in force or of whose service it knows none, and while a roll-out is under way; in between nothing is sent. Replicas of
-//! the configuration also hear of each change by their log.
+//! [`RolloutSync`] owns the versions that this node knows. A node asks the leader when it starts, while it sees executors
+//! whose version is not in force or whose service has no known version, and while a roll-out is in progress; otherwise it
+//! sends nothing. Replicas of the configuration also receive each change in their log.
 
 use crate::control::api::CONFIGURATION_PARTITION;
 use crate::links::calls::Continuation;
@@ -15,76 +15,80 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-/// Between two questions to the leader while a roll-out is under way, or before its first answer.
+/// The interval between two calls to the leader while a roll-out is in progress, or before the first reply of the leader.
 const SYNC_INTERVAL: Duration = Duration::from_millis(300);
-/// The same while executors have a version that nobody ordered, or that of their service is unknown.
+/// The interval between two calls to the leader while executors have a version without an order, or the version in force of
+/// their service is unknown.
 const IDLE_SYNC_INTERVAL: Duration = Duration::from_millis(1000);
-/// The leader answers within this.
+/// How long the leader may take to reply.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(900);
-/// A node that has just started waits this long for the leader's answer; then what it sees must do. The platform sends it
-/// clients from then on.
-const PROOF_TIMEOUT: Duration = Duration::from_millis(900);
-/// The share of its time after which a roll-out without a verdict is reverted; the rest is for the operators to hear of it.
-const VERDICT_SHARE: f64 = 0.9;
+/// How long a node that has just started waits for the reply of the leader. After that it judges versions by the executors
+/// that it sees, as the platform then sends it clients.
+const LEADER_REPLY_TIMEOUT: Duration = Duration::from_millis(900);
+/// The share of its duration after which a roll-out that is still active is reverted. In the rest the operators learn of it.
+const REVERT_AFTER_SHARE: f64 = 0.9;
 
-/// What a node knows of versions, and when it asks for more.
+/// The versions that a node knows, and the state of its calls to the leader.
 pub(crate) struct RolloutSync {
-    /// Whether versions without an order are withheld: the deployment is held to the rules of roll-outs.
-    enforced: bool,
+    /// Whether executors of versions without an order get no requests, as the contract `rollout` is in force.
+    is_enforced: bool,
     policy: VersionPolicy,
     /// When this node first heard of the active roll-out of each service.
     first_heard: BTreeMap<String, FirstHeard>,
-    /// Whether the leader has answered since the start.
-    proven: bool,
+    /// Whether the leader has replied since the process started.
+    is_confirmed: bool,
+    /// Whether the timer of the next call is set.
     is_scheduled: bool,
-    is_asking: bool,
+    /// Whether a call to the leader is in progress.
+    is_calling: bool,
 }
 
-/// The time by both clocks of a node.
+/// The present time by both clocks of a node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NodeTime {
-    /// Since the start of the process.
+    /// The time by the monotonic clock since the start of the process.
     pub now: Instant,
-    /// The time of day (milliseconds since 1970).
+    /// The time of day, in milliseconds since 1970.
     pub wall_ms: u64,
 }
 
-/// When a node first heard of a roll-out.
+/// The target version of a roll-out, and when this node first heard of it.
 struct FirstHeard {
     target_version: String,
     at: Instant,
 }
 
 impl RolloutSync {
-    /// Nothing is known yet.
-    pub fn new(enforced: bool) -> RolloutSync {
+    /// Starts without any known version.
+    pub fn new(is_enforced: bool) -> RolloutSync {
         RolloutSync {
-            enforced,
+            is_enforced,
             policy: VersionPolicy::new(),
             first_heard: BTreeMap::new(),
-            proven: false,
+            is_confirmed: false,
             is_scheduled: false,
-            is_asking: false,
+            is_calling: false,
         }
     }
 
-    /// Whether the deployment is held to the rules of roll-outs.
+    /// Whether the contract `rollout` is in force, so that executors of versions without an order get no requests.
     pub fn is_enforced(&self) -> bool {
-        self.enforced
+        self.is_enforced
     }
 
-    /// What the routing goes by now.
+    /// Returns the permissions of versions at present, for the routing.
     pub fn permissions(&self, now: Instant) -> VersionPermissions<'_> {
-        let awaits_leader_reply = self.enforced && !self.proven && now < Instant(0) + PROOF_TIMEOUT;
-        VersionPermissions { policy: &self.policy, enforced: self.enforced, awaits_leader_reply }
+        let awaits_leader_reply =
+            self.is_enforced && !self.is_confirmed && now < Instant(0) + LEADER_REPLY_TIMEOUT;
+        VersionPermissions { policy: &self.policy, enforced: self.is_enforced, awaits_leader_reply }
     }
 
-    /// The versions of all services, as far as they are known.
+    /// Returns the known versions of all services.
     pub fn services(&self) -> &[ServiceVersions] {
         self.policy.state().services()
     }
 
-    /// Takes a state over if it is newer. Whether it is.
+    /// Replaces the known versions if the given ones are newer. Returns whether they are.
     fn update(&mut self, now: Instant, rollouts: Rollouts) -> bool {
         let is_newer = self.policy.update(rollouts);
         if is_newer {
@@ -93,33 +97,35 @@
         is_newer
     }
 
+    /// Records when this node first heard of each active roll-out.
     fn note_active_rollouts(&mut self, now: Instant) {
-        let mut before = std::mem::take(&mut self.first_heard);
+        let mut previous = std::mem::take(&mut self.first_heard);
         let services = self.policy.state().services();
         for versions in services {
             let Some(Rollout { target_version, .. }) = versions.active_rollout() else { continue };
             let known =
-                before.remove(&versions.service).filter(|known| known.target_version == *target_version);
+                previous.remove(&versions.service).filter(|known| known.target_version == *target_version);
             let first = known.unwrap_or(FirstHeard { target_version: target_version.clone(), at: now });
             self.first_heard.insert(versions.service.clone(), first);
         }
     }
 
-    /// How long ago the order of an active roll-out was taken. The steady clock leaves out the time in which this node did not
-    /// run, and the time of day may be set: the longer of the two counts.
+    /// Returns how long ago the order of an active roll-out was accepted. The monotonic clock omits the time in
+    /// which this process did not run, and the time of day may be set: the longer of the two durations counts.
     fn elapsed(&self, time: NodeTime, service: &str, rollout: &Rollout) -> Duration {
         let first_heard = self.first_heard.get(service);
-        let by_steady_clock = first_heard.map(|first| time.now.since(first.at)).unwrap_or_default();
+        let by_monotonic_clock = first_heard.map(|first| time.now.since(first.at)).unwrap_or_default();
         let by_time_of_day = Duration::from_millis(time.wall_ms.saturating_sub(rollout.begun_at_wall_ms));
-        by_steady_clock.max(by_time_of_day)
+        by_monotonic_clock.max(by_time_of_day)
     }
 
-    /// The entry that ends a roll-out whose time is over: the version before it stays in force.
+    /// Returns an entry that reverts a roll-out whose time is over; the version before it stays in force. Returns `None` if
+    /// there is no such roll-out.
     pub fn next_expired(&self, time: NodeTime) -> Option<Entry> {
         let mut expired = self.services().iter().filter_map(|versions| {
             let rollout = versions.active_rollout()?;
-            let allowed = Duration::from_millis(rollout.ramp_ms).scaled(VERDICT_SHARE);
-            let is_over = self.elapsed(time, &versions.service, rollout) >= allowed;
+            let time_limit = Duration::from_millis(rollout.ramp_ms).scaled(REVERT_AFTER_SHARE);
+            let is_over = self.elapsed(time, &versions.service, rollout) >= time_limit;
             is_over.then(|| Entry::Revert {
                 service: versions.service.clone(),
                 target_version: rollout.target_version.clone(),
@@ -128,10 +134,10 @@
         expired.next()
     }
 
-    /// When the leader is to be asked next, from now on; `None`: there is nothing to ask.
+    /// Returns the delay until the next call to the leader; `None` if none is needed.
     fn interval(&self, has_unconfirmed_versions: bool) -> Option<Duration> {
         let has_active_rollout = self.policy.state().has_active_rollout();
-        if has_active_rollout || (self.enforced && !self.proven) {
+        if has_active_rollout || (self.is_enforced && !self.is_confirmed) {
             Some(SYNC_INTERVAL)
         } else {
             has_unconfirmed_versions.then_some(IDLE_SYNC_INTERVAL)
@@ -140,7 +146,7 @@
 }
 
 impl Node {
-    /// The versions of services have changed, by the log or by what the leader says.
+    /// Replaces the known versions by those from the log or from the leader, if these are newer.
     pub(crate) fn versions_changed(&mut self, rollouts: Rollouts) {
         let revision = rollouts.revision();
         if !self.rollouts.update(self.now, rollouts) {
@@ -154,14 +160,14 @@
         }
     }
 
-    /// A node that starts asks at once where it may use no executor before it knows the versions.
-    pub(crate) fn prove_versions(&mut self) {
-        if self.rollouts.enforced {
+    /// Asks the leader for the versions when the node starts, if it may send no requests before it knows them.
+    pub(crate) fn request_leader_versions(&mut self) {
+        if self.rollouts.is_enforced {
             self.sync_rollouts();
         }
     }
 
-    /// Has the leader asked soon, if there is anything to ask.
+    /// Sets the timer of the next call to the leader, if one is needed and the timer is not set.
     pub(crate) fn schedule_rollout_sync(&mut self) {
         let has_unconfirmed_versions = self.requests.routing.has_unconfirmed_versions();
         let Some(interval) = self.rollouts.interval(has_unconfirmed_versions) else { return };
@@ -176,29 +182,29 @@
     pub(crate) fn sync_rollouts(&mut self) {
         self.rollouts.is_scheduled = false;
         self.schedule_rollout_sync();
-        // What is unproven, or undecided, is looked at again as time goes on.
+        // Permissions also depend on the time, so the routing is updated.
         self.routing_changed = true;
-        if self.rollouts.is_asking {
+        if self.rollouts.is_calling {
             return;
         }
-        self.rollouts.is_asking = true;
+        self.rollouts.is_calling = true;
         let call = Call::SyncRollouts { newer_than: self.rollouts.policy.revision() };
         let until = self.now + SYNC_TIMEOUT;
         self.call_leader(CONFIGURATION_PARTITION, call, until, Continuation::Rollouts);
     }
 
-    /// The leader has answered, or has not.
+    /// Handles the reply of the leader, or its absence.
     pub(crate) fn rollouts_synced(&mut self, reply: &Reply) {
-        self.rollouts.is_asking = false;
+        self.rollouts.is_calling = false;
         match reply {
             Reply::Rollouts(bytes) => match Rollouts::decode(bytes) {
                 Ok(rollouts) => {
-                    self.rollouts.proven = true;
+                    self.rollouts.is_confirmed = true;
                     self.versions_changed(rollouts);
                 }
                 Err(_) => warn!(bytes = bytes.len(), "versions of services unreadable"),
             },
-            Reply::Done => self.rollouts.proven = true,
+            Reply::Done => self.rollouts.is_confirmed = true,
             _ => {}
         }
         self.routing_changed = true;
--- a/crates/tier/src/control/rollouts.rs
+++ b/crates/tier/src/control/rollouts.rs
@@ -1,6 +1,6 @@
-//! New versions of services: the operator's orders, and what the leader of the configuration does about them.
+//! Roll-outs of new versions of services: the operator's orders, and their handling by the leader of the configuration.
 //!
-//! The state is that of the configuration's partition. How other nodes learn of it is up to `rollout_sync`.
+//! The state is part of the configuration partition. The other nodes learn of it by `rollout_sync`.
 
 use crate::control::api::{CONFIGURATION_PARTITION, OPERATOR_TIMEOUT};
 use crate::control::configuration_partition::ConfigurationPartition;
@@ -17,11 +17,11 @@
 use tinyjson::JsonValue;
 use tracing::warn;
 
-/// A leader has heard of most executors by then, so that it can tell which version they have.
+/// How long a leader waits before it determines the versions in force. By then it has received heartbeats of most executors.
 const OBSERVATION_DURATION: Duration = Duration::from_millis(1500);
 
 impl Node {
-    /// An operator's order. Where the rules of roll-outs are not in force nodes go by no versions, so none is taken.
+    /// Handles an operator's order. If the contract `rollout` is not in force, nodes ignore versions, and the order is refused.
     pub(crate) fn begin_rollout(&mut self, connection: usize, serial: u64, body: &[u8]) {
         if !self.rollouts.is_enforced() {
             let reason = b"the contract `rollout` is not in force";
@@ -37,7 +37,7 @@
         self.ask_leader_of_rollouts(connection, serial, Call::BeginRollout(order));
     }
 
-    /// The operator asks how far a roll-out is.
+    /// Handles an operator's call for the state of a roll-out.
     pub(crate) fn show_rollout(&mut self, connection: usize, serial: u64, service: &str) {
         let service = service.to_owned();
         self.ask_leader_of_rollouts(connection, serial, Call::ShowRollout { service });
@@ -52,7 +52,7 @@
         self.call_leader(CONFIGURATION_PARTITION, call, self.now + OPERATOR_TIMEOUT, continuation);
     }
 
-    /// An operator's order, at the leader or at a node that is taken for it.
+    /// Handles an operator's order, which was sent to this node as the presumed leader.
     pub(crate) fn begin_rollout_at_leader(&mut self, waiter: Waiter, order: RolloutOrder) {
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let answer = |status| Reply::Answer { status, body: b"{}".to_vec() };
@@ -65,7 +65,7 @@
             OrderDecision::Accept => {}
         }
         if partition.has_pending_rollouts() {
-            // It may be this very order: judged anew once that is decided.
+            // The pending entry may be of the same order. The call is decided once that entry is committed.
             return self.partitions[index].deferred.push(waiter);
         }
         match self.is_configured(&order.service) {
@@ -81,18 +81,18 @@
         }
     }
 
-    /// How far a roll-out is, at the leader.
+    /// Replies with the state of a roll-out, if this node is the leader.
     pub(crate) fn show_rollout_at_leader(&mut self, waiter: Waiter, service: &str) {
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let Some(partition) = self.configuration_partition(index) else { return };
-        let reply = match partition.rollouts().service(service).and_then(shown_rollout) {
+        let reply = match partition.rollouts().service(service).and_then(rollout_json) {
             Some(body) => Reply::Answer { status: 200, body },
             None => Reply::Answer { status: 404, body: b"{}".to_vec() },
         };
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// A node asks for the versions of all services.
+    /// Replies with the versions of all services if they are newer than those that the calling node knows.
     pub(crate) fn sync_rollouts_at_leader(&mut self, waiter: Waiter, newer_than: u64) {
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let Some(partition) = self.configuration_partition(index) else { return };
@@ -102,8 +102,8 @@
         self.reply(waiter.peer, waiter.number, reply);
     }
 
-    /// What the leader of the configuration does by itself: it notes which version of each service is in force, and ends
-    /// roll-outs whose time is over.
+    /// Proposes the entries that the leader of the configuration adds without an order: the version in force of each service,
+    /// and the end of roll-outs whose time is over.
     pub(crate) fn maintain_rollouts(&mut self, index: usize) {
         let Some(partition) = self.configuration_partition(index) else { return };
         if partition.has_pending_rollouts() {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The version of a configured service that is not noted yet.
+    /// Returns an entry with the version in force of a configured service for which none is recorded yet.
     fn next_version_in_force(&self, index: usize, rollouts: &Rollouts) -> Option<Entry> {
         let leader_since = self.partitions[index].leader_since()?;
         if !self.rollouts.is_enforced() || self.now.since(leader_since) < OBSERVATION_DURATION {
@@ -126,17 +126,17 @@
         }
         let active = self.configuration.active()?;
         let services = active.routes.configuration().services.iter().map(|service| service.name.as_str());
-        let unknown = services.filter(|service| rollouts.version_in_force(service).is_none());
-        let mut found = unknown.filter_map(|service| {
+        let unrecorded = services.filter(|service| rollouts.version_in_force(service).is_none());
+        let mut entries = unrecorded.filter_map(|service| {
             let rollout = rollouts.service(service).and_then(|versions| versions.rollout.as_ref());
             let target = rollout.map(|rollout| rollout.target_version.as_str());
             let version = prevalent_version(&self.registry, service, target)?;
             Some(Entry::VersionInForce { service: service.to_owned(), version })
         });
-        found.next()
+        entries.next()
     }
 
-    /// Whether a service stands in the configuration in force; `None` if there is no configuration.
+    /// Whether the configuration in force has a service; `None` if there is no configuration.
     fn is_configured(&self, service: &str) -> Option<bool> {
         let active = self.configuration.active()?;
         let services = &active.routes.configuration().services;
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whether the log takes the entry.
+    /// Proposes an entry. Returns whether the replica accepted the proposal.
     fn propose_rollout_entry(&mut self, index: usize, entry: &Entry, waiter: Option<Waiter>) -> bool {
         let now = self.now;
         let host = &mut self.partitions[index];
@@ -165,7 +165,7 @@
     }
 }
 
-/// The version that most executors of a service have, other than `except`.
+/// Returns the version that most executors of a service have, except the version `except`.
 fn prevalent_version(registry: &Registry, service: &str, except: Option<&str>) -> Option<String> {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     let executors = registry.executors().filter(|executor| executor.exists() && !executor.unresponsive);
@@ -176,8 +176,8 @@
     others.max_by_key(|(_, count)| *count).map(|(version, _)| version.to_owned())
 }
 
-/// The body of the answer to `Rollouts.Show`.
-fn shown_rollout(versions: &ServiceVersions) -> Option<Vec<u8>> {
+/// Encodes the body of the answer to `Rollouts.Show`.
+fn rollout_json(versions: &ServiceVersions) -> Option<Vec<u8>> {
     let rollout = versions.rollout.as_ref()?;
     let state = match rollout.state {
         RolloutState::Active => "active",
--- a/crates/tier/src/control/status.rs
+++ b/crates/tier/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What a node says of itself and of the tier, for operators.
+//! The status of a node and of the tier as the node knows it, for operators and the platform.
 
 use crate::batch::api::BATCH_PARTITIONS;
 use crate::control::partition_host::Application;
@@ -8,20 +8,21 @@
 use grebeusher_time::{Duration, DurationExt};
 use std::fmt::{self, Write};
 
-/// A node that the leader has not answered serves by what its peers have after this.
-const PROOF_TIMEOUT: Duration = Duration::from_millis(900);
+/// How long a node waits for the leader to confirm its configuration. After that it serves by that of its peers.
+const LEADER_REPLY_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Node {
-    /// Whether the platform should send clients: a configuration proven by its leader, executors known, not stopping, and
-    /// not cut off from all other nodes, as clients are better off elsewhere then.
+    /// Whether the platform should send clients to this node: it has a configuration that the leader has confirmed, knows
+    /// executors, is not shutting down, and is not partitioned from all other nodes, in which case other nodes serve clients
+    /// better.
     pub fn is_ready(&self) -> bool {
-        let proven = self.configuration.is_proven() || self.now.0 >= PROOF_TIMEOUT.nanos();
-        let executors_known = self.registry.executors().next().is_some();
-        let serves = self.configuration.active().is_some() && proven && executors_known;
-        !self.stopping() && serves && !self.registry.is_isolated(self.now)
+        let is_confirmed = self.configuration.is_confirmed() || self.now.0 >= LEADER_REPLY_TIMEOUT.nanos();
+        let has_executors = self.registry.executors().next().is_some();
+        let can_serve = self.configuration.active().is_some() && is_confirmed && has_executors;
+        !self.stopping() && can_serve && !self.registry.is_isolated(self.now)
     }
 
-    /// Members, executors, partitions, leaders and counters, a line each.
+    /// Returns the status with one line for each member, partition, executor, version and group of counters.
     pub fn status_text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -1,4 +1,4 @@
-//! `grebeusher-tier`: a process of the serving tier.
+//! The program `grebeusher-tier`, which runs a node of the serving tier.
 
 use bpaf::{Parser, construct, positional, short};
 use grebeusher_tier::node::Node;
@@ -14,17 +14,17 @@
 use std::rc::Rc;
 use tracing::{Level, error};
 
-/// Names the settings file of the process.
+/// The environment variable with the path of the settings file.
 const SETTINGS_FILE: &str = "GREBEUSHER_NODE_FILE";
 
-/// What is asked for on the command line.
+/// A command of the program.
 #[derive(Clone, Debug)]
 enum Command {
-    /// Runs a node; its settings say of which class.
+    /// Runs a node, whose class is in its settings.
     Run { verbose: bool },
     /// Checks a settings file.
     Check { file: PathBuf },
-    /// Shows the status of a tier as a running node knows it.
+    /// Prints the status of a tier as a running node knows it.
     Show { address: SocketAddrV4 },
 }
 
@@ -96,11 +96,11 @@
 }
 
 fn run(verbose: bool) -> ExitCode {
-    let written = if verbose { Level::DEBUG } else { Level::WARN };
-    // Only a second subscriber is an error, and there is none.
+    let written_level = if verbose { Level::DEBUG } else { Level::WARN };
+    // This fails only if a subscriber is already set, which is never the case here.
     let _ = tracing::subscriber::set_global_default(LogRing::new(
         Level::DEBUG,
-        written,
+        written_level,
         Box::new(|line| eprintln!("{line}")),
     ));
     let Some(path) = std::env::var_os(SETTINGS_FILE).map(PathBuf::from) else {
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -1,7 +1,8 @@
-//! One process of the tier: the parts that it is composed of, and its loop.
+//! A process of the tier: its components and its event loop.
 //!
-//! The loop reads the clock once a turn, routes events and due timers to the folders, then pumps what follows from them and
-//! flushes the links. State of one concern belongs to a type in its folder; a field is added here only for a new concern.
+//! Each turn of the loop reads the clock once, dispatches events and expired timers to the modules, carries out the actions
+//! that result from them, and flushes the links. The state of each concern belongs to a type in the module of the concern;
+//! a field is added to [`Node`] only for a new concern.
 
 use crate::batch::items::ItemRuns;
 use crate::control::active_configuration::ServedConfiguration;
@@ -37,27 +38,27 @@
 use rand_pcg::Pcg64;
 use std::io;
 
-/// Keys of the poller. From `FIRST_CONNECTION` on they are connections.
+/// The keys of events from the poller. Keys from [`FIRST_CONNECTION`](keys::FIRST_CONNECTION) on belong to connections.
 pub mod keys {
-    /// The address of clients.
+    /// The key of the listener for clients.
     pub const FRONTEND: usize = 0;
-    /// The address of the platform's checks.
+    /// The key of the listener for readiness checks of the platform.
     pub const READINESS: usize = 1;
-    /// The address of executors and operators.
+    /// The key of the listener for executors and operators.
     pub const CONTROL: usize = 2;
-    /// The address of the other nodes.
+    /// The key of the listener for other nodes.
     pub const INTERNAL: usize = 3;
-    /// Signals.
+    /// The key of received signals.
     pub const SIGNALS: usize = 4;
-    /// The first connection.
+    /// The key of the connection with index 0.
     pub const FIRST_CONNECTION: usize = 16;
 }
 
-/// How often slow housekeeping is done.
+/// The interval of the cleanup of idle connections and expired state.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// How often executors that have fallen silent are looked for.
+/// The interval between two checks for unresponsive executors, while requests run on any.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(100);
-/// The loop waits at most this long.
+/// The maximum time that the loop waits for an event.
 const MAX_WAIT: Duration = Duration::from_millis(1000);
 
 /// One process of the tier.
@@ -87,15 +88,15 @@
     pub(crate) items: ItemRuns,
     pub(crate) replica_names: ReplicaNames,
     pub(crate) traffic: Traffic,
-    /// Whether a review of the executors is due.
-    reviews_executors: bool,
-    /// Set once the process got SIGTERM.
+    /// Whether the timer of the next check for unresponsive executors is set.
+    is_review_scheduled: bool,
+    /// The graceful shutdown; `None` until SIGTERM is received.
     pub(crate) shutdown: Option<GracefulShutdown>,
     pub(crate) exit: bool,
 }
 
 impl Node {
-    /// Puts a process together from what its start has read and opened.
+    /// Creates a node from the resources opened at its start.
     pub fn new(start: Start) -> Result<Node, StartError> {
         let Start { settings, world, listeners, registry, identity, partitions, seed } = start;
         let bootstrapper = Bootstrapper::for_settings(&settings);
@@ -127,7 +128,7 @@
             partitions,
             bootstrapper,
             traffic: Traffic::default(),
-            reviews_executors: false,
+            is_review_scheduled: false,
             shutdown: None,
             exit: false,
         };
@@ -135,6 +136,7 @@
         Ok(node)
     }
 
+    /// Sets the first timers, loads the hints of an earlier process, and sends the first calls to the leader.
     fn set_first_timers(&mut self) {
         let now = self.now;
         self.alarms.set(now + SWEEP_INTERVAL, Timer::Sweep);
@@ -150,17 +152,17 @@
         let folder = self.settings.data_path.as_deref();
         self.popularity =
             PrefixPopularity::start(now, &mut self.requests.routing, &self.registry, &*self.world, folder);
-        self.prove_configuration();
-        self.prove_versions();
+        self.request_leader_configuration();
+        self.request_leader_versions();
         if self.bootstrapper.is_some() {
             self.alarms.set(now + crate::control::bootstrap::POLL_INTERVAL, Timer::Bootstrap);
         }
     }
 
-    /// Runs until the process gets SIGTERM and has finished.
+    /// Runs the event loop until the graceful shutdown is complete.
     ///
     /// # Errors
-    /// A disk or the poller fails: the process ends, and starts again from what is on disk.
+    /// Fails if a disk or the poller fails. The process then exits and is restarted with the state on the disk.
     pub fn run(&mut self) -> Result<(), RunError> {
         let mut events = Vec::new();
         self.turn(&events)?;
@@ -172,10 +174,10 @@
         Ok(())
     }
 
-    /// One turn of the loop: what has happened, what fell due, and all that follows from it.
+    /// Runs one turn of the event loop: handles the events and the expired timers, and carries out the resulting actions.
     ///
     /// # Errors
-    /// A disk fails: the process ends.
+    /// Fails if a disk fails. The process then exits.
     pub fn turn(&mut self, events: &[Event]) -> Result<(), RunError> {
         self.now = self.world.now();
         self.traffic.turns += 1;
@@ -186,7 +188,7 @@
         while let Some(timer) = self.alarms.due(self.now) {
             self.handle_timer(timer);
         }
-        // Nothing is begun any more by a process that ends with this turn.
+        // A process that exits with this turn starts no more requests.
         if !self.exit {
             self.dispatch_unread_input();
         }
@@ -201,7 +203,7 @@
         Ok(())
     }
 
-    /// When the loop turns next if nothing happens before.
+    /// Returns when the next turn of the loop is due if there is no event before.
     pub fn next_wake(&self) -> Instant {
         let mut wake = self.now + MAX_WAIT;
         if let Some(alarm) = self.alarms.next_at() {
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Another node's counts of popular prefixes have come.
+    /// Handles a message with another node's counts of popular prefixes.
     pub(crate) fn receive_popularity(&mut self, payload: &[u8]) {
         match self.popularity.receive(self.now, &mut self.requests.routing, &self.registry, payload) {
             Ok(message) => self.send_popularity(message),
@@ -287,33 +289,34 @@
         }
     }
 
-    /// Routes by what has changed in the registry and in the configuration.
+    /// Updates the routing by the registry, the configuration and the permitted versions.
     fn update_routing(&mut self) {
         let active = self.configuration.active().cloned();
         let permissions = self.rollouts.permissions(self.now);
-        for gone in self.requests.routing.update(&self.registry, active.as_deref(), &permissions) {
-            self.connections.close_idle(&gone);
+        for removed in self.requests.routing.update(&self.registry, active.as_deref(), &permissions) {
+            self.connections.close_idle(&removed);
         }
         self.schedule_rollout_sync();
     }
 
     fn review_executors(&mut self) {
         self.requests.routing.gateway.detect_unresponsive(self.now);
-        self.reviews_executors = self.runs_anything();
-        if self.reviews_executors {
+        self.is_review_scheduled = self.has_running_requests();
+        if self.is_review_scheduled {
             self.alarms.set(self.now + REVIEW_INTERVAL, Timer::ReviewExecutors);
         }
     }
 
-    /// Executors are reviewed while anything runs on them: a node at rest does not wake for it. The first review lets the
-    /// gateway know that the pause was no freeze.
+    /// Starts the periodic checks for unresponsive executors when requests or items run on any: an idle node does not wake up
+    /// for them. The first check is made at once, so that the gateway does not take the pause for a freeze of this process.
     fn start_executor_review(&mut self) {
-        if !self.reviews_executors && self.runs_anything() {
+        if !self.is_review_scheduled && self.has_running_requests() {
             self.review_executors();
         }
     }
 
-    fn runs_anything(&self) -> bool {
+    /// Whether any request or batch item is in progress.
+    fn has_running_requests(&self) -> bool {
         self.requests.exchange_count() > 0 || self.items.count() > 0
     }
 
@@ -344,72 +347,72 @@
         }
     }
 
-    /// What this process has done by itself, in numbers.
+    /// Returns the counters of this node's own activity.
     pub fn traffic(&self) -> &Traffic {
         &self.traffic
     }
 
-    /// Whether the process is to end now.
+    /// Whether the process is to exit now.
     pub fn is_over(&self) -> bool {
         self.exit
     }
 
-    /// Whether the process got SIGTERM.
+    /// Whether the process has received SIGTERM.
     pub fn stopping(&self) -> bool {
         self.shutdown.is_some()
     }
 
-    /// The serial number of the connection at an index; 0 if there is none.
+    /// Returns the serial number of the connection at an index, or 0 if there is none.
     pub(crate) fn serial(&self, index: usize) -> u64 {
         self.connections.serial(index)
     }
 
-    /// A number that nothing else of this process got.
+    /// Returns a new serial number, unique in this process.
     pub(crate) fn next_serial(&mut self) -> u64 {
         self.connections.next_serial()
     }
 
-    /// The clock as it is now. `now` is what it was at the start of the turn, and the process may have stood still since:
-    /// whatever proves something to somebody (a lease to a reader, a heartbeat of a leader to the other candidates) goes
-    /// by a look at the clock that is later than the question or the message.
+    /// Reads the clock. The field `now` is the time at the start of the turn, and the process may have been suspended since.
+    /// Anything that other nodes rely on, such as a lease for a reader or a leader's heartbeat for the other candidates, must
+    /// therefore use a time that was read after the request or message was received.
     pub(crate) fn clock(&self) -> Instant {
         self.world.now()
     }
 
-    /// A number in 0..1.
+    /// Returns a random number from 0 (inclusive) to 1 (exclusive).
     pub(crate) fn random_point(&mut self) -> f64 {
         self.random.random()
     }
 
-    /// The time of day, in milliseconds since 1970.
+    /// Returns the time of day, in milliseconds since 1970.
     pub(crate) fn wall_ms(&self) -> u64 {
         self.world.wall_ms()
     }
 }
 
-/// Why the loop ends without SIGTERM.
+/// The error that ends the event loop without SIGTERM.
 #[derive(Debug, snafu::Snafu)]
 pub enum RunError {
-    /// The poller fails.
+    /// Waiting for events has failed.
     #[snafu(display("waiting for sockets: {source}"), context(false))]
     Poll {
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A partition's disk fails.
+    /// The disk of a partition has failed.
     #[snafu(display("the disk of part {partition}: {source}"))]
     Disk {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
-        /// What the store says.
+        /// The error of the store.
         source: grebeusher_quorum::disk::StoreError,
     },
-    /// What is on disk or was agreed can't be read.
+    /// The stored state or a committed entry of a partition can't be decoded.
     #[snafu(display("the state of part {partition} can't be read: {reason}"))]
     State {
-        /// The partition.
+        /// The number of the partition.
         partition: u8,
-        /// What is wrong.
+        /// A description of the error.
         reason: String,
     },
 }
--- a/crates/tier/tests/retire.rs
+++ b/crates/tier/tests/retire.rs
@@ -4,17 +4,17 @@
 use grebeusher_tier::links::messages::Reply;
 use rstest::rstest;
 
-use PartitionVerdict::{Done, NotYet, TooFew, Unknown, Unsure};
+use PartitionVerdict::{Done, NotYet, TooFew, Undecided, UnknownMachine};
 
 #[rstest]
-#[case::all_take_it([Done, Done, Done], RetireOutcome::Taken)]
-#[case::one_says_nothing([Done, Unsure, Done], RetireOutcome::Unsure)]
-#[case::none_knows_it([Unknown, Unknown, Unknown], RetireOutcome::NoSuchMachine)]
-#[case::one_does_not_know_it_yet([Done, Unknown, Done], RetireOutcome::Unsure)]
-#[case::one_does_not_know_it_and_one_is_silent([Unknown, Unknown, Unsure], RetireOutcome::Unsure)]
+#[case::all_take_it([Done, Done, Done], RetireOutcome::Accepted)]
+#[case::one_says_nothing([Done, Undecided, Done], RetireOutcome::Undecided)]
+#[case::none_knows_it([UnknownMachine, UnknownMachine, UnknownMachine], RetireOutcome::NoSuchMachine)]
+#[case::one_does_not_know_it_yet([Done, UnknownMachine, Done], RetireOutcome::Undecided)]
+#[case::one_does_not_know_it_and_one_is_silent([UnknownMachine, UnknownMachine, Undecided], RetireOutcome::Undecided)]
 #[case::too_few_are_left([TooFew, TooFew, TooFew], RetireOutcome::TooFew)]
 #[case::one_counts_too_few([Done, TooFew, Done], RetireOutcome::TooFew)]
-#[case::too_few_and_silence([TooFew, Unsure, TooFew], RetireOutcome::Unsure)]
+#[case::too_few_and_silence([TooFew, Undecided, TooFew], RetireOutcome::Undecided)]
 fn a_begin_is_taken_or_refused_only_if_all_leaders_have_spoken(
     #[case] verdicts: [PartitionVerdict; 3],
     #[case] outcome: RetireOutcome,
@@ -25,8 +25,8 @@
 #[rstest]
 #[case::all_are_done([Done, Done, Done], RetireOutcome::Complete)]
 #[case::one_is_not([Done, Done, NotYet], RetireOutcome::Active)]
-#[case::one_says_nothing([Done, Done, Unsure], RetireOutcome::Unsure)]
-#[case::one_knows_nothing([Done, Done, Unknown], RetireOutcome::Unsure)]
+#[case::one_says_nothing([Done, Done, Undecided], RetireOutcome::Undecided)]
+#[case::one_knows_nothing([Done, Done, UnknownMachine], RetireOutcome::Undecided)]
 fn a_machine_is_empty_only_if_all_leaders_say_so(
     #[case] verdicts: [PartitionVerdict; 3],
     #[case] outcome: RetireOutcome,
@@ -38,17 +38,17 @@
 fn a_machine_that_this_node_has_heard_of_exists(
     #[values(RetireQuestion::Begin, RetireQuestion::Show)] question: RetireQuestion,
 ) {
-    assert_eq!(combined_outcome(question, &[Unknown; 3], true), RetireOutcome::Unsure);
+    assert_eq!(combined_outcome(question, &[UnknownMachine; 3], true), RetireOutcome::Undecided);
 }
 
 #[rstest]
-#[case::unclear(Reply::Unclear, Unsure)]
-#[case::unavailable(Reply::Unavailable, Unsure)]
+#[case::unclear(Reply::Unclear, Undecided)]
+#[case::unavailable(Reply::Unavailable, Undecided)]
 #[case::committed(Reply::Answer { status: 200, body: Vec::new() }, Done)]
 #[case::still_there(Reply::Answer { status: 202, body: Vec::new() }, NotYet)]
-#[case::unknown(Reply::Answer { status: 404, body: Vec::new() }, Unknown)]
+#[case::unknown(Reply::Answer { status: 404, body: Vec::new() }, UnknownMachine)]
 #[case::too_few(Reply::Answer { status: 409, body: Vec::new() }, TooFew)]
-#[case::anything_else(Reply::Answer { status: 500, body: Vec::new() }, Unsure)]
+#[case::anything_else(Reply::Answer { status: 500, body: Vec::new() }, Undecided)]
 fn a_reply_is_read_as_what_it_says(#[case] reply: Reply, #[case] verdict: PartitionVerdict) {
     assert_eq!(PartitionVerdict::of(&reply), verdict);
 }
