--- a/crates/tier/tests/configuration_versions.rs
+++ b/crates/tier/tests/configuration_versions.rs
@@ -1,4 +1,5 @@
-//! The configuration's partition with the versions of services: its log, and its snapshots of earlier versions and this one.
+//! The configuration partition with the versions of services: its entries, and its snapshots, also those written by earlier
+//! versions of the program.
 
 use grebeusher_configuration::register::Entry as ConfigurationEntry;
 use grebeusher_rollout::{Entry, RolloutOrder};
@@ -6,7 +7,7 @@
 use rstest::rstest;
 use std::sync::Arc;
 
-/// What versions without roll-outs put on disks.
+/// The snapshot of an empty state as versions of the program without roll-outs wrote it.
 const WITHOUT_ROLLOUTS: &[u8] = b"\x01\x00\x00\x00\x00";
 
 fn configuration() -> Vec<u8> {
@@ -40,15 +41,15 @@
     restored.restore(&partition.snapshot()).expect("whole");
     assert_eq!(restored.rollouts(), partition.rollouts());
     assert_eq!(restored.snapshot(), partition.snapshot());
-    // It knows the order again, and the configuration.
+    // The restored state has the order and the configuration, so that both entries are accepted again.
     assert_eq!(restored.apply(&begin("v2")).expect("readable"), 200);
     assert_eq!(restored.apply(&configuration()).expect("readable"), 200);
 }
 
 #[rstest]
-#[case::the_same(begin("v2"), 200)]
-#[case::another(begin("v3"), 409)]
-fn an_order_beside_one_that_is_under_way(#[case] second: Vec<u8>, #[case] status: u16) {
+#[case::the_same_order(begin("v2"), 200)]
+#[case::another_order(begin("v3"), 409)]
+fn an_order_while_another_is_in_progress(#[case] second: Vec<u8>, #[case] status: u16) {
     let mut partition = ConfigurationPartition::default();
     partition.apply(&begin("v2")).expect("readable");
     assert_eq!(partition.apply(&second).expect("readable"), status);
@@ -56,7 +57,7 @@
 
 #[rstest]
 #[case::without_a_length(b"\x02\x00")]
-#[case::shorter_than_it_says(b"\x02\xff\x00\x00\x00\x01")]
+#[case::shorter_than_its_length_field(b"\x02\xff\x00\x00\x00\x01")]
 fn a_snapshot_that_is_cut_off_is_rejected(#[case] bytes: &[u8]) {
     assert!(ConfigurationPartition::default().restore(bytes).is_err());
 }
--- a/crates/tier/tests/deploy.rs
+++ b/crates/tier/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! What the platform is told of a build, and what the README tells people.
+//! Checks of the deploy files and of what the README says about building.
 
 use std::path::Path;
 
@@ -16,13 +16,14 @@
 
 #[test]
 fn both_builds_list_the_same_system_packages() {
-    // Given both programs, which are fetched and linked alike, then their builds need the same of the system.
+    // Given both programs, which are fetched and linked in the same way, then their builds need the same system packages.
     assert_eq!(packages("deploy/system.toml"), packages("deploy/balancer.toml"));
 }
 
 #[test]
 fn a_build_lists_what_fetches_and_links() {
-    // What a trace of a clean build opens beside the tool chain: see "System packages of a build" in DEVELOPERS.md.
+    // These packages contain the files outside of the tool chain that a trace of a clean build opens: see "System packages
+    // of a build" in DEVELOPERS.md.
     for needed in ["gcc", "libc6-dev", "ca-certificates"] {
         assert!(packages("deploy/system.toml").iter().any(|package| package == needed), "{needed}");
     }
@@ -32,7 +33,7 @@
 fn the_readme_names_each_system_package_of_a_build() {
     // Given the packages that the platform installs before a build,
     let packages = packages("deploy/system.toml");
-    // then there are some, as rustc links by a compiler driver, and the README names each where it speaks of building.
+    // then the list is not empty, as rustc links with a compiler driver, and the README names each in the section on building.
     assert!(!packages.is_empty());
     let readme = file("README.md");
     let section =
--- a/crates/tier/tests/disk_budget.rs
+++ b/crates/tier/tests/disk_budget.rs
@@ -1,4 +1,4 @@
-//! What a partition may take of its node's disk.
+//! The disk and memory budget of a partition.
 
 use grebeusher_tier::batch::api::BATCH_PARTITIONS;
 use grebeusher_tier::control::disk_budget::DiskBudget;
@@ -6,9 +6,9 @@
 
 const MB: usize = 1024 * 1024;
 
-/// The most that a node has on its disk: all partitions with a state and a log as large as they may get, one of them twice as it
-/// is written anew.
-fn peak(disk: usize, memory: usize, state: usize) -> usize {
+/// The maximum disk usage of a node in bytes: each partition has a state of `state` bytes and a log of the maximum size, and
+/// one of the states is on the disk twice while its new snapshot is written.
+fn peak_usage(disk: usize, memory: usize, state: usize) -> usize {
     let budget = DiskBudget::for_batch_partition(disk, memory);
     usize::from(BATCH_PARTITIONS) * (state + budget.max_log_bytes(state)) + state
 }
@@ -16,19 +16,19 @@
 #[rstest]
 #[case::small(130, 290)]
 #[case::grown(140, 300)]
-#[case::usual(500, 300)]
+#[case::typical(500, 300)]
 #[case::large(20_000, 4_000)]
 fn a_node_with_replicas_of_all_partitions_never_runs_out_of_disk(
     #[case] disk_mb: usize,
     #[case] memory_mb: usize,
 ) {
-    // Given jobs that cost all that they may, or less
+    // Given jobs of the maximum size or smaller
     let (disk, memory) = (disk_mb * MB, memory_mb * MB);
-    let most = DiskBudget::for_batch_partition(disk, memory).max_job_bytes(memory);
+    let max_state = DiskBudget::for_batch_partition(disk, memory).max_job_bytes(memory);
     for tenths in 0..=10 {
-        let state = most / 10 * tenths;
-        // Then states and logs fit the disk, also while one is written anew
-        assert!(peak(disk, memory, state) < disk, "{} of {disk}", peak(disk, memory, state));
+        let state = max_state / 10 * tenths;
+        // Then states and logs fit on the disk, also while a new snapshot is written
+        assert!(peak_usage(disk, memory, state) < disk, "{} of {disk}", peak_usage(disk, memory, state));
     }
 }
 
--- a/crates/tier/tests/leader_index.rs
+++ b/crates/tier/tests/leader_index.rs
@@ -1,4 +1,4 @@
-//! Which node leads a partition, as the others hear of it.
+//! The index of partition leaders, by the announcements that a node receives.
 
 use grebeusher_registry::{
     Class, Losses, Member, MemberState, Message, NodeMetadata, Register, Registry, Settings, Timings,
@@ -30,11 +30,11 @@
     SerBin::serialize_bin(&LedPartitions { partitions })
 }
 
-fn hear(registry: &mut Registry, register: Register) {
+fn receive(registry: &mut Registry, register: Register) {
     registry.receive(NOW, member("b", 2).address, Message::Registers(vec![register]));
 }
 
-fn facts_of_b(incarnation: u64, counter: u64, partitions: &[(u8, u64)]) -> Register {
+fn announcement_of_b(incarnation: u64, counter: u64, partitions: &[(u8, u64)]) -> Register {
     Register::NodeMetadata(NodeMetadata {
         node: "b".to_owned(),
         incarnation,
@@ -45,7 +45,7 @@
 
 #[test]
 fn the_leader_is_the_living_node_with_the_highest_term_at_each_moment() {
-    // given a node that leads partition 1, and nothing else known
+    // given a registry with one node, which then leads partition 1
     let settings = Settings {
         member: member("a", 1),
         seeds: Vec::new(),
@@ -57,19 +57,19 @@
     assert_eq!(index.leader(&registry, 1), None);
     assert!(registry.set_metadata(NOW, payload(&[(1, 3)])).is_ok());
     assert_eq!(index.leader(&registry, 1), Some(a));
-    // when another node comes and tells a higher term, then it is the leader, of just that partition
-    hear(&mut registry, Register::Member(member("b", 2)));
+    // when another node joins and announces partition 1 with a higher term, then it is the leader
+    receive(&mut registry, Register::Member(member("b", 2)));
     assert_eq!(index.leader(&registry, 1), Some(a));
-    hear(&mut registry, facts_of_b(5, 1, &[(1, 4), (2, 9)]));
+    receive(&mut registry, announcement_of_b(5, 1, &[(1, 4), (2, 9)]));
     assert_eq!([1, 2, 3].map(|partition| index.leader(&registry, partition)), [Some(b), Some(b), None]);
-    // when it hands one over, then the one before is known again
-    hear(&mut registry, facts_of_b(5, 2, &[(2, 9)]));
+    // when it hands partition 1 over, then the first node is the leader again
+    receive(&mut registry, announcement_of_b(5, 2, &[(2, 9)]));
     assert_eq!([1, 2].map(|partition| index.leader(&registry, partition)), [Some(a), Some(b)]);
-    // when it leaves, or begins anew, then what it told in its life before counts no more
-    hear(&mut registry, Register::Member(Member { state: MemberState::Left, ..member("b", 2) }));
+    // when it leaves, or restarts with a new incarnation, then its earlier announcements are ignored
+    receive(&mut registry, Register::Member(Member { state: MemberState::Left, ..member("b", 2) }));
     assert_eq!(index.leader(&registry, 2), None);
-    hear(&mut registry, Register::Member(Member { incarnation: 6, ..member("b", 2) }));
+    receive(&mut registry, Register::Member(Member { incarnation: 6, ..member("b", 2) }));
     assert_eq!(index.leader(&registry, 2), None);
-    hear(&mut registry, facts_of_b(6, 1, &[(2, 10)]));
+    receive(&mut registry, announcement_of_b(6, 1, &[(2, 10)]));
     assert_eq!(index.leader(&registry, 2), Some(b));
 }
--- a/crates/tier/tests/membership_maintenance.rs
+++ b/crates/tier/tests/membership_maintenance.rs
@@ -1,4 +1,4 @@
-//! Which nodes a leader takes into a group when a change waited for one in vain.
+//! The choice of the nodes that a leader adds to a group after a node did not catch up during a change.
 
 use grebeusher_quorum::{ChangeError, ReplicaId};
 use grebeusher_tier::control::membership_maintenance::MembershipMaintenance;
@@ -15,7 +15,7 @@
 
 const NOW: Instant = Instant(1_000_000_000);
 
-/// What a leader of the voters 1, 2 and 3, of which 3 is lost, changes the group to when these are alive.
+/// The next voters of the group 1, 2 and 3, of which 3 is lost, if these candidates are alive.
 fn next(maintenance: &MembershipMaintenance, alive: Vec<Candidate>) -> Option<Vec<ReplicaId>> {
     let voters = ids(&[1, 2, 3]);
     let alive = maintenance.usable(&voters, alive);
@@ -24,16 +24,16 @@
 
 #[test]
 fn a_candidate_that_did_not_catch_up_is_excluded_for_another() {
-    // Given two spares, of which the one in the best zone lives and never catches up,
+    // Given two candidates, of which the one in the best zone is alive and never catches up,
     let alive = vec![node(1, "a"), node(2, "b"), node(4, "b"), node(5, "c")];
     let mut maintenance = MembershipMaintenance::default();
     assert_eq!(next(&maintenance, alive.clone()), Some(ids(&[1, 2, 5])));
-    // when the change that waited for it was given up,
+    // when the change that waited for it was aborted,
     maintenance.change_requested(&ids(&[1, 2, 3]), &ids(&[1, 2, 5]), Ok(()));
     maintenance.change_ended(NOW, &ids(&[1, 2, 3]));
-    // then the other one steps in,
+    // then the other candidate is chosen,
     assert_eq!(next(&maintenance, alive.clone()), Some(ids(&[1, 2, 4])));
-    // and the first has its turn again later.
+    // and the first is chosen again after the exclusion.
     maintenance.change_ended(NOW + Duration::from_millis(10_000), &ids(&[1, 2, 3]));
     assert_eq!(next(&maintenance, alive), Some(ids(&[1, 2, 5])));
 }
@@ -47,7 +47,7 @@
     assert_eq!(next(&maintenance, alive), Some(ids(&[1, 2, 5])));
 }
 
-/// A change is refused while the leadership is handed over: no candidate has had its time to catch up.
+/// A change is refused while the leadership is handed over, so that no candidate had the time to catch up.
 #[test]
 fn a_candidate_of_a_refused_change_is_not_excluded() {
     let alive = vec![node(1, "a"), node(2, "b"), node(4, "b"), node(5, "c")];
--- a/crates/tier/tests/offers.rs
+++ b/crates/tier/tests/offers.rs
@@ -6,7 +6,7 @@
 use grebeusher_tier::links::messages::{Call, CallNumber, Reply};
 use grebeusher_time::Duration;
 use rstest::rstest;
-use single_node::network::Line;
+use single_node::network::ConnectionId;
 use single_node::{SingleNode, status_of};
 
 /// A job of one item with a body of this many bytes of base64.
@@ -19,11 +19,11 @@
 }
 
 /// A node that knows a storage node, and a client that hands in a job.
-fn handed_in(bytes: usize) -> (SingleNode, Line) {
+fn handed_in(bytes: usize) -> (SingleNode, ConnectionId) {
     let mut single = SingleNode::with_executor();
-    single.storage_joins();
-    single.third_joins();
-    single.pass(Duration::from_millis(100));
+    single.add_storage_node();
+    single.add_third_node();
+    single.advance(Duration::from_millis(100));
     drop(single.take_calls());
     let client = single.client("bulk", "job-1", &submission(bytes));
     (single, client)
@@ -83,7 +83,7 @@
     assert_eq!(bodies(&single.take_calls()).len(), 1);
     let mut later = Vec::new();
     for _ in 0..13 {
-        single.pass(Duration::from_millis(100));
+        single.advance(Duration::from_millis(100));
         later.extend(single.take_calls());
     }
     // then it is asked after by its name, and the body stays here.
@@ -100,7 +100,7 @@
     // Given a job that was offered twice, as the first offer was left unanswered, and sent whole as it was wanted then,
     let (mut single, client) = handed_in(20_000);
     let first = offers(&single.take_calls())[0];
-    single.pass(Duration::from_millis(600));
+    single.advance(Duration::from_millis(600));
     let second = *offers(&single.take_calls()).last().expect("it was offered again");
     single.reply(second, Reply::Wanted);
     let sent = bodies(&single.take_calls());
@@ -121,12 +121,12 @@
     let (mut single, client) = handed_in(20_000);
     let calls = single.take_calls();
     single.reply(offers(&calls)[0], Reply::Wanted);
-    single.pass(Duration::from_millis(700));
+    single.advance(Duration::from_millis(700));
     let asked = offers(&single.take_calls());
     // when the leader can't say what became of it, or refuses it, then no refusal is passed on, as a copy may be taken yet,
     single.reply(*asked.last().expect("it was asked after"), reply);
     assert_eq!(status_of(&single.take(client)), None);
-    single.pass(Duration::from_millis(400));
+    single.advance(Duration::from_millis(400));
     let asked = offers(&single.take_calls());
     // and when the next one has it, the client hears that it was taken.
     single.reply(*asked.last().expect("it was asked after again"), answer(202));
--- a/crates/tier/tests/retire.rs
+++ b/crates/tier/tests/retire.rs
@@ -1,4 +1,4 @@
-//! What an operator hears about a machine that is to be emptied, from what the leaders of the partitions say.
+//! The answer to an operator's call about a machine that is to be retired, by the replies of the partition leaders.
 
 use grebeusher_tier::control::retire::{PartitionVerdict, RetireOutcome, RetireQuestion, combined_outcome};
 use grebeusher_tier::links::messages::Reply;
@@ -7,15 +7,15 @@
 use PartitionVerdict::{Done, NotYet, TooFew, Undecided, UnknownMachine};
 
 #[rstest]
-#[case::all_take_it([Done, Done, Done], RetireOutcome::Accepted)]
-#[case::one_says_nothing([Done, Undecided, Done], RetireOutcome::Undecided)]
-#[case::none_knows_it([UnknownMachine, UnknownMachine, UnknownMachine], RetireOutcome::NoSuchMachine)]
-#[case::one_does_not_know_it_yet([Done, UnknownMachine, Done], RetireOutcome::Undecided)]
-#[case::one_does_not_know_it_and_one_is_silent([UnknownMachine, UnknownMachine, Undecided], RetireOutcome::Undecided)]
+#[case::all_accept([Done, Done, Done], RetireOutcome::Accepted)]
+#[case::one_does_not_reply([Done, Undecided, Done], RetireOutcome::Undecided)]
+#[case::no_leader_knows_the_machine([UnknownMachine, UnknownMachine, UnknownMachine], RetireOutcome::NoSuchMachine)]
+#[case::one_does_not_know_the_machine_yet([Done, UnknownMachine, Done], RetireOutcome::Undecided)]
+#[case::one_does_not_know_the_machine_and_one_does_not_reply([UnknownMachine, UnknownMachine, Undecided], RetireOutcome::Undecided)]
 #[case::too_few_are_left([TooFew, TooFew, TooFew], RetireOutcome::TooFew)]
 #[case::one_counts_too_few([Done, TooFew, Done], RetireOutcome::TooFew)]
-#[case::too_few_and_silence([TooFew, Undecided, TooFew], RetireOutcome::Undecided)]
-fn a_begin_is_taken_or_refused_only_if_all_leaders_have_spoken(
+#[case::too_few_and_no_reply([TooFew, Undecided, TooFew], RetireOutcome::Undecided)]
+fn a_begin_is_accepted_or_refused_only_if_all_leaders_have_decided(
     #[case] verdicts: [PartitionVerdict; 3],
     #[case] outcome: RetireOutcome,
 ) {
@@ -25,9 +25,9 @@
 #[rstest]
 #[case::all_are_done([Done, Done, Done], RetireOutcome::Complete)]
 #[case::one_is_not([Done, Done, NotYet], RetireOutcome::Active)]
-#[case::one_says_nothing([Done, Done, Undecided], RetireOutcome::Undecided)]
-#[case::one_knows_nothing([Done, Done, UnknownMachine], RetireOutcome::Undecided)]
-fn a_machine_is_empty_only_if_all_leaders_say_so(
+#[case::one_does_not_reply([Done, Done, Undecided], RetireOutcome::Undecided)]
+#[case::one_does_not_know_the_machine([Done, Done, UnknownMachine], RetireOutcome::Undecided)]
+fn a_machine_is_empty_only_if_all_leaders_reply_so(
     #[case] verdicts: [PartitionVerdict; 3],
     #[case] outcome: RetireOutcome,
 ) {
@@ -35,7 +35,7 @@
 }
 
 #[rstest]
-fn a_machine_that_this_node_has_heard_of_exists(
+fn a_machine_that_this_node_knows_exists(
     #[values(RetireQuestion::Begin, RetireQuestion::Show)] question: RetireQuestion,
 ) {
     assert_eq!(combined_outcome(question, &[UnknownMachine; 3], true), RetireOutcome::Undecided);
@@ -49,6 +49,6 @@
 #[case::unknown(Reply::Answer { status: 404, body: Vec::new() }, UnknownMachine)]
 #[case::too_few(Reply::Answer { status: 409, body: Vec::new() }, TooFew)]
 #[case::anything_else(Reply::Answer { status: 500, body: Vec::new() }, Undecided)]
-fn a_reply_is_read_as_what_it_says(#[case] reply: Reply, #[case] verdict: PartitionVerdict) {
+fn a_reply_has_a_verdict(#[case] reply: Reply, #[case] verdict: PartitionVerdict) {
     assert_eq!(PartitionVerdict::of(&reply), verdict);
 }
--- a/crates/tier/tests/sent_twice.rs
+++ b/crates/tier/tests/sent_twice.rs
@@ -5,7 +5,7 @@
 
 use grebeusher_time::Duration;
 use rstest::rstest;
-use single_node::network::Line;
+use single_node::network::ConnectionId;
 use single_node::{SingleNode, answer, plain_answer, status_of};
 
 /// What happens to each attempt at an executor.
@@ -52,7 +52,7 @@
 }
 
 /// Makes the executor's side of a connection fail.
-fn inject_fault(harness: &mut SingleNode, connection: Line, fault: Fault) {
+fn inject_fault(harness: &mut SingleNode, connection: ConnectionId, fault: Fault) {
     let attempt_header = "X-Grebeusher-Attempt-Id: one\r\n";
     match fault {
         Refused | NeverConnected | PartSentThenReset => {}
@@ -88,12 +88,12 @@
 /// Sends a request on a route to a node with four executors. Each attempt meets the fault.
 fn send_with_fault(route: &str, fault: Fault) -> Outcome {
     let mut harness = SingleNode::with_executors(4);
-    harness.network.borrow_mut().comes_up = false;
+    harness.network.borrow_mut().connects_at_once = false;
     let client = harness.client(route, "one", &[b'x'; 5_000]);
     let mut received = Vec::new();
     let mut attempts_sent = 0;
     for _ in 0..12 {
-        while let Some(connection) = harness.executor_line() {
+        while let Some(connection) = harness.executor_connection() {
             let connects = !matches!(fault, Refused | NeverConnected);
             let max_sent_bytes = matches!(fault, PartSentThenReset).then_some(700);
             harness.network.borrow_mut().limit(connection, max_sent_bytes);
@@ -107,7 +107,7 @@
             }
             inject_fault(&mut harness, connection, fault);
         }
-        harness.pass(Duration::from_millis(500));
+        harness.advance(Duration::from_millis(500));
         received.extend(harness.take(client));
     }
     assert!(
--- a/crates/tier/tests/single_node/mod.rs
+++ b/crates/tier/tests/single_node/mod.rs
@@ -1,4 +1,4 @@
-//! One edge node, with the test in the place of its peers, its executors and its clients.
+//! One edge node in memory; the test acts as its peers, its executors and its clients.
 
 #![allow(dead_code)]
 
@@ -12,29 +12,32 @@
 use grebeusher_time::Duration;
 use grebeusher_transport::link::{FrameDecoder, Hello, encode_frame, encode_hello};
 use nanoserde::{DeBin, SerBin};
-use network::{Line, Network, SharedNetwork, TestWorld};
+use network::{ConnectionId, Network, SharedNetwork, TestWorld};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 
 const NODE: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
 const PEER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 2), 7660);
-/// Where executors listen, by their numbers from 1.
+/// The address of an executor, by its number from 1.
 fn executor(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, number), 8080)
 }
-/// How far the clock goes at most between two turns.
+/// The maximum step of the clock between two turns of the event loop.
 const STEP: Duration = Duration::from_millis(5);
 
-/// The types of routes, each under a prefix of its name.
+/// The types of routes. The path prefix of each route is its name.
 pub const ROUTE_TYPES: [&str; 4] = ["idempotent", "non_idempotent", "streaming", "resumable"];
 
-/// A node with a configuration and, if wanted, an executor.
+/// A node and its connections to the test.
 pub struct SingleNode {
     pub network: SharedNetwork,
     pub node: Node,
-    link_in: Line,
-    link_out: Option<Line>,
+    /// The link from the peer to the node.
+    link_in: ConnectionId,
+    /// The link from the node to the peer, once the node has connected.
+    link_out: Option<ConnectionId>,
     frames: FrameDecoder,
+    /// The calls of the node to the peer that no test has taken yet.
     calls: Vec<(CallNumber, Call)>,
 }
 
@@ -73,7 +76,7 @@
     .into_bytes()
 }
 
-/// A request of a client.
+/// Encodes a client's request on a route, with an attempt id.
 pub fn request(route: &str, id: &str, body: &[u8]) -> Vec<u8> {
     let mut bytes = format!(
         "POST /{route}/x HTTP/1.1\r\nHost: h.example\r\nX-Grebeusher-Attempt-Id: {id}\r\nX-Grebeusher-Deadline-Ms: 5000\r\nContent-Length: {}\r\n\r\n",
@@ -84,7 +87,7 @@
     bytes
 }
 
-/// An executor's answer to a request, with its seal.
+/// Encodes an executor's successful answer to a request, with its seal.
 pub fn answer(id: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 200 OK\r\nX-Grebeusher-Attempt-Id: {id}\r\nX-Grebeusher-Server-Seal: seal-{id}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -93,45 +96,45 @@
     .into_bytes()
 }
 
-/// An answer of another status.
+/// Encodes an answer with a status and headers, and without a body.
 pub fn plain_answer(status: u16, headers: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: 0\r\n\r\n").into_bytes()
 }
 
-/// The status that a client reads; none if there is no head.
+/// Parses the status of an HTTP answer; `None` if there is no head.
 pub fn status_of(bytes: &[u8]) -> Option<u16> {
     let text = String::from_utf8_lossy(bytes);
     text.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
 }
 
 impl SingleNode {
-    /// A node that knows its configuration and nobody but a peer.
+    /// Starts a node that has its configuration and knows only one peer.
     pub fn with_configuration(seed: u64) -> SingleNode {
-        let mut single = SingleNode::without_configuration(seed);
-        single.learn_configuration();
-        single
+        let mut harness = SingleNode::without_configuration(seed);
+        harness.learn_configuration();
+        harness
     }
 
-    /// The peer replies with the configuration that the node asks for at its start.
+    /// Replies, as the peer, to the call for the configuration that the node makes at its start.
     pub fn learn_configuration(&mut self) {
         let number = self.next_call(|call| matches!(call, Call::ShowConfiguration));
         self.reply(number, Reply::Configuration { version: 1, body: configuration() });
     }
 
-    /// A node that has just started and asks its peer for the configuration.
+    /// Starts a node that calls its peer for the configuration.
     pub fn without_configuration(seed: u64) -> SingleNode {
-        SingleNode::under_contracts(r#""base""#, seed)
+        SingleNode::with_contracts(r#""base""#, seed)
     }
 
-    /// The same where these rules are in force.
-    pub fn under_contracts(contracts: &str, seed: u64) -> SingleNode {
+    /// As [`SingleNode::without_configuration`], with these contracts in force.
+    pub fn with_contracts(contracts: &str, seed: u64) -> SingleNode {
         let network = Network::shared(seed);
         let world = TestWorld { network: network.clone(), settings: settings(contracts) };
-        let settings = Settings::read(&world.settings).expect("right settings");
+        let settings = Settings::read(&world.settings).expect("valid settings");
         let start = Start::open(settings, Rc::new(world)).expect("nothing is missing");
         let node = Node::new(start).expect("nothing is missing");
         let link_in = network.borrow_mut().connect(SocketAddrV4::new(NODE, 7660));
-        let mut single = SingleNode {
+        let mut harness = SingleNode {
             network,
             node,
             link_in,
@@ -140,34 +143,34 @@
             calls: Vec::new(),
         };
         let hello = encode_hello(&Hello::new(PEER));
-        single.send(link_in, &hello);
-        single.send_frame(Channel::Registry, &Message::Join(peer()).encode());
-        single.pass(Duration::from_millis(200));
-        single
+        harness.send(link_in, &hello);
+        harness.send_frame(Channel::Registry, &Message::Join(peer()).encode());
+        harness.advance(Duration::from_millis(200));
+        harness
     }
 
-    /// The same with an executor, long after the start.
+    /// Starts a node with its configuration and one executor, and waits until the time-outs of its start are over.
     pub fn with_executor() -> SingleNode {
         SingleNode::with_executors(1)
     }
 
-    /// The same with some executors.
+    /// As [`SingleNode::with_executor`], with several executors.
     pub fn with_executors(count: u8) -> SingleNode {
-        let mut single = SingleNode::with_configuration(1);
-        (1..=count).for_each(|number| drop(single.executor_calls(number, 1, "up")));
-        single.pass(Duration::from_millis(2_500));
-        (1..=count).for_each(|number| drop(single.executor_calls(number, 2, "up")));
-        single.drop_links();
-        single
+        let mut harness = SingleNode::with_configuration(1);
+        (1..=count).for_each(|number| drop(harness.send_heartbeat(number, 1, "up")));
+        harness.advance(Duration::from_millis(2_500));
+        (1..=count).for_each(|number| drop(harness.send_heartbeat(number, 2, "up")));
+        harness.discard_calls();
+        harness
     }
 
-    /// A heartbeat of an executor; what the node answers.
-    pub fn executor_calls(&mut self, number: u8, call_seq: u64, state: &str) -> Vec<u8> {
-        self.executor_of_version_calls(number, "v1", call_seq, state)
+    /// Sends a heartbeat of an executor and returns the answer.
+    pub fn send_heartbeat(&mut self, number: u8, call_seq: u64, state: &str) -> Vec<u8> {
+        self.send_heartbeat_with_version(number, "v1", call_seq, state)
     }
 
-    /// The same of an executor with this version.
-    pub fn executor_of_version_calls(
+    /// As [`SingleNode::send_heartbeat`], of an executor with this version.
+    pub fn send_heartbeat_with_version(
         &mut self,
         number: u8,
         version: &str,
@@ -182,13 +185,13 @@
             "POST /api/Instances.Heartbeat/i-{number} HTTP/1.1\r\nHost: n\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        let line = self.connect(8146);
-        self.send(line, format!("{head}{body}").as_bytes());
-        self.take(line)
+        let connection = self.connect(8146);
+        self.send(connection, format!("{head}{body}").as_bytes());
+        self.take(connection)
     }
 
-    /// The peer runs a storage node too, which holds a replica of the batch partitions.
-    pub fn storage_joins(&mut self) {
+    /// Adds a storage node with replicas of the batch partitions to the members. It has the address of the peer.
+    pub fn add_storage_node(&mut self) {
         let storage = Member {
             name: "storage-1".to_owned(),
             class: Class::Storage,
@@ -199,8 +202,8 @@
         self.send_frame(Channel::Registry, &Message::Join(storage).encode());
     }
 
-    /// The peer tells of a third node, so that this one knows more than one way.
-    pub fn third_joins(&mut self) {
+    /// Adds a third node to the members, so that the node knows a second peer.
+    pub fn add_third_node(&mut self) {
         let third = Member {
             name: "edge-3".to_owned(),
             address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 3), PEER.port()),
@@ -210,62 +213,65 @@
         self.send_frame(Channel::Registry, &Message::Join(third).encode());
     }
 
-    /// The calls of the node to its peer since the last time.
+    /// Returns the calls of the node to its peer since the last time.
     pub fn take_calls(&mut self) -> Vec<(CallNumber, Call)> {
         self.read_link();
         std::mem::take(&mut self.calls)
     }
 
-    /// A connection to a port of the node.
-    pub fn connect(&mut self, port: u16) -> Line {
-        let line = self.network.borrow_mut().connect(SocketAddrV4::new(NODE, port));
+    /// Connects to a port of the node.
+    pub fn connect(&mut self, port: u16) -> ConnectionId {
+        let connection = self.network.borrow_mut().connect(SocketAddrV4::new(NODE, port));
         self.turn();
-        line
+        connection
     }
 
-    /// A client's connection with a request on it.
-    pub fn client(&mut self, route: &str, id: &str, body: &[u8]) -> Line {
-        let line = self.connect(8144);
-        self.send(line, &request(route, id, body));
-        line
+    /// Connects as a client and sends a request.
+    pub fn client(&mut self, route: &str, id: &str, body: &[u8]) -> ConnectionId {
+        let connection = self.connect(8144);
+        self.send(connection, &request(route, id, body));
+        connection
     }
 
-    /// The next connection that the node has made to an executor.
-    pub fn executor_line(&mut self) -> Option<Line> {
+    /// Returns the next connection that the node has made to an executor.
+    pub fn executor_connection(&mut self) -> Option<ConnectionId> {
         loop {
-            let (address, line) = self.network.borrow_mut().next_dialled()?;
+            let (address, connection) = self.network.borrow_mut().next_dialled()?;
             if address == PEER {
-                self.note_link(address, line);
+                self.note_link(address, connection);
             } else {
-                return Some(line);
+                return Some(connection);
             }
         }
     }
 
-    pub fn send(&mut self, line: Line, bytes: &[u8]) {
-        self.network.borrow_mut().send(line, bytes);
+    pub fn send(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        self.network.borrow_mut().send(connection, bytes);
         self.turn();
     }
 
-    pub fn take(&mut self, line: Line) -> Vec<u8> {
-        self.network.borrow_mut().take(line)
+    /// Returns the bytes that the node has sent on a connection since the last time.
+    pub fn take(&mut self, connection: ConnectionId) -> Vec<u8> {
+        self.network.borrow_mut().take(connection)
     }
 
-    pub fn is_closed(&self, line: Line) -> bool {
-        self.network.borrow().is_closed(line)
+    pub fn is_closed(&self, connection: ConnectionId) -> bool {
+        self.network.borrow().is_closed(connection)
     }
 
-    pub fn reset(&mut self, line: Line) {
-        self.network.borrow_mut().reset(line);
+    /// Resets a connection as the test's side.
+    pub fn reset(&mut self, connection: ConnectionId) {
+        self.network.borrow_mut().reset(connection);
         self.turn();
     }
 
-    pub fn end(&mut self, line: Line) {
-        self.network.borrow_mut().end(line);
+    /// Closes the test's side of a connection.
+    pub fn end(&mut self, connection: ConnectionId) {
+        self.network.borrow_mut().end(connection);
         self.turn();
     }
 
-    /// Turns the loop until nothing is to be done any more.
+    /// Runs turns of the event loop until there are no more events.
     pub fn turn(&mut self) {
         for _ in 0..50 {
             let events = self.network.borrow().events();
@@ -276,36 +282,37 @@
         }
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, span: Duration) {
+    /// Advances the clock and runs the event loop in steps of at most [`STEP`].
+    pub fn advance(&mut self, span: Duration) {
         let until = self.network.borrow().now() + span;
         while self.network.borrow().now() < until {
-            self.network.borrow_mut().pass(STEP);
+            self.network.borrow_mut().advance(STEP);
             self.turn();
         }
     }
 
-    /// The number of the next call of the node to its peer that fits.
-    pub fn next_call(&mut self, fits: impl Fn(&Call) -> bool) -> CallNumber {
+    /// Removes the first call of the node to its peer that matches, and returns its number.
+    pub fn next_call(&mut self, matches: impl Fn(&Call) -> bool) -> CallNumber {
         self.read_link();
-        let at = self.calls.iter().position(|(_, call)| fits(call)).expect("the node has made such a call");
-        self.calls.remove(at).0
+        let index =
+            self.calls.iter().position(|(_, call)| matches(call)).expect("the node has made such a call");
+        self.calls.remove(index).0
     }
 
-    /// The peer replies to a call.
+    /// Replies to a call of the node as the peer.
     pub fn reply(&mut self, number: CallNumber, reply: Reply) {
         let envelope = ReplyEnvelope { number, reply };
         self.send_frame(Channel::Reply, &SerBin::serialize_bin(&envelope));
     }
 
     fn send_frame(&mut self, channel: Channel, payload: &[u8]) {
-        let line = self.link_in;
-        self.send(line, &encode_frame(channel as u8, payload));
+        let connection = self.link_in;
+        self.send(connection, &encode_frame(channel as u8, payload));
     }
 
-    fn note_link(&mut self, address: SocketAddrV4, line: Line) {
+    fn note_link(&mut self, address: SocketAddrV4, connection: ConnectionId) {
         if address == PEER {
-            self.link_out = Some(line);
+            self.link_out = Some(connection);
             self.frames = FrameDecoder::default();
         }
     }
@@ -313,11 +320,11 @@
     fn read_link(&mut self) {
         loop {
             let dialled = self.network.borrow_mut().next_dialled();
-            let Some((address, line)) = dialled else { break };
-            self.note_link(address, line);
+            let Some((address, connection)) = dialled else { break };
+            self.note_link(address, connection);
         }
-        let Some(line) = self.link_out else { return };
-        let bytes = self.take(line);
+        let Some(connection) = self.link_out else { return };
+        let bytes = self.take(connection);
         self.frames.feed(&bytes);
         while let Ok(Some(frame)) = self.frames.next_frame() {
             if frame.channel == Channel::Call as u8 {
@@ -327,8 +334,8 @@
         }
     }
 
-    /// Forgets the connections that the node has made so far.
-    fn drop_links(&mut self) {
+    /// Discards the calls that the node has made so far.
+    fn discard_calls(&mut self) {
         self.read_link();
         self.calls.clear();
     }
--- a/crates/tier/tests/single_node/network.rs
+++ b/crates/tier/tests/single_node/network.rs
@@ -1,4 +1,4 @@
-//! A world for one node whose peers are the test itself: every byte and every moment is the test's choice.
+//! An in-memory environment of one node. The test controls the clock and acts as all peers of the node.
 
 use grebeusher_quorum::RestoredState;
 use grebeusher_quorum::disk::{Identity, StoreError};
@@ -13,110 +13,113 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// A connection between the node and the test, by the order in which they were made.
+/// The number of a connection between the node and the test, in the order in which they were made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Line(usize);
+pub struct ConnectionId(usize);
 
 #[derive(Default)]
 struct Connection {
     key: Option<usize>,
-    watches: Option<Interest>,
-    up: bool,
+    interest: Option<Interest>,
+    established: bool,
     refused: bool,
     to_node: VecDeque<u8>,
     from_node: Vec<u8>,
     peer_ended: bool,
     reset: bool,
-    node_is_gone: bool,
-    /// How many more bytes the node may write before its writes wait.
-    room: Option<usize>,
+    closed_by_node: bool,
+    /// How many more bytes the node may write before its writes block; `None` if unlimited.
+    write_limit: Option<usize>,
 }
 
-/// All that the node's system calls touch.
+/// The state behind the system calls of the node.
 #[derive(Default)]
 pub struct Network {
     now: Instant,
-    drawn: u64,
+    /// The last random number.
+    random: u64,
+    /// Whether SIGTERM is pending.
     stop: bool,
+    /// The key and the connections to be accepted of each listener.
     listeners: BTreeMap<SocketAddrV4, (usize, VecDeque<usize>)>,
     connections: Vec<Connection>,
     dialled: VecDeque<(SocketAddrV4, usize)>,
-    /// Connections that the node makes come up at once.
-    pub comes_up: bool,
+    /// Whether connections that the node makes are established at once.
+    pub connects_at_once: bool,
 }
 
 pub type SharedNetwork = Rc<RefCell<Network>>;
 
 impl Network {
     pub fn shared(seed: u64) -> SharedNetwork {
-        Rc::new(RefCell::new(Network { drawn: seed, comes_up: true, ..Network::default() }))
+        Rc::new(RefCell::new(Network { random: seed, connects_at_once: true, ..Network::default() }))
     }
 
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
     }
 
-    /// Sends the node SIGTERM.
+    /// Sends SIGTERM to the node.
     pub fn stop(&mut self) {
         self.stop = true;
     }
 
     /// Connects to an address of the node.
-    pub fn connect(&mut self, address: SocketAddrV4) -> Line {
-        self.connections.push(Connection { up: true, ..Connection::default() });
+    pub fn connect(&mut self, address: SocketAddrV4) -> ConnectionId {
+        self.connections.push(Connection { established: true, ..Connection::default() });
         let number = self.connections.len() - 1;
         let (_, backlog) = self.listeners.get_mut(&address).expect("the node listens there");
         backlog.push_back(number);
-        Line(number)
+        ConnectionId(number)
     }
 
-    /// The next connection that the node has made, and where to.
-    pub fn next_dialled(&mut self) -> Option<(SocketAddrV4, Line)> {
-        self.dialled.pop_front().map(|(address, number)| (address, Line(number)))
+    /// Returns the next connection that the node has made, and the address that it connects to.
+    pub fn next_dialled(&mut self) -> Option<(SocketAddrV4, ConnectionId)> {
+        self.dialled.pop_front().map(|(address, number)| (address, ConnectionId(number)))
     }
 
-    /// Has a connection that the node makes come up, or be refused.
-    pub fn answer_dial(&mut self, line: Line, up: bool) {
-        let connection = &mut self.connections[line.0];
-        (connection.up, connection.refused) = (up, !up);
+    /// Accepts or refuses a connection that the node makes.
+    pub fn answer_dial(&mut self, connection_id: ConnectionId, is_accepted: bool) {
+        let connection = &mut self.connections[connection_id.0];
+        (connection.established, connection.refused) = (is_accepted, !is_accepted);
     }
 
-    pub fn send(&mut self, line: Line, bytes: &[u8]) {
-        self.connections[line.0].to_node.extend(bytes);
+    pub fn send(&mut self, connection_id: ConnectionId, bytes: &[u8]) {
+        self.connections[connection_id.0].to_node.extend(bytes);
     }
 
-    /// Ends the test's side.
-    pub fn end(&mut self, line: Line) {
-        self.connections[line.0].peer_ended = true;
+    /// Closes the test's side of a connection.
+    pub fn end(&mut self, connection_id: ConnectionId) {
+        self.connections[connection_id.0].peer_ended = true;
     }
 
-    /// Resets the connection: what the node has not read yet is lost.
-    pub fn reset(&mut self, line: Line) {
-        let connection = &mut self.connections[line.0];
+    /// Resets a connection: the bytes that the node has not read yet are lost.
+    pub fn reset(&mut self, connection_id: ConnectionId) {
+        let connection = &mut self.connections[connection_id.0];
         connection.reset = true;
         connection.to_node.clear();
     }
 
-    /// Lets the node write only so many more bytes.
-    pub fn limit(&mut self, line: Line, room: Option<usize>) {
-        self.connections[line.0].room = room;
+    /// Limits how many more bytes the node may write on a connection.
+    pub fn limit(&mut self, connection_id: ConnectionId, write_limit: Option<usize>) {
+        self.connections[connection_id.0].write_limit = write_limit;
     }
 
-    /// What the node has written since this was last asked.
-    pub fn take(&mut self, line: Line) -> Vec<u8> {
-        std::mem::take(&mut self.connections[line.0].from_node)
+    /// Returns the bytes that the node has written since the last time.
+    pub fn take(&mut self, connection_id: ConnectionId) -> Vec<u8> {
+        std::mem::take(&mut self.connections[connection_id.0].from_node)
     }
 
-    /// Whether the node has closed its side.
-    pub fn is_closed(&self, line: Line) -> bool {
-        self.connections[line.0].node_is_gone
+    /// Whether the node has closed a connection.
+    pub fn is_closed(&self, connection_id: ConnectionId) -> bool {
+        self.connections[connection_id.0].closed_by_node
     }
 
-    /// What the poller would tell now.
+    /// Returns the events that a poller would report now.
     pub fn events(&self) -> Vec<Event> {
         let mut events = Vec::new();
         if self.stop {
@@ -131,27 +134,27 @@
 
 impl Connection {
     fn event(&self) -> Option<Event> {
-        let (key, watches) = (self.key?, self.watches?);
-        if self.node_is_gone {
+        let (key, interest) = (self.key?, self.interest?);
+        if self.closed_by_node {
             return None;
         }
-        let something_came = !self.to_node.is_empty() || self.peer_ended || self.reset;
-        let readable = watches.readable && self.up && something_came;
-        let has_room = self.room != Some(0);
-        let writable = watches.writable && (self.refused || self.reset || (self.up && has_room));
+        let has_input = !self.to_node.is_empty() || self.peer_ended || self.reset;
+        let readable = interest.readable && self.established && has_input;
+        let may_write = self.write_limit != Some(0);
+        let writable = interest.writable && (self.refused || self.reset || (self.established && may_write));
         (readable || writable).then_some(Event { key, readable, writable })
     }
 }
 
-/// What the node holds of it.
+/// The environment that is passed to the node.
 pub struct TestWorld {
     pub network: SharedNetwork,
     pub settings: String,
 }
 
-struct ListenerKind(SharedNetwork, SocketAddrV4);
-struct Arrival(SharedNetwork, usize);
-struct NodeSide(SharedNetwork, usize);
+struct TestListener(SharedNetwork, SocketAddrV4);
+struct TestAccepted(SharedNetwork, usize);
+struct TestStream(SharedNetwork, usize);
 
 impl World for TestWorld {
     fn now(&self) -> Instant {
@@ -164,8 +167,8 @@
 
     fn random(&self) -> u64 {
         let mut network = self.network.borrow_mut();
-        network.drawn = network.drawn.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-        network.drawn
+        network.random = network.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        network.random
     }
 
     fn wait(&self, _: Duration, _: &mut Vec<Event>) -> io::Result<()> {
@@ -174,22 +177,22 @@
 
     fn listen(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Listener>> {
         self.network.borrow_mut().listeners.insert(address, (key, VecDeque::new()));
-        Ok(Box::new(ListenerKind(self.network.clone(), address)))
+        Ok(Box::new(TestListener(self.network.clone(), address)))
     }
 
     fn dial(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Stream>> {
         let mut network = self.network.borrow_mut();
-        let up = network.comes_up;
+        let established = network.connects_at_once;
         let interest = Some(Interest::WRITABLE);
         network.connections.push(Connection {
             key: Some(key),
-            watches: interest,
-            up,
+            interest,
+            established,
             ..Connection::default()
         });
         let number = network.connections.len() - 1;
         network.dialled.push_back((address, number));
-        Ok(Box::new(NodeSide(self.network.clone(), number)))
+        Ok(Box::new(TestStream(self.network.clone(), number)))
     }
 
     fn dial_link(&self, address: SocketAddrV4, key: usize) -> io::Result<Box<dyn Stream>> {
@@ -214,25 +217,25 @@
     }
 }
 
-impl Listener for ListenerKind {
+impl Listener for TestListener {
     fn accept(&self) -> io::Result<Box<dyn Accepted>> {
         let mut network = self.0.borrow_mut();
-        let (_, backlog) = network.listeners.get_mut(&self.1).expect("it listens");
+        let (_, backlog) = network.listeners.get_mut(&self.1).expect("the node listens there");
         let number = backlog.pop_front().ok_or(ErrorKind::WouldBlock)?;
-        Ok(Box::new(Arrival(self.0.clone(), number)))
+        Ok(Box::new(TestAccepted(self.0.clone(), number)))
     }
 }
 
-impl Accepted for Arrival {
+impl Accepted for TestAccepted {
     fn watch(self: Box<Self>, key: usize) -> io::Result<Box<dyn Stream>> {
         let connection = &mut self.0.borrow_mut().connections[self.1];
         connection.key = Some(key);
-        connection.watches = Some(Interest::READABLE);
-        Ok(Box::new(NodeSide(self.0.clone(), self.1)))
+        connection.interest = Some(Interest::READABLE);
+        Ok(Box::new(TestStream(self.0.clone(), self.1)))
     }
 }
 
-impl Stream for NodeSide {
+impl Stream for TestStream {
     fn read(&mut self, bytes: &mut [u8]) -> io::Result<usize> {
         let connection = &mut self.0.borrow_mut().connections[self.1];
         if connection.reset {
@@ -242,8 +245,8 @@
         if count == 0 {
             return if connection.peer_ended { Ok(0) } else { Err(ErrorKind::WouldBlock.into()) };
         }
-        for (place, byte) in bytes.iter_mut().zip(connection.to_node.drain(..count)) {
-            *place = byte;
+        for (target, byte) in bytes.iter_mut().zip(connection.to_node.drain(..count)) {
+            *target = byte;
         }
         Ok(count)
     }
@@ -253,11 +256,11 @@
         if connection.reset {
             return Err(ErrorKind::ConnectionReset.into());
         }
-        let count = connection.room.map_or(bytes.len(), |room| room.min(bytes.len()));
+        let count = connection.write_limit.map_or(bytes.len(), |limit| limit.min(bytes.len()));
         if count == 0 {
             return Err(ErrorKind::WouldBlock.into());
         }
-        connection.room = connection.room.map(|room| room - count);
+        connection.write_limit = connection.write_limit.map(|limit| limit - count);
         connection.from_node.extend_from_slice(&bytes[..count]);
         Ok(count)
     }
@@ -266,20 +269,20 @@
         let connection = &self.0.borrow().connections[self.1];
         match connection.refused {
             true => Err(ErrorKind::ConnectionRefused.into()),
-            false => Ok(connection.up),
+            false => Ok(connection.established),
         }
     }
 
     fn set_interest(&mut self, interest: Interest) -> io::Result<()> {
-        self.0.borrow_mut().connections[self.1].watches = Some(interest);
+        self.0.borrow_mut().connections[self.1].interest = Some(interest);
         Ok(())
     }
 
     fn end_writing(&mut self) {}
 }
 
-impl Drop for NodeSide {
+impl Drop for TestStream {
     fn drop(&mut self) {
-        self.0.borrow_mut().connections[self.1].node_is_gone = true;
+        self.0.borrow_mut().connections[self.1].closed_by_node = true;
     }
 }
--- a/crates/tier/tests/stable_bytes.rs
+++ b/crates/tier/tests/stable_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes written by earlier versions that this one must read and write unchanged: what nodes say to each other beside the
-//! registry's and the replicas' own messages.
+//! Compatibility of the messages between nodes, except those of the registry and the replicas: this version must read and
+//! write the bytes of earlier versions.
 
 use grebeusher_rollout::RolloutOrder;
 use grebeusher_tier::control::leader_index::{LedPartition, LedPartitions};
@@ -23,7 +23,7 @@
     pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal")).collect()
 }
 
-/// Whether a value is written as these bytes, and these are read as the value and written as they were.
+/// Asserts that a value is encoded as these bytes, and that these are decoded and encoded again without a change.
 fn assert_pinned<T: SerBin + DeBin + Debug>(value: &T, pinned: &str) {
     assert_eq!(hex(&value.serialize_bin()), pinned);
     let read = T::deserialize_bin(&bytes(pinned)).expect("what earlier versions wrote");
@@ -31,7 +31,7 @@
     assert_eq!(hex(&read.serialize_bin()), pinned);
 }
 
-/// The first bytes of each kind of call. A kind that is added needs its number here and its bytes below.
+/// Returns the number in the first bytes of each kind of call. A new kind needs its number here and its bytes below.
 fn number_of_call(call: &Call) -> u16 {
     match call {
         Call::Bootstrap { .. } => 0,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The same for replies.
+/// Returns the number in the first bytes of each kind of reply.
 fn number_of_reply(reply: &Reply) -> u16 {
     match reply {
         Reply::NotLeader { .. } => 0,
@@ -194,7 +194,7 @@
     assert_pinned(&LedPartitions::default(), "0000000000000000");
 }
 
-/// The byte of each channel. A channel that is added needs its byte here and below.
+/// Returns the byte of each channel. A new channel needs its byte here and below.
 fn byte_of_channel(channel: Channel) -> u8 {
     match channel {
         Channel::Registry => 1,
@@ -221,7 +221,7 @@
         assert_eq!(byte_of_channel(channel), byte);
         assert_eq!(Channel::from_byte(byte), Some(channel));
     }
-    // The byte of a greeting, and all that no version has used yet.
+    // The other bytes are that of a `Hello` frame and those that no version has used.
     let unknown: Vec<u8> = (0..=255).filter(|byte| Channel::from_byte(*byte).is_none()).collect();
     assert_eq!(unknown, [0].into_iter().chain(7..=255).collect::<Vec<u8>>());
 }
--- a/crates/tier/tests/stable_hints.rs
+++ b/crates/tier/tests/stable_hints.rs
@@ -1,5 +1,5 @@
-//! What earlier versions wrote into the data folder of a node, which this one must read and write unchanged: the hints
-//! that it starts with, by the names and bytes of their files.
+//! Compatibility of the hint files in the data folder of a node: this version must read and write the names and bytes of
+//! the files of earlier versions.
 
 mod single_node;
 
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 
 const NODE: Ipv4Addr = Ipv4Addr::new(10, 0, 0, 1);
-/// The file `executors` after a heartbeat of one executor.
+/// The content of the file `executors` after a heartbeat of one executor.
 const EXECUTORS_FILE: &str = "\
     4472d9bd01010003692d3101730a090001901f01610800000002763104626f7468000000000000000000010000000000\
     00000100016d040000000000000006656467652d31";
@@ -38,7 +38,7 @@
     pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hexadecimal")).collect()
 }
 
-/// An empty folder for one test.
+/// Creates an empty folder for one test.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("stable_hints_{name}"));
     drop(fs::remove_dir_all(&folder));
@@ -46,7 +46,7 @@
     folder
 }
 
-/// A network and a clock of the test, and the files of the system.
+/// An environment with the network and the clock of the test, and with real files.
 struct FileWorld {
     network: TestWorld,
     files: System,
@@ -130,7 +130,7 @@
             network: TestWorld { network: Rc::clone(&network), settings: settings.clone() },
             files: System::open(PathBuf::new()).expect("the system has descriptors"),
         };
-        let settings = Settings::read(&settings).expect("right settings");
+        let settings = Settings::read(&settings).expect("valid settings");
         let start = Start::open(settings, Rc::new(world)).expect("nothing is missing");
         let node = Node::new(start).expect("nothing is missing");
         EdgeNode { network, node }
@@ -143,22 +143,22 @@
         }
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         for _ in 0..10 {
-            self.network.borrow_mut().pass(span.scaled(0.1));
+            self.network.borrow_mut().advance(span.scaled(0.1));
             self.turn();
         }
     }
 
     fn call(&mut self, request: &str) -> String {
-        let line = self.network.borrow_mut().connect(SocketAddrV4::new(NODE, 8146));
+        let connection = self.network.borrow_mut().connect(SocketAddrV4::new(NODE, 8146));
         self.turn();
-        self.network.borrow_mut().send(line, request.as_bytes());
+        self.network.borrow_mut().send(connection, request.as_bytes());
         self.turn();
-        String::from_utf8_lossy(&self.network.borrow_mut().take(line)).into_owned()
+        String::from_utf8_lossy(&self.network.borrow_mut().take(connection)).into_owned()
     }
 
-    fn executor_calls(&mut self) {
+    fn send_heartbeat(&mut self) {
         let body = r#"{"service":"s","address":"10.9.0.1:8080","zone":"a","config_version":"v1","slot_count":8,"pipeline_stage":"both","state":"up","cold_left_ms":0,"call_seq":1,"models":[{"name":"m","config_version":4}]}"#;
         let answer = self.call(&format!(
             "POST /api/Instances.Heartbeat/i-1 HTTP/1.1\r\nHost: n\r\nContent-Length: {}\r\n\r\n{body}",
@@ -172,9 +172,9 @@
 fn the_executors_that_a_node_knows_are_written_to_the_same_file() {
     let data = folder("written");
     let mut node = EdgeNode::start(&data);
-    node.pass(Duration::from_millis(2_500));
-    node.executor_calls();
-    node.pass(Duration::from_millis(2_500));
+    node.advance(Duration::from_millis(2_500));
+    node.send_heartbeat();
+    node.advance(Duration::from_millis(2_500));
     let file = fs::read(data.join("executors")).expect("the file is written");
     assert_eq!(hex(&file), EXECUTORS_FILE);
 }
@@ -197,6 +197,6 @@
     assert_eq!(hex(&fs::read(data.join("name")).expect("the file is written")), pinned);
     fs::write(data.join("name"), bytes(pinned)).expect("a file");
     assert_eq!(files.read_hint(&data, "name").as_deref(), Some(&b"content"[..]));
-    // What lies beside it while it is written is gone.
+    // The temporary file is renamed and no longer there.
     assert_eq!(fs::read_dir(&data).expect("a folder").count(), 1);
 }
--- a/crates/tier/tests/stable_log.rs
+++ b/crates/tier/tests/stable_log.rs
@@ -1,4 +1,4 @@
-//! Commands that earlier versions put into the log of a batch partition, which this one must read and write unchanged.
+//! Compatibility of the log entries of a batch partition: this version must read and write the bytes of earlier versions.
 
 mod single_node;
 
@@ -17,7 +17,7 @@
 use grebeusher_transport::link::{FrameDecoder, Hello, encode_frame, encode_hello};
 use grebeusher_transport::poller::Event;
 use nanoserde::{DeBin, SerBin};
-use single_node::network::{Line, Network, SharedNetwork, TestWorld};
+use single_node::network::{ConnectionId, Network, SharedNetwork, TestWorld};
 use std::cell::RefCell;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -32,20 +32,20 @@
     "seed_nodes":["10.0.0.2:8146"],"quorum_member":true,"data_path":"/data",
     "limits":{"cpu_share":0.5,"memory_mb":260,"file_descriptors":4100,"link_mbps":1000.0,"disk_mb":64}}"#;
 
-/// The state of a partition without jobs, in which `node-0` is to be emptied.
+/// The snapshot of a partition without jobs, in which `node-0` is to be retired.
 const SNAPSHOT: &[u8] = b"\x02\x00\x00\x00\x00\x00\x00\x00\x01\x00\x01\x00\x00\x00\x00\x00\x00\x00\x06\x00\x00\x00\x00\x00\x00\x00node-0";
-/// That `node-1` is to be emptied.
+/// The entry that `node-1` is to be retired.
 const RETIRE: &[u8] = b"\x02node-1";
-/// A job of one item.
+/// The entry of a submitted job with one item.
 const SUBMIT: &[u8] = b"\x01\x01\x05job-1\x04lots\x06models\x0clots.example\x01\x01a\x07/lots/a\x00\x02\x00\xff\x1e\x00\x00\x00\xe0\xd4\x03\x03\x00\x00";
-/// What the node itself writes of another job, and of the end of the first.
+/// The entries that the node writes for another submitted job and for the end of the first job.
 const SUBMISSION: &[u8] =
     b"\x05job-2\x04lots\x06models\x0clots.example\x01\x01a\x07/lots/a\x00\x02\x00\xff\x1e";
 const ENDED: &[u8] = b"\x01\x04\x05job-1";
 
 type Commands = Rc<RefCell<Vec<Vec<u8>>>>;
 
-/// The world of a node whose disk is the test's.
+/// The environment of a node whose disk is in memory.
 struct DiskWorld {
     network: TestWorld,
     commands: Commands,
@@ -57,11 +57,11 @@
     fn write(&mut self, writes: &[Write]) -> Result<(), StoreError> {
         for write in writes {
             let (Some(commands), Write::Entries(entries)) = (&self.0, write) else { continue };
-            let of_entry = |entry: &Entry| match &entry.payload {
+            let command_of = |entry: &Entry| match &entry.payload {
                 Payload::Command(bytes) => Some(bytes.as_slice().to_vec()),
                 Payload::Noop | Payload::Group(_) => None,
             };
-            commands.borrow_mut().extend(entries.iter().filter_map(of_entry));
+            commands.borrow_mut().extend(entries.iter().filter_map(command_of));
         }
         Ok(())
     }
@@ -114,15 +114,15 @@
 
     fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError> {
         if folder.ends_with("part-1") {
-            Ok((Box::new(Disk(Some(self.commands.clone()))), kept()))
+            Ok((Box::new(Disk(Some(self.commands.clone()))), stored_state()))
         } else {
             Ok((Box::new(Disk(None)), RestoredState::default()))
         }
     }
 }
 
-/// What the disk holds of partition 1, of which this node has the only replica.
-fn kept() -> RestoredState {
+/// The stored state of partition 1, of which this node has the only replica.
+fn stored_state() -> RestoredState {
     let command = |index, bytes: &[u8]| Entry {
         index: Index(index),
         term: Term(1),
@@ -136,19 +136,19 @@
     }
 }
 
-/// A storage node that leads partition 1, and the test as its peer.
+/// A storage node that leads partition 1. The test acts as its peer.
 struct Storage {
     network: SharedNetwork,
     node: Node,
-    link: Line,
-    back: Option<Line>,
+    link_to_node: ConnectionId,
+    link_from_node: Option<ConnectionId>,
     frames: FrameDecoder,
     commands: Commands,
     calls: u64,
 }
 
 impl Storage {
-    fn started() -> Storage {
+    fn start() -> Storage {
         let network = Network::shared(1);
         let commands = Commands::default();
         let inner = TestWorld { network: network.clone(), settings: SETTINGS.to_owned() };
@@ -156,18 +156,19 @@
         let settings = Settings::read(SETTINGS).expect("right settings");
         let start = Start::open(settings, Rc::new(world)).expect("nothing is missing");
         let node = Node::new(start).expect("the state on the disk is read");
-        let link = network.borrow_mut().connect(NODE);
+        let link_to_node = network.borrow_mut().connect(NODE);
         let frames = FrameDecoder::default();
-        let mut storage = Storage { network, node, link, back: None, frames, commands, calls: 0 };
-        storage.network.borrow_mut().send(link, &encode_hello(&Hello::new(PEER)));
-        storage.pass(Duration::from_millis(8_000));
+        let mut storage =
+            Storage { network, node, link_to_node, link_from_node: None, frames, commands, calls: 0 };
+        storage.network.borrow_mut().send(link_to_node, &encode_hello(&Hello::new(PEER)));
+        storage.advance(Duration::from_millis(8_000));
         storage
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         let until = self.network.borrow().now() + span;
         while self.network.borrow().now() < until {
-            self.network.borrow_mut().pass(Duration::from_millis(5));
+            self.network.borrow_mut().advance(Duration::from_millis(5));
             for _ in 0..50 {
                 let events = self.network.borrow().events();
                 self.node.turn(&events).expect("the disk does not fail");
@@ -178,27 +179,27 @@
         }
     }
 
-    /// The node's reply to a call.
+    /// Calls the node and returns its reply.
     fn call(&mut self, call: Call) -> Reply {
         self.calls += 1;
         let number = CallNumber(self.calls);
         let envelope = CallEnvelope { number, call };
         let frame = encode_frame(Channel::Call as u8, &SerBin::serialize_bin(&envelope));
-        self.network.borrow_mut().send(self.link, &frame);
-        self.pass(Duration::from_millis(300));
+        self.network.borrow_mut().send(self.link_to_node, &frame);
+        self.advance(Duration::from_millis(300));
         self.reply_to(number).expect("a reply")
     }
 
     fn reply_to(&mut self, number: CallNumber) -> Option<Reply> {
         loop {
             let dialled = self.network.borrow_mut().next_dialled();
-            let Some((address, line)) = dialled else { break };
+            let Some((address, connection)) = dialled else { break };
             if address == PEER {
-                self.back = Some(line);
+                self.link_from_node = Some(connection);
                 self.frames = FrameDecoder::default();
             }
         }
-        let bytes = self.network.borrow_mut().take(self.back?);
+        let bytes = self.network.borrow_mut().take(self.link_from_node?);
         self.frames.feed(&bytes);
         while let Ok(Some(frame)) = self.frames.next_frame() {
             if frame.channel == Channel::Reply as u8 {
@@ -219,7 +220,7 @@
     }
 }
 
-/// A size, which may differ between versions.
+/// Returns the number after some words in a status. It is a size that may differ between versions.
 fn number_after(text: &str, words: &str) -> u64 {
     let rest = text.split_once(words).expect("the words are there").1;
     rest.split(' ').next().and_then(|number| number.parse().ok()).expect("a number")
@@ -227,7 +228,7 @@
 
 #[test]
 fn a_log_and_a_snapshot_of_an_earlier_version_are_taken_over() {
-    let mut storage = Storage::started();
+    let mut storage = Storage::start();
     let status = storage.status();
     let (log, jobs) = (number_after(&status, "log of "), number_after(&status, "in about "));
     let expected = format!(
@@ -245,7 +246,7 @@
 
 #[test]
 fn what_is_put_into_the_log_keeps_its_bytes() {
-    let mut storage = Storage::started();
+    let mut storage = Storage::start();
     let submit = SubmitJob {
         partition: 1,
         submission: SUBMISSION.to_vec(),
@@ -260,7 +261,7 @@
     assert!(matches!(&reply, Reply::Answer { status: 200, body } if body == b"{}"), "{reply:?}");
     let commands = storage.commands.borrow();
     let [submitted, ended] = &commands[..] else { panic!("two commands, not {commands:?}") };
-    // Behind the submission stand the terms, which begin with a time of day.
+    // After the submission the entry has the settings of the job, which begin with the time of day.
     assert_eq!(submitted[..2 + SUBMISSION.len()], [b"\x01\x01", SUBMISSION].concat());
     assert_eq!(
         submitted[2 + SUBMISSION.len()..].escape_ascii().to_string(),
--- a/crates/tier/tests/stable_state.rs
+++ b/crates/tier/tests/stable_state.rs
@@ -1,4 +1,4 @@
-//! Bytes of a batch partition's state that earlier versions put on disks, which this one must read and write unchanged.
+//! Compatibility of the snapshots of a batch partition: this version must read and write the bytes of earlier versions.
 
 use grebeusher_batch::{
     Entry, Header, ItemIndex, ItemResult, ItemSpec, JobId, JobResults, JobSettings, Jobs, ResultState,
--- a/crates/tier/tests/stable_words.rs
+++ b/crates/tier/tests/stable_words.rs
@@ -1,5 +1,5 @@
-//! Words that clients, executors, operators and the platform see, which every version must keep: paths, headers, statuses
-//! and bodies of real answers, the program's commands, and the roles of the deploy file.
+//! Compatibility of the external interfaces for clients, executors, operators and the platform, which every version must
+//! keep: paths, headers, statuses and bodies of answers, the commands of the program, and the roles of the deploy file.
 
 mod single_node;
 
@@ -42,7 +42,7 @@
     assert_eq!((tokens, partitions.shared_tokens()), (vec![800, 410], 800));
 }
 
-/// A whole request with a host and these header lines.
+/// Builds a request with a `Host` header, these header lines and a body.
 fn request(line: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!("{line} HTTP/1.1\r\nHost: h.example\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
@@ -52,22 +52,22 @@
     String::from_utf8(bytes).expect("text")
 }
 
-/// What the node answers by itself.
-fn answered(single: &mut SingleNode, port: u16, request: &str) -> String {
-    let line = single.connect(port);
-    single.send(line, request.as_bytes());
-    text(single.take(line))
+/// Sends a request and returns the answer that the node gives without a call to another node.
+fn answered(harness: &mut SingleNode, port: u16, request: &str) -> String {
+    let connection = harness.connect(port);
+    harness.send(connection, request.as_bytes());
+    text(harness.take(connection))
 }
 
-/// What the node answers once the leader, whom it calls, has replied.
-fn answered_after(single: &mut SingleNode, port: u16, request: &str, reply: Reply) -> (Call, String) {
-    single.take_calls();
-    let line = single.connect(port);
-    single.send(line, request.as_bytes());
-    single.pass(Duration::from_millis(20));
-    let (number, call) = single.take_calls().pop().expect("the leader is called");
-    single.reply(number, reply);
-    (call, text(single.take(line)))
+/// Sends a request and replies to the resulting call as the leader. Returns the call and the answer of the node.
+fn answered_after(harness: &mut SingleNode, port: u16, request: &str, reply: Reply) -> (Call, String) {
+    harness.take_calls();
+    let connection = harness.connect(port);
+    harness.send(connection, request.as_bytes());
+    harness.advance(Duration::from_millis(20));
+    let (number, call) = harness.take_calls().pop().expect("the leader is called");
+    harness.reply(number, reply);
+    (call, text(harness.take(connection)))
 }
 
 fn replied(status: u16, body: &str) -> Reply {
@@ -81,25 +81,25 @@
 const EMPTY_503: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 const JSON_200: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}";
 
-/// A node that has heard of its peer a moment ago, and of an executor.
-fn in_touch() -> SingleNode {
-    let mut single = SingleNode::with_configuration(1);
-    single.executor_calls(1, 1, "up");
-    single.storage_joins();
-    single
+/// Starts a node that has just received messages of its peer and a heartbeat of an executor.
+fn connected_node() -> SingleNode {
+    let mut harness = SingleNode::with_configuration(1);
+    harness.send_heartbeat(1, 1, "up");
+    harness.add_storage_node();
+    harness
 }
 
 #[test]
 fn the_platform_is_told_whether_the_node_is_ready() {
     let check = request("GET /api/readiness", "", "");
     let ready = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    let mut single = in_touch();
-    single.pass(Duration::from_millis(800));
-    single.storage_joins();
-    assert_eq!(answered(&mut single, READINESS, &check), ready);
-    assert_eq!(answered(&mut single, CONTROL, &check), ready);
+    let mut harness = connected_node();
+    harness.advance(Duration::from_millis(800));
+    harness.add_storage_node();
+    assert_eq!(answered(&mut harness, READINESS, &check), ready);
+    assert_eq!(answered(&mut harness, CONTROL, &check), ready);
     let other = request("GET /api/ready", "", "");
-    assert_eq!(answered(&mut single, READINESS, &other), EMPTY_404);
+    assert_eq!(answered(&mut harness, READINESS, &other), EMPTY_404);
     assert_eq!(answered(&mut SingleNode::without_configuration(1), READINESS, &check), EMPTY_503);
 }
 
@@ -108,20 +108,20 @@
 #[test]
 fn a_heartbeat_is_answered() {
     let heartbeat = |body: &str| request("POST /api/Instances.Heartbeat/i-1", "", body);
-    let mut single = in_touch();
+    let mut harness = connected_node();
     assert_eq!(
-        answered(&mut single, CONTROL, &heartbeat(HEARTBEAT)),
+        answered(&mut harness, CONTROL, &heartbeat(HEARTBEAT)),
         "HTTP/1.1 200 OK\r\nContent-Length: 36\r\nContent-Type: application/json\r\n\r\n{\"heartbeat_target\":\"10.0.0.1:8146\"}"
     );
-    // A node that hears of no other names none for later heartbeats,
-    let mut single = SingleNode::with_executor();
-    assert_eq!(answered(&mut single, CONTROL, &heartbeat(HEARTBEAT)), JSON_200);
-    // and acknowledges nothing that it can't tell the others.
+    // A node without contact to other nodes does not name another one for later heartbeats,
+    let mut harness = SingleNode::with_executor();
+    assert_eq!(answered(&mut harness, CONTROL, &heartbeat(HEARTBEAT)), JSON_200);
+    // and does not acknowledge a change that it can't pass on to other nodes.
     let draining = HEARTBEAT.replace(r#""up""#, r#""draining""#).replace(":9,", ":10,");
-    let line = single.connect(CONTROL);
-    single.send(line, heartbeat(&draining).as_bytes());
-    single.pass(Duration::from_millis(2_000));
-    assert_eq!(text(single.take(line)), EMPTY_503);
+    let connection = harness.connect(CONTROL);
+    harness.send(connection, heartbeat(&draining).as_bytes());
+    harness.advance(Duration::from_millis(2_000));
+    assert_eq!(text(harness.take(connection)), EMPTY_503);
 }
 
 #[rstest]
@@ -140,30 +140,30 @@
 
 #[test]
 fn a_deregistration_is_answered() {
-    let mut single = SingleNode::with_executor();
+    let mut harness = SingleNode::with_executor();
     let deregister = request("POST /api/Instances.Deregister/i-1", "", "");
-    let line = single.connect(CONTROL);
-    single.send(line, deregister.as_bytes());
-    single.pass(Duration::from_millis(2_000));
-    // Nobody else could be told.
-    assert_eq!(text(single.take(line)), EMPTY_503);
+    let connection = harness.connect(CONTROL);
+    harness.send(connection, deregister.as_bytes());
+    harness.advance(Duration::from_millis(2_000));
+    // The node could not pass the change on to another node.
+    assert_eq!(text(harness.take(connection)), EMPTY_503);
 }
 
-/// What the node answers once the leader of each batch partition has said the same.
+/// Sends a call about a retirement, replies `verdict` as the leader of each batch partition, and returns the answer.
 fn retired(line: &str, verdict: Reply) -> String {
-    let mut single = in_touch();
-    single.take_calls();
-    let client = single.connect(CONTROL);
-    single.send(client, request(line, "", r#"{"ramp_s":1}"#).as_bytes());
-    single.pass(Duration::from_millis(20));
-    for (number, call) in single.take_calls() {
+    let mut harness = connected_node();
+    harness.take_calls();
+    let client = harness.connect(CONTROL);
+    harness.send(client, request(line, "", r#"{"ramp_s":1}"#).as_bytes());
+    harness.advance(Duration::from_millis(20));
+    for (number, call) in harness.take_calls() {
         match call {
             Call::BeginRetire { node, .. } | Call::ShowRetire { node, .. } => assert_eq!(node, "storage-9"),
             _ => continue,
         }
-        single.reply(number, verdict.clone());
+        harness.reply(number, verdict.clone());
     }
-    text(single.take(client))
+    text(harness.take(client))
 }
 
 #[rstest]
@@ -220,8 +220,8 @@
 )]
 fn a_configuration_that_is_sent_is_answered(#[case] reply: Reply, #[case] expected: &str) {
     let sent = request("POST /api/Configuration.Replace", "X-Grebeusher-Base-Version: 1\r\n", CONFIGURATION);
-    let mut single = SingleNode::with_executor();
-    let (call, answer) = answered_after(&mut single, CONTROL, &sent, reply);
+    let mut harness = SingleNode::with_executor();
+    let (call, answer) = answered_after(&mut harness, CONTROL, &sent, reply);
     assert_eq!(answer, expected);
     let Call::ReplaceConfiguration { base, body } = call else { panic!("another call") };
     assert_eq!((base, body.as_slice()), (1, CONFIGURATION.as_bytes()));
@@ -229,15 +229,15 @@
 
 #[test]
 fn a_wrong_configuration_is_refused_by_its_reason() {
-    let mut single = SingleNode::with_executor();
+    let mut harness = SingleNode::with_executor();
     let line = "POST /api/Configuration.Replace";
     let reason = "config_version: expected a whole number above 0, at most 2^53";
     assert_eq!(
-        answered(&mut single, CONTROL, &request(line, "", "{}")),
+        answered(&mut harness, CONTROL, &request(line, "", "{}")),
         format!("HTTP/1.1 400 Bad Request\r\nContent-Length: {}\r\n\r\n{reason}", reason.len())
     );
     let base = "X-Grebeusher-Base-Version: one\r\n";
-    assert_eq!(answered(&mut single, CONTROL, &request(line, base, CONFIGURATION)), EMPTY_400);
+    assert_eq!(answered(&mut harness, CONTROL, &request(line, base, CONFIGURATION)), EMPTY_400);
 }
 
 #[rstest]
@@ -263,8 +263,8 @@
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.1\r\n\r\n"
 )]
 fn the_status_of_a_partition_is_shown(#[case] line: &str, #[case] reply: Reply, #[case] expected: &str) {
-    let mut single = SingleNode::with_executor();
-    let (call, answer) = answered_after(&mut single, CONTROL, &request(line, "", ""), reply);
+    let mut harness = SingleNode::with_executor();
+    let (call, answer) = answered_after(&mut harness, CONTROL, &request(line, "", ""), reply);
     assert_eq!(answer, expected);
     assert!(matches!(call, Call::ShowPartition { partition: 0 }));
 }
@@ -278,14 +278,14 @@
 #[case("GET /api/Instances.Heartbeat/i-1")]
 #[case("GET /")]
 fn what_is_no_call_of_the_control_plane_is_not_found(#[case] line: &str) {
-    let mut single = SingleNode::with_executor();
-    assert_eq!(answered(&mut single, CONTROL, &request(line, "", "")), EMPTY_404);
+    let mut harness = SingleNode::with_executor();
+    assert_eq!(answered(&mut harness, CONTROL, &request(line, "", "")), EMPTY_404);
 }
 
 #[test]
 fn the_status_of_a_node_keeps_its_lines() {
-    let mut single = in_touch();
-    let answer = answered(&mut single, CONTROL, &request("GET /api/status", "", ""));
+    let mut harness = connected_node();
+    let answer = answered(&mut harness, CONTROL, &request("GET /api/status", "", ""));
     let (head, lines) = answer.split_once("\r\n\r\n").expect("a head");
     assert_eq!(head, format!("HTTP/1.1 200 OK\r\nContent-Length: {}", lines.len()));
     assert_eq!(
@@ -307,42 +307,42 @@
 )]
 #[case::unclear(Reply::Unclear, EMPTY_504)]
 fn a_batch_job_that_is_submitted_is_answered(#[case] reply: Reply, #[case] expected: &str) {
-    let mut single = SingleNode::with_executor();
-    single.storage_joins();
+    let mut harness = SingleNode::with_executor();
+    harness.add_storage_node();
     let submit = request("POST /bulk/x", "X-Grebeusher-Attempt-Id: job-1\r\n", BULK);
-    single.take_calls();
-    let client = single.connect(CLIENTS);
-    single.send(client, submit.as_bytes());
-    single.pass(Duration::from_millis(20));
-    let (number, call) = single.take_calls().pop().expect("the leader is called");
+    harness.take_calls();
+    let client = harness.connect(CLIENTS);
+    harness.send(client, submit.as_bytes());
+    harness.advance(Duration::from_millis(20));
+    let (number, call) = harness.take_calls().pop().expect("the leader is called");
     assert!(matches!(call, Call::SubmitJob(_)), "{call:?}");
-    single.reply(number, reply);
-    single.pass(Duration::from_millis(3_000));
-    assert_eq!(text(single.take(client)), expected);
+    harness.reply(number, reply);
+    harness.advance(Duration::from_millis(3_000));
+    assert_eq!(text(harness.take(client)), expected);
 }
 
 #[test]
 fn a_wrong_batch_job_is_refused() {
-    let mut single = SingleNode::with_executor();
+    let mut harness = SingleNode::with_executor();
     let id = "X-Grebeusher-Attempt-Id: job-1\r\n";
-    assert_eq!(answered(&mut single, CLIENTS, &request("POST /bulk/x", "", BULK)), EMPTY_400);
+    assert_eq!(answered(&mut harness, CLIENTS, &request("POST /bulk/x", "", BULK)), EMPTY_400);
     assert_eq!(
-        answered(&mut single, CLIENTS, &request("POST /bulk/x", id, "{}")),
+        answered(&mut harness, CLIENTS, &request("POST /bulk/x", id, "{}")),
         "HTTP/1.1 400 Bad Request\r\nContent-Length: 43\r\n\r\n`batch_items` is missing or of another kind"
     );
     assert_eq!(
-        answered(&mut single, CLIENTS, &request("GET /bulk/x", id, "")),
+        answered(&mut harness, CLIENTS, &request("GET /bulk/x", id, "")),
         "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 0\r\n\r\n"
     );
 }
 
 #[test]
 fn the_calls_about_a_batch_job_stay() {
-    let mut single = SingleNode::with_executor();
-    single.storage_joins();
+    let mut harness = SingleNode::with_executor();
+    harness.add_storage_node();
     let page = r#"{"total":1,"next_token":1,"result_list":[]}"#;
     let read = request("GET /api/lots/job-1?resume_after=1", "X-Grebeusher-Hold-Ms: 700\r\n", "");
-    let (call, answer) = answered_after(&mut single, CLIENTS, &read, replied(200, page));
+    let (call, answer) = answered_after(&mut harness, CLIENTS, &read, replied(200, page));
     let Call::ReadJob { job, resume_after, hold_ms, .. } = call else { panic!("another call") };
     assert_eq!((job.as_str(), resume_after, hold_ms), ("job-1", 1, 700));
     assert_eq!(
@@ -351,94 +351,94 @@
     );
 
     let item = request("GET /api/items/job-1?instance_id=a", "", "");
-    let (call, answer) = answered_after(&mut single, CLIENTS, &item, replied(200, "body"));
+    let (call, answer) = answered_after(&mut harness, CLIENTS, &item, replied(200, "body"));
     let Call::ReadItem { job, item, .. } = call else { panic!("another call") };
     assert_eq!((job.as_str(), item.as_str()), ("job-1", "a"));
     assert_eq!(answer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: application/json\r\n\r\nbody");
     let unnamed = request("GET /api/items/job-1", "", "");
-    assert_eq!(answered(&mut single, CLIENTS, &unnamed), EMPTY_400);
+    assert_eq!(answered(&mut harness, CLIENTS, &unnamed), EMPTY_400);
 
     let end = request("DELETE /api/lots/job-1", "", "");
-    let (call, answer) = answered_after(&mut single, CLIENTS, &end, replied(200, "{}"));
+    let (call, answer) = answered_after(&mut harness, CLIENTS, &end, replied(200, "{}"));
     let Call::EndJob { job, .. } = call else { panic!("another call") };
     assert_eq!((job.as_str(), answer.as_str()), ("job-1", JSON_200));
-    let (_, answer) = answered_after(&mut single, CLIENTS, &read, replied(404, ""));
+    let (_, answer) = answered_after(&mut harness, CLIENTS, &read, replied(404, ""));
     assert_eq!(
         answer,
         "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nContent-Type: application/json\r\n\r\n"
     );
-    let (_, answer) = answered_after(&mut single, CLIENTS, &read, Reply::Unclear);
+    let (_, answer) = answered_after(&mut harness, CLIENTS, &read, Reply::Unclear);
     assert_eq!(answer, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.3\r\n\r\n");
 }
 
 #[test]
 fn a_request_and_its_answer_pass_the_node_as_ever() {
-    let mut single = SingleNode::with_executor();
+    let mut harness = SingleNode::with_executor();
     let headers = "X-Grebeusher-Attempt-Id: one\r\nX-Grebeusher-Deadline-Ms: 5000\r\nX-Grebeusher-Model-Name: m\r\nX-Grebeusher-Token-Count: 9,1\r\nX-Grebeusher-Prompt-Prefix: 5c:9\r\nLast-Event-Id: 3\r\nX-Other: kept\r\n";
-    let client = single.connect(CLIENTS);
-    single.send(client, request("POST /resumable/x?y=z", headers, "ask").as_bytes());
-    let line = single.executor_line().expect("the request is sent");
+    let client = harness.connect(CLIENTS);
+    harness.send(client, request("POST /resumable/x?y=z", headers, "ask").as_bytes());
+    let connection = harness.executor_connection().expect("the request is sent");
     assert_eq!(
-        text(single.take(line)),
+        text(harness.take(connection)),
         "POST /resumable/x?y=z HTTP/1.1\r\nHost: h.example\r\nX-Grebeusher-Attempt-Id: one\r\nX-Grebeusher-Model-Name: m\r\nX-Grebeusher-Token-Count: 9,1\r\nX-Grebeusher-Prompt-Prefix: 5c:9\r\nX-Other: kept\r\nX-Grebeusher-Deadline-Ms: 5000\r\nX-Grebeusher-Target-Instance: i-1\r\nLast-Event-Id: 3\r\nContent-Length: 3\r\n\r\nask"
     );
 
-    let client = single.client("idempotent", "two", b"ask");
-    let line = single.executor_line().expect("the request is sent");
+    let client = harness.client("idempotent", "two", b"ask");
+    let connection = harness.executor_connection().expect("the request is sent");
     assert_eq!(
-        text(single.take(line)),
+        text(harness.take(connection)),
         "POST /idempotent/x HTTP/1.1\r\nHost: h.example\r\nX-Grebeusher-Attempt-Id: two\r\nX-Grebeusher-Deadline-Ms: 5000\r\nX-Grebeusher-Target-Instance: i-1\r\nContent-Length: 3\r\n\r\nask"
     );
-    single.send(line, &answer("two", "done"));
+    harness.send(connection, &answer("two", "done"));
     assert_eq!(
-        text(single.take(client)),
+        text(harness.take(client)),
         "HTTP/1.1 200 OK\r\nX-Grebeusher-Attempt-Id: two\r\nX-Grebeusher-Server-Seal: seal-two\r\nContent-Length: 4\r\n\r\ndone"
     );
 }
 
 #[test]
 fn a_stream_passes_the_node_event_by_event() {
-    let mut single = SingleNode::with_executor();
-    let client = single.client("streaming", "one", b"ask");
-    let line = single.executor_line().expect("the request is sent");
+    let mut harness = SingleNode::with_executor();
+    let client = harness.client("streaming", "one", b"ask");
+    let connection = harness.executor_connection().expect("the request is sent");
     let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Grebeusher-Attempt-Id: one\r\nX-Grebeusher-Server-Seal: seal-one\r\nTransfer-Encoding: chunked\r\n\r\n";
     let events = "19\r\nid: 0\ndata: one\n\nid: 1\nda\r\n9\r\nta: two\n\n\r\n0\r\n\r\n";
-    single.send(line, format!("{head}{events}").as_bytes());
+    harness.send(connection, format!("{head}{events}").as_bytes());
     assert_eq!(
-        text(single.take(client)),
+        text(harness.take(client)),
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nX-Grebeusher-Attempt-Id: one\r\nX-Grebeusher-Server-Seal: seal-one\r\nTransfer-Encoding: chunked\r\n\r\n11\r\nid: 0\ndata: one\n\n\r\n11\r\nid: 1\ndata: two\n\n\r\n0\r\n\r\n"
     );
 }
 
 #[test]
 fn the_answers_of_the_node_itself_stay() {
-    let mut single = SingleNode::with_executor();
+    let mut harness = SingleNode::with_executor();
     let id = "X-Grebeusher-Attempt-Id: one\r\n";
-    assert_eq!(answered(&mut single, CLIENTS, &request("GET /nowhere/", id, "")), EMPTY_404);
-    assert_eq!(answered(&mut single, CLIENTS, &request("POST /idempotent/x", "", "ask")), EMPTY_400);
-    // An executor that breaks off,
-    let client = single.client("non_idempotent", "two", b"ask");
-    let line = single.executor_line().expect("the request is sent");
-    single.reset(line);
-    assert_eq!(text(single.take(client)), EMPTY_502);
-    // one that says that it has not run the request,
-    let client = single.client("non_idempotent", "three", b"ask");
-    let line = single.executor_line().expect("the request is sent");
+    assert_eq!(answered(&mut harness, CLIENTS, &request("GET /nowhere/", id, "")), EMPTY_404);
+    assert_eq!(answered(&mut harness, CLIENTS, &request("POST /idempotent/x", "", "ask")), EMPTY_400);
+    // An executor closes the connection before its answer,
+    let client = harness.client("non_idempotent", "two", b"ask");
+    let connection = harness.executor_connection().expect("the request is sent");
+    harness.reset(connection);
+    assert_eq!(text(harness.take(client)), EMPTY_502);
+    // another answers that it has not executed the request,
+    let client = harness.client("non_idempotent", "three", b"ask");
+    let connection = harness.executor_connection().expect("the request is sent");
     let refused = "X-Grebeusher-Attempt-Id: three\r\nX-Grebeusher-Not-Executed: 1\r\n";
-    single.send(line, &plain_answer(503, refused));
-    single.pass(Duration::from_millis(6_100));
+    harness.send(connection, &plain_answer(503, refused));
+    harness.advance(Duration::from_millis(6_100));
     assert_eq!(
-        text(single.take(client)),
+        text(harness.take(client)),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.300\r\n\r\n"
     );
-    // and one that says nothing.
-    let client = single.client("non_idempotent", "four", b"ask");
-    single.pass(Duration::from_millis(6_100));
-    assert_eq!(text(single.take(client)), EMPTY_504);
-    // A node that has just started.
-    let mut single = SingleNode::without_configuration(1);
+    // and another does not answer.
+    let client = harness.client("non_idempotent", "four", b"ask");
+    harness.advance(Duration::from_millis(6_100));
+    assert_eq!(text(harness.take(client)), EMPTY_504);
+    // A node that has just started has no configuration.
+    let mut harness = SingleNode::without_configuration(1);
     assert_eq!(
-        answered(&mut single, CLIENTS, &request("POST /idempotent/x", id, "ask")),
+        answered(&mut harness, CLIENTS, &request("POST /idempotent/x", id, "ask")),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.7\r\n\r\n"
     );
 }
@@ -458,14 +458,14 @@
     "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )]
 fn a_request_that_the_limits_do_not_allow_is_answered(#[case] sent: &str, #[case] expected: &str) {
-    let mut single = SingleNode::with_executor();
-    let client = single.connect(CLIENTS);
-    single.send(client, sent.as_bytes());
-    single.pass(Duration::from_millis(3_500));
-    assert_eq!(text(single.take(client)), expected);
+    let mut harness = SingleNode::with_executor();
+    let client = harness.connect(CLIENTS);
+    harness.send(client, sent.as_bytes());
+    harness.advance(Duration::from_millis(3_500));
+    assert_eq!(text(harness.take(client)), expected);
 }
 
-/// The program, without the variable that names its settings.
+/// The command that runs the program, without the environment variable for the settings file.
 fn program(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_grebeusher-tier"));
     command.args(arguments).env_remove("GREBEUSHER_NODE_FILE");
@@ -530,7 +530,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/system.toml");
     let file = std::fs::read_to_string(path).expect("the file is there");
     let lines: Vec<&str> = file.lines().filter(|line| !line.is_empty() && !line.starts_with('#')).collect();
-    // What is run is the program that `build` makes, with its role as the command.
+    // Each role runs the program that `build` builds, with the role as the command.
     let program = Path::new(env!("CARGO_BIN_EXE_grebeusher-tier"));
     let program = program.file_name().and_then(|name| name.to_str()).expect("a name");
     let build = format!("build = \"cargo build --release --locked -p {program}\"");
--- a/crates/tier/tests/stop.rs
+++ b/crates/tier/tests/stop.rs
@@ -1,4 +1,4 @@
-//! What a process that was told to stop still takes on.
+//! The requests that a process accepts while it shuts down.
 
 use grebeusher_configuration::configuration::{Configuration, Route};
 use grebeusher_tier::runtime::stop::GracefulShutdown;
@@ -11,7 +11,7 @@
     GracefulShutdown::new(Instant(0), GRACE)
 }
 
-/// A route of a type with an objective of 200 ms and a time-out of 6 s.
+/// A route of a type, with a latency objective of 200 ms and a time-out of 6 s.
 fn route(route_type: &str) -> Route {
     let text = format!(
         r#"{{"config_version":1,"service_list":[{{"name":"s","health_path":"/health","max_connections":8}}],
@@ -30,7 +30,7 @@
     #[values("streaming", "idempotent", "non_idempotent")] route_type: &str,
     #[values(0, 1200, 2399)] ms: u64,
 ) {
-    // Given a process that was told to stop a moment ago, when a request of any length comes, then it is taken.
+    // Given a process that has just received SIGTERM, when a request of any duration comes, then it is accepted.
     assert!(shutting_down().accepts(at_ms(ms), &route(route_type), Duration::from_millis(6000)));
 }
 
@@ -43,22 +43,22 @@
 fn a_stream_is_accepted_later_only_if_its_whole_timeout_fits(
     #[case] ms: u64,
     #[case] left_ms: u64,
-    #[case] taken: bool,
+    #[case] is_accepted: bool,
 ) {
-    // Given 7.5 s from SIGTERM to the exit, when a stream comes that may take as long as its time, then it is taken if
-    // that is over before the exit: once its head is out nothing but its end completes it.
+    // Given 7.5 s from SIGTERM to the exit, when a stream comes, then it is accepted if its whole time-out is over before the
+    // exit: once its head is sent, the response can't be replaced by an error.
     assert_eq!(
         shutting_down().accepts(at_ms(ms), &route("streaming"), Duration::from_millis(left_ms)),
-        taken
+        is_accepted
     );
 }
 
 #[rstest]
-fn an_unstreamed_answer_counts_with_its_usual_time(
+fn an_unstreamed_response_is_accepted_if_its_typical_time_fits(
     #[values("idempotent", "non_idempotent")] route_type: &str,
 ) {
-    // Given requests whose answers are sent whole, so that one which takes too long can still hear 504, when one comes
-    // with much more time than it usually needs, then its usual time decides.
+    // Given requests with unstreamed responses, which can still be answered 504 if they take too long, when one comes whose
+    // time-out is much longer than its typical time, then the typical time decides.
     let route = route(route_type);
     assert!(shutting_down().accepts(at_ms(6300), &route, Duration::from_millis(6000)));
     assert!(!shutting_down().accepts(at_ms(6400), &route, Duration::from_millis(6000)));
@@ -69,7 +69,7 @@
 #[case::short(2000, 1750)]
 #[case::none(0, 0)]
 fn the_exit_is_never_far_before_the_kill(#[case] grace_ms: u64, #[case] exit_ms: u64) {
-    // Given a grace period, then the exit lies within its last sixth, in which the operators bear a cut.
+    // Given a grace period, then the exit is within its last sixth, in which the operators tolerate that requests are cut off.
     let shutdown = GracefulShutdown::new(Instant(0), Duration::from_millis(grace_ms));
     assert_eq!(shutdown.exits_at(), at_ms(exit_ms));
     assert!(shutdown.exits_at() >= Instant(0) + Duration::from_millis(grace_ms).scaled(5.0 / 6.0));
--- a/crates/tier/tests/wrong_caller.rs
+++ b/crates/tier/tests/wrong_caller.rs
@@ -23,7 +23,7 @@
         // Given a request at an executor, when its response is received in two parts,
         let mut harness = SingleNode::with_executor();
         let client = harness.client("idempotent", "one", b"ask");
-        let connection = harness.executor_line().expect("the request is sent");
+        let connection = harness.executor_connection().expect("the request is sent");
         harness.send(connection, &bytes[..cut]);
         assert_eq!(status_of(&harness.take(client)), None, "cut at {cut}");
         harness.send(connection, &bytes[cut..]);
@@ -40,7 +40,7 @@
             // Given a request that must not run twice, when its response is cut off,
             let mut harness = SingleNode::with_executor();
             let client = harness.client("non_idempotent", "one", b"ask");
-            let connection = harness.executor_line().expect("the request is sent");
+            let connection = harness.executor_connection().expect("the request is sent");
             harness.send(connection, &bytes[..cut]);
             if resets {
                 harness.reset(connection);
@@ -51,7 +51,7 @@
             let received = harness.take(client);
             assert_eq!(status_of(&received), Some(502), "cut at {cut}");
             assert!(!String::from_utf8_lossy(&received).contains("seal"), "cut at {cut}");
-            assert!(harness.executor_line().is_none(), "the request was sent again");
+            assert!(harness.executor_connection().is_none(), "the request was sent again");
         }
     }
 }
@@ -66,7 +66,7 @@
     // Given a response without a length,
     let mut harness = SingleNode::with_executor();
     let client = harness.client("non_idempotent", "one", b"ask");
-    let connection = harness.executor_line().expect("the request is sent");
+    let connection = harness.executor_connection().expect("the request is sent");
     let head =
         "HTTP/1.1 200 OK\r\nX-Grebeusher-Attempt-Id: one\r\nX-Grebeusher-Server-Seal: s\r\n\r\nhalf of it";
     harness.send(connection, head.as_bytes());
@@ -87,7 +87,7 @@
     // Given an executor that sends two responses to one request,
     let mut harness = SingleNode::with_executor();
     let first = harness.client("idempotent", "one", b"ask");
-    let connection = harness.executor_line().expect("the request is sent");
+    let connection = harness.executor_connection().expect("the request is sent");
     let mut bytes = answer("one", "first");
     if at_once {
         bytes.extend(answer("one", "again"));
@@ -96,7 +96,7 @@
     expect_own_response(&harness.take(first), "one", "first");
     // when the next request is sent, on the same connection if that is still open,
     let second = harness.client("idempotent", "two", b"ask");
-    let next_connection = harness.executor_line().unwrap_or(connection);
+    let next_connection = harness.executor_connection().unwrap_or(connection);
     if !at_once {
         harness.send(next_connection, &answer("one", "again"));
         assert_eq!(status_of(&harness.take(second)), None);
@@ -111,12 +111,12 @@
     // Given a client that disconnects while its request runs,
     let mut harness = SingleNode::with_executor();
     let first = harness.client("idempotent", "one", b"ask");
-    let connection = harness.executor_line().expect("the request is sent");
+    let connection = harness.executor_connection().expect("the request is sent");
     harness.end(first);
     assert!(harness.is_closed(connection), "the executor still runs a request whose client has left");
     // when another client connects, and the response to the first is sent late,
     let second = harness.client("idempotent", "two", b"ask");
-    let next_connection = harness.executor_line().expect("the request is sent on a new connection");
+    let next_connection = harness.executor_connection().expect("the request is sent on a new connection");
     harness.send(connection, &answer("one", "first"));
     harness.send(next_connection, &answer("two", "second"));
     // then the other client gets its own response.
@@ -130,11 +130,11 @@
     let two_requests = [request("idempotent", "one", b"ask"), request("idempotent", "two", b"ask")].concat();
     let client = harness.connect(8144);
     harness.send(client, &two_requests);
-    let connection = harness.executor_line().expect("the first request is sent");
+    let connection = harness.executor_connection().expect("the first request is sent");
     harness.send(connection, &answer("one", "first"));
     expect_own_response(&harness.take(client), "one", "first");
     // when the first is answered, then the second is sent and answered after it.
-    let next_connection = harness.executor_line().unwrap_or(connection);
+    let next_connection = harness.executor_connection().unwrap_or(connection);
     harness.send(next_connection, &answer("two", "second"));
     expect_own_response(&harness.take(client), "two", "second");
 }
@@ -143,13 +143,13 @@
 fn a_response_before_the_request_was_read_closes_the_connection() {
     // Given an executor that rejects a long request before it has read all of it,
     let mut harness = SingleNode::with_executor();
-    harness.network.borrow_mut().comes_up = false;
+    harness.network.borrow_mut().connects_at_once = false;
     let body = vec![b'x'; 200_000];
     let client = harness.client("idempotent", "one", &body);
-    let connection = harness.executor_line().expect("the node opens a connection");
+    let connection = harness.executor_connection().expect("the node opens a connection");
     harness.network.borrow_mut().limit(connection, Some(100_000));
     harness.network.borrow_mut().answer_dial(connection, true);
-    harness.network.borrow_mut().comes_up = true;
+    harness.network.borrow_mut().connects_at_once = true;
     harness.turn();
     assert_eq!(harness.take(connection).len(), 100_000);
     harness.send(connection, &plain_answer(413, "X-Grebeusher-Attempt-Id: one\r\n"));
@@ -157,7 +157,8 @@
     // then no other request is sent on the connection in place of the rest.
     assert!(harness.is_closed(connection));
     let second = harness.client("idempotent", "two", b"ask");
-    let next_connection = harness.executor_line().expect("the next request is sent on a new connection");
+    let next_connection =
+        harness.executor_connection().expect("the next request is sent on a new connection");
     harness.send(next_connection, &answer("two", "second"));
     expect_own_response(&harness.take(second), "two", "second");
 }
@@ -214,6 +215,6 @@
     harness.send(operator, replacement.as_bytes());
     harness.next_call(|call| matches!(call, Call::ReplaceConfiguration { base: 1, .. }));
     // when no reply is received, then the operator gets 504 within a second, which neither confirms nor denies the replacement.
-    harness.pass(Duration::from_millis(960));
+    harness.advance(Duration::from_millis(960));
     assert_eq!(status_of(&harness.take(operator)), Some(504));
 }
