--- a/crates/simulation/src/fleet/hollow.rs
+++ b/crates/simulation/src/fleet/hollow.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use crate::scenario::{Load, Scenario, Shape, ZoneShape};
 use crate::stage::Class;
-use grebeusher_tier::runtime::traffic::{FRAME_KINDS, TIMER_KINDS, Tally, Traffic};
+use grebeusher_tier::runtime::traffic::{FRAME_KINDS, FrameTotals, TIMER_KINDS, Traffic};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeMap;
@@ -170,8 +170,8 @@
 }
 
 /// All frames of some kinds together.
-pub fn sum(tallies: &[Tally]) -> Tally {
-    tallies.iter().fold(Tally::default(), |sum, tally| Tally {
+pub fn sum(tallies: &[FrameTotals]) -> FrameTotals {
+    tallies.iter().fold(FrameTotals::default(), |sum, tally| FrameTotals {
         frames: sum.frames + tally.frames,
         bytes: sum.bytes + tally.bytes,
     })
@@ -179,9 +179,9 @@
 
 impl NodeCost {
     /// Frames in and out.
-    pub fn frames(&self) -> Tally {
+    pub fn frames(&self) -> FrameTotals {
         let (sent, received) = (sum(&self.traffic.sent), sum(&self.traffic.received));
-        Tally { frames: sent.frames + received.frames, bytes: sent.bytes + received.bytes }
+        FrameTotals { frames: sent.frames + received.frames, bytes: sent.bytes + received.bytes }
     }
 }
 
--- a/crates/simulation/src/fleet/lives.rs
+++ b/crates/simulation/src/fleet/lives.rs
@@ -27,7 +27,7 @@
             meter.add(process, begun);
         }
         let wakes = node.next_wake();
-        let over = node.is_over();
+        let over = node.must_exit();
         let mut hub = self.hub.borrow_mut();
         let started = hub.processes[process].started;
         hub.end_turn(process);
--- a/crates/simulation/src/fleet/wave.rs
+++ b/crates/simulation/src/fleet/wave.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use super::hollow::{Hollow, sum};
 use crate::stage::Class;
-use grebeusher_tier::runtime::traffic::Tally;
+use grebeusher_tier::runtime::traffic::FrameTotals;
 use grebeusher_time::{Duration, Instant};
 use std::collections::BTreeMap;
 
@@ -22,11 +22,11 @@
     /// When all of them were ready for clients and had the configuration, from their end; `None`: never.
     pub all_back: Option<Duration>,
     /// The most that a node sent within a tenth of a second.
-    pub most_sent: Tally,
+    pub most_sent: FrameTotals,
     /// The most that a node sent within a tenth of a second while nothing happened.
-    pub most_sent_at_rest: Tally,
+    pub most_sent_at_rest: FrameTotals,
     /// The most that a node that restarted was sent in all.
-    pub most_brought: Tally,
+    pub most_brought: FrameTotals,
 }
 
 /// Has up to `count` edge machines without a disk restart together, in a fleet that has settled.
@@ -59,14 +59,14 @@
     wave
 }
 
-fn larger(one: Tally, other: Tally) -> Tally {
-    Tally { frames: one.frames.max(other.frames), bytes: one.bytes.max(other.bytes) }
+fn larger(one: FrameTotals, other: FrameTotals) -> FrameTotals {
+    FrameTotals { frames: one.frames.max(other.frames), bytes: one.bytes.max(other.bytes) }
 }
 
 impl Fleet {
     /// Lets a stretch pass: the most that one node sent in it.
-    fn stretch(&mut self) -> Tally {
-        let sent = |fleet: &Fleet| -> BTreeMap<usize, Tally> {
+    fn stretch(&mut self) -> FrameTotals {
+        let sent = |fleet: &Fleet| -> BTreeMap<usize, FrameTotals> {
             fleet.nodes.iter().map(|(life, node)| (*life, sum(&node.traffic().sent))).collect()
         };
         let before = sent(self);
@@ -74,9 +74,9 @@
         self.run_until(end);
         let more = sent(self).into_iter().map(|(life, now)| {
             let then = before.get(&life).copied().unwrap_or_default();
-            Tally { frames: now.frames - then.frames, bytes: now.bytes - then.bytes }
+            FrameTotals { frames: now.frames - then.frames, bytes: now.bytes - then.bytes }
         });
-        more.fold(Tally::default(), larger)
+        more.fold(FrameTotals::default(), larger)
     }
 
     /// Kills the processes of edge machines without a disk; they start again at once. Which.
@@ -100,9 +100,9 @@
         })
     }
 
-    fn most_brought(&self, machines: &[usize]) -> Tally {
+    fn most_brought(&self, machines: &[usize]) -> FrameTotals {
         let lives = machines.iter().filter_map(|machine| self.machines[*machine].life);
         let nodes = lives.filter_map(|life| self.nodes.get(&life));
-        nodes.map(|node| sum(&node.traffic().received)).fold(Tally::default(), larger)
+        nodes.map(|node| sum(&node.traffic().received)).fold(FrameTotals::default(), larger)
     }
 }
--- a/crates/simulation/src/log.rs
+++ b/crates/simulation/src/log.rs
@@ -2,7 +2,7 @@
 //!
 //! `FleetLog` is the subscriber; which machine has its turn is noted per thread, as a fleet runs on one.
 
-use grebeusher_tier::runtime::log_ring::event_text;
+use grebeusher_tier::runtime::log_ring::format_event;
 use grebeusher_time::Instant;
 use std::cell::RefCell;
 use tracing::span::{Attributes, Id, Record};
@@ -44,7 +44,7 @@
 
     fn event(&self, event: &Event<'_>) {
         let Turn { at, machine } = TURN.with_borrow(Turn::clone);
-        println!("{:7.3} {machine} {}", at.0 as f64 / 1e9, event_text(event));
+        println!("{:7.3} {machine} {}", at.0 as f64 / 1e9, format_event(event));
     }
 
     fn new_span(&self, _: &Attributes<'_>) -> Id {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -4,7 +4,9 @@
 use crate::hub::{End, Owner, SharedHub};
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_quorum::{ReplicaId, RestoredState, Write};
-use grebeusher_tier::runtime::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
+use grebeusher_tier::runtime::io::{
+    AcceptedConnection, Listener, PartitionStore, ReceivedSignals, Stream, World,
+};
 use grebeusher_time::{Duration, DurationExt, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use grebeusher_transport::socket::USER_TIMEOUT;
@@ -75,12 +77,12 @@
         Ok(Box::new(Line { hub: self.hub.clone(), end }))
     }
 
-    fn signals(&self) -> Signalled {
+    fn signals(&self) -> ReceivedSignals {
         let mut hub = self.hub.borrow_mut();
         let process = &mut hub.processes[self.process];
         let stop = std::mem::take(&mut process.stop);
         let reload = std::mem::take(&mut process.reload);
-        Signalled { stop, reload }
+        ReceivedSignals { stop, reload }
     }
 
     fn settings(&self) -> io::Result<String> {
@@ -140,7 +142,7 @@
 }
 
 impl Listener for ListeningSocket {
-    fn accept(&self) -> io::Result<Box<dyn Accepted>> {
+    fn accept(&self) -> io::Result<Box<dyn AcceptedConnection>> {
         let end = self.hub.borrow_mut().accept(self.address).ok_or(ErrorKind::WouldBlock)?;
         Ok(Box::new(Line { hub: self.hub.clone(), end }))
     }
@@ -161,7 +163,7 @@
     end: End,
 }
 
-impl Accepted for Line {
+impl AcceptedConnection for Line {
     fn watch(self: Box<Self>, key: usize) -> io::Result<Box<dyn Stream>> {
         self.hub.borrow_mut().watch(self.end, key, Interest::READABLE);
         Ok(self)
--- a/crates/tier/src/control/executor_hints.rs
+++ b/crates/tier/src/control/executor_hints.rs
@@ -38,7 +38,7 @@
             return;
         }
         *self = ExecutorHints { written_at: now, generation };
-        if let Err(error) = world.keep_hint(folder, FILE_NAME, &registry.executors_hint()) {
+        if let Err(error) = world.write_hint(folder, FILE_NAME, &registry.executors_hint()) {
             warn!(%error, "executor hints not written");
         }
     }
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -8,7 +8,7 @@
 use crate::links::link_progress::LinkProgress;
 use crate::links::messages::Channel;
 use crate::links::socket::{Reading, Socket};
-use crate::runtime::io::{Accepted, Listener, World};
+use crate::runtime::io::{AcceptedConnection, Listener, World};
 use crate::runtime::timers::Timer;
 use crate::runtime::traffic::Traffic;
 use grebeusher_time::{Duration, Instant};
@@ -249,7 +249,7 @@
     }
 }
 
-fn admit(context: &mut LinkContext<'_>, arrival: Box<dyn Accepted>) {
+fn admit(context: &mut LinkContext<'_>, arrival: Box<dyn AcceptedConnection>) {
     let incoming = IncomingLink { decoder: FrameDecoder::default(), peer: None };
     let open = |_: &dyn World, key| Socket::accepted(arrival, key);
     // A link that can't be watched is lost, and its peer dials anew.
--- a/crates/tier/src/links/socket.rs
+++ b/crates/tier/src/links/socket.rs
@@ -1,6 +1,6 @@
 //! One TCP connection: its socket, what was read and is not yet understood, and what waits to be written.
 
-use crate::runtime::io::{Accepted, Stream, World};
+use crate::runtime::io::{AcceptedConnection, Stream, World};
 use grebeusher_transport::poller::Interest;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddrV4;
@@ -41,7 +41,7 @@
 
 impl Socket {
     /// Takes over an accepted connection.
-    pub fn accepted(arrival: Box<dyn Accepted>, key: usize) -> io::Result<Socket> {
+    pub fn accepted(arrival: Box<dyn AcceptedConnection>, key: usize) -> io::Result<Socket> {
         Ok(Socket::over(arrival.watch(key)?, false))
     }
 
--- a/crates/tier/src/main.rs
+++ b/crates/tier/src/main.rs
@@ -3,7 +3,7 @@
 use bpaf::{Parser, construct, positional, short};
 use grebeusher_tier::node::Node;
 use grebeusher_tier::runtime::log_ring::LogRing;
-use grebeusher_tier::runtime::show::status_of;
+use grebeusher_tier::runtime::show::fetch_status;
 use grebeusher_tier::runtime::start::{Start, read_settings};
 use grebeusher_tier::runtime::system::System;
 use std::fmt::Display;
@@ -73,7 +73,7 @@
 }
 
 fn show(address: SocketAddrV4) -> ExitCode {
-    let status = match status_of(address) {
+    let status = match fetch_status(address) {
         Ok(status) => status,
         Err(error) => return fail(&error),
     };
--- a/crates/tier/src/node.rs
+++ b/crates/tier/src/node.rs
@@ -353,7 +353,7 @@
     }
 
     /// Whether the process is to exit now.
-    pub fn is_over(&self) -> bool {
+    pub fn must_exit(&self) -> bool {
         self.exit
     }
 
--- a/crates/tier/src/requests/prefix_popularity.rs
+++ b/crates/tier/src/requests/prefix_popularity.rs
@@ -113,7 +113,7 @@
             return;
         }
         self.last_saved = now;
-        if let Err(error) = world.keep_hint(folder, HINT_NAME, &popularity.snapshot()) {
+        if let Err(error) = world.write_hint(folder, HINT_NAME, &popularity.snapshot()) {
             warn!(%error, "popular prefixes not written");
         }
     }
--- a/crates/tier/src/runtime/io.rs
+++ b/crates/tier/src/runtime/io.rs
@@ -51,7 +51,7 @@
 
     /// Returns the signals received since the last call. Their event has the key
     /// [`keys::SIGNALS`](crate::node::keys::SIGNALS).
-    fn signals(&self) -> Signalled;
+    fn signals(&self) -> ReceivedSignals;
 
     /// Returns the present content of the settings file.
     ///
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// Fails if the disk does.
-    fn keep_hint(&self, _folder: &Path, _name: &str, _bytes: &[u8]) -> io::Result<()> {
+    fn write_hint(&self, _folder: &Path, _name: &str, _bytes: &[u8]) -> io::Result<()> {
         Ok(())
     }
 
@@ -88,7 +88,7 @@
 
 /// The received signals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Signalled {
+pub struct ReceivedSignals {
     /// Whether SIGTERM was received: the process is to shut down.
     pub stop: bool,
     /// Whether SIGHUP was received: the settings file is to be read again.
@@ -101,11 +101,11 @@
     ///
     /// # Errors
     /// Fails with `WouldBlock` if there is none.
-    fn accept(&self) -> io::Result<Box<dyn Accepted>>;
+    fn accept(&self) -> io::Result<Box<dyn AcceptedConnection>>;
 }
 
 /// An accepted connection that is not registered with the poller yet. Closed when dropped.
-pub trait Accepted {
+pub trait AcceptedConnection {
     /// Registers the connection with the poller for reading. The events of the connection have the key `key`.
     ///
     /// # Errors
--- a/crates/tier/src/runtime/log_ring.rs
+++ b/crates/tier/src/runtime/log_ring.rs
@@ -45,14 +45,14 @@
 
     fn line(&self, event: &Event<'_>) -> String {
         let seconds = self.started.elapsed().as_secs_f64();
-        let mut line = format!("{seconds:.3} {}", event_text(event));
+        let mut line = format!("{seconds:.3} {}", format_event(event));
         line.truncate(line.floor_char_boundary(MAX_LINE_BYTES));
         line
     }
 }
 
 /// Formats an event as a line of the log without the time: `LEVEL MODULE: MESSAGE FIELD=VALUE ...`.
-pub fn event_text(event: &Event<'_>) -> String {
+pub fn format_event(event: &Event<'_>) -> String {
     let mut text = EventText::default();
     event.record(&mut text);
     let metadata = event.metadata();
--- a/crates/tier/src/runtime/show.rs
+++ b/crates/tier/src/runtime/show.rs
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// Fails if there is no answer, or if the answer is not a status.
-pub fn status_of(address: SocketAddrV4) -> Result<String, ShowError> {
+pub fn fetch_status(address: SocketAddrV4) -> Result<String, ShowError> {
     let fetch = |path: &str| fetch(address, path).map_err(|source| ShowError::Connection { address, source });
     let answer = read_answer(&fetch("/api/status")?);
     let mut text = answer.filter(|answer| answer.status == 200).context(NoStatusSnafu { address })?.text;
--- a/crates/tier/src/runtime/system.rs
+++ b/crates/tier/src/runtime/system.rs
@@ -1,7 +1,7 @@
 //! The environment of a real process: sockets of the poller, clocks and files of the operating system.
 
 use crate::node::keys;
-use crate::runtime::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
+use crate::runtime::io::{AcceptedConnection, Listener, PartitionStore, ReceivedSignals, Stream, World};
 use grebeusher_quorum::disk::{Identity, Store, StoreError};
 use grebeusher_quorum::{RestoredState, Write};
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -76,10 +76,10 @@
         Ok(Box::new(TcpConnection(stream)))
     }
 
-    fn signals(&self) -> Signalled {
+    fn signals(&self) -> ReceivedSignals {
         let signals = self.signals.get();
         signals.drain();
-        Signalled { stop: signals.told_to_stop(), reload: signals.told_to_reload() }
+        ReceivedSignals { stop: signals.told_to_stop(), reload: signals.told_to_reload() }
     }
 
     fn settings(&self) -> io::Result<String> {
@@ -96,7 +96,7 @@
         (crc32fast::hash(content) == u32::from_le_bytes(*checksum)).then(|| content.to_vec())
     }
 
-    fn keep_hint(&self, folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
+    fn write_hint(&self, folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
         let temporary = folder.join(format!("{name}.next"));
         let mut file = File::create(&temporary)?;
         file.write_all(&crc32fast::hash(bytes).to_le_bytes())?;
@@ -128,7 +128,7 @@
 }
 
 impl Listener for TcpAcceptor {
-    fn accept(&self) -> io::Result<Box<dyn Accepted>> {
+    fn accept(&self) -> io::Result<Box<dyn AcceptedConnection>> {
         let (stream, _) = self.listener.get().accept()?;
         Ok(Box::new(TcpAccepted { poller: self.poller.clone(), stream }))
     }
@@ -139,7 +139,7 @@
     stream: TcpStream,
 }
 
-impl Accepted for TcpAccepted {
+impl AcceptedConnection for TcpAccepted {
     fn watch(self: Box<Self>, key: usize) -> io::Result<Box<dyn Stream>> {
         self.stream.set_nonblocking(true)?;
         self.stream.set_nodelay(true)?;
--- a/crates/tier/src/runtime/traffic.rs
+++ b/crates/tier/src/runtime/traffic.rs
@@ -34,7 +34,7 @@
 
 /// The number and size of the frames of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct FrameTotals {
     /// The number of frames.
     pub frames: u64,
     /// The sum of the sizes of their payloads, in bytes.
@@ -55,9 +55,9 @@
     /// The number of timers that have expired, by the kinds of [`TIMER_KINDS`].
     pub timers: [u64; TIMER_KINDS.len()],
     /// The frames to other nodes, by the kinds of [`FRAME_KINDS`].
-    pub sent: [Tally; FRAME_KINDS.len()],
+    pub sent: [FrameTotals; FRAME_KINDS.len()],
     /// The frames from other nodes, by the kinds of [`FRAME_KINDS`].
-    pub received: [Tally; FRAME_KINDS.len()],
+    pub received: [FrameTotals; FRAME_KINDS.len()],
 }
 
 impl Traffic {
@@ -87,7 +87,7 @@
     }
 }
 
-fn count(tallies: &mut [Tally; FRAME_KINDS.len()], channel: Channel, payload: &[u8]) {
+fn count(tallies: &mut [FrameTotals; FRAME_KINDS.len()], channel: Channel, payload: &[u8]) {
     let kind = match channel {
         // A frame with an unknown tag is counted as the last kind of the registry.
         Channel::Registry => payload.first().map_or(0, |tag| usize::from(*tag)).min(REGISTRY_KINDS - 1),
--- a/crates/tier/tests/page_rules.rs
+++ b/crates/tier/tests/page_rules.rs
@@ -154,6 +154,6 @@
     assert!(harness.executor_connection().is_some());
     // when the node ends, then the client gets 504, which does not promise that the request has not run.
     harness.advance(Duration::from_millis(5_300));
-    assert!(harness.node.is_over());
+    assert!(harness.node.must_exit());
     assert_eq!(status_of(&harness.take(client)), Some(504));
 }
--- a/crates/tier/tests/show.rs
+++ b/crates/tier/tests/show.rs
@@ -1,7 +1,7 @@
 //! The output of `grebeusher-tier show`, by valid and invalid answers of a node.
 
 use grebeusher_tier::batch::api::BATCH_PARTITIONS;
-use grebeusher_tier::runtime::show::{ShowError, status_of};
+use grebeusher_tier::runtime::show::{ShowError, fetch_status};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, SocketAddrV4, TcpListener};
@@ -43,7 +43,7 @@
     answers.push(answer(503, ""));
     let (address, requested_paths) = serve(answers);
     // When its status is requested
-    let status = status_of(address).expect("a status");
+    let status = fetch_status(address).expect("a status");
     // Then the output has each line, and names the partition without a leader
     let expected = "node edge-1\npart 0 is well\npart 1 is well\npart 2 is well\n\
                     part 3: no owner answers (status 503)\n";
@@ -63,7 +63,7 @@
     // Given a server that gives this answer
     let (address, _) = serve(vec![answer]);
     // When its status is requested
-    let status = status_of(address);
+    let status = fetch_status(address);
     // Then the error says that there is no status
     assert!(matches!(status, Err(ShowError::NoStatus { .. })), "{status:?}");
 }
@@ -75,7 +75,7 @@
     let SocketAddr::V4(address) = listener.local_addr().expect("an address") else { unreachable!("IPv4") };
     drop(listener);
     // When its status is requested
-    let error = status_of(address).expect_err("no node answers");
+    let error = fetch_status(address).expect_err("no node answers");
     // Then the message begins with the address
     assert!(error.to_string().starts_with(&address.to_string()), "{error}");
 }
--- a/crates/tier/tests/single_node/network.rs
+++ b/crates/tier/tests/single_node/network.rs
@@ -3,7 +3,9 @@
 use grebeusher_quorum::RestoredState;
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_tier::node::keys;
-use grebeusher_tier::runtime::io::{Accepted, Listener, PartitionStore, Signalled, Stream, World};
+use grebeusher_tier::runtime::io::{
+    AcceptedConnection, Listener, PartitionStore, ReceivedSignals, Stream, World,
+};
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::poller::{Event, Interest};
 use std::cell::RefCell;
@@ -199,9 +201,9 @@
         self.dial(address, key)
     }
 
-    fn signals(&self) -> Signalled {
+    fn signals(&self) -> ReceivedSignals {
         let stop = std::mem::take(&mut self.network.borrow_mut().stop);
-        Signalled { stop, reload: false }
+        ReceivedSignals { stop, reload: false }
     }
 
     fn settings(&self) -> io::Result<String> {
@@ -218,7 +220,7 @@
 }
 
 impl Listener for TestListener {
-    fn accept(&self) -> io::Result<Box<dyn Accepted>> {
+    fn accept(&self) -> io::Result<Box<dyn AcceptedConnection>> {
         let mut network = self.0.borrow_mut();
         let (_, backlog) = network.listeners.get_mut(&self.1).expect("the node listens there");
         let number = backlog.pop_front().ok_or(ErrorKind::WouldBlock)?;
@@ -226,7 +228,7 @@
     }
 }
 
-impl Accepted for TestAccepted {
+impl AcceptedConnection for TestAccepted {
     fn watch(self: Box<Self>, key: usize) -> io::Result<Box<dyn Stream>> {
         let connection = &mut self.0.borrow_mut().connections[self.1];
         connection.key = Some(key);
--- a/crates/tier/tests/stable_hints.rs
+++ b/crates/tier/tests/stable_hints.rs
@@ -7,7 +7,7 @@
 use grebeusher_quorum::RestoredState;
 use grebeusher_quorum::disk::{Identity, StoreError};
 use grebeusher_tier::node::Node;
-use grebeusher_tier::runtime::io::{Listener, PartitionStore, Signalled, Stream, World};
+use grebeusher_tier::runtime::io::{Listener, PartitionStore, ReceivedSignals, Stream, World};
 use grebeusher_tier::runtime::start::Start;
 use grebeusher_tier::runtime::system::System;
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -81,7 +81,7 @@
         self.network.dial_link(address, key)
     }
 
-    fn signals(&self) -> Signalled {
+    fn signals(&self) -> ReceivedSignals {
         self.network.signals()
     }
 
@@ -97,8 +97,8 @@
         self.files.read_hint(folder, name)
     }
 
-    fn keep_hint(&self, folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.files.keep_hint(folder, name, bytes)
+    fn write_hint(&self, folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
+        self.files.write_hint(folder, name, bytes)
     }
 
     fn open_store(&self, folder: &Path) -> Result<(Box<dyn PartitionStore>, RestoredState), StoreError> {
@@ -192,7 +192,7 @@
 fn a_hint_keeps_its_checksum_before_it() {
     let data = folder("checksum");
     let files = System::open(PathBuf::new()).expect("the system has descriptors");
-    files.keep_hint(&data, "name", b"content").expect("it is written");
+    files.write_hint(&data, "name", b"content").expect("it is written");
     let pinned = "a930c5fe636f6e74656e74";
     assert_eq!(hex(&fs::read(data.join("name")).expect("the file is written")), pinned);
     fs::write(data.join("name"), bytes(pinned)).expect("a file");
--- a/crates/tier/tests/stable_log.rs
+++ b/crates/tier/tests/stable_log.rs
@@ -11,7 +11,7 @@
     Call, CallEnvelope, CallNumber, Channel, Reply, ReplyEnvelope, SubmitJob,
 };
 use grebeusher_tier::node::Node;
-use grebeusher_tier::runtime::io::{Listener, PartitionStore, Signalled, Stream, World};
+use grebeusher_tier::runtime::io::{Listener, PartitionStore, ReceivedSignals, Stream, World};
 use grebeusher_tier::runtime::start::Start;
 use grebeusher_time::{Duration, Instant};
 use grebeusher_transport::link::{FrameDecoder, Hello, encode_frame, encode_hello};
@@ -100,7 +100,7 @@
         self.network.dial_link(address, key)
     }
 
-    fn signals(&self) -> Signalled {
+    fn signals(&self) -> ReceivedSignals {
         self.network.signals()
     }
 
