--- a/crates/tier/src/control/api.rs
+++ b/crates/tier/src/control/api.rs
@@ -73,8 +73,10 @@
         match (request.head.method.as_str(), segments.as_slice()) {
             ("POST", ["api", "Instances.Heartbeat", id]) => self.heartbeat(connection, serial, id, &request),
             ("POST", ["api", "Instances.Deregister", id]) => self.deregister(connection, serial, id),
-            ("POST", ["api", "Configuration.Replace"]) => self.replace(connection, serial, request),
-            ("GET", ["api", "Configuration.Show"]) => self.show(connection, serial),
+            ("POST", ["api", "Configuration.Replace"]) => {
+                self.replace_configuration(connection, serial, request);
+            }
+            ("GET", ["api", "Configuration.Show"]) => self.show_configuration(connection, serial),
             ("POST", ["api", "Retire.Begin", node]) => {
                 self.retire(connection, serial, node, RetireQuestion::Begin);
             }
@@ -108,7 +110,7 @@
                 let effect = self.registry.heartbeat(self.now, report);
                 match effect.answer {
                     Answer::Now => self.answer_heartbeat(connection, serial, effect.heartbeat_target),
-                    Answer::Never => self.not_acknowledged(connection, serial),
+                    Answer::Never => self.answer_not_acknowledged(connection, serial),
                     Answer::WhenAcknowledged(token) => self.acknowledgements.add(token, connection, serial),
                 }
             }
@@ -128,7 +130,7 @@
     fn deregister(&mut self, connection: usize, serial: u64, id: &str) {
         match self.registry.deregister(self.now, id) {
             Answer::Now => self.answer(connection, serial, http::answer(200, &[JSON], b"{}")),
-            Answer::Never => self.not_acknowledged(connection, serial),
+            Answer::Never => self.answer_not_acknowledged(connection, serial),
             Answer::WhenAcknowledged(token) => self.acknowledgements.add(token, connection, serial),
         }
         self.routing_changed = true;
@@ -144,17 +146,17 @@
         }
         for token in completed.rejected {
             if let Some(waiter) = self.acknowledgements.waiters.remove(&token) {
-                self.not_acknowledged(waiter.connection, waiter.serial);
+                self.answer_not_acknowledged(waiter.connection, waiter.serial);
             }
         }
     }
 
     /// Answers 503 to an executor whose call was not acknowledged, so that the executor retries at another node.
-    fn not_acknowledged(&mut self, connection: usize, serial: u64) {
+    fn answer_not_acknowledged(&mut self, connection: usize, serial: u64) {
         self.answer(connection, serial, http::answer(503, &[], b""));
     }
 
-    fn replace(&mut self, connection: usize, serial: u64, request: ClientRequest) {
+    fn replace_configuration(&mut self, connection: usize, serial: u64, request: ClientRequest) {
         let base = request.head.headers.get(names::BASE_VERSION).map(|text| text.trim().parse::<u64>());
         let base = match base {
             Some(Ok(base)) => base,
@@ -176,7 +178,7 @@
         self.call_leader(CONFIGURATION_PARTITION, call, self.now + timeout, continuation);
     }
 
-    fn show(&mut self, connection: usize, serial: u64) {
+    fn show_configuration(&mut self, connection: usize, serial: u64) {
         if self.refuse_call_if_too_late(connection, OPERATOR_TIMEOUT) {
             return;
         }
--- a/crates/tier/src/control/configuration_partition.rs
+++ b/crates/tier/src/control/configuration_partition.rs
@@ -126,7 +126,7 @@
             let rollouts = partition.rollouts.clone();
             self.versions_changed(rollouts);
         }
-        self.serve_committed(index);
+        self.activate_committed(index);
         Ok(())
     }
 
@@ -158,7 +158,7 @@
     /// Puts the newest committed configuration in force on this node; the nodes without a replica fetch it from their peers.
     /// Called once for all entries committed in a turn, so that a replica that catches up on hundreds of changes parses one
     /// configuration, not each of them.
-    pub(crate) fn serve_committed(&mut self, index: usize) {
+    pub(crate) fn activate_committed(&mut self, index: usize) {
         let Application::Configuration(partition) = &self.partitions[index].application else { return };
         let version = partition.register.version();
         if version == 0 {
@@ -169,7 +169,7 @@
     }
 
     /// Handles a call that replaces the configuration, which was sent to this node as the presumed leader.
-    pub(crate) fn replace_at_leader(&mut self, waiter: Waiter, base: u64, body: Vec<u8>) {
+    pub(crate) fn replace_configuration_at_leader(&mut self, waiter: Waiter, base: u64, body: Vec<u8>) {
         let now = self.now;
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let Ok(configuration) = Configuration::read(&body) else {
@@ -201,7 +201,7 @@
     }
 
     /// Replies with the newest configuration, if this node is the leader.
-    pub(crate) fn show_at_leader(&mut self, waiter: Waiter) {
+    pub(crate) fn show_configuration_at_leader(&mut self, waiter: Waiter) {
         let Some(index) = self.led_index(CONFIGURATION_PARTITION, waiter) else { return };
         let Application::Configuration(partition) = &self.partitions[index].application else { return };
         let reply = partition.newest();
--- a/crates/tier/src/control/membership_maintenance.rs
+++ b/crates/tier/src/control/membership_maintenance.rs
@@ -74,7 +74,7 @@
     }
 
     /// Returns the candidates that are not excluded, or all of them if no other node could join the voters.
-    pub fn usable(&self, voters: &[ReplicaId], alive: Vec<Candidate>) -> Vec<Candidate> {
+    pub fn usable_candidates(&self, voters: &[ReplicaId], alive: Vec<Candidate>) -> Vec<Candidate> {
         let replica = |candidate: &Candidate| ReplicaId(candidate.replica);
         let is_voter = |candidate: &Candidate| voters.contains(&replica(candidate));
         let is_usable = |candidate: &&Candidate| {
@@ -158,7 +158,7 @@
         let voters = replica.group().voters.clone();
         self.partitions[index].maintenance.change_ended(now, &voters);
         let alive = candidates(&self.partitions[index], &self.registry);
-        let alive = self.partitions[index].maintenance.usable(&voters, alive);
+        let alive = self.partitions[index].maintenance.usable_candidates(&voters, alive);
         let lost = self.lost_voters(index, &voters, &alive);
         let wanted = self.group_size();
         let Some(next) = next_voters(&voters, &lost, &alive, wanted, self.identity) else { return };
--- a/crates/tier/src/control/partitions.rs
+++ b/crates/tier/src/control/partitions.rs
@@ -81,7 +81,7 @@
             self.apply_to_partition(index, entry.payload, waiters)?;
         }
         if has_entries {
-            self.serve_committed(index);
+            self.activate_committed(index);
         }
         Ok(())
     }
--- a/crates/tier/src/links/dispatch.rs
+++ b/crates/tier/src/links/dispatch.rs
@@ -176,8 +176,10 @@
         let waiter = Waiter { peer: from, number: envelope.number };
         match envelope.call {
             Call::Bootstrap { partition, voters } => self.bootstrap_partition(waiter, partition, &voters),
-            Call::ReplaceConfiguration { base, body } => self.replace_at_leader(waiter, base, body),
-            Call::ShowConfiguration => self.show_at_leader(waiter),
+            Call::ReplaceConfiguration { base, body } => {
+                self.replace_configuration_at_leader(waiter, base, body);
+            }
+            Call::ShowConfiguration => self.show_configuration_at_leader(waiter),
             Call::ShowPartition { partition } => self.show_partition_at_leader(waiter, partition),
             Call::FetchConfiguration { newer_than } => self.reply_with_configuration(waiter, newer_than),
             Call::SubmitJob(call) => self.submit_at_leader(waiter, call),
--- a/crates/tier/tests/membership_maintenance.rs
+++ b/crates/tier/tests/membership_maintenance.rs
@@ -18,7 +18,7 @@
 /// The next voters of the group 1, 2 and 3, of which 3 is lost, if these candidates are alive.
 fn next(maintenance: &MembershipMaintenance, alive: Vec<Candidate>) -> Option<Vec<ReplicaId>> {
     let voters = ids(&[1, 2, 3]);
-    let alive = maintenance.usable(&voters, alive);
+    let alive = maintenance.usable_candidates(&voters, alive);
     next_voters(&voters, &ids(&[3]), &alive, 3, Some(ReplicaId(1)))
 }
 
--- a/crates/tier/tests/stable_log.rs
+++ b/crates/tier/tests/stable_log.rs
@@ -38,9 +38,10 @@
 const RETIRE: &[u8] = b"\x02node-1";
 /// The entry of a submitted job with one item.
 const SUBMIT: &[u8] = b"\x01\x01\x05job-1\x04lots\x06models\x0clots.example\x01\x01a\x07/lots/a\x00\x02\x00\xff\x1e\x00\x00\x00\xe0\xd4\x03\x03\x00\x00";
-/// The entries that the node writes for another submitted job and for the end of the first job.
+/// The encoded submission of another job, which the node puts into an entry.
 const SUBMISSION: &[u8] =
     b"\x05job-2\x04lots\x06models\x0clots.example\x01\x01a\x07/lots/a\x00\x02\x00\xff\x1e";
+/// The entry that the node writes for the end of the first job.
 const ENDED: &[u8] = b"\x01\x04\x05job-1";
 
 type Commands = Rc<RefCell<Vec<Vec<u8>>>>;
@@ -153,7 +154,7 @@
         let commands = Commands::default();
         let inner = TestWorld { network: network.clone(), settings: SETTINGS.to_owned() };
         let world = DiskWorld { network: inner, commands: commands.clone() };
-        let settings = Settings::read(SETTINGS).expect("right settings");
+        let settings = Settings::read(SETTINGS).expect("valid settings");
         let start = Start::open(settings, Rc::new(world)).expect("nothing is missing");
         let node = Node::new(start).expect("the state on the disk is read");
         let link_to_node = network.borrow_mut().connect(NODE);
--- a/crates/tier/tests/stable_words.rs
+++ b/crates/tier/tests/stable_words.rs
@@ -37,9 +37,9 @@
 fn the_forms_of_hints_stay() {
     assert_eq!(TokenCount::parse("1460,80"), Ok(TokenCount { prompt: 1460, output: 80 }));
     assert_eq!(ServerLoad::parse("3,2,8"), Ok(ServerLoad { running: 3, waiting: 2, slots: 8 }));
-    let partitions = PromptSegments::parse("5c1e07a2:800,91bd3f06:410").expect("two parts");
-    let tokens: Vec<u32> = partitions.all().iter().map(|partition| partition.tokens).collect();
-    assert_eq!((tokens, partitions.shared_tokens()), (vec![800, 410], 800));
+    let segments = PromptSegments::parse("5c1e07a2:800,91bd3f06:410").expect("two parts");
+    let tokens: Vec<u32> = segments.all().iter().map(|segment| segment.tokens).collect();
+    assert_eq!((tokens, segments.shared_tokens()), (vec![800, 410], 800));
 }
 
 /// Builds a request with a `Host` header, these header lines and a body.
@@ -53,14 +53,14 @@
 }
 
 /// Sends a request and returns the answer that the node gives without a call to another node.
-fn answered(harness: &mut SingleNode, port: u16, request: &str) -> String {
+fn direct_answer(harness: &mut SingleNode, port: u16, request: &str) -> String {
     let connection = harness.connect(port);
     harness.send(connection, request.as_bytes());
     text(harness.take(connection))
 }
 
 /// Sends a request and replies to the resulting call as the leader. Returns the call and the answer of the node.
-fn answered_after(harness: &mut SingleNode, port: u16, request: &str, reply: Reply) -> (Call, String) {
+fn answer_after_reply(harness: &mut SingleNode, port: u16, request: &str, reply: Reply) -> (Call, String) {
     harness.take_calls();
     let connection = harness.connect(port);
     harness.send(connection, request.as_bytes());
@@ -70,7 +70,7 @@
     (call, text(harness.take(connection)))
 }
 
-fn replied(status: u16, body: &str) -> Reply {
+fn answer_reply(status: u16, body: &str) -> Reply {
     Reply::Answer { status, body: body.as_bytes().to_vec() }
 }
 
@@ -96,11 +96,11 @@
     let mut harness = connected_node();
     harness.advance(Duration::from_millis(800));
     harness.add_storage_node();
-    assert_eq!(answered(&mut harness, READINESS, &check), ready);
-    assert_eq!(answered(&mut harness, CONTROL, &check), ready);
+    assert_eq!(direct_answer(&mut harness, READINESS, &check), ready);
+    assert_eq!(direct_answer(&mut harness, CONTROL, &check), ready);
     let other = request("GET /api/ready", "", "");
-    assert_eq!(answered(&mut harness, READINESS, &other), EMPTY_404);
-    assert_eq!(answered(&mut SingleNode::without_configuration(1), READINESS, &check), EMPTY_503);
+    assert_eq!(direct_answer(&mut harness, READINESS, &other), EMPTY_404);
+    assert_eq!(direct_answer(&mut SingleNode::without_configuration(1), READINESS, &check), EMPTY_503);
 }
 
 const HEARTBEAT: &str = r#"{"service":"s","address":"10.9.0.1:8080","zone":"a","config_version":"v1","slot_count":8,"state":"up","cold_left_ms":0,"call_seq":9,"pipeline_stage":"p","models":[{"name":"m","config_version":3}]}"#;
@@ -110,12 +110,12 @@
     let heartbeat = |body: &str| request("POST /api/Instances.Heartbeat/i-1", "", body);
     let mut harness = connected_node();
     assert_eq!(
-        answered(&mut harness, CONTROL, &heartbeat(HEARTBEAT)),
+        direct_answer(&mut harness, CONTROL, &heartbeat(HEARTBEAT)),
         "HTTP/1.1 200 OK\r\nContent-Length: 36\r\nContent-Type: application/json\r\n\r\n{\"heartbeat_target\":\"10.0.0.1:8146\"}"
     );
     // A node without contact to other nodes does not name another one for later heartbeats,
     let mut harness = SingleNode::with_executor();
-    assert_eq!(answered(&mut harness, CONTROL, &heartbeat(HEARTBEAT)), JSON_200);
+    assert_eq!(direct_answer(&mut harness, CONTROL, &heartbeat(HEARTBEAT)), JSON_200);
     // and does not acknowledge a change that it can't pass on to other nodes.
     let draining = HEARTBEAT.replace(r#""up""#, r#""draining""#).replace(":9,", ":10,");
     let connection = harness.connect(CONTROL);
@@ -135,7 +135,7 @@
     let body = HEARTBEAT.replacen(&format!("\"{key}\""), &format!("\"{key}x\""), 1);
     assert_ne!(body, HEARTBEAT);
     let heartbeat = request("POST /api/Instances.Heartbeat/i-1", "", &body);
-    assert_eq!(answered(&mut SingleNode::with_executor(), CONTROL, &heartbeat), EMPTY_400);
+    assert_eq!(direct_answer(&mut SingleNode::with_executor(), CONTROL, &heartbeat), EMPTY_400);
 }
 
 #[test]
@@ -150,7 +150,7 @@
 }
 
 /// Sends a call about a retirement, replies `verdict` as the leader of each batch partition, and returns the answer.
-fn retired(line: &str, verdict: Reply) -> String {
+fn retirement_answer(line: &str, verdict: Reply) -> String {
     let mut harness = connected_node();
     harness.take_calls();
     let client = harness.connect(CONTROL);
@@ -174,7 +174,7 @@
 )]
 #[case::active(
     "GET /api/Retire.Show/storage-9",
-    replied(202, ""),
+    answer_reply(202, ""),
     "HTTP/1.1 200 OK\r\nContent-Length: 18\r\nContent-Type: application/json\r\n\r\n{\"state\":\"active\"}"
 )]
 #[case::complete(
@@ -184,12 +184,12 @@
 )]
 #[case::unknown(
     "POST /api/Retire.Begin/storage-9",
-    replied(404, ""),
+    answer_reply(404, ""),
     "HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}"
 )]
 #[case::too_few(
     "POST /api/Retire.Begin/storage-9",
-    replied(409, ""),
+    answer_reply(409, ""),
     "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}"
 )]
 #[case::unsure(
@@ -198,19 +198,19 @@
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}"
 )]
 fn the_emptying_of_a_machine_is_answered(#[case] line: &str, #[case] verdict: Reply, #[case] expected: &str) {
-    assert_eq!(retired(line, verdict), expected);
+    assert_eq!(retirement_answer(line, verdict), expected);
 }
 
 const CONFIGURATION: &str = r#"{"config_version":2,"route_table":[],"service_list":[]}"#;
 
 #[rstest]
-#[case::taken(replied(200, "{}"), JSON_200)]
+#[case::taken(answer_reply(200, "{}"), JSON_200)]
 #[case::another_version(
-    replied(412, "{}"),
+    answer_reply(412, "{}"),
     "HTTP/1.1 412 Precondition Failed\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}"
 )]
 #[case::invalid(
-    replied(400, ""),
+    answer_reply(400, ""),
     "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nContent-Type: application/json\r\n\r\n"
 )]
 #[case::unclear(Reply::Unclear, EMPTY_504)]
@@ -221,7 +221,7 @@
 fn a_configuration_that_is_sent_is_answered(#[case] reply: Reply, #[case] expected: &str) {
     let sent = request("POST /api/Configuration.Replace", "X-Grebeusher-Base-Version: 1\r\n", CONFIGURATION);
     let mut harness = SingleNode::with_executor();
-    let (call, answer) = answered_after(&mut harness, CONTROL, &sent, reply);
+    let (call, answer) = answer_after_reply(&mut harness, CONTROL, &sent, reply);
     assert_eq!(answer, expected);
     let Call::ReplaceConfiguration { base, body } = call else { panic!("another call") };
     assert_eq!((base, body.as_slice()), (1, CONFIGURATION.as_bytes()));
@@ -233,11 +233,11 @@
     let line = "POST /api/Configuration.Replace";
     let reason = "config_version: expected a whole number above 0, at most 2^53";
     assert_eq!(
-        answered(&mut harness, CONTROL, &request(line, "", "{}")),
+        direct_answer(&mut harness, CONTROL, &request(line, "", "{}")),
         format!("HTTP/1.1 400 Bad Request\r\nContent-Length: {}\r\n\r\n{reason}", reason.len())
     );
     let base = "X-Grebeusher-Base-Version: one\r\n";
-    assert_eq!(answered(&mut harness, CONTROL, &request(line, base, CONFIGURATION)), EMPTY_400);
+    assert_eq!(direct_answer(&mut harness, CONTROL, &request(line, base, CONFIGURATION)), EMPTY_400);
 }
 
 #[rstest]
@@ -246,7 +246,7 @@
 #[case::unclear(Reply::Unclear, EMPTY_504)]
 fn the_configuration_in_force_is_shown(#[case] reply: Reply, #[case] expected: &str) {
     let show = request("GET /api/Configuration.Show", "", "");
-    let (call, answer) = answered_after(&mut SingleNode::with_executor(), CONTROL, &show, reply);
+    let (call, answer) = answer_after_reply(&mut SingleNode::with_executor(), CONTROL, &show, reply);
     assert_eq!(answer, expected);
     assert!(matches!(call, Call::ShowConfiguration));
 }
@@ -254,7 +254,7 @@
 #[rstest]
 #[case::shown(
     "GET /api/status/0",
-    replied(200, "part 0 is well\n"),
+    answer_reply(200, "part 0 is well\n"),
     "HTTP/1.1 200 OK\r\nContent-Length: 15\r\nContent-Type: text/plain\r\n\r\npart 0 is well\n"
 )]
 #[case::no_leader(
@@ -264,7 +264,7 @@
 )]
 fn the_status_of_a_partition_is_shown(#[case] line: &str, #[case] reply: Reply, #[case] expected: &str) {
     let mut harness = SingleNode::with_executor();
-    let (call, answer) = answered_after(&mut harness, CONTROL, &request(line, "", ""), reply);
+    let (call, answer) = answer_after_reply(&mut harness, CONTROL, &request(line, "", ""), reply);
     assert_eq!(answer, expected);
     assert!(matches!(call, Call::ShowPartition { partition: 0 }));
 }
@@ -279,13 +279,13 @@
 #[case("GET /")]
 fn what_is_no_call_of_the_control_plane_is_not_found(#[case] line: &str) {
     let mut harness = SingleNode::with_executor();
-    assert_eq!(answered(&mut harness, CONTROL, &request(line, "", "")), EMPTY_404);
+    assert_eq!(direct_answer(&mut harness, CONTROL, &request(line, "", "")), EMPTY_404);
 }
 
 #[test]
 fn the_status_of_a_node_keeps_its_lines() {
     let mut harness = connected_node();
-    let answer = answered(&mut harness, CONTROL, &request("GET /api/status", "", ""));
+    let answer = direct_answer(&mut harness, CONTROL, &request("GET /api/status", "", ""));
     let (head, lines) = answer.split_once("\r\n\r\n").expect("a head");
     assert_eq!(head, format!("HTTP/1.1 200 OK\r\nContent-Length: {}", lines.len()));
     assert_eq!(
@@ -298,11 +298,11 @@
 
 #[rstest]
 #[case::taken(
-    replied(202, "{}"),
+    answer_reply(202, "{}"),
     "HTTP/1.1 202 Accepted\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}"
 )]
 #[case::full(
-    replied(429, "{}"),
+    answer_reply(429, "{}"),
     "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 2\r\nRetry-After: 0.3\r\n\r\n{}"
 )]
 #[case::unclear(Reply::Unclear, EMPTY_504)]
@@ -325,13 +325,13 @@
 fn a_wrong_batch_job_is_refused() {
     let mut harness = SingleNode::with_executor();
     let id = "X-Grebeusher-Attempt-Id: job-1\r\n";
-    assert_eq!(answered(&mut harness, CLIENTS, &request("POST /bulk/x", "", BULK)), EMPTY_400);
+    assert_eq!(direct_answer(&mut harness, CLIENTS, &request("POST /bulk/x", "", BULK)), EMPTY_400);
     assert_eq!(
-        answered(&mut harness, CLIENTS, &request("POST /bulk/x", id, "{}")),
+        direct_answer(&mut harness, CLIENTS, &request("POST /bulk/x", id, "{}")),
         "HTTP/1.1 400 Bad Request\r\nContent-Length: 43\r\n\r\n`batch_items` is missing or of another kind"
     );
     assert_eq!(
-        answered(&mut harness, CLIENTS, &request("GET /bulk/x", id, "")),
+        direct_answer(&mut harness, CLIENTS, &request("GET /bulk/x", id, "")),
         "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 0\r\n\r\n"
     );
 }
@@ -342,7 +342,7 @@
     harness.add_storage_node();
     let page = r#"{"total":1,"next_token":1,"result_list":[]}"#;
     let read = request("GET /api/lots/job-1?resume_after=1", "X-Grebeusher-Hold-Ms: 700\r\n", "");
-    let (call, answer) = answered_after(&mut harness, CLIENTS, &read, replied(200, page));
+    let (call, answer) = answer_after_reply(&mut harness, CLIENTS, &read, answer_reply(200, page));
     let Call::ReadJob { job, resume_after, hold_ms, .. } = call else { panic!("another call") };
     assert_eq!((job.as_str(), resume_after, hold_ms), ("job-1", 1, 700));
     assert_eq!(
@@ -351,23 +351,23 @@
     );
 
     let item = request("GET /api/items/job-1?instance_id=a", "", "");
-    let (call, answer) = answered_after(&mut harness, CLIENTS, &item, replied(200, "body"));
+    let (call, answer) = answer_after_reply(&mut harness, CLIENTS, &item, answer_reply(200, "body"));
     let Call::ReadItem { job, item, .. } = call else { panic!("another call") };
     assert_eq!((job.as_str(), item.as_str()), ("job-1", "a"));
     assert_eq!(answer, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Type: application/json\r\n\r\nbody");
     let unnamed = request("GET /api/items/job-1", "", "");
-    assert_eq!(answered(&mut harness, CLIENTS, &unnamed), EMPTY_400);
+    assert_eq!(direct_answer(&mut harness, CLIENTS, &unnamed), EMPTY_400);
 
     let end = request("DELETE /api/lots/job-1", "", "");
-    let (call, answer) = answered_after(&mut harness, CLIENTS, &end, replied(200, "{}"));
+    let (call, answer) = answer_after_reply(&mut harness, CLIENTS, &end, answer_reply(200, "{}"));
     let Call::EndJob { job, .. } = call else { panic!("another call") };
     assert_eq!((job.as_str(), answer.as_str()), ("job-1", JSON_200));
-    let (_, answer) = answered_after(&mut harness, CLIENTS, &read, replied(404, ""));
+    let (_, answer) = answer_after_reply(&mut harness, CLIENTS, &read, answer_reply(404, ""));
     assert_eq!(
         answer,
         "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nContent-Type: application/json\r\n\r\n"
     );
-    let (_, answer) = answered_after(&mut harness, CLIENTS, &read, Reply::Unclear);
+    let (_, answer) = answer_after_reply(&mut harness, CLIENTS, &read, Reply::Unclear);
     assert_eq!(answer, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.3\r\n\r\n");
 }
 
@@ -414,8 +414,8 @@
 fn the_answers_of_the_node_itself_stay() {
     let mut harness = SingleNode::with_executor();
     let id = "X-Grebeusher-Attempt-Id: one\r\n";
-    assert_eq!(answered(&mut harness, CLIENTS, &request("GET /nowhere/", id, "")), EMPTY_404);
-    assert_eq!(answered(&mut harness, CLIENTS, &request("POST /idempotent/x", "", "ask")), EMPTY_400);
+    assert_eq!(direct_answer(&mut harness, CLIENTS, &request("GET /nowhere/", id, "")), EMPTY_404);
+    assert_eq!(direct_answer(&mut harness, CLIENTS, &request("POST /idempotent/x", "", "ask")), EMPTY_400);
     // An executor closes the connection before its answer,
     let client = harness.client("non_idempotent", "two", b"ask");
     let connection = harness.executor_connection().expect("the request is sent");
@@ -438,7 +438,7 @@
     // A node that has just started has no configuration.
     let mut harness = SingleNode::without_configuration(1);
     assert_eq!(
-        answered(&mut harness, CLIENTS, &request("POST /idempotent/x", id, "ask")),
+        direct_answer(&mut harness, CLIENTS, &request("POST /idempotent/x", id, "ask")),
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.7\r\n\r\n"
     );
 }
@@ -472,7 +472,8 @@
     command
 }
 
-fn ran(command: &mut Command) -> (Option<i32>, String, String) {
+/// Runs a command and returns its exit code, standard output and standard error.
+fn run_program(command: &mut Command) -> (Option<i32>, String, String) {
     let Output { status, stdout, stderr } = command.output().expect("the program runs");
     (status.code(), text(stdout), text(stderr))
 }
@@ -480,11 +481,11 @@
 #[rstest]
 fn a_node_without_settings_says_which_variable_names_them(#[values("edge", "storage")] command: &str) {
     let line = "GREBEUSHER_NODE_FILE names no settings file\n";
-    assert_eq!(ran(&mut program(&[command])), (Some(1), String::new(), line.to_owned()));
+    assert_eq!(run_program(&mut program(&[command])), (Some(1), String::new(), line.to_owned()));
     let mut named = program(&[command]);
     named.env("GREBEUSHER_NODE_FILE", "no/such/file");
     let line = "no/such/file: No such file or directory (os error 2)\n";
-    assert_eq!(ran(&mut named), (Some(1), String::new(), line.to_owned()));
+    assert_eq!(run_program(&mut named), (Some(1), String::new(), line.to_owned()));
 }
 
 #[test]
@@ -494,25 +495,25 @@
     let settings = r#"{"node_name":"n","role":"edge","machine_class":"edge","ip_address":"10.0.0.1","zone":"z","region":"c","internal_ports":[1,2],"limits":{"cpu_share":1,"memory_mb":1,"file_descriptors":1,"link_mbps":1}}"#;
     std::fs::write(&right, settings).expect("a file");
     let path = right.to_str().expect("text");
-    assert_eq!(ran(&mut program(&["check", path])), (Some(0), String::new(), String::new()));
+    assert_eq!(run_program(&mut program(&["check", path])), (Some(0), String::new(), String::new()));
 
     let wrong = folder.join("stable-words-wrong.json");
     std::fs::write(&wrong, settings.replace("node_name", "node")).expect("a file");
     let path = wrong.to_str().expect("text");
     let line = format!("{path}: settings: node_name: expected a text that is not empty\n");
-    assert_eq!(ran(&mut program(&["check", path])), (Some(1), String::new(), line));
+    assert_eq!(run_program(&mut program(&["check", path])), (Some(1), String::new(), line));
 }
 
 #[test]
 fn an_address_without_a_node_is_not_shown() {
-    let (status, out, error) = ran(&mut program(&["show", "127.0.0.1:1"]));
+    let (status, out, error) = run_program(&mut program(&["show", "127.0.0.1:1"]));
     assert_eq!((status, out.as_str()), (Some(1), ""));
     assert!(error.starts_with("127.0.0.1:1: "), "{error}");
 }
 
 #[test]
 fn the_program_names_its_commands() {
-    let (status, out, _) = ran(&mut program(&["--help"]));
+    let (status, out, _) = run_program(&mut program(&["--help"]));
     assert_eq!(status, Some(0));
     let listed = out.split_once("Available commands:").expect("a list of commands").1;
     let commands: Vec<&str> = listed
