--- a/crates/node/src/wire/executors.rs
+++ b/crates/node/src/wire/executors.rs
@@ -143,8 +143,11 @@
             Err(e) => {
                 debug!("no connection to executor {}: {e}", executor.0);
                 self.counters.dials_failed.increment();
-                let outcome =
-                    if is_connection_shortage(&e) { AttemptOutcome::SendFailed } else { AttemptOutcome::Refused };
+                let outcome = if is_connection_shortage(&e) {
+                    AttemptOutcome::SendFailed
+                } else {
+                    AttemptOutcome::Refused
+                };
                 return pool.unreported.push((executor, purpose, outcome));
             }
         };
--- a/crates/tier/src/links/peer_links.rs
+++ b/crates/tier/src/links/peer_links.rs
@@ -10,7 +10,7 @@
 use crate::links::link_progress::LinkProgress;
 use crate::links::messages::Channel;
 use crate::links::socket::{ReadOutcome, Socket};
-use crate::runtime::io::{Accepted, Listener, World};
+use crate::runtime::io::{AcceptedConnection, Listener, World};
 use crate::runtime::timers::Timer;
 use crate::runtime::traffic::Traffic;
 use grebeusher_time::{Duration, Instant};
@@ -266,7 +266,7 @@
 }
 
 /// Adds an accepted connection to the table as an incoming link.
-fn add_incoming(context: &mut LinkContext<'_>, accepted: Box<dyn Accepted>) {
+fn add_incoming(context: &mut LinkContext<'_>, accepted: Box<dyn AcceptedConnection>) {
     let incoming = IncomingLink { decoder: FrameDecoder::default(), peer: None };
     let open = |_: &dyn World, key| Socket::accepted(accepted, key);
     // A link that can't be registered with the poller is closed, and its peer dials anew.
--- a/crates/tier/src/links/socket.rs
+++ b/crates/tier/src/links/socket.rs
@@ -1,7 +1,7 @@
 //! A TCP connection: its socket, the bytes that were read but not processed yet, and the bytes that are to be
 //! written.
 
-use crate::runtime::io::{Accepted, Stream, World};
+use crate::runtime::io::{AcceptedConnection, Stream, World};
 use grebeusher_transport::poller::Interest;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddrV4;
@@ -47,7 +47,7 @@
 
 impl Socket {
     /// Creates a socket from an accepted connection, whose events the poller reports under `key`.
-    pub fn accepted(accepted: Box<dyn Accepted>, key: usize) -> io::Result<Socket> {
+    pub fn accepted(accepted: Box<dyn AcceptedConnection>, key: usize) -> io::Result<Socket> {
         Ok(Socket::from_stream(accepted.watch(key)?, false))
     }
 
--- a/crates/tier/tests/offers.rs
+++ b/crates/tier/tests/offers.rs
@@ -6,7 +6,7 @@
 use grebeusher_tier::links::messages::{Call, CallNumber, Reply};
 use grebeusher_time::Duration;
 use rstest::rstest;
-use single_node::network::Line;
+use single_node::network::ConnectionId;
 use single_node::{SingleNode, status_of};
 
 /// A job of one item whose body is `base64_bytes` long in base64.
@@ -20,11 +20,11 @@
 
 /// Starts a node that knows two other nodes, and submits a job of one item whose body is `base64_bytes` long
 /// in base64. Returns the node and the client's connection.
-fn submit_job(base64_bytes: usize) -> (SingleNode, Line) {
+fn submit_job(base64_bytes: usize) -> (SingleNode, ConnectionId) {
     let mut single = SingleNode::with_executor();
-    single.storage_joins();
-    single.third_joins();
-    single.pass(Duration::from_millis(100));
+    single.add_storage_node();
+    single.add_third_node();
+    single.advance(Duration::from_millis(100));
     drop(single.take_calls());
     let client = single.client("bulk", "job-1", &submission(base64_bytes));
     (single, client)
@@ -88,7 +88,7 @@
     assert_eq!(submissions(&single.take_calls()).len(), 1);
     let mut later = Vec::new();
     for _ in 0..13 {
-        single.pass(Duration::from_millis(100));
+        single.advance(Duration::from_millis(100));
         later.extend(single.take_calls());
     }
     // then the job is offered again, and its body is not sent again.
@@ -106,7 +106,7 @@
     // the second offer,
     let (mut single, client) = submit_job(20_000);
     let first = offers(&single.take_calls())[0];
-    single.pass(Duration::from_millis(600));
+    single.advance(Duration::from_millis(600));
     let second = *offers(&single.take_calls()).last().expect("it was offered again");
     single.reply(second, Reply::Wanted);
     let sent = submissions(&single.take_calls());
@@ -128,13 +128,13 @@
     let (mut single, client) = submit_job(20_000);
     let calls = single.take_calls();
     single.reply(offers(&calls)[0], Reply::Wanted);
-    single.pass(Duration::from_millis(700));
+    single.advance(Duration::from_millis(700));
     let repeated_offers = offers(&single.take_calls());
     // when the leader can't tell the outcome, or rejects it, then the client is not answered, as an attempt
     // may be accepted yet,
     single.reply(*repeated_offers.last().expect("a repeated offer"), reply);
     assert_eq!(status_of(&single.take(client)), None);
-    single.pass(Duration::from_millis(400));
+    single.advance(Duration::from_millis(400));
     let repeated_offers = offers(&single.take_calls());
     // and when the next leader has accepted the job, the client is told so.
     single.reply(*repeated_offers.last().expect("another repeated offer"), answer(202));
