--- a/crates/membership/src/host.rs
+++ b/crates/membership/src/host.rs
@@ -1,19 +1,20 @@
-//! What membership asks of its caller.
+//! The interface through which a [`Membership`](crate::Membership) sends datagrams and reports events.
 
 use crate::{ExecutorObservation, Member};
 use std::net::SocketAddr;
 
-/// The caller's side of a [`Membership`](crate::Membership): sends its datagrams and receives its events.
+/// The caller of a [`Membership`](crate::Membership) implements this trait to send datagrams and to receive events.
 pub trait Host {
-    /// Sends a datagram of at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES). It may be lost.
+    /// Sends a datagram of at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) bytes. The network may
+    /// lose the datagram.
     fn send(&mut self, to: SocketAddr, datagram: &[u8]);
 
-    /// A member is up, or is known under a newer generation.
+    /// Reports that a member is up, or that it is known under a newer generation.
     fn member_up(&mut self, member: Member);
 
-    /// A member has left, or was declared down.
+    /// Reports that a member has left or was declared down.
     fn member_down(&mut self, member: Member);
 
-    /// Another node has observed something of an executor that is newer than all that was known.
+    /// Reports an observation of an executor by another node that is newer than any that this node had.
     fn executor_observed(&mut self, observation: ExecutorObservation);
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -5,27 +5,28 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// How far a renewed identity is ahead, in milliseconds: an hour also wins against an earlier start whose clock was
-/// ahead.
+/// The amount by which the renewal of an identity raises its generation, in milliseconds. One hour is enough to exceed
+/// the generation of an earlier start of the node at which the clock was ahead.
 const RENEWAL_LEAD_MS: u64 = 3_600_000;
 
-/// One node as the others know it.
+/// The identity under which the other nodes know a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where datagrams reach it.
+    /// The address at which the node receives datagrams.
     pub address: SocketAddr,
-    /// Its number in the fleet, from its settings.
+    /// The number of the node in the fleet, from the settings of the node.
     pub number: u32,
-    /// Its incarnation in Unix milliseconds: rises with each start, and when it refutes that it is down.
+    /// The incarnation of the node, in Unix milliseconds. It rises with each start of the node, and when the node refutes
+    /// that it is down.
     pub generation: u64,
 }
 
 /// A member that is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LiveMember {
-    /// The member.
+    /// The identity of the member.
     pub member: Member,
-    /// When this node learned that it is up.
+    /// When this node learned that the member is up.
     pub since: Instant,
 }
 
--- a/crates/membership/src/observation.rs
+++ b/crates/membership/src/observation.rs
@@ -1,4 +1,4 @@
-//! Observations of executors, broadcast with the gossip: the latest of each executor wins.
+//! Observations of executors, which nodes broadcast with the gossip. The latest observation of each executor wins.
 
 use crate::Member;
 use foca::{BroadcastHandler, Invalidates};
@@ -8,18 +8,20 @@
 use std::convert::Infallible;
 use std::rc::Rc;
 
-/// The largest number of executors that observations are kept of. It exceeds every fleet, so that what lies beyond it
-/// is invalid and must not fill the memory.
+/// The maximum number of executors of which a node keeps observations. It exceeds the number of executors in any fleet,
+/// so observations of further executors are invalid; the limit keeps them from filling the memory.
 const MAX_EXECUTORS: usize = 10_000;
 
-/// What some node has observed of an executor's process. A hint: an error in it costs others only caution.
+/// An observation of the process of an executor by a node. Other nodes treat it as a hint: if it is wrong, they only
+/// act more cautiously than they need to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutorObservation {
-    /// The hash of the executor's name.
+    /// The hash of the name of the executor.
     pub executor: u64,
-    /// When it was observed, in Unix milliseconds.
+    /// When the observation was made, in Unix milliseconds.
     pub at_ms: u64,
-    /// Whether it was gone then, so that what comes back is a new start; else it had started by then.
+    /// Whether the process had ended at that time, so that a process seen later is a new start. If false, the process had
+    /// started by that time.
     pub gone: bool,
 }
 
@@ -28,21 +30,22 @@
 struct Observations {
     /// When the latest observation of each executor was made, in Unix milliseconds.
     latest: BTreeMap<u64, u64>,
-    /// Received and not yet handed to the host.
+    /// The observations that were received and not yet reported to the host.
     unreported: Vec<ExecutorObservation>,
 }
 
-/// Receives the broadcasts for `foca`; its clones share one set of observations.
+/// Handles the broadcasts that `foca` receives. All clones share one set of observations.
 #[derive(Clone, Default)]
 pub(crate) struct ObservationHandler(Rc<RefCell<Observations>>);
 
 impl ObservationHandler {
-    /// The observations that were received since the last call.
+    /// Takes the observations that were received since the last call.
     pub(crate) fn take_unreported(&self) -> Vec<ExecutorObservation> {
         std::mem::take(&mut self.0.borrow_mut().unreported)
     }
 }
 
+/// Identifies an observation in the broadcasts of `foca`, which drops it once a newer one of the same executor arrives.
 pub(crate) struct ObservationKey {
     executor: u64,
     at_ms: u64,
--- a/crates/membership/src/runtime.rs
+++ b/crates/membership/src/runtime.rs
@@ -1,4 +1,5 @@
-//! The runtime that `foca` acts through: the table of live members, the timers, and the way to the host.
+//! The runtime that `foca` calls: it keeps the table of live members and the timers, and passes datagrams and events to
+//! the host.
 
 use crate::{Host, LiveMember, Member};
 use foca::{Notification, Runtime, Timer};
@@ -6,15 +7,17 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What is kept between the calls of `foca`.
+/// The state that is kept between the calls of `foca`.
 #[derive(Default)]
 pub(crate) struct RuntimeState {
+    /// The timers of `foca`, by the time at which each is due and its id.
     timers: BTreeMap<(Instant, u64), Timer<Member>>,
-    next_timer: u64,
+    /// The id of the next timer. Timers that are due at the same time run in the order of their ids.
+    next_timer_id: u64,
     members: BTreeMap<SocketAddr, LiveMember>,
     /// Whether any other node knows this one.
     pub(crate) is_active: bool,
-    /// How often this node was declared down and came back.
+    /// How many times this node was declared down and came back under a renewed identity.
     pub(crate) refutations: u64,
 }
 
@@ -27,14 +30,14 @@
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the first timer that is due at `now`, if there is one.
     pub(crate) fn take_due_timer(&mut self, now: Instant) -> Option<Timer<Member>> {
         self.next_timer().filter(|at| *at <= now)?;
         self.timers.pop_first().map(|(_, timer)| timer)
     }
 }
 
-/// One call of `foca` at `now`.
+/// The runtime for one call of `foca` at the time `now`.
 pub(crate) struct HostRuntime<'a, H> {
     pub(crate) host: &'a mut H,
     pub(crate) state: &'a mut RuntimeState,
@@ -47,7 +50,7 @@
         self.host.member_up(member);
     }
 
-    /// A member that has a newer generation by now stays.
+    /// Removes a member, unless it is known under a newer generation by now.
     fn member_down(&mut self, member: Member) {
         let known = self.state.members.get(&member.address);
         if known.is_some_and(|known| known.member.generation <= member.generation) {
@@ -83,7 +86,7 @@
 
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
         let at = self.now + Duration::from_nanos(after.as_nanos() as u64);
-        self.state.timers.insert((at, self.state.next_timer), event);
-        self.state.next_timer += 1;
+        self.state.timers.insert((at, self.state.next_timer_id), event);
+        self.state.next_timer_id += 1;
     }
 }
