--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets of nodes on one simulated network that loses, duplicates and partitions, with a clock of its own.
+//! Tests of whole fleets of nodes on a simulated network with a simulated clock. The network loses, duplicates and delays
+//! datagrams, and can be partitioned.
 
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_membership::{ExecutorObservation, Host, MAX_DATAGRAM_BYTES, Member, Membership};
@@ -9,26 +10,29 @@
 
 #[derive(Default)]
 struct Network {
-    /// What is on its way, by when it comes.
+    /// The datagrams that have not arrived yet, with their sender and receiver, by their time of arrival and number.
     in_flight: BTreeMap<(Instant, u64), (usize, usize, Vec<u8>)>,
-    sent: Vec<u64>,
-    next: u64,
+    /// The number of bytes that each node has sent.
+    sent_bytes: Vec<u64>,
+    /// The number of the last datagram.
+    last_datagram: u64,
     now: Instant,
+    /// The nodes that are separated from all others; they reach one another.
     partitioned: Vec<usize>,
 }
 
-/// What a node was told of executors.
-type Observed = Rc<RefCell<Vec<ExecutorObservation>>>;
+/// The observations of executors that a node received.
+type ReceivedObservations = Rc<RefCell<Vec<ExecutorObservation>>>;
 
 #[derive(Clone)]
 struct RecordingHost {
     network: Rc<RefCell<Network>>,
-    own: usize,
-    observations: Observed,
+    own_index: usize,
+    observations: ReceivedObservations,
 }
 
-fn address(at: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 1000 + at as u16))
+fn address(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 1000 + index as u16))
 }
 
 impl Host for RecordingHost {
@@ -36,20 +40,20 @@
         assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
         let mut network = self.network.borrow_mut();
         let to = usize::from(to.port()) - 1000;
-        network.sent[self.own] += datagram.len() as u64;
-        network.next += 1;
-        let (number, now) = (network.next, network.now);
-        let partitioned = network.partitioned.contains(&self.own) != network.partitioned.contains(&to);
-        // One in twenty is lost, one in twenty comes twice.
+        network.sent_bytes[self.own_index] += datagram.len() as u64;
+        network.last_datagram += 1;
+        let (number, now) = (network.last_datagram, network.now);
+        let partitioned = network.partitioned.contains(&self.own_index) != network.partitioned.contains(&to);
+        // One datagram in twenty is lost, and one in twenty is delivered twice.
         if !partitioned && number % 20 != 0 {
             network.in_flight.insert(
                 (now + Duration::from_millis(1 + number % 7), number),
-                (self.own, to, datagram.to_vec()),
+                (self.own_index, to, datagram.to_vec()),
             );
         }
         if !partitioned && number % 20 == 1 {
-            let again = (now + Duration::from_millis(40), number + (1 << 40));
-            network.in_flight.insert(again, (self.own, to, datagram.to_vec()));
+            let duplicate = (now + Duration::from_millis(40), number + (1 << 40));
+            network.in_flight.insert(duplicate, (self.own_index, to, datagram.to_vec()));
         }
     }
     fn member_up(&mut self, _: Member) {}
@@ -62,39 +66,41 @@
 struct Fleet {
     network: Rc<RefCell<Network>>,
     nodes: Vec<Option<Membership<RecordingHost>>>,
-    observations: Vec<Observed>,
+    observations: Vec<ReceivedObservations>,
 }
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
-        let network = Network { sent: vec![0; count], now: Instant(1_000_000_000_000), ..Network::default() };
+        let network =
+            Network { sent_bytes: vec![0; count], now: Instant(1_000_000_000_000), ..Network::default() };
         let mut fleet =
             Fleet { network: Rc::new(RefCell::new(network)), nodes: Vec::new(), observations: Vec::new() };
-        for at in 0..count {
+        for index in 0..count {
             fleet.observations.push(Rc::default());
             fleet.nodes.push(None);
-            fleet.start(at, 1);
+            fleet.start(index, 1);
         }
         fleet
     }
 
-    fn start(&mut self, at: usize, generation: u64) {
-        let own = Member { address: address(at), number: at as u32, generation };
+    fn start(&mut self, index: usize, generation: u64) {
+        let own = Member { address: address(index), number: index as u32, generation };
         let host = RecordingHost {
             network: self.network.clone(),
-            own: at,
-            observations: self.observations[at].clone(),
+            own_index: index,
+            observations: self.observations[index].clone(),
         };
-        let mut node = Membership::new(own, self.nodes.len() as u32, at as u64 * 7 + generation, host);
+        let mut node = Membership::new(own, self.nodes.len() as u32, index as u64 * 7 + generation, host);
         let now = self.network.borrow().now;
         node.join(now, &[address(0), address(1), address(2)]);
-        self.nodes[at] = Some(node);
+        self.nodes[index] = Some(node);
     }
 
-    fn run(&mut self, secs: f64) {
-        let until = self.network.borrow().now + Duration::from_seconds(secs);
+    fn run(&mut self, seconds: f64) {
+        let until = self.network.borrow().now + Duration::from_seconds(seconds);
         loop {
-            let next_arrival = self.network.borrow().in_flight.first_key_value().map(|((when, _), _)| *when);
+            let next_arrival =
+                self.network.borrow().in_flight.first_key_value().map(|((arrival, _), _)| *arrival);
             let next_timeout = self.nodes.iter().flatten().filter_map(Membership::next_timeout).min();
             let Some(next) = next_arrival.into_iter().chain(next_timeout).min().filter(|next| *next <= until)
             else {
@@ -107,7 +113,7 @@
                 .borrow_mut()
                 .in_flight
                 .first_entry()
-                .filter(|e| e.key().0 <= now)
+                .filter(|entry| entry.key().0 <= now)
                 .map(std::collections::btree_map::OccupiedEntry::remove);
             if let Some((_, to, datagram)) = arrived
                 && let Some(node) = &mut self.nodes[to]
@@ -119,59 +125,72 @@
         self.network.borrow_mut().now = until;
     }
 
-    fn members_of(&self, at: usize) -> Vec<u32> {
-        let mut seen: Vec<u32> =
-            self.nodes[at].as_ref().expect("it is there").members().map(|live| live.member.number).collect();
-        seen.sort_unstable();
-        seen
+    fn members_of(&self, index: usize) -> Vec<u32> {
+        let mut members: Vec<u32> = self.nodes[index]
+            .as_ref()
+            .expect("the node runs")
+            .members()
+            .map(|live| live.member.number)
+            .collect();
+        members.sort_unstable();
+        members
     }
 
-    fn all_but(&self, own: usize, gone: &[usize]) -> Vec<u32> {
-        (0..self.nodes.len()).filter(|at| *at != own && !gone.contains(at)).map(|at| at as u32).collect()
+    fn all_but(&self, own_index: usize, gone: &[usize]) -> Vec<u32> {
+        (0..self.nodes.len())
+            .filter(|index| *index != own_index && !gone.contains(index))
+            .map(|index| index as u32)
+            .collect()
     }
 }
 
 #[test]
-fn all_join_by_a_few_contacts_though_datagrams_are_lost_and_duplicated() {
+fn all_nodes_join_through_a_few_contacts_though_datagrams_are_lost_and_duplicated() {
     let mut fleet = Fleet::new(30);
     fleet.run(10.0);
-    for at in 0..30 {
-        assert_eq!(fleet.members_of(at), fleet.all_but(at, &[]), "node {at}");
+    for index in 0..30 {
+        assert_eq!(fleet.members_of(index), fleet.all_but(index, &[]), "node {index}");
     }
 }
 
 #[test]
-fn a_stopped_node_is_down_within_seconds_and_rejoins_under_its_name() {
+fn a_stopped_node_is_down_within_seconds_and_rejoins_under_its_number() {
     let mut fleet = Fleet::new(12);
     fleet.run(8.0);
     fleet.nodes[5] = None;
     fleet.run(16.0);
-    assert!((0..12).filter(|at| *at != 5).all(|at| fleet.members_of(at) == fleet.all_but(at, &[5])));
+    assert!(
+        (0..12)
+            .filter(|index| *index != 5)
+            .all(|index| fleet.members_of(index) == fleet.all_but(index, &[5]))
+    );
     fleet.start(5, 2);
     fleet.run(8.0);
-    for at in 0..12 {
-        assert_eq!(fleet.members_of(at), fleet.all_but(at, &[]), "node {at}");
+    for index in 0..12 {
+        assert_eq!(fleet.members_of(index), fleet.all_but(index, &[]), "node {index}");
     }
-    let known = fleet.nodes[0].as_ref().and_then(|n| n.members().find(|live| live.member.number == 5));
+    let known = fleet.nodes[0].as_ref().and_then(|node| node.members().find(|live| live.member.number == 5));
     assert!(known.is_some_and(|live| live.member.generation >= 2));
 }
 
-/// Guards against one that comes back within a second, before anybody missed it, being taken for its earlier life.
+/// Guards against nodes keeping the old generation of a node that restarts within a second, before any node has suspected
+/// it.
 #[test]
 fn a_node_that_restarts_at_once_is_known_by_its_new_generation() {
     let mut fleet = Fleet::new(12);
     fleet.run(8.0);
     fleet.start(3, 9);
     fleet.run(6.0);
-    for at in (0..12).filter(|at| *at != 3) {
-        let known = fleet.nodes[at].as_ref().and_then(|n| n.members().find(|live| live.member.number == 3));
-        assert!(known.is_some_and(|live| live.member.generation == 9), "node {at}");
+    for index in (0..12).filter(|index| *index != 3) {
+        let known =
+            fleet.nodes[index].as_ref().and_then(|node| node.members().find(|live| live.member.number == 3));
+        assert!(known.is_some_and(|live| live.member.generation == 9), "node {index}");
     }
 }
 
-/// Guards against a node that is started anew in a large fleet and knows a few dozen of the others for most of a minute.
+/// Guards against a node that restarts in a large fleet and knows only a few dozen of the other nodes for most of a minute.
 #[test]
-fn a_new_node_in_a_large_fleet_knows_nearly_all_within_seconds() {
+fn a_new_node_in_a_large_fleet_knows_nearly_all_nodes_within_seconds() {
     let mut fleet = Fleet::new(200);
     fleet.run(20.0);
     fleet.start(7, 2);
@@ -189,50 +208,51 @@
     assert_eq!(fleet.members_of(0).len(), 7);
     fleet.network.borrow_mut().partitioned.clear();
     fleet.run(30.0);
-    for at in 0..12 {
-        assert_eq!(fleet.members_of(at), fleet.all_but(at, &[]), "node {at}");
+    for index in 0..12 {
+        assert_eq!(fleet.members_of(index), fleet.all_but(index, &[]), "node {index}");
     }
 }
 
 #[test]
-fn an_observation_reaches_all_once_and_an_older_one_nobody() {
+fn an_observation_reaches_all_nodes_once_and_an_older_one_reaches_none() {
     let mut fleet = Fleet::new(12);
     fleet.run(8.0);
     let newer = ExecutorObservation { executor: 77, at_ms: 5000, gone: true };
     let now = fleet.network.borrow().now;
-    fleet.nodes[2].as_mut().expect("it is there").broadcast(now, newer);
+    fleet.nodes[2].as_mut().expect("the node runs").broadcast(now, newer);
     fleet.run(4.0);
     fleet.nodes[3]
         .as_mut()
-        .expect("it is there")
+        .expect("the node runs")
         .broadcast(now, ExecutorObservation { at_ms: 4000, ..newer });
     fleet.run(4.0);
-    for at in (0..12).filter(|at| *at != 2) {
-        assert_eq!(*fleet.observations[at].borrow(), [newer], "node {at}");
+    for index in (0..12).filter(|index| *index != 2) {
+        assert_eq!(*fleet.observations[index].borrow(), [newer], "node {index}");
     }
 }
 
-/// Guards against an executor that is back within a second and met by nodes that have not heard that it was gone.
+/// Guards against an executor that is back within a second, while some nodes have not received the observation that its
+/// process had ended.
 #[test]
-fn an_observation_reaches_nearly_all_within_300_ms() {
+fn an_observation_reaches_nearly_all_nodes_within_300_ms() {
     let mut fleet = Fleet::new(60);
     fleet.run(10.0);
     let now = fleet.network.borrow().now;
     let observation = ExecutorObservation { executor: 78, at_ms: 6000, gone: true };
-    fleet.nodes[2].as_mut().expect("it is there").broadcast(now, observation);
+    fleet.nodes[2].as_mut().expect("the node runs").broadcast(now, observation);
     fleet.run(0.3);
-    let heard =
+    let receivers =
         fleet.observations.iter().filter(|observations| observations.borrow().contains(&observation)).count();
-    assert!(heard >= 54, "{heard} of 59");
+    assert!(receivers >= 54, "{receivers} of 59");
 }
 
-/// Guards against a datagram that is not one, or of another make, doing anything.
+/// Guards against any effect of bytes that are not a datagram of this protocol.
 #[test]
 fn invalid_datagrams_are_rejected_and_change_nothing() {
     let mut fleet = Fleet::new(4);
     fleet.run(6.0);
     let now = fleet.network.borrow().now;
-    let node = fleet.nodes[0].as_mut().expect("it is there");
+    let node = fleet.nodes[0].as_mut().expect("the node runs");
     for datagram in [&b""[..], b"x", &[255; 64], &[255; 1200]] {
         assert!(node.receive(now, datagram).is_err());
     }
@@ -243,10 +263,11 @@
 fn the_send_rate_is_bounded_whatever_the_fleet_size() {
     let mut fleet = Fleet::new(60);
     fleet.run(20.0);
-    let before = fleet.network.borrow().sent.clone();
+    let before = fleet.network.borrow().sent_bytes.clone();
     fleet.run(20.0);
-    let after = fleet.network.borrow().sent.clone();
-    let most = before.iter().zip(&after).map(|(b, a)| (a - b) / 20).max().unwrap_or(0);
-    // Eleven datagrams a second at most, of 1,200 bytes.
-    assert!(most < 13_200, "{most} bytes a second");
+    let after = fleet.network.borrow().sent_bytes.clone();
+    let max_bytes_per_second =
+        before.iter().zip(&after).map(|(before, after)| (after - before) / 20).max().unwrap_or(0);
+    // A node sends at most eleven datagrams a second, each of at most 1,200 bytes.
+    assert!(max_bytes_per_second < 13_200, "{max_bytes_per_second} bytes a second");
 }
