--- a/crates/configuration/examples/reading_time.rs
+++ b/crates/configuration/examples/reading_time.rs
@@ -1,4 +1,5 @@
-//! Prints how long reading, ordering and looking up take by the number of routes. Build it with `--release`.
+//! Prints how long it takes to read a configuration, to build its route table, to hash its body and to look up a route,
+//! for several numbers of routes. Build it with `--release`.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -8,7 +9,7 @@
 use grebeusher_configuration::register::BodyHash;
 use grebeusher_configuration::routes::RouteTable;
 
-const LOOK_UPS: usize = 100_000;
+const LOOKUPS: usize = 100_000;
 
 fn main() {
     println!("routes     kB   read ms  table ms  hash ms  look-up ns");
@@ -20,28 +21,29 @@
 fn measure(count: usize) {
     let body = body(count);
     let start = Instant::now();
-    let Ok(configuration) = Configuration::read(body.as_bytes()) else { return println!("{count}: refused") };
-    let read = start.elapsed();
+    let Ok(configuration) = Configuration::read(body.as_bytes()) else { return println!("{count}: invalid") };
+    let read_time = start.elapsed();
 
     let start = Instant::now();
     let table = RouteTable::new(Arc::new(configuration));
-    let ordered = start.elapsed();
+    let table_time = start.elapsed();
 
     let start = Instant::now();
     black_box(BodyHash::of(body.as_bytes()));
-    let hashed = start.elapsed();
+    let hash_time = start.elapsed();
 
     let paths: Vec<String> = (0..count).map(|index| format!("/place{index}/x?q=1")).collect();
     let start = Instant::now();
-    for look_up in 0..LOOK_UPS {
-        let index = look_up % count;
+    for lookup in 0..LOOKUPS {
+        let index = lookup % count;
         black_box(table.find(HOSTS[index % HOSTS.len()], &paths[index]));
     }
-    let found = start.elapsed().as_nanos() / LOOK_UPS as u128;
+    let lookup_ns = start.elapsed().as_nanos() / LOOKUPS as u128;
 
     let kilobytes = body.len() / 1024;
-    let [read, ordered, hashed] = [read, ordered, hashed].map(|span| span.as_secs_f64() * 1e3);
-    println!("{count:6} {kilobytes:6} {read:9.2} {ordered:9.2} {hashed:8.3} {found:11}");
+    let [read_ms, table_ms, hash_ms] =
+        [read_time, table_time, hash_time].map(|time| time.as_secs_f64() * 1e3);
+    println!("{count:6} {kilobytes:6} {read_ms:9.2} {table_ms:9.2} {hash_ms:8.3} {lookup_ns:11}");
 }
 
 const HOSTS: [&str; 3] = ["one.example", "two.example", "three.example"];
--- a/crates/configuration/src/configuration/error.rs
+++ b/crates/configuration/src/configuration/error.rs
@@ -6,21 +6,21 @@
 use crate::json::{FieldError, JsonError};
 use crate::names::{HostName, RouteName, ServiceName};
 
-/// Why a configuration is rejected; one line.
+/// The reason for which a configuration is rejected. Its text is one line.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ConfigurationError {
-    /// The body, or the partition of it at `path`, cannot be read.
+    /// The JSON text of the body, or of the part of it at `path`, is invalid.
     #[snafu(display("{path}: {source}"))]
     Text {
-        /// The part that was read; `body` for its outer frame.
+        /// The part of the body that was read; `body` stands for the outermost object.
         path: String,
-        /// What is wrong with its text.
+        /// What is wrong with the text of this part.
         source: JsonError,
     },
     /// A field is missing, of the wrong kind or out of range.
     #[snafu(display("{source}"))]
     Field {
-        /// The field, and what was expected there.
+        /// The field, and the value that was expected there.
         source: FieldError,
     },
     /// `config_version` is 0.
@@ -29,65 +29,65 @@
     /// `timeout_ms` is 0 or missing.
     #[snafu(display("route {route} has no timeout_ms"))]
     MissingTimeout {
-        /// The route without a time-out.
+        /// The name of the route without a timeout.
         route: RouteName,
     },
     /// `path_prefix` does not begin and end with a slash.
     #[snafu(display("the path_prefix of route {route} does not begin and end with a slash"))]
     Prefix {
-        /// The route with that prefix.
+        /// The name of the route with this prefix.
         route: RouteName,
     },
     /// The weights of a route add up to 0.
     #[snafu(display("the weights of route {route} add up to 0"))]
     ZeroWeight {
-        /// The route with those weights.
+        /// The name of the route with these weights.
         route: RouteName,
     },
-    /// A route names a service that is not in the list.
+    /// A route names a service that is not in `service_list`.
     #[snafu(display("route {route} names {service}, which is not in service_list"))]
     UnknownService {
-        /// The route that names it.
+        /// The name of the route.
         route: RouteName,
-        /// The service that is not known.
+        /// The name of the unknown service.
         service: ServiceName,
     },
     /// Two routes have the same host and prefix.
     #[snafu(display("two routes have the host {hostname} and the prefix {path_prefix}"))]
     DuplicateRoute {
-        /// Their host.
+        /// The host of both routes.
         hostname: HostName,
-        /// Their prefix.
+        /// The path prefix of both routes.
         path_prefix: String,
     },
     /// Two services have the same name.
     #[snafu(display("service_list holds {service} twice"))]
     DuplicateService {
-        /// Their name.
+        /// The name of both services.
         service: ServiceName,
     },
-    /// The body is too large to be read.
+    /// The body is larger than [`MAX_BODY_BYTES`].
     #[snafu(display("the body has {bytes} bytes, more than {MAX_BODY_BYTES}"))]
     BodyTooLarge {
-        /// Its length.
+        /// The length of the body in bytes.
         bytes: usize,
     },
-    /// There are too many routes.
+    /// The configuration has more than [`MAX_ROUTES`] routes.
     #[snafu(display("{count} routes, more than {MAX_ROUTES}"))]
     TooManyRoutes {
-        /// How many there are.
+        /// The number of routes.
         count: usize,
     },
-    /// There are too many services.
+    /// The configuration has more than [`MAX_SERVICES`] services.
     #[snafu(display("{count} services, more than {MAX_SERVICES}"))]
     TooManyServices {
-        /// How many there are.
+        /// The number of services.
         count: usize,
     },
-    /// A route is split between too many services.
+    /// A route is split between more than [`MAX_SPLITS`] services.
     #[snafu(display("route {route} is split between more than {MAX_SPLITS} services"))]
     TooManySplits {
-        /// The route.
+        /// The name of the route.
         route: RouteName,
     },
 }
--- a/crates/configuration/src/configuration/limits.rs
+++ b/crates/configuration/src/configuration/limits.rs
@@ -1,13 +1,13 @@
-//! The bounds of a configuration. They keep the memory of a reader bounded, whatever it is sent.
+//! The limits on the size of a configuration. They bound the memory that reading takes, whatever an operator sends.
 
-/// The largest body that is read, in bytes. Twice what the operators are known to send.
+/// The maximum size of a body, in bytes. It is twice the size of the largest body that operators are known to send.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// The most routes of one configuration.
+/// The maximum number of routes in one configuration.
 pub const MAX_ROUTES: usize = 65_536;
 
-/// The most services of one configuration.
+/// The maximum number of services in one configuration.
 pub const MAX_SERVICES: usize = 16_384;
 
-/// The most services that one route is split between.
+/// The maximum number of services between which one route is split.
 pub const MAX_SPLITS: usize = 1024;
--- a/crates/configuration/src/configuration/mod.rs
+++ b/crates/configuration/src/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! A configuration of the operators: routes, services and limits, read from one JSON body.
+//! A configuration that an operator sends: routes, services and limits, read from one JSON body.
 //!
-//! The outer frame of the body is cut first, then each route and service is parsed by itself, so that reading
-//! takes little more memory than the result.
+//! The body is first split into the texts of its routes and services, and then each of them is parsed by itself. So
+//! reading takes little more memory than the result.
 
 mod error;
 mod limits;
@@ -19,8 +19,8 @@
     /// Reads and validates a complete configuration.
     ///
     /// # Errors
-    /// The reason for which it is invalid. Whether its version is above the current one is judged by the
-    /// [register](crate::register).
+    /// The configuration is invalid; the error says why. Only the [register](crate::register) checks whether its
+    /// version is above the current one.
     pub fn read(body: &[u8]) -> Result<Configuration, ConfigurationError> {
         let configuration = parse::body(body)?;
         validate::configuration(&configuration)?;
--- a/crates/configuration/src/configuration/model.rs
+++ b/crates/configuration/src/configuration/model.rs
@@ -1,61 +1,64 @@
-//! The types of a configuration. They are filled by [`super::parse`] and checked by [`super::validate`]; nothing else
-//! makes them.
+//! The types of a configuration. [`super::parse`] creates their values and [`super::validate`] checks them; no other
+//! code creates them.
 
 use super::traffic::TrafficSplit;
 use crate::names::{HostName, ModelName, RouteName, ServiceName};
 use std::sync::Arc;
 
-/// A complete configuration that has passed all checks.
+/// A complete configuration that has passed all validation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Above 0, at most 2^53. Versions go up in uneven steps.
+    /// The version of the configuration, which is above 0 and at most 2^53. Versions rise in steps of any size.
     pub version: u64,
-    /// In the order of the body; no two have the same host and prefix.
+    /// The routes in the order of the body. No two routes have the same host and prefix.
     pub routes: Vec<Route>,
-    /// In the order of the body; no two have the same name.
+    /// The services in the order of the body. No two services have the same name.
     pub services: Vec<Service>,
-    /// What clients are held to.
+    /// The limits that apply to clients.
     pub limits: ClientLimits,
 }
 
-/// Where requests of one host under one prefix go, and on what terms.
+/// Says to which services the requests for one host under one path prefix go, and which deadlines and limits apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The name, which the checks do not need to be unique.
+    /// The name of the route, which need not be unique.
     pub name: RouteName,
-    /// In lower case, without a port.
+    /// The host of the requests, in lower case and without a port.
     pub hostname: HostName,
-    /// Begins and ends with a slash.
+    /// The prefix of the paths of the requests. It begins and ends with a slash.
     pub path_prefix: Arc<str>,
-    /// What kind of requests it carries.
+    /// The kind of the requests.
     pub route_type: RouteType,
-    /// The deadline of a request in milliseconds; above 0.
+    /// The time until the deadline of a request, in milliseconds; above 0.
     pub timeout_ms: u64,
-    /// The latency target in milliseconds: an answer within it has its full value. Default: `timeout_ms`.
+    /// The latency target in milliseconds; an answer within this time has its full value. The default is `timeout_ms`.
     pub target_latency_ms: u64,
-    /// Rank, 0 is highest. Default 0.
+    /// The priority of the requests; 0 is the highest. The default is 0.
     pub priority_level: u32,
-    /// The services that requests go to.
+    /// The services that the requests go to, with their weights.
     pub traffic: TrafficSplit,
-    /// The largest number of executors that one attempt may be sent to; at least 1. Default 1.
+    /// The largest number of executors that one attempt may be sent to; at least 1. The default is 1.
     pub max_attempts: u32,
-    /// Whether requests name the shared parts of their prompts. Default false.
+    /// Whether requests name the parts of their prompts that they share with others. The default is false.
     pub session_affinity: bool,
-    /// Whether a stream may go on at another executor after its last event. Default false.
+    /// Whether another executor may continue a stream after the last event that was sent. The default is false.
     pub resumable: bool,
-    /// The longest pause between events that keeps an answer in time, in milliseconds. Default: none.
+    /// The longest pause between two events of an answer that counts as in time, in milliseconds. By default there is
+    /// no such limit.
     pub event_gap_target_ms: Option<u64>,
-    /// How long after a batch job's first submission every result is due, in milliseconds. Default: none.
+    /// The time after the first submission of a batch job at which all its results are due, in milliseconds. By default
+    /// there is no such time.
     pub completion_target_ms: Option<u64>,
-    /// The time after that send at which an item may be given up, in seconds. Default: none.
+    /// The time after the first submission of a batch job at which its items may be given up, in seconds. By default
+    /// there is no such time.
     pub retention_s: Option<f64>,
-    /// How many tokens may wait on the route; 0 is no limit. Default 0.
+    /// The maximum number of tokens of the requests that wait on the route; 0 means no limit. The default is 0.
     pub queue_token_limit: u64,
 }
 
 impl Route {
-    /// Whether a request may run more than once: an idempotent one, a stream that may be resumed, and
-    /// any item of a batch job.
+    /// Whether a request of this route may run more than once. This holds for idempotent requests, streams that may be
+    /// resumed, and items of batch jobs.
     pub fn may_run_again(&self) -> bool {
         match self.route_type {
             RouteType::Idempotent | RouteType::Bulk => true,
@@ -65,7 +68,7 @@
     }
 }
 
-/// What kind of requests a route carries.
+/// The kind of the requests of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteType {
     /// The answer is a series of events.
@@ -74,73 +77,75 @@
     Idempotent,
     /// A request runs at most once per attempt.
     NonIdempotent,
-    /// Batch jobs; any of their items may run more than once.
+    /// The requests are items of batch jobs; each item may run more than once.
     Bulk,
 }
 
 /// A service that executors register under.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// The name that routes and executors give.
+    /// The name by which routes and executors refer to the service.
     pub name: ServiceName,
-    /// Where executors answer health checks. Default `/health`.
+    /// The path at which executors answer health checks. The default is `/health`.
     pub health_path: String,
-    /// What an executor accepts from all callers together. Default: not known.
+    /// The number of connections that one executor accepts from all callers together. By default it is not known.
     pub max_connections: Option<u32>,
-    /// What its executors speak. Default HTTP/1.1.
+    /// The protocol of the executors. The default is HTTP/1.1.
     pub protocol: Protocol,
-    /// Whether executors of the service expect TLS. Default false.
+    /// Whether executors of the service expect TLS. The default is false.
     pub tls_mode: bool,
-    /// Given where the executors run models.
+    /// The model engine of the executors; `None` if they run no models.
     pub engine_type: Option<EngineType>,
 }
 
-/// What executors of a service speak.
+/// The protocol of the executors of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Protocol {
     /// HTTP/1.1.
     #[default]
     Http1,
-    /// A protocol that this version doesn't know.
+    /// A protocol that this version of the program does not support.
     Other(String),
 }
 
-/// The model engine of a service's executors. Figures that are not given are 0, which means not known.
+/// The model engine of the executors of a service. A number that the configuration does not give is 0, which means that
+/// it is not known.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineType {
-    /// Requests that run at once.
+    /// The number of requests that one executor runs at the same time.
     pub slot_count: u32,
-    /// Memory for running requests and cached parts, in tokens.
+    /// The capacity of the key-value cache, in tokens. The cache holds the tokens of running requests and cached parts
+    /// of prompts.
     pub kv_capacity_tokens: u64,
-    /// Memory of one token, in bytes.
+    /// The memory that one token takes in the key-value cache, in bytes.
     pub token_kv_bytes: u64,
-    /// The bandwidth of the executor's link in megabits a second.
+    /// The bandwidth of the network link of one executor, in megabits a second.
     pub link_mbps: f64,
-    /// The page names it without a meaning.
+    /// The specification of the configuration lists this field without saying what it means.
     pub stride: u64,
-    /// The models that its executors hold; empty where the configuration names none.
+    /// The models that the executors hold; empty if the configuration names none.
     pub models: Vec<Model>,
 }
 
-/// A model that executors of a service hold.
+/// A model that the executors of a service hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
-    /// The name that requests give.
+    /// The name by which requests refer to the model.
     pub name: ModelName,
-    /// The version of its weights, where the configuration sets one.
+    /// The version of the weights of the model, if the configuration sets one.
     pub config_version: Option<u64>,
 }
 
-/// What a client may send and how long it may take or stay idle.
+/// Limits on the size and duration of requests, and on the idle time of client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// The largest header of a request, in bytes. Default 16384.
+    /// The maximum size of the header of a request, in bytes. The default is 16384.
     pub max_header_bytes: u64,
-    /// The largest body of a request, in bytes. Default 4194304.
+    /// The maximum size of the body of a request, in bytes. The default is 4194304.
     pub max_body_bytes: u64,
-    /// How long the header of a request may take, in milliseconds. Default 3000.
+    /// The maximum time until the header of a request has arrived, in milliseconds. The default is 3000.
     pub header_timeout_ms: u64,
-    /// How long a connection may stay idle, in milliseconds. Default 15000.
+    /// The maximum time that a connection may stay idle, in milliseconds. The default is 15000.
     pub idle_timeout_ms: u64,
 }
 
--- a/crates/configuration/src/configuration/parse.rs
+++ b/crates/configuration/src/configuration/parse.rs
@@ -1,4 +1,4 @@
-//! From the bytes of a body to typed routes and services, field by field.
+//! Parses the bytes of a body into typed routes and services, field by field.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -15,20 +15,20 @@
 
 const DEFAULT_HEALTH_PATH: &str = "/health";
 
-/// Parses the body. Its routes and services are not yet checked against one another.
+/// Parses the body, without checking its routes and services against one another.
 pub(super) fn body(body: &[u8]) -> Result<Configuration, ConfigurationError> {
     if body.len() > MAX_BODY_BYTES {
         return Err(ConfigurationError::BodyTooLarge { bytes: body.len() });
     }
-    let text = std::str::from_utf8(body).map_err(|_| unreadable("body", JsonError::NotUtf8))?;
+    let text = std::str::from_utf8(body).map_err(|_| text_error("body", JsonError::NotUtf8))?;
     let mut root = RootMembers::default();
-    for member in members(text).map_err(|source| unreadable("body", source))? {
+    for member in members(text).map_err(|source| text_error("body", source))? {
         root.read_member(&member.key, member.value)?;
     }
     root.into_configuration()
 }
 
-/// The members of the root as far as they have been read.
+/// The members of the outermost object that have been read so far.
 #[derive(Default)]
 struct RootMembers {
     version: Option<u64>,
@@ -40,23 +40,23 @@
 impl RootMembers {
     fn read_member(&mut self, key: &str, text: &str) -> Result<(), ConfigurationError> {
         match key {
-            "config_version" => self.version = Some(version(&parsed(key, text)?)?),
+            "config_version" => self.version = Some(version(&parse_member(key, text)?)?),
             "route_table" => self.routes = Some(routes(text)?),
             "service_list" => self.services = Some(services(text)?),
             "limits" => {
-                let value = parsed(key, text)?;
-                self.limits = limits(&value).map_err(|error| field(error.within(key)))?;
+                let value = parse_member(key, text)?;
+                self.limits = limits(&value).map_err(|error| field_error(error.within(key)))?;
             }
-            // A field that is not known has to be valid JSON all the same.
-            _ => drop(parsed(key, text)?),
+            // The value of an unknown field is ignored, but must be valid JSON.
+            _ => drop(parse_member(key, text)?),
         }
         Ok(())
     }
 
     fn into_configuration(self) -> Result<Configuration, ConfigurationError> {
-        let missing = |name, expected| field(FieldError::new(name, expected));
+        let missing = |name, expected| field_error(FieldError::new(name, expected));
         Ok(Configuration {
-            version: self.version.ok_or_else(|| missing("config_version", VERSION))?,
+            version: self.version.ok_or_else(|| missing("config_version", EXPECTED_VERSION))?,
             routes: self.routes.ok_or_else(|| missing("route_table", "a list"))?,
             services: self.services.ok_or_else(|| missing("service_list", "a list"))?,
             limits: self.limits,
@@ -64,19 +64,19 @@
     }
 }
 
-fn unreadable(path: impl Into<String>, source: JsonError) -> ConfigurationError {
+fn text_error(path: impl Into<String>, source: JsonError) -> ConfigurationError {
     ConfigurationError::Text { path: path.into(), source }
 }
 
-fn field(source: FieldError) -> ConfigurationError {
+fn field_error(source: FieldError) -> ConfigurationError {
     ConfigurationError::Field { source }
 }
 
-fn parsed(path: &str, text: &str) -> Result<JsonValue, ConfigurationError> {
-    parse(text).map_err(|source| unreadable(path, source))
+fn parse_member(path: &str, text: &str) -> Result<JsonValue, ConfigurationError> {
+    parse(text).map_err(|source| text_error(path, source))
 }
 
-const VERSION: &str = "a whole number above 0, at most 2^53";
+const EXPECTED_VERSION: &str = "a whole number above 0, at most 2^53";
 
 fn version(value: &JsonValue) -> Result<u64, ConfigurationError> {
     const MAX: f64 = 9_007_199_254_740_992.0;
@@ -85,17 +85,18 @@
         JsonValue::Number(number) if number.fract() == 0.0 && (1.0..=MAX).contains(number) => {
             Ok(*number as u64)
         }
-        _ => Err(field(FieldError::new("config_version", VERSION))),
+        _ => Err(field_error(FieldError::new("config_version", EXPECTED_VERSION))),
     }
 }
 
-/// The texts of a list's elements. Null stands for a list that is missing.
+/// Returns the texts of the elements of a list. `null` is rejected with the same error as a list that is
+/// missing.
 fn element_texts<'a>(name: &str, text: &'a str) -> Result<Vec<&'a str>, ConfigurationError> {
     if !text.starts_with('[') {
-        parsed(name, text)?;
-        return Err(field(FieldError::new(name, "a list")));
+        parse_member(name, text)?;
+        return Err(field_error(FieldError::new(name, "a list")));
     }
-    elements(text).map_err(|source| unreadable(name, source))
+    elements(text).map_err(|source| text_error(name, source))
 }
 
 fn routes(text: &str) -> Result<Vec<Route>, ConfigurationError> {
@@ -106,7 +107,7 @@
     let mut names = SharedNames::default();
     let mut read = |(index, text)| {
         let path = || format!("route_table[{index}]");
-        let value = parse(text).map_err(|source| unreadable(path(), source))?;
+        let value = parse(text).map_err(|source| text_error(path(), source))?;
         route(&value, &mut names).map_err(|error| error.within(&path()))
     };
     texts.into_iter().enumerate().map(&mut read).collect()
@@ -119,13 +120,14 @@
     }
     let read = |(index, text)| {
         let path = || format!("service_list[{index}]");
-        let value = parse(text).map_err(|source| unreadable(path(), source))?;
-        service(&value).map_err(|error| field(error.within(&path())))
+        let value = parse(text).map_err(|source| text_error(path(), source))?;
+        service(&value).map_err(|error| field_error(error.within(&path())))
     };
     texts.into_iter().enumerate().map(read).collect()
 }
 
-/// Thousands of routes name few hosts and services: each name is kept once.
+/// The names of the hosts and services that have been read. Thousands of routes refer to few hosts and services, so
+/// each name is stored once and shared.
 #[derive(Default)]
 struct SharedNames {
     hosts: HashMap<String, HostName>,
@@ -135,15 +137,15 @@
 impl SharedNames {
     fn host(&mut self, text: &str) -> HostName {
         let host = bare_host(text);
-        shared(&mut self.hosts, &host)
+        shared_name(&mut self.hosts, &host)
     }
 
     fn service(&mut self, text: &str) -> ServiceName {
-        shared(&mut self.services, text)
+        shared_name(&mut self.services, text)
     }
 }
 
-fn shared<N: Clone + for<'a> From<&'a str>>(names: &mut HashMap<String, N>, text: &str) -> N {
+fn shared_name<N: Clone + for<'a> From<&'a str>>(names: &mut HashMap<String, N>, text: &str) -> N {
     if let Some(name) = names.get(text) {
         return name.clone();
     }
@@ -152,7 +154,7 @@
     name
 }
 
-/// Why a route is rejected: a field of it, or one of the reasons that name it.
+/// The reason for which a route is rejected: a wrong field, or an error that names the route.
 enum RouteError {
     Field(FieldError),
     ConfigurationError(ConfigurationError),
@@ -161,7 +163,7 @@
 impl RouteError {
     fn within(self, path: &str) -> ConfigurationError {
         match self {
-            RouteError::Field(error) => field(error.within(path)),
+            RouteError::Field(error) => field_error(error.within(path)),
             RouteError::ConfigurationError(invalid) => invalid,
         }
     }
@@ -210,7 +212,7 @@
     }
 }
 
-/// A split goes before a single service, where a route has both.
+/// Reads the services of a route. If the route has both a split and a single service, the split is used.
 fn traffic(
     fields: &Fields<'_>,
     route: &RouteName,
--- a/crates/configuration/src/configuration/validate.rs
+++ b/crates/configuration/src/configuration/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of routes and services against one another.
+//! Checks the routes and services of a configuration against one another.
 
 use std::collections::HashSet;
 
@@ -6,13 +6,14 @@
 use super::model::{Configuration, Route};
 use crate::names::ServiceName;
 
-/// Checks what single fields cannot show: unique names, known services, and one route per host and prefix.
+/// Checks rules that involve several fields: that service names are unique, that routes name known services, and that
+/// each host and prefix has one route. Also checks the slashes of each prefix.
 pub(super) fn configuration(configuration: &Configuration) -> Result<(), ConfigurationError> {
     let services = service_names(configuration)?;
     let mut seen = HashSet::with_capacity(configuration.routes.len());
     for route in &configuration.routes {
-        prefix(route)?;
-        known_services(route, &services)?;
+        check_prefix(route)?;
+        check_services(route, &services)?;
         if !seen.insert((&route.hostname, &route.path_prefix)) {
             let path_prefix = route.path_prefix.to_string();
             return Err(ConfigurationError::DuplicateRoute { hostname: route.hostname.clone(), path_prefix });
@@ -29,7 +30,7 @@
     }
 }
 
-fn prefix(route: &Route) -> Result<(), ConfigurationError> {
+fn check_prefix(route: &Route) -> Result<(), ConfigurationError> {
     if route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/') {
         Ok(())
     } else {
@@ -37,11 +38,11 @@
     }
 }
 
-fn known_services(route: &Route, services: &HashSet<&ServiceName>) -> Result<(), ConfigurationError> {
-    match route.traffic.shares().iter().find(|target| !services.contains(&target.service)) {
-        Some(target) => Err(ConfigurationError::UnknownService {
+fn check_services(route: &Route, services: &HashSet<&ServiceName>) -> Result<(), ConfigurationError> {
+    match route.traffic.shares().iter().find(|share| !services.contains(&share.service)) {
+        Some(share) => Err(ConfigurationError::UnknownService {
             route: route.name.clone(),
-            service: target.service.clone(),
+            service: share.service.clone(),
         }),
         None => Ok(()),
     }
--- a/crates/configuration/src/json/fields.rs
+++ b/crates/configuration/src/json/fields.rs
@@ -1,5 +1,5 @@
-//! Typed fields of a JSON object. A field that is absent or null takes its default; one of the wrong kind or out
-//! of range is rejected by its path and what was expected there.
+//! Typed access to the fields of a JSON object. A field that is absent or null takes its default. A field of the wrong
+//! type or out of range is rejected with an error that names its path and the expected value.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -7,19 +7,20 @@
 use snafu::Snafu;
 use tinyjson::JsonValue;
 
-/// The largest whole number that a JSON number tells exactly (2^53).
+/// The largest integer up to which a JSON number represents every integer exactly (2^53).
 const MAX_EXACT: f64 = 9_007_199_254_740_992.0;
 
-/// No text of the operators is longer, in bytes.
+/// The maximum length of a string, in bytes. The strings that operators send are shorter.
 const MAX_TEXT_BYTES: usize = 4096;
 
-/// A field that is missing or wrong: where, and what was expected.
+/// The error for a field that is missing or wrong, with its path and the expected value.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{}: expected {expected}", if path.is_empty() { "the root" } else { path }))]
 pub struct FieldError {
-    /// The path of the field from the root (empty for the root itself), like `bindings.frontend` or `route_table[3].timeout_ms`.
+    /// The path of the field from the root, like `bindings.frontend` or `route_table[3].timeout_ms`. The path of the
+    /// root itself is empty.
     pub path: String,
-    /// What the field has to hold.
+    /// The value that was expected.
     pub expected: &'static str,
 }
 
@@ -28,20 +29,20 @@
         FieldError { path: path.to_owned(), expected }
     }
 
-    /// The same error, seen from the object that holds the inner one.
+    /// Returns the same error with its path extended by the name of the object or array that contains the field.
     pub(crate) fn within(mut self, outer: &str) -> FieldError {
         let dot = if self.path.is_empty() || self.path.starts_with('[') { "" } else { "." };
         self.path = format!("{outer}{dot}{}", self.path);
         self
     }
 
-    /// The same error, seen from the array that holds the element.
+    /// Returns the same error with its path extended by the index of the array element that contains the field.
     pub(crate) fn at(self, index: usize) -> FieldError {
         self.within(&format!("[{index}]"))
     }
 }
 
-/// The fields of one object.
+/// The fields of one JSON object.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a> {
     object: &'a HashMap<String, JsonValue>,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// A text that is not empty.
+    /// Reads a string, which must not be empty.
     pub fn text(&self, name: &str) -> Result<Option<&'a str>, FieldError> {
         self.get(name).map(|value| text(value).map_err(|error| error.within(name))).transpose()
     }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// A number of 0 or more.
+    /// Reads a finite number of 0 or more.
     pub fn amount(&self, name: &str) -> Result<Option<f64>, FieldError> {
         match self.get(name) {
             None => Ok(None),
@@ -101,7 +102,7 @@
         }
     }
 
-    /// A count of 0 or more; a fraction counts as the next whole number.
+    /// Reads an integer of 0 or more. A number with a fraction is rounded up.
     pub fn count(&self, name: &str) -> Result<Option<u64>, FieldError> {
         match self.amount(name)? {
             Some(amount) if amount > MAX_EXACT => Err(FieldError::new(name, "a number of at most 2^53")),
@@ -109,10 +110,10 @@
         }
     }
 
-    /// A count that fits 32 bits.
+    /// Reads an integer that fits into 32 bits. A number with a fraction is rounded up.
     pub fn small_count(&self, name: &str) -> Result<Option<u32>, FieldError> {
-        let small = |count| u32::try_from(count).map_err(|_| FieldError::new(name, "a number below 2^32"));
-        self.count(name)?.map(small).transpose()
+        let to_u32 = |count| u32::try_from(count).map_err(|_| FieldError::new(name, "a number below 2^32"));
+        self.count(name)?.map(to_u32).transpose()
     }
 
     pub fn address(&self, name: &str) -> Result<Option<SocketAddrV4>, FieldError> {
@@ -121,12 +122,13 @@
 
     pub fn addresses(&self, name: &str) -> Result<Vec<SocketAddrV4>, FieldError> {
         let elements = self.list(name)?.unwrap_or_default().iter().enumerate();
-        let read = |(index, element)| address(element).map_err(|e: FieldError| e.at(index).within(name));
+        let read =
+            |(index, element)| address(element).map_err(|error: FieldError| error.at(index).within(name));
         elements.map(read).collect()
     }
 }
 
-/// The texts of a list; nothing where the list is absent.
+/// Reads a list of strings. The result is empty if the list is absent.
 pub(crate) fn texts<'a>(fields: &Fields<'a>, name: &str) -> Result<Vec<&'a str>, FieldError> {
     let elements = fields.list(name)?.unwrap_or_default().iter().enumerate();
     elements.map(|(index, element)| text(element).map_err(|error| error.at(index).within(name))).collect()
--- a/crates/configuration/src/json/scan.rs
+++ b/crates/configuration/src/json/scan.rs
@@ -1,13 +1,14 @@
-//! Steps over JSON text without reading it.
+//! Finds the end of strings in JSON text without decoding them.
 
-/// Where the string that starts at `start` ends: after its closing quote.
+/// Returns the index after the closing quote of the string whose opening quote is at `start`; `None` if the string does
+/// not end.
 pub(crate) fn end_of_string(bytes: &[u8], start: usize) -> Option<usize> {
-    let mut at = start + 1;
+    let mut position = start + 1;
     loop {
-        match bytes.get(at)? {
-            b'"' => return Some(at + 1),
-            b'\\' => at += 2,
-            _ => at += 1,
+        match bytes.get(position)? {
+            b'"' => return Some(position + 1),
+            b'\\' => position += 2,
+            _ => position += 1,
         }
     }
 }
--- a/crates/configuration/src/json/frame.rs
+++ b/crates/configuration/src/json/split.rs
@@ -1,20 +1,20 @@
-//! Cuts the outer frame of a large JSON text into the texts of its values, so that each is parsed by itself and
-//! never a tree of the whole. What is inside a cut is checked when it is parsed.
+//! Splits the outermost object or array of a large JSON text into the texts of its values. Each value is then parsed by
+//! itself, so that no tree of the whole text is built. The text of a value is checked only when it is parsed.
 
 use super::error::JsonError;
 use super::parse::parse;
 use super::scan::end_of_string;
 use tinyjson::JsonValue;
 
-/// A member of an object: its key, read, and the text of its value.
+/// A member of an object, with its decoded key and the unparsed text of its value.
 pub(crate) struct Member<'a> {
     pub key: String,
     pub value: &'a str,
 }
 
-/// The members of the object that makes up the whole text. A key that stands twice is rejected.
+/// Returns the members of an object that makes up the whole text. An object with the same key twice is rejected.
 pub(crate) fn members(text: &str) -> Result<Vec<Member<'_>>, JsonError> {
-    let mut cursor = Cursor { text, at: 0 };
+    let mut cursor = Cursor { text, position: 0 };
     let mut members: Vec<Member<'_>> = Vec::new();
     cursor.expect(b'{')?;
     if !cursor.next_is(b'}') {
@@ -37,12 +37,13 @@
     Ok(members)
 }
 
-/// Keys of the root are compared one with another; there are four on the operators' page.
+/// The maximum number of members of the outermost object. Each key is compared with all others, and operators use only
+/// four keys.
 const MAX_ROOT_MEMBERS: usize = 256;
 
-/// The texts of the elements of the array that makes up the whole text.
+/// Returns the texts of the elements of an array that makes up the whole text.
 pub(crate) fn elements(text: &str) -> Result<Vec<&str>, JsonError> {
-    let mut cursor = Cursor { text, at: 0 };
+    let mut cursor = Cursor { text, position: 0 };
     let mut elements = Vec::new();
     cursor.expect(b'[')?;
     if !cursor.next_is(b']') {
@@ -58,24 +59,25 @@
     Ok(elements)
 }
 
+/// A position in a JSON text, which moves forward as members and values are read.
 struct Cursor<'a> {
     text: &'a str,
-    at: usize,
+    position: usize,
 }
 
 impl<'a> Cursor<'a> {
     fn peek(&mut self) -> Option<u8> {
         let bytes = self.text.as_bytes();
-        while bytes.get(self.at).is_some_and(|byte| is_space(*byte)) {
-            self.at += 1;
+        while bytes.get(self.position).is_some_and(|byte| is_white_space(*byte)) {
+            self.position += 1;
         }
-        bytes.get(self.at).copied()
+        bytes.get(self.position).copied()
     }
 
-    /// Steps over the byte if it comes next.
+    /// Skips white space, and then `byte` if it comes next. Returns whether it did.
     fn next_is(&mut self, byte: u8) -> bool {
         let found = self.peek() == Some(byte);
-        self.at += usize::from(found);
+        self.position += usize::from(found);
         found
     }
 
@@ -96,52 +98,54 @@
         Ok(Member { key, value: self.value()? })
     }
 
-    /// The text of the value that comes next.
+    /// Returns the text of the next value and moves past it.
     fn value(&mut self) -> Result<&'a str, JsonError> {
         let bytes = self.text.as_bytes();
         let end = match self.peek() {
-            Some(b'"') => end_of_string(bytes, self.at),
-            Some(b'{' | b'[') => end_of_nested(bytes, self.at),
-            Some(_) => end_of_scalar(bytes, self.at),
+            Some(b'"') => end_of_string(bytes, self.position),
+            Some(b'{' | b'[') => end_of_nested(bytes, self.position),
+            Some(_) => end_of_scalar(bytes, self.position),
             None => None,
         };
         let end = end.ok_or(JsonError::NotJson)?;
-        let value = self.text.get(self.at..end).ok_or(JsonError::NotJson)?;
-        self.at = end;
+        let value = self.text.get(self.position..end).ok_or(JsonError::NotJson)?;
+        self.position = end;
         Ok(value)
     }
 }
 
-fn is_space(byte: u8) -> bool {
+fn is_white_space(byte: u8) -> bool {
     matches!(byte, b' ' | b'\t' | b'\n' | b'\r')
 }
 
-/// Where the array or object that starts at `start` ends. Kinds of brackets are told apart by the parser later.
+/// Returns the end of the array or object that starts at `start`. The parser checks later that brackets and braces
+/// match.
 fn end_of_nested(bytes: &[u8], start: usize) -> Option<usize> {
-    let (mut depth, mut at) = (0_usize, start);
+    let (mut depth, mut position) = (0_usize, start);
     loop {
-        match bytes.get(at)? {
-            b'"' => at = end_of_string(bytes, at)?,
+        match bytes.get(position)? {
+            b'"' => position = end_of_string(bytes, position)?,
             b'{' | b'[' => {
                 depth += 1;
-                at += 1;
+                position += 1;
             }
             b'}' | b']' => {
                 depth -= 1;
-                at += 1;
+                position += 1;
                 if depth == 0 {
-                    return Some(at);
+                    return Some(position);
                 }
             }
-            _ => at += 1,
+            _ => position += 1,
         }
     }
 }
 
-/// Where the number or word that starts at `start` ends; nothing if it is empty.
+/// Returns the end of the number or literal name that starts at `start`; `None` if it is empty.
 fn end_of_scalar(bytes: &[u8], start: usize) -> Option<usize> {
     let rest = bytes.get(start..)?;
-    let ends = |byte: &u8| is_space(*byte) || matches!(byte, b',' | b':' | b']' | b'}' | b'{' | b'[' | b'"');
-    let length = rest.iter().position(ends).unwrap_or(rest.len());
+    let is_delimiter =
+        |byte: &u8| is_white_space(*byte) || matches!(byte, b',' | b':' | b']' | b'}' | b'{' | b'[' | b'"');
+    let length = rest.iter().position(is_delimiter).unwrap_or(rest.len());
     (length > 0).then_some(start + length)
 }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,12 +1,13 @@
-//! The operators' configuration, its replicated register, and the settings of a process.
+//! The configuration that operators send, the replicated register that holds it, and the settings of a process.
 //!
-//! Nothing here does I/O or reads a clock: bytes go in, typed values or a typed error come out. `grebeusher-tier` reads
-//! the files, runs the register on a partition of `grebeusher-quorum`, and routes requests by the result.
+//! This crate does no I/O and reads no clock: it turns bytes into typed values or a typed error. The crate
+//! `grebeusher-tier` reads the files, runs the register on a partition of `grebeusher-quorum`, and routes requests by
+//! the configuration.
 //!
 //! - [`settings`] reads the settings file of a process.
-//! - [`configuration`] reads a configuration of the operators and rejects an invalid one with its reason.
-//! - [`routes`] picks the route of a request, and the service of a route.
-//! - [`register`] is the replicated state machine that holds the configuration in force.
+//! - [`configuration`] reads a configuration, and rejects an invalid one with an error that says why.
+//! - [`routes`] finds the route of a request, and picks one of the services of the route.
+//! - [`register`] is the replicated state machine that holds the current configuration.
 //!
 //! ```
 //! use grebeusher_configuration::configuration::Configuration;
--- a/crates/configuration/src/names.rs
+++ b/crates/configuration/src/names.rs
@@ -1,4 +1,5 @@
-//! Names as types, so that none is accepted for another. They are shared, and cheap to clone.
+//! A type for each kind of name, so that names of different kinds cannot be confused. Clones share the text, so they
+//! are cheap.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -11,7 +12,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/crates/configuration/src/register/answer.rs
+++ b/crates/configuration/src/register/answer.rs
@@ -1,20 +1,20 @@
-//! The answer that an operator gets to a change.
+//! The answer to an operator who sends a change of the configuration.
 
 use super::state::{Applied, Verdict};
 
-/// What the operator is told.
+/// The answer to an operator who sends a change of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The change is in force, or was.
+    /// The change was accepted, now or before.
     Acknowledged,
-    /// Another version than the change's base is current.
+    /// The current version is not the base of the change.
     VersionMismatch,
     /// The configuration is invalid.
     ConfigurationError,
 }
 
 impl Answer {
-    /// The status of the HTTP answer.
+    /// Returns the status code of the HTTP response.
     pub const fn status(self) -> u16 {
         match self {
             Answer::Acknowledged => 200,
@@ -25,7 +25,8 @@
 }
 
 impl Verdict {
-    /// The answer that follows at once; none while the change is to be proposed or is undecided, or if none is known.
+    /// Returns the answer that this verdict allows at once. It is `None` if the change has yet to be proposed, if it is
+    /// undecided, or if the history no longer shows whether it was accepted.
     pub const fn answer(self) -> Option<Answer> {
         match self {
             Verdict::AlreadyAccepted => Some(Answer::Acknowledged),
@@ -37,7 +38,7 @@
 }
 
 impl Applied {
-    /// The answer to the call that had the change proposed.
+    /// Returns the answer to the operator whose change was proposed and has now been applied.
     pub const fn answer(self) -> Answer {
         match self {
             Applied::Accepted | Applied::AlreadyAccepted => Answer::Acknowledged,
--- a/crates/configuration/src/register/change.rs
+++ b/crates/configuration/src/register/change.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration, and the log entry that carries it.
+//! A change of the configuration, and the log entry that contains it.
 
 use std::sync::Arc;
 
@@ -7,12 +7,12 @@
 
 use crate::configuration::MAX_BODY_BYTES;
 
-/// A hash of 128 bits of a body, by which the same body is known.
+/// The 128-bit hash of a body. Bodies with the same hash count as the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub struct BodyHash(u128);
 
 impl BodyHash {
-    /// The hash of a body. It is the same in every process.
+    /// Computes the hash of a body. It is the same in every process.
     pub fn of(body: &[u8]) -> BodyHash {
         BodyHash(xxhash_rust::xxh3::xxh3_128(body))
     }
@@ -21,70 +21,72 @@
 /// A change of the configuration, without its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub struct Change {
-    /// The version that it builds on; 0 for the first.
+    /// The version that the change builds on; 0 for the first change.
     pub base: u64,
-    /// The version that it sets.
+    /// The version that the change sets.
     pub version: u64,
-    /// The hash of its body.
+    /// The hash of the body of the change.
     pub hash: BodyHash,
 }
 
 impl Change {
-    /// The length of the binary form.
+    /// The length of the binary form of a change, in bytes.
     pub(super) const BYTES: usize = 32;
 }
 
-/// A change with its body, as it stands in the log.
+/// A change with its body, which is stored as an entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     change: Change,
     body: Arc<[u8]>,
 }
 
-/// Why bytes are not an entry.
+/// The reason for which bytes are not a valid entry.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum EntryError {
-    /// They are of another format, or damaged.
+    /// The bytes have another format, or are damaged.
     #[snafu(display("an entry of format {format} instead of {FORMAT}"))]
     Format {
-        /// The format they begin with.
+        /// The format number at the beginning of the bytes.
         format: u8,
     },
-    /// They end before the body begins, or the body is larger than any that is accepted.
+    /// The bytes end before the body begins, or the body is larger than [`MAX_BODY_BYTES`].
     #[snafu(display("an entry can't have {bytes} bytes"))]
     Length {
-        /// How many there are.
+        /// The number of bytes.
         bytes: usize,
     },
-    /// The body is not the one that the change was made with.
+    /// The body does not match the hash in the change.
     #[snafu(display("the body of version {version} is damaged"))]
     Body {
-        /// The version of the change.
+        /// The version that the change sets.
         version: u64,
     },
 }
 
-/// The binary form: this byte, the change, and then the body to the end.
+/// The format number of the binary form of an entry. The binary form is this byte, then the change, then the body,
+/// which extends to the end.
 const FORMAT: u8 = 1;
+/// The length of the binary form of an entry without its body.
 const HEADER_BYTES: usize = 1 + Change::BYTES;
 
 impl Entry {
-    /// An entry for a body that an operator sent.
+    /// Creates the entry for a body that an operator sent.
     pub fn new(base: u64, version: u64, body: Arc<[u8]>) -> Entry {
         Entry { change: Change { base, version, hash: BodyHash::of(&body) }, body }
     }
 
-    /// The change that it carries.
+    /// Returns the change that the entry contains.
     pub fn change(&self) -> &Change {
         &self.change
     }
 
-    /// The body, byte for byte as it was sent.
+    /// Returns the body, byte for byte as the operator sent it.
     pub fn body(&self) -> &Arc<[u8]> {
         &self.body
     }
 
-    /// The binary form.
+    /// Returns the binary form of the entry.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(HEADER_BYTES + self.body.len());
         bytes.push(FORMAT);
@@ -93,10 +95,10 @@
         bytes
     }
 
-    /// Reads the binary form.
+    /// Reads an entry from its binary form.
     ///
     /// # Errors
-    /// The bytes are of another format, too short or too long, or the body doesn't match its hash.
+    /// The bytes have another format, are too short or too long, or contain a body that doesn't match its hash.
     pub fn decode(bytes: &[u8]) -> Result<Entry, EntryError> {
         let length = EntryError::Length { bytes: bytes.len() };
         let format = *bytes.first().ok_or_else(|| length.clone())?;
@@ -106,9 +108,9 @@
         if bytes.len() > HEADER_BYTES + MAX_BODY_BYTES {
             return Err(length);
         }
-        let mut at = 1;
-        let change = Change::de_bin(&mut at, bytes).map_err(|_| length.clone())?;
-        let body = bytes.get(at..).ok_or(length)?;
+        let mut position = 1;
+        let change = Change::de_bin(&mut position, bytes).map_err(|_| length.clone())?;
+        let body = bytes.get(position..).ok_or(length)?;
         if BodyHash::of(body) != change.hash {
             return Err(EntryError::Body { version: change.version });
         }
--- a/crates/configuration/src/register/pending.rs
+++ b/crates/configuration/src/register/pending.rs
@@ -1,42 +1,43 @@
-//! Changes that are in the log of the partition's leader and not yet committed.
+//! Changes that are in the log of the leader of the partition and that it has not yet applied.
 
 use super::change::Change;
 
-/// The changes that the leader has proposed, or found in its log when it became the leader, and that are not yet
-/// applied. While there is one, no other change can be judged but by what is committed.
+/// The changes that the leader has proposed, or found in its log when it became the leader, and that it has not yet
+/// applied. While any change is pending, another change can only be decided on if the committed changes suffice to do
+/// so.
 ///
-/// The leader of the partition keeps it; replicas have none. As a change is proposed only while nothing is pending, it
-/// is no longer than the uncommitted end of the log.
+/// Only the leader of the partition keeps this list; the other replicas have none. As a change is proposed only while
+/// no other is pending, the list is no longer than the uncommitted end of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pending {
     changes: Vec<Change>,
 }
 
 impl Pending {
-    /// Nothing is pending.
+    /// Creates an empty list.
     pub fn new() -> Pending {
         Pending::default()
     }
 
-    /// A change was put into the log, or found there uncommitted.
+    /// Adds a change that the leader has put into the log, or has found there uncommitted.
     pub fn propose(&mut self, change: Change) {
         if !self.changes.contains(&change) {
             self.changes.push(change);
         }
     }
 
-    /// A change was applied, whatever became of it.
+    /// Removes a change that was applied, whether it was accepted or not.
     pub fn applied(&mut self, change: &Change) {
         self.changes.retain(|pending| pending != change);
     }
 
-    /// The log's end is no longer this process's to decide: it lost the leadership, or is about to read the end
-    /// anew.
+    /// Removes all changes. The process calls this when it has lost the leadership, or before it reads the uncommitted
+    /// end of the log again.
     pub fn clear(&mut self) {
         self.changes.clear();
     }
 
-    /// Whether nothing is pending.
+    /// Whether no change is pending.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
--- a/crates/configuration/src/register/snapshot.rs
+++ b/crates/configuration/src/register/snapshot.rs
@@ -1,4 +1,4 @@
-//! The binary form of the whole register, for the disk and for replicas that are behind.
+//! The binary form of the whole register. It is stored on disk, and sent to replicas whose logs are behind.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,47 +10,50 @@
 use super::state::{ConfigurationRegister, MAX_HISTORY};
 use crate::configuration::MAX_BODY_BYTES;
 
-/// The binary form: this byte, the count of changes, the changes, and then the body to the end.
+/// The format number of the binary form of a register. The binary form is this byte, then the number of changes, then
+/// the changes, then the body, which extends to the end.
 const FORMAT: u8 = 1;
+/// The length of the number of changes in the binary form, in bytes.
 const COUNT_BYTES: usize = 4;
+/// The length of the binary form of a register without its changes and its body, in bytes.
 const HEADER_BYTES: usize = 1 + COUNT_BYTES;
 
-/// Why bytes are not a snapshot.
+/// The reason for which bytes are not a valid snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SnapshotError {
-    /// They are of another format, or damaged.
+    /// The bytes have another format, or are damaged.
     #[snafu(display("a snapshot of format {format} instead of {FORMAT}"))]
     Format {
-        /// The format they begin with.
+        /// The format number at the beginning of the bytes.
         format: u8,
     },
-    /// They end before the body begins, or hold more than a register does.
+    /// The bytes end before the body begins, or contain more changes or a larger body than a register can have.
     #[snafu(display("a snapshot can't have {bytes} bytes"))]
     Length {
-        /// How many there are.
+        /// The number of bytes.
         bytes: usize,
     },
-    /// The changes don't build on one another.
+    /// The changes don't each build on the one before.
     #[snafu(display("the history of the snapshot is broken at version {version}"))]
     History {
-        /// The version of the change that doesn't fit.
+        /// The version of the change that doesn't build on the one before.
         version: u64,
     },
-    /// The body is not the one that the newest change was made with.
+    /// The body does not match the hash in the newest change.
     #[snafu(display("the body of the snapshot at version {version} is damaged"))]
     Body {
-        /// The version of the newest change.
+        /// The version that the newest change sets.
         version: u64,
     },
 }
 
 impl ConfigurationRegister {
-    /// The binary form of the whole register.
+    /// Returns the binary form of the whole register.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes =
             Vec::with_capacity(HEADER_BYTES + self.history.len() * Change::BYTES + self.body.len());
         bytes.push(FORMAT);
-        // At most MAX_HISTORY.
+        // The history has at most MAX_HISTORY changes, so its length fits into 32 bits.
         (self.history.len() as u32).ser_bin(&mut bytes);
         for change in &self.history {
             change.ser_bin(&mut bytes);
@@ -59,26 +62,26 @@
         bytes
     }
 
-    /// Reads the binary form.
+    /// Reads a register from its binary form.
     ///
     /// # Errors
-    /// The bytes are of another format, too short or too long, the changes don't build on one another, or the
-    /// body is not that of the newest change.
+    /// The bytes have another format, are too short or too long, contain changes that don't each build on the one before,
+    /// or contain a body that doesn't match the hash in the newest change.
     pub fn decode(bytes: &[u8]) -> Result<ConfigurationRegister, SnapshotError> {
         let length = || SnapshotError::Length { bytes: bytes.len() };
         let format = *bytes.first().ok_or_else(length)?;
         if format != FORMAT {
             return Err(SnapshotError::Format { format });
         }
-        let mut at = 1;
-        let count = u32::de_bin(&mut at, bytes).map_err(|_| length())? as usize;
+        let mut position = 1;
+        let count = u32::de_bin(&mut position, bytes).map_err(|_| length())? as usize;
         if count > MAX_HISTORY || bytes.len() > HEADER_BYTES + count * Change::BYTES + MAX_BODY_BYTES {
             return Err(length());
         }
-        let changes = (0..count).map(|_| Change::de_bin(&mut at, bytes).map_err(|_| length()));
+        let changes = (0..count).map(|_| Change::de_bin(&mut position, bytes).map_err(|_| length()));
         let history = changes.collect::<Result<VecDeque<Change>, SnapshotError>>()?;
         check_history(&history)?;
-        let body = bytes.get(at..).ok_or_else(length)?;
+        let body = bytes.get(position..).ok_or_else(length)?;
         check_body(history.back(), body)?;
         let version = history.back().map_or(0, |newest| newest.version);
         Ok(ConfigurationRegister { version, body: Arc::from(body), history })
@@ -86,22 +89,22 @@
 }
 
 fn check_history(history: &VecDeque<Change>) -> Result<(), SnapshotError> {
-    let mut before = None;
+    let mut previous_version = None;
     for change in history {
-        let builds_on_it = before.is_none_or(|version| change.base == version);
-        if !builds_on_it || change.version <= change.base {
+        let builds_on_previous = previous_version.is_none_or(|version| change.base == version);
+        if !builds_on_previous || change.version <= change.base {
             return Err(SnapshotError::History { version: change.version });
         }
-        before = Some(change.version);
+        previous_version = Some(change.version);
     }
     Ok(())
 }
 
 fn check_body(newest: Option<&Change>, body: &[u8]) -> Result<(), SnapshotError> {
-    let matches = match newest {
+    let is_intact = match newest {
         Some(change) => BodyHash::of(body) == change.hash,
         None => body.is_empty(),
     };
     let version = newest.map_or(0, |change| change.version);
-    if matches { Ok(()) } else { Err(SnapshotError::Body { version }) }
+    if is_intact { Ok(()) } else { Err(SnapshotError::Body { version }) }
 }
--- a/crates/configuration/src/register/state.rs
+++ b/crates/configuration/src/register/state.rs
@@ -1,80 +1,84 @@
-//! The register itself: judges changes before they are proposed, and applies them once they are committed.
+//! The register. It decides whether a change may be proposed, and applies changes once they are committed.
 
 use super::change::{Change, Entry};
 use super::pending::Pending;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// How many accepted changes are remembered, so that one sent again is known. A call is repeated for seconds, and
-/// there are few changes a second at most. A repeat of an older one gets no clear answer ([`Verdict::OlderThanHistory`]).
+/// The maximum number of accepted changes in the history, by which a change that is sent again is recognized. A caller
+/// repeats a change for a few seconds, and there are only a few changes a second. For a change that is older than the
+/// history it is not known whether it was accepted ([`Verdict::OlderThanHistory`]).
 pub const MAX_HISTORY: usize = 512;
 
-/// The configuration in force, and the changes that led to it.
+/// The current configuration, and the changes that led to it.
 ///
-/// The same entries in the same order give the same register at every replica.
+/// All replicas that apply the same entries in the same order have the same register.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationRegister {
     pub(super) version: u64,
     pub(super) body: Arc<[u8]>,
-    /// The newest last; each builds on the one before it.
+    /// The accepted changes from the oldest to the newest. Each builds on the one before it.
     pub(super) history: VecDeque<Change>,
 }
 
-/// What is to be done with a change that an operator sends.
+/// The decision on a change that an operator sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It builds on the current version, and nothing else is pending: propose it.
+    /// The change builds on the current version and no other is pending, so it is to be proposed.
     Accept,
-    /// This very change was accepted before: acknowledge it again.
+    /// The same change was accepted before, so it is to be acknowledged again.
     AlreadyAccepted,
-    /// Another version than its base is current; this is committed.
+    /// The base of the change is not the current version. The committed changes show this, so the decision is final.
     VersionMismatch,
-    /// It may have been accepted before the oldest change that is remembered, or not: nothing can be said of it.
+    /// The change may have been accepted before the oldest change in the history, so it is not known whether it was.
     OlderThanHistory,
-    /// It builds on the current version but its own isn't above it: invalid.
+    /// The change is invalid: it builds on the current version, but the version that it sets isn't above the current
+    /// one.
     VersionNotAbove,
-    /// A change is proposed and not yet committed, and it decides this one (it may be the same). Judge anew once
-    /// that change has been applied; it is neither acknowledged nor rejected before.
+    /// A pending change, which may be this very change, decides on this one. This change is to be judged again once the
+    /// pending one has been applied; until then it is neither acknowledged nor rejected.
     Undecided,
 }
 
-/// What became of a committed change.
+/// The outcome of applying a committed change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is in force now.
+    /// The change was accepted, and its configuration is the current one.
     Accepted,
-    /// The log held it twice; it was accepted before.
+    /// The change was accepted before; the log contains it more than once.
     AlreadyAccepted,
-    /// Another change on the same base went before it, or its version isn't above the current one.
+    /// The change was rejected: its base is not the current version, as another change was applied first, or the
+    /// version that it sets isn't above the current one.
     Conflict,
 }
 
 impl ConfigurationRegister {
-    /// A register without a configuration: version 0, which the first one builds on.
+    /// Creates a register without a configuration. Its version is 0, which the first change builds on.
     pub fn new() -> ConfigurationRegister {
         ConfigurationRegister::default()
     }
 
-    /// The version in force; 0 if there is none yet.
+    /// Returns the current version; 0 if there is no configuration yet.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The configuration in force, byte for byte as it was sent; empty if there is none yet.
+    /// Returns the body of the current configuration, byte for byte as the operator sent it. It is empty if there is no
+    /// configuration yet.
     pub fn body(&self) -> &Arc<[u8]> {
         &self.body
     }
 
-    /// The changes that were accepted, the newest last.
+    /// Returns the accepted changes that are remembered, from the oldest to the newest.
     pub fn history(&self) -> impl Iterator<Item = &Change> {
         self.history.iter()
     }
 
-    /// Judges a change by what is committed and what is pending.
+    /// Decides on a change by the committed changes and the pending ones.
     ///
-    /// Only the leader of the partition may judge, once it has applied everything that was committed before its term:
-    /// then a refusal rests on committed changes alone, and as versions only rise, it is final. A register that is
-    /// behind would reject a change that builds on a version which it has not seen yet.
+    /// Only the leader of the partition may call this, once it has applied all entries that were committed before its
+    /// term. A rejection then depends on committed changes alone, and is final because versions only rise. A register
+    /// that is behind would reject a change that builds on a version which it has not applied yet.
     pub fn judge(&self, change: &Change, pending: &Pending) -> Verdict {
         if self.was_accepted(change) {
             Verdict::AlreadyAccepted
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Applies the next committed entry.
+    /// Applies the next committed entry of the log.
     pub fn apply(&mut self, entry: &Entry) -> Applied {
         let change = entry.change();
         if self.was_accepted(change) {
@@ -111,13 +115,13 @@
         Applied::Accepted
     }
 
-    /// Whether a change that is not remembered may have been accepted all the same, before the oldest one that is.
+    /// Whether a change that is not in the history may have been accepted before the oldest change that is.
     fn may_predate_history(&self, change: &Change) -> bool {
         let oldest_base = self.history.front().map_or(0, |oldest| oldest.base);
         change.base < change.version && change.version <= oldest_base
     }
 
-    /// Versions rise along the history, so it is searched by halves.
+    /// Whether the history contains the change. As versions rise along the history, a binary search finds it.
     fn was_accepted(&self, change: &Change) -> bool {
         let found = self.history.binary_search_by_key(&change.version, |accepted| accepted.version);
         found.is_ok_and(|index| self.history.get(index) == Some(change))
--- a/crates/configuration/src/routes.rs
+++ b/crates/configuration/src/routes.rs
@@ -1,4 +1,4 @@
-//! Picks the route of a request by its host and path, and the service of a route by its weights.
+//! Finds the route of a request by the host and path, and picks the service of a request by the weights of the route.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -7,30 +7,31 @@
 use crate::configuration::{Configuration, Route};
 use crate::names::{HostName, ServiceName};
 
-/// The routes of one configuration, ready for look-ups.
+/// The routes of one configuration, arranged for fast lookups.
 ///
-/// A look-up hashes the host, searches its prefixes by halves, and then steps from a prefix to the next shorter
-/// one that begins it, until one begins the path.
+/// A lookup finds the prefixes of the host in a hash table, and runs a binary search for the path among them. From the
+/// prefix that it finds, it goes on to the longest other prefix with which that one begins, and so on, until a prefix
+/// of the path is found.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     configuration: Arc<Configuration>,
     hosts: HashMap<HostName, HostRoutes>,
 }
 
-/// The routes of one host, ordered by prefix.
+/// The routes of one host, sorted by prefix.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes(Vec<PrefixNode>);
 
 #[derive(Clone, Copy, Debug)]
 struct PrefixNode {
-    /// The index of the route in the configuration.
+    /// The index of the route among the routes of the configuration.
     route: usize,
-    /// The index in the same host of the longest other prefix that begins this one.
+    /// The index, among the routes of the same host, of the longest other prefix with which this prefix begins.
     parent: Option<usize>,
 }
 
 impl RouteTable {
-    /// Orders the routes of a configuration.
+    /// Builds the table of the routes of a configuration.
     pub fn new(configuration: Arc<Configuration>) -> RouteTable {
         let mut hosts: HashMap<HostName, HostRoutes> = HashMap::new();
         for (index, route) in configuration.routes.iter().enumerate() {
@@ -38,25 +39,26 @@
             nodes.push(PrefixNode { route: index, parent: None });
         }
         for routes in hosts.values_mut() {
-            routes.order(&configuration.routes);
+            routes.sort_and_link(&configuration.routes);
         }
         RouteTable { configuration, hosts }
     }
 
-    /// The configuration that the table was built from.
+    /// Returns the configuration from which the table was built.
     pub fn configuration(&self) -> &Arc<Configuration> {
         &self.configuration
     }
 
-    /// The route of a request: of its host's routes, the one with the longest prefix that begins the path.
+    /// Finds the route of a request. Among the routes of the host, it is the one with the longest prefix of the path.
     ///
-    /// `host` is the value of the `Host` header, with or without a port and in any case; `path` is the target of
-    /// the request, of which a query is left out.
+    /// `host` is the value of the `Host` header, with or without a port, in upper or lower case. `path` is the target
+    /// of the request; a query in it is ignored.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         self.configuration.routes.get(self.find_index(host, path)?)
     }
 
-    /// The same, as its place among the configuration's routes.
+    /// Finds the route of a request like [`RouteTable::find`], and returns its index among the routes of the
+    /// configuration.
     pub fn find_index(&self, host: &str, path: &str) -> Option<usize> {
         let host = bare_host(host);
         let path = path.split_once('?').map_or(path, |(path, _)| path);
@@ -65,10 +67,11 @@
 }
 
 impl HostRoutes {
-    fn order(&mut self, routes: &[Route]) {
+    fn sort_and_link(&mut self, routes: &[Route]) {
         let prefix = |node: &PrefixNode| routes[node.route].path_prefix.as_ref();
-        self.0.sort_unstable_by(|one, other| prefix(one).cmp(prefix(other)));
-        // In this order, all that a prefix begins follow it, so its ancestors are still on the stack.
+        self.0.sort_unstable_by(|left, right| prefix(left).cmp(prefix(right)));
+        // In this order, a prefix is followed directly by all prefixes that begin with it. So when a prefix is reached,
+        // all prefixes with which it begins are still on the stack.
         let mut ancestors: Vec<usize> = Vec::new();
         for index in 0..self.0.len() {
             let text = prefix(&self.0[index]);
@@ -82,8 +85,8 @@
 
     fn find(&self, routes: &[Route], path: &str) -> Option<usize> {
         let prefix = |node: &PrefixNode| routes[node.route].path_prefix.as_ref();
-        // What stands between a prefix of the path and the path in this order begins with that prefix, so the
-        // longest one is the last that isn't above the path, or an ancestor of it.
+        // All texts that lie in this order between a prefix of the path and the path itself begin with that prefix. So
+        // the longest prefix of the path is the last one that is not greater than the path, or an ancestor of that one.
         let mut next = self.0.partition_point(|node| prefix(node) <= path).checked_sub(1);
         while let Some(node) = next.and_then(|index| self.0.get(index)) {
             if path.starts_with(prefix(node)) {
@@ -96,15 +99,16 @@
 }
 
 impl Route {
-    /// The service that a request goes to, by the weights; `point` is drawn evenly from 0 to below 1.
+    /// Picks the service of a request by the weights. The caller draws `point` uniformly from 0 (inclusive) to 1
+    /// (exclusive).
     ///
-    /// A service of weight 0 is never picked, whatever the point.
+    /// A service of weight 0 is never picked, whatever `point` is.
     pub fn pick_service(&self, point: f64) -> &ServiceName {
         self.traffic.pick(point)
     }
 }
 
-/// A host in lower case and without its port. An IPv6 address keeps its brackets.
+/// Returns a host in lower case and without its port. An IPv6 address keeps its brackets.
 pub fn bare_host(host: &str) -> Cow<'_, str> {
     let host = match host.rfind(':') {
         Some(colon) if !host[colon..].contains(']') => &host[..colon],
--- a/crates/configuration/src/settings/bounds.rs
+++ b/crates/configuration/src/settings/bounds.rs
@@ -1,45 +1,52 @@
-//! The time-outs and limits of the rules, with their defaults.
+//! The timeouts and limits of the rules that the tier must keep (its contracts), with their defaults.
 
-/// The time-outs and limits of the rules. Each takes its default where the file doesn't give it.
+/// The timeouts and limits of the rules that the tier must keep. A value that the settings file does not give takes its
+/// default.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How far the lists that callers choose nodes from lag behind, in seconds. Default 3.
+    /// How far the lists from which callers choose nodes may lag behind, in seconds. The default is 3.
     pub seed_lag_s: f64,
-    /// After how long the address of an ended executor may go to another service, in seconds. Default 2.
+    /// How long after the end of an executor its address may be assigned to another service, in seconds. The default is
+    /// 2.
     pub addr_reuse_s: f64,
-    /// How long a machine must be without a fault to count as in contact, in milliseconds. Default 3000.
+    /// How long a machine must be without a fault to count as in contact, in milliseconds. The default is 3000.
     pub contact_ms: u64,
-    /// How long a valid change of the operator may go without an acknowledgement, in milliseconds. Default 4000.
+    /// How long a valid change by the operator may go without an acknowledgement, in milliseconds. The default is 4000.
     pub ack_timeout_ms: u64,
-    /// How long a machine that is back still counts as lost, in seconds. Default 5.
+    /// How long a machine still counts as lost after it is back, in seconds. The default is 5.
     pub sync_time_s: f64,
-    /// How long after the acknowledgement a draining executor may still get requests, in milliseconds. Default 2000.
+    /// How long after the acknowledgement of its drain an executor may still get requests, in milliseconds. The default
+    /// is 2000.
     pub drain_timeout_ms: u64,
-    /// From SIGTERM to SIGKILL, in seconds. Default 8.
+    /// The time between SIGTERM and SIGKILL at the stop of a process, in seconds. The default is 8.
     pub grace_period_s: f64,
-    /// Within which a request that was read may be cut off without counting as lost, in milliseconds. Default 200.
+    /// The time within which a request that was read may be cut off without counting as lost, in milliseconds. The
+    /// default is 200.
     pub loss_slack_ms: u64,
-    /// How long after its acknowledgement a configuration must be in force, in milliseconds. Default 2000.
+    /// The time after its acknowledgement within which a configuration must take effect, in milliseconds. The default
+    /// is 2000.
     pub config_apply_ms: u64,
-    /// How long after an effect of a version was seen an older one may still act, in milliseconds. Default 250.
+    /// How long an older version may still take effect after an effect of a newer one was seen, in milliseconds. The
+    /// default is 250.
     pub downgrade_slack_ms: u64,
-    /// By how much an unstable core lengthens `config_apply_ms` at most, in milliseconds. Default 5000.
+    /// The maximum time by which an unstable core extends `config_apply_ms`, in milliseconds. The default is 5000.
     pub max_stretch_ms: u64,
-    /// How long after the machines are back requests must be served, in seconds. Default 12.
+    /// The time after the machines are back within which requests must be served again, in seconds. The default is 12.
     pub recovery_s: f64,
-    /// By when an event of a stream must have been forwarded, in milliseconds. Default 120.
+    /// The time within which an event of a stream must have been forwarded, in milliseconds. The default is 120.
     pub pass_ms: u64,
-    /// The page names it without a meaning; in seconds. Default 0.
+    /// A time in seconds that the specification of the settings lists without saying what it means. The default is 0.
     pub again_s: f64,
-    /// What batch jobs get after the traffic has ended, in seconds. Default 10.
+    /// The time that batch jobs get to finish after the traffic has ended, in seconds. The default is 10.
     pub finish_s: f64,
-    /// How long results of a batch job stay readable after it was sent, in seconds. Default 120.
+    /// How long after the submission of a batch job its results stay readable, in seconds. The default is 120.
     pub status_s: f64,
-    /// How long after the end of a batch job its items may still run, in milliseconds. Default 3000.
+    /// How long after the end of a batch job its items may still run, in milliseconds. The default is 3000.
     pub cancel_ms: u64,
-    /// How long after a 202 or a read another machine may not know of the job yet, in milliseconds. Default 1000.
+    /// How long after a 202 response or a read of a batch job another machine may not know of the job yet, in
+    /// milliseconds. The default is 1000.
     pub settle_ms: u64,
-    /// The share of `queue_token_limit` by which it may be exceeded. Default 0.1.
+    /// The fraction of `queue_token_limit` by which the limit may be exceeded. The default is 0.1.
     pub quota_overrun: f64,
 }
 
--- a/crates/configuration/src/settings/error.rs
+++ b/crates/configuration/src/settings/error.rs
@@ -1,9 +1,9 @@
-//! Why a settings file is rejected.
+//! The reasons for which a settings file is rejected.
 
 use crate::json::{FieldError, JsonError};
 use snafu::Snafu;
 
-/// Why a settings file is rejected. The text is one line that names the field.
+/// The reason for which a settings file is rejected. Its text is one line that names the field.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SettingsError {
     /// The text is not JSON.
@@ -15,7 +15,7 @@
     /// A field is missing or wrong.
     #[snafu(display("settings: {source}"))]
     Field {
-        /// The field, and what was expected there.
+        /// The field, and the value that was expected there.
         source: FieldError,
     },
 }
--- a/crates/configuration/src/settings/mod.rs
+++ b/crates/configuration/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! The settings of a process: one JSON file that the platform writes.
+//! The settings of a process, which the platform writes to a JSON file.
 //!
-//! Fields that are not known are ignored. Text that is wrong is rejected by one line that names the field.
+//! Unknown fields are ignored. An invalid file is rejected with an error of one line that names the field.
 
 mod bounds;
 mod error;
--- a/crates/configuration/src/settings/model.rs
+++ b/crates/configuration/src/settings/model.rs
@@ -1,4 +1,4 @@
-//! The types of the settings. [`super::parse`] fills them; nothing here reads text.
+//! The types of the settings. [`super::parse`] creates their values from JSON.
 
 use super::bounds::Bounds;
 use crate::names::{NodeName, RegionName, RoleName, ZoneName};
@@ -11,90 +11,90 @@
 pub struct Settings {
     /// The name of the machine.
     pub node_name: NodeName,
-    /// The name of the process's role in the deploy file.
+    /// The role of the process, as the deployment file names it.
     pub role: RoleName,
     /// The class of the machine.
     pub machine_class: MachineClass,
-    /// Who may call this process from outside.
+    /// The kinds of callers outside of the tier that may call this process.
     pub served_roles: Vec<ServedRole>,
-    /// The address of the machine.
+    /// The IP address of the machine.
     pub ip_address: Ipv4Addr,
     /// The zone of the machine.
     pub zone: ZoneName,
-    /// The region of that zone.
+    /// The region that contains the zone of the machine.
     pub region: RegionName,
-    /// All zones of the deployment with their regions.
+    /// All zones of the deployment, each with its region.
     pub zones: Zones,
-    /// The addresses of what the process serves.
+    /// The addresses on which the process listens.
     pub bindings: Bindings,
     /// Ports that are free on every machine for traffic between nodes.
     pub internal_ports: PortRange,
-    /// `control_plane` addresses of a few machines, which may be down.
+    /// The `control_plane` addresses of a few machines, any of which may be down.
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// Whether this is the first start of the system, when the disks are empty. Default false.
+    /// Whether this is the first start of the system, at which all disks are empty. The default is false.
     pub bootstrap: bool,
-    /// Whether the loss of this machine counts in `fault_tolerance`. Default false.
+    /// Whether the loss of this machine counts in `fault_tolerance`. The default is false.
     pub quorum_member: bool,
     /// The resources that the process may use.
     pub limits: ProcessLimits,
-    /// The folder on the machine's disk; none where the machine has no disk.
+    /// The folder for data on the disk of the machine; `None` if the machine has no disk.
     pub data_path: Option<PathBuf>,
-    /// About how often executors send heartbeats, in milliseconds; above 0. Default 1000.
+    /// The approximate interval between two heartbeats of an executor, in milliseconds; above 0. The default is 1000.
     pub heartbeat_ms: u64,
-    /// The sets of rules that are in force. Default: none.
+    /// The sets of rules that the tier must keep. By default there are none.
     pub contracts: Vec<Contract>,
-    /// What may be lost at once.
+    /// The numbers of machines, zones and regions that may be lost at the same time.
     pub fault_tolerance: FaultTolerance,
-    /// The time-outs and limits of those rules.
+    /// The timeouts and limits of the rules in `contracts`.
     pub bounds: Bounds,
 }
 
 /// The class of a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MachineClass {
-    /// Clients can reach it.
+    /// A machine that clients can reach.
     Edge,
-    /// It has a disk for data.
+    /// A machine that has a disk for data.
     Storage,
-    /// A class that this version doesn't know.
+    /// A class that this version of the program does not know.
     Other(String),
 }
 
-/// Who may call a process from outside.
+/// A kind of callers outside of the tier that may call a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServedRole {
-    /// Clients.
+    /// Clients may call the process.
     Edge,
-    /// Nobody outside; the machine keeps data.
+    /// No outside callers may call the process; the machine stores data.
     Storage,
-    /// Executors and the operator.
+    /// Executors and the operator may call the process.
     Controller,
-    /// A role that this version doesn't know.
+    /// A role that this version of the program does not know.
     Other(String),
 }
 
-/// A set of rules that the deployment holds the tier to.
+/// A set of rules that the tier must keep in a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Contract {
-    /// What holds always.
+    /// The rules that always apply.
     Base,
-    /// Executors that leave.
+    /// The rules for draining executors.
     Drain,
-    /// Configurations in force.
+    /// The rules for changes of the configuration.
     Config,
-    /// Prices.
+    /// The rules for prices.
     Cost,
-    /// Service after a final fault.
+    /// The rules for serving requests again after the last fault.
     Recover,
-    /// Batch jobs.
+    /// The rules for batch jobs.
     Batch,
-    /// Streams of events.
+    /// The rules for streams of events.
     Stream,
-    /// Model executors.
+    /// The rules for executors that run models.
     Engine,
-    /// New versions of services.
+    /// The rules for rolling out new versions of services.
     Rollout,
-    /// A set that this version doesn't know.
+    /// A set of rules that this version of the program does not know.
     Other(String),
 }
 
@@ -103,34 +103,34 @@
 pub struct Zones(pub(super) BTreeMap<ZoneName, RegionName>);
 
 impl Zones {
-    /// The region that holds the zone.
+    /// Returns the region that contains the zone.
     pub fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         self.0.get(zone)
     }
 
-    /// The zones in the order of their names.
+    /// Returns the names of the zones in alphabetical order.
     pub fn names(&self) -> impl Iterator<Item = &ZoneName> {
         self.0.keys()
     }
 
-    /// How many zones there are.
+    /// Returns the number of zones.
     pub fn count(&self) -> usize {
         self.0.len()
     }
 }
 
-/// The addresses of what a process serves.
+/// The addresses on which a process listens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bindings {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub frontend: Option<SocketAddrV4>,
-    /// Where the platform asks whether the node is ready.
+    /// The address at which the platform checks whether the node is ready.
     pub readiness: Option<SocketAddrV4>,
-    /// Where executors and the operator connect.
+    /// The address to which executors and the operator connect.
     pub control_plane: Option<SocketAddrV4>,
 }
 
-/// Ports from the first to the last, both included.
+/// A range of ports from the first to the last, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
     /// The lowest port; not 0.
@@ -140,12 +140,12 @@
 }
 
 impl PortRange {
-    /// How many ports there are.
+    /// Returns the number of ports in the range.
     pub fn count(&self) -> usize {
         (usize::from(self.last) + 1).saturating_sub(usize::from(self.first))
     }
 
-    /// The port at the index, counted from 0.
+    /// Returns the port at `index`, where the first port has index 0.
     pub fn port(&self, index: usize) -> Option<u16> {
         (usize::from(self.first)..=usize::from(self.last))
             .nth(index)
@@ -153,39 +153,40 @@
     }
 }
 
-/// What a process may use.
+/// The resources that a process may use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// The share of a core; above 0.
+    /// The CPU time that the process may use, as a share of one core; above 0.
     pub cpu_share: f64,
-    /// Memory in megabytes; above 0. The platform kills a process that exceeds it.
+    /// The memory that the process may use, in megabytes; above 0. The platform kills a process that uses more.
     pub memory_mb: u64,
-    /// Open files and sockets; above 0. Of these, 200 are reserved for files outside the data folder.
+    /// The number of files and sockets that the process may have open; above 0. Of these, 200 are reserved for files
+    /// outside the data folder.
     pub file_descriptors: u64,
-    /// The bandwidth of the machine's link in megabits a second; above 0.
+    /// The bandwidth of the network link of the machine, in megabits a second; above 0.
     pub link_mbps: f64,
-    /// Disk space in megabytes; none where the machine has no disk.
+    /// The disk space that the process may use, in megabytes; `None` if the machine has no disk.
     pub disk_mb: Option<u64>,
 }
 
-/// What may be lost at the same time while all rules still hold. Each is 0 by default.
+/// The losses that may occur at the same time while the tier still keeps all rules. Each number is 0 by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultTolerance {
-    /// Machines with `quorum_member`.
+    /// The number of machines with `quorum_member`.
     pub machine_losses: u32,
-    /// Whole zones.
+    /// The number of whole zones.
     pub zones: u32,
-    /// Whole regions.
+    /// The number of whole regions.
     pub region_losses: u32,
 }
 
 impl Settings {
-    /// Whether a set of rules is in force.
+    /// Whether the tier must keep this set of rules.
     pub fn has_contract(&self, contract: &Contract) -> bool {
         self.contracts.contains(contract)
     }
 
-    /// Whether the process is called from outside in this role.
+    /// Whether callers from outside may call the process in this role.
     pub fn serves(&self, role: &ServedRole) -> bool {
         self.served_roles.contains(role)
     }
--- a/crates/configuration/src/settings/parse.rs
+++ b/crates/configuration/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! From the JSON of a settings file to typed settings, field by field.
+//! Converts the JSON of a settings file to typed settings, field by field.
 
 use super::bounds::Bounds;
 use super::model::{
@@ -10,7 +10,7 @@
 use std::path::PathBuf;
 use tinyjson::JsonValue;
 
-/// How often a member of the tier sends heartbeats where the file doesn't say, in milliseconds.
+/// The interval between two heartbeats of an executor if the settings file gives none, in milliseconds.
 const DEFAULT_HEARTBEAT_MS: u64 = 1000;
 
 pub(super) fn settings(value: &JsonValue) -> Result<Settings, FieldError> {
@@ -148,31 +148,31 @@
 fn bounds(fields: &Fields<'_>) -> Result<Bounds, FieldError> {
     let default = Bounds::default();
     let Some(bounds) = fields.child("bounds")? else { return Ok(default) };
-    let seconds = |name: &str, default: f64| {
+    let amount_or = |name: &str, default: f64| {
         bounds.amount(name).map(|given| given.unwrap_or(default)).map_err(|error| error.within("bounds"))
     };
-    let millis = |name: &str, default: u64| {
+    let count_or = |name: &str, default: u64| {
         bounds.count(name).map(|given| given.unwrap_or(default)).map_err(|error| error.within("bounds"))
     };
     Ok(Bounds {
-        seed_lag_s: seconds("seed_lag_s", default.seed_lag_s)?,
-        addr_reuse_s: seconds("addr_reuse_s", default.addr_reuse_s)?,
-        contact_ms: millis("contact_ms", default.contact_ms)?,
-        ack_timeout_ms: millis("ack_timeout_ms", default.ack_timeout_ms)?,
-        sync_time_s: seconds("sync_time_s", default.sync_time_s)?,
-        drain_timeout_ms: millis("drain_timeout_ms", default.drain_timeout_ms)?,
-        grace_period_s: seconds("grace_period_s", default.grace_period_s)?,
-        loss_slack_ms: millis("loss_slack_ms", default.loss_slack_ms)?,
-        config_apply_ms: millis("config_apply_ms", default.config_apply_ms)?,
-        downgrade_slack_ms: millis("downgrade_slack_ms", default.downgrade_slack_ms)?,
-        max_stretch_ms: millis("max_stretch_ms", default.max_stretch_ms)?,
-        recovery_s: seconds("recovery_s", default.recovery_s)?,
-        pass_ms: millis("pass_ms", default.pass_ms)?,
-        again_s: seconds("again_s", default.again_s)?,
-        finish_s: seconds("finish_s", default.finish_s)?,
-        status_s: seconds("status_s", default.status_s)?,
-        cancel_ms: millis("cancel_ms", default.cancel_ms)?,
-        settle_ms: millis("settle_ms", default.settle_ms)?,
-        quota_overrun: seconds("quota_overrun", default.quota_overrun)?,
+        seed_lag_s: amount_or("seed_lag_s", default.seed_lag_s)?,
+        addr_reuse_s: amount_or("addr_reuse_s", default.addr_reuse_s)?,
+        contact_ms: count_or("contact_ms", default.contact_ms)?,
+        ack_timeout_ms: count_or("ack_timeout_ms", default.ack_timeout_ms)?,
+        sync_time_s: amount_or("sync_time_s", default.sync_time_s)?,
+        drain_timeout_ms: count_or("drain_timeout_ms", default.drain_timeout_ms)?,
+        grace_period_s: amount_or("grace_period_s", default.grace_period_s)?,
+        loss_slack_ms: count_or("loss_slack_ms", default.loss_slack_ms)?,
+        config_apply_ms: count_or("config_apply_ms", default.config_apply_ms)?,
+        downgrade_slack_ms: count_or("downgrade_slack_ms", default.downgrade_slack_ms)?,
+        max_stretch_ms: count_or("max_stretch_ms", default.max_stretch_ms)?,
+        recovery_s: amount_or("recovery_s", default.recovery_s)?,
+        pass_ms: count_or("pass_ms", default.pass_ms)?,
+        again_s: amount_or("again_s", default.again_s)?,
+        finish_s: amount_or("finish_s", default.finish_s)?,
+        status_s: amount_or("status_s", default.status_s)?,
+        cancel_ms: count_or("cancel_ms", default.cancel_ms)?,
+        settle_ms: count_or("settle_ms", default.settle_ms)?,
+        quota_overrun: amount_or("quota_overrun", default.quota_overrun)?,
     })
 }
