--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -23,8 +23,8 @@
         probe_period: Duration::from_millis(1000),
         probe_rtt: Duration::from_millis(300),
         suspect_to_down_after: Duration::from_secs(4),
-        // Nodes announce themselves to members that are down, so the sides of a network partition find each other within
-        // seconds of its end.
+        // Nodes announce themselves to members that are down, so the sides of a network partition find each other
+        // within seconds of its end.
         periodic_announce_to_down_members: periodic(Duration::from_secs(5), 2),
         periodic_announce: periodic(Duration::from_secs(10), 1),
         periodic_gossip: periodic(Duration::from_millis(500), 3),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,14 +1,14 @@
 //! Gossip-based membership of a fleet of nodes, built on the crate `foca`. It implements SWIM with suspicion and
 //! refutation, and gives each start of a node a generation number. The crate does no I/O and reads no clock.
 //!
-//! The caller creates one [`Membership`] per node with a [`Host`], which sends its datagrams and receives its events. The
-//! caller calls [`Membership::join`] once, [`Membership::receive`] for each datagram, and
+//! The caller creates one [`Membership`] per node with a [`Host`], which sends its datagrams and receives its events.
+//! The caller calls [`Membership::join`] once, [`Membership::receive`] for each datagram, and
 //! [`Membership::handle_timeout`] at the time that [`Membership::next_timeout`] returns. Nodes also broadcast their
 //! observations of executors with the gossip; receivers treat them as hints.
 //!
 //! The membership gives no guarantees: a member that is up may be declared down, and then comes back under a renewed
-//! identity. Decisions that the nodes of the fleet must agree on go through the crate `grebeusher-volatile-raft`. The crate
-//! `grebeusher-node` runs the membership on a socket.
+//! identity. Decisions that the nodes of the fleet must agree on go through the crate `grebeusher-volatile-raft`. The
+//! crate `grebeusher-node` runs the membership on a socket.
 //!
 //! ```
 //! use grebeusher_dispatch::time::Instant;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -16,8 +16,8 @@
     pub address: SocketAddr,
     /// The number of the node in the fleet, from the settings of the node.
     pub number: u32,
-    /// The incarnation of the node, in Unix milliseconds. It rises with each start of the node, and when the node refutes
-    /// that it is down.
+    /// The incarnation of the node, in Unix milliseconds. It rises with each start of the node, and when the node
+    /// refutes that it is down.
     pub generation: u64,
 }
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -68,8 +68,8 @@
 }
 
 impl<H: Host> Membership<H> {
-    /// Creates the membership of the node `own` in a fleet of about `fleet_size` nodes. Two instances with the same seed
-    /// and the same inputs behave in the same way.
+    /// Creates the membership of the node `own` in a fleet of about `fleet_size` nodes. Two instances with the same
+    /// seed and the same inputs behave in the same way.
     pub fn new(own: Member, fleet_size: u32, seed: u64, host: H) -> Membership<H> {
         let observations = ObservationHandler::default();
         let random = Pcg32::seed_from_u64(seed);
--- a/crates/membership/src/observation.rs
+++ b/crates/membership/src/observation.rs
@@ -20,8 +20,8 @@
     pub executor: u64,
     /// When the observation was made, in Unix milliseconds.
     pub at_ms: u64,
-    /// Whether the process had ended at that time, so that a process seen later is a new start. If false, the process had
-    /// started by that time.
+    /// Whether the process had ended at that time, so that a process seen later is a new start. If false, the process
+    /// had started by that time.
     pub gone: bool,
 }
 
--- a/crates/membership/tests/fleet.rs
+++ b/crates/membership/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Tests of whole fleets of nodes on a simulated network with a simulated clock. The network loses, duplicates and delays
-//! datagrams, and can be partitioned.
+//! Tests of whole fleets of nodes on a simulated network with a simulated clock. The network loses, duplicates and
+//! delays datagrams, and can be partitioned.
 
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_membership::{ExecutorObservation, Host, MAX_DATAGRAM_BYTES, Member, Membership};
@@ -173,8 +173,8 @@
     assert!(known.is_some_and(|live| live.member.generation >= 2));
 }
 
-/// Guards against nodes keeping the old generation of a node that restarts within a second, before any node has suspected
-/// it.
+/// Guards against nodes keeping the old generation of a node that restarts within a second, before any node has
+/// suspected it.
 #[test]
 fn a_node_that_restarts_at_once_is_known_by_its_new_generation() {
     let mut fleet = Fleet::new(12);
@@ -188,7 +188,8 @@
     }
 }
 
-/// Guards against a node that restarts in a large fleet and knows only a few dozen of the other nodes for most of a minute.
+/// Guards against a node that restarts in a large fleet and knows only a few dozen of the other nodes for most of a
+/// minute.
 #[test]
 fn a_new_node_in_a_large_fleet_knows_nearly_all_nodes_within_seconds() {
     let mut fleet = Fleet::new(200);
--- a/crates/membership/tests/stable_bytes.rs
+++ b/crates/membership/tests/stable_bytes.rs
@@ -1,5 +1,5 @@
-//! Datagrams written by earlier versions that this version must read and write byte for byte. Nodes exchange them to keep
-//! the membership, and to broadcast their observations of executors.
+//! Datagrams written by earlier versions that this version must read and write byte for byte. Nodes exchange them to
+//! keep the membership, and to broadcast their observations of executors.
 
 use foca::{Header, Message};
 use grebeusher_dispatch::time::{Duration, Instant};
@@ -121,15 +121,15 @@
     "000a0100018a3e0181d095ffbc31000120010db80000000000000000000000078a3e0282d095ffbc310a",
 ];
 
-/// A gossip datagram with the update that a node is up, an observation of an executor that is gone, and an observation of
-/// an executor that has started.
+/// A gossip datagram with the update that a node is up, an observation of an executor that is gone, and an observation
+/// of an executor that has started.
 const OBSERVATIONS_DATAGRAM: &str = "000a0100018a3e0181d095ffbc31000120010db80000000000000000000000078a3e0282d095ffbc310800010120010db80000000000000000000000078a3e0282d095ffbc3100000011e4d2efd2a79acc8f8c01b8e795ffbc3101000807a0ef95ffbc3100";
 /// A gossip datagram by which a node announces that it leaves.
 const LEAVE_DATAGRAM: &str = "000a0100018a3e0181d095ffbc31000120010db80000000000000000000000078a3e0282d095ffbc31080002000a0100018a3e0181d095ffbc3100020120010db80000000000000000000000078a3e0282d095ffbc3100000011e4d2efd2a79acc8f8c01b8e795ffbc3101000807a0ef95ffbc3100";
 
 /// Runs three nodes on a network without delay, and returns the first datagram of each kind. The nodes join; then the
-/// network drops all datagrams between the first two; then it drops all datagrams to and from the second until the others
-/// declare it down; then it delivers all datagrams again.
+/// network drops all datagrams between the first two; then it drops all datagrams to and from the second until the
+/// others declare it down; then it delivers all datagrams again.
 fn partition_scenario() -> BTreeMap<usize, Vec<u8>> {
     let mut nodes = [1, 2, 3].map(|number| Node::new(member(number)));
     let mut first = BTreeMap::new();
