--- a/crates/configuration/tests/settings.rs
+++ b/crates/configuration/tests/settings.rs
@@ -1,4 +1,5 @@
-//! The settings file of a process is read whole, or rejected by the name of its wrong field.
+//! Tests that a valid settings file is read completely, and that an invalid one is rejected with an error that names
+//! the wrong field.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -9,7 +10,7 @@
 use grebeusher_configuration::{FieldError, JsonError};
 use rstest::rstest;
 
-const EDGE: &str = r#"{
+const EDGE_SETTINGS: &str = r#"{
   "node_name": "edge-north-1", "role": "gate", "machine_class": "edge", "served_roles": ["edge", "controller"],
   "ip_address": "10.7.0.35", "zone": "north", "region": "coast",
   "zones": {"north": "coast", "south": "coast", "hill": "inland"},
@@ -23,19 +24,19 @@
   "bounds": {"seed_lag_s": 31, "addr_reuse_s": 21, "contact_ms": 3001, "ack_timeout_ms": 4001, "sync_time_s": 5.1, "drain_timeout_ms": 2001, "grace_period_s": 81, "loss_slack_ms": 201, "config_apply_ms": 2002, "downgrade_slack_ms": 251, "max_stretch_ms": 5001, "recovery_s": 12.5, "pass_ms": 121, "again_s": 1, "finish_s": 11, "status_s": 121, "cancel_ms": 3002, "settle_ms": 1001, "quota_overrun": 0.2, "later": true}
 }"#;
 
-const LEAST: &str = r#"{"node_name":"n","role":"r","machine_class":"storage","ip_address":"10.0.0.1","zone":"z","region":"c","internal_ports":[1,65535],"limits":{"cpu_share":1,"memory_mb":1,"file_descriptors":1,"link_mbps":1}}"#;
+const MINIMAL_SETTINGS: &str = r#"{"node_name":"n","role":"r","machine_class":"storage","ip_address":"10.0.0.1","zone":"z","region":"c","internal_ports":[1,65535],"limits":{"cpu_share":1,"memory_mb":1,"file_descriptors":1,"link_mbps":1}}"#;
 
 fn address(text: &str) -> SocketAddrV4 {
-    text.parse().expect("an address")
+    text.parse().expect("a valid address")
 }
 
 fn error(text: &str) -> SettingsError {
-    Settings::read(text).expect_err("is refused")
+    Settings::read(text).expect_err("invalid settings")
 }
 
 #[test]
 fn given_a_full_file_when_read_then_every_field_has_its_value() {
-    let read = Settings::read(EDGE).expect("is valid");
+    let read = Settings::read(EDGE_SETTINGS).expect("valid settings");
 
     assert_eq!((read.node_name.as_str(), read.role.as_str()), ("edge-north-1", "gate"));
     assert_eq!(read.machine_class, MachineClass::Edge);
@@ -97,8 +98,8 @@
 }
 
 #[test]
-fn given_only_the_needed_fields_when_read_then_the_others_take_their_defaults() {
-    let read = Settings::read(LEAST).expect("is valid");
+fn given_only_the_required_fields_when_read_then_the_others_take_their_defaults() {
+    let read = Settings::read(MINIMAL_SETTINGS).expect("valid settings");
 
     assert_eq!(read.machine_class, MachineClass::Storage);
     assert!(read.served_roles.is_empty() && read.seed_nodes.is_empty() && read.contracts.is_empty());
@@ -130,15 +131,15 @@
     "limits",
     "an object"
 )]
-fn given_a_needed_field_is_missing_when_read_then_it_is_named(
+fn given_a_required_field_is_missing_when_read_then_the_error_names_it(
     #[case] field: &str,
     #[case] path: &str,
     #[case] expected: &'static str,
 ) {
-    assert!(LEAST.contains(field), "the case changes something");
+    assert!(MINIMAL_SETTINGS.contains(field), "the file contains the text to replace");
 
     let source = FieldError { path: path.to_owned(), expected };
-    assert_eq!(error(&LEAST.replacen(field, "", 1)), SettingsError::Field { source });
+    assert_eq!(error(&MINIMAL_SETTINGS.replacen(field, "", 1)), SettingsError::Field { source });
 }
 
 #[rstest]
@@ -167,7 +168,7 @@
     "seed:8146",
     "settings: seed_nodes[1]: expected an IPv4 address with a port, like 10.1.0.35:8146"
 )]
-#[case::ports_turned(
+#[case::ports_reversed(
     "[7660, 7675]",
     "[7675, 7660]",
     "settings: internal_ports: expected two ports from 1 to 65535, the first not above the second"
@@ -177,17 +178,17 @@
     "[0, 7675]",
     "settings: internal_ports: expected two ports from 1 to 65535, the first not above the second"
 )]
-#[case::ports_high(
+#[case::port_above_65535(
     "[7660, 7675]",
     "[7660, 65536]",
     "settings: internal_ports: expected two ports from 1 to 65535, the first not above the second"
 )]
-#[case::ports_one(
+#[case::only_one_port(
     "[7660, 7675]",
     "[7660]",
     "settings: internal_ports: expected two ports from 1 to 65535, the first not above the second"
 )]
-#[case::ports_part(
+#[case::ports_with_a_fraction(
     "[7660, 7675]",
     "[7660.5, 7675]",
     "settings: internal_ports: expected two ports from 1 to 65535, the first not above the second"
@@ -221,7 +222,7 @@
     r#""machine_losses": -1"#,
     "settings: fault_tolerance.machine_losses: expected a number of 0 or more"
 )]
-#[case::losses_many(
+#[case::too_many_losses(
     r#""machine_losses": 1"#,
     r#""machine_losses": 1e12"#,
     "settings: fault_tolerance.machine_losses: expected a number below 2^32"
@@ -231,7 +232,7 @@
     r#""settle_ms": "soon""#,
     "settings: bounds.settle_ms: expected a number of 0 or more"
 )]
-#[case::endless(
+#[case::infinite(
     r#""sync_time_s": 5.1"#,
     r#""sync_time_s": 1e999"#,
     "settings: bounds.sync_time_s: expected a number of 0 or more"
@@ -241,24 +242,24 @@
     r#""settle_ms": 1e300"#,
     "settings: bounds.settle_ms: expected a number of at most 2^53"
 )]
-#[case::bounds(
+#[case::duplicate_key(
     r#""fault_tolerance": {"#,
     r#""bounds": 3, "other": {"#,
     "settings: an object holds one key twice"
 )]
-fn given_a_wrong_field_when_read_then_one_line_names_it(
+fn given_a_wrong_field_when_read_then_an_error_of_one_line_names_it(
     #[case] from: &str,
     #[case] to: &str,
     #[case] line: &str,
 ) {
-    assert!(EDGE.contains(from), "the case changes something");
+    assert!(EDGE_SETTINGS.contains(from), "the file contains the text to replace");
 
-    assert_eq!(error(&EDGE.replacen(from, to, 1)).to_string(), line);
+    assert_eq!(error(&EDGE_SETTINGS.replacen(from, to, 1)).to_string(), line);
 }
 
 #[rstest]
 #[case::empty("", JsonError::NotJson)]
-#[case::cut(&EDGE[..EDGE.len() - 3], JsonError::NotJson)]
+#[case::truncated(&EDGE_SETTINGS[..EDGE_SETTINGS.len() - 3], JsonError::NotJson)]
 #[case::deep(&"[".repeat(1_000_000), JsonError::TooDeep)]
 fn given_text_that_is_not_json_when_read_then_it_is_rejected(#[case] text: &str, #[case] source: JsonError) {
     assert_eq!(error(text), SettingsError::Text { source });
--- a/crates/configuration/tests/stable_words.rs
+++ b/crates/configuration/tests/stable_words.rs
@@ -1,4 +1,5 @@
-//! Words that operators and the platform write, which every version must read as this one does.
+//! Tests of the keys and values of configurations and settings, and of the error texts. Operators and the platform use
+//! them, so every version must read and write them like this one.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -15,7 +16,7 @@
 use rstest::rstest;
 use tinyjson::JsonValue;
 
-/// Each key of a settings file once. No value is the one that a missing key stands for.
+/// Settings that contain each key once. No value is the default of its key.
 const SETTINGS: &str = r#"{
   "node_name": "edge-north-1", "role": "edge", "machine_class": "edge", "served_roles": ["edge", "controller"],
   "ip_address": "10.7.0.35", "zone": "north", "region": "coast", "zones": {"north": "coast"},
@@ -31,7 +32,7 @@
     "finish_s": 11, "status_s": 121, "cancel_ms": 3002, "settle_ms": 1001, "quota_overrun": 0.2}
 }"#;
 
-/// Each key of a configuration at least once. No value is the one that a missing key stands for.
+/// A configuration that contains each key at least once. No value is the default of its key.
 const CONFIGURATION: &str = r#"{"config_version": 7,
   "route_table": [
     {"name": "r-a", "hostname": "pond.example", "path_prefix": "/heron/", "route_type": "streaming", "timeout_ms": 3000,
@@ -46,18 +47,19 @@
     {"name": "sedge"}],
   "limits": {"max_header_bytes": 100, "max_body_bytes": 200, "header_timeout_ms": 300, "idle_timeout_ms": 400}}"#;
 
-/// What comes of a text in which one key is misspelt.
-enum Misspelt<T: 'static> {
-    /// The text is rejected by this line.
-    Refused(&'static str),
-    /// The text is read as if the key were not there.
+/// The expected result of reading a text in which one key is misspelled.
+enum Misspelled<T: 'static> {
+    /// The text is rejected with this error.
+    Rejected(&'static str),
+    /// The key takes its default, which this function sets in the value that was read from the correct text.
     Default(fn(&mut T)),
-    /// The key is not read at all.
+    /// The key is ignored, whether it is spelled correctly or not.
     NotRead,
 }
 
-use Misspelt::{Default as Takes, NotRead, Refused};
+use Misspelled::{Default as TakesDefault, NotRead, Rejected};
 
+// The expected values that the errors name.
 const TEXT: &str = "a text that is not empty";
 const AMOUNT: &str = "a number of 0 or more";
 const FLAG: &str = "true or false";
@@ -68,151 +70,179 @@
 const VERSION: &str = "a whole number above 0, at most 2^53";
 const ROUTE_TYPE: &str = "streaming, idempotent, non_idempotent or bulk";
 
-/// Each key of the settings: what comes of it when it is misspelt, and what is expected when its value is of another kind
-/// (nothing where that is not looked at).
-const SETTINGS_KEYS: &[(&str, Misspelt<Settings>, &str)] = &[
-    ("node_name", Refused("settings: node_name: expected a text that is not empty"), TEXT),
-    ("role", Refused("settings: role: expected a text that is not empty"), TEXT),
-    ("machine_class", Refused("settings: machine_class: expected a text that is not empty"), TEXT),
-    ("served_roles", Takes(|settings| settings.served_roles = vec![]), LIST),
-    ("ip_address", Refused("settings: ip_address: expected a text that is not empty"), TEXT),
-    ("zone", Refused("settings: zone: expected a text that is not empty"), TEXT),
-    ("region", Refused("settings: region: expected a text that is not empty"), TEXT),
-    ("zones", Takes(|settings| settings.zones = Zones::default()), OBJECT),
-    ("bindings", Takes(|settings| settings.bindings = Bindings::default()), OBJECT),
-    ("bindings.frontend", Takes(|settings| settings.bindings.frontend = None), ADDRESS),
-    ("bindings.readiness", Takes(|settings| settings.bindings.readiness = None), ADDRESS),
-    ("bindings.control_plane", Takes(|settings| settings.bindings.control_plane = None), ADDRESS),
+/// For each key of the settings: the expected result if the key is misspelled, and the expected value that the error
+/// names if the value has another type (empty if the key is not read).
+const SETTINGS_KEYS: &[(&str, Misspelled<Settings>, &str)] = &[
+    ("node_name", Rejected("settings: node_name: expected a text that is not empty"), TEXT),
+    ("role", Rejected("settings: role: expected a text that is not empty"), TEXT),
+    ("machine_class", Rejected("settings: machine_class: expected a text that is not empty"), TEXT),
+    ("served_roles", TakesDefault(|settings| settings.served_roles = vec![]), LIST),
+    ("ip_address", Rejected("settings: ip_address: expected a text that is not empty"), TEXT),
+    ("zone", Rejected("settings: zone: expected a text that is not empty"), TEXT),
+    ("region", Rejected("settings: region: expected a text that is not empty"), TEXT),
+    ("zones", TakesDefault(|settings| settings.zones = Zones::default()), OBJECT),
+    ("bindings", TakesDefault(|settings| settings.bindings = Bindings::default()), OBJECT),
+    ("bindings.frontend", TakesDefault(|settings| settings.bindings.frontend = None), ADDRESS),
+    ("bindings.readiness", TakesDefault(|settings| settings.bindings.readiness = None), ADDRESS),
+    ("bindings.control_plane", TakesDefault(|settings| settings.bindings.control_plane = None), ADDRESS),
     (
         "internal_ports",
-        Refused(
+        Rejected(
             "settings: internal_ports: expected two ports from 1 to 65535, the first not above the second",
         ),
         LIST,
     ),
-    ("seed_nodes", Takes(|settings| settings.seed_nodes = vec![]), LIST),
-    ("bootstrap", Takes(|settings| settings.bootstrap = false), FLAG),
-    ("quorum_member", Takes(|settings| settings.quorum_member = false), FLAG),
-    ("limits", Refused("settings: limits: expected an object"), OBJECT),
-    ("limits.cpu_share", Refused("settings: limits.cpu_share: expected a number above 0"), AMOUNT),
+    ("seed_nodes", TakesDefault(|settings| settings.seed_nodes = vec![]), LIST),
+    ("bootstrap", TakesDefault(|settings| settings.bootstrap = false), FLAG),
+    ("quorum_member", TakesDefault(|settings| settings.quorum_member = false), FLAG),
+    ("limits", Rejected("settings: limits: expected an object"), OBJECT),
+    ("limits.cpu_share", Rejected("settings: limits.cpu_share: expected a number above 0"), AMOUNT),
     ("limits.cpu_cores", NotRead, ""),
-    ("limits.memory_mb", Refused("settings: limits.memory_mb: expected a number above 0"), AMOUNT),
+    ("limits.memory_mb", Rejected("settings: limits.memory_mb: expected a number above 0"), AMOUNT),
     (
         "limits.file_descriptors",
-        Refused("settings: limits.file_descriptors: expected a number above 0"),
+        Rejected("settings: limits.file_descriptors: expected a number above 0"),
         AMOUNT,
     ),
-    ("limits.link_mbps", Refused("settings: limits.link_mbps: expected a number above 0"), AMOUNT),
-    ("limits.disk_mb", Takes(|settings| settings.limits.disk_mb = None), AMOUNT),
-    ("data_path", Takes(|settings| settings.data_path = None), TEXT),
+    ("limits.link_mbps", Rejected("settings: limits.link_mbps: expected a number above 0"), AMOUNT),
+    ("limits.disk_mb", TakesDefault(|settings| settings.limits.disk_mb = None), AMOUNT),
+    ("data_path", TakesDefault(|settings| settings.data_path = None), TEXT),
     ("discovery", NotRead, ""),
     ("entry_mode", NotRead, ""),
-    ("heartbeat_ms", Takes(|settings| settings.heartbeat_ms = 1000), AMOUNT),
-    ("contracts", Takes(|settings| settings.contracts = vec![]), LIST),
-    ("fault_tolerance", Takes(|settings| settings.fault_tolerance = FaultTolerance::default()), OBJECT),
-    ("fault_tolerance.machine_losses", Takes(|settings| settings.fault_tolerance.machine_losses = 0), AMOUNT),
-    ("fault_tolerance.zones", Takes(|settings| settings.fault_tolerance.zones = 0), AMOUNT),
-    ("fault_tolerance.region_losses", Takes(|settings| settings.fault_tolerance.region_losses = 0), AMOUNT),
-    ("bounds", Takes(|settings| settings.bounds = Bounds::default()), OBJECT),
-    ("bounds.seed_lag_s", Takes(|settings| settings.bounds.seed_lag_s = 3.0), AMOUNT),
-    ("bounds.addr_reuse_s", Takes(|settings| settings.bounds.addr_reuse_s = 2.0), AMOUNT),
-    ("bounds.contact_ms", Takes(|settings| settings.bounds.contact_ms = 3000), AMOUNT),
-    ("bounds.ack_timeout_ms", Takes(|settings| settings.bounds.ack_timeout_ms = 4000), AMOUNT),
-    ("bounds.sync_time_s", Takes(|settings| settings.bounds.sync_time_s = 5.0), AMOUNT),
-    ("bounds.drain_timeout_ms", Takes(|settings| settings.bounds.drain_timeout_ms = 2000), AMOUNT),
-    ("bounds.grace_period_s", Takes(|settings| settings.bounds.grace_period_s = 8.0), AMOUNT),
-    ("bounds.loss_slack_ms", Takes(|settings| settings.bounds.loss_slack_ms = 200), AMOUNT),
-    ("bounds.config_apply_ms", Takes(|settings| settings.bounds.config_apply_ms = 2000), AMOUNT),
-    ("bounds.downgrade_slack_ms", Takes(|settings| settings.bounds.downgrade_slack_ms = 250), AMOUNT),
-    ("bounds.max_stretch_ms", Takes(|settings| settings.bounds.max_stretch_ms = 5000), AMOUNT),
-    ("bounds.recovery_s", Takes(|settings| settings.bounds.recovery_s = 12.0), AMOUNT),
-    ("bounds.pass_ms", Takes(|settings| settings.bounds.pass_ms = 120), AMOUNT),
-    ("bounds.again_s", Takes(|settings| settings.bounds.again_s = 0.0), AMOUNT),
-    ("bounds.finish_s", Takes(|settings| settings.bounds.finish_s = 10.0), AMOUNT),
-    ("bounds.status_s", Takes(|settings| settings.bounds.status_s = 120.0), AMOUNT),
-    ("bounds.cancel_ms", Takes(|settings| settings.bounds.cancel_ms = 3000), AMOUNT),
-    ("bounds.settle_ms", Takes(|settings| settings.bounds.settle_ms = 1000), AMOUNT),
-    ("bounds.quota_overrun", Takes(|settings| settings.bounds.quota_overrun = 0.1), AMOUNT),
+    ("heartbeat_ms", TakesDefault(|settings| settings.heartbeat_ms = 1000), AMOUNT),
+    ("contracts", TakesDefault(|settings| settings.contracts = vec![]), LIST),
+    (
+        "fault_tolerance",
+        TakesDefault(|settings| settings.fault_tolerance = FaultTolerance::default()),
+        OBJECT,
+    ),
+    (
+        "fault_tolerance.machine_losses",
+        TakesDefault(|settings| settings.fault_tolerance.machine_losses = 0),
+        AMOUNT,
+    ),
+    ("fault_tolerance.zones", TakesDefault(|settings| settings.fault_tolerance.zones = 0), AMOUNT),
+    (
+        "fault_tolerance.region_losses",
+        TakesDefault(|settings| settings.fault_tolerance.region_losses = 0),
+        AMOUNT,
+    ),
+    ("bounds", TakesDefault(|settings| settings.bounds = Bounds::default()), OBJECT),
+    ("bounds.seed_lag_s", TakesDefault(|settings| settings.bounds.seed_lag_s = 3.0), AMOUNT),
+    ("bounds.addr_reuse_s", TakesDefault(|settings| settings.bounds.addr_reuse_s = 2.0), AMOUNT),
+    ("bounds.contact_ms", TakesDefault(|settings| settings.bounds.contact_ms = 3000), AMOUNT),
+    ("bounds.ack_timeout_ms", TakesDefault(|settings| settings.bounds.ack_timeout_ms = 4000), AMOUNT),
+    ("bounds.sync_time_s", TakesDefault(|settings| settings.bounds.sync_time_s = 5.0), AMOUNT),
+    ("bounds.drain_timeout_ms", TakesDefault(|settings| settings.bounds.drain_timeout_ms = 2000), AMOUNT),
+    ("bounds.grace_period_s", TakesDefault(|settings| settings.bounds.grace_period_s = 8.0), AMOUNT),
+    ("bounds.loss_slack_ms", TakesDefault(|settings| settings.bounds.loss_slack_ms = 200), AMOUNT),
+    ("bounds.config_apply_ms", TakesDefault(|settings| settings.bounds.config_apply_ms = 2000), AMOUNT),
+    ("bounds.downgrade_slack_ms", TakesDefault(|settings| settings.bounds.downgrade_slack_ms = 250), AMOUNT),
+    ("bounds.max_stretch_ms", TakesDefault(|settings| settings.bounds.max_stretch_ms = 5000), AMOUNT),
+    ("bounds.recovery_s", TakesDefault(|settings| settings.bounds.recovery_s = 12.0), AMOUNT),
+    ("bounds.pass_ms", TakesDefault(|settings| settings.bounds.pass_ms = 120), AMOUNT),
+    ("bounds.again_s", TakesDefault(|settings| settings.bounds.again_s = 0.0), AMOUNT),
+    ("bounds.finish_s", TakesDefault(|settings| settings.bounds.finish_s = 10.0), AMOUNT),
+    ("bounds.status_s", TakesDefault(|settings| settings.bounds.status_s = 120.0), AMOUNT),
+    ("bounds.cancel_ms", TakesDefault(|settings| settings.bounds.cancel_ms = 3000), AMOUNT),
+    ("bounds.settle_ms", TakesDefault(|settings| settings.bounds.settle_ms = 1000), AMOUNT),
+    ("bounds.quota_overrun", TakesDefault(|settings| settings.bounds.quota_overrun = 0.1), AMOUNT),
 ];
 
-/// As [`SETTINGS_KEYS`], of a configuration.
-const CONFIGURATION_KEYS: &[(&str, Misspelt<Configuration>, &str)] = &[
-    ("config_version", Refused("config_version: expected a whole number above 0, at most 2^53"), VERSION),
-    ("route_table", Refused("route_table: expected a list"), LIST),
-    ("route_table[0].name", Refused("route_table[0].name: expected a text that is not empty"), TEXT),
-    ("route_table[0].hostname", Refused("route_table[0].hostname: expected a text that is not empty"), TEXT),
+/// The same as [`SETTINGS_KEYS`] for each key of a configuration.
+const CONFIGURATION_KEYS: &[(&str, Misspelled<Configuration>, &str)] = &[
+    ("config_version", Rejected("config_version: expected a whole number above 0, at most 2^53"), VERSION),
+    ("route_table", Rejected("route_table: expected a list"), LIST),
+    ("route_table[0].name", Rejected("route_table[0].name: expected a text that is not empty"), TEXT),
+    ("route_table[0].hostname", Rejected("route_table[0].hostname: expected a text that is not empty"), TEXT),
     (
         "route_table[0].path_prefix",
-        Refused("route_table[0].path_prefix: expected a text that is not empty"),
+        Rejected("route_table[0].path_prefix: expected a text that is not empty"),
         TEXT,
     ),
     (
         "route_table[0].route_type",
-        Refused("route_table[0].route_type: expected streaming, idempotent, non_idempotent or bulk"),
+        Rejected("route_table[0].route_type: expected streaming, idempotent, non_idempotent or bulk"),
         TEXT,
     ),
-    ("route_table[0].timeout_ms", Refused("route r-a has no timeout_ms"), AMOUNT),
-    ("route_table[0].target_latency_ms", Takes(|read| read.routes[0].target_latency_ms = 3000), AMOUNT),
-    ("route_table[0].priority_level", Takes(|read| read.routes[0].priority_level = 0), AMOUNT),
+    ("route_table[0].timeout_ms", Rejected("route r-a has no timeout_ms"), AMOUNT),
+    (
+        "route_table[0].target_latency_ms",
+        TakesDefault(|read| read.routes[0].target_latency_ms = 3000),
+        AMOUNT,
+    ),
+    ("route_table[0].priority_level", TakesDefault(|read| read.routes[0].priority_level = 0), AMOUNT),
     (
         "route_table[0].service",
-        Refused("route_table[0].service: expected the name of a service, or a traffic_split"),
+        Rejected("route_table[0].service: expected the name of a service, or a traffic_split"),
         TEXT,
     ),
-    ("route_table[0].max_attempts", Takes(|read| read.routes[0].max_attempts = 1), AMOUNT),
-    ("route_table[0].session_affinity", Takes(|read| read.routes[0].session_affinity = false), FLAG),
-    ("route_table[0].resumable", Takes(|read| read.routes[0].resumable = false), FLAG),
-    ("route_table[0].gap_aim_ms", Takes(|read| read.routes[0].event_gap_target_ms = None), AMOUNT),
-    ("route_table[0].completion_target_ms", Takes(|read| read.routes[0].completion_target_ms = None), AMOUNT),
-    ("route_table[0].retention_s", Takes(|read| read.routes[0].retention_s = None), AMOUNT),
-    ("route_table[0].queue_token_limit", Takes(|read| read.routes[0].queue_token_limit = 0), AMOUNT),
+    ("route_table[0].max_attempts", TakesDefault(|read| read.routes[0].max_attempts = 1), AMOUNT),
+    ("route_table[0].session_affinity", TakesDefault(|read| read.routes[0].session_affinity = false), FLAG),
+    ("route_table[0].resumable", TakesDefault(|read| read.routes[0].resumable = false), FLAG),
+    ("route_table[0].gap_aim_ms", TakesDefault(|read| read.routes[0].event_gap_target_ms = None), AMOUNT),
+    (
+        "route_table[0].completion_target_ms",
+        TakesDefault(|read| read.routes[0].completion_target_ms = None),
+        AMOUNT,
+    ),
+    ("route_table[0].retention_s", TakesDefault(|read| read.routes[0].retention_s = None), AMOUNT),
+    ("route_table[0].queue_token_limit", TakesDefault(|read| read.routes[0].queue_token_limit = 0), AMOUNT),
     (
         "route_table[1].traffic_split",
-        Refused("route_table[1].service: expected the name of a service, or a traffic_split"),
+        Rejected("route_table[1].service: expected the name of a service, or a traffic_split"),
         LIST,
     ),
     (
         "route_table[1].traffic_split[0].service",
-        Refused("route_table[1].traffic_split[0].service: expected a text that is not empty"),
+        Rejected("route_table[1].traffic_split[0].service: expected a text that is not empty"),
         TEXT,
     ),
     (
         "route_table[1].traffic_split[0].split_weight",
-        Takes(|read| read.routes[1].traffic = split(0.0, 10.0)),
+        TakesDefault(|read| read.routes[1].traffic = split(0.0, 10.0)),
         AMOUNT,
     ),
-    ("service_list", Refused("service_list: expected a list"), LIST),
-    ("service_list[0].name", Refused("service_list[0].name: expected a text that is not empty"), TEXT),
-    ("service_list[0].health_path", Takes(|read| read.services[0].health_path = "/health".to_owned()), TEXT),
-    ("service_list[0].max_connections", Takes(|read| read.services[0].max_connections = None), AMOUNT),
-    ("service_list[0].protocol", Takes(|read| read.services[0].protocol = Protocol::Http1), TEXT),
-    ("service_list[0].tls_mode", Takes(|read| read.services[0].tls_mode = false), FLAG),
-    ("service_list[0].engine_type", Takes(|read| read.services[0].engine_type = None), OBJECT),
-    ("service_list[0].engine_type.slot_count", Takes(|read| engine(read).slot_count = 0), AMOUNT),
+    ("service_list", Rejected("service_list: expected a list"), LIST),
+    ("service_list[0].name", Rejected("service_list[0].name: expected a text that is not empty"), TEXT),
+    (
+        "service_list[0].health_path",
+        TakesDefault(|read| read.services[0].health_path = "/health".to_owned()),
+        TEXT,
+    ),
+    ("service_list[0].max_connections", TakesDefault(|read| read.services[0].max_connections = None), AMOUNT),
+    ("service_list[0].protocol", TakesDefault(|read| read.services[0].protocol = Protocol::Http1), TEXT),
+    ("service_list[0].tls_mode", TakesDefault(|read| read.services[0].tls_mode = false), FLAG),
+    ("service_list[0].engine_type", TakesDefault(|read| read.services[0].engine_type = None), OBJECT),
+    ("service_list[0].engine_type.slot_count", TakesDefault(|read| engine(read).slot_count = 0), AMOUNT),
     (
         "service_list[0].engine_type.kv_capacity_tokens",
-        Takes(|read| engine(read).kv_capacity_tokens = 0),
+        TakesDefault(|read| engine(read).kv_capacity_tokens = 0),
+        AMOUNT,
+    ),
+    (
+        "service_list[0].engine_type.token_kv_bytes",
+        TakesDefault(|read| engine(read).token_kv_bytes = 0),
         AMOUNT,
     ),
-    ("service_list[0].engine_type.token_kv_bytes", Takes(|read| engine(read).token_kv_bytes = 0), AMOUNT),
-    ("service_list[0].engine_type.link_mbps", Takes(|read| engine(read).link_mbps = 0.0), AMOUNT),
-    ("service_list[0].engine_type.stride", Takes(|read| engine(read).stride = 0), AMOUNT),
-    ("service_list[0].engine_type.models", Takes(|read| engine(read).models = vec![]), LIST),
+    ("service_list[0].engine_type.link_mbps", TakesDefault(|read| engine(read).link_mbps = 0.0), AMOUNT),
+    ("service_list[0].engine_type.stride", TakesDefault(|read| engine(read).stride = 0), AMOUNT),
+    ("service_list[0].engine_type.models", TakesDefault(|read| engine(read).models = vec![]), LIST),
     (
         "service_list[0].engine_type.models[0].name",
-        Refused("service_list[0].engine_type.models[0].name: expected a text that is not empty"),
+        Rejected("service_list[0].engine_type.models[0].name: expected a text that is not empty"),
         TEXT,
     ),
     (
         "service_list[0].engine_type.models[0].config_version",
-        Takes(|read| engine(read).models[0].config_version = None),
+        TakesDefault(|read| engine(read).models[0].config_version = None),
         AMOUNT,
     ),
-    ("limits", Takes(|read| read.limits = ClientLimits::default()), OBJECT),
-    ("limits.max_header_bytes", Takes(|read| read.limits.max_header_bytes = 16_384), AMOUNT),
-    ("limits.max_body_bytes", Takes(|read| read.limits.max_body_bytes = 4_194_304), AMOUNT),
-    ("limits.header_timeout_ms", Takes(|read| read.limits.header_timeout_ms = 3000), AMOUNT),
-    ("limits.idle_timeout_ms", Takes(|read| read.limits.idle_timeout_ms = 15_000), AMOUNT),
+    ("limits", TakesDefault(|read| read.limits = ClientLimits::default()), OBJECT),
+    ("limits.max_header_bytes", TakesDefault(|read| read.limits.max_header_bytes = 16_384), AMOUNT),
+    ("limits.max_body_bytes", TakesDefault(|read| read.limits.max_body_bytes = 4_194_304), AMOUNT),
+    ("limits.header_timeout_ms", TakesDefault(|read| read.limits.header_timeout_ms = 3000), AMOUNT),
+    ("limits.idle_timeout_ms", TakesDefault(|read| read.limits.idle_timeout_ms = 15_000), AMOUNT),
 ];
 
 fn split(reed: f64, sedge: f64) -> TrafficSplit {
@@ -221,17 +251,17 @@
 }
 
 fn engine(configuration: &mut Configuration) -> &mut EngineType {
-    configuration.services[0].engine_type.as_mut().expect("an engine")
+    configuration.services[0].engine_type.as_mut().expect("the service has an engine")
 }
 
-/// The value that holds the last key of a path like `a.b[0].c`, and that key.
-fn holder<'a>(root: &'a mut JsonValue, path: &str) -> (&'a mut JsonValue, String) {
+/// Returns the value that contains the last key of a path like `a.b[0].c`, and that key.
+fn parent_and_key<'a>(root: &'a mut JsonValue, path: &str) -> (&'a mut JsonValue, String) {
     let steps = path.replace('[', ".[");
-    let (above, key) = steps.rsplit_once('.').unwrap_or(("", &steps));
+    let (parent_steps, key) = steps.rsplit_once('.').unwrap_or(("", &steps));
     let mut value = root;
-    for step in above.split('.').filter(|step| !step.is_empty()) {
+    for step in parent_steps.split('.').filter(|step| !step.is_empty()) {
         value = match step.strip_prefix('[').and_then(|step| step.strip_suffix(']')) {
-            Some(index) => &mut value[index.parse::<usize>().expect("a number")],
+            Some(index) => &mut value[index.parse::<usize>().expect("a list index")],
             None => &mut value[step],
         };
     }
@@ -239,32 +269,32 @@
 }
 
 fn json(text: &str) -> JsonValue {
-    text.parse().expect("JSON")
+    text.parse().expect("valid JSON")
 }
 
-/// The text with one key misspelt.
-fn misspelt(text: &str, path: &str) -> String {
+/// Returns the text with one key misspelled.
+fn with_misspelled_key(text: &str, path: &str) -> String {
     let mut root = json(text);
-    let (holder, key) = holder(&mut root, path);
-    let JsonValue::Object(members) = holder else { panic!("{path} is in an object") };
-    let value = members.remove(&key).unwrap_or_else(|| panic!("{path} is there"));
+    let (parent, key) = parent_and_key(&mut root, path);
+    let JsonValue::Object(members) = parent else { panic!("{path} is not in an object") };
+    let value = members.remove(&key).unwrap_or_else(|| panic!("{path} is missing"));
     members.insert(format!("{key}x"), value);
-    root.stringify().expect("text")
+    root.stringify().expect("the value can be written as JSON")
 }
 
-/// The text with another kind of value at one key.
-fn of_another_kind(text: &str, path: &str) -> String {
+/// Returns the text with a value of another type at one key.
+fn with_another_type(text: &str, path: &str) -> String {
     let mut root = json(text);
-    let (holder, key) = holder(&mut root, path);
-    let value = &mut holder[key.as_str()];
+    let (parent, key) = parent_and_key(&mut root, path);
+    let value = &mut parent[key.as_str()];
     *value = match value {
         JsonValue::Object(_) => JsonValue::Number(7.0),
         _ => JsonValue::Object([].into()),
     };
-    root.stringify().expect("text")
+    root.stringify().expect("the value can be written as JSON")
 }
 
-/// The paths of all keys that the first element of each list, and each object but `zones`, holds.
+/// Collects the paths of all keys of all objects, except of the keys in `zones`, which are names of zones.
 fn paths(value: &JsonValue, path: &str, found: &mut BTreeSet<String>) {
     match value {
         JsonValue::Object(members) if path != "zones" => {
@@ -283,26 +313,26 @@
     }
 }
 
-/// The paths without the places in lists.
-fn words<'a>(paths: impl Iterator<Item = &'a str>) -> BTreeSet<String> {
-    let nodes = |path: &str| path.replace("[0]", "[]").replace("[1]", "[]");
-    paths.map(nodes).collect()
+/// Returns the paths without the indexes of list elements.
+fn without_indexes<'a>(paths: impl Iterator<Item = &'a str>) -> BTreeSet<String> {
+    let without_index = |path: &str| path.replace("[0]", "[]").replace("[1]", "[]");
+    paths.map(without_index).collect()
 }
 
 fn settings() -> Settings {
-    Settings::read(SETTINGS).expect("whole settings")
+    Settings::read(SETTINGS).expect("valid settings")
 }
 
 fn configuration() -> Configuration {
-    Configuration::read(CONFIGURATION.as_bytes()).expect("a whole configuration")
+    Configuration::read(CONFIGURATION.as_bytes()).expect("a valid configuration")
 }
 
-fn settings_line(text: &str) -> String {
-    Settings::read(text).expect_err("is refused").to_string()
+fn settings_error(text: &str) -> String {
+    Settings::read(text).expect_err("an invalid text").to_string()
 }
 
-fn configuration_line(text: &str) -> String {
-    Configuration::read(text.as_bytes()).expect_err("is refused").to_string()
+fn configuration_error(text: &str) -> String {
+    Configuration::read(text.as_bytes()).expect_err("an invalid text").to_string()
 }
 
 #[test]
@@ -310,26 +340,26 @@
     let mut found = BTreeSet::new();
     paths(&json(SETTINGS), "", &mut found);
     let listed: Vec<&str> = SETTINGS_KEYS.iter().map(|key| key.0).collect();
-    assert_eq!(words(listed.iter().copied()), words(found.iter().map(String::as_str)));
-    assert_eq!(listed.len(), words(listed.iter().copied()).len());
+    assert_eq!(without_indexes(listed.iter().copied()), without_indexes(found.iter().map(String::as_str)));
+    assert_eq!(listed.len(), without_indexes(listed.iter().copied()).len());
 
     found.clear();
     paths(&json(CONFIGURATION), "", &mut found);
     let listed: Vec<&str> = CONFIGURATION_KEYS.iter().map(|key| key.0).collect();
-    assert_eq!(words(listed.iter().copied()), words(found.iter().map(String::as_str)));
-    assert_eq!(listed.len(), words(listed.iter().copied()).len());
+    assert_eq!(without_indexes(listed.iter().copied()), without_indexes(found.iter().map(String::as_str)));
+    assert_eq!(listed.len(), without_indexes(listed.iter().copied()).len());
 }
 
 #[test]
-fn a_misspelt_key_of_the_settings_is_named_or_takes_its_default() {
+fn a_misspelled_key_of_the_settings_is_reported_or_takes_its_default() {
     for (path, outcome, _) in SETTINGS_KEYS {
-        let text = misspelt(SETTINGS, path);
+        let text = with_misspelled_key(SETTINGS, path);
         match outcome {
-            Refused(line) => assert_eq!(settings_line(&text), *line, "{path}"),
-            Takes(default) => {
+            Rejected(line) => assert_eq!(settings_error(&text), *line, "{path}"),
+            TakesDefault(default) => {
                 let mut expected = settings();
                 default(&mut expected);
-                assert_ne!(expected, settings(), "the value of {path} shows");
+                assert_ne!(expected, settings(), "the value of {path} is not the default");
                 assert_eq!(Settings::read(&text).as_ref(), Ok(&expected), "{path}");
             }
             NotRead => assert_eq!(Settings::read(&text), Ok(settings()), "{path}"),
@@ -338,15 +368,15 @@
 }
 
 #[test]
-fn a_misspelt_key_of_a_configuration_is_named_or_takes_its_default() {
+fn a_misspelled_key_of_a_configuration_is_reported_or_takes_its_default() {
     for (path, outcome, _) in CONFIGURATION_KEYS {
-        let text = misspelt(CONFIGURATION, path);
+        let text = with_misspelled_key(CONFIGURATION, path);
         match outcome {
-            Refused(line) => assert_eq!(configuration_line(&text), *line, "{path}"),
-            Takes(default) => {
+            Rejected(line) => assert_eq!(configuration_error(&text), *line, "{path}"),
+            TakesDefault(default) => {
                 let mut expected = configuration();
                 default(&mut expected);
-                assert_ne!(expected, configuration(), "the value of {path} shows");
+                assert_ne!(expected, configuration(), "the value of {path} is not the default");
                 assert_eq!(Configuration::read(text.as_bytes()).as_ref(), Ok(&expected), "{path}");
             }
             NotRead => assert_eq!(Configuration::read(text.as_bytes()), Ok(configuration()), "{path}"),
@@ -355,26 +385,26 @@
 }
 
 #[test]
-fn a_value_of_another_kind_in_the_settings_is_named() {
+fn a_value_of_another_type_in_the_settings_is_reported() {
     for (path, outcome, expected) in SETTINGS_KEYS {
-        let text = of_another_kind(SETTINGS, path);
+        let text = with_another_type(SETTINGS, path);
         match outcome {
             NotRead => assert_eq!(Settings::read(&text), Ok(settings()), "{path}"),
-            _ => assert_eq!(settings_line(&text), format!("settings: {path}: expected {expected}")),
+            _ => assert_eq!(settings_error(&text), format!("settings: {path}: expected {expected}")),
         }
     }
 }
 
 #[test]
-fn a_value_of_another_kind_in_a_configuration_is_named() {
+fn a_value_of_another_type_in_a_configuration_is_reported() {
     for (path, _, expected) in CONFIGURATION_KEYS {
-        let text = of_another_kind(CONFIGURATION, path);
-        assert_eq!(configuration_line(&text), format!("{path}: expected {expected}"));
+        let text = with_another_type(CONFIGURATION, path);
+        assert_eq!(configuration_error(&text), format!("{path}: expected {expected}"));
     }
 }
 
 fn address(text: &str) -> Option<std::net::SocketAddrV4> {
-    Some(text.parse().expect("an address"))
+    Some(text.parse().expect("a valid address"))
 }
 
 #[test]
@@ -531,27 +561,27 @@
     assert_eq!(configuration(), expected);
 }
 
-/// The word of each class. A class that is added needs its own here and below.
-fn class_word(class: &MachineClass) -> &str {
+/// Returns the name of a machine class in the settings. A new class needs its own name here and in the test below.
+fn machine_class_name(class: &MachineClass) -> &str {
     match class {
         MachineClass::Edge => "edge",
         MachineClass::Storage => "storage",
-        MachineClass::Other(word) => word,
+        MachineClass::Other(name) => name,
     }
 }
 
-/// As [`class_word`], of who may call.
-fn served_role_word(role: &ServedRole) -> &str {
+/// Returns the name of a served role in the settings, like [`machine_class_name`].
+fn served_role_name(role: &ServedRole) -> &str {
     match role {
         ServedRole::Edge => "edge",
         ServedRole::Storage => "storage",
         ServedRole::Controller => "controller",
-        ServedRole::Other(word) => word,
+        ServedRole::Other(name) => name,
     }
 }
 
-/// As [`class_word`], of the parts of the rules.
-fn contract_word(contract: &Contract) -> &str {
+/// Returns the name of a contract in the settings, like [`machine_class_name`].
+fn contract_name(contract: &Contract) -> &str {
     match contract {
         Contract::Base => "base",
         Contract::Drain => "drain",
@@ -562,12 +592,12 @@
         Contract::Stream => "stream",
         Contract::Engine => "engine",
         Contract::Rollout => "rollout",
-        Contract::Other(word) => word,
+        Contract::Other(name) => name,
     }
 }
 
-/// As [`class_word`], of routes.
-fn route_type_word(route_type: RouteType) -> &'static str {
+/// Returns the name of a route type in a configuration, like [`machine_class_name`].
+fn route_type_name(route_type: RouteType) -> &'static str {
     match route_type {
         RouteType::Streaming => "streaming",
         RouteType::Idempotent => "idempotent",
@@ -582,26 +612,26 @@
 }
 
 #[test]
-fn the_words_of_classes_stay() {
+fn the_names_of_machine_classes_stay() {
     for class in [MachineClass::Edge, MachineClass::Storage, MachineClass::Other("later".to_owned())] {
-        let member = format!(r#""machine_class": "{}""#, class_word(&class));
+        let member = format!(r#""machine_class": "{}""#, machine_class_name(&class));
         let read = Settings::read(&replaced(SETTINGS, r#""machine_class": "edge""#, &member));
-        assert_eq!(read.expect("whole settings").machine_class, class);
+        assert_eq!(read.expect("valid settings").machine_class, class);
     }
 }
 
 #[test]
-fn the_words_of_callers_stay() {
+fn the_names_of_served_roles_stay() {
     let other = ServedRole::Other("later".to_owned());
     for role in [ServedRole::Edge, ServedRole::Storage, ServedRole::Controller, other] {
-        let list = format!(r#"["{}"]"#, served_role_word(&role));
+        let list = format!(r#"["{}"]"#, served_role_name(&role));
         let read = Settings::read(&replaced(SETTINGS, r#"["edge", "controller"]"#, &list));
-        assert_eq!(read.expect("whole settings").served_roles, [role]);
+        assert_eq!(read.expect("valid settings").served_roles, [role]);
     }
 }
 
 #[test]
-fn the_words_of_the_rules_stay() {
+fn the_names_of_contracts_stay() {
     let all = [
         Contract::Base,
         Contract::Drain,
@@ -615,40 +645,43 @@
         Contract::Other("later".to_owned()),
     ];
     for contract in all {
-        let list = format!(r#"["{}"]"#, contract_word(&contract));
+        let list = format!(r#"["{}"]"#, contract_name(&contract));
         let read = Settings::read(&replaced(SETTINGS, r#"["base"]"#, &list));
-        assert_eq!(read.expect("whole settings").contracts, [contract]);
+        assert_eq!(read.expect("valid settings").contracts, [contract]);
     }
 }
 
 #[test]
-fn the_words_of_route_types_stay() {
+fn the_names_of_route_types_stay() {
     for route_type in [RouteType::Streaming, RouteType::Idempotent, RouteType::NonIdempotent, RouteType::Bulk]
     {
-        let text = replaced(CONFIGURATION, r#""streaming""#, &format!("\"{}\"", route_type_word(route_type)));
-        assert_eq!(Configuration::read(text.as_bytes()).expect("whole").routes[0].route_type, route_type);
+        let text = replaced(CONFIGURATION, r#""streaming""#, &format!("\"{}\"", route_type_name(route_type)));
+        assert_eq!(
+            Configuration::read(text.as_bytes()).expect("a valid configuration").routes[0].route_type,
+            route_type
+        );
     }
     let text = replaced(CONFIGURATION, r#""streaming""#, r#""stream""#);
-    assert_eq!(configuration_line(&text), format!("route_table[0].route_type: expected {ROUTE_TYPE}"));
+    assert_eq!(configuration_error(&text), format!("route_table[0].route_type: expected {ROUTE_TYPE}"));
 }
 
 #[test]
-fn the_word_of_the_protocol_stays() {
+fn the_name_of_the_protocol_stays() {
     let read = Configuration::read(replaced(CONFIGURATION, r#""h2""#, r#""h1""#).as_bytes());
-    assert_eq!(read.expect("whole").services[0].protocol, Protocol::Http1);
+    assert_eq!(read.expect("a valid configuration").services[0].protocol, Protocol::Http1);
 }
 
 #[rstest]
 #[case::not_json("{", "settings: not JSON")]
 #[case::no_object("[]", "settings: the root: expected an object")]
-#[case::key_twice(r#"{"role":"a","role":"b"}"#, "settings: an object holds one key twice")]
+#[case::duplicate_key(r#"{"role":"a","role":"b"}"#, "settings: an object holds one key twice")]
 #[case::too_deep(&"[".repeat(1000), "settings: nested too deeply")]
 #[case::ports(&replaced(SETTINGS, "[7660, 7675]", "[7675, 7660]"), &format!("settings: internal_ports: expected {PORTS}"))]
 #[case::ip(&replaced(SETTINGS, r#""10.7.0.35","#, r#""10.7.0","#), "settings: ip_address: expected an IPv4 address")]
 #[case::list(&replaced(SETTINGS, r#"["base"]"#, "[7]"), "settings: contracts[0]: expected a text that is not empty")]
 #[case::zone(&replaced(SETTINGS, r#"{"north": "coast"}"#, r#"{"north": 7}"#), "settings: zones.north: expected a text that is not empty")]
 fn other_invalid_settings_are_rejected_by_one_line(#[case] text: &str, #[case] line: &str) {
-    assert_eq!(settings_line(text), line);
+    assert_eq!(settings_error(text), line);
 }
 
 #[rstest]
@@ -660,30 +693,30 @@
     "\"split_weight\": 0}, {\"service\": \"sedge\", \"split_weight\": 0}",
     "the weights of route r-b add up to 0"
 )]
-#[case::unknown(
+#[case::unknown_service(
     "\"priority_level\": 2, \"service\": \"reed\"",
     "\"priority_level\": 2, \"service\": \"rush\"",
     "route r-a names rush, which is not in service_list"
 )]
-#[case::same_place("/coot/", "/heron/", "two routes have the host pond.example and the prefix /heron/")]
-#[case::service_twice("{\"name\": \"sedge\"}", "{\"name\": \"reed\"}", "service_list holds reed twice")]
+#[case::duplicate_route("/coot/", "/heron/", "two routes have the host pond.example and the prefix /heron/")]
+#[case::duplicate_service("{\"name\": \"sedge\"}", "{\"name\": \"reed\"}", "service_list holds reed twice")]
 fn another_invalid_configuration_is_rejected_by_one_line(
     #[case] from: &str,
     #[case] to: &str,
     #[case] line: &str,
 ) {
-    assert_eq!(configuration_line(&replaced(CONFIGURATION, from, to)), line);
+    assert_eq!(configuration_error(&replaced(CONFIGURATION, from, to)), line);
 }
 
 #[test]
 fn a_configuration_that_is_not_utf8_is_rejected_by_one_line() {
-    assert_eq!(configuration_line("{"), "body: not JSON");
-    let error = |body: &[u8]| Configuration::read(body).expect_err("is refused").to_string();
+    assert_eq!(configuration_error("{"), "body: not JSON");
+    let error = |body: &[u8]| Configuration::read(body).expect_err("an invalid text").to_string();
     assert_eq!(error(b"\xff"), "body: not UTF-8");
     assert_eq!(error(&vec![b' '; (8 << 20) + 1]), "the body has 8388609 bytes, more than 8388608");
 }
 
-/// The status of each answer. An answer that is added needs its own here.
+/// Returns the status code of an answer. A new answer needs its own status code here.
 fn stable_status(answer: Answer) -> u16 {
     match answer {
         Answer::Acknowledged => 200,
