--- a/crates/configuration/src/register/snapshot.rs
+++ b/crates/configuration/src/register/snapshot.rs
@@ -65,8 +65,8 @@
     /// Reads a register from its binary form.
     ///
     /// # Errors
-    /// The bytes have another format, are too short or too long, contain changes that don't each build on the one before,
-    /// or contain a body that doesn't match the hash in the newest change.
+    /// The bytes have another format, are too short or too long, contain changes that don't each build on the one
+    /// before, or contain a body that doesn't match the hash in the newest change.
     pub fn decode(bytes: &[u8]) -> Result<ConfigurationRegister, SnapshotError> {
         let length = || SnapshotError::Length { bytes: bytes.len() };
         let format = *bytes.first().ok_or_else(length)?;
