--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -89,13 +89,13 @@
 
     /// Announces this node to the addresses `contacts` until another node answers.
     pub fn join(&mut self, now: Instant, contacts: &[SocketAddr]) {
-        let own = self.own().address;
+        let own = self.own_member().address;
         self.contacts = contacts.iter().copied().filter(|contact| *contact != own).collect();
         self.attempt_join(now);
     }
 
     /// Returns the current identity of this node.
-    pub fn own(&self) -> Member {
+    pub fn own_member(&self) -> Member {
         *self.protocol.identity()
     }
 
--- a/crates/node/src/wire/fellows.rs
+++ b/crates/node/src/wire/fellows.rs
@@ -644,7 +644,7 @@
         }
         // Nodes that start together ask different ones.
         let first = (u64::from(self.own) + u64::from(asked) * TELLERS) as usize;
-        if let Ok(body) = postcard::to_allocvec(&membership.own().address) {
+        if let Ok(body) = postcard::to_allocvec(&membership.own_member().address) {
             for step in 0..others.len().min(TELLERS as usize) {
                 self.post.say(others[(first + step) % others.len()], ASKS_MISSED, &body);
             }
