--- a/crates/node/src/wire/peers.rs
+++ b/crates/node/src/wire/peers.rs
@@ -718,7 +718,7 @@
         }
         // Nodes that start together ask different ones.
         let first_index = (u64::from(self.own) + u64::from(ask_count) * INFORMERS) as usize;
-        if let Ok(body) = postcard::to_allocvec(&membership.own().address) {
+        if let Ok(body) = postcard::to_allocvec(&membership.own_member().address) {
             for offset in 0..others.len().min(INFORMERS as usize) {
                 self.peer_socket.send_frame(
                     others[(first_index + offset) % others.len()],
