--- a/crates/quorum/src/blob.rs
+++ b/crates/quorum/src/blob.rs
@@ -1,4 +1,4 @@
-//! Bytes and lists that are read from outside with their lengths checked before anything is allocated.
+//! The binary form of byte strings and lists. Decoding checks a length before it allocates memory for it.
 
 use std::sync::Arc;
 
@@ -6,8 +6,8 @@
 
 use crate::ids::truncated_input;
 
-/// Shared bytes: cheap to clone from the log into messages, writes and the application, which may keep them as they are
-/// (`Arc::from`) and so hold them once together with the log.
+/// Immutable bytes with shared ownership. Cloning them from the log into messages, writes and the application copies no
+/// bytes; an application that keeps them (`Arc::from`) shares their memory with the log.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Blob(Arc<[u8]>);
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// Writes a list as its count and its items.
+/// Writes a list as the count of its items, in 4 bytes, and the items.
 pub(crate) fn write_list<T: SerBin>(items: &[T], output: &mut Vec<u8>) {
     (items.len() as u32).ser_bin(output);
     for item in items {
@@ -95,8 +95,8 @@
     }
 }
 
-/// Reads a list whose items take at least `min_item_bytes` bytes each; a count that the input can't hold is rejected before memory is
-/// allocated for it.
+/// Reads a list whose items take at least `min_item_bytes` bytes each. A count that the input can't hold is rejected
+/// before memory is allocated for it.
 pub(crate) fn read_list<T: DeBin>(
     min_item_bytes: usize,
     offset: &mut usize,
--- a/crates/quorum/src/entry.rs
+++ b/crates/quorum/src/entry.rs
@@ -9,7 +9,8 @@
 /// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum Payload {
-    /// The empty entry that a leader appends at the start of its term: it can only commit entries of its own term.
+    /// The empty entry that a leader appends at the start of its term, because it can commit earlier entries only
+    /// together with one of its own term.
     Noop,
     /// The group that is in force from this entry on.
     Group(Group),
@@ -18,7 +19,7 @@
 }
 
 impl Payload {
-    /// The size that counts against the bounds of messages and memory, in bytes.
+    /// The size of an entry with this payload that counts against the limits of messages and memory, in bytes.
     pub(crate) fn size(&self) -> usize {
         const ENTRY_OVERHEAD: usize = 32;
         ENTRY_OVERHEAD
@@ -33,11 +34,11 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Entry {
-    /// Its index in the log.
+    /// The index of the entry in the log.
     pub index: Index,
     /// The term of the leader that appended it.
     pub term: Term,
-    /// Its content.
+    /// The content of the entry.
     pub payload: Payload,
 }
 
@@ -48,31 +49,31 @@
     }
 }
 
-/// What a replica must not forget; it is synced before any message that depends on it is sent.
+/// The state that a replica must not lose. It is synced before any message that depends on it is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct HardState {
-    /// The newest term that was seen.
+    /// The newest term that the replica has seen.
     pub term: Term,
     /// The candidate that got this replica's vote in that term.
     pub vote: Option<ReplicaId>,
     /// The cluster that the replica belongs to; none until it was bootstrapped or has heard of a leader.
     pub cluster_id: Option<ClusterId>,
-    /// An index up to which the log was known to be committed when this was written; may lag.
+    /// The commit index when this was written; the replica may know a higher one by now.
     pub commit: Index,
 }
 
-/// The state of the application up to an entry, which stands for all entries up to there.
+/// The state of the application after it has applied an entry. A snapshot replaces that entry and all before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, SerBin, DeBin)]
 pub struct Snapshot {
-    /// The last entry that it contains.
+    /// The position of the last entry that the snapshot contains.
     pub last: Position,
     /// The group at that entry.
     pub group: Group,
-    /// The application's bytes.
+    /// The state in the application's own format.
     pub bytes: Blob,
 }
 
-/// What was found on disk at the start; the default is an empty disk.
+/// The state that was read from disk at the start; the default is that of an empty disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestoredState {
     /// The newest hard state.
@@ -83,7 +84,7 @@
     pub entries: Vec<Entry>,
 }
 
-/// One thing to put on disk; a batch of them is written in order and synced once.
+/// One change to the state on disk; a batch of changes is written in order and synced once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
     /// The hard state, in place of all earlier ones.
--- a/crates/quorum/src/error.rs
+++ b/crates/quorum/src/error.rs
@@ -4,67 +4,67 @@
 
 use crate::ids::{Index, ReplicaId};
 
-/// Why a proposal was not taken.
+/// The reason why [`Replica::propose`](crate::Replica::propose) rejected a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ProposeError {
     /// Another replica leads the partition, or none does, or the leadership is being transferred.
     #[snafu(display("not the leader"))]
     NotLeader {
-        /// The leader, as far as it is known.
+        /// The leader that this replica knows of, if any.
         hint: Option<ReplicaId>,
     },
-    /// Too much waits for a quorum already; retry when some of it has been committed.
-    #[snafu(display("too many bytes wait for a quorum"))]
+    /// Too many bytes of proposals are not committed yet; retry when some of them are.
+    #[snafu(display("too many bytes of proposals are not committed yet"))]
     Busy,
     /// The command is larger than [`MAX_COMMAND`](crate::MAX_COMMAND).
     #[snafu(display("a command of {size} bytes is too large"))]
     TooLarge {
-        /// Its size, in bytes.
+        /// The size of the command, in bytes.
         size: usize,
     },
 }
 
-/// Why a change of the group was not begun.
+/// The reason why [`Replica::change_group`](crate::Replica::change_group) started no change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum ChangeError {
     /// Another replica leads the partition, or none does.
     #[snafu(display("not the leader"))]
     NotLeader {
-        /// The leader, as far as it is known.
+        /// The leader that this replica knows of, if any.
         hint: Option<ReplicaId>,
     },
-    /// A change or a transfer of leadership is in progress.
-    #[snafu(display("a change is in progress"))]
+    /// A change of the group or a transfer of leadership is in progress.
+    #[snafu(display("a change of the group or a transfer of leadership is in progress"))]
     InProgress,
-    /// The leader has not committed an entry of its own term yet, or not its newest group; retry soon.
-    #[snafu(display("the leader has not committed its term or group yet"))]
+    /// The leader has not yet committed an entry of its own term, or the newest group in its log; retry soon.
+    #[snafu(display("the leader has not committed an entry of its term or its newest group yet"))]
     NotCommitted,
-    /// The new group is empty or has more than [`MAX_VOTERS`](crate::MAX_VOTERS).
+    /// The new group is empty or has more than [`MAX_VOTERS`](crate::MAX_VOTERS) voters.
     #[snafu(display("the new group is empty or too large"))]
     Invalid,
 }
 
-/// Why a transfer of leadership was not started.
+/// The reason why [`Replica::transfer_leadership`](crate::Replica::transfer_leadership) started no transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum TransferLeadershipError {
     /// Another replica leads the partition, or none does.
     #[snafu(display("not the leader"))]
     NotLeader {
-        /// The leader, as far as it is known.
+        /// The leader that this replica knows of, if any.
         hint: Option<ReplicaId>,
     },
     /// A transfer to another replica is in progress.
     #[snafu(display("a transfer of leadership is in progress"))]
     InProgress,
     /// There is no other voter, or the given target is not one.
-    #[snafu(display("no voter can take the leadership"))]
+    #[snafu(display("the leadership can only be transferred to another voter"))]
     NoTarget,
 }
 
-/// Why a partition was not bootstrapped.
+/// The reason why [`Replica::bootstrap`](crate::Replica::bootstrap) failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum BootstrapError {
@@ -72,22 +72,22 @@
     #[snafu(display("the replica belongs to another cluster"))]
     AlreadyBootstrapped,
     /// The group is empty, too large, joint, or does not contain this replica.
-    #[snafu(display("not a group to bootstrap with"))]
+    #[snafu(display("the group to bootstrap with is empty, too large, joint, or lacks this replica"))]
     Invalid,
 }
 
-/// Why a snapshot of the application was not taken.
+/// The reason why [`Replica::compact`](crate::Replica::compact) rejected a snapshot of the application.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(module)]
 pub enum CompactError {
     /// Not everything up to the index has been given to the application.
-    #[snafu(display("the application has seen the log up to {} only", applied.0))]
+    #[snafu(display("the application has been given the log only up to index {}", applied.0))]
     NotApplied {
-        /// The last index that has been.
+        /// The last index that has been given to the application.
         applied: Index,
     },
-    /// A snapshot up to there or further exists.
-    #[snafu(display("a snapshot up to {} exists", snapshot.0))]
+    /// A snapshot up to the index or beyond exists already.
+    #[snafu(display("a snapshot up to index {} exists already", snapshot.0))]
     Outdated {
         /// The last index in that snapshot.
         snapshot: Index,
@@ -95,7 +95,7 @@
     /// The snapshot is larger than [`MAX_SNAPSHOT`](crate::MAX_SNAPSHOT).
     #[snafu(display("a snapshot of {size} bytes is too large"))]
     TooLarge {
-        /// Its size, in bytes.
+        /// The size of the snapshot, in bytes.
         size: usize,
     },
 }
--- a/crates/quorum/src/group.rs
+++ b/crates/quorum/src/group.rs
@@ -1,24 +1,25 @@
-//! The voters of a partition, and what counts as their quorum.
+//! The voters of a partition and their quorums.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
 use crate::blob::{read_list, write_list};
 use crate::ids::{ClusterId, ReplicaId};
 
-/// The most voters of one group.
+/// The largest number of voters in one group.
 pub const MAX_VOTERS: usize = 31;
 
-/// The voters of a partition. While `outgoing` is not empty the group is joint, and a quorum is a majority of each list.
+/// The voters of a partition. While `outgoing` is not empty the group is joint, and a quorum is a majority of each
+/// list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Group {
     /// The voters, in ascending order.
     pub voters: Vec<ReplicaId>,
-    /// The voters of the group before, in ascending order, during a change; otherwise empty.
+    /// The voters of the previous group during a change, in ascending order; otherwise empty.
     pub outgoing: Vec<ReplicaId>,
 }
 
 impl Group {
-    /// A group of these voters that is not joint. They are sorted, and duplicates removed.
+    /// Creates a group that is not joint. The voters are sorted, and duplicates removed.
     pub fn of(voters: impl IntoIterator<Item = ReplicaId>) -> Group {
         let mut voters: Vec<ReplicaId> = voters.into_iter().collect();
         voters.sort_unstable();
@@ -26,12 +27,12 @@
         Group { voters, outgoing: Vec::new() }
     }
 
-    /// The joint group of this one and `voters`: the first step of a change.
+    /// Returns the joint group of this one and `voters`, which a change commits first.
     pub(crate) fn enter_joint(&self, voters: Vec<ReplicaId>) -> Group {
         Group { voters, outgoing: self.voters.clone() }
     }
 
-    /// The group without the outgoing voters: the last step of a change.
+    /// Returns the group without the outgoing voters, which a change commits last.
     pub(crate) fn leave_joint(&self) -> Group {
         Group { voters: self.voters.clone(), outgoing: Vec::new() }
     }
@@ -48,16 +49,17 @@
 
     /// The voters of both lists, each once.
     pub fn members(&self) -> impl Iterator<Item = ReplicaId> + '_ {
-        let others = self.outgoing.iter().filter(|replica| !self.voters.contains(replica));
-        self.voters.iter().chain(others).copied()
+        let only_outgoing = self.outgoing.iter().filter(|replica| !self.voters.contains(replica));
+        self.voters.iter().chain(only_outgoing).copied()
     }
 
-    /// Whether the voters for which `says_yes` holds are a quorum.
-    pub fn has_quorum(&self, says_yes: impl Fn(ReplicaId) -> bool) -> bool {
-        self.reached_by_quorum(says_yes)
+    /// Whether the voters for which `is_counted` returns true are a quorum.
+    pub fn has_quorum(&self, is_counted: impl Fn(ReplicaId) -> bool) -> bool {
+        self.reached_by_quorum(is_counted)
     }
 
-    /// The largest value that a quorum has reached, as for the commit index.
+    /// Returns the largest value that a quorum has reached, for example the commit index from the index that each voter
+    /// has synced.
     pub fn reached_by_quorum<T: Ord + Default>(&self, value: impl Fn(ReplicaId) -> T) -> T {
         let incoming = reached_by_majority(&self.voters, &value);
         if !self.is_joint() {
@@ -66,26 +68,26 @@
         incoming.min(reached_by_majority(&self.outgoing, &value))
     }
 
-    /// The id of a cluster that is bootstrapped with this group.
+    /// Returns the id of a cluster that is bootstrapped with this group.
     pub fn cluster_id(&self) -> ClusterId {
-        // The ids are random, so that a hash without a key is enough.
+        // The ids of the voters are random, so a hash without a key is enough.
         let bytes: Vec<u8> = self.voters.iter().flat_map(|voter| voter.0.to_le_bytes()).collect();
         ClusterId(grebeusher_hash::fixed_hash_bytes(&bytes))
     }
 
-    /// Whether the lists are ordered, without repeats and of a size that is allowed.
+    /// Whether both lists are in ascending order, without duplicates and not too long, and there are voters.
     pub(crate) fn is_well_formed(&self) -> bool {
-        let ascending = |list: &[ReplicaId]| list.is_sorted_by(|a, b| a < b) && list.len() <= MAX_VOTERS;
-        !self.voters.is_empty() && ascending(&self.voters) && ascending(&self.outgoing)
+        let is_valid_list = |list: &[ReplicaId]| list.is_sorted_by(|a, b| a < b) && list.len() <= MAX_VOTERS;
+        !self.voters.is_empty() && is_valid_list(&self.voters) && is_valid_list(&self.outgoing)
     }
 }
 
-/// The largest value that more than half of the voters have reached; the least one if there are no voters.
+/// Returns the largest value that more than half of the voters have reached, or the default without voters.
 fn reached_by_majority<T: Ord + Default>(voters: &[ReplicaId], value: impl Fn(ReplicaId) -> T) -> T {
     let mut values: Vec<T> = voters.iter().map(|voter| value(*voter)).collect();
     values.sort_unstable();
-    let minority = values.len().saturating_sub(1) / 2;
-    values.into_iter().nth(minority).unwrap_or_default()
+    let minority_size = values.len().saturating_sub(1) / 2;
+    values.into_iter().nth(minority_size).unwrap_or_default()
 }
 
 impl SerBin for Group {
@@ -97,9 +99,9 @@
 
 impl DeBin for Group {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Group, DeBinErr> {
-        const IDENTITY_BYTES: usize = 8;
-        let voters = read_list(IDENTITY_BYTES, offset, bytes)?;
-        let outgoing = read_list(IDENTITY_BYTES, offset, bytes)?;
+        const REPLICA_ID_BYTES: usize = 8;
+        let voters = read_list(REPLICA_ID_BYTES, offset, bytes)?;
+        let outgoing = read_list(REPLICA_ID_BYTES, offset, bytes)?;
         Ok(Group { voters, outgoing })
     }
 }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,14 +1,14 @@
 //! Raft with disk storage for one partition of the control state: elections with pre-vote, a leader's lease, joint
 //! consensus, transfer of leadership, snapshots, and the files of a replica.
 //!
-//! The tier (`grebeusher-tier`) runs one [`Replica`] for each partition and applies its commands; the simulation runs the
-//! same replicas on simulated links and disks. `grebeusher-volatile-raft` is the Raft without disks.
+//! The tier (`grebeusher-tier`) runs one [`Replica`] for each partition and applies its commands; the simulation runs
+//! the same replicas on simulated links and disks. `grebeusher-volatile-raft` implements Raft without disks.
 //!
 //! [`Replica`] is a state machine without I/O or a clock: messages, time and proposals go in, and a [`Ready`] comes out
 //! with what to write, to send and to apply. [`disk::Store`] is its storage. The invariants that the code relies on are
 //! in `replica/mod.rs`.
 //!
-//! The loop of the program, for one partition:
+//! The program runs this loop for each partition:
 //!
 //! ```no_run
 //! use grebeusher_quorum::disk::{Identity, Store};
@@ -31,7 +31,7 @@
 //!     lease_duration: Duration::from_millis(400),
 //! };
 //! let mut replica = Replica::new(identity.id, restored, timing, random(), now());
-//! // Only at the first start of the system, on each replica of the group:
+//! // The program calls this only at the first start of the system, on each replica of the group:
 //! replica.bootstrap(Group::of([identity.id, ReplicaId(2), ReplicaId(3)]))?;
 //! loop {
 //!     while replica.has_ready() {
@@ -58,7 +58,7 @@
 //!         Some(message) => replica.receive(now(), message.from, message),
 //!         None => replica.tick(now()),
 //!     }
-//!     // replica.propose(now(), command), and reads while replica.lease_holds(now()).
+//!     // Commands go to replica.propose(now(), command). Reads are answered while replica.lease_holds(now()) is true.
 //! }
 //! # }
 //! ```
@@ -101,7 +101,7 @@
 /// The largest snapshot, in bytes.
 pub const MAX_SNAPSHOT: usize = 64 * 1024 * 1024;
 
-/// The entries of one message, in bytes; a single larger entry goes alone.
+/// The most bytes of entries in one message; an entry that is larger by itself is sent alone.
 pub const MAX_APPEND: usize = 96 * 1024;
 
 /// The largest chunk of a snapshot in one message, in bytes.
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -9,21 +9,22 @@
 use crate::group::Group;
 use crate::ids::{ClusterId, Index, Position, ReplicaId, Term};
 
-/// The largest message in its binary form, in bytes: the largest command and its surroundings.
+/// The largest message in its binary form, in bytes: the largest command, and room for the rest of its message.
 pub const MAX_MESSAGE: usize = crate::MAX_COMMAND + 64 * 1024;
 
-/// A message from one replica to another. It is dropped by every other one than `to`.
+/// A message from one replica to another. A replica other than `to` that receives it drops it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct Message {
-    /// The sender.
+    /// The replica that sends the message.
     pub from: ReplicaId,
-    /// The receiver.
+    /// The replica that the message is for.
     pub to: ReplicaId,
     /// The cluster that the sender belongs to.
     pub cluster_id: ClusterId,
-    /// The sender's term; for a pre-vote, and a pre-vote that was granted, the term of the election that may follow.
+    /// The sender's term. In a request for a pre-vote, and in a response that grants it, the term of the election that
+    /// may follow.
     pub term: Term,
-    /// The content.
+    /// The content of the message.
     pub body: Body,
 }
 
@@ -32,41 +33,44 @@
 pub enum Body {
     /// Asks whether the receiver would vote for the sender in this term. Neither side records anything.
     RequestPreVote(VoteRequest),
-    /// The answer to a pre-vote.
+    /// The response to a request for a pre-vote.
     PreVoteResponse(VoteResponse),
     /// Asks for the receiver's vote in this term.
     RequestVote(VoteRequest),
-    /// The answer to a request for a vote.
+    /// The response to a request for a vote.
     VoteResponse(VoteResponse),
-    /// Entries of the leader; without any it is a heartbeat.
+    /// Entries of the leader. An append without entries is a heartbeat.
     Append(Append),
-    /// The answer to an append or to a complete snapshot.
+    /// The response to an append, and to a chunk that completes a snapshot or belongs to one that the receiver does not
+    /// need.
     AppendResponse(AppendResponse),
     /// A chunk of the leader's snapshot.
     SnapshotChunk(SnapshotChunk),
-    /// How much of the snapshot has arrived.
+    /// The response to a chunk of a snapshot that is not complete yet.
     SnapshotChunkResponse(SnapshotChunkResponse),
-    /// The leader gave up its lease: the receiver starts an election at once.
+    /// Asks the receiver to start an election at once; the leader has given up its lease.
     TimeoutNow,
 }
 
 /// A candidate's request for a vote or a pre-vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct VoteRequest {
-    /// The end of its log.
+    /// The position of the last entry in the candidate's log.
     pub last: Position,
-    /// The leader of the term before gave up its lease for this election, so voters need not wait for its end.
+    /// Whether the leader of the previous term gave up its lease for this election, so that voters need not wait until
+    /// it expires.
     pub leadership_transfer: bool,
 }
 
-/// The answer to a candidate.
+/// The response to a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct VoteResponse {
-    /// Whether the vote was given.
+    /// Whether the vote was granted.
     pub granted: bool,
 }
 
-/// The leader's clock when it sent a message, echoed by the response: the lease counts from it.
+/// The time on the leader's clock when it sent a message, in nanoseconds. The response repeats it, and the lease counts
+/// from it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct LeaderTimestamp(pub u64);
 
@@ -83,31 +87,31 @@
 /// Entries after a position that the receiver must have.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Append {
-    /// The entry before `entries`.
+    /// The position of the entry before `entries`.
     pub previous: Position,
-    /// What the leader knows to be committed.
+    /// The leader's commit index.
     pub commit: Index,
-    /// When the leader sent it.
+    /// The time at which the leader sent this message.
     pub sent: LeaderTimestamp,
     /// The entries, without gaps.
     pub entries: Vec<Entry>,
 }
 
-/// The answer to an append.
+/// The response to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct AppendResponse {
-    /// What became of the append.
+    /// Whether the receiver has the entries now.
     pub outcome: AppendOutcome,
-    /// When the leader sent what this answers.
+    /// The time at which the leader sent the message that this responds to.
     pub sent: LeaderTimestamp,
 }
 
-/// What became of an append.
+/// The receiver's result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub enum AppendOutcome {
-    /// The log is the leader's up to here, synced.
+    /// The receiver's log equals the leader's up to this index, and is synced up to it.
     Matched(Index),
-    /// The receiver's entry at `rejected` differs or is missing.
+    /// The receiver's entry at `rejected` is missing or of another term than the leader's.
     Conflict {
         /// The index before the first entry of the append.
         rejected: Index,
@@ -131,18 +135,18 @@
     pub offset: u64,
     /// The bytes of the chunk.
     pub bytes: Blob,
-    /// When the leader sent it.
+    /// The time at which the leader sent this message.
     pub sent: LeaderTimestamp,
 }
 
-/// How much of a snapshot has arrived without gaps.
+/// The response to a chunk of a snapshot that is not complete yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, SerBin, DeBin)]
 pub struct SnapshotChunkResponse {
     /// The last entry that the snapshot contains.
     pub last: Position,
-    /// The bytes that have arrived, from the start without gaps.
+    /// The number of bytes that have arrived, counted from the start up to the first gap.
     pub received: u64,
-    /// When the leader sent what this answers.
+    /// The time at which the leader sent the message that this responds to.
     pub sent: LeaderTimestamp,
 }
 
@@ -157,7 +161,7 @@
 
 impl DeBin for Append {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Append, DeBinErr> {
-        // Index, term and the payload's kind.
+        // An entry takes 8 bytes for its index, 8 for its term, and at least 1 for the kind of its payload.
         const MIN_ENTRY_BYTES: usize = 8 + 8 + 1;
         Ok(Append {
             previous: Position::de_bin(offset, bytes)?,
@@ -168,38 +172,38 @@
     }
 }
 
-/// Why bytes are not a message.
+/// The reason why [`decode`] rejected its input.
 #[derive(Debug, Snafu)]
 pub enum DecodeError {
     /// The input is larger than [`MAX_MESSAGE`].
-    #[snafu(display("a message of {size} bytes; the most is {MAX_MESSAGE}"))]
+    #[snafu(display("message of {size} bytes is longer than {MAX_MESSAGE} bytes"))]
     TooLarge {
-        /// Its size, in bytes.
+        /// The size of the input, in bytes.
         size: usize,
     },
     /// The input is not the binary form of a message.
-    #[snafu(display("not a message: {source}"))]
+    #[snafu(display("malformed message: {source}"))]
     Malformed {
-        /// What the decoder found.
+        /// The decoder's error.
         source: DeBinErr,
     },
     /// The input goes on after the message.
-    #[snafu(display("{extra} bytes after the message"))]
+    #[snafu(display("{extra} unexpected bytes after the message"))]
     Trailing {
-        /// The bytes after the message.
+        /// The number of bytes after the message.
         extra: usize,
     },
-    /// The message is well formed, but no replica sends such numbers or lists.
-    #[snafu(display("numbers or lists that no replica sends"))]
+    /// The message can be decoded, but has numbers or lists that no replica sends.
+    #[snafu(display("message has numbers or lists that no replica sends"))]
     Implausible,
 }
 
-/// The binary form of a message, at most [`MAX_MESSAGE`] bytes for what a replica sends.
+/// Returns the binary form of a message. For a message that a replica sends it has at most [`MAX_MESSAGE`] bytes.
 pub fn encode(message: &Message) -> Vec<u8> {
     message.serialize_bin()
 }
 
-/// Reads a message. What it allocates is at most a few times the input.
+/// Decodes a message. It allocates at most a few times the size of the input.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     ensure!(bytes.len() <= MAX_MESSAGE, TooLargeSnafu { size: bytes.len() });
     let mut offset = 0;
@@ -210,7 +214,7 @@
 }
 
 impl Message {
-    /// Whether numbers and lists are such as a replica sends; others are dropped.
+    /// Whether a replica may have sent these numbers and lists. Other messages are dropped.
     pub(crate) fn is_plausible(&self) -> bool {
         self.term.is_plausible()
             && match &self.body {
@@ -223,14 +227,15 @@
 
 impl Append {
     fn is_plausible(&self, term: Term) -> bool {
-        let mut before = self.previous;
+        let mut preceding = self.previous;
         self.previous.index.is_plausible()
             && self.previous.term <= term
             && self.entries.iter().all(|entry| {
-                let follows =
-                    entry.index == before.index.next() && entry.term >= before.term && entry.term <= term;
-                before = entry.position();
-                follows && entry.payload_is_well_formed()
+                let is_next = entry.index == preceding.index.next()
+                    && entry.term >= preceding.term
+                    && entry.term <= term;
+                preceding = entry.position();
+                is_next && entry.payload_is_well_formed()
             })
     }
 }
--- a/crates/quorum/src/progress/inflights.rs
+++ b/crates/quorum/src/progress/inflights.rs
@@ -1,20 +1,21 @@
-//! The messages with entries that were sent to a follower and not answered yet.
+//! The messages with entries that were sent to a follower and are not answered yet.
 
 use std::collections::VecDeque;
 
 use crate::ids::Index;
 
-/// The bytes of entries in flight to one follower above which no more messages are sent.
+/// The size of the entries in flight to one follower, in bytes, from which on no more messages are sent.
 const MAX_INFLIGHT_BYTES: usize = 192 * 1024;
 
-/// The messages with entries in flight to one follower, at most.
+/// The largest number of messages with entries in flight to one follower.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
 
 /// A message with entries that has not been answered.
 #[derive(Clone, Copy, Debug, Hash)]
 struct Inflight {
-    /// Its last entry.
+    /// The index of the last entry in the message.
     last: Index,
+    /// The size of the entries in the message, in bytes.
     bytes: usize,
 }
 
@@ -22,7 +23,7 @@
 #[derive(Clone, Debug, Default, Hash)]
 pub(crate) struct Inflights {
     messages: VecDeque<Inflight>,
-    /// The sum over `messages`.
+    /// The size of the entries in all `messages`, in bytes.
     bytes: usize,
 }
 
@@ -31,18 +32,18 @@
         self.messages.is_empty()
     }
 
-    /// Whether no more messages may be sent now.
+    /// Whether no more messages may be sent until some are answered.
     pub(super) fn is_full(&self) -> bool {
         self.bytes >= MAX_INFLIGHT_BYTES || self.messages.len() >= MAX_INFLIGHT_MESSAGES
     }
 
-    /// Records a message that was sent.
+    /// Records that a message was sent whose last entry is `last` and whose entries have `bytes` bytes.
     pub(super) fn push(&mut self, last: Index, bytes: usize) {
         self.messages.push_back(Inflight { last, bytes });
         self.bytes += bytes;
     }
 
-    /// Removes the messages whose entries have all arrived.
+    /// Removes the messages whose entries the follower has all synced.
     pub(super) fn free_to(&mut self, matched: Index) {
         while let Some(message) = self.messages.pop_front_if(|message| message.last <= matched) {
             self.bytes -= message.bytes;
--- a/crates/quorum/src/progress/mod.rs
+++ b/crates/quorum/src/progress/mod.rs
@@ -1,7 +1,8 @@
-//! What a leader knows of one follower or learner, and how much it may send it: the `Progress` of raft-rs.
+//! A leader's record of one follower or learner: how much of the log it has and what may be sent to it. It corresponds
+//! to `Progress` in raft-rs.
 //!
-//! Invariant: `matched < next`. A follower starts in `Probe`, goes to `Replicate` when its log is known to agree, and to
-//! `Snapshot` when it needs entries that the log no longer has.
+//! Invariant: `matched < next`. A follower starts in `Probe`, enters `Replicate` when it is known up to where its log
+//! agrees with the leader's, and enters `Snapshot` when it needs entries that the leader's log no longer has.
 
 mod inflights;
 mod snapshot_transfer;
@@ -16,42 +17,49 @@
 /// How entries are sent to a follower.
 #[derive(Clone, Debug, Hash)]
 pub(crate) enum ProgressState {
-    /// It is not known up to where its log agrees: one message at a time, and without entries while it does not respond.
-    Probe { waiting: bool, silent: bool },
-    /// Its log is known to agree: several messages at a time.
+    /// It is not known up to where the follower's log agrees. One message is sent at a time, and only heartbeats, which
+    /// have no entries, while the follower does not respond.
+    Probe {
+        /// A probe was sent and is not answered yet.
+        probe_in_flight: bool,
+        /// A probe was not answered within a heartbeat interval.
+        unresponsive: bool,
+    },
+    /// It is known up to where the follower's log agrees. Several messages may be in flight.
     Replicate(Inflights),
-    /// It needs entries that only the snapshot still has.
+    /// The follower is sent a snapshot in place of entries.
     Snapshot(SnapshotTransfer),
 }
 
-/// One follower or learner.
+/// The progress of one follower or learner.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// Its log agrees with the leader's up to here, synced.
+    /// The highest index up to which the follower's log is known to agree with the leader's and to be synced.
     pub(crate) matched: Index,
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub(crate) next: Index,
     pub(crate) state: ProgressState,
-    /// When the newest message that it answered in this term was sent.
+    /// When the leader sent the newest of the messages that the follower has answered in this term.
     pub(crate) last_response: Option<Instant>,
-    /// A heartbeat is due, if nothing else is sent.
+    /// Whether a heartbeat has to be sent, unless another message is.
     pub(crate) heartbeat_due: bool,
 }
 
 impl Progress {
-    /// A follower of which nothing is known, probed from the end of the log.
+    /// A follower of whose log nothing is known. It is probed from the end of the leader's log, whose last index is
+    /// `last`.
     pub(crate) fn unknown(last: Index) -> Progress {
         Progress {
             matched: Index(0),
             next: last.next(),
-            state: ProgressState::Probe { waiting: false, silent: false },
+            state: ProgressState::Probe { probe_in_flight: false, unresponsive: false },
             last_response: None,
             heartbeat_due: true,
         }
     }
 
-    /// Records that a message sent at `sent` was answered. Chunks of a snapshot that were lost are sent anew now that the
-    /// follower is reachable.
+    /// Records that a message sent at `sent` was answered. Chunks of a snapshot that were lost are sent again now,
+    /// because the follower is reachable.
     pub(crate) fn record_response(&mut self, sent: Instant) {
         self.last_response = self.last_response.max(Some(sent));
         if let ProgressState::Snapshot(transfer) = &mut self.state {
@@ -59,29 +67,29 @@
         }
     }
 
-    /// A heartbeat is due.
+    /// Records that a heartbeat interval has passed.
     pub(crate) fn tick_heartbeat(&mut self) {
         self.heartbeat_due = true;
         match &mut self.state {
-            ProgressState::Probe { waiting, silent } => *silent |= *waiting,
+            ProgressState::Probe { probe_in_flight, unresponsive } => *unresponsive |= *probe_in_flight,
             ProgressState::Replicate(_) => {}
             ProgressState::Snapshot(transfer) => transfer.tick_heartbeat(),
         }
     }
 
-    /// Whether entries, or a probe, may be sent now.
+    /// Whether entries, a probe or a chunk of a snapshot may be sent now.
     pub(crate) fn can_send(&self) -> bool {
         match &self.state {
-            ProgressState::Probe { waiting, silent } => !waiting && !silent,
+            ProgressState::Probe { probe_in_flight, unresponsive } => !probe_in_flight && !unresponsive,
             ProgressState::Replicate(inflights) => !inflights.is_full(),
             ProgressState::Snapshot(transfer) => transfer.can_send(),
         }
     }
 
-    /// Records that entries up to `last`, or an empty probe, were sent.
+    /// Records that a message was sent with entries up to `last`, of `bytes` bytes, or with none.
     pub(crate) fn record_sent(&mut self, last: Index, bytes: usize) {
         match &mut self.state {
-            ProgressState::Probe { waiting, .. } => *waiting = true,
+            ProgressState::Probe { probe_in_flight, .. } => *probe_in_flight = true,
             ProgressState::Replicate(inflights) => {
                 inflights.push(last, bytes);
                 self.next = last.next();
@@ -90,7 +98,7 @@
         }
     }
 
-    /// Its log agrees up to `index`. Returns whether that was not known before.
+    /// Records that the follower's log agrees up to `index`. Returns whether that was not known before.
     pub(crate) fn record_match(&mut self, index: Index) -> bool {
         let advanced = index > self.matched;
         self.matched = self.matched.max(index);
@@ -111,17 +119,17 @@
         self.state = ProgressState::Replicate(Inflights::default());
     }
 
-    /// An append after `rejected` did not fit; the logs may agree at `hint` at best. Responses to messages before the newest
-    /// probe change nothing.
+    /// Records that the follower rejected an append after index `rejected`, and that the logs agree at most up to
+    /// `hint`. A response to a message before the newest probe has no effect.
     pub(crate) fn record_rejection(&mut self, rejected: Index, hint: Index) {
-        let concerns_probe = match &self.state {
+        let is_current = match &self.state {
             ProgressState::Probe { .. } => rejected == self.next.previous(),
             ProgressState::Replicate(_) => rejected > self.matched && rejected < self.next,
             ProgressState::Snapshot(_) => false,
         };
-        if concerns_probe {
+        if is_current {
             self.next = hint.min(rejected.previous()).next().max(self.matched.next());
-            self.state = ProgressState::Probe { waiting: false, silent: false };
+            self.state = ProgressState::Probe { probe_in_flight: false, unresponsive: false };
         }
     }
 
@@ -130,7 +138,7 @@
         self.state = ProgressState::Snapshot(SnapshotTransfer::new(snapshot));
     }
 
-    /// The follower has this much of the snapshot that ends at `last`.
+    /// Records that the follower has received the first `received` bytes of the snapshot whose last index is `last`.
     pub(crate) fn record_snapshot_received(&mut self, last: Index, received: u64) {
         match &mut self.state {
             ProgressState::Snapshot(transfer) if transfer.last_index() == last => {
@@ -140,7 +148,7 @@
         }
     }
 
-    /// The last index of the snapshot that is being sent, if one is.
+    /// The last index of the snapshot that is being sent, if any.
     pub(crate) fn pending_snapshot(&self) -> Option<Index> {
         match &self.state {
             ProgressState::Snapshot(transfer) => Some(transfer.last_index()),
@@ -148,12 +156,12 @@
         }
     }
 
-    /// Whether its log is known to agree, and no entries are in flight.
+    /// Whether the follower is in `Replicate` and has no entries in flight.
     pub(crate) fn is_idle(&self) -> bool {
         matches!(&self.state, ProgressState::Replicate(inflights) if inflights.is_empty())
     }
 
-    /// Whether entries are sent to it as they are appended.
+    /// Whether entries are sent to the follower as soon as they are appended.
     pub(crate) fn is_replicating(&self) -> bool {
         matches!(self.state, ProgressState::Replicate(_))
     }
--- a/crates/quorum/src/progress/snapshot_transfer.rs
+++ b/crates/quorum/src/progress/snapshot_transfer.rs
@@ -1,27 +1,30 @@
-//! A snapshot on its way to a follower, in chunks.
+//! The transfer of a snapshot to a follower in chunks.
 //!
-//! Invariant: `received <= sent <= total`. Chunks are not acknowledged one by one: the follower reports how much it has
-//! without gaps, and when that stalls, sending continues from there.
+//! Invariant: `received <= sent <= total`. The follower does not acknowledge each chunk by itself. It reports how many
+//! bytes it has from the start up to the first gap, and when that stops growing, chunks are sent again from there.
 
 use std::ops::Range;
 
 use crate::entry::Snapshot;
 use crate::ids::Index;
 
-/// The bytes of a snapshot in flight to one follower, at most.
+/// The most bytes of a snapshot in flight to one follower.
 const MAX_INFLIGHT_BYTES: u64 = 2 * crate::MAX_CHUNK as u64;
 
-/// After so many heartbeats without a chunk arriving, the chunks in flight are taken for lost.
+/// The number of heartbeat intervals without a new chunk at the follower after which the chunks in flight are sent
+/// again.
 const STALLED_HEARTBEATS: u32 = 10;
 
 /// A snapshot that is being sent.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct SnapshotTransfer {
     pub(crate) snapshot: Snapshot,
+    /// The bytes sent, counted from the start of the snapshot.
     sent: u64,
+    /// The bytes that the follower has reported, counted from the start of the snapshot up to the first gap.
     received: u64,
     heartbeats_without_progress: u32,
-    /// The last chunk was sent.
+    /// Whether the last chunk was sent.
     finished: bool,
 }
 
@@ -30,7 +33,7 @@
         SnapshotTransfer { snapshot, sent: 0, received: 0, heartbeats_without_progress: 0, finished: false }
     }
 
-    /// The last entry that the snapshot contains.
+    /// The index of the last entry that the snapshot contains.
     pub(super) fn last_index(&self) -> Index {
         self.snapshot.last.index
     }
@@ -44,7 +47,7 @@
         self.heartbeats_without_progress += 1;
     }
 
-    /// Continues from what is known to have arrived, if chunks were lost.
+    /// Continues after the bytes that the follower has reported, if chunks seem to be lost.
     pub(super) fn resume_if_stalled(&mut self) {
         if self.heartbeats_without_progress >= STALLED_HEARTBEATS {
             self.sent = self.received;
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Records that the follower has so much of the snapshot.
+    /// Records that the follower has reported the first `received` bytes of the snapshot.
     pub(super) fn record_received(&mut self, received: u64) {
         if received > self.total() {
             return;
@@ -61,13 +64,13 @@
         if received > self.received {
             self.heartbeats_without_progress = 0;
         }
-        // Less than before: the follower restarted and lost its chunks, or this is a delayed response. Either way the
-        // chunks from there on are sent again if no other response comes.
+        // If this is less than before, the follower restarted and lost its chunks, or this is a delayed response. In
+        // both cases the chunks from there on are sent again if no other response arrives.
         self.received = received;
         self.sent = self.sent.max(received);
     }
 
-    /// The byte range of the next chunk, which counts as sent from now on.
+    /// Returns the byte range of the next chunk and records it as sent.
     pub(crate) fn next_chunk(&mut self) -> Range<usize> {
         let start = self.sent;
         let end = (start + crate::MAX_CHUNK as u64).min(self.total());
@@ -76,6 +79,7 @@
         start as usize..end as usize
     }
 
+    /// The size of the snapshot, in bytes.
     fn total(&self) -> u64 {
         self.snapshot.bytes.len() as u64
     }
