--- a/crates/quorum/src/replica/batch.rs
+++ b/crates/quorum/src/replica/batch.rs
@@ -1,4 +1,4 @@
-//! The batch of work for the program: what to write, to send, to load and to apply.
+//! Batches of work for the program: the changes to write, messages to send, snapshot to load and commands to apply.
 
 use super::Replica;
 use crate::entry::{Entry, Payload, Snapshot, Write};
@@ -6,7 +6,7 @@
 use crate::ready::{Committed, Ready};
 
 impl Replica {
-    /// Whether there is something to write, send or apply.
+    /// Whether there is anything to write, send, load or apply.
     pub fn has_ready(&self) -> bool {
         let output = &self.output;
         output.hard_state_changed
@@ -35,12 +35,13 @@
         }
     }
 
-    /// Notifies the replica that the writes of the batch that was taken last are on disk.
+    /// Tells the replica that the writes of the last batch are synced.
     pub fn synced(&mut self) {
         self.output.synced = self.output.writing;
         self.advance_commit();
     }
 
+    /// Returns the committed commands that the application has not been given yet, and records them as given.
     fn committed(&mut self) -> Vec<Committed> {
         let committed =
             self.log.range(self.applied.next(), self.commit).filter_map(|entry| match &entry.payload {
@@ -54,8 +55,8 @@
         committed
     }
 
-    /// What the disk has to take. The hard state comes first and may be all that a loss of power leaves of the batch, so
-    /// its commit index counts only on entries that are synced already.
+    /// The changes to write to disk. The hard state comes first, and a loss of power may keep nothing else of the
+    /// batch, so its commit index covers only entries that are synced already.
     fn writes(&mut self) -> Vec<Write> {
         let last = self.log.last().index;
         let output = &mut self.output;
@@ -73,11 +74,13 @@
         }
     }
 
+    /// Returns the write of the complete state, which a new snapshot requires.
     fn snapshot_write(&self, snapshot: &Snapshot) -> Write {
         let entries = self.entries_from(snapshot.last.index.next());
         Write::Snapshot { snapshot: snapshot.clone(), hard_state: self.hard_state, entries }
     }
 
+    /// Returns the writes of the hard state and of the entries from an index on.
     fn incremental_writes(&self, entries_from: Option<Index>) -> Vec<Write> {
         let mut writes = vec![Write::HardState(self.hard_state)];
         writes.extend(entries_from.map(|from| Write::Entries(self.entries_from(from))));
--- a/crates/quorum/src/replica/digest.rs
+++ b/crates/quorum/src/replica/digest.rs
@@ -1,4 +1,5 @@
-//! A digest for model checkers, which must tell states apart but not their clocks.
+//! A digest of a replica's state for model checkers, which have to tell states apart, but not states that differ only
+//! in time.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -7,7 +8,7 @@
 use crate::progress::Progress;
 
 impl Replica {
-    /// A digest of everything that determines what this replica does next, except time and randomness.
+    /// Returns a hash of everything that determines what this replica does next, except time and randomness.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (self.identity, self.hard_state, self.commit, self.applied).hash(&mut hasher);
--- a/crates/quorum/src/replica/election.rs
+++ b/crates/quorum/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes, and what a replica may grant.
+//! Elections: pre-votes, votes, and the conditions under which a replica grants them.
 
 use std::collections::BTreeSet;
 
@@ -11,17 +11,18 @@
 use crate::message::{Body, VoteRequest, VoteResponse};
 use crate::timing::Timing;
 
-/// Why a candidate asks for votes.
+/// The reason for which a candidate asks for votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CampaignKind {
-    /// Its election timeout ran out. Voters that hear a leader ignore the request.
+    /// The candidate's election timeout elapsed. Voters that have heard from a leader recently ignore the request.
     Timeout,
-    /// The leader gave up its lease for it, so no voter has to wait for the end of that.
+    /// The leader gave up its lease for this candidate, so voters need not wait until the lease expires.
     LeadershipTransfer,
 }
 
 impl Replica {
-    /// Starts a pre-vote: no term is advanced and no vote recorded, so that a replica that can't win disturbs no leader.
+    /// Starts a pre-vote. It advances no term and records no vote, so that a replica that can't win does not disrupt a
+    /// leader.
     pub(super) fn pre_campaign(&mut self) {
         let granted = BTreeSet::from([self.identity]);
         let won = self.group().has_quorum(|voter| granted.contains(&voter));
@@ -52,19 +53,20 @@
         self.send_to_peers(self.hard_state.term, Body::RequestVote(request));
     }
 
-    /// A pre-vote is retried sooner than an election: voters may have rejected it only because they heard of the leader a
-    /// little later.
+    /// Sets the deadline for another pre-vote. It is sooner than that of an election, because voters may have rejected
+    /// the pre-vote only because they heard from the last leader a little later than this replica.
     fn reset_pre_vote_timeout(&mut self) {
         let election_timeout_min = self.timing.election_timeout_min;
-        let wait = self.rng.random_range(election_timeout_min.nanos() / 2..=election_timeout_min.nanos());
-        self.election_deadline = self.now + Duration::from_nanos(wait);
+        let timeout_ns =
+            self.rng.random_range(election_timeout_min.nanos() / 2..=election_timeout_min.nanos());
+        self.election_deadline = self.now + Duration::from_nanos(timeout_ns);
     }
 
     fn send_to_peers(&mut self, term: Term, body: Body) {
-        let others: Vec<ReplicaId> =
+        let peers: Vec<ReplicaId> =
             self.group().members().filter(|member| *member != self.identity).collect();
-        for other in others {
-            self.send(other, term, body.clone());
+        for peer in peers {
+            self.send(peer, term, body.clone());
         }
     }
 
@@ -101,8 +103,8 @@
             return;
         }
         self.step_down_if_newer(term);
-        let free = self.hard_state.vote.is_none_or(|vote| vote == from);
-        let granted = free && self.leader_hint().is_none() && self.can_vote_for(from, request.last);
+        let vote_available = self.hard_state.vote.is_none_or(|vote| vote == from);
+        let granted = vote_available && self.leader_hint().is_none() && self.can_vote_for(from, request.last);
         if granted && self.hard_state.vote.is_none() {
             self.hard_state.vote = Some(from);
             self.output.hard_state_changed = true;
@@ -137,7 +139,8 @@
         }
     }
 
-    /// Whether a leader, possibly this replica, may still hold a lease, so that no other candidate may be helped.
+    /// Whether a leader, possibly this replica, may still hold a lease, so that this replica must not vote for another
+    /// candidate.
     fn is_within_leader_lease(&self) -> bool {
         let contact = match self.leader_state() {
             Some(_) => self.quorum_contact(),
@@ -146,25 +149,26 @@
         contact.is_some_and(|contact| self.now < contact + self.timing.election_timeout_min)
     }
 
-    /// Whether the candidate's log may hold everything that is committed. A replica without any entry has
-    /// nothing to compare, so it never votes.
+    /// Whether the candidate's log may have all committed entries, judged by its last position. A replica without
+    /// entries has nothing to compare with, so it never votes.
     fn can_vote_for(&self, candidate: ReplicaId, last: Position) -> bool {
         let own = self.log.last();
         own.index > Index(0) && last >= own && !(last == own && self.was_removed(candidate))
     }
 
-    /// Whether the committed group does not contain a replica, as far as this log goes.
+    /// Whether the newest group in this log is committed and does not contain a replica.
     fn was_removed(&self, replica: ReplicaId) -> bool {
         self.commit >= self.log.group_index() && !self.group().contains(replica)
     }
 
-    /// Follows a leader that was just heard of.
+    /// Becomes a follower of a leader that has just sent a message.
     pub(super) fn become_follower_of(&mut self, term: Term, leader: ReplicaId) {
         self.last_leader_contact = self.now;
         self.become_follower(term, Some(leader));
     }
 
-    /// The latest time by which this leader had sent messages that a quorum has answered since.
+    /// The latest time such that a quorum has answered messages that this leader sent then or later. None if a quorum
+    /// has not answered, or this replica is not the leader.
     pub(super) fn quorum_contact(&self) -> Option<Instant> {
         let leader_state = self.leader_state()?;
         self.group().reached_by_quorum(|voter| {
@@ -175,22 +179,23 @@
         })
     }
 
-    /// Whether this replica may become leader: it is in the newest group, or its removal is not committed yet. In the latter
-    /// case it may be the only replica with the entry that removes it, and has to commit that first.
+    /// Whether this replica may become leader. It may if it is in the newest group, or if its removal is not committed
+    /// yet: it may be the only replica with the entry that removes it, and has to commit that first.
     pub(super) fn is_promotable(&self) -> bool {
-        let is_undecided = self.log.group_index() > self.commit;
+        let group_is_uncommitted = self.log.group_index() > self.commit;
         self.group().contains(self.identity)
-            || (is_undecided && self.log.previous_group_contains(self.identity))
+            || (group_is_uncommitted && self.log.previous_group_contains(self.identity))
     }
 
+    /// Sets the deadline for the next election to a random time between the shortest and the longest timeout from now.
     pub(super) fn reset_election_timeout(&mut self) {
         let Timing { election_timeout_min, election_timeout_max, .. } = self.timing;
-        let extra =
+        let extra_ns =
             self.rng.random_range(0..=election_timeout_max.saturating_sub(election_timeout_min).nanos());
-        self.election_deadline = self.now + election_timeout_min + Duration::from_nanos(extra);
+        self.election_deadline = self.now + election_timeout_min + Duration::from_nanos(extra_ns);
     }
 
-    /// Enters a newer term, in which this replica has not voted.
+    /// Enters a term if it is newer. This replica has not voted in it.
     pub(super) fn advance_term(&mut self, term: Term) {
         if term > self.hard_state.term {
             self.hard_state.term = term;
@@ -200,7 +205,7 @@
         }
     }
 
-    /// Becomes a follower of a leader, or of none that is known yet.
+    /// Becomes a follower in a term, of a leader if one is known.
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
         self.advance_term(term);
         self.role = Role::Follower { leader };
--- a/crates/quorum/src/replica/follower.rs
+++ b/crates/quorum/src/replica/follower.rs
@@ -1,4 +1,5 @@
-//! A follower: it takes entries and snapshots of a leader, and truncates uncommitted entries that conflict.
+//! The follower's side of replication: it accepts entries and snapshots from a leader, and truncates uncommitted
+//! entries that conflict with them.
 
 use super::Replica;
 use crate::blob::Blob;
@@ -9,11 +10,13 @@
 };
 use crate::ready::Restore;
 
-/// A snapshot that is still arriving.
+/// A snapshot of which some chunks have arrived.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct IncomingSnapshot {
     leader: ReplicaId,
+    /// The position of the last entry that the snapshot contains.
     last: Position,
+    /// The bytes that have arrived, from the start without gaps.
     bytes: Vec<u8>,
 }
 
@@ -23,7 +26,7 @@
             return;
         }
         let sent = append.sent;
-        let outcome = self.take_entries(append);
+        let outcome = self.accept_entries(append);
         self.respond_to_append(from, outcome, sent);
     }
 
@@ -31,23 +34,23 @@
         self.send(to, self.hard_state.term, Body::AppendResponse(AppendResponse { outcome, sent }));
     }
 
-    /// Follows the sender and returns true, unless its term is stale or it claims to be a second leader of the term.
+    /// Follows the sender and returns true, unless its term is stale or the term has another leader.
     fn accept_leader(&mut self, from: ReplicaId, term: Term, sent: LeaderTimestamp) -> bool {
         if term < self.hard_state.term {
             self.respond_to_append(from, AppendOutcome::StaleTerm, sent);
             return false;
         }
-        let known = self.leader_hint().filter(|_| term == self.hard_state.term);
-        if known.is_some_and(|known| known != from) {
+        let known_leader = self.leader_hint().filter(|_| term == self.hard_state.term);
+        if known_leader.is_some_and(|leader| leader != from) {
             return false;
         }
         self.become_follower_of(term, from);
         true
     }
 
-    /// Appends the entries that match this log. What is committed here is in every later leader's log, so it is neither
-    /// compared nor truncated.
-    fn take_entries(&mut self, append: Append) -> AppendOutcome {
+    /// Appends the entries if this log has the entry before them. The log of every later leader has the entries that
+    /// are committed here, so they are neither compared nor truncated.
+    fn accept_entries(&mut self, append: Append) -> AppendOutcome {
         let Append { previous, commit, entries, .. } = append;
         if previous.index > self.commit && self.log.term_at(previous.index) != Some(previous.term) {
             return self.conflict(previous);
@@ -55,13 +58,14 @@
         let end = previous.index.plus(entries.len() as u64);
         let committed = self.commit;
         for entry in entries.into_iter().filter(|entry| entry.index > committed) {
-            self.take_entry(entry);
+            self.accept_entry(entry);
         }
         self.commit = self.commit.max(commit.min(end).min(self.log.last().index));
         AppendOutcome::Matched(end.max(committed))
     }
 
-    fn take_entry(&mut self, entry: Entry) {
+    /// Appends an entry unless the log has it already. A conflicting entry and all after it are truncated first.
+    fn accept_entry(&mut self, entry: Entry) {
         if self.log.term_at(entry.index) == Some(entry.term) {
             return;
         }
@@ -74,6 +78,7 @@
         }
     }
 
+    /// Returns the rejection of an append after `previous`, with a hint where the logs may agree.
     fn conflict(&self, previous: Position) -> AppendOutcome {
         let hint = self.log.last_with_term_up_to(previous.index.previous(), previous.term);
         AppendOutcome::Conflict { rejected: previous.index, hint: hint.max(self.commit) }
@@ -104,13 +109,13 @@
         self.respond_to_append(from, AppendOutcome::Matched(last.index), sent);
     }
 
-    /// Adds a chunk to the snapshot that it belongs to. Returns the bytes once they are complete.
+    /// Adds a chunk to the snapshot that it belongs to. Returns the bytes of the snapshot once all have arrived.
     fn collect_chunk(&mut self, leader: ReplicaId, chunk: &SnapshotChunk) -> Option<Blob> {
         let last = chunk.last;
-        let goes_on = |incoming_snapshot: &IncomingSnapshot| {
+        let is_same_snapshot = |incoming_snapshot: &IncomingSnapshot| {
             incoming_snapshot.leader == leader && incoming_snapshot.last == last
         };
-        if !self.incoming_snapshot.as_ref().is_some_and(goes_on) {
+        if !self.incoming_snapshot.as_ref().is_some_and(is_same_snapshot) {
             self.incoming_snapshot = Some(IncomingSnapshot { leader, last, bytes: Vec::new() });
         }
         let incoming_snapshot = self.incoming_snapshot.as_mut()?;
@@ -123,6 +128,7 @@
         self.incoming_snapshot.take().map(|incoming_snapshot| Blob::from(incoming_snapshot.bytes))
     }
 
+    /// Replaces the log and the state of the application by a complete snapshot.
     fn install(&mut self, snapshot: Snapshot) {
         let index = snapshot.last.index;
         self.output.restore = Some(Restore { index, bytes: snapshot.bytes.clone() });
@@ -134,7 +140,7 @@
         self.applied = index;
     }
 
-    /// An empty replica belongs to the cluster of the first leader that it hears of.
+    /// Joins the cluster of the first leader that this replica hears from, if it belongs to no cluster yet.
     pub(super) fn adopt_cluster_id(&mut self, cluster_id: ClusterId) {
         if self.hard_state.cluster_id.is_none() {
             self.hard_state.cluster_id = Some(cluster_id);
--- a/crates/quorum/src/replica/group_change.rs
+++ b/crates/quorum/src/replica/group_change.rs
@@ -1,12 +1,12 @@
-//! Change of the voters by joint consensus.
+//! Changes of the voters by joint consensus.
 //!
-//! A change has three steps, each of which starts only when the one before is complete: new voters catch up as learners
-//! ([`PendingChange`], known to this leader only), the joint group is committed, and then the final group. A leader that
-//! fails in the first step leaves nothing behind; after it, the next leader completes the change.
+//! A change has three steps, each of which starts when the previous one is complete: new voters catch up as learners
+//! ([`PendingChange`], known to this leader only), the joint group is committed, and then the final group. A leader
+//! that fails in the first step leaves nothing behind; after it, the next leader completes the change.
 //!
-//! The first step ends early where only lost voters leave: a voter that answers nothing is in no quorum, so a learner in its
-//! place delays no commit, however far behind it is, and its vote counts from then on. It counts for commits only up to what
-//! it has synced, as any voter does.
+//! The first step ends early if only lost voters are replaced. A voter that does not answer is in no quorum, so a
+//! learner in its place delays no commit, however far behind it is, and its vote counts from then on. As with any
+//! voter, only entries that it has synced count towards a commit.
 
 use super::Replica;
 use super::role::PendingChange;
@@ -18,22 +18,23 @@
 use crate::progress::Progress;
 use grebeusher_time::{DurationExt, Instant};
 
-/// How many entries a learner may be behind when it becomes a voter.
+/// The largest number of entries by which a learner may be behind when it becomes a voter.
 const MAX_PROMOTION_LAG: u64 = 32;
 
-/// A voter that has not answered for so many times `election_timeout_max` is lost, for the purpose of a change. A process that
-/// only restarts is back sooner, with its log, and is worth more in the group than a learner that is far behind.
+/// The multiple of `election_timeout_max` after which a voter that has not answered is taken for lost in a change. A
+/// process that only restarts is back sooner with its log, and is worth more in the group than a learner that is far
+/// behind.
 const LOST_VOTER_TIMEOUT_FACTOR: f64 = 4.0;
 
-/// A learner that has not answered for so many times `election_timeout_max` is aborted.
+/// The multiple of `election_timeout_max` after which a change is aborted if a learner has not answered.
 const LEARNER_RESPONSE_TIMEOUT_FACTOR: f64 = 3.0;
 
-/// A change whose learners have not caught up within so many times `election_timeout_max` is aborted.
+/// The multiple of `election_timeout_max` after which a change is aborted if its learners have not caught up.
 const CATCH_UP_TIMEOUT_FACTOR: f64 = 20.0;
 
 impl Replica {
-    /// Changes the group to these voters. New voters catch up as learners first, then the joint group is committed, and
-    /// then the final one. A change to the present group has no effect.
+    /// Starts a change of the group to these voters. New voters catch up as learners first, then the joint group is
+    /// committed, and then the final one. A change to the current group has no effect.
     ///
     /// # Errors
     ///
@@ -42,8 +43,8 @@
         self.advance(now);
         let hint = self.leader_hint();
         let Some(leader_state) = self.leader_state() else { return Err(ChangeError::NotLeader { hint }) };
-        let wanted = Group::of(voters);
-        if wanted.voters.is_empty() || wanted.voters.len() > MAX_VOTERS {
+        let new_group = Group::of(voters);
+        if new_group.voters.is_empty() || new_group.voters.len() > MAX_VOTERS {
             return Err(ChangeError::Invalid);
         }
         if leader_state.change.is_some()
@@ -55,13 +56,13 @@
         if self.commit < leader_state.term_start || self.commit < self.log.group_index() {
             return Err(ChangeError::NotCommitted);
         }
-        if wanted == *self.group() {
+        if new_group == *self.group() {
             return Ok(());
         }
-        self.track_progress(&wanted.voters);
+        self.track_progress(&new_group.voters);
         let since = self.now;
         if let Some(leader_state) = self.leader_state_mut() {
-            leader_state.change = Some(PendingChange { voters: wanted.voters, since });
+            leader_state.change = Some(PendingChange { voters: new_group.voters, since });
         }
         self.check_change();
         Ok(())
@@ -78,7 +79,7 @@
         !self.group().is_joint() && self.pending_change().is_none() && self.commit >= self.log.group_index()
     }
 
-    /// Appends the joint group once all learners have nearly caught up.
+    /// Appends the joint group of a pending change once all learners may become voters.
     pub(super) fn check_change(&mut self) {
         let Some(leader_state) = self.leader_state() else { return };
         let Some(change) = &leader_state.change else { return };
@@ -88,12 +89,12 @@
             let caught_up = follower.matched.plus(MAX_PROMOTION_LAG) >= last;
             follower.is_replicating() && (caught_up || replaces_lost_voters)
         };
-        let ready = change.voters.iter().all(|voter| {
+        let all_may_vote = change.voters.iter().all(|voter| {
             self.group().contains(*voter)
                 || *voter == self.identity
                 || leader_state.followers.get(voter).is_some_and(may_vote)
         });
-        if !ready {
+        if !all_may_vote {
             return;
         }
         let joint = self.group().enter_joint(change.voters.clone());
@@ -104,8 +105,9 @@
         self.advance_commit();
     }
 
-    /// Whether new voters only take the places of lost ones. Guards against a group that the loss of more voters leaves
-    /// without a quorum for good, because a disk that was replaced is still receiving a large log over a slow link.
+    /// Whether each new voter takes the place of a lost one, and only lost voters leave. They are replaced at once
+    /// because the loss of more voters could leave the group without a quorum for good while the replacement is still
+    /// receiving a large log over a slow link.
     fn replaces_lost_voters(&self, voters: &[ReplicaId]) -> bool {
         let Some(leader_state) = self.leader_state() else { return false };
         let timeout = self.timing.election_timeout_max.scaled(LOST_VOTER_TIMEOUT_FACTOR);
@@ -119,7 +121,7 @@
         joining <= leaving.len() && leaving.iter().all(is_lost)
     }
 
-    /// Aborts a change whose learners do not respond or are too slow.
+    /// Aborts a pending change whose learners do not respond or take too long.
     pub(super) fn tick_change(&mut self) {
         let now = self.now;
         let response_timeout = self.timing.election_timeout_max.scaled(LEARNER_RESPONSE_TIMEOUT_FACTOR);
@@ -138,8 +140,8 @@
         }
     }
 
-    /// The next step of a change when the newest group is committed: from the joint group to the final one, and from there to
-    /// the replicas that were removed.
+    /// Takes the next step of a change when the newest group is committed: after the joint group it appends the final
+    /// one, and after that it stops sending to the replicas that were removed.
     pub(super) fn advance_group_change(&mut self) {
         if self.commit < self.log.group_index() {
             return;
@@ -156,13 +158,13 @@
         }
     }
 
-    /// Stops sending to replicas that were removed, after a last append by which they learn it.
+    /// Stops sending to replicas that were removed, after a last append that tells them so.
     fn remove_outgoing(&mut self) {
         let Some(leader_state) = self.leader_state() else { return };
         let learners = leader_state.change.as_ref().map_or(&[][..], |change| &change.voters);
-        let stays = |replica: &ReplicaId| self.group().contains(*replica) || learners.contains(replica);
+        let is_needed = |replica: &ReplicaId| self.group().contains(*replica) || learners.contains(replica);
         let followers = leader_state.followers.keys().copied();
-        let leaving: Vec<ReplicaId> = followers.filter(|replica| !stays(replica)).collect();
+        let leaving: Vec<ReplicaId> = followers.filter(|replica| !is_needed(replica)).collect();
         for replica in leaving {
             if let Some(body) = self.final_append(replica) {
                 self.send(replica, self.hard_state.term, body);
@@ -173,7 +175,7 @@
         }
     }
 
-    /// A leader that was removed asks the most advanced voter to start an election, and steps down.
+    /// Asks the most advanced voter to start an election, and steps down, because this leader was removed.
     fn step_down_after_removal(&mut self) {
         if let Some(successor) = self.best_transfer_candidate() {
             self.send(successor, self.hard_state.term, Body::TimeoutNow);
--- a/crates/quorum/src/replica/leader.rs
+++ b/crates/quorum/src/replica/leader.rs
@@ -1,4 +1,5 @@
-//! A leader: the responses of its followers, the commit index that follows from them, its lease, and stepping down.
+//! The leader's side: the responses of followers, the commit index that results from them, the lease, and stepping
+//! down.
 
 use std::collections::BTreeMap;
 
@@ -34,7 +35,7 @@
         self.track_progress(&members);
     }
 
-    /// Tracks the progress of these replicas, too.
+    /// Tracks the progress of these replicas in addition to those tracked already.
     pub(super) fn track_progress(&mut self, replicas: &[ReplicaId]) {
         let last = self.log.last().index;
         let identity = self.identity;
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Whether reads may be answered from the application's state: this replica leads the partition, has committed an entry
-    /// of its own term, and a quorum has answered what was sent within the lease.
+    /// Whether reads may be answered from the application's state. They may if this replica leads the partition, it has
+    /// committed an entry of its own term, and a quorum has answered messages that it sent within `lease_duration`.
     pub fn lease_holds(&self, now: Instant) -> bool {
         let Some(leader_state) = self.leader_state() else { return false };
         let can_read = self.commit >= leader_state.term_start && !leader_state.lease_revoked;
@@ -56,15 +57,15 @@
             && (is_sole_member || contact.is_some_and(|contact| now < contact + self.timing.lease_duration))
     }
 
-    /// Up to where each voter has the log on its disk, as far as this leader knows; empty on other replicas.
+    /// The index up to which each voter has synced the log, as far as this leader knows; empty on other replicas.
     pub fn match_indexes(&self) -> Vec<(ReplicaId, Index)> {
         let Some(leader_state) = self.leader_state() else { return Vec::new() };
-        let synced = |voter: ReplicaId| match leader_state.followers.get(&voter) {
+        let synced_index = |voter: ReplicaId| match leader_state.followers.get(&voter) {
             _ if voter == self.identity => self.output.synced,
             Some(follower) => follower.matched,
             None => Index(0),
         };
-        self.group().members().map(|voter| (voter, synced(voter))).collect()
+        self.group().members().map(|voter| (voter, synced_index(voter))).collect()
     }
 
     pub(super) fn tick_leader(&mut self) {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Records that a message of this term was answered. A response of a newer term makes this replica a follower.
+    /// Records that a message of this term was answered, and returns whether the response is of this term and from a
+    /// tracked replica. A response of a newer term makes this replica a follower.
     fn accept_response(&mut self, from: ReplicaId, term: Term, sent: LeaderTimestamp) -> bool {
         self.step_down_if_newer(term);
         if term != self.hard_state.term {
@@ -142,8 +144,8 @@
         self.leader_state_mut()?.followers.get_mut(&replica)
     }
 
-    /// Commits what a quorum has synced, once that includes an entry of the leader's own term: an entry of an older term may
-    /// still be replaced even when a quorum has it.
+    /// Commits the entries that a quorum has synced, once these include one of the leader's own term. An entry of an
+    /// older term may still be replaced even when a quorum has it.
     pub(super) fn advance_commit(&mut self) {
         let Some(leader_state) = self.leader_state() else { return };
         let quorum_index = self.group().reached_by_quorum(|voter| {
--- a/crates/quorum/src/replica/leadership_transfer.rs
+++ b/crates/quorum/src/replica/leadership_transfer.rs
@@ -1,8 +1,8 @@
-//! Transfer of leadership to another voter.
+//! Transfers of leadership to another voter.
 //!
-//! The leader stops taking proposals, waits until the target has its whole log, and then sends `TimeoutNow`. From that
-//! moment the target may win an election without waiting for the lease, so the leader gives its lease up for the rest of
-//! its term.
+//! The leader rejects proposals, waits until the target has its whole log, and then sends `TimeoutNow`. From then on
+//! the target may win an election without waiting for the lease to expire, so the leader gives up its lease for the
+//! rest of its term.
 
 use std::cmp::Reverse;
 
@@ -16,8 +16,8 @@
 use crate::message::Body;
 
 impl Replica {
-    /// Transfers the leadership to a voter, by default to the most advanced one. Proposals are rejected from now on, and
-    /// reads end when the target has the whole log and is asked to start its election. If it does not respond, the
+    /// Transfers the leadership to a voter, by default to the most advanced one. Proposals are rejected from now on,
+    /// and reads end when the target has the whole log and is asked to start its election. If it does not respond, the
     /// transfer is aborted, or ends in a new election. Returns the target.
     ///
     /// # Errors
@@ -61,17 +61,17 @@
         self.leader_state().is_some_and(|leader_state| leader_state.leadership_transfer.is_some())
     }
 
-    /// The voters that could become leader, the most advanced first, and of equals the one that responded last; empty on
-    /// replicas that are not the leader.
+    /// The other voters, to which the leadership could be transferred, by the index up to which their log agrees,
+    /// highest first, and then by the last response, newest first. Empty on replicas that are not the leader.
     pub fn transfer_candidates(&self) -> Vec<ReplicaId> {
         let Some(leader_state) = self.leader_state() else { return Vec::new() };
-        let rank = |voter: &ReplicaId| {
+        let progress = |voter: &ReplicaId| {
             let follower = leader_state.followers.get(voter);
             follower.map_or((Index(0), None), |follower| (follower.matched, follower.last_response))
         };
-        let others = self.group().voters.iter().filter(|voter| **voter != self.identity);
-        let mut candidates: Vec<ReplicaId> = others.copied().collect();
-        candidates.sort_by_key(|voter| Reverse(rank(voter)));
+        let other_voters = self.group().voters.iter().filter(|voter| **voter != self.identity);
+        let mut candidates: Vec<ReplicaId> = other_voters.copied().collect();
+        candidates.sort_by_key(|voter| Reverse(progress(voter)));
         candidates
     }
 
@@ -96,8 +96,8 @@
         self.send(target, self.hard_state.term, Body::TimeoutNow);
     }
 
-    /// Ends a transfer whose target did not respond in time. Before `TimeoutNow` the leader just continues; after it only a
-    /// new term can have a lease, so it starts an election itself.
+    /// Ends a transfer whose target did not become leader in time. If `TimeoutNow` was not sent, the leader continues
+    /// as before. If it was, there can be a lease only in a new term, so the leader starts an election itself.
     pub(super) fn tick_leadership_transfer(&mut self) {
         let now = self.now;
         let Some(leader_state) = self.leader_state_mut() else { return };
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The Raft state machine of one replica: no I/O, no clock of its own, no threads.
+//! The Raft state machine of one replica. It has no I/O, no clock and no threads.
 //!
 //! Inputs are messages, time and proposals ([`Replica::receive`], [`Replica::tick`], [`Replica::propose`]); the output
 //! is one [`Ready`](crate::Ready) batch at a time ([`Replica::take_ready`], [`Replica::synced`]).
@@ -6,22 +6,22 @@
 //! # Invariants
 //!
 //! - **Term.** `hard_state.term` never decreases. A vote belongs to its term: entering a newer term clears it.
-//! - **One vote a term.** A vote, like a term, is in a synced [`Ready`](crate::Ready) before any message that tells of
-//!   it leaves. So a term has at most one leader, also over restarts.
-//! - **Election restriction.** A vote goes only to a candidate whose last entry is at least as recent as the voter's own
-//!   (compared by term, then index). A replica with an empty log votes for nobody: its disk may have been wiped.
+//! - **One vote per term.** A vote or a new term is synced before any message that depends on it is sent. So a term has
+//!   at most one leader, also across restarts.
+//! - **Election restriction.** A vote goes only to a candidate whose last entry is at least as recent as the voter's
+//!   own (compared by term, then index). A replica with an empty log votes for nobody: its disk may have been wiped.
 //! - **Leader completeness.** A leader never changes its own entries, and a follower never truncates below its commit
 //!   index.
-//! - **Commit.** An index is committed once a quorum has synced it and its entry is of the leader's own term; in a joint
-//!   group a quorum is a majority of both lists of voters. The leader counts itself only up to `output.synced`.
-//! - **Indexes.** `snapshot <= applied <= commit <= last` and `synced <= writing <= last`.
+//! - **Commit.** An index is committed once a quorum has synced it and its entry is of the leader's own term; in a
+//!   joint group a quorum is a majority of both lists of voters. The leader counts itself only up to `output.synced`.
+//! - **Order of indexes.** `snapshot <= applied <= commit <= last` and `synced <= writing <= last`.
 //! - **Lease.** The lease counts from the sending time of messages that a quorum has answered, on the leader's own
-//!   clock, and is shorter than the time for which a voter that heard of that leader helps no other candidate
+//!   clock, and is shorter than the time for which a voter that heard from that leader votes for no other one
 //!   (`election_timeout_min`). A leader that has sent `TimeoutNow` has no lease for the rest of its term.
 //! - **Group.** A new group is in force from the entry that carries it, committed or not. Only one change is in
 //!   progress at a time.
 //!
-//! # Where things are
+//! # Modules
 //!
 //! | concern | module |
 //! | --- | --- |
@@ -76,11 +76,11 @@
     hard_state: HardState,
     log: RaftLog,
     commit: Index,
-    /// Everything up to here has been given to the application.
+    /// The index up to which all entries have been given to the application.
     applied: Index,
     role: Role,
-    /// When a leader was last heard of. The start counts too: just before it this replica may have answered a leader,
-    /// whose lease rests on that answer.
+    /// When a message of a leader last arrived, or when this replica started: just before the start it may have
+    /// answered a leader, whose lease depends on that answer.
     last_leader_contact: Instant,
     /// When the next election starts, unless this replica is the leader.
     election_deadline: Instant,
@@ -126,9 +126,10 @@
         replica
     }
 
-    /// Starts a new partition with this group as the first entry of the log, the same on each of its replicas.
+    /// Starts a new partition with this group as the first entry of the log. Each replica of the group has to be given
+    /// the same group.
     ///
-    /// A replica belongs to one cluster for good. Calling this again with the same group has no effect.
+    /// A replica never changes its cluster. Calling this again with the same group has no effect.
     ///
     /// # Errors
     ///
@@ -139,8 +140,8 @@
         }
         let cluster_id = group.cluster_id();
         match self.hard_state.cluster_id {
-            Some(known) if known != cluster_id => return Err(BootstrapError::AlreadyBootstrapped),
-            // After a loss of power the cluster id may be there without the entry, which is then appended again.
+            Some(own_id) if own_id != cluster_id => return Err(BootstrapError::AlreadyBootstrapped),
+            // A loss of power may have left the cluster id on disk without the entry, which is then appended again.
             Some(_) if self.log.last().index > Index(0) => return Ok(()),
             _ => {}
         }
--- a/crates/quorum/src/replica/output.rs
+++ b/crates/quorum/src/replica/output.rs
@@ -1,25 +1,25 @@
-//! What a replica has to write, to send and to load, and how far the log has got on its way to the disk.
+//! The output that a replica has accumulated since the last batch, and how much of its log is written and synced.
 //!
-//! The state machine only records here that something changed; [`batch`](super::batch) turns it into a
+//! The state machine only records changes here; [`batch`](super::batch) turns it into a
 //! [`Ready`](crate::Ready). Invariant: `synced <= writing <= last index of the log`.
 
 use crate::ids::{Index, ReplicaId};
 use crate::message::Message;
 use crate::ready::Restore;
 
-/// The output since the last batch.
+/// The output since the last batch, and how much of the log is on disk.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PendingOutput {
     pub(super) hard_state_changed: bool,
-    /// The snapshot changed, so that the complete state has to be written.
+    /// Whether the snapshot changed, so that the complete state has to be written.
     pub(super) snapshot_changed: bool,
-    /// The log changed from here on.
+    /// The index from which on the log changed.
     pub(super) entries_from: Option<Index>,
     pub(super) messages: Vec<(ReplicaId, Message)>,
     pub(super) restore: Option<Restore>,
-    /// The log was given out to be written up to here.
+    /// The index up to which the log was in a batch to be written.
     pub(super) writing: Index,
-    /// The log is on disk up to here.
+    /// The index up to which the log is synced.
     pub(super) synced: Index,
 }
 
--- a/crates/quorum/src/replica/proposal.rs
+++ b/crates/quorum/src/replica/proposal.rs
@@ -1,4 +1,4 @@
-//! What the application puts into the log, and the snapshots by which it shortens the log.
+//! Proposals of the application, and compaction of the log by snapshots of the application.
 
 use grebeusher_time::Instant;
 
@@ -9,16 +9,17 @@
 use crate::error::{CompactError, ProposeError};
 use crate::ids::{Index, Position, Term};
 
-/// The bytes of uncommitted entries above which a leader takes no proposals.
+/// The size of uncommitted entries, in bytes, above which a leader rejects proposals.
 const MAX_UNCOMMITTED: usize = 6 * 1024 * 1024;
 
 impl Replica {
-    /// Proposes a command. It is committed when [`Ready::committed`](crate::Ready::committed) has it under the same index
-    /// and term; another term there, or a later index first, means that it was lost.
+    /// Proposes a command and returns its index. It is committed when [`Ready::committed`](crate::Ready::committed) has
+    /// a command with this index and the term of the proposal. If that has a command of another term with this index,
+    /// or a later index first, the command was lost.
     ///
     /// # Errors
     ///
-    /// When this replica is not the leader, too much is uncommitted, or the command is too large.
+    /// When this replica is not the leader, too many bytes are uncommitted, or the command is too large.
     pub fn propose(&mut self, now: Instant, command: Vec<u8>) -> Result<Index, ProposeError> {
         self.advance(now);
         if command.len() > crate::MAX_COMMAND {
@@ -35,11 +36,12 @@
         Ok(self.append(self.hard_state.term, Payload::Command(Blob::from(command))))
     }
 
-    /// Replaces the log up to `index` by a snapshot of the application, which contains everything up to there.
+    /// Replaces the log up to `index` by a snapshot of the application, whose state after that entry is `bytes`.
     ///
     /// # Errors
     ///
-    /// When the application has not been given everything up to there, a snapshot of as much exists, or it is too large.
+    /// When the application has not been given all entries up to `index`, a snapshot up to there or beyond exists
+    /// already, or `bytes` is too large.
     pub fn compact(&mut self, index: Index, bytes: Vec<u8>) -> Result<(), CompactError> {
         let snapshot = self.log.snapshot_last().index;
         if bytes.len() > crate::MAX_SNAPSHOT {
@@ -57,13 +59,13 @@
             group: self.log.group_at(index).clone(),
             bytes: Blob::from(bytes),
         };
-        let floor = self.oldest_pending_snapshot().unwrap_or(index);
-        self.log.compact(snapshot, floor);
+        let oldest_pending_snapshot = self.oldest_pending_snapshot().unwrap_or(index);
+        self.log.compact(snapshot, oldest_pending_snapshot);
         self.output.snapshot_changed = true;
         Ok(())
     }
 
-    /// Appends an entry to the replica's own log.
+    /// Appends an entry to this replica's log and returns its index.
     pub(super) fn append(&mut self, term: Term, payload: Payload) -> Index {
         let index = self.log.last().index.next();
         self.output.record_change(index);
--- a/crates/quorum/src/replica/replication.rs
+++ b/crates/quorum/src/replica/replication.rs
@@ -1,4 +1,4 @@
-//! What a leader sends to each follower: entries, heartbeats, chunks of a snapshot.
+//! The messages that a leader sends to its followers: entries, heartbeats and chunks of a snapshot.
 
 use super::Replica;
 use crate::blob::Blob;
@@ -6,23 +6,24 @@
 use crate::message::{Append, Body, LeaderTimestamp, Message, SnapshotChunk};
 use crate::progress::{Progress, ProgressState};
 
-/// The largest snapshot that is sent in place of entries that the log still has, in bytes. Entries that have arrived stay,
-/// while an incomplete snapshot starts anew when the leader changes, so it has to be short on any link.
-const MAX_RESTART_BYTES: usize = 512 * 1024;
+/// The largest snapshot, in bytes, that is sent in place of entries that the log still has. Entries that have arrived
+/// stay, while the transfer of a snapshot starts again when the leader changes, so it has to be short on any link.
+const MAX_PREFERRED_SNAPSHOT_BYTES: usize = 512 * 1024;
 
 impl Replica {
-    /// Whether some follower is to be sent something now.
+    /// Whether anything may be sent to a follower now.
     pub(super) fn has_entries_to_send(&self) -> bool {
         let last = self.log.last().index;
-        let waits = |follower: &Progress| {
-            let in_transfer = matches!(follower.state, ProgressState::Snapshot(_));
-            follower.heartbeat_due || (follower.can_send() && (in_transfer || follower.next <= last))
+        let has_message = |follower: &Progress| {
+            let is_receiving_snapshot = matches!(follower.state, ProgressState::Snapshot(_));
+            follower.heartbeat_due
+                || (follower.can_send() && (is_receiving_snapshot || follower.next <= last))
         };
-        self.leader_state().is_some_and(|leader_state| leader_state.followers.values().any(waits))
+        self.leader_state().is_some_and(|leader_state| leader_state.followers.values().any(has_message))
     }
 
-    /// Everything that may be sent to the followers now. It does not depend on this replica's disk: the leader counts
-    /// itself for a quorum only up to what it has synced.
+    /// All messages that may be sent to the followers now. They do not depend on this replica's disk, because the
+    /// leader counts itself in a quorum only for the entries that it has synced.
     pub(super) fn entries_to_send(&mut self) -> Vec<(ReplicaId, Message)> {
         let Some(leader_state) = self.leader_state_mut() else { return Vec::new() };
         let mut followers = std::mem::take(&mut leader_state.followers);
@@ -39,17 +40,17 @@
         messages
     }
 
-    /// The next message for one follower, if anything is due.
+    /// The content of the next message to a follower, if one may be sent now.
     fn next_body(&self, follower: &mut Progress) -> Option<Body> {
         let last = self.log.last().index;
         let has_entries = follower.next <= last;
         let may_send = follower.can_send();
         if let ProgressState::Snapshot(transfer) = &mut follower.state {
-            let empty = Position::default();
-            let tick_heartbeat = follower.heartbeat_due;
+            let before_log = Position::default();
+            let heartbeat_due = follower.heartbeat_due;
             return match may_send {
-                true => Some(self.chunk(transfer)),
-                false => tick_heartbeat.then(|| self.heartbeat(empty)),
+                true => Some(self.next_chunk(transfer)),
+                false => heartbeat_due.then(|| self.heartbeat(before_log)),
             };
         }
         let Some(previous) =
@@ -71,32 +72,34 @@
         None
     }
 
-    /// Whether a follower that is known to be behind the snapshot gets there by fewer bytes with the snapshot than with the
-    /// entries that the log still has. After hundreds of changes of a large configuration these are many times longer, and
-    /// each of them has to be applied.
+    /// Whether the snapshot takes fewer bytes than the entries that a follower behind it still needs, although the log
+    /// has them. After hundreds of changes of a large configuration the entries are many times longer than the
+    /// snapshot, and the follower has to apply each of them.
     fn snapshot_is_shorter(&self, follower: &Progress) -> bool {
         let Some(snapshot) = self.log.snapshot().filter(|_| follower.is_idle()) else { return false };
-        if follower.matched >= snapshot.last.index || snapshot.bytes.len() > MAX_RESTART_BYTES {
+        if follower.matched >= snapshot.last.index || snapshot.bytes.len() > MAX_PREFERRED_SNAPSHOT_BYTES {
             return false;
         }
         self.log.bytes_between(follower.matched, snapshot.last.index)
             > snapshot.bytes.len() + crate::MAX_APPEND
     }
 
-    /// The follower needs entries that the log no longer has, or gets there sooner by the snapshot.
+    /// Starts to send the snapshot, because the log no longer has the entries that the follower needs or the snapshot
+    /// is shorter. Returns its first chunk.
     fn start_snapshot_transfer(&self, follower: &mut Progress) -> Option<Body> {
         follower.become_snapshot(self.log.snapshot()?.clone());
         let ProgressState::Snapshot(transfer) = &mut follower.state else { return None };
-        Some(self.chunk(transfer))
+        Some(self.next_chunk(transfer))
     }
 
+    /// The position of the entry before `next`, unless the log no longer has its term.
     fn position_before(&self, next: Index) -> Option<Position> {
         let index = next.previous();
         let term = self.log.term_at(index)?;
         Some(Position { term, index })
     }
 
-    /// A heartbeat also shows a follower that it missed entries: it has none at `previous` then.
+    /// Returns a heartbeat. A follower that missed entries rejects it, because its log has no such entry as `previous`.
     fn heartbeat(&self, previous: Position) -> Body {
         self.append_body(previous, Vec::new())
     }
@@ -110,7 +113,8 @@
         })
     }
 
-    fn chunk(&self, transfer: &mut crate::progress::SnapshotTransfer) -> Body {
+    /// Returns the next chunk of a snapshot and records it as sent.
+    fn next_chunk(&self, transfer: &mut crate::progress::SnapshotTransfer) -> Body {
         let chunk_range = transfer.next_chunk();
         let snapshot = &transfer.snapshot;
         Body::SnapshotChunk(SnapshotChunk {
@@ -123,7 +127,8 @@
         })
     }
 
-    /// The last message to a replica that was removed: the entries that it still lacks, as far as one message holds them.
+    /// The last append to a replica that was removed from the group: the entries that it still lacks, as many as one
+    /// message holds.
     pub(super) fn final_append(&self, replica: ReplicaId) -> Option<Body> {
         let follower = self.leader_state()?.followers.get(&replica)?;
         let first = follower.matched.next();
--- a/crates/quorum/src/replica/role.rs
+++ b/crates/quorum/src/replica/role.rs
@@ -1,4 +1,4 @@
-//! The role of a replica, with the state that belongs to it alone and is dropped with it.
+//! The role of a replica and the state that is dropped when the role ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,38 +10,40 @@
 /// The role of a replica.
 #[derive(Clone, Debug)]
 pub(crate) enum Role {
-    /// Takes entries of a leader, or waits for one.
+    /// Receives entries from a leader, or waits for one.
     Follower { leader: Option<ReplicaId> },
-    /// Asks whether it would win an election, before it starts a new term.
+    /// Asks for pre-votes, to learn whether it could win an election before it starts a new term.
     PreCandidate { granted: BTreeSet<ReplicaId> },
-    /// Asks for votes in its term.
+    /// Asks for votes in the current term.
     Candidate { granted: BTreeSet<ReplicaId> },
-    /// Won the election of its term.
+    /// Won the election of the current term.
     Leader(Box<LeaderState>),
 }
 
 /// The volatile state of a leader.
 #[derive(Clone, Debug)]
 pub(crate) struct LeaderState {
-    /// When it won the election.
+    /// When the leader won the election.
     pub(crate) since: Instant,
-    /// The index of the first entry of its own term.
+    /// The index of the first entry of the leader's own term.
     pub(crate) term_start: Index,
     pub(crate) followers: BTreeMap<ReplicaId, Progress>,
     pub(crate) next_heartbeat: Instant,
-    /// The bytes of the entries that wait for a quorum.
+    /// The size of the uncommitted entries, in bytes.
     pub(crate) uncommitted: usize,
     pub(crate) change: Option<PendingChange>,
     pub(crate) leadership_transfer: Option<LeadershipTransfer>,
-    /// Whether `TimeoutNow` was sent. From then on reads are over for the rest of the term: the election of the target
-    /// does not wait for the lease.
+    /// Whether `TimeoutNow` was sent. From then on the leader serves no reads for the rest of its term, because the
+    /// election that the target starts does not wait for the lease.
     pub(crate) lease_revoked: bool,
 }
 
-/// A change of the group whose new voters are still learning.
+/// A change of the group whose new voters are still catching up as learners.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingChange {
+    /// The voters of the new group.
     pub(crate) voters: Vec<ReplicaId>,
+    /// When the change was requested.
     pub(crate) since: Instant,
 }
 
@@ -49,6 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LeadershipTransfer {
     pub(crate) target: ReplicaId,
+    /// When the transfer is given up.
     pub(crate) deadline: Instant,
     /// Whether the target was asked to start its election.
     pub(crate) timeout_now_sent: bool,
--- a/crates/quorum/src/replica/status.rs
+++ b/crates/quorum/src/replica/status.rs
@@ -1,4 +1,4 @@
-//! Read-only accessors, and the access of the other modules to the leader's state.
+//! Read-only accessors of a replica's state, and the access of the other modules to the leader's state.
 
 use super::Replica;
 use super::role::{LeaderState, Role};
@@ -7,22 +7,23 @@
 use crate::ids::{ClusterId, Index, Position, ReplicaId, Term};
 
 impl Replica {
-    /// This replica's identity.
+    /// The id of this replica.
     pub fn identity(&self) -> ReplicaId {
         self.identity
     }
 
-    /// The newest term that it has seen.
+    /// The newest term that this replica has seen.
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// Whether it won the election of its term. That does not mean that it still leads the partition: see [`Replica::lease_holds`].
+    /// Whether this replica won the election of its term. It may not lead the partition any more all the same: see
+    /// [`Replica::lease_holds`].
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leader of the partition, as far as it knows.
+    /// The leader of the partition, as far as this replica knows.
     pub fn leader_hint(&self) -> Option<ReplicaId> {
         match &self.role {
             Role::Leader(_) => Some(self.identity),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// The newest group in its log; empty as long as it knows none.
+    /// The newest group in the log; empty while the log and the snapshot have none.
     pub fn group(&self) -> &Group {
         self.log.group()
     }
@@ -41,32 +42,32 @@
         self.log.group_index()
     }
 
-    /// The cluster that it belongs to, if any yet.
+    /// The cluster that this replica belongs to; none before it was bootstrapped or heard of a leader.
     pub fn cluster_id(&self) -> Option<ClusterId> {
         self.hard_state.cluster_id
     }
 
-    /// The highest index that it knows to be committed.
+    /// The highest index that this replica knows to be committed.
     pub fn commit_index(&self) -> Index {
         self.commit
     }
 
-    /// The end of its log.
+    /// The position of the last entry in the log.
     pub fn last(&self) -> Position {
         self.log.last()
     }
 
-    /// The last entry that its snapshot contains.
+    /// The index of the last entry that the snapshot contains.
     pub fn snapshot_index(&self) -> Index {
         self.log.snapshot_last().index
     }
 
-    /// The bytes of the entries that no snapshot contains.
+    /// The size of the entries after the snapshot, in bytes.
     pub fn log_bytes(&self) -> usize {
         self.log.uncompacted_bytes()
     }
 
-    /// An entry of the log, committed or not, while it is in memory.
+    /// An entry of the log, committed or not, if it is in memory.
     pub fn entry(&self, index: Index) -> Option<&Entry> {
         self.log.get(index)
     }
--- a/crates/quorum/src/replica/step.rs
+++ b/crates/quorum/src/replica/step.rs
@@ -1,4 +1,4 @@
-//! The inputs of the state machine: a message of a peer, and the passing of time.
+//! The inputs of the state machine: messages of peers and time.
 
 use grebeusher_time::Instant;
 
@@ -7,15 +7,17 @@
 use crate::ids::{ReplicaId, Term};
 use crate::message::{Body, Message};
 
-/// The wake-up time of a replica that waits for messages only.
+/// The wake-up time of a replica that only waits for messages.
 const NEVER: Instant = Instant(u64::MAX);
 
 impl Replica {
-    /// Processes a message. One that is for another replica, of another cluster or out of bounds is dropped.
+    /// Processes a message. It drops a message for another replica, of another cluster, or with implausible numbers or
+    /// lists.
     pub fn receive(&mut self, now: Instant, from: ReplicaId, message: Message) {
         self.advance(now);
-        let addressed = message.to == self.identity && message.from == from && from != self.identity;
-        if !addressed || !message.is_plausible() || !self.shares_cluster_id(&message) {
+        let is_for_this_replica =
+            message.to == self.identity && message.from == from && from != self.identity;
+        if !is_for_this_replica || !message.is_plausible() || !self.shares_cluster_id(&message) {
             return;
         }
         let Message { term, body, cluster_id, .. } = message;
@@ -33,7 +35,7 @@
         }
     }
 
-    /// Does what is due: heartbeats, elections, stepping down without a quorum.
+    /// Sends heartbeats, starts an election, or steps down as leader without a quorum, if that is due.
     pub fn tick(&mut self, now: Instant) {
         self.advance(now);
         match &self.role {
@@ -43,7 +45,7 @@
         }
     }
 
-    /// When [`Replica::tick`] is due next.
+    /// When [`Replica::tick`] has to be called next.
     pub fn next_wake(&self) -> Instant {
         match &self.role {
             Role::Leader(leader_state) => leader_state.next_heartbeat,
@@ -52,12 +54,13 @@
         }
     }
 
-    /// Advances the replica's time, which never goes back even if the caller's does.
+    /// Advances the replica's time. It never goes back, even if the caller's time does.
     pub(super) fn advance(&mut self, now: Instant) {
         self.now = self.now.max(now);
     }
 
-    /// A replica that belongs to no cluster yet takes messages of leaders only.
+    /// Whether a message is of this replica's cluster. A replica that belongs to no cluster yet accepts messages of
+    /// leaders only.
     fn shares_cluster_id(&self, message: &Message) -> bool {
         match self.hard_state.cluster_id {
             Some(cluster_id) => message.cluster_id == cluster_id,
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Queues a message that is sent after the next sync.
+    /// Queues a message to be sent after the next sync.
     pub(super) fn send(&mut self, to: ReplicaId, term: Term, body: Body) {
         let message = self.message(to, term, body);
         self.output.messages.push((to, message));
