--- a/crates/quorum/src/disk/error.rs
+++ b/crates/quorum/src/disk/error.rs
@@ -1,42 +1,43 @@
-//! Why the disk could not be read or written.
+//! Errors of reading and writing the disk.
 
 use std::io;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// A failure of the store.
+/// The reason why the store or the identity could not be read or written.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum StoreError {
-    /// The system refused to do something with a file or folder.
+    /// An operation on a file or folder failed.
     #[snafu(display("can't {action} {}: {source}", path.display()))]
     Io {
-        /// What was tried, as a verb.
+        /// The operation that failed, as a verb.
         action: &'static str,
         /// The file or folder.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// What was synced can't be read any more. The disk may have lost a vote or a term, so the replica must not continue
-    /// under its identity: wipe the folder.
+    /// Data that was synced can't be read any more. The disk may have lost a vote or a term, so the replica must not
+    /// continue with its id: the folder has to be wiped.
     #[snafu(display("{} is damaged: {what}", path.display()))]
     Damaged {
-        /// What is damaged.
+        /// The part that is damaged.
         what: &'static str,
         /// The file or folder.
         path: PathBuf,
     },
-    /// A newer version of this program has written what this one can't read. Nothing is lost: start the newer one.
+    /// A newer version of this program has written data that this version can't read. Nothing is lost; the newer
+    /// version has to be started.
     #[snafu(display("{} was written by a newer version of this program: {what}", path.display()))]
     NewerFormat {
-        /// What has the newer format.
+        /// The part that has the newer format.
         what: &'static str,
-        /// The file.
+        /// The file with the newer format.
         path: PathBuf,
     },
-    /// An earlier write or sync failed so that the state of the file is unknown: open the store anew.
+    /// An earlier write or sync failed, so that the content of the file is unknown. The store has to be opened again.
     #[snafu(display("the store failed before and must be opened anew"))]
     Poisoned,
 }
--- a/crates/quorum/src/disk/files.rs
+++ b/crates/quorum/src/disk/files.rs
@@ -1,4 +1,4 @@
-//! Plain steps with files, with errors that say what failed where.
+//! File operations whose errors name the operation and the path.
 
 use std::fs::{File, OpenOptions};
 use std::io::{ErrorKind, Read, Write};
@@ -8,7 +8,7 @@
 
 use super::error::{IoSnafu, StoreError};
 
-/// Creates a folder and those above it, and syncs the names.
+/// Creates a folder and its parents, and syncs its immediate parent.
 pub(super) fn create_folder(path: &Path) -> Result<(), StoreError> {
     std::fs::create_dir_all(path).context(IoSnafu { action: "create", path })?;
     if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
@@ -17,13 +17,13 @@
     Ok(())
 }
 
-/// Makes new names in a folder last.
+/// Syncs a folder, so that new file names in it survive a loss of power.
 pub(super) fn sync_folder(path: &Path) -> Result<(), StoreError> {
     let folder = File::open(path).context(IoSnafu { action: "open", path })?;
     folder.sync_all().context(IoSnafu { action: "sync", path })
 }
 
-/// The whole content of a file; nothing if there is none.
+/// Reads the whole content of a file; empty if the file does not exist.
 pub(super) fn read(path: &Path) -> Result<Vec<u8>, StoreError> {
     let mut content = Vec::new();
     match File::open(path) {
@@ -50,7 +50,7 @@
     Ok(file)
 }
 
-/// Takes away a file's content, if there is one. Not synced.
+/// Truncates a file to no bytes, if it exists. The change is not synced.
 pub(super) fn truncate(path: &Path) -> Result<(), StoreError> {
     match OpenOptions::new().write(true).open(path) {
         Ok(file) => file.set_len(0).context(IoSnafu { action: "empty", path }),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Syncs a file as it is.
+/// Syncs a file without changing it.
 pub(super) fn sync_file(path: &Path) -> Result<(), StoreError> {
     let file = File::open(path).context(IoSnafu { action: "open", path })?;
     file.sync_all().context(IoSnafu { action: "sync", path })
--- a/crates/quorum/src/disk/format.rs
+++ b/crates/quorum/src/disk/format.rs
@@ -1,31 +1,32 @@
-//! The header at the start of each file: the kind of file and the version of its format, so that a newer format is told
-//! from damage.
+//! The header at the start of a slot or identity file: the kind of file and the version of its format, by which a newer
+//! format is distinguished from damage.
 
 /// The size of a header, in bytes.
 pub(super) const HEADER_BYTES: usize = 4;
 
-/// A kind of file and the version of its format that this program writes. The version rises with each change.
+/// A kind of file and the version of its format that this program writes. The version increases with each change of the
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FileFormat {
-    /// The kind of file.
+    /// The bytes that identify the kind of file.
     pub(super) magic: [u8; 3],
-    /// A digit, or a letter after the digits are used up.
+    /// The version of the format as an ASCII digit, or as a letter once the digits are used up.
     pub(super) version: u8,
 }
 
 impl FileFormat {
-    /// The header of files of this format.
+    /// Returns the header of files of this format.
     pub(super) fn header(self) -> [u8; HEADER_BYTES] {
         let [first, second, third] = self.magic;
         [first, second, third, self.version]
     }
 
-    /// Whether a file has this format.
+    /// Whether a file with this content has this format.
     pub(super) fn matches(self, bytes: &[u8]) -> bool {
         bytes.starts_with(&self.header())
     }
 
-    /// Whether a file has a later format of the same kind.
+    /// Whether a file with this content is of the same kind and has a newer format.
     pub(super) fn is_newer(self, bytes: &[u8]) -> bool {
         let version = bytes.strip_prefix(&self.magic).and_then(<[u8]>::first);
         version.is_some_and(|version| *version > self.version && version.is_ascii_alphanumeric())
--- a/crates/quorum/src/disk/identity.rs
+++ b/crates/quorum/src/disk/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of a disk, in a small file that is kept twice.
+//! The identity of a disk, which is stored in two small files with the same content.
 
 use std::path::Path;
 
@@ -12,28 +12,30 @@
 /// The identity of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Identity {
-    /// The replica id under which this disk takes part.
+    /// The id of the replica that this disk belongs to.
     pub id: ReplicaId,
-    /// Whether the disk had it before; otherwise it was created now.
+    /// Whether the disk had the id before; otherwise it was created now.
     pub existed: bool,
 }
 
-/// "GQI1" starts an identity file. In every format the last four bytes are the checksum of all before.
+/// The format of an identity file, whose header is "GQI1". In every format the last four bytes are the checksum of all
+/// bytes before them.
 const FORMAT: FileFormat = FileFormat { magic: *b"GQI", version: b'1' };
 
-/// The checksum.
+/// The size of the checksum, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Header, identity and checksum.
-const BYTES: usize = HEADER_BYTES + 8 + CHECKSUM_BYTES;
+/// The size of an identity file, in bytes: header, id and checksum.
+const FILE_BYTES: usize = HEADER_BYTES + 8 + CHECKSUM_BYTES;
 
 impl Identity {
-    /// The identity in `folder`; if there is none, it becomes `random`, synced in both copies before it is returned.
+    /// Loads the identity from `folder`. If there is none, it creates one with the id `random` and syncs both copies
+    /// before it returns.
     ///
     /// # Errors
     ///
-    /// When the disk refuses, when a newer version of this program has written the identity, or when both copies are
-    /// damaged though one was complete once: such a disk is to be wiped.
+    /// When the disk returns an error, when a newer version of this program has written the identity, or when both
+    /// copies are damaged although one was complete before: such a disk has to be wiped.
     pub fn load_or_create(folder: &Path, random: u64) -> Result<Identity, StoreError> {
         files::create_folder(folder)?;
         let copies = [folder.join("identity-0"), folder.join("identity-1")];
@@ -41,27 +43,27 @@
         if let Some(newer) = contents.iter().position(|content| is_newer(content)) {
             return NewerFormatSnafu { what: "the identity", path: &copies[newer] }.fail();
         }
-        let known = contents.iter().find_map(|content| decode(content));
-        let id = match known {
+        let stored_id = contents.iter().find_map(|content| decode(content));
+        let id = match stored_id {
             Some(id) => id,
-            // The second copy is begun only when the first one is synced.
+            // The second copy is written only after the first one is synced, so the first one was never complete.
             None if contents[1].is_empty() => ReplicaId(random),
             None => return DamagedSnafu { what: "no copy of the identity is whole", path: folder }.fail(),
         };
         for (copy, content) in copies.iter().zip(&contents) {
-            // A process that ended between write and sync leaves a copy that is readable but not yet safe.
+            // A process that ended between write and sync leaves a copy that is readable but not synced.
             match decode(content) == Some(id) {
                 true => files::sync_file(copy)?,
                 false => drop(files::replace(copy, &encode(id))?),
             }
             files::sync_folder(folder)?;
         }
-        Ok(Identity { id, existed: known.is_some() })
+        Ok(Identity { id, existed: stored_id.is_some() })
     }
 }
 
 fn encode(id: ReplicaId) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(BYTES);
+    let mut bytes = Vec::with_capacity(FILE_BYTES);
     bytes.extend_from_slice(&FORMAT.header());
     id.ser_bin(&mut bytes);
     crc32fast::hash(&bytes).ser_bin(&mut bytes);
@@ -69,7 +71,7 @@
 }
 
 fn decode(bytes: &[u8]) -> Option<ReplicaId> {
-    let content: &[u8; BYTES] = bytes.try_into().ok()?;
+    let content: &[u8; FILE_BYTES] = bytes.try_into().ok()?;
     let mut offset = HEADER_BYTES;
     let id = ReplicaId::de_bin(&mut offset, content).ok()?;
     (encode(id) == content).then_some(id)
--- a/crates/quorum/src/disk/records.rs
+++ b/crates/quorum/src/disk/records.rs
@@ -1,18 +1,18 @@
-//! The log's file: a chain of records, each with its length and a checksum over all before it.
+//! The records of a log file. Each has its length and a checksum that covers it and all records before it.
 
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
 use crate::blob::{read_list, write_list};
 use crate::entry::{Entry, HardState};
 
-/// One record of the log's file.
+/// One record of a log file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Record {
-    /// The first record: the log holds all that the generation began with.
+    /// The first record, with all that the log holds when the generation begins.
     Base { generation: u64, hard_state: HardState, entries: Vec<Entry> },
     /// The hard state, in place of all earlier ones.
     HardState(HardState),
-    /// Entries that replace everything from the first one's index on.
+    /// Entries without gaps, which replace all entries from the index of the first one on.
     Entries(Vec<Entry>),
 }
 
@@ -20,10 +20,10 @@
 const HARD_STATE: u8 = 2;
 const ENTRIES: u8 = 3;
 
-/// Length and checksum.
+/// The size of a record's length and checksum, in bytes.
 const PREFIX_BYTES: usize = 8;
 
-/// Index, term and the payload's kind.
+/// The size of the smallest entry, in bytes: 8 for its index, 8 for its term and 1 for the kind of its payload.
 const MIN_ENTRY_BYTES: usize = 17;
 
 impl SerBin for Record {
@@ -62,17 +62,17 @@
     }
 }
 
-/// A record whose checksum holds but that this program can't read.
+/// The error of a record whose checksum is right but that this program can't read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct UnknownRecord;
 
-/// A record that was read back.
+/// A record that was read and whose checksum is right.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct VerifiedRecord {
     pub(super) record: Record,
-    /// The checksum chain after it.
+    /// The checksum chain after the record.
     pub(super) chain: ChecksumChain,
-    /// Its size in the file, in bytes.
+    /// The size of the record in the file, in bytes.
     pub(super) size: usize,
 }
 
@@ -81,9 +81,11 @@
 pub(super) struct ChecksumChain(u32);
 
 impl ChecksumChain {
-    /// The start of a chain. The first record holds the generation, so that all later checksums depend on it.
+    /// The start of a chain. The first record has the number of the generation, so that all later checksums depend on
+    /// it.
     pub(super) const START: ChecksumChain = ChecksumChain(0);
 
+    /// Returns the chain after a record with this content.
     fn extend(self, content: &[u8]) -> ChecksumChain {
         let mut hasher = crc32fast::Hasher::new_with_initial(self.0);
         hasher.update(&(content.len() as u64).to_le_bytes());
@@ -91,7 +93,7 @@
         ChecksumChain(hasher.finalize())
     }
 
-    /// Appends a record in its binary form and returns the chain after it.
+    /// Appends the binary form of a record to `output` and returns the chain after the record.
     pub(super) fn write(self, record: &Record, output: &mut Vec<u8>) -> ChecksumChain {
         let content = record.serialize_bin();
         let next = self.extend(&content);
@@ -101,12 +103,12 @@
         next
     }
 
-    /// Reads the record at the start of `bytes`. None if it is torn, or left over from something else.
+    /// Reads the record at the start of `bytes`. None if it is torn or left over from an earlier write.
     ///
     /// # Errors
     ///
-    /// The record's checksum holds, but its kind is unknown: a newer program has written it, and it must not be taken
-    /// for a torn end.
+    /// When the record's checksum is right but its kind is unknown: a newer version of this program has written it, and
+    /// it must not be taken for a torn end.
     pub(super) fn read(self, bytes: &[u8]) -> Result<Option<VerifiedRecord>, UnknownRecord> {
         let Some(content) = self.verified_content(bytes) else { return Ok(None) };
         let mut offset = 0;
@@ -119,7 +121,7 @@
         }
     }
 
-    /// The content of the record at the start of `bytes`, if its checksum holds.
+    /// The content of the record at the start of `bytes`, if its checksum is right.
     fn verified_content(self, bytes: &[u8]) -> Option<&[u8]> {
         let mut offset = 0;
         let length = u32::de_bin(&mut offset, bytes).ok()? as usize;
--- a/crates/quorum/src/disk/store.rs
+++ b/crates/quorum/src/disk/store.rs
@@ -1,4 +1,4 @@
-//! The store of one partition: opening, appending, and starting a new generation.
+//! The store of one partition, which is opened, appended to, and moved to a new generation.
 
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -14,37 +14,41 @@
 use super::slot::Slot;
 use crate::entry::{Entry, HardState, RestoredState, Snapshot, Write};
 
-/// The first generation; its slot has no snapshot.
+/// The number of the first generation, whose slot has no snapshot.
 const FIRST_GENERATION: u64 = 1;
 
 /// The files of one partition.
 #[derive(Debug)]
 pub struct Store {
     folder: PathBuf,
+    /// The active generation.
     generation: u64,
     log: LogFile,
+    /// Whether a write or sync failed so that the content of the files is unknown.
     poisoned: bool,
 }
 
-/// The log's file of the active generation.
+/// The log file of the active generation.
 #[derive(Debug)]
 struct LogFile {
     path: PathBuf,
     file: File,
-    /// The complete records, in bytes.
+    /// The size of the complete records, in bytes.
     length: u64,
+    /// The checksum chain after the last record.
     chain: ChecksumChain,
-    /// Something was written since the last sync.
+    /// Whether something was written since the last sync.
     dirty: bool,
 }
 
 impl Store {
-    /// Opens the files in `folder`, which belongs to this store alone, and creates them if there are none. What is
-    /// returned is synced: a torn end of the log has been cut off, and a generation that was not finished is left out.
+    /// Opens the files in `folder`, which belongs to this store alone, and creates them if there are none. The returned
+    /// state is synced. A torn end of the log is cut off, and a generation that was not completed is ignored.
     ///
     /// # Errors
     ///
-    /// When the disk returns an error, what was synced once can't be read, or a newer version of this program has written it.
+    /// When the disk returns an error, data that was synced can't be read, or a newer version of this program has
+    /// written it.
     pub fn open(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         files::create_folder(folder)?;
         match recovery::newest_generation(folder)? {
@@ -53,18 +57,20 @@
         }
     }
 
-    /// Opens the files after a write or sync has failed in this process, and writes all of them anew: the system may
-    /// take for synced what it could not write once, so that syncing the same files again proves nothing.
+    /// Opens the files after a write or sync has failed in this process, and writes the complete state again. The
+    /// operating system may count data that it failed to write as synced, so a successful sync of the same files proves
+    /// nothing.
     ///
     /// # Errors
     ///
-    /// As [`Store::open`], and when the disk still fails.
+    /// The same as for [`Store::open`], and when the disk still returns an error.
     pub fn open_after_failure(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         let (mut store, restored) = Store::open(folder)?;
         store.begin_generation(restored.snapshot.clone(), restored.hard_state, restored.entries.clone())?;
         Ok((store, restored))
     }
 
+    /// Creates the files of the first generation.
     fn create(folder: &Path) -> Result<(Store, RestoredState), StoreError> {
         let log = begin_log(folder, FIRST_GENERATION, HardState::default(), Vec::new())?;
         write_slot(folder, Slot { generation: FIRST_GENERATION, snapshot: None })?;
@@ -72,8 +78,8 @@
         Ok((store, RestoredState::default()))
     }
 
-    /// Opens a generation that was found complete. A process that ended between write and sync leaves files that
-    /// are readable but not yet safe, so they are synced first.
+    /// Opens a generation that is complete. A process that ended between write and sync leaves files that are readable
+    /// but not synced, so they are synced first.
     fn resume(folder: &Path, found: Generation) -> Result<(Store, RestoredState), StoreError> {
         let Generation { slot, log: content } = found;
         let generation = slot.generation;
@@ -94,24 +100,25 @@
         Ok((Store { folder: folder.to_owned(), generation, log, poisoned: false }, restored))
     }
 
-    /// Writes a batch, in one write of the file; the records are durable once [`Store::sync`] has returned. A
-    /// snapshot is synced right here.
+    /// Writes a batch with one write to the log file. The records are durable once [`Store::sync`] has returned. A
+    /// snapshot is synced by this call already.
     ///
     /// # Errors
     ///
-    /// When the disk is full or fails. What was there before is unharmed, and the same batch may be tried again, unless
-    /// the error is [`StoreError::Poisoned`] then.
+    /// When the disk is full or returns an error. Earlier writes are unaffected, and the same batch may be written
+    /// again, unless that returns [`StoreError::Poisoned`].
     pub fn write(&mut self, writes: &[Write]) -> Result<(), StoreError> {
         ensure!(!self.poisoned, PoisonedSnafu);
-        let newest = writes.iter().rposition(|write| matches!(write, Write::Snapshot { .. }));
-        if let Some(Write::Snapshot { snapshot, hard_state, entries }) = newest.and_then(|at| writes.get(at))
+        let newest_snapshot = writes.iter().rposition(|write| matches!(write, Write::Snapshot { .. }));
+        if let Some(Write::Snapshot { snapshot, hard_state, entries }) =
+            newest_snapshot.and_then(|position| writes.get(position))
         {
             self.begin_generation(Some(snapshot.clone()), *hard_state, entries.clone())?;
         }
-        let appended = &writes[newest.map_or(0, |at| at + 1)..];
+        let after_snapshot = &writes[newest_snapshot.map_or(0, |position| position + 1)..];
         let mut bytes = Vec::new();
         let mut chain = self.log.chain;
-        for record in appended.iter().filter_map(to_record) {
+        for record in after_snapshot.iter().filter_map(to_record) {
             chain = chain.write(&record, &mut bytes);
         }
         if bytes.is_empty() {
@@ -120,11 +127,11 @@
         self.append(&bytes, chain)
     }
 
-    /// Makes everything that was written durable.
+    /// Makes all earlier writes durable.
     ///
     /// # Errors
     ///
-    /// When the disk fails. What the file holds is unknown then, and the store accepts no more writes.
+    /// When the disk returns an error. The content of the file is unknown then, and the store accepts no more writes.
     pub fn sync(&mut self) -> Result<(), StoreError> {
         ensure!(!self.poisoned, PoisonedSnafu);
         if !self.log.dirty {
@@ -136,16 +143,18 @@
         synced.context(IoSnafu { action: "sync", path: &self.log.path })
     }
 
-    /// The size of the log's file, in bytes.
+    /// The size of the log file, in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log.length
     }
 
+    /// Writes records to the end of the log file, without a sync.
     fn append(&mut self, bytes: &[u8], chain: ChecksumChain) -> Result<(), StoreError> {
         let log = &mut self.log;
         log.dirty = true;
         if let Err(error) = log.file.write_all_at(bytes, log.length) {
-            // No partial record may stay: a later one would follow it. If the cut fails too, the store accepts no more writes.
+            // A partial record must not stay, because later records would follow it. If it can't be cut off, the store
+            // accepts no more writes.
             self.poisoned = log.file.set_len(log.length).is_err();
             return Err(error).context(IoSnafu { action: "write", path: &log.path });
         }
@@ -154,7 +163,8 @@
         Ok(())
     }
 
-    /// Writes the complete state as a new generation. Its log comes first: writing the slot activates the generation.
+    /// Writes the complete state as a new generation. Its log is written first, because writing the slot activates the
+    /// generation.
     fn begin_generation(
         &mut self,
         snapshot: Option<Snapshot>,
@@ -163,7 +173,7 @@
     ) -> Result<(), StoreError> {
         let generation = self.generation + 1;
         let log = begin_log(&self.folder, generation, hard_state, entries)?;
-        // When this fails, the generation may be active or not; only opening anew can tell.
+        // If this fails, it is unknown whether the generation is active until the store is opened again.
         self.poisoned = true;
         write_slot(&self.folder, Slot { generation, snapshot })?;
         self.poisoned = false;
@@ -173,14 +183,15 @@
     }
 }
 
-/// Frees the space of the generation before the active one, which is complete and synced. Nothing reads it again, so this
-/// need not be durable.
+/// Frees the space of the generation before the active one. The active one is complete and synced, so the other is not
+/// needed any more, and this need not be durable.
 fn truncate_other_generation(folder: &Path, active: u64) -> Result<(), StoreError> {
     let other = active + 1;
     files::truncate(&slot_path(folder, other))?;
     files::truncate(&log_path(folder, other))
 }
 
+/// Returns the record for a write to the log; none for a snapshot, which begins a new generation.
 fn to_record(write: &Write) -> Option<Record> {
     match write {
         Write::HardState(hard_state) => Some(Record::HardState(*hard_state)),
@@ -189,11 +200,13 @@
     }
 }
 
+/// Writes and syncs the slot file of a generation, which activates the generation.
 fn write_slot(folder: &Path, slot: Slot) -> Result<(), StoreError> {
     files::replace(&slot_path(folder, slot.generation), &slot.to_bytes())?;
     files::sync_folder(folder)
 }
 
+/// Writes and syncs the log file of a new generation.
 fn begin_log(
     folder: &Path,
     generation: u64,
