--- a/crates/quorum/tests/codec.rs
+++ b/crates/quorum/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The binary form of messages: intact, truncated, corrupted and made up.
+//! The binary form of messages: complete, truncated, corrupted and random ones.
 
 use grebeusher_quorum::{
     Append, AppendOutcome, AppendResponse, Blob, Body, ClusterId, DecodeError, Entry, Group, Index,
@@ -32,8 +32,8 @@
     (position(), 0..20u64, 0..50u64, vec((payload(), 0..2u64), 0..5)).prop_map(
         |(previous, commit, sent, payloads)| {
             let mut last = previous;
-            let entries = payloads.into_iter().map(|(payload, later)| {
-                last = Position { term: Term(last.term.0 + later), index: last.index.next() };
+            let entries = payloads.into_iter().map(|(payload, term_increase)| {
+                last = Position { term: Term(last.term.0 + term_increase), index: last.index.next() };
                 Entry { index: last.index, term: last.term, payload }
             });
             Append {
@@ -48,8 +48,8 @@
 
 fn chunk() -> impl Strategy<Value = SnapshotChunk> {
     (position(), group(), vec(any::<u8>(), 0..40), 0..30u64, 0..30u64).prop_map(
-        |(last, group, bytes, offset, rest)| {
-            let total = offset + bytes.len() as u64 + rest;
+        |(last, group, bytes, offset, remaining_bytes)| {
+            let total = offset + bytes.len() as u64 + remaining_bytes;
             let last = Position { index: last.index.next(), ..last };
             SnapshotChunk { last, group, total, offset, bytes: Blob::from(bytes), sent: LeaderTimestamp(3) }
         },
@@ -85,22 +85,23 @@
     ]
 }
 
-const FOUNDING: ClusterId = ClusterId(77);
+const CLUSTER_ID: ClusterId = ClusterId(77);
 
 fn message() -> impl Strategy<Value = Message> {
     (2..5u64, 1..12u64, body()).prop_map(|(from, term, body)| Message {
         from: ReplicaId(from),
         to: ReplicaId(1),
-        cluster_id: FOUNDING,
+        cluster_id: CLUSTER_ID,
         term: Term(term),
         body,
     })
 }
 
-/// What a test does with a replica.
+/// One call or a wait in a test of a replica.
 #[derive(Clone, Debug)]
 enum Step {
     Receive(Message),
+    /// Waits for a time in milliseconds.
     Wait(u64),
     Work,
     Propose,
@@ -136,9 +137,9 @@
     #[test]
     fn message_round_trips(message in message()) {
         let bytes = encode(&message);
-        // Made-up terms may lie below those of the entries; such a message is rejected.
+        // The random term of a message may be lower than those of its entries. Such a message is rejected.
         match decode(&bytes) {
-            Ok(read) => prop_assert_eq!(read, message),
+            Ok(decoded) => prop_assert_eq!(decoded, message),
             Err(error) => prop_assert!(matches!(error, DecodeError::Implausible)),
         }
     }
@@ -149,21 +150,21 @@
     }
 
     #[test]
-    fn a_corrupted_message_does_not_panic(message in message(), bends in vec((any::<prop::sample::Index>(), any::<u8>()), 1..4), cut in any::<prop::sample::Index>()) {
+    fn a_corrupted_message_does_not_panic(message in message(), corruptions in vec((any::<prop::sample::Index>(), any::<u8>()), 1..4), cut in any::<prop::sample::Index>()) {
         let mut bytes = encode(&message);
-        for (at, value) in bends {
-            let at = at.index(bytes.len());
-            bytes[at] = value;
+        for (position, value) in corruptions {
+            let position = position.index(bytes.len());
+            bytes[position] = value;
         }
         let _ = decode(&bytes);
         bytes.truncate(cut.index(bytes.len()));
         let _ = decode(&bytes);
     }
 
-    /// Whatever arrives, in whatever order: no panic, and what a replica takes for committed only grows.
+    /// No sequence of messages makes a replica panic or decreases its commit index.
     #[test]
     fn no_message_panics_a_replica(steps in vec(step(), 1..60), seed in any::<u64>()) {
-        let hard_state = grebeusher_quorum::HardState { term: Term(1), cluster_id: Some(FOUNDING), ..Default::default() };
+        let hard_state = grebeusher_quorum::HardState { term: Term(1), cluster_id: Some(CLUSTER_ID), ..Default::default() };
         let voters = Group::of((1..4).map(ReplicaId));
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(voters) };
         let restored = RestoredState { hard_state, snapshot: None, entries: vec![entry] };
@@ -198,7 +199,7 @@
 
 #[test]
 fn list_count_beyond_the_input_is_rejected_before_allocation() {
-    // Given an append whose count of entries is bent to the most that fits its field
+    // Given an append whose count of entries is replaced by the largest number of its field
     let append = Append {
         previous: Position::default(),
         commit: Index(0),
@@ -208,14 +209,14 @@
     let message = Message {
         from: ReplicaId(2),
         to: ReplicaId(1),
-        cluster_id: FOUNDING,
+        cluster_id: CLUSTER_ID,
         term: Term(1),
         body: Body::Append(append),
     };
     let mut bytes = encode(&message);
     let count = bytes.len() - 4;
     bytes[count..].copy_from_slice(&u32::MAX.to_le_bytes());
-    // Then it is rejected; room for the entries would be hundreds of gigabytes, and the test would not end
+    // Then it is rejected. Memory for that many entries would be hundreds of gigabytes, and the test would not end
     assert!(matches!(decode(&bytes), Err(DecodeError::Malformed { .. })));
 }
 
@@ -224,7 +225,7 @@
     let message = Message {
         from: ReplicaId(2),
         to: ReplicaId(1),
-        cluster_id: FOUNDING,
+        cluster_id: CLUSTER_ID,
         term: Term(1),
         body: Body::TimeoutNow,
     };
@@ -233,17 +234,17 @@
     assert!(matches!(decode(&bytes), Err(DecodeError::Trailing { extra: 1 })));
     bytes.resize(MAX_MESSAGE + 1, 0);
     assert!(matches!(decode(&bytes), Err(DecodeError::TooLarge { .. })));
-    let far = Message { term: Term(u64::MAX), ..message };
-    assert!(matches!(decode(&encode(&far)), Err(DecodeError::Implausible)));
+    let implausible = Message { term: Term(u64::MAX), ..message };
+    assert!(matches!(decode(&encode(&implausible)), Err(DecodeError::Implausible)));
 }
 
-/// Memory: the application keeps the bytes of an entry as they are, and not a copy.
+/// An application that keeps the bytes of an entry shares their memory with the log.
 #[test]
 fn blob_shares_its_bytes() {
     let bytes: std::sync::Arc<[u8]> = vec![1, 2, 3].into();
     let blob = Blob::from(bytes.clone());
     assert_eq!(std::sync::Arc::strong_count(&bytes), 2);
-    let again = std::sync::Arc::<[u8]>::from(blob.clone());
-    assert!(std::sync::Arc::ptr_eq(&again, &bytes));
+    let kept_bytes = std::sync::Arc::<[u8]>::from(blob.clone());
+    assert!(std::sync::Arc::ptr_eq(&kept_bytes, &bytes));
     assert_eq!(blob.as_slice(), [1, 2, 3]);
 }
--- a/crates/quorum/tests/disk.rs
+++ b/crates/quorum/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The files on disk: restarts, torn ends, unfinished generations, full disks and damage.
+//! The files on disk: restarts, torn ends, incomplete generations, full disks and damage.
 
 mod folder;
 
@@ -16,8 +16,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// An empty folder, in memory where the system has such, because thousands are synced. What a sync is worth is not
-/// tested here: the tests bend the files themselves.
+/// Returns a hard state in `term` with a vote. The tests don't check that a sync makes data durable; they truncate and
+/// corrupt the files themselves.
 fn hard_state(term: u64) -> HardState {
     HardState {
         term: Term(term),
@@ -40,8 +40,8 @@
     }
 }
 
-/// What the writes should have come to.
-fn fold(state: &mut RestoredState, write: &Write) {
+/// Applies a write to the state that is expected on disk.
+fn apply_write(state: &mut RestoredState, write: &Write) {
     match write {
         Write::HardState(hard_state) => state.hard_state = *hard_state,
         Write::Entries(entries) => {
@@ -59,17 +59,19 @@
     }
 }
 
-fn folded(writes: &[Write]) -> RestoredState {
+/// Returns the state that is expected on an empty disk after these writes.
+fn state_after(writes: &[Write]) -> RestoredState {
     let mut state = RestoredState::default();
-    writes.iter().for_each(|write| fold(&mut state, write));
+    writes.iter().for_each(|write| apply_write(&mut state, write));
     state
 }
 
+/// Opens the store in a folder and returns its state.
 fn reopened(folder: &Path) -> RestoredState {
-    Store::open(folder).expect("the file can be read").1
+    Store::open(folder).expect("the files can be read").1
 }
 
-/// A copy of a folder in another one, to be bent.
+/// Copies a folder into a new one, whose files a test then changes.
 fn copy_of(folder: &Path) -> tempfile::TempDir {
     let copy = new_folder();
     for file in std::fs::read_dir(folder).expect("the folder can be listed") {
@@ -79,22 +81,22 @@
     copy
 }
 
-fn read(folder: &Path, name: &str) -> Vec<u8> {
+fn read_file(folder: &Path, name: &str) -> Vec<u8> {
     std::fs::read(folder.join(name)).unwrap_or_default()
 }
 
-/// Which of these files hold anything.
+/// Returns those of these files that are not empty.
 fn with_content<'a>(folder: &Path, names: [&'a str; 2]) -> Vec<&'a str> {
-    names.into_iter().filter(|name| !read(folder, name).is_empty()).collect()
+    names.into_iter().filter(|name| !read_file(folder, name).is_empty()).collect()
 }
 
-fn put(folder: &Path, name: &str, bytes: &[u8]) {
+fn write_file(folder: &Path, name: &str, bytes: &[u8]) {
     std::fs::write(folder.join(name), bytes).expect("the file can be written");
 }
 
 #[test]
 fn writes_survive_a_restart() {
-    // Given a store that was written to, also over entries that were there
+    // Given a store to which entries were written, some of which replace earlier ones
     let folder = new_folder();
     let (mut store, restored) = Store::open(folder.path()).expect("the folder is empty");
     assert_eq!(restored, RestoredState::default());
@@ -106,9 +108,9 @@
     ];
     store.write(&writes).expect("the disk has room");
     store.sync().expect("the disk works");
-    // When it is opened anew, it is all there; and again after more
+    // When it is opened again, then it has all of them, also after another write
     let (mut store, restored) = Store::open(folder.path()).expect("the files are complete");
-    assert_eq!(restored, folded(&writes));
+    assert_eq!(restored, state_after(&writes));
     store.write(&[Write::Entries(vec![entry(3, 2, 1)])]).expect("the disk has room");
     store.sync().expect("the disk works");
     assert_eq!(reopened(folder.path()).entries, [entry(1, 1, 10), entry(2, 2, 7), entry(3, 2, 1)]);
@@ -119,7 +121,7 @@
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("the folder is empty");
     for round in 1..8u64 {
-        // Given a batch whose snapshot makes what comes before it void
+        // Given a batch with a snapshot that replaces the writes before it
         let writes = [
             Write::Entries(vec![entry(round * 10, 1, 3)]),
             Write::Snapshot {
@@ -131,23 +133,24 @@
         ];
         store.write(&writes).expect("the disk has room");
         store.sync().expect("the disk works");
-        // Then a restart finds the newest
-        let (again, restored) = Store::open(folder.path()).expect("the files are complete");
-        assert_eq!(restored, folded(&writes));
-        store = again;
+        // Then a restart finds the newest generation
+        let (reopened_store, restored) = Store::open(folder.path()).expect("the files are complete");
+        assert_eq!(restored, state_after(&writes));
+        store = reopened_store;
     }
-    // And the files of two generations are all there is
+    // And the folder has only the 4 files of two generations
     assert_eq!(std::fs::read_dir(folder.path()).expect("the folder can be listed").count(), 4);
 }
 
-/// A store with something synced, and two batches after it that are not. The synced size of its log.
+/// Creates a store with synced writes and two batches of unsynced ones. Returns the synced writes, the unsynced ones,
+/// and the synced size of the log in bytes.
 fn with_unsynced_tail(folder: &Path) -> (Vec<Write>, Vec<Write>, usize) {
     let (mut store, _) = Store::open(folder).expect("the folder is empty");
     let synced =
         vec![Write::HardState(hard_state(1)), Write::Entries(vec![entry(1, 1, 20), entry(2, 1, 20)])];
     store.write(&synced).expect("the disk has room");
     store.sync().expect("the disk works");
-    let size = read(folder, "log-1").len();
+    let size = read_file(folder, "log-1").len();
     let first = vec![Write::HardState(hard_state(2)), Write::Entries(vec![entry(2, 2, 30)])];
     let second = vec![Write::Entries(vec![entry(3, 2, 30)]), Write::HardState(hard_state(3))];
     store.write(&first).expect("the disk has room");
@@ -155,19 +158,20 @@
     (synced, [first, second].concat(), size)
 }
 
-/// Whatever a loss of power left, it is what was synced and some of the records after it, in order.
+/// Asserts that the state is that of the synced writes and the first few of the unsynced ones, and that the store can
+/// be written to.
 fn assert_is_a_prefix(folder: &Path, synced: &[Write], unsynced: &[Write]) {
     let restored = reopened(folder);
-    let possible = (0..=unsynced.len()).map(|kept| folded(&[synced, &unsynced[..kept]].concat()));
+    let possible = (0..=unsynced.len()).map(|kept| state_after(&[synced, &unsynced[..kept]].concat()));
     assert!(possible.into_iter().any(|state| state == restored), "{restored:?}");
-    // And it can be gone on with, and read again
+    // The store can be written to and read again.
     let (mut store, _) = Store::open(folder).expect("the files are complete");
-    assert_eq!(read(folder, "log-1").len() as u64, store.log_bytes(), "the rest is cut off");
-    let more = Write::Entries(vec![entry(restored.entries.len() as u64 + 1, 9, 9)]);
-    store.write(std::slice::from_ref(&more)).expect("the disk has room");
+    assert_eq!(read_file(folder, "log-1").len() as u64, store.log_bytes(), "the torn end must be cut off");
+    let next_write = Write::Entries(vec![entry(restored.entries.len() as u64 + 1, 9, 9)]);
+    store.write(std::slice::from_ref(&next_write)).expect("the disk has room");
     store.sync().expect("the disk works");
     let mut expected = restored;
-    fold(&mut expected, &more);
+    apply_write(&mut expected, &next_write);
     assert_eq!(reopened(folder), expected);
 }
 
@@ -175,10 +179,10 @@
 fn truncated_log_is_cut_to_complete_records() {
     let folder = new_folder();
     let (synced, unsynced, size) = with_unsynced_tail(folder.path());
-    let log = read(folder.path(), "log-1");
+    let log = read_file(folder.path(), "log-1");
     for end in size..=log.len() {
         let copy = copy_of(folder.path());
-        put(copy.path(), "log-1", &log[..end]);
+        write_file(copy.path(), "log-1", &log[..end]);
         assert_is_a_prefix(copy.path(), &synced, &unsynced);
     }
 }
@@ -187,15 +191,15 @@
 fn log_with_a_hole_ends_before_it() {
     let folder = new_folder();
     let (synced, unsynced, size) = with_unsynced_tail(folder.path());
-    let log = read(folder.path(), "log-1");
+    let log = read_file(folder.path(), "log-1");
     for start in size..log.len() {
         for length in [1, 8, 40, log.len()] {
-            // Given a later write that is there while an earlier one is missing
-            let mut bent = log.clone();
+            // Given a log in which an earlier write is missing and a later one may be complete
+            let mut damaged_log = log.clone();
             let end = (start + length).min(log.len());
-            bent[start..end].fill(0);
+            damaged_log[start..end].fill(0);
             let copy = copy_of(folder.path());
-            put(copy.path(), "log-1", &bent);
+            write_file(copy.path(), "log-1", &damaged_log);
             assert_is_a_prefix(copy.path(), &synced, &unsynced);
         }
     }
@@ -203,10 +207,10 @@
 
 #[test]
 fn leftovers_of_an_earlier_log_are_not_read() {
-    // Given a log of generation 3 in the file of generation 1, whose cut was lost, so that old records follow it
+    // Given a log of generation 3 in the file of generation 1 whose truncation was lost, so that old records follow it
     let folder = new_folder();
     let (synced, unsynced, _) = with_unsynced_tail(folder.path());
-    let old = read(folder.path(), "log-1");
+    let old = read_file(folder.path(), "log-1");
     let (mut store, _) = Store::open(folder.path()).expect("the files are complete");
     for round in 1..=2 {
         let state = Write::Snapshot {
@@ -216,24 +220,24 @@
         };
         store.write(&[state]).expect("the disk has room");
     }
-    let new = read(folder.path(), "log-1");
+    let new = read_file(folder.path(), "log-1");
     let restored = reopened(folder.path());
     drop((synced, unsynced));
-    for left in 0..old.len() {
+    for offset in 0..old.len() {
         let copy = copy_of(folder.path());
-        put(copy.path(), "log-1", &[&new, &old[left..]].concat());
+        write_file(copy.path(), "log-1", &[&new, &old[offset..]].concat());
         assert_eq!(reopened(copy.path()), restored);
     }
 }
 
-/// The next generation's log or slot, as a loss of power may leave it; that those before it were emptied may have lasted
-/// or not.
+/// Tests every state in which a loss of power may leave the log and the slot of the next generation. The truncation of
+/// the older files with the same names may be durable or not.
 #[rstest]
 fn unfinished_generation_leaves_the_previous_one_active(
     #[values(0, 1, 2)] rounds_before: u64,
-    #[values(false, true)] emptying_lasted: bool,
+    #[values(false, true)] truncation_survived: bool,
 ) {
-    // Given a store some generations on, and the files before and after the next one
+    // Given a store after some generations, and its files before and after the next generation
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("the folder is empty");
     let generation = |round: u64| Write::Snapshot {
@@ -241,9 +245,9 @@
         hard_state: hard_state(round),
         entries: vec![entry(round * 10 + 1, round, 9)],
     };
-    let mut former = new_folder();
+    let mut previous_copy = new_folder();
     for round in 1..=rounds_before {
-        former = copy_of(folder.path());
+        previous_copy = copy_of(folder.path());
         store.write(&[generation(round)]).expect("the disk has room");
     }
     let index = rounds_before * 10 + if rounds_before == 0 { 1 } else { 2 };
@@ -252,40 +256,41 @@
     let before = copy_of(folder.path());
     let parity = (rounds_before + 2) % 2;
     let (log, slot) = (format!("log-{parity}"), format!("slot-{parity}"));
-    if !emptying_lasted && rounds_before > 0 {
-        put(before.path(), &log, &read(former.path(), &log));
-        put(before.path(), &slot, &read(former.path(), &slot));
+    if !truncation_survived && rounds_before > 0 {
+        write_file(before.path(), &log, &read_file(previous_copy.path(), &log));
+        write_file(before.path(), &slot, &read_file(previous_copy.path(), &slot));
     }
     let state_before = reopened(copy_of(before.path()).path());
     store.write(&[generation(rounds_before + 1)]).expect("the disk has room");
     let state_after = reopened(copy_of(folder.path()).path());
-    let (new_log, new_slot) = (read(folder.path(), &log), read(folder.path(), &slot));
-    let old_log = read(before.path(), &log);
-    // When power goes while the log is written: some of it, or the old one's rest behind it
+    let (new_log, new_slot) = (read_file(folder.path(), &log), read_file(folder.path(), &slot));
+    let old_log = read_file(before.path(), &log);
+    // When power is lost while the log is written, so that a part of it is there, possibly followed by the rest of the
+    // old one
     for end in 0..=new_log.len() {
         for rest in [&[][..], old_log.get(end..).unwrap_or_default()] {
             let copy = copy_of(before.path());
-            put(copy.path(), &log, &[&new_log[..end], rest].concat());
+            write_file(copy.path(), &log, &[&new_log[..end], rest].concat());
             assert_eq!(reopened(copy.path()), state_before);
         }
     }
-    // When power goes while the slot is written, the log being synced
+    // When power is lost while the slot is written, after the log was synced
     for end in 0..new_slot.len() {
         let copy = copy_of(before.path());
-        put(copy.path(), &log, &new_log);
-        put(copy.path(), &slot, &new_slot[..end]);
+        write_file(copy.path(), &log, &new_log);
+        write_file(copy.path(), &slot, &new_slot[..end]);
         assert_eq!(reopened(copy.path()), state_before);
     }
     // Then only the complete slot activates the new generation
     let copy = copy_of(before.path());
-    put(copy.path(), &log, &new_log);
-    put(copy.path(), &slot, &new_slot);
+    write_file(copy.path(), &log, &new_log);
+    write_file(copy.path(), &slot, &new_slot);
     assert_eq!(reopened(copy.path()), state_after);
 }
 
 #[test]
 fn new_generation_frees_the_previous_one() {
-    // Given a store some generations on
+    // Given a store after some generations
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("the folder is empty");
     for round in 1..=4 {
@@ -295,18 +300,20 @@
             entries: Vec::new(),
         };
         store.write(&[state]).expect("the disk has room");
-        // Then the disk holds one state and one log
+        // Then one slot and one log are not empty
         assert_eq!(with_content(folder.path(), ["slot-0", "slot-1"]).len(), 1);
         assert_eq!(with_content(folder.path(), ["log-0", "log-1"]).len(), 1);
     }
-    // And also after a restart that finds the one before still there
-    let former = copy_of(folder.path());
+    // And the same holds after a restart with the old slot still there
+    let previous_copy = copy_of(folder.path());
     let state =
         Write::Snapshot { snapshot: snapshot(9, 9, 5_000), hard_state: hard_state(9), entries: Vec::new() };
     store.write(&[state]).expect("the disk has room");
     let expected = reopened(copy_of(folder.path()).path());
-    let [old] = with_content(former.path(), ["slot-0", "slot-1"])[..] else { panic!("one slot") };
-    put(folder.path(), old, &read(former.path(), old));
+    let [old] = with_content(previous_copy.path(), ["slot-0", "slot-1"])[..] else {
+        panic!("not exactly one slot is in use")
+    };
+    write_file(folder.path(), old, &read_file(previous_copy.path(), old));
     assert_eq!(reopened(folder.path()), expected);
     assert_eq!(with_content(folder.path(), ["slot-0", "slot-1"]).len(), 1);
 }
@@ -315,21 +322,21 @@
 fn interrupted_first_start_is_repeated() {
     let folder = new_folder();
     drop(Store::open(folder.path()).expect("the folder is empty"));
-    let (log, slot) = (read(folder.path(), "log-1"), read(folder.path(), "slot-1"));
+    let (log, slot) = (read_file(folder.path(), "log-1"), read_file(folder.path(), "slot-1"));
     for end in 0..log.len() {
         let copy = new_folder();
-        put(copy.path(), "log-1", &log[..end]);
+        write_file(copy.path(), "log-1", &log[..end]);
         assert_eq!(reopened(copy.path()), RestoredState::default());
     }
     for end in 0..slot.len() {
         let copy = new_folder();
-        put(copy.path(), "log-1", &log);
-        put(copy.path(), "slot-1", &slot[..end]);
+        write_file(copy.path(), "log-1", &log);
+        write_file(copy.path(), "slot-1", &slot[..end]);
         assert_eq!(reopened(copy.path()), RestoredState::default());
     }
 }
 
-/// A store in its second generation, with records after its snapshot.
+/// Creates a store in its second generation, with records after its snapshot.
 fn second_generation() -> tempfile::TempDir {
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("the folder is empty");
@@ -346,25 +353,25 @@
 #[case::slot("slot-0")]
 #[case::log("log-0")]
 fn loss_of_synced_files_is_an_error(#[case] name: &str) {
-    // Given a disk on which something is damaged that was in force
+    // Given a disk on which a file of the active generation is damaged
     let folder = second_generation();
-    let mut bytes = read(folder.path(), name);
+    let mut bytes = read_file(folder.path(), name);
     bytes[20] ^= 1;
-    put(folder.path(), name, &bytes);
-    // Then the store does not go back to the generation before, which knows less
+    write_file(folder.path(), name, &bytes);
+    // Then the store does not fall back to the previous generation, which has older data
     assert!(matches!(Store::open(folder.path()), Err(StoreError::Damaged { .. })));
 }
 
 #[test]
 fn failing_disk_is_an_error() {
     let folder = new_folder();
-    put(folder.path(), "part", b"not a folder");
+    write_file(folder.path(), "part", b"not a folder");
     assert!(matches!(Store::open(&folder.path().join("part")), Err(StoreError::Io { .. })));
     std::fs::create_dir_all(folder.path().join("other/slot-0")).expect("a folder");
     assert!(matches!(Store::open(&folder.path().join("other")), Err(StoreError::Io { .. })));
 }
 
-/// Tells the process below where to fill its disk.
+/// The environment variable that names the folder in which the child process of the test fills its disk.
 const FULL_DISK: &str = "QUORUM_TEST_FULL_DISK";
 
 #[test]
@@ -373,10 +380,10 @@
         fill_disk(Path::new(&folder));
         return;
     }
-    // Given a process whose files may not grow beyond some blocks
+    // Given a process whose files are limited to 40 blocks
     let folder = new_folder();
     let program = std::env::current_exe().expect("this program");
-    // Its output goes through a pipe: where this test's own output is a file, the limit would be that of the file too.
+    // The output of the process goes to a pipe, because the limit would apply to a file too.
     let output = Command::new("sh")
         .arg("-c")
         .arg("trap '' XFSZ; ulimit -f 40; exec \"$0\" --exact --nocapture full_disk_is_an_error_and_leaves_no_partial_record")
@@ -384,15 +391,16 @@
         .env(FULL_DISK, folder.path())
         .output()
         .expect("there is a shell");
-    // Then it has seen the error, and what it could write after it
+    // Then the process saw the errors, and the store has what it wrote after them
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     assert_eq!(reopened(folder.path()).entries, [entry(1, 1, 100), entry(2, 1, 100)]);
 }
 
+/// Runs in the child process whose files are limited.
 fn fill_disk(folder: &Path) {
     let (mut store, _) = Store::open(folder).expect("the folder is empty");
     store.write(&[Write::Entries(vec![entry(1, 1, 100)])]).expect("the disk has room");
-    // When a record does not fit, nor a generation, they are rejected, again and again
+    // When neither a record nor a generation fits, the writes are rejected each time
     let long = Write::Entries(vec![entry(2, 1, 100_000)]);
     let state = Write::Snapshot {
         snapshot: snapshot(1, 1, 1),
@@ -403,10 +411,10 @@
         assert!(matches!(store.write(std::slice::from_ref(&long)), Err(StoreError::Io { .. })));
         assert!(matches!(store.write(std::slice::from_ref(&state)), Err(StoreError::Io { .. })));
     }
-    // And what is shorter is still taken
+    // And a shorter record is accepted after that
     store.write(&[Write::Entries(vec![entry(2, 1, 100)])]).expect("the disk has room");
     store.sync().expect("the disk works");
-    // But when a slot does not fit, nobody knows which generation is in force, until it is opened anew
+    // But when a slot does not fit, it is unknown which generation is active until the store is opened again
     let state =
         Write::Snapshot { snapshot: snapshot(2, 1, 100_000), hard_state: hard_state(9), entries: Vec::new() };
     assert!(matches!(store.write(std::slice::from_ref(&state)), Err(StoreError::Io { .. })));
@@ -430,14 +438,16 @@
             .expect("the disk has room");
         let before = reopened(copy_of(folder.path()).path());
         let old = copy_of(folder.path());
-        // When it is opened after a failure
+        // When the store is opened after a failure
         let (_, restored) = Store::open_after_failure(folder.path()).expect("the disk works again");
-        // Then the state is the same, in a generation whose files were all written since
+        // Then the state is the same, in a generation whose files were all written by that call
         assert_eq!(restored, before);
         assert_eq!(reopened(folder.path()), before);
         for files in [["log-0", "log-1"], ["slot-0", "slot-1"]] {
-            let [active] = with_content(folder.path(), files)[..] else { panic!("one of {files:?}") };
-            assert_ne!(read(folder.path(), active), read(old.path(), active));
+            let [active] = with_content(folder.path(), files)[..] else {
+                panic!("not exactly one of {files:?} is in use")
+            };
+            assert_ne!(read_file(folder.path(), active), read_file(old.path(), active));
         }
     }
 }
@@ -447,23 +457,23 @@
     let folder = new_folder();
     let first = Identity::load_or_create(folder.path(), 42).expect("the folder is empty");
     assert_eq!(first, Identity { id: ReplicaId(42), existed: false });
-    let again = Identity::load_or_create(folder.path(), 43).expect("the files are complete");
-    assert_eq!(again, Identity { id: ReplicaId(42), existed: true });
+    let loaded = Identity::load_or_create(folder.path(), 43).expect("the files are complete");
+    assert_eq!(loaded, Identity { id: ReplicaId(42), existed: true });
 }
 
 #[test]
 fn identity_survives_damage_to_one_copy() {
     for name in ["identity-0", "identity-1"] {
         for end in 0..16 {
-            // Given a disk on which one copy is torn
+            // Given a disk on which one copy of the identity is torn
             let folder = new_folder();
             Identity::load_or_create(folder.path(), 42).expect("the folder is empty");
-            let whole = read(folder.path(), name);
-            put(folder.path(), name, &whole[..end]);
-            // Then it is the same, and both copies are intact again
-            let identity = Identity::load_or_create(folder.path(), 43).expect("one copy is whole");
+            let complete_file = read_file(folder.path(), name);
+            write_file(folder.path(), name, &complete_file[..end]);
+            // Then the identity is the same, and both copies are complete again
+            let identity = Identity::load_or_create(folder.path(), 43).expect("one copy is complete");
             assert_eq!(identity, Identity { id: ReplicaId(42), existed: true });
-            assert_eq!(read(folder.path(), name), whole);
+            assert_eq!(read_file(folder.path(), name), complete_file);
         }
     }
 }
@@ -472,11 +482,11 @@
 fn unfinished_first_identity_is_created_again() {
     let folder = new_folder();
     Identity::load_or_create(folder.path(), 42).expect("the folder is empty");
-    let whole = read(folder.path(), "identity-0");
+    let complete_file = read_file(folder.path(), "identity-0");
     for end in 0..16 {
         let copy = new_folder();
-        put(copy.path(), "identity-0", &whole[..end]);
-        let identity = Identity::load_or_create(copy.path(), 43).expect("nobody was told the first one");
+        write_file(copy.path(), "identity-0", &complete_file[..end]);
+        let identity = Identity::load_or_create(copy.path(), 43).expect("the first id was never complete");
         assert_eq!(identity, Identity { id: ReplicaId(43), existed: false });
     }
 }
@@ -485,8 +495,8 @@
 fn loss_of_both_identity_copies_is_an_error() {
     let folder = new_folder();
     Identity::load_or_create(folder.path(), 42).expect("the folder is empty");
-    put(folder.path(), "identity-0", b"nonsense");
-    put(folder.path(), "identity-1", b"nonsense");
+    write_file(folder.path(), "identity-0", b"nonsense");
+    write_file(folder.path(), "identity-1", b"nonsense");
     let lost = Identity::load_or_create(folder.path(), 43);
     assert!(matches!(lost, Err(StoreError::Damaged { .. })));
 }
@@ -503,15 +513,15 @@
     };
     let mut now = Instant(0);
     let mut sum = 0;
-    for life in 0..6u64 {
-        // Given a replica that is alone, with what it left on disk in its incarnation before
-        let identity = Identity::load_or_create(folder.path(), 7 + life).expect("the disk works");
+    for run in 0..6u64 {
+        // Given a replica that is the only voter, with the disk of its previous run
+        let identity = Identity::load_or_create(folder.path(), 7 + run).expect("the disk works");
         let (mut store, restored) = Store::open(&partition).expect("the disk works");
-        let mut replica = Replica::new(identity.id, restored, timing, life, now);
-        replica.bootstrap(Group::of([identity.id])).expect("it is the same each time");
+        let mut replica = Replica::new(identity.id, restored, timing, run, now);
+        replica.bootstrap(Group::of([identity.id])).expect("the group is the same each time");
         let mut state = 0u64;
         for round in 0..60 {
-            // When it leads the partition, and takes commands
+            // When it is leader and is sent commands
             now = now + Duration::from_millis(20);
             replica.tick(now);
             if round > 40 {
@@ -530,17 +540,19 @@
                 }
                 state += ready.committed.len() as u64;
                 if replica.log_bytes() > 300 {
-                    replica.compact(ready.applied, state.to_le_bytes().to_vec()).expect("it is applied");
+                    replica
+                        .compact(ready.applied, state.to_le_bytes().to_vec())
+                        .expect("the index is applied");
                 }
             }
         }
-        // Then all commands of all incarnations are there
+        // Then the state has the commands of all runs
         assert!(replica.lease_holds(now));
         assert_eq!(state, sum);
     }
 }
 
-/// What a batch may hold, by the index of the log's end.
+/// Generates a batch. Each write is given by its kind, the number of its entries, and their size in bytes.
 fn batch() -> impl Strategy<Value = Vec<(u8, u8, u16)>> {
     vec((0..10u8, 1..4u8, 0..300u16), 1..4)
 }
@@ -562,7 +574,7 @@
         _ => {
             let first = last.saturating_sub(u64::from(kind == 4)).max(base) + 1;
             Write::Entries(
-                (0..u64::from(count)).map(|more| entry(first + more, term, usize::from(size))).collect(),
+                (0..u64::from(count)).map(|offset| entry(first + offset, term, usize::from(size))).collect(),
             )
         }
     }
@@ -571,7 +583,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(150) })]
 
-    /// Batches, some of them synced, then a loss of power that leaves any part of the rest.
+    /// Writes batches, syncs some of them, and then loses power, which keeps any part of the unsynced rest.
     #[test]
     fn power_loss_keeps_what_was_synced(
         batches in vec((batch(), any::<bool>()), 1..12),
@@ -588,7 +600,7 @@
             let mut writes = Vec::new();
             for spec in batch {
                 let write = to_write(&state, spec);
-                fold(&mut state, &write);
+                apply_write(&mut state, &write);
                 if let Write::Snapshot { .. } = write {
                     possible.clear();
                     generation += 1;
@@ -598,7 +610,7 @@
                 writes.push(write);
             }
             let generations = writes.iter().filter(|write| matches!(write, Write::Snapshot { .. })).count();
-            // Of several snapshots in a batch only the last is written.
+            // Of several snapshots in a batch only the last one is written.
             generation -= generations.saturating_sub(1);
             store.write(&writes).expect("the disk has room");
             if synced {
@@ -608,20 +620,20 @@
             }
         }
         let name = format!("log-{}", generation % 2);
-        let log = read(folder.path(), &name);
+        let log = read_file(folder.path(), &name);
         prop_assert_eq!(log.len() as u64, store.log_bytes());
-        // The first record of a generation is synced with it.
+        // The first record of a generation is synced when the generation is created.
         let first = 8 + u32::from_le_bytes(log[..4].try_into().expect("four bytes")) as usize;
         let safe = (safe_size as usize).max(first);
-        let mut left = log[..safe + cut.index(log.len() - safe + 1)].to_vec();
+        let mut remaining_log = log[..safe + cut.index(log.len() - safe + 1)].to_vec();
         if let Some((at, value)) = corrupt
-            && left.len() > safe
+            && remaining_log.len() > safe
         {
-            let at = safe + at.index(left.len() - safe);
-            left[at] = value;
+            let at = safe + at.index(remaining_log.len() - safe);
+            remaining_log[at] = value;
         }
-        put(folder.path(), &name, &left);
+        write_file(folder.path(), &name, &remaining_log);
         let restored = reopened(folder.path());
-        prop_assert!(possible.contains(&restored), "{:?} is none of {:?}", restored, possible);
+        prop_assert!(possible.contains(&restored), "{:?} is not one of {:?}", restored, possible);
     }
 }
--- a/crates/quorum/tests/disk_formats.rs
+++ b/crates/quorum/tests/disk_formats.rs
@@ -1,5 +1,5 @@
-//! Versions of the files on disk: given a disk that a newer program has written, when this one opens it, then it refuses and
-//! changes nothing, as an older program must neither forget what was promised nor make a new identity over the old one.
+//! Versions of the files on disk. When a program opens a disk that a newer version has written, it returns an error and
+//! changes nothing: it must neither lose a vote or an entry nor replace the identity by a new one.
 
 mod folder;
 
@@ -13,14 +13,14 @@
 };
 use rstest::rstest;
 
-/// Where a mark has the number of the form.
-const FORM_AT: usize = 3;
-/// The length and the checksum of a record of the log.
-const RECORD_HEAD: usize = 8;
-/// A kind of record that this program does not know.
+/// The offset of the version in a header, in bytes.
+const VERSION_OFFSET: usize = 3;
+/// The size of the length and the checksum of a record of the log, in bytes.
+const RECORD_PREFIX_BYTES: usize = 8;
+/// A number that is not the kind of any record.
 const UNKNOWN_KIND: u8 = 9;
 
-/// A store in its first or second generation, with records after its snapshot.
+/// Creates a store in its first or second generation, with records after its snapshot if it has one.
 fn store_in(generation: u64) -> tempfile::TempDir {
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("the folder is empty");
@@ -55,20 +55,20 @@
         .collect()
 }
 
-fn corrupt(folder: &Path, name: &str, act: impl FnOnce(&mut Vec<u8>)) {
+fn corrupt(folder: &Path, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
     let path = folder.join(name);
     let mut bytes = std::fs::read(&path).expect("the file can be read");
-    act(&mut bytes);
+    change(&mut bytes);
     std::fs::write(path, bytes).expect("the file can be written");
 }
 
-/// Adds a record of an unknown kind, under the right checksum.
+/// Appends a record of an unknown kind with the right checksum.
 fn add_unknown_record(log: &mut Vec<u8>) {
     let number = |bytes: &[u8]| u32::from_le_bytes(bytes.try_into().expect("four bytes"));
-    let (mut at, mut chain) = (0, 0);
-    while at < log.len() {
-        chain = number(&log[at + 4..at + RECORD_HEAD]);
-        at += RECORD_HEAD + number(&log[at..at + 4]) as usize;
+    let (mut offset, mut chain) = (0, 0);
+    while offset < log.len() {
+        chain = number(&log[offset + 4..offset + RECORD_PREFIX_BYTES]);
+        offset += RECORD_PREFIX_BYTES + number(&log[offset..offset + 4]) as usize;
     }
     let content = [UNKNOWN_KIND, 1, 2, 3];
     let mut hasher = crc32fast::Hasher::new_with_initial(chain);
@@ -94,10 +94,10 @@
 #[case::first_generation(1, "slot-1")]
 #[case::second_generation(2, "slot-0")]
 fn slot_of_a_newer_format_is_rejected(#[case] generation: u64, #[case] name: &str) {
-    // Given a slot in force that a newer program has written,
+    // Given the slot of the active generation, written by a newer program,
     let folder = store_in(generation);
-    corrupt(folder.path(), name, |bytes| bytes[FORM_AT] += 1);
-    // when it is opened, then it is not taken for torn or damaged, and stays as it is.
+    corrupt(folder.path(), name, |bytes| bytes[VERSION_OFFSET] += 1);
+    // when the store is opened, then the slot is not taken for torn or damaged, and stays unchanged.
     assert_rejected_untouched(folder.path());
 }
 
@@ -105,22 +105,22 @@
 #[case::first_generation(1, "log-1")]
 #[case::second_generation(2, "log-0")]
 fn complete_record_of_unknown_kind_is_not_a_torn_end(#[case] generation: u64, #[case] name: &str) {
-    // Given a log that a newer program went on with,
+    // Given a log to which a newer program has appended,
     let folder = store_in(generation);
     corrupt(folder.path(), name, add_unknown_record);
-    // when it is opened, then the record, which may hold what was acknowledged, is not cut off.
+    // when the store is opened, then the record, which may have acknowledged entries, is not cut off.
     assert_rejected_untouched(folder.path());
 }
 
 #[test]
 fn torn_slot_is_not_taken_for_a_newer_format() {
-    // Given a slot in force that is damaged in its mark and in its content,
+    // Given the slot of the active generation with damage in its header and in its content,
     let folder = store_in(2);
     corrupt(folder.path(), "slot-0", |bytes| {
-        bytes[FORM_AT] += 1;
+        bytes[VERSION_OFFSET] += 1;
         bytes[20] ^= 1;
     });
-    // then the disk is said to be damaged, as before.
+    // then the error says that the disk is damaged, and not that the format is newer.
     assert!(matches!(Store::open(folder.path()), Err(StoreError::Damaged { .. })));
 }
 
@@ -134,14 +134,14 @@
     Identity::load_or_create(folder.path(), 42).expect("the folder is empty");
     for name in names {
         corrupt(folder.path(), name, |bytes| {
-            bytes[FORM_AT] += 1;
+            bytes[VERSION_OFFSET] += 1;
             let end = bytes.len() - 4;
             let checksum = crc32fast::hash(&bytes[..end]);
             bytes[end..].copy_from_slice(&checksum.to_le_bytes());
         });
     }
     let before = contents(folder.path());
-    // when it is read, then no other identity takes its place.
+    // when it is loaded, then it is not replaced by another one.
     let read = Identity::load_or_create(folder.path(), 43);
     assert!(matches!(read, Err(StoreError::NewerFormat { .. })), "{read:?}");
     assert_eq!(contents(folder.path()), before);
--- a/crates/quorum/tests/elections.rs
+++ b/crates/quorum/tests/elections.rs
@@ -68,7 +68,7 @@
     replica.bootstrap(group.clone()).expect("the replica is empty");
     let ready = replica.take_ready();
     let Some(grebeusher_quorum::Write::HardState(hard_state)) = ready.writes.first() else {
-        panic!("the hard state comes first")
+        panic!("the hard state is not written first")
     };
     let restored = RestoredState { hard_state: *hard_state, ..RestoredState::default() };
     // When the replica is bootstrapped again
--- a/crates/quorum/tests/model.rs
+++ b/crates/quorum/tests/model.rs
@@ -1,6 +1,5 @@
-//! A model check of three voters, and of three and a spare that takes the place of one: every order of messages, losses,
-//! elections, commands, changes of the group and losses of power, up to a depth, from a state in which one of them leads the
-//! partition.
+//! Model checks of three voters, and of three voters and a spare that replaces one. They try every order of messages,
+//! losses, elections, commands, changes of the group and power losses, up to a depth, from a state with a leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -18,8 +17,8 @@
 /// The voters and a spare.
 const MACHINES: [ReplicaId; 4] = [ReplicaId(1), ReplicaId(2), ReplicaId(3), ReplicaId(4)];
 
-/// The voters after the one change that the model makes: the last one makes room for the spare.
-const CHANGED: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(4)];
+/// The voters after the change that the model makes, in which the spare replaces the last voter.
+const NEW_VOTERS: [ReplicaId; 3] = [ReplicaId(1), ReplicaId(2), ReplicaId(4)];
 
 const TIMING: Timing = Timing {
     heartbeat_interval: Duration::from_millis(20),
@@ -28,7 +27,7 @@
     lease_duration: Duration::from_millis(150),
 };
 
-/// What is deliberately broken.
+/// A fault of the program that is added deliberately, to test that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
@@ -37,55 +36,59 @@
     WipedDiskVotes,
 }
 
-/// The model, and how much may happen in it.
+/// The model, with the largest number of each kind of event on a path.
 #[derive(Clone, Debug)]
-struct ThreeVoters {
+struct RaftModel {
     fault: Fault,
     elections: u8,
     commands: u8,
     losses: u8,
-    /// How often the leader changes the group to [`CHANGED`]; none: there is no spare.
+    /// The number of changes of the group to [`NEW_VOTERS`]. If it is 0 there is no spare.
     changes: u8,
 }
 
 #[derive(Clone, Debug)]
-struct Voter {
+struct Machine {
     replica: Replica,
     disk: RestoredState,
     now: Instant,
 }
 
 #[derive(Clone, Debug)]
-struct World {
-    voters: Vec<Voter>,
-    /// Under way; what is never delivered is lost.
+struct ModelState {
+    machines: Vec<Machine>,
+    /// The messages in flight. One that is never delivered is lost.
     network: BTreeSet<Message>,
-    decided: BTreeMap<Index, Term>,
+    /// The term of each committed entry.
+    committed_terms: BTreeMap<Index, Term>,
+    /// The leader of each term.
     leaders: BTreeMap<Term, ReplicaId>,
     elections: u8,
     commands: u8,
     losses: u8,
     changes: u8,
+    /// The position of the machine whose disk was wiped.
     wiped: Option<usize>,
-    wrong: Option<&'static str>,
+    /// The invariant that was violated.
+    violation: Option<&'static str>,
 }
 
-impl Hash for World {
-    fn hash<H: Hasher>(&self, state: &mut H) {
-        for voter in &self.voters {
-            voter.replica.digest().hash(state);
-            (voter.disk.hard_state, &voter.disk.entries).hash(state);
+impl Hash for ModelState {
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        for machine in &self.machines {
+            machine.replica.digest().hash(hasher);
+            (machine.disk.hard_state, &machine.disk.entries).hash(hasher);
         }
-        (&self.network, &self.decided, &self.leaders).hash(state);
-        (self.elections, self.commands, self.losses, self.changes, self.wiped, self.wrong).hash(state);
+        (&self.network, &self.committed_terms, &self.leaders).hash(hasher);
+        (self.elections, self.commands, self.losses, self.changes, self.wiped, self.violation).hash(hasher);
     }
 }
 
-impl PartialEq for World {
-    fn eq(&self, other: &World) -> bool {
-        let digest = |world: &World| {
+impl PartialEq for ModelState {
+    fn eq(&self, other: &ModelState) -> bool {
+        let digest = |state: &ModelState| {
             let mut hasher = std::hash::DefaultHasher::new();
-            world.hash(&mut hasher);
+            state.hash(&mut hasher);
             hasher.finish()
         };
         digest(self) == digest(other)
@@ -95,7 +98,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Action {
     Deliver(Message),
-    /// It arrives, and power goes before anything is synced.
+    /// The message is delivered, and the receiver loses power before anything is synced.
     DeliverAndLosePower(Message),
     Elect(usize),
     Propose(usize),
@@ -104,8 +107,9 @@
     Wipe(usize),
 }
 
-fn at(id: ReplicaId) -> usize {
-    MACHINES.iter().position(|machine| *machine == id).expect("it is one of the four")
+/// Returns the position of a replica in [`MACHINES`].
+fn machine_position(id: ReplicaId) -> usize {
+    MACHINES.iter().position(|machine| *machine == id).expect("the replica is one of the four machines")
 }
 
 fn apply(disk: &mut RestoredState, write: Write) {
@@ -120,9 +124,10 @@
     }
 }
 
-impl World {
-    /// All three are bootstrapped, and the first one leads the partition in term 2 and has committed its no-op entry.
-    fn start(with_spare: bool) -> World {
+impl ModelState {
+    /// Returns the state in which the voters are bootstrapped, and the first one is the leader of term 2 and has
+    /// committed its no-op entry.
+    fn start(with_spare: bool) -> ModelState {
         let group = Group::of(VOTERS);
         let entry = Entry { index: Index(1), term: Term(1), payload: Payload::Group(group.clone()) };
         let hard_state =
@@ -131,225 +136,230 @@
         let machine = |id: ReplicaId| {
             let disk = if VOTERS.contains(&id) { disk.clone() } else { RestoredState::default() };
             let replica = Replica::new(id, disk.clone(), TIMING, id.0, Instant(0));
-            Voter { replica, disk, now: Instant(0) }
+            Machine { replica, disk, now: Instant(0) }
         };
         let count = if with_spare { MACHINES.len() } else { VOTERS.len() };
-        let mut world = World {
-            voters: MACHINES[..count].iter().copied().map(machine).collect(),
+        let mut state = ModelState {
+            machines: MACHINES[..count].iter().copied().map(machine).collect(),
             network: BTreeSet::new(),
-            decided: BTreeMap::new(),
+            committed_terms: BTreeMap::new(),
             leaders: BTreeMap::new(),
             elections: 0,
             commands: 0,
             losses: 0,
             changes: 0,
             wiped: None,
-            wrong: None,
+            violation: None,
         };
-        world.elect(0);
-        while let Some(message) = world.network.pop_first() {
-            world.deliver(message, Fault::None);
+        state.elect(0);
+        while let Some(message) = state.network.pop_first() {
+            state.deliver(message, Fault::None);
         }
-        assert!(world.voters[0].replica.is_leader());
-        assert_eq!(world.decided.len(), 2);
-        world.elections = 0;
-        world
+        assert!(state.machines[0].replica.is_leader());
+        assert_eq!(state.committed_terms.len(), 2);
+        state.elections = 0;
+        state
     }
 
-    fn elect(&mut self, voter: usize) {
+    fn elect(&mut self, position: usize) {
         self.elections += 1;
-        let wake = self.voters[voter].replica.next_wake().max(self.voters[voter].now);
-        self.voters[voter].now = wake;
-        self.voters[voter].replica.tick(wake);
-        self.work(voter);
+        let wake = self.machines[position].replica.next_wake().max(self.machines[position].now);
+        self.machines[position].now = wake;
+        self.machines[position].replica.tick(wake);
+        self.process_batches(position);
     }
 
     fn deliver(&mut self, message: Message, fault: Fault) {
-        let voter = at(message.to);
-        self.take_in(voter, message, fault);
-        self.work(voter);
+        let position = machine_position(message.to);
+        self.receive(position, message, fault);
+        self.process_batches(position);
     }
 
-    /// Clocks may run as they like, so a candidate finds everybody ready to vote. The lease is checked elsewhere.
-    fn take_in(&mut self, voter: usize, mut message: Message, fault: Fault) {
-        let voter = &mut self.voters[voter];
+    /// Delivers a message to a replica. Clocks may differ by any time in this model, so voters have always waited long
+    /// enough to vote for a candidate. Other tests check the lease.
+    fn receive(&mut self, position: usize, mut message: Message, fault: Fault) {
+        let machine = &mut self.machines[position];
         if matches!(message.body, Body::RequestPreVote(_) | Body::RequestVote(_)) {
-            voter.now = voter.now + TIMING.election_timeout_min;
+            machine.now = machine.now + TIMING.election_timeout_min;
         }
         if fault == Fault::TermsNotChecked {
-            message.term = message.term.max(voter.replica.term());
+            message.term = message.term.max(machine.replica.term());
         }
         let message = decode(&encode(&message)).expect("an encoded message can be decoded");
-        voter.replica.receive(voter.now, message.from, message);
+        machine.replica.receive(machine.now, message.from, message);
     }
 
-    /// Does all that a replica wants done, with every sync at once.
-    fn work(&mut self, voter: usize) {
-        while self.voters[voter].replica.has_ready() {
-            let node = &mut self.voters[voter];
-            let ready = node.replica.take_ready();
-            ready.writes.into_iter().for_each(|write| apply(&mut node.disk, write));
-            node.replica.synced();
+    /// Processes all batches of a replica, with immediate syncs.
+    fn process_batches(&mut self, position: usize) {
+        while self.machines[position].replica.has_ready() {
+            let machine = &mut self.machines[position];
+            let ready = machine.replica.take_ready();
+            ready.writes.into_iter().for_each(|write| apply(&mut machine.disk, write));
+            machine.replica.synced();
             let messages = ready.immediate_messages.into_iter().chain(ready.messages);
             self.network.extend(messages.map(|(_, message)| message));
         }
-        self.watch(voter);
+        self.check_invariants(position);
     }
 
-    fn lose_power(&mut self, voter: usize, answers: bool) {
+    fn lose_power(&mut self, position: usize, sends_responses: bool) {
         self.losses += 1;
-        let ready = self.voters[voter].replica.take_ready();
+        let ready = self.machines[position].replica.take_ready();
         self.network.extend(ready.immediate_messages.into_iter().map(|(_, message)| message));
-        if answers {
+        if sends_responses {
             self.network.extend(ready.messages.into_iter().map(|(_, message)| message));
         }
-        self.restart(voter);
+        self.restart(position);
     }
 
-    fn restart(&mut self, voter: usize) {
-        let node = &mut self.voters[voter];
-        node.replica = Replica::new(MACHINES[voter], node.disk.clone(), TIMING, 1, node.now);
+    fn restart(&mut self, position: usize) {
+        let machine = &mut self.machines[position];
+        machine.replica = Replica::new(MACHINES[position], machine.disk.clone(), TIMING, 1, machine.now);
     }
 
-    fn wipe(&mut self, voter: usize, fault: Fault) {
+    fn wipe(&mut self, position: usize, fault: Fault) {
         self.losses += 1;
-        self.wiped = Some(voter);
-        // With the guard, the disk comes back under an identity that is none of the three, so it is just gone.
-        let node = &mut self.voters[voter];
-        node.disk.entries.truncate(1);
-        node.disk.hard_state.term = Term(1);
-        node.disk.hard_state.vote = None;
-        node.disk.hard_state.commit = Index(0);
+        self.wiped = Some(position);
+        // Without the fault, the wiped disk gets an id that is not a voter's, so the voter does not exist any more.
+        let machine = &mut self.machines[position];
+        machine.disk.entries.truncate(1);
+        machine.disk.hard_state.term = Term(1);
+        machine.disk.hard_state.vote = None;
+        machine.disk.hard_state.commit = Index(0);
         if fault != Fault::WipedDiskVotes {
-            node.disk = RestoredState::default();
+            machine.disk = RestoredState::default();
         }
-        self.restart(voter);
+        self.restart(position);
         if fault != Fault::WipedDiskVotes {
-            let gone = MACHINES[voter];
-            self.network.retain(|message| message.to != gone);
+            let removed_id = MACHINES[position];
+            self.network.retain(|message| message.to != removed_id);
         }
     }
 
-    fn watch(&mut self, voter: usize) {
-        let replica = &self.voters[voter].replica;
-        let own = MACHINES[voter];
-        if replica.is_leader() && *self.leaders.entry(replica.term()).or_insert(own) != own {
-            self.wrong = Some("two leaders of a term");
+    fn check_invariants(&mut self, position: usize) {
+        let replica = &self.machines[position].replica;
+        let own_id = MACHINES[position];
+        if replica.is_leader() && *self.leaders.entry(replica.term()).or_insert(own_id) != own_id {
+            self.violation = Some("a term has two leaders");
         }
         let mut index = Index(1);
         while let Some(entry) = replica.entry(index).filter(|_| index <= replica.commit_index()) {
-            if *self.decided.entry(index).or_insert(entry.term) != entry.term {
-                self.wrong = Some("what was decided has changed");
+            if *self.committed_terms.entry(index).or_insert(entry.term) != entry.term {
+                self.violation = Some("a committed entry has changed");
             }
             index = index.next();
         }
-        // Once the group changes, it is another one that has to have it.
-        let fixed = self.voters.len() == VOTERS.len();
-        if fixed && !self.decided.iter().all(|(index, term)| self.is_kept(*index, *term)) {
-            self.wrong = Some("what was decided has no quorum any more");
+        // With a spare the group changes, and a quorum of another group has to have the entries.
+        let group_is_fixed = self.machines.len() == VOTERS.len();
+        if group_is_fixed
+            && !self.committed_terms.iter().all(|(index, term)| self.is_on_quorum(*index, *term))
+        {
+            self.violation = Some("a committed entry is not on the disks of a quorum");
         }
     }
 
-    /// Whether a quorum has an entry on disk; a disk that was wiped had it, for all we know.
-    fn is_kept(&self, index: Index, term: Term) -> bool {
-        let holds = |voter: &usize| {
-            let mut entries = self.voters[*voter].disk.entries.iter();
-            self.wiped == Some(*voter) || entries.any(|entry| entry.index == index && entry.term == term)
+    /// Whether a quorum has an entry on disk. A disk that was wiped counts, because it may have had the entry.
+    fn is_on_quorum(&self, index: Index, term: Term) -> bool {
+        let holds = |position: &usize| {
+            let mut entries = self.machines[*position].disk.entries.iter();
+            self.wiped == Some(*position) || entries.any(|entry| entry.index == index && entry.term == term)
         };
         (0..VOTERS.len()).filter(holds).count() > VOTERS.len() / 2
     }
 
-    fn is_gone(&self, voter: usize) -> bool {
-        self.voters[voter].disk == RestoredState::default() && VOTERS.contains(&MACHINES[voter])
+    /// Whether a voter's disk was wiped, so that the voter does not exist any more.
+    fn is_gone(&self, position: usize) -> bool {
+        self.machines[position].disk == RestoredState::default() && VOTERS.contains(&MACHINES[position])
     }
 }
 
-impl Model for ThreeVoters {
-    type State = World;
+impl Model for RaftModel {
+    type State = ModelState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World::start(self.changes > 0)]
+    fn init_states(&self) -> Vec<ModelState> {
+        vec![ModelState::start(self.changes > 0)]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        for message in world.network.iter().filter(|message| !world.is_gone(at(message.to))) {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
+        for message in state.network.iter().filter(|message| !state.is_gone(machine_position(message.to))) {
             actions.push(Action::Deliver(message.clone()));
-            let asks_for_a_promise = matches!(message.body, Body::Append(_) | Body::RequestVote(_));
-            if asks_for_a_promise && world.losses < self.losses {
+            let needs_sync = matches!(message.body, Body::Append(_) | Body::RequestVote(_));
+            if needs_sync && state.losses < self.losses {
                 actions.push(Action::DeliverAndLosePower(message.clone()));
             }
         }
-        for voter in (0..world.voters.len()).filter(|voter| !world.is_gone(*voter)) {
-            let is_leader = world.voters[voter].replica.is_leader();
-            let knows_a_group = !world.voters[voter].replica.group().voters.is_empty();
-            if is_leader && world.changes < self.changes {
-                actions.push(Action::ChangeGroup(voter));
+        for position in (0..state.machines.len()).filter(|position| !state.is_gone(*position)) {
+            let is_leader = state.machines[position].replica.is_leader();
+            let knows_a_group = !state.machines[position].replica.group().voters.is_empty();
+            if is_leader && state.changes < self.changes {
+                actions.push(Action::ChangeGroup(position));
             }
             if !knows_a_group {
                 continue;
             }
-            if !is_leader && world.elections < self.elections {
-                actions.push(Action::Elect(voter));
+            if !is_leader && state.elections < self.elections {
+                actions.push(Action::Elect(position));
             }
-            if is_leader && world.commands < self.commands {
-                actions.push(Action::Propose(voter));
+            if is_leader && state.commands < self.commands {
+                actions.push(Action::Propose(position));
             }
-            if world.losses < self.losses {
-                actions.push(Action::Restart(voter));
-                actions.push(Action::Wipe(voter));
+            if state.losses < self.losses {
+                actions.push(Action::Restart(position));
+                actions.push(Action::Wipe(position));
             }
         }
     }
 
-    fn next_state(&self, last: &World, action: Action) -> Option<World> {
-        let mut world = last.clone();
+    fn next_state(&self, previous_state: &ModelState, action: Action) -> Option<ModelState> {
+        let mut state = previous_state.clone();
         match action {
             Action::Deliver(message) => {
-                world.network.remove(&message);
-                world.deliver(message, self.fault);
+                state.network.remove(&message);
+                state.deliver(message, self.fault);
             }
             Action::DeliverAndLosePower(message) => {
-                world.network.remove(&message);
-                let voter = at(message.to);
-                world.take_in(voter, message, self.fault);
-                world.lose_power(voter, self.fault == Fault::ResponsesBeforeSync);
+                state.network.remove(&message);
+                let position = machine_position(message.to);
+                state.receive(position, message, self.fault);
+                state.lose_power(position, self.fault == Fault::ResponsesBeforeSync);
             }
-            Action::Elect(voter) => world.elect(voter),
-            Action::Propose(voter) => {
-                world.commands += 1;
-                let now = world.voters[voter].now;
-                world.voters[voter].replica.propose(now, vec![world.commands]).ok()?;
-                world.work(voter);
+            Action::Elect(position) => state.elect(position),
+            Action::Propose(position) => {
+                state.commands += 1;
+                let now = state.machines[position].now;
+                state.machines[position].replica.propose(now, vec![state.commands]).ok()?;
+                state.process_batches(position);
             }
-            Action::ChangeGroup(voter) => {
-                world.changes += 1;
-                let now = world.voters[voter].now;
-                world.voters[voter].replica.change_group(now, CHANGED.to_vec()).ok()?;
-                world.work(voter);
+            Action::ChangeGroup(position) => {
+                state.changes += 1;
+                let now = state.machines[position].now;
+                state.machines[position].replica.change_group(now, NEW_VOTERS.to_vec()).ok()?;
+                state.process_batches(position);
             }
-            Action::Restart(voter) => {
-                world.losses += 1;
-                world.restart(voter);
+            Action::Restart(position) => {
+                state.losses += 1;
+                state.restart(position);
             }
-            Action::Wipe(voter) => world.wipe(voter, self.fault),
+            Action::Wipe(position) => state.wipe(position, self.fault),
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("decisions stay and leaders are alone", |_, world: &World| {
-                world.wrong.is_none()
-            }),
-            Property::sometimes("a new leader decides", |_, world: &World| {
-                world.decided.values().any(|term| *term > Term(2))
+            Property::always(
+                "committed entries never change and a term has one leader",
+                |_, state: &ModelState| state.violation.is_none(),
+            ),
+            Property::sometimes("a new leader commits", |_, state: &ModelState| {
+                state.committed_terms.values().any(|term| *term > Term(2))
             }),
         ]
     }
 }
 
-/// The deepest path that is looked at; `QUORUM_DEPTH` asks for another.
+/// The length of the longest path that is checked; `QUORUM_DEPTH` sets another.
 const DEPTH: usize = 9;
 
 fn depth() -> usize {
@@ -358,21 +368,21 @@
 
 #[test]
 fn three_voters_are_safe() {
-    let model = ThreeVoters { fault: Fault::None, elections: 2, commands: 1, losses: 1, changes: 0 };
+    let model = RaftModel { fault: Fault::None, elections: 2, commands: 1, losses: 1, changes: 0 };
     let checker = model.checker().threads(2).target_max_depth(depth()).spawn_bfs().join();
     println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
     checker.assert_properties();
 }
 
-/// How deep the changes of a group are looked at: they take more messages.
+/// The length of the longest path that is checked with a change of the group, which takes more messages.
 const CHANGE_DEPTH: usize = 15;
 
 #[test]
 fn three_voters_and_a_spare_are_safe_through_a_group_change() {
-    let model = ThreeVoters { fault: Fault::None, elections: 1, commands: 1, losses: 0, changes: 1 };
+    let model = RaftModel { fault: Fault::None, elections: 1, commands: 1, losses: 0, changes: 1 };
     let checker = model.checker().threads(2).target_max_depth(CHANGE_DEPTH).spawn_bfs().join();
     println!("{} states, depth {}", checker.unique_state_count(), checker.max_depth());
-    checker.assert_no_discovery("decisions stay and leaders are alone");
+    checker.assert_no_discovery("committed entries never change and a term has one leader");
 }
 
 #[rstest]
@@ -380,8 +390,8 @@
 #[case(Fault::TermsNotChecked)]
 #[case(Fault::WipedDiskVotes)]
 fn broken_guarantee_is_detected(#[case] fault: Fault) {
-    let model = ThreeVoters { fault, elections: 1, commands: 1, losses: 1, changes: 0 };
+    let model = RaftModel { fault, elections: 1, commands: 1, losses: 1, changes: 0 };
     let checker = model.checker().threads(2).target_max_depth(DEPTH + 5).spawn_bfs().join();
     println!("{fault:?}: {} states, depth {}", checker.unique_state_count(), checker.max_depth());
-    checker.assert_any_discovery("decisions stay and leaders are alone");
+    checker.assert_any_discovery("committed entries never change and a term has one leader");
 }
--- a/crates/quorum/tests/stable_bytes.rs
+++ b/crates/quorum/tests/stable_bytes.rs
@@ -1,8 +1,9 @@
-//! Bytes written by earlier versions that this one must read and write unchanged: the files of a replica's disk, which
-//! outlive the program that wrote them, and the messages between replicas, which may be of different versions.
+//! Bytes written by earlier versions that this version must read and write unchanged: the files of a replica's disk,
+//! which are kept when the program is upgraded, and the messages between replicas, which may be of different versions.
 //!
-//! The files are in `tests/data`, the messages are given here as hex digits. A test that fails here says that a disk, or
-//! a replica of another version, is not understood any more: then the form needs a new number, and not a new sample.
+//! The files are in `tests/data`, and the messages are here as hex digits. If a test fails here, this version can't
+//! read the disk or the messages of another version any more. Then the format needs a new version number, and not a new
+//! sample.
 
 mod folder;
 
@@ -18,14 +19,14 @@
 };
 use rstest::rstest;
 
-/// The identity in `tests/data/identity`.
+/// The id in the identity files of `tests/data/identity`.
 const IDENTITY: u64 = 0x1112_1314_1516_1718;
 
 fn data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
 }
 
-/// Each file of a folder by its name, in hex digits.
+/// Returns the content of each file of a folder in hex digits, by file name.
 fn contents(folder: &Path) -> BTreeMap<String, String> {
     let files = std::fs::read_dir(folder)
         .expect("the folder can be listed")
@@ -38,7 +39,7 @@
         .collect()
 }
 
-/// A copy of a folder of `tests/data`, as what opens a disk may write to it.
+/// Copies a folder of `tests/data`, because opening a disk may write to it.
 fn copy_of(name: &str) -> tempfile::TempDir {
     let copy = new_folder();
     for file in std::fs::read_dir(data(name)).expect("the folder can be listed") {
@@ -52,7 +53,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of hex digits, between which there may be room.
+/// Decodes hex digits, between which there may be spaces.
 fn bytes_of(hex: &str) -> Vec<u8> {
     let digits: Vec<u32> =
         hex.chars().filter(|c| !c.is_whitespace()).map(|c| c.to_digit(16).expect("a hex digit")).collect();
@@ -83,7 +84,7 @@
     Entry { index: Index(index), term: Term(term), payload }
 }
 
-/// Each of the kinds has a sample. A kind that is new does not compile here until it is named, nor pass without a sample.
+/// Asserts that each kind has a sample. A new kind does not compile until it is listed, and fails without a sample.
 macro_rules! assert_every_kind {
     ($samples:expr, [$($kind:pat),+ $(,)?]) => {{
         let kinds = $samples.into_iter().map(|sample| match sample { $($kind => stringify!($kind)),+ });
@@ -91,13 +92,13 @@
     }};
 }
 
-/// What a disk is made of: the writes to an empty one, and what it holds after them.
+/// The writes to an empty disk, and the state on the disk after them.
 struct Disk {
     writes: Vec<Write>,
-    holds: RestoredState,
+    state: RestoredState,
 }
 
-/// A disk that never had a snapshot: a slot without one, and a log that began empty.
+/// A disk that never had a snapshot: its slot has none, and its log began empty.
 fn first_generation() -> Disk {
     const LARGE: u64 = 0x0102_0304_0506_0708;
     let kept = [
@@ -123,10 +124,10 @@
         Write::HardState(last),
     ];
     let entries = [kept.to_vec(), newer.to_vec()].concat();
-    Disk { writes, holds: RestoredState { hard_state: last, snapshot: None, entries } }
+    Disk { writes, state: RestoredState { hard_state: last, snapshot: None, entries } }
 }
 
-/// A disk with a snapshot in the midst of a change of the group, and a log that began with all kinds of entries.
+/// A disk with a snapshot from the middle of a group change, and a log that began with all kinds of entries.
 fn second_generation() -> Disk {
     const BEFORE: u64 = 0x0a0b_0c0d_0e0f_1011;
     const TERM: u64 = 0x0102_0304_0506_0708;
@@ -158,20 +159,20 @@
         Write::HardState(last),
         Write::Entries(later.to_vec()),
     ];
-    let holds =
+    let state =
         RestoredState { hard_state: last, snapshot: Some(snapshot), entries: [first, later].concat() };
-    Disk { writes, holds }
+    Disk { writes, state }
 }
 
 #[rstest]
 #[case::without_a_snapshot("generation-1", first_generation())]
 #[case::with_a_snapshot("generation-2", second_generation())]
 fn disk_of_an_earlier_version_is_read(#[case] name: &str, #[case] disk: Disk) {
-    // Given files as an earlier version left them, when they are opened,
+    // Given files of an earlier version, when they are opened,
     let folder = copy_of(name);
     let (store, restored) = Store::open(folder.path()).expect("the files are complete");
-    // then they hold what was written, nothing is cut off, and they stay as they are.
-    assert_eq!(restored, disk.holds);
+    // then the state is what was written, nothing is cut off, and the files stay unchanged.
+    assert_eq!(restored, disk.state);
     assert_eq!(contents(folder.path()), contents(&data(name)));
     let active = contents(folder.path()).into_iter().filter(|(file, _)| file.starts_with("log-"));
     assert_eq!(store.log_bytes(), active.map(|(_, hex)| hex.len() as u64 / 2).sum::<u64>());
@@ -181,7 +182,7 @@
 #[case::without_a_snapshot("generation-1", first_generation())]
 #[case::with_a_snapshot("generation-2", second_generation())]
 fn disk_is_written_as_by_an_earlier_version(#[case] name: &str, #[case] disk: Disk) {
-    // Given an empty folder, when the same is written to it, each write for itself,
+    // Given an empty folder, when the same writes are made one by one,
     let folder = new_folder();
     let (mut store, _) = Store::open(folder.path()).expect("the folder is empty");
     for write in disk.writes {
@@ -196,11 +197,11 @@
 #[case::without_a_snapshot("generation-1", first_generation())]
 #[case::with_a_snapshot("generation-2", second_generation())]
 fn disk_of_an_earlier_version_is_continued(#[case] name: &str, #[case] disk: Disk) {
-    // Given a disk of an earlier version and one of this, when both are written to after a restart,
+    // Given a disk of an earlier version and one of this version, when both are written to after a restart,
     let old = copy_of(name);
     let new = new_folder();
     Store::open(new.path()).expect("the folder is empty").0.write(&disk.writes).expect("the disk has room");
-    let next = disk.holds.entries.last().expect("there are entries").index.next();
+    let next = disk.state.entries.last().expect("there are entries").index.next();
     for folder in [old.path(), new.path()] {
         let (mut store, _) = Store::open(folder).expect("the files are complete");
         store
@@ -208,10 +209,10 @@
             .expect("the disk has room");
         store.sync().expect("the disk works");
     }
-    // then they are one and the same, and intact.
+    // then they have the same files, which can be read.
     assert_eq!(contents(old.path()), contents(new.path()));
     let entries = Store::open(old.path()).expect("the files are complete").1.entries;
-    assert_eq!(entries.len(), disk.holds.entries.len() + 1);
+    assert_eq!(entries.len(), disk.state.entries.len() + 1);
 }
 
 #[test]
@@ -219,28 +220,29 @@
     let writes = [first_generation().writes, second_generation().writes].concat();
     assert_every_kind!(&writes, [Write::HardState(_), Write::Entries(_), Write::Snapshot { .. }]);
     for disk in [first_generation(), second_generation()] {
-        let payloads = disk.holds.entries.iter().map(|entry| &entry.payload);
+        let payloads = disk.state.entries.iter().map(|entry| &entry.payload);
         assert_every_kind!(payloads, [Payload::Noop, Payload::Group(_), Payload::Command(_)]);
     }
 }
 
 #[test]
 fn identity_of_an_earlier_version_is_kept() {
-    // Given the identity as an earlier version left it, when it is read, then it is the same, and stays as it is;
+    // Given the identity files of an earlier version, when they are loaded, then the id is right and they stay
+    // unchanged;
     let folder = copy_of("identity");
     let read = Identity::load_or_create(folder.path(), 1).expect("the files are complete");
     assert_eq!(read, Identity { id: ReplicaId(IDENTITY), existed: true });
     assert_eq!(contents(folder.path()), contents(&data("identity")));
-    // and made anew it is written in the same way.
+    // and a new identity with the same id has the same files.
     let folder = new_folder();
-    let made = Identity::load_or_create(folder.path(), IDENTITY).expect("the folder is empty");
-    assert_eq!(made, Identity { id: ReplicaId(IDENTITY), existed: false });
+    let created = Identity::load_or_create(folder.path(), IDENTITY).expect("the folder is empty");
+    assert_eq!(created, Identity { id: ReplicaId(IDENTITY), existed: false });
     assert_eq!(contents(folder.path()), contents(&data("identity")));
 }
 
 #[test]
 fn cluster_id_is_the_same_in_all_versions() {
-    // Replicas that compute different ones never talk to each other.
+    // Replicas that compute different cluster ids drop each other's messages.
     assert_eq!(simple_group().cluster_id(), ClusterId(0x66da_3ec1_4ae2_84a5));
     assert_eq!(joint_group().cluster_id(), ClusterId(0xb89f_0330_958b_7b75));
     assert_eq!(
@@ -249,7 +251,7 @@
     );
 }
 
-/// What stands before each body.
+/// The bytes before the body of each message.
 const HEAD: &str = "0807060504030201 1817161514131211 2827262524232221 3837363534333231";
 
 fn message(body: Body) -> Message {
@@ -298,7 +300,7 @@
     })
 }
 
-/// Each kind of message, and what follows the head in its binary form.
+/// A name for each kind of message, its body, and the bytes of the body.
 #[expect(clippy::too_many_lines, reason = "one sample for each kind of message")]
 fn messages() -> Vec<(&'static str, Body, &'static str)> {
     let request = |leadership_transfer| VoteRequest { last: position(), leadership_transfer };
