--- a/crates/quorum/src/entry.rs
+++ b/crates/quorum/src/entry.rs
@@ -56,7 +56,7 @@
     pub term: Term,
     /// The candidate that got this replica's vote in that term.
     pub vote: Option<ReplicaId>,
-    /// The cluster that the replica belongs to; none until it was bootstrapped or has heard of a leader.
+    /// The cluster that the replica belongs to; none until it was bootstrapped or has heard from a leader.
     pub cluster_id: Option<ClusterId>,
     /// The commit index when this was written; the replica may know a higher one by now.
     pub commit: Index,
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -63,7 +63,7 @@
 //! # }
 //! ```
 //!
-//! After a failed write or sync the program must drop the replica and its store, and may open them anew by
+//! After a failed write or sync the program must drop the replica and its store. It may open the store again by
 //! [`disk::Store::open_after_failure`].
 
 #![warn(missing_docs)]
@@ -104,5 +104,5 @@
 /// The most bytes of entries in one message; an entry that is larger by itself is sent alone.
 pub const MAX_APPEND: usize = 96 * 1024;
 
-/// The largest chunk of a snapshot in one message, in bytes.
+/// The most bytes of a snapshot in one message.
 pub const MAX_CHUNK: usize = 96 * 1024;
--- a/crates/quorum/src/message.rs
+++ b/crates/quorum/src/message.rs
@@ -187,7 +187,7 @@
         /// The decoder's error.
         source: DeBinErr,
     },
-    /// The input goes on after the message.
+    /// The input has more bytes after the message.
     #[snafu(display("{extra} unexpected bytes after the message"))]
     Trailing {
         /// The number of bytes after the message.
--- a/crates/quorum/src/replica/group_change.rs
+++ b/crates/quorum/src/replica/group_change.rs
@@ -2,7 +2,7 @@
 //!
 //! A change has three steps, each of which starts when the previous one is complete: new voters catch up as learners
 //! ([`PendingChange`], known to this leader only), the joint group is committed, and then the final group. A leader
-//! that fails in the first step leaves nothing behind; after it, the next leader completes the change.
+//! that fails in the first step leaves the group unchanged. If it fails later, the next leader completes the change.
 //!
 //! The first step ends early if only lost voters are replaced. A voter that does not answer is in no quorum, so a
 //! learner in its place delays no commit, however far behind it is, and its vote counts from then on. As with any
--- a/crates/quorum/src/replica/mod.rs
+++ b/crates/quorum/src/replica/mod.rs
@@ -9,7 +9,7 @@
 //! - **One vote per term.** A vote or a new term is synced before any message that depends on it is sent. So a term has
 //!   at most one leader, also across restarts.
 //! - **Election restriction.** A vote goes only to a candidate whose last entry is at least as recent as the voter's
-//!   own (compared by term, then index). A replica with an empty log votes for nobody: its disk may have been wiped.
+//!   own (compared by term, then index). A replica with an empty log never votes: its disk may have been wiped.
 //! - **Leader completeness.** A leader never changes its own entries, and a follower never truncates below its commit
 //!   index.
 //! - **Commit.** An index is committed once a quorum has synced it and its entry is of the leader's own term; in a
--- a/crates/quorum/src/replica/status.rs
+++ b/crates/quorum/src/replica/status.rs
@@ -42,7 +42,7 @@
         self.log.group_index()
     }
 
-    /// The cluster that this replica belongs to; none before it was bootstrapped or heard of a leader.
+    /// The cluster that this replica belongs to; none until it was bootstrapped or has heard from a leader.
     pub fn cluster_id(&self) -> Option<ClusterId> {
         self.hard_state.cluster_id
     }
--- a/crates/quorum/tests/cluster/machine.rs
+++ b/crates/quorum/tests/cluster/machine.rs
@@ -73,6 +73,7 @@
     pub syncing: Option<Syncing>,
     /// Increases with each start and power loss, so that events scheduled before are ignored.
     pub incarnation: u64,
+    /// The time of the timer event that was scheduled last.
     pub wake_scheduled: Instant,
     /// The number of bytes that are added to each snapshot.
     pub snapshot_padding: usize,
--- a/crates/quorum/tests/cluster/mod.rs
+++ b/crates/quorum/tests/cluster/mod.rs
@@ -72,7 +72,9 @@
     events: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     /// The number of events scheduled, which orders events of the same time.
     sequence: u64,
+    /// The number from which the id of the next disk is computed.
     next_identity: u64,
+    /// The number that makes the next command unique.
     next_command: u64,
 }
 
--- a/crates/quorum/tests/cluster/oracle.rs
+++ b/crates/quorum/tests/cluster/oracle.rs
@@ -30,7 +30,7 @@
     pub reads: u64,
     /// The violations that were found while `collect_violations` is true.
     pub violations: Vec<String>,
-    /// Whether a violation is collected, rather than a reason to fail at once. For tests that expect violations.
+    /// Whether violations are collected for a test that expects them, instead of failing the test.
     pub collect_violations: bool,
 }
 
--- a/crates/quorum/tests/disk_formats.rs
+++ b/crates/quorum/tests/disk_formats.rs
@@ -141,7 +141,7 @@
         });
     }
     let before = contents(folder.path());
-    // when it is loaded, then it is not replaced by another one.
+    // when it is loaded, then it is not replaced by another id.
     let read = Identity::load_or_create(folder.path(), 43);
     assert!(matches!(read, Err(StoreError::NewerFormat { .. })), "{read:?}");
     assert_eq!(contents(folder.path()), before);
--- a/crates/quorum/tests/stable_bytes.rs
+++ b/crates/quorum/tests/stable_bytes.rs
@@ -309,19 +309,19 @@
     vec![
         ("pre-vote", Body::RequestPreVote(request(false)), "0000 11101f1e1d1c1b1a 21202f2e2d2c2b2a 00"),
         (
-            "pre-vote after a hand-over",
+            "pre-vote after a leadership transfer",
             Body::RequestPreVote(request(true)),
             "0000 11101f1e1d1c1b1a 21202f2e2d2c2b2a 01",
         ),
-        ("pre-vote refused", Body::PreVoteResponse(VoteResponse { granted: false }), "0100 00"),
+        ("pre-vote rejected", Body::PreVoteResponse(VoteResponse { granted: false }), "0100 00"),
         ("pre-vote granted", Body::PreVoteResponse(VoteResponse { granted: true }), "0100 01"),
         ("vote", Body::RequestVote(request(false)), "0200 11101f1e1d1c1b1a 21202f2e2d2c2b2a 00"),
         (
-            "vote after a hand-over",
+            "vote after a leadership transfer",
             Body::RequestVote(request(true)),
             "0200 11101f1e1d1c1b1a 21202f2e2d2c2b2a 01",
         ),
-        ("vote refused", Body::VoteResponse(VoteResponse { granted: false }), "0300 00"),
+        ("vote rejected", Body::VoteResponse(VoteResponse { granted: false }), "0300 00"),
         ("vote granted", Body::VoteResponse(VoteResponse { granted: true }), "0300 01"),
         (
             "heartbeat",
@@ -347,23 +347,23 @@
             "0500 0000 21202f2e2d2c2b2a e8e7e6e5e4e3e2e1",
         ),
         (
-            "append in conflict",
+            "append with a conflict",
             response(AppendOutcome::Conflict {
                 rejected: position().index,
                 hint: Index(0x0a0b_0c0d_0e0f_0001),
             }),
             "0500 0100 21202f2e2d2c2b2a 01000f0e0d0c0b0a e8e7e6e5e4e3e2e1",
         ),
-        ("append outdated", response(AppendOutcome::StaleTerm), "0500 0200 e8e7e6e5e4e3e2e1"),
+        ("append with a stale term", response(AppendOutcome::StaleTerm), "0500 0200 e8e7e6e5e4e3e2e1"),
         (
-            "chunk of a settled group",
+            "chunk with a group that is not joint",
             chunk(simple_group(), b""),
             "0600 11101f1e1d1c1b1a 21202f2e2d2c2b2a \
              02000000 1817161514131211 2827262524232221 00000000 \
              0302010300000000 0201000200000000 00000000 e8e7e6e5e4e3e2e1",
         ),
         (
-            "chunk of a joint group",
+            "chunk with a joint group",
             chunk(joint_group(), b"a piece"),
             "0600 11101f1e1d1c1b1a 21202f2e2d2c2b2a \
              03000000 1817161514131211 2827262524232221 3837363534333231 02000000 1817161514131211 \
@@ -371,11 +371,11 @@
              0302010300000000 0201000200000000 07000000 61207069656365 e8e7e6e5e4e3e2e1",
         ),
         (
-            "chunk received",
+            "chunk response",
             Body::SnapshotChunkResponse(SnapshotChunkResponse { last: position(), received, sent: SENT }),
             "0700 11101f1e1d1c1b1a 21202f2e2d2c2b2a 0201000200000000 e8e7e6e5e4e3e2e1",
         ),
-        ("take over", Body::TimeoutNow, "0800"),
+        ("timeout now", Body::TimeoutNow, "0800"),
     ]
 }
 
