--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,14 +1,14 @@
 //! Raft with disk storage for one partition of the control state: elections with pre-vote, a leader's lease, joint
 //! consensus, transfer of leadership, snapshots, and the files of a replica.
 //!
-//! The tier (`grebeusher-tier`) runs one [`Replica`] for each partition and applies its commands; the simulation runs the
-//! same replicas on simulated links and disks. `grebeusher-volatile-raft` is the Raft without disks.
+//! The tier (`grebeusher-tier`) runs one [`Replica`] for each partition and applies its commands; the simulation runs
+//! the same replicas on simulated links and disks. `grebeusher-volatile-raft` implements Raft without disks.
 //!
 //! [`Replica`] is a state machine without I/O or a clock: messages, time and proposals go in, and a [`Ready`] comes out
 //! with what to write, to send and to apply. [`disk::Store`] is its storage. The invariants that the code relies on are
 //! in `replica/mod.rs`.
 //!
-//! The loop of the program, for one partition:
+//! The program runs this loop for each partition:
 //!
 //! ```no_run
 //! use grebeusher_quorum::disk::{Identity, Store};
@@ -31,7 +31,7 @@
 //!     lease_duration: Duration::from_millis(400),
 //! };
 //! let mut replica = Replica::new(identity.id, restored, timing, random(), now());
-//! // Only at the first start of the system, on each replica of the group:
+//! // The program calls this only at the first start of the system, on each replica of the group:
 //! replica.bootstrap(Group::of([identity.id, ReplicaId(2), ReplicaId(3)]))?;
 //! loop {
 //!     while replica.has_ready() {
@@ -58,12 +58,12 @@
 //!         Some(message) => replica.receive(now(), message.from, message),
 //!         None => replica.tick(now()),
 //!     }
-//!     // replica.propose(now(), command), and reads while replica.lease_holds(now()).
+//!     // Commands go to replica.propose(now(), command). Reads are answered while replica.lease_holds(now()) is true.
 //! }
 //! # }
 //! ```
 //!
-//! After a failed write or sync the program must drop the replica and its store, and may open them anew by
+//! After a failed write or sync the program must drop the replica and its store. It may open the store again by
 //! [`disk::Store::open_after_failure`].
 
 #![warn(missing_docs)]
@@ -101,8 +101,8 @@
 /// The largest snapshot, in bytes.
 pub const MAX_SNAPSHOT: usize = 64 * 1024 * 1024;
 
-/// The entries of one message, in bytes; a single larger entry goes alone.
+/// The most bytes of entries in one message; an entry that is larger by itself is sent alone.
 pub const MAX_APPEND: usize = 96 * 1024;
 
-/// The largest chunk of a snapshot in one message, in bytes.
+/// The most bytes of a snapshot in one message.
 pub const MAX_CHUNK: usize = 96 * 1024;
