--- a/crates/registry/src/codec.rs
+++ b/crates/registry/src/codec.rs
@@ -1,18 +1,18 @@
-//! The compact binary form: every length is checked against its bound and the bytes left before memory is taken.
+//! The binary encoding: every length is checked against its limit and the remaining bytes before memory is allocated.
 
 use crate::error::{DecodeError, NotUtf8Snafu, TooLongSnafu, TruncatedSnafu, UnknownVariantSnafu};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The longest text of a register, in bytes.
+/// The largest length of a text in a register, in bytes.
 pub(crate) const MAX_TEXT: usize = 255;
 
-/// A value with a binary form.
+/// A value with a binary encoding.
 pub(crate) trait Wire: Sized {
     fn write(&self, out: &mut Writer);
     fn read(input: &mut Reader<'_>) -> Result<Self, DecodeError>;
 }
 
-/// Bytes under way out.
+/// An encoder that appends values to a buffer.
 #[derive(Default)]
 pub(crate) struct Writer {
     pub(crate) bytes: Vec<u8>,
@@ -35,7 +35,7 @@
         self.bytes.extend_from_slice(&value.to_le_bytes());
     }
 
-    /// A text of at most [`MAX_TEXT`] bytes; what is longer is cut at a character.
+    /// Writes a text of at most [`MAX_TEXT`] bytes; a longer text is truncated at a character boundary.
     pub(crate) fn text(&mut self, text: &str) {
         let mut length = text.len().min(MAX_TEXT);
         while !text.is_char_boundary(length) {
@@ -45,7 +45,7 @@
         self.bytes.extend_from_slice(&text.as_bytes()[..length]);
     }
 
-    /// At most 65,535 items.
+    /// Writes the first 65,535 items of a list.
     pub(crate) fn list<T: Wire>(&mut self, items: &[T]) {
         let count = items.len().min(usize::from(u16::MAX));
         self.u16(count as u16);
@@ -53,7 +53,7 @@
     }
 }
 
-/// Bytes under way in.
+/// A decoder that takes values from the front of a slice.
 pub(crate) struct Reader<'a> {
     bytes: &'a [u8],
 }
@@ -63,7 +63,7 @@
         Reader { bytes }
     }
 
-    pub(crate) fn left(&self) -> usize {
+    pub(crate) fn remaining(&self) -> usize {
         self.bytes.len()
     }
 
@@ -106,7 +106,7 @@
         }
     }
 
-    /// A list of at most `largest` items, each of which takes a byte at least.
+    /// Reads a list of at most `largest` items, each of which takes at least one byte. Errors name the list as `what`.
     pub(crate) fn list<T: Wire>(
         &mut self,
         what: &'static str,
@@ -116,10 +116,10 @@
         if length > largest {
             return TooLongSnafu { what, length, largest }.fail();
         }
-        if length > self.left() {
+        if length > self.remaining() {
             return TruncatedSnafu.fail();
         }
-        // Memory is taken as items come: a short message can't ask for much.
+        // Memory is allocated item by item, so that a short message cannot cause a large allocation.
         let mut items = Vec::new();
         for _ in 0..length {
             items.push(T::read(self)?);
--- a/crates/registry/src/confirmation.rs
+++ b/crates/registry/src/confirmation.rs
@@ -1,10 +1,10 @@
 //! Confirmed broadcasts of drains: the call of an executor is acknowledged once all live nodes have confirmed its new
-//! state, or at a deadline; and never before more machines of the core have it than may be lost.
+//! state, or at a deadline, but never before more machines of the core have the state than the tolerated losses.
 //!
-//! An acknowledgement binds all nodes in contact with the core, also those that this node cannot reach or considers
-//! dead: they learn of the drain from a machine of the core. At least one machine that confirmed survives the losses,
-//! and so is in contact with them. An isolated node receives no confirmations and acknowledges nothing: the executor
-//! then calls another node.
+//! An acknowledgement is valid for all nodes in contact with the core, including nodes that this node cannot reach or
+//! considers dead: they learn of the drain from a machine of the core. At least one machine that confirmed survives the
+//! tolerated losses and is therefore in contact with them. An isolated node receives no confirmations and acknowledges
+//! nothing, so that the executor calls another node.
 
 use crate::event::{Answer, CallToken};
 use crate::message::{Message, Relay};
@@ -15,12 +15,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 
-/// For how long a broadcast is resent directly to nodes that have not confirmed it, also after the call was answered.
+/// How long a broadcast is resent directly to nodes that have not confirmed it, even after the call was answered.
 const RESEND_DURATION: Duration = Duration::from_millis(2_000);
 
-/// A relay that all live nodes have to confirm, and the calls that wait for it.
+/// A relay that all live nodes have to confirm, and the calls that wait for the confirmations.
 struct ConfirmedBroadcast {
     relay: Relay,
+    /// The internal addresses of the live nodes that have not confirmed the relay.
     outstanding: BTreeSet<SocketAddrV4>,
     core_replicas: CoreReplicas,
     calls: Vec<CallToken>,
@@ -41,38 +42,39 @@
         self.zones.insert(member.zone.clone());
     }
 
-    /// Whether at least one of them is left after any tolerated losses.
+    /// Returns whether at least one of the machines is left after any tolerated losses.
     fn survive(&self, losses: Losses) -> bool {
         self.machines.len() > losses.machines && self.zones.len() > losses.zones
     }
 }
 
-/// How a call of an executor that waited ends.
+/// The waiting calls of executors that can be answered now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CompletedCalls {
-    /// To be acknowledged.
+    /// The calls to acknowledge.
     pub acknowledged: Vec<CallToken>,
-    /// Too few machines have acknowledged: not to be acknowledged, so that the executor calls another node.
+    /// The calls that must not be acknowledged because too few machines have confirmed, so that the executor calls
+    /// another node.
     pub rejected: Vec<CallToken>,
 }
 
-/// The state of drains.
+/// The state of the confirmed broadcasts.
 #[derive(Default)]
 pub(crate) struct Confirmations {
     broadcasts: Vec<ConfirmedBroadcast>,
-    /// Executors whose updates go out with the next flush, and the calls that wait for them.
+    /// The ids of the executors whose updates are sent at the next flush, with the calls that wait for them.
     batched: BTreeMap<String, Vec<CallToken>>,
-    flush: Option<Instant>,
+    next_flush: Option<Instant>,
     next_token: u64,
 }
 
 impl Confirmations {
     pub(crate) fn next_wake(&self, timings: &Timings) -> Option<Instant> {
         let broadcasts = self.broadcasts.iter().map(|broadcast| {
-            let bound = broadcast.started + timings.confirm_bound;
-            if broadcast.calls.is_empty() { broadcast.next_retry } else { broadcast.next_retry.min(bound) }
+            let deadline = broadcast.started + timings.confirm_timeout;
+            if broadcast.calls.is_empty() { broadcast.next_retry } else { broadcast.next_retry.min(deadline) }
         });
-        broadcasts.chain(self.flush).min()
+        broadcasts.chain(self.next_flush).min()
     }
 
     pub(crate) fn postpone(&mut self, by: Duration) {
@@ -83,26 +85,27 @@
 }
 
 impl Registry {
-    /// The calls that may be answered now. To be asked after each message and tick; each call is named once.
+    /// Returns the calls that may be answered now, each of them once. The caller calls this after each message and
+    /// tick.
     pub fn take_completed_calls(&mut self, now: Instant) -> CompletedCalls {
-        let (bound, losses) = (self.timings.confirm_bound, self.losses);
+        let (timeout, losses) = (self.timings.confirm_timeout, self.losses);
         let mut completed = CompletedCalls::default();
         for broadcast in &mut self.confirmations.broadcasts {
-            if broadcast.may_be_acknowledged(now, bound, losses) {
+            if broadcast.may_be_acknowledged(now, timeout, losses) {
                 completed.acknowledged.append(&mut broadcast.calls);
-            } else if broadcast.has_timed_out(now, bound) {
+            } else if broadcast.has_timed_out(now, timeout) {
                 completed.rejected.append(&mut broadcast.calls);
             }
         }
         completed
     }
 
-    /// Broadcasts that an executor takes no more requests; the call waits for the confirmations.
+    /// Broadcasts that an executor accepts no more requests; the call waits for the confirmations.
     pub(crate) fn broadcast_state(&mut self, now: Instant, id: &str, state: ExecutorState) -> Answer {
-        let (bound, losses) = (self.timings.confirm_bound, self.losses);
+        let (timeout, losses) = (self.timings.confirm_timeout, self.losses);
         let broadcasts = &mut self.confirmations.broadcasts;
         let in_flight = broadcasts.iter_mut().find(|broadcast| broadcast.covers(id, state));
-        if in_flight.as_ref().is_some_and(|broadcast| broadcast.may_be_acknowledged(now, bound, losses)) {
+        if in_flight.as_ref().is_some_and(|broadcast| broadcast.may_be_acknowledged(now, timeout, losses)) {
             return Answer::Now;
         }
         self.confirmations.next_token += 1;
@@ -111,14 +114,14 @@
             Some(broadcast) => broadcast.calls.push(token),
             None => {
                 self.confirmations.batched.entry(id.to_owned()).or_default().push(token);
-                self.confirmations.flush.get_or_insert(now + self.timings.urgent_batch);
+                self.confirmations.next_flush.get_or_insert(now + self.timings.urgent_batch);
             }
         }
         Answer::WhenAcknowledged(token)
     }
 
     pub(crate) fn receive_confirm(&mut self, from: SocketAddrV4, incarnation: u64, sequence: u64) {
-        let core_member = self.by_address.get(&from).and_then(|name| self.member(name)).cloned();
+        let core_member = self.names_by_address.get(&from).and_then(|name| self.member(name)).cloned();
         let core_member = core_member.filter(|member| self.is_core(member));
         let broadcast = self.confirmations.broadcasts.iter_mut().find(|broadcast| {
             (broadcast.relay.incarnation, broadcast.relay.sequence) == (incarnation, sequence)
@@ -131,7 +134,7 @@
     }
 
     pub(crate) fn tick_confirmations(&mut self, now: Instant) {
-        if self.confirmations.flush.is_some_and(|flush| flush <= now) {
+        if self.confirmations.next_flush.is_some_and(|at| at <= now) {
             self.flush_broadcasts(now);
         }
         if self.confirmations.broadcasts.is_empty() {
@@ -149,8 +152,8 @@
             broadcast.outstanding.retain(|address| live.contains(address));
             if broadcast.next_retry <= now {
                 broadcast.next_retry = now + retry;
-                let resent = |to: &SocketAddrV4| (*to, Message::Relay(broadcast.relay.clone()));
-                self.output.messages.extend(broadcast.outstanding.iter().map(resent));
+                let to_message = |to: &SocketAddrV4| (*to, Message::Relay(broadcast.relay.clone()));
+                self.output.messages.extend(broadcast.outstanding.iter().map(to_message));
             }
             if now.since(broadcast.started) > RESEND_DURATION {
                 broadcast.outstanding.clear();
@@ -159,7 +162,7 @@
     }
 
     fn flush_broadcasts(&mut self, now: Instant) {
-        self.confirmations.flush = None;
+        self.confirmations.next_flush = None;
         let mut batched = std::mem::take(&mut self.confirmations.batched);
         let keys: Vec<Key> = batched.keys().cloned().map(Key::Executor).collect();
         for registers in self.registers_in_messages(&keys) {
@@ -179,13 +182,16 @@
         }
     }
 
-    /// Whether a node is a machine of the core: an edge node with a disk, or where no disk is known any edge node.
+    /// Returns whether a node is a machine of the core: an edge node with a disk, or any edge node if no edge node with
+    /// a disk is known.
     fn is_core(&self, member: &Member) -> bool {
         let has_disk = |member: &Member| member.class == Class::Edge && member.replica.is_some();
         has_disk(member) || (member.class == Class::Edge && !self.members().any(has_disk))
     }
 
-    /// Drops the broadcasts that nobody has still to confirm and whose calls were all completed.
+    /// Removes the broadcasts for which no confirmation is outstanding and whose calls are all completed. A broadcast
+    /// without outstanding confirmations sets the confirmed state of its executors if enough machines of the core have
+    /// it.
     fn retire_broadcasts(&mut self) {
         let losses = self.losses;
         let broadcasts = std::mem::take(&mut self.confirmations.broadcasts);
@@ -204,16 +210,18 @@
 }
 
 impl ConfirmedBroadcast {
-    /// Whether its calls may be acknowledged.
-    fn may_be_acknowledged(&self, now: Instant, bound: Duration, losses: Losses) -> bool {
-        self.core_replicas.survive(losses) && (self.outstanding.is_empty() || self.has_timed_out(now, bound))
+    /// Returns whether the calls of the broadcast may be acknowledged.
+    fn may_be_acknowledged(&self, now: Instant, timeout: Duration, losses: Losses) -> bool {
+        self.core_replicas.survive(losses)
+            && (self.outstanding.is_empty() || self.has_timed_out(now, timeout))
     }
 
-    /// Whether its calls wait no longer.
-    fn has_timed_out(&self, now: Instant, bound: Duration) -> bool {
-        now.since(self.started) >= bound
+    /// Returns whether the calls of the broadcast have waited for the whole timeout.
+    fn has_timed_out(&self, now: Instant, timeout: Duration) -> bool {
+        now.since(self.started) >= timeout
     }
 
+    /// Returns whether the broadcast announces the executor in this state or a later one.
     fn covers(&self, id: &str, state: ExecutorState) -> bool {
         let mut executors = self.relay.registers.iter().filter_map(Register::as_executor);
         executors.any(|executor| executor.report.id == id && executor.report.state >= state)
--- a/crates/registry/src/digest.rs
+++ b/crates/registry/src/digest.rs
@@ -1,26 +1,26 @@
-//! Hashes over all registers, kept up as these change: equal digests mean equal registers.
+//! Hashes over all registers, updated at each change: equal digests mean equal registers.
 
 use crate::register::Key;
 use std::collections::BTreeMap;
 
-/// Into how many parts the registers fall, so that few need to be compared one by one.
+/// The number of buckets into which the registers are divided, so that few need to be compared one by one.
 pub(crate) const BUCKETS: usize = 64;
 
-/// The lowest bit of a summary's version: whether the register is one of something that lives.
-const LIVE: u64 = 1;
+/// The lowest bit of a summary's version: set if the node or executor of the register is live.
+const LIVE_BIT: u64 = 1;
 
-/// A key and a version, as hashes. The lowest bit of the version is set for what lives.
+/// The hashes of a key and of its register. The lowest bit of the version is set if the node or executor is live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Summary {
     /// The hash of the key.
     pub key: u64,
-    /// The hash of the register.
+    /// The hash of the register, with the lowest bit replaced by the live flag.
     pub version: u64,
 }
 
 impl Summary {
     pub(crate) fn is_live(self) -> bool {
-        self.version & LIVE != 0
+        self.version & LIVE_BIT != 0
     }
 }
 
@@ -29,23 +29,23 @@
     key: Key,
 }
 
-/// The versions of all registers. Those of the dead and gone are listed but not in the sums, as each node forgets
-/// them in its own time.
+/// The versions of all registers. Registers of dead nodes and gone executors are listed but not part of the sums,
+/// because nodes forget them at different times.
 pub(crate) struct Digest {
     buckets: Vec<BTreeMap<u64, Item>>,
     sums: Vec<u64>,
     total: u64,
 }
 
-/// What two nodes have to send each other.
+/// The differences between the registers of this node and those that a peer listed.
 #[derive(Default)]
 pub(crate) struct Difference {
-    /// Keys of registers that the other has and this node lacks.
+    /// Hashes of the keys of registers that the peer has and that this node lacks or has in another version.
     pub(crate) wanted: Vec<u64>,
-    /// Keys of registers that the other lacks.
-    pub(crate) lacking: Vec<Key>,
-    /// Keys of registers that are the same, but that the other counts no more.
-    pub(crate) forgotten: Vec<Key>,
+    /// Keys of registers that the peer lacks or has in another version.
+    pub(crate) missing_at_peer: Vec<Key>,
+    /// Keys of registers that are the same on both nodes, but that the peer no longer counts as live.
+    pub(crate) forgotten_by_peer: Vec<Key>,
 }
 
 fn bucket_of(key: u64) -> usize {
@@ -57,10 +57,10 @@
         Digest { buckets: (0..BUCKETS).map(|_| BTreeMap::new()).collect(), sums: vec![0; BUCKETS], total: 0 }
     }
 
-    /// Records that the register of `key` now has this hash.
+    /// Records the current hash of the register of `key`.
     pub(crate) fn set(&mut self, key: Key, hash: u64, live: bool) {
         let key_hash = key.hash();
-        let version = hash & !LIVE | u64::from(live);
+        let version = hash & !LIVE_BIT | u64::from(live);
         self.remove_hash(key_hash);
         let bucket = bucket_of(key_hash);
         if live {
@@ -77,7 +77,7 @@
     fn remove_hash(&mut self, key_hash: u64) {
         let bucket = bucket_of(key_hash);
         if let Some(item) = self.buckets[bucket].remove(&key_hash)
-            && item.version & LIVE != 0
+            && item.version & LIVE_BIT != 0
         {
             self.sums[bucket] ^= item.version;
             self.total ^= item.version;
@@ -96,17 +96,18 @@
         Some(&self.buckets[bucket_of(key_hash)].get(&key_hash)?.key)
     }
 
-    /// The entries of one bucket.
+    /// Returns the summaries of all registers in one bucket.
     pub(crate) fn summaries(&self, bucket: usize) -> impl Iterator<Item = Summary> {
         self.buckets[bucket].iter().map(|(key, item)| Summary { key: *key, version: item.version })
     }
 
-    /// The keys of all that lives in one bucket.
+    /// Returns the keys of all live registers in one bucket.
     pub(crate) fn live_keys(&self, bucket: usize) -> impl Iterator<Item = &Key> {
-        self.buckets[bucket].values().filter(|item| item.version & LIVE != 0).map(|item| &item.key)
+        self.buckets[bucket].values().filter(|item| item.version & LIVE_BIT != 0).map(|item| &item.key)
     }
 
-    /// Compares what is here with what another node listed.
+    /// Compares the registers of this node with those that a peer listed. Bit `i` of `complete` is set if the peer
+    /// listed all registers of bucket `i`.
     pub(crate) fn compare(&self, complete: u64, theirs: &[Summary]) -> Difference {
         let mut difference = Difference::default();
         let mut listed = std::collections::BTreeSet::new();
@@ -116,23 +117,24 @@
                 None if summary.is_live() => difference.wanted.push(summary.key),
                 None => {}
                 Some(item) if item.version == summary.version => {}
-                // What is over by both accounts need not be settled.
-                Some(item) if item.version & LIVE == 0 && !summary.is_live() => {}
-                // The other has forgotten it already, or is about to hear that this node has.
-                Some(item) if (item.version ^ summary.version) == LIVE => {
-                    difference.forgotten.extend((!summary.is_live()).then(|| item.key.clone()));
+                // Both nodes hold the register as not live, so the difference needs no repair.
+                Some(item) if item.version & LIVE_BIT == 0 && !summary.is_live() => {}
+                // One of the two nodes no longer counts the register as live. If that is this node, the peer learns it
+                // from the next comparison.
+                Some(item) if (item.version ^ summary.version) == LIVE_BIT => {
+                    difference.forgotten_by_peer.extend((!summary.is_live()).then(|| item.key.clone()));
                 }
                 Some(item) => {
                     difference.wanted.push(summary.key);
-                    difference.lacking.push(item.key.clone());
+                    difference.missing_at_peer.push(item.key.clone());
                 }
             }
         }
         for bucket in (0..BUCKETS).filter(|bucket| complete >> bucket & 1 == 1) {
             let items = self.buckets[bucket].iter().filter(|(hash, _)| !listed.contains(hash));
-            difference
-                .lacking
-                .extend(items.filter(|(_, item)| item.version & LIVE != 0).map(|(_, item)| item.key.clone()));
+            difference.missing_at_peer.extend(
+                items.filter(|(_, item)| item.version & LIVE_BIT != 0).map(|(_, item)| item.key.clone()),
+            );
         }
         difference
     }
--- a/crates/registry/src/error.rs
+++ b/crates/registry/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with bytes from outside.
+//! The errors of decoding messages and heartbeat bodies.
 
 use snafu::Snafu;
 
@@ -12,7 +12,7 @@
     /// A count or length exceeds its bound.
     #[snafu(display("{what} has a length of {length}, more than {largest}"))]
     TooLong {
-        /// What has the length.
+        /// The value that has the length.
         what: &'static str,
         /// The length found.
         length: usize,
@@ -33,12 +33,12 @@
     /// Bytes follow the end of the message.
     #[snafu(display("{count} bytes follow the message"))]
     Trailing {
-        /// How many.
+        /// The number of bytes after the message.
         count: usize,
     },
 }
 
-/// Why a body is not an executor's heartbeat; the caller answers 400.
+/// Why a body is not a valid heartbeat of an executor; the caller answers with status 400.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ReportError {
@@ -48,10 +48,10 @@
         /// The length of the body.
         length: usize,
     },
-    /// The body is not JSON, or nests too deep.
+    /// The body is not a JSON object, or its values are nested too deeply.
     #[snafu(display("a heartbeat that is not JSON"))]
     NotJson,
-    /// A field is absent, of another type or out of its range.
+    /// A field is missing, has another type or is out of its range.
     #[snafu(display("a heartbeat without a proper {field}"))]
     Field {
         /// The name of the field.
--- a/crates/registry/src/event.rs
+++ b/crates/registry/src/event.rs
@@ -1,36 +1,36 @@
-//! What the registry hands to its caller: messages to send, events, and answers to the calls of executors.
+//! The output of the registry for its caller: messages to send, events, and answers to the calls of executors.
 
 use crate::member::MemberState;
 use crate::message::Message;
 use std::net::SocketAddrV4;
 
-/// Counters that rise whenever something changes.
+/// Counters that increase whenever a set of registers changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Generation {
-    /// Of the nodes.
+    /// The number of changes to the set of nodes.
     pub members: u64,
-    /// Of the executors.
+    /// The number of changes to the set of executors.
     pub executors: u64,
-    /// Of the metadata.
+    /// The number of changes to the metadata of nodes.
     pub node_metadata: u64,
 }
 
-/// What a caller has to know at once.
+/// A change of which the caller is informed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A node is new, or its register changed.
     MemberChanged {
-        /// Its name.
+        /// The name of the node.
         name: String,
-        /// Its state now.
+        /// The new state of the node.
         state: MemberState,
     },
     /// An executor is new, or its register changed.
     ExecutorChanged {
-        /// Its id.
+        /// The id of the executor.
         id: String,
     },
-    /// A node said something new of itself.
+    /// The metadata of a node changed.
     MetadataChanged {
         /// The name of the node.
         node: String,
@@ -39,40 +39,41 @@
     ConfigurationBehind {
         /// The internal address of the other node.
         peer: SocketAddrV4,
-        /// The version that it has.
+        /// The configuration version of the other node.
         version: u64,
     },
 }
 
-/// What is to be done for the registry.
+/// The messages and events that the caller has to process for the registry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Output {
-    /// To be sent, each to the node at an internal address.
+    /// The messages to send, each with the internal address of its receiver.
     pub messages: Vec<(SocketAddrV4, Message)>,
-    /// For the caller.
+    /// The changes since the last output.
     pub events: Vec<Event>,
 }
 
-/// A call of an executor that waits for its answer.
+/// The identifier of a call of an executor that waits for its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallToken(pub u64);
 
 /// When a call of an executor may be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// At once.
+    /// The call is answered immediately.
     Now,
-    /// Not at all: this node has no room for the executor.
+    /// The call is not acknowledged: the id of the executor is invalid, or this node has no room for the executor.
     Never,
-    /// When [`Registry::take_completed_calls`](crate::Registry::take_completed_calls) names the token.
+    /// The call is answered once [`Registry::take_completed_calls`](crate::Registry::take_completed_calls) returns its
+    /// token.
     WhenAcknowledged(CallToken),
 }
 
-/// What follows from a call of an executor.
+/// The result of a heartbeat of an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeartbeatEffect {
-    /// When it may be answered.
+    /// When the call may be answered.
     pub answer: Answer,
-    /// The `control_plane` address that it should call from now on.
+    /// The `control_plane` address to which the executor should send its heartbeats from now on.
     pub heartbeat_target: Option<SocketAddrV4>,
 }
--- a/crates/registry/src/executor.rs
+++ b/crates/registry/src/executor.rs
@@ -1,4 +1,4 @@
-//! One executor, as the nodes know it.
+//! The register of one executor.
 
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, UnknownVariantSnafu};
@@ -6,48 +6,48 @@
 use crate::report::HeartbeatReport;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The most models that a register carries; what an executor names beyond is left out.
+/// The largest number of models in a register; further models of an executor are omitted.
 pub(crate) const MAX_MODELS: usize = 16;
 
-/// What an executor has said of its lifecycle. It only ever moves on, never back.
+/// The state of an executor's lifecycle. It only moves forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExecutorState {
-    /// Takes requests.
+    /// The executor accepts requests.
     Up,
-    /// About to end: no new requests.
+    /// The executor is about to end and accepts no new requests.
     Draining,
-    /// Has deregistered.
+    /// The executor has deregistered.
     Gone,
 }
 
 /// A model that an executor holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
-    /// Its name.
+    /// The name of the model.
     pub name: String,
-    /// The version of its weights.
+    /// The version of the model's weights.
     pub config_version: u64,
 }
 
-/// The register of one incarnation of an executor, written by the node that it called last.
+/// The register of one process of an executor, written by the node that the executor called last.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Executor {
-    /// The heartbeat that this register comes from; plain heartbeats after it are not published. Its state may be
-    /// further on than that of the call, as the state merges by itself and only ever moves on.
+    /// The latest published heartbeat; heartbeats that change nothing else are not published. The state may be later
+    /// than the one in that heartbeat, because the state is merged separately and only moves forward.
     pub report: HeartbeatReport,
-    /// The name of the node that it called, which watches its heartbeats.
+    /// The name of the node that the executor called last, which watches its heartbeats.
     pub reporter: String,
-    /// Whether it misses its heartbeats. A hint: it may run all the same.
+    /// Whether the heartbeats of the executor are missing. This is only a hint: the executor may still run.
     pub unresponsive: bool,
 }
 
 impl Executor {
-    /// The register after a heartbeat to the node `reporter`.
+    /// Creates the register from a heartbeat that the node `reporter` received.
     pub(crate) fn reported(report: HeartbeatReport, reporter: &str) -> Executor {
         Executor { report, reporter: reporter.to_owned(), unresponsive: false }
     }
 
-    /// The register of an executor that deregisters at a node which does not know it; others may.
+    /// Creates the register of an executor that deregisters at a node that does not know it; other nodes may know it.
     pub(crate) fn unknown(id: &str, reporter: &str) -> Executor {
         let report = HeartbeatReport {
             id: id.to_owned(),
@@ -65,38 +65,40 @@
         Executor::reported(report, reporter)
     }
 
-    /// The same register in another state.
+    /// Returns the same register with another state.
     pub(crate) fn with_state(mut self, state: ExecutorState) -> Executor {
         self.report.state = state;
         self
     }
 
-    /// Whether it has not ended as far as is known.
+    /// Returns whether the executor has not deregistered as far as is known.
     pub fn exists(&self) -> bool {
         self.report.state != ExecutorState::Gone
     }
 
-    /// Of two registers of one executor the greater is the newer. The last part decides between two that took one
-    /// call number in turn; the state is left out of it, as that goes its own way.
+    /// Returns the sort key of the register: of two registers of one executor, the one with the greater key is newer.
+    /// The last part, a hash, decides between two registers with the same `call_seq`. It ignores the state, which is
+    /// merged separately.
     fn order(&self) -> (u64, bool, u64) {
         let mut out = Writer::default();
         self.clone().with_state(ExecutorState::Up).write(&mut out);
         (self.report.call_seq, self.unresponsive, hash::of_bytes(&out.bytes))
     }
 
-    /// Takes over what is newer in `other`. Whether anything changed.
+    /// Merges `other` into this register. Returns whether the register changed.
     pub(crate) fn merge(&mut self, other: Executor) -> bool {
         let state = self.report.state.max(other.report.state);
-        let newer = other.order() > self.order();
-        let changed = newer || state != self.report.state;
-        if newer {
+        let is_newer = other.order() > self.order();
+        let changed = is_newer || state != self.report.state;
+        if is_newer {
             *self = other;
         }
         self.report.state = state;
         changed
     }
 
-    /// Whether others need to know the difference between the two. What a plain heartbeat changes is none.
+    /// Returns whether the difference between the two registers has to be published. A change of only `call_seq` and
+    /// `cold_left_ms`, which every heartbeat brings, does not have to be.
     pub(crate) fn differs_from(&self, other: &Executor) -> bool {
         let HeartbeatReport { cold_left_ms, call_seq, .. } = other.report;
         let comparable = HeartbeatReport { cold_left_ms, call_seq, ..self.report.clone() };
--- a/crates/registry/src/executors/expiry.rs
+++ b/crates/registry/src/executors/expiry.rs
@@ -1,7 +1,7 @@
-//! What time does to executors: missed heartbeats, lost reporters, and tombstones that expire.
+//! Timeouts of executors: missed heartbeats, lost reporters, and the expiry of entries and tombstones.
 //!
-//! The reporter alone publishes that an executor is unresponsive. Other nodes find it so by themselves only after its
-//! reporter is gone, and publish nothing.
+//! Only the reporter publishes that an executor is unresponsive. Other nodes decide this by themselves only after the
+//! reporter is gone, and do not publish it.
 
 use super::{Entry, SCAN_INTERVAL};
 use crate::executor::Executor;
@@ -13,31 +13,31 @@
 /// The largest number of tombstones that are kept.
 const MAX_TOMBSTONES: usize = 4_096;
 
-/// The ids that a scan has something to do for.
+/// The ids of the executors that a scan has to process.
 #[derive(Default)]
 struct Findings {
-    /// This node is the reporter, and has to publish that they are unresponsive.
+    /// Executors that this node reports and has to publish as unresponsive.
     missed_heartbeats: Vec<String>,
-    /// Only this node's view of them changed.
+    /// Executors of which only the local view changed.
     changed: Vec<String>,
-    /// They were unresponsive or gone for the whole retention.
+    /// Executors that were unresponsive or gone for the whole retention.
     expired: Vec<String>,
 }
 
-/// The time-outs of one scan.
-struct Bounds {
+/// The timeouts that a scan applies.
+struct ScanTimeouts {
     timeout: Duration,
     restored_timeout: Duration,
     retention: Duration,
 }
 
-impl Bounds {
+impl ScanTimeouts {
     fn timeout_of(&self, entry: &Entry) -> Duration {
         if entry.restored { self.restored_timeout } else { self.timeout }
     }
 }
 
-/// Whether the node that an executor calls is a live member.
+/// Whether the node that an executor called last is a live member.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Reporter {
     Live,
@@ -49,8 +49,8 @@
         !self.visible.unresponsive && self.visible.exists() && now.since(self.last_heartbeat) > timeout
     }
 
-    /// Follows the published register while the reporter lives, and finds the executor unresponsive once it has been
-    /// gone for the time-out. Whether the view changed.
+    /// Shows the published responsiveness while the reporter is live, and the executor as unresponsive once the
+    /// reporter has been gone for the timeout. Returns whether the local view changed.
     fn follow_reporter(&mut self, now: Instant, reporter: Reporter, timeout: Duration) -> bool {
         let was_unresponsive = self.visible.unresponsive;
         if reporter == Reporter::Live {
@@ -92,18 +92,19 @@
     }
 
     fn scan_executors(&mut self, now: Instant) -> Findings {
-        let bounds = Bounds {
+        let timeouts = ScanTimeouts {
             timeout: self.timings.executor_timeout(),
             restored_timeout: self.timings.restored_executor_timeout(),
             retention: self.timings.executor_retention,
         };
-        // Few nodes report many executors, so a look-up per executor in the members costs more than this set.
+        // Few nodes report many executors, so looking up the reporter of each executor in the members would cost more
+        // than building this set.
         let members = self.members.values().map(|entry| &entry.member);
         let live_nodes: HashSet<&str> =
             members.filter(|member| member.serves()).map(|member| member.name.as_str()).collect();
         let mut findings = Findings::default();
         for (id, entry) in &mut self.executors.entries {
-            let timeout = bounds.timeout_of(entry);
+            let timeout = timeouts.timeout_of(entry);
             if entry.visible.reporter == self.own_name && entry.has_missed_heartbeats(now, timeout) {
                 findings.missed_heartbeats.push(id.clone());
             }
@@ -114,14 +115,14 @@
             if entry.follow_reporter(now, reporter, timeout) {
                 findings.changed.push(id.clone());
             }
-            if entry.is_expired(now, bounds.retention) {
+            if entry.is_expired(now, timeouts.retention) {
                 findings.expired.push(id.clone());
             }
         }
         findings
     }
 
-    /// Removes an executor from view. The tombstone keeps late updates from bringing it back.
+    /// Removes an executor from the set. Its tombstone prevents late updates from bringing it back.
     pub(super) fn replace_with_tombstone(&mut self, now: Instant, id: &str) {
         let Some(entry) = self.executors.entries.remove(id) else {
             return;
@@ -136,14 +137,14 @@
 
     fn expire_tombstones(&mut self, now: Instant) {
         while let Some((since, id)) = self.executors.tombstone_queue.front().cloned() {
-            let many = self.executors.tombstone_queue.len() > MAX_TOMBSTONES;
-            if !many && now.since(since) <= self.timings.tombstone_retention {
+            let over_limit = self.executors.tombstone_queue.len() > MAX_TOMBSTONES;
+            if !over_limit && now.since(since) <= self.timings.tombstone_retention {
                 return;
             }
             self.executors.tombstone_queue.pop_front();
-            // An executor that came back and ended again has a second, later entry in the queue.
-            let again = self.executors.tombstone_queue.iter().any(|(_, other)| *other == id);
-            if !again && self.executors.tombstones.remove(&id).is_some() {
+            // An executor that came back and expired again has a second, later entry in the queue.
+            let has_later_entry = self.executors.tombstone_queue.iter().any(|(_, other)| *other == id);
+            if !has_later_entry && self.executors.tombstones.remove(&id).is_some() {
                 self.digest.remove(&Key::Executor(id));
             }
         }
--- a/crates/registry/src/executors/merge.rs
+++ b/crates/registry/src/executors/merge.rs
@@ -1,4 +1,4 @@
-//! How registers of executors merge, and the only place where the set and its digest change together.
+//! Merging of the registers of executors. Entries are inserted and replaced only here, together with the digest.
 
 use super::Entry;
 use crate::event::Event;
@@ -7,7 +7,8 @@
 use crate::registry::Registry;
 use grebeusher_time::Instant;
 
-/// The largest number of executors that are admitted: seven times the largest design.
+/// The largest number of executors that are admitted: seven times the number in the largest fleet that the tier is
+/// designed for.
 const MAX_EXECUTORS: usize = 16_384;
 
 impl Registry {
@@ -21,24 +22,24 @@
             return;
         }
         let id = published.report.id.clone();
-        let own = self.executors.entries.get(&id).filter(|entry| {
+        let own_entry = self.executors.entries.get(&id).filter(|entry| {
             entry.visible.reporter == self.own_name
                 && entry.latest_call_seq > published.report.call_seq
                 && published.exists()
         });
-        let Some(entry) = own else {
+        let Some(entry) = own_entry else {
             self.put_executor(now, published);
             return;
         };
-        // This node has had a later call than the one in the merged register.
-        let mut mine = Executor { unresponsive: false, ..entry.published() };
-        mine.report.state = published.report.state;
-        mine.report.call_seq = entry.latest_call_seq;
-        self.put_executor(now, mine);
+        // This node has received a later call than the one in the merged register.
+        let mut own_register = Executor { unresponsive: false, ..entry.published() };
+        own_register.report.state = published.report.state;
+        own_register.report.call_seq = entry.latest_call_seq;
+        self.put_executor(now, own_register);
         self.announce(now, Key::Executor(id));
     }
 
-    /// Puts a register in the place of the one before. Whether there was room.
+    /// Stores the register of an executor and replaces the previous one. Returns false if there was no room for it.
     pub(super) fn put_executor(&mut self, now: Instant, executor: Executor) -> bool {
         let id = executor.report.id.clone();
         let has_tombstone = self.executors.tombstones.contains_key(&id);
@@ -47,8 +48,8 @@
             self.executors.tombstones.insert(id, executor);
             return true;
         }
-        let known = self.executors.entries.contains_key(&id);
-        if !known && self.executors.entries.len() >= MAX_EXECUTORS {
+        let is_known = self.executors.entries.contains_key(&id);
+        if !is_known && self.executors.entries.len() >= MAX_EXECUTORS {
             return false;
         }
         self.executors.tombstones.remove(&id);
@@ -68,7 +69,8 @@
         self.output.events.push(Event::ExecutorChanged { id });
     }
 
-    /// Executors that are gone or forgotten are not in the digest, as nodes forget them at different times.
+    /// Updates the digest after a change of a register. Executors that are gone or have only a tombstone do not count
+    /// as live, because nodes remove them at different times.
     pub(super) fn update_executor_digest(&mut self, published: &Executor, visible: bool) {
         let live = published.exists() && visible;
         self.digest.set(
@@ -78,7 +80,8 @@
         );
     }
 
-    /// Follows another node that no longer shows these: it knew earlier that they are unresponsive.
+    /// Replaces the unresponsive ones of these executors with tombstones because another node no longer lists them:
+    /// that node found them unresponsive earlier.
     pub(crate) fn evict_executors(&mut self, now: Instant, keys: &[Key]) {
         for key in keys {
             if let Key::Executor(id) = key
--- a/crates/registry/src/executors/mod.rs
+++ b/crates/registry/src/executors/mod.rs
@@ -1,8 +1,8 @@
 //! The executors that this node knows, and the tombstones of those that ended.
 //!
-//! This module owns the set itself. [`calls`] takes the calls of executors, [`merge`] the registers that other nodes
-//! publish, and [`expiry`] notices who has become unresponsive and who is to be forgotten. An entry is put in or
-//! replaced by [`merge`] only, so that the digest always matches the set.
+//! This module owns the set itself. [`calls`] handles the calls of executors, [`merge`] merges the registers that other
+//! nodes publish, and [`expiry`] detects unresponsive executors and removes expired ones. Only [`merge`] inserts or
+//! replaces an entry, so that the digest always matches the set.
 
 mod calls;
 mod expiry;
@@ -12,26 +12,26 @@
 use grebeusher_time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Between two checks of all executors for missed heartbeats and expired entries.
+/// The time between two scans of all executors for missed heartbeats and expired entries.
 const SCAN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One executor with what this node has observed of it.
+/// The register of one executor and the local observations about it.
 struct Entry {
-    /// The register as callers see it: also unresponsive if only this node finds it so.
+    /// The register as callers see it: unresponsive also if only this node has found the executor unresponsive.
     visible: Executor,
-    /// Whether the published register says that it is unresponsive.
+    /// Whether the published register says that the executor is unresponsive.
     published_unresponsive: bool,
-    /// The number of the latest call to this node. A plain heartbeat raises it without a published change.
+    /// The highest `call_seq` that this node knows. A heartbeat without other changes raises it, and is not published.
     latest_call_seq: u64,
-    /// When this node last had a call, or became the reporter of the executor.
+    /// When this node last received a call of the executor, or when the reporter last changed.
     last_heartbeat: Instant,
-    /// Since when its reporter is gone.
+    /// When this node found that the reporter is no longer a live member, if it is not.
     orphaned_since: Option<Instant>,
-    /// Since when it is unresponsive or gone.
+    /// When a scan first found the executor unresponsive or gone, if it is.
     inactive_since: Option<Instant>,
-    /// The latest state that all nodes have acknowledged to this one.
+    /// The latest state that all live nodes have confirmed to this node.
     confirmed_state: ExecutorState,
-    /// Whether all that is known of it is what an earlier process of this node kept on its disk.
+    /// Whether the executor is known only from what an earlier process of this node stored on its disk.
     restored: bool,
 }
 
@@ -69,11 +69,11 @@
     }
 }
 
-/// All executors by their ids.
+/// All executors and tombstones, indexed by id.
 pub(crate) struct Executors {
     entries: BTreeMap<String, Entry>,
     tombstones: BTreeMap<String, Executor>,
-    /// When each tombstone was made, oldest first. An id may stand here more than once.
+    /// When each tombstone was created, oldest first. An id may occur more than once.
     tombstone_queue: VecDeque<(Instant, String)>,
     next_scan: Instant,
 }
@@ -100,30 +100,31 @@
         Some(&self.entries.get(id)?.visible)
     }
 
-    /// The register as it is published to other nodes, also of one that has only a tombstone.
+    /// Returns the register of the executor or its tombstone, as it is published to other nodes.
     pub(crate) fn published(&self, id: &str) -> Option<Executor> {
         self.entries.get(id).map(Entry::published).or_else(|| self.tombstones.get(id).cloned())
     }
 
-    /// Notes that everyone has acknowledged this state.
+    /// Records that all live nodes have confirmed this state.
     pub(crate) fn set_confirmed_state(&mut self, id: &str, state: ExecutorState) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.confirmed_state = entry.confirmed_state.max(state);
         }
     }
 
-    /// Notes that an executor is known from the disk only.
+    /// Records that an executor is known only from the disk.
     pub(crate) fn set_restored(&mut self, id: &str) {
         if let Some(entry) = self.entries.get_mut(id) {
             entry.restored = true;
         }
     }
 
+    /// Returns whether the executor is known only from the disk and has not sent a heartbeat in time.
     pub(crate) fn is_only_restored(&self, id: &str) -> bool {
         self.entries.get(id).is_some_and(|entry| entry.restored && entry.visible.unresponsive)
     }
 
-    /// Leaves a duration out of all time-outs, as this process did not run in it.
+    /// Extends all timeouts by a duration in which this process was frozen.
     pub(crate) fn postpone(&mut self, by: Duration) {
         for entry in self.entries.values_mut() {
             entry.last_heartbeat = entry.last_heartbeat + by;
--- a/crates/registry/src/join.rs
+++ b/crates/registry/src/join.rs
@@ -1,8 +1,8 @@
-//! How a node that knows only its seeds finds the others.
+//! Joining: how a node that knows only its seeds finds the other nodes.
 
 use crate::member::Member;
 use crate::members::Source;
-use crate::message::{Message, REGISTERS_PER_MESSAGE};
+use crate::message::{Message, REGISTER_BYTES_PER_MESSAGE};
 use crate::register::Register;
 use crate::registry::Registry;
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -10,11 +10,12 @@
 use rand::seq::IteratorRandom;
 use std::net::SocketAddrV4;
 
-/// How many members a welcome names: enough to begin with, the rest comes by repair from any of them.
+/// The largest number of members in a welcome message besides its sender. The joining node gets the rest by a repair
+/// from one of them.
 const WELCOME_MEMBERS: usize = 16;
 
-/// How long a node goes on calling the seeds that have not answered, after others have.
-const RESEND_DURATION: Duration = Duration::from_millis(3_000);
+/// How long after its start a node that was welcomed by one seed keeps sending join messages to the other seeds.
+const JOIN_RESEND_DURATION: Duration = Duration::from_millis(3_000);
 
 /// The state of joining.
 pub(crate) struct Joining {
@@ -39,15 +40,15 @@
 }
 
 impl Registry {
-    /// Whether this node is among others, or has no seeds to find any by.
+    /// Returns whether this node knows other live nodes or was welcomed by a seed, or has no seeds at all.
     pub fn is_joined(&self) -> bool {
         self.joining.welcomed || self.joining.seeds.is_empty() || self.ring.len() > 1
     }
 
-    /// Seeds at whose addresses no live node is known.
+    /// Returns the seeds at whose addresses no live node is known.
     pub(crate) fn unknown_seeds(&self) -> impl Iterator<Item = SocketAddrV4> {
         let is_live = |seed: &SocketAddrV4| {
-            let member = self.by_address.get(seed).and_then(|name| self.member(name));
+            let member = self.names_by_address.get(seed).and_then(|name| self.member(name));
             member.is_some_and(Member::serves)
         };
         self.joining.seeds.iter().copied().filter(move |seed| !is_live(seed))
@@ -57,14 +58,14 @@
         if self.joining.next_attempt.is_none_or(|next| next > now) {
             return;
         }
-        let unknown: Vec<SocketAddrV4> = self.unknown_seeds().collect();
-        let completed = self.joining.welcomed && now.since(self.joining.started) > RESEND_DURATION;
-        if completed || (unknown.is_empty() && self.is_joined()) {
-            // From here on unknown seeds are probed as the dead are.
+        let unanswered: Vec<SocketAddrV4> = self.unknown_seeds().collect();
+        let resend_over = self.joining.welcomed && now.since(self.joining.started) > JOIN_RESEND_DURATION;
+        if resend_over || (unanswered.is_empty() && self.is_joined()) {
+            // From now on unknown seeds are probed like dead nodes.
             self.joining.next_attempt = None;
             return;
         }
-        for seed in unknown {
+        for seed in unanswered {
             self.send(seed, Message::Join(self.own_member().clone()));
         }
         let jitter = self.random.random_range(0.9..1.1);
@@ -81,7 +82,7 @@
         let mut length = 0;
         for member in sample {
             length += Register::Member(member.clone()).length();
-            if length > REGISTERS_PER_MESSAGE - 1_024 {
+            if length > REGISTER_BYTES_PER_MESSAGE - 1_024 {
                 break;
             }
             members.push(member.clone());
@@ -97,10 +98,11 @@
         for member in members {
             self.merge_member(now, member, Source::Welcome(from));
         }
-        // The rest is taken from any of them, so that seeds need not serve everyone who starts.
+        // The node gets the other registers from a random member of the welcome, so that the seeds do not have to
+        // synchronize every node that starts.
         let sync_peer =
             addresses.into_iter().filter(|address| *address != self.own_address).choose(&mut self.random);
-        // Each seed welcomes it, and each of their probers would bring the same.
+        // Each seed sends a welcome; a synchronization after each of them would transfer the same registers again.
         if self.repairs.begin_initial_sync(now) {
             self.start_repair(now, sync_peer.unwrap_or(from));
         }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,14 +1,14 @@
 //! Membership of the tier and the registry of its executors, spread by gossip.
 //!
-//! Each node runs one [`Registry`], a state machine without sockets or clocks: messages and calls go in with the current
-//! time, and an [`Output`] of messages and events is taken out. It holds registers of [`Member`]s, [`Executor`]s and
-//! [`NodeMetadata`] that merge in any order. Changes spread down a tree of relays, and anti-entropy repairs what a lost
-//! message left out by comparing digests. No quorum agrees on anything here: each register has one writer, and other
-//! nodes may only mark it dead or unresponsive.
+//! Each node runs one [`Registry`], a state machine without sockets or clocks: the caller passes in messages and calls
+//! with the current time, and takes out an [`Output`] of messages and events. The registry holds registers of
+//! [`Member`]s, [`Executor`]s and [`NodeMetadata`] that may be merged in any order. Changes spread down a relay tree;
+//! anti-entropy compares digests and delivers what lost messages left out. Nothing here needs agreement by a quorum:
+//! each register has one writer, and other nodes may only mark it dead or unresponsive.
 //!
-//! The crate `grebeusher-tier` runs the registry and carries its messages; `grebeusher-quorum` is for what must be agreed
-//! on. Liveness follows SWIM: [heartbeats](Heartbeat) to a few watchers, indirect probes, suspicion and refutation by
-//! incarnation numbers.
+//! The crate `grebeusher-tier` runs the registry and carries its messages; the crate `grebeusher-quorum` handles data
+//! that needs consensus. Failure detection follows SWIM: [heartbeats](Heartbeat) to a few watchers, indirect probes,
+//! suspicion, and refutation by incarnation numbers.
 //!
 //! ```
 //! use grebeusher_registry::{Class, Losses, Member, MemberState, Registry, Settings, Timings};
@@ -32,7 +32,7 @@
 //!
 //! registry.tick(Instant(0));
 //! let output = registry.take_output();
-//! assert_eq!(output.messages.len(), 1, "it asks its seed to join");
+//! assert_eq!(output.messages.len(), 1, "the node sends a join message to its seed");
 //! assert_eq!(registry.live_members().count(), 1);
 //! # Ok::<(), std::net::AddrParseError>(())
 //! ```
--- a/crates/registry/src/liveness.rs
+++ b/crates/registry/src/liveness.rs
@@ -1,5 +1,5 @@
-//! Heartbeats: a node sends one to each of its watchers and to one further node, so that digests are compared all
-//! over the fleet. The state here also serves [`crate::watch`] and [`crate::probe`].
+//! Heartbeats: a node sends one to each of its watchers and to one additional node, so that digests are compared across
+//! the whole fleet. The state in this module is also used by [`crate::watch`] and [`crate::probe`].
 
 use crate::event::Event;
 use crate::member::NodeId;
@@ -11,15 +11,15 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Between two looks at tombstones.
+/// The time between two removals of expired tombstones of nodes.
 const TOMBSTONE_SWEEP_INTERVAL: Duration = Duration::from_millis(5_000);
 
-/// Between two events that say that the configuration is behind the same version.
-const CONFIGURATION_EVENT_INTERVAL: Duration = Duration::from_millis(200);
+/// The shortest time between two events that report the same newer version of the configuration.
+const CONFIG_EVENT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Every so many heartbeats one goes to a random node in place of a far member of the ring. So a node that others place
-/// differently in their rings still compares digests with all.
-const RANDOM_INTERVAL: usize = 16;
+/// The number of rounds of heartbeats after which the additional heartbeat goes to a random node instead of a
+/// long-range peer in the ring. So nodes compare digests with all others even if their rings differ.
+const RANDOM_HEARTBEAT_INTERVAL: usize = 16;
 
 /// The state of heartbeats and watches.
 pub(crate) struct Liveness {
@@ -27,14 +27,14 @@
     pub(crate) next_probe: Option<Instant>,
     pub(crate) next_sweep: Instant,
     pub(crate) next_watch: Option<Instant>,
-    /// When anything last came from anyone.
+    /// When this node last received a message from any node.
     pub(crate) last_contact: Option<Instant>,
-    /// When another node last answered a probe of this one, and so has received it.
+    /// When this node last received a pong, which shows that another node receives its messages.
     pub(crate) last_pong: Option<Instant>,
     pub(crate) watches: BTreeMap<NodeId, Watch>,
     pub(crate) probe_cursor: usize,
-    /// How many heartbeats were sent.
-    heartbeats_sent: usize,
+    /// The number of rounds of heartbeats, counted from the initial value of `probe_cursor`.
+    heartbeat_round: usize,
     last_configuration_event: Option<(Instant, u64)>,
 }
 
@@ -49,8 +49,8 @@
             last_pong: None,
             watches: BTreeMap::new(),
             probe_cursor,
-            // Nodes that start together call their random ones at different times.
-            heartbeats_sent: probe_cursor,
+            // The random initial value makes nodes that start together select random nodes at different times.
+            heartbeat_round: probe_cursor,
             last_configuration_event: None,
         }
     }
@@ -62,12 +62,12 @@
             .min()
     }
 
-    /// Finds its pace anew, as there are more to call.
+    /// Makes the next tick compute the probe rate anew, because the numbers of live and dead nodes have changed.
     pub(crate) fn reset_probe_schedule(&mut self) {
         self.next_probe = None;
     }
 
-    /// Counts every silence from now on.
+    /// Restarts the silence of all watched nodes after a freeze of this process.
     pub(crate) fn restart(&mut self, now: Instant) {
         self.last_contact = None;
         self.next_heartbeat = now;
@@ -80,11 +80,12 @@
 }
 
 impl Registry {
-    /// Whether this node has had no contact for a while, though it knows of others: then it is likely partitioned off.
-    /// It declares nobody dead as long as none of its probes is answered.
+    /// Returns whether this node has received nothing for 2.5 heartbeat intervals although it knows other live nodes,
+    /// so that it is probably isolated by a network partition. It declares no node dead while none of its probes is
+    /// answered.
     pub fn is_isolated(&self, now: Instant) -> bool {
-        let bound = self.timings.heartbeat.scaled(2.5);
-        self.ring.len() > 1 && self.liveness.last_contact.is_none_or(|contact| now.since(contact) > bound)
+        let timeout = self.timings.heartbeat.scaled(2.5);
+        self.ring.len() > 1 && self.liveness.last_contact.is_none_or(|contact| now.since(contact) > timeout)
     }
 
     pub(crate) fn tick_liveness(&mut self, now: Instant) {
@@ -113,21 +114,24 @@
         }
     }
 
-    /// Who receives a heartbeat in addition to the watchers, so that digests are compared all over the fleet. Mostly a far member of
-    /// the ring, one of a few: a link to a random node each time would have to be made anew in a large fleet.
+    /// Returns the address that receives a heartbeat in addition to the watchers, so that digests are compared across
+    /// the whole fleet. This is usually one of a few long-range peers in the ring: in a large fleet, a random node
+    /// would need a new connection each time.
     fn extra_heartbeat_target(&mut self) -> Option<SocketAddrV4> {
-        self.liveness.heartbeats_sent = self.liveness.heartbeats_sent.wrapping_add(1);
-        let heartbeats_sent = self.liveness.heartbeats_sent;
-        if heartbeats_sent.is_multiple_of(RANDOM_INTERVAL) {
+        self.liveness.heartbeat_round = self.liveness.heartbeat_round.wrapping_add(1);
+        let heartbeat_round = self.liveness.heartbeat_round;
+        if heartbeat_round.is_multiple_of(RANDOM_HEARTBEAT_INTERVAL) {
             return self.random_other().map(|(_, address)| address);
         }
-        self.ring.far(self.timings.watchers, heartbeats_sent).map(|ring_member| ring_member.address)
+        self.ring
+            .long_range_peer(self.timings.watchers, heartbeat_round)
+            .map(|ring_member| ring_member.address)
     }
 
     pub(crate) fn receive_heartbeat(&mut self, now: Instant, from: SocketAddrV4, heartbeat: Heartbeat) {
         self.compare_configuration(now, from, heartbeat.configuration_version);
         let theirs = (heartbeat.incarnation, heartbeat.status_version);
-        let known = self.member_of(heartbeat.node).map(|entry| {
+        let known = self.member_by_id(heartbeat.node).map(|entry| {
             let member = &entry.member;
             ((member.incarnation, member.status_version), member.serves(), member.name.clone())
         });
@@ -147,7 +151,7 @@
             return;
         }
         let last_event = self.liveness.last_configuration_event;
-        if last_event.is_some_and(|(at, of)| of >= version && now.since(at) < CONFIGURATION_EVENT_INTERVAL) {
+        if last_event.is_some_and(|(at, last)| last >= version && now.since(at) < CONFIG_EVENT_INTERVAL) {
             return;
         }
         self.liveness.last_configuration_event = Some((now, version));
--- a/crates/registry/src/member.rs
+++ b/crates/registry/src/member.rs
@@ -1,4 +1,4 @@
-//! One node of the tier, as the others know it.
+//! The register of one node of the tier.
 
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, UnknownVariantSnafu};
@@ -8,33 +8,34 @@
 /// The class of a node's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// Takes requests of clients.
+    /// The node accepts requests of clients.
     Edge,
-    /// Keeps data.
+    /// The node stores data.
     Storage,
 }
 
-/// What is known of a node's lifecycle.
+/// The state of a node's lifecycle as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// Runs.
+    /// The node runs.
     Alive,
-    /// Alive by its register, but without contact to this node for a while. Never sent to others.
+    /// The register says that the node is alive, but it did not answer a probe of this node. This state is local and
+    /// never sent to other nodes.
     Suspect,
-    /// Its watchers no longer hear it. It may come back.
+    /// A watcher of the node received nothing from it for the death timeout. The node may come back.
     Dead,
-    /// Was asked to stop; still serves what it has.
+    /// The node was asked to stop and still serves the requests that it has.
     Leaving,
-    /// Has stopped by itself.
+    /// The node has stopped in an orderly way.
     Left,
 }
 
-/// A node by the hash of its name.
+/// The id of a node: the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u64);
 
 impl NodeId {
-    /// The id of the node with this name.
+    /// Returns the id of the node with this name.
     pub fn of(name: &str) -> NodeId {
         let mut bytes = Vec::with_capacity(name.len() + 1);
         bytes.push(b'm');
@@ -46,40 +47,41 @@
 /// The register of one node. The node itself writes it; others may only mark its current version dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The key.
+    /// The name of the node, which is the key of the register.
     pub name: String,
-    /// Where the node listens for other nodes.
+    /// The internal address at which the node listens for other nodes.
     pub address: SocketAddrV4,
-    /// The time of day at the start of the process, in ms since the epoch; raised if an earlier incarnation had a later one.
+    /// The wall-clock time at the start of the process, in ms since the Unix epoch; the node raises it if an earlier
+    /// incarnation has a later one.
     pub incarnation: u64,
-    /// Raised by the node at each change of its register, so also to refute its death.
+    /// The version of the register within the incarnation. The node raises it at each change, also to refute its death.
     pub status_version: u64,
-    /// The class of its machine.
+    /// The class of the node's machine.
     pub class: Class,
-    /// The zone of its machine.
+    /// The availability zone of the node's machine.
     pub zone: String,
-    /// Where it serves `controller`, if it does.
+    /// The address at which the node serves `controller`, if it does.
     pub control: Option<SocketAddrV4>,
-    /// The identity of its disk, if it has one.
+    /// The identity of the node's disk, if it has one.
     pub replica: Option<u64>,
-    /// Whether it was started with `bootstrap`.
+    /// Whether the node was started with `bootstrap`.
     pub bootstrap: bool,
-    /// What is known of its lifecycle.
+    /// The state of the node's lifecycle.
     pub state: MemberState,
 }
 
 impl Member {
-    /// The hash of the name.
+    /// Returns the id of the node.
     pub fn id(&self) -> NodeId {
         NodeId::of(&self.name)
     }
 
-    /// Whether the node runs as far as is known, so also while it leaves.
+    /// Returns whether the node runs as far as is known, which includes a node that is leaving.
     pub fn serves(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect | MemberState::Leaving)
     }
 
-    /// Of two registers of one node the greater is the newer.
+    /// Returns the sort key of the register: of two registers of one node, the one with the greater key is newer.
     pub(crate) fn order(&self) -> (u64, u64, u8) {
         let rank = match self.state {
             MemberState::Alive | MemberState::Suspect | MemberState::Leaving => 0,
@@ -100,7 +102,7 @@
             Class::Edge => 0,
             Class::Storage => 1,
         };
-        // A suspicion is this node's own, so it travels as what the register says.
+        // Suspicion is local to this node, so a suspected member is encoded as alive, as its register says.
         let state = match self.state {
             MemberState::Alive | MemberState::Suspect => 0,
             MemberState::Dead => 1,
--- a/crates/registry/src/members.rs
+++ b/crates/registry/src/members.rs
@@ -1,4 +1,4 @@
-//! The set of nodes: how registers of nodes merge, and how a node answers to what is said of it.
+//! The set of nodes: merging of their registers, and refutation of wrong claims about the own node.
 
 use crate::event::Event;
 use crate::member::{Member, MemberState, NodeId};
@@ -8,29 +8,30 @@
 use rand::Rng;
 use std::net::SocketAddrV4;
 
-/// How many dead nodes are remembered at most.
+/// The largest number of dead nodes that are remembered.
 const MAX_TOMBSTONES: usize = 1_024;
 
-/// How many live nodes are taken in at most: over twice the largest design.
+/// The largest number of nodes that are admitted: more than twice the largest fleet that the tier is designed for.
 const MAX_MEMBERS: usize = 2_048;
 
-/// A node that was falsely declared dead twice within this duration is given more time from then on.
+/// False deaths are counted together if each follows the one before within this duration. A node that was falsely
+/// declared dead twice in that sense gets a longer death timeout.
 const FALSE_DEATH_MEMORY: Duration = Duration::from_millis(20_000);
 
-/// How often the time that a node is given doubles at most.
-const MAX_SUSPICIONS: u32 = 3;
+/// The largest number of doublings of the death timeout of a node.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
 
-/// One node with what this one has noticed of it.
+/// The register of one node and the local observations about it.
 pub(crate) struct MemberEntry {
     pub(crate) member: Member,
     /// When the register last changed.
     pub(crate) changed: Instant,
-    /// When anything last came from it.
+    /// When this node last received a message from it.
     pub(crate) last_contact: Option<Instant>,
     false_deaths: FalseDeaths,
 }
 
-/// How often a node lately refuted its death within one incarnation.
+/// The number of times that a node recently refuted its death within one incarnation.
 #[derive(Clone, Copy, Default)]
 struct FalseDeaths {
     count: u32,
@@ -51,17 +52,17 @@
         if self.is_forgotten(now) {
             return 1.0;
         }
-        f64::from(1_u32 << self.count.saturating_sub(1).min(MAX_SUSPICIONS))
+        f64::from(1_u32 << self.count.saturating_sub(1).min(MAX_TIMEOUT_DOUBLINGS))
     }
 }
 
 impl MemberEntry {
-    /// How much more time the node is given before it is called dead.
+    /// Returns the factor by which the death timeout of the node is multiplied.
     pub(crate) fn suspicion_multiplier(&self, now: Instant) -> f64 {
         self.false_deaths.suspicion_multiplier(now)
     }
 
-    /// Whether `member` refutes that this entry is dead, without a restart.
+    /// Returns whether `member` refutes the death of this entry within the same incarnation, so without a restart.
     fn is_refuted_by(&self, member: &Member) -> bool {
         self.is_dead() && member.serves() && self.member.incarnation == member.incarnation
     }
@@ -71,19 +72,19 @@
     }
 }
 
-/// How a register came here.
+/// The way by which this node received a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// Down a tree of relays, so to all.
+    /// The register came down a relay tree, so all nodes receive it.
     Relay,
-    /// From the node at this address, to this node only.
+    /// The node at this address sent the register to this node only.
     Peer(SocketAddrV4),
-    /// In the welcome of the seed at this address.
+    /// The register was in the welcome message of the seed at this address.
     Welcome(SocketAddrV4),
 }
 
 impl Registry {
-    /// Puts the register of a node in the place of the one before.
+    /// Stores the register of a node and replaces the previous one.
     pub(crate) fn put_member(&mut self, now: Instant, member: Member) {
         let name = member.name.clone();
         let before = self.members.remove(&name);
@@ -117,21 +118,22 @@
     }
 
     fn unindex_address(&mut self, member: &Member) {
-        if self.by_address.get(&member.address) == Some(&member.name) {
-            self.by_address.remove(&member.address);
+        if self.names_by_address.get(&member.address) == Some(&member.name) {
+            self.names_by_address.remove(&member.address);
         }
     }
 
-    /// An address belongs to the live node with the latest start.
+    /// Maps the address to the node. If several nodes have the address, it belongs to the live one with the highest
+    /// incarnation.
     fn index_address(&mut self, member: &Member) {
-        let current = self.by_address.get(&member.address).and_then(|name| self.members.get(name));
+        let current = self.names_by_address.get(&member.address).and_then(|name| self.members.get(name));
         let rank = |member: &Member| (member.serves(), member.incarnation);
         if current.is_none_or(|current| rank(&current.member) <= rank(member)) {
-            self.by_address.insert(member.address, member.name.clone());
+            self.names_by_address.insert(member.address, member.name.clone());
         }
     }
 
-    /// Suspicion is this node's own view and is not published.
+    /// Sets or clears the suspicion of a node. Suspicion is the local view of this node and is not published.
     pub(crate) fn set_suspect(&mut self, name: &str, suspect: bool) {
         let (from, to) = match suspect {
             true => (MemberState::Alive, MemberState::Suspect),
@@ -148,7 +150,7 @@
 
     pub(crate) fn record_contact(&mut self, now: Instant, from: SocketAddrV4) {
         self.liveness.last_contact = Some(now);
-        let Some(name) = self.by_address.get(&from) else {
+        let Some(name) = self.names_by_address.get(&from) else {
             return;
         };
         let Some(entry) = self.members.get_mut(name) else {
@@ -172,7 +174,7 @@
         self.announce(now, Key::Member(self.own_name.clone()));
     }
 
-    /// Merges the register of a node.
+    /// Merges the register of a node that came from `source`.
     pub(crate) fn merge_member(&mut self, now: Instant, member: Member, source: Source) {
         if member.id() == self.own_id {
             return self.refute(now, &member, source);
@@ -184,7 +186,7 @@
         let is_subject = |address: SocketAddrV4| address == member.address && member.serves();
         let order = known.map(|entry| entry.member.order());
         if order.is_some_and(|order| order >= member.order()) {
-            // A node that does not know what was said of it has to hear it.
+            // The node itself sent an outdated register: it has to learn what others claim about it, to refute that.
             if let Source::Peer(from) = source
                 && is_subject(from)
                 && order.is_some_and(|order| order > member.order())
@@ -210,7 +212,8 @@
         }
     }
 
-    /// Answers to what another node holds of this one: a death is refuted, and an older register is set right.
+    /// Handles the register of this node as another node holds it: refutes a newer claim, for example that this node is
+    /// dead, and sends the current register to a peer whose register differs.
     fn refute(&mut self, now: Instant, claim: &Member, source: Source) {
         let own = self.own_member();
         if claim.order() > own.order() && own.state != MemberState::Left {
@@ -223,28 +226,30 @@
         }
     }
 
+    /// Raises the version of the own register above that of the claim and announces it.
     fn supersede(&mut self, now: Instant, claim: &Member) {
         let mut own = self.own_member().clone();
         if claim.incarnation > own.incarnation {
-            // Of an earlier incarnation, under a clock that was ahead.
+            // The claim comes from an earlier incarnation of this node, whose clock was ahead.
             own.incarnation = claim.incarnation.saturating_add(1);
             own.status_version = 0;
         } else {
             own.status_version = claim.status_version.saturating_add(1);
         }
-        let raised = own.incarnation;
+        let new_incarnation = own.incarnation;
         self.put_member(now, own);
         self.announce(now, Key::Member(self.own_name.clone()));
         if let Some(mut node_metadata) = self.node_metadata.get(&self.own_name).cloned()
-            && node_metadata.incarnation < raised
+            && node_metadata.incarnation < new_incarnation
         {
-            node_metadata.incarnation = raised;
+            node_metadata.incarnation = new_incarnation;
             self.put_metadata(node_metadata);
             self.announce(now, Key::NodeMetadata(self.own_name.clone()));
         }
     }
 
-    /// Forgets who has been dead for long, and the oldest dead beyond the bound.
+    /// Removes the nodes that have been dead for longer than the tombstone retention, and the longest dead ones beyond
+    /// [`MAX_TOMBSTONES`].
     pub(crate) fn forget_dead(&mut self, now: Instant) {
         let mut dead: Vec<(Instant, String)> = self
             .members
@@ -273,7 +278,7 @@
         }
     }
 
-    /// Some other live node, by chance.
+    /// Returns a random live node other than this one.
     pub(crate) fn random_other(&mut self) -> Option<(NodeId, SocketAddrV4)> {
         let others = self.ring.len().saturating_sub(1);
         if others == 0 {
@@ -283,7 +288,8 @@
         Some((ring_member.id, ring_member.address))
     }
 
-    pub(crate) fn member_of(&self, id: NodeId) -> Option<&MemberEntry> {
+    /// Returns the entry of the node with this id.
+    pub(crate) fn member_by_id(&self, id: NodeId) -> Option<&MemberEntry> {
         match self.digest.key(id.0)? {
             Key::Member(name) => self.members.get(name),
             _ => None,
--- a/crates/registry/src/message.rs
+++ b/crates/registry/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes send each other.
+//! The messages between nodes and their binary encoding.
 
 use crate::codec::{Reader, Wire, Writer};
 use crate::digest::{BUCKETS, Summary};
@@ -6,119 +6,120 @@
 use crate::{Member, NodeId, Register};
 use nanoserde::{DeBin, DeBinErr, SerBin};
 
-/// No message is longer in its binary form, in bytes.
+/// The largest length of an encoded message, in bytes.
 pub const MAX_MESSAGE: usize = 16 * 1024;
 
-/// How many bytes of registers go into one message; leaves room for the head.
-pub(crate) const REGISTERS_PER_MESSAGE: usize = 15 * 1024;
+/// The largest total length of the registers in one message, in bytes; the rest of the message is left for its header.
+pub(crate) const REGISTER_BYTES_PER_MESSAGE: usize = 15 * 1024;
 
-/// How many entries of a summary go into one message.
+/// The largest number of summaries in one message.
 pub(crate) const SUMMARIES_PER_MESSAGE: usize = 900;
 
-/// How many registers are asked for in one message.
+/// The largest number of registers that one message requests.
 pub(crate) const WANTED_KEYS_PER_MESSAGE: usize = 1_800;
 
-/// How many registers a message may name at most: each takes over 16 bytes.
+/// The largest number of registers in a message: each takes more than 16 bytes.
 const MAX_REGISTERS: usize = MAX_MESSAGE / 16;
 
-/// What a node says of itself and its view in each heartbeat.
+/// The version of a node's own register and the digest of all its registers, sent in each heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// The id of the sender.
     pub node: NodeId,
-    /// Its incarnation.
+    /// The incarnation of the sender.
     pub incarnation: u64,
-    /// The version of its register.
+    /// The version of the sender's register within the incarnation.
     pub status_version: u64,
-    /// The hash of all registers that it holds.
+    /// The combined hash of all live registers that the sender holds.
     pub digest: u64,
-    /// The version of the configuration that it has; 0 for none.
+    /// The version of the configuration that the sender has, or 0 if it has none.
     pub configuration_version: u64,
-    /// Whether it answers a heartbeat with another digest, so that the receiver sees who is behind.
+    /// Whether this message answers a heartbeat whose digest differed, so that the receiver can detect which of the two
+    /// nodes is behind.
     pub answer: bool,
 }
 
-/// Updates on their way down the tree of relays.
+/// Updates that are forwarded down a relay tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relay {
-    /// The root of the tree.
+    /// The id of the node that sent the updates first, which is the root of the tree.
     pub origin: NodeId,
     /// The incarnation of the origin, within which `sequence` is unique.
     pub incarnation: u64,
-    /// Rises by one with each message of the origin.
+    /// The number of this relay, which increases by one with each relay of the origin.
     pub sequence: u64,
-    /// Whether the origin waits for everyone's [`Message::Confirm`].
+    /// Whether the origin waits for a [`Message::Confirm`] from every node.
     pub confirm: bool,
-    /// The updates.
+    /// The updated registers.
     pub registers: Vec<Register>,
 }
 
-/// A message between two nodes. Any may be lost, doubled or overtaken by another.
+/// A message between two nodes. Messages may be lost, duplicated or reordered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// From a node that knows nobody to a seed.
+    /// A request to a seed to let the sender join, with the register of the sender.
     Join(Member),
-    /// To a node that joins: some of the members, the sender first.
+    /// The answer to a joining node: some of the members, the sender first.
     Welcome(Vec<Member>),
-    /// That the sender lives, and what it knows in brief.
+    /// A sign of life of the sender, with the digest of its registers.
     Heartbeat(Heartbeat),
-    /// Asks the receiver whether it lives.
+    /// A probe that the receiver answers with a pong.
     Ping {
-        /// Who wants to know, if not the sender.
+        /// The node that requested the probe, if it is not the sender.
         asker: Option<NodeId>,
     },
-    /// Asks the receiver to send a ping to another node.
+    /// A request to the receiver to ping the node with this id.
     PingFor(NodeId),
-    /// That a node lives.
+    /// The answer to a ping, which shows that a node is alive.
     Pong {
-        /// Who lives.
+        /// The node that answered the ping.
         subject: NodeId,
-        /// Who wants to know, if not the receiver.
+        /// The node that requested the probe, if it is not the receiver.
         asker: Option<NodeId>,
     },
-    /// Updates.
+    /// Updates that each node forwards down the relay tree.
     Relay(Relay),
-    /// That the sender has the updates of this number; straight to their origin.
+    /// The confirmation that the sender has received a relay, sent directly to the origin of the relay.
     Confirm {
-        /// [`Relay::incarnation`].
+        /// The [`Relay::incarnation`] of the confirmed relay.
         incarnation: u64,
-        /// [`Relay::sequence`].
+        /// The [`Relay::sequence`] of the confirmed relay.
         sequence: u64,
     },
-    /// The hashes of all registers in parts, as the digests differ.
+    /// The hash of each bucket of registers, sent to a node whose digest differs.
     Buckets(Vec<u64>),
-    /// What the sender has in the parts that differ.
+    /// The summaries of the sender's registers in the buckets that differ.
     Summaries {
-        /// The parts that the entries list completely, one bit each.
+        /// A bit mask of the buckets whose registers are all listed in the entries.
         complete: u64,
-        /// Keys and versions.
+        /// The hashes of the keys and versions of the registers.
         entries: Vec<Summary>,
     },
-    /// Asks for the registers of these keys.
+    /// A request for the registers with these hashes of their keys.
     Want(Vec<u64>),
-    /// Registers that the receiver asked for or lacks.
+    /// Registers that the receiver requested or lacks.
     Registers(Vec<Register>),
 }
 
 impl Message {
-    /// The binary form, at most [`MAX_MESSAGE`] bytes.
+    /// Encodes the message in at most [`MAX_MESSAGE`] bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Writer::default();
         self.write(&mut out);
         out.bytes
     }
 
-    /// Reads a whole message.
+    /// Decodes bytes that consist of exactly one message.
     ///
     /// # Errors
-    /// Says what is wrong with bytes that are none.
+    /// Returns an error if the bytes are not a valid message.
     pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         if bytes.len() > MAX_MESSAGE {
             return TooLongSnafu { what: "a message", length: bytes.len(), largest: MAX_MESSAGE }.fail();
         }
         let mut input = Reader::new(bytes);
         let message = Message::read(&mut input)?;
-        match input.left() {
+        match input.remaining() {
             0 => Ok(message),
             count => TrailingSnafu { count }.fail(),
         }
@@ -256,26 +257,26 @@
     fn read(input: &mut Reader<'_>) -> Result<Message, DecodeError> {
         Ok(match input.u8()? {
             0 => Message::Join(Member::read(input)?),
-            1 => Message::Welcome(input.list("the members of a welcome", MAX_REGISTERS)?),
+            1 => Message::Welcome(input.list("the members of a welcome message", MAX_REGISTERS)?),
             2 => Message::Heartbeat(Heartbeat::read(input)?),
             3 => Message::Ping { asker: Option::read(input)? },
             4 => Message::PingFor(NodeId::read(input)?),
             5 => Message::Pong { subject: NodeId::read(input)?, asker: Option::read(input)? },
             6 => Message::Relay(Relay::read(input)?),
             7 => Message::Confirm { incarnation: input.u64()?, sequence: input.u64()? },
-            8 => Message::Buckets(input.list("the parts of a digest", BUCKETS)?),
+            8 => Message::Buckets(input.list("the bucket hashes of a digest", BUCKETS)?),
             9 => Message::Summaries {
                 complete: input.u64()?,
-                entries: input.list("the entries of a summary", MAX_MESSAGE / 16)?,
+                entries: input.list("the list of summaries", MAX_MESSAGE / 16)?,
             },
-            10 => Message::Want(input.list("the keys that are wanted", MAX_MESSAGE / 8)?),
-            11 => Message::Registers(input.list("the registers of an answer", MAX_REGISTERS)?),
+            10 => Message::Want(input.list("the requested keys", MAX_MESSAGE / 8)?),
+            11 => Message::Registers(input.list("the list of registers", MAX_REGISTERS)?),
             tag => return UnknownVariantSnafu { what: "a message", tag }.fail(),
         })
     }
 }
 
-/// The binary form after its length as four bytes, so that it stands among other values.
+/// Encodes the message with its length as a four-byte prefix, so that it can be part of other encoded values.
 impl SerBin for Message {
     fn ser_bin(&self, output: &mut Vec<u8>) {
         let bytes = self.encode();
@@ -287,12 +288,12 @@
 impl DeBin for Message {
     fn de_bin(offset: &mut usize, bytes: &[u8]) -> Result<Message, DeBinErr> {
         let length = u32::de_bin(offset, bytes)? as usize;
-        let left = bytes.get(*offset..).unwrap_or_default();
-        let Some(body) = left.get(..length) else {
-            return Err(DeBinErr::new(*offset, length, left.len()));
+        let remaining = bytes.get(*offset..).unwrap_or_default();
+        let Some(body) = remaining.get(..length) else {
+            return Err(DeBinErr::new(*offset, length, remaining.len()));
         };
-        // The error of the library can only name lengths.
-        let message = Message::decode(body).map_err(|_| DeBinErr::new(*offset, length, left.len()))?;
+        // The error type of the library can only report lengths.
+        let message = Message::decode(body).map_err(|_| DeBinErr::new(*offset, length, remaining.len()))?;
         *offset += length;
         Ok(message)
     }
--- a/crates/registry/src/node_metadata.rs
+++ b/crates/registry/src/node_metadata.rs
@@ -1,4 +1,4 @@
-//! Node metadata: a small payload that each node publishes of itself. Its bytes are the caller's.
+//! Node metadata: a small payload that each node publishes about itself. Only the caller interprets its bytes.
 
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, TooLongSnafu};
@@ -11,29 +11,29 @@
 /// The largest payload, in bytes.
 pub const MAX_METADATA: usize = 512;
 
-/// A payload exceeds [`MAX_METADATA`].
+/// The error of a payload that exceeds [`MAX_METADATA`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("facts of {length} bytes"))]
+#[snafu(display("node metadata has {length} bytes, more than {MAX_METADATA}"))]
 pub struct MetadataTooLarge {
-    /// The length of the payload.
+    /// The length of the payload, in bytes.
     pub length: usize,
 }
 
-/// The register of what one node says of itself; the newest takes the place of all before.
+/// The register with the metadata of one node; a newer one replaces the previous one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeMetadata {
-    /// The name of the node, the key.
+    /// The name of the node, which is the key of the register.
     pub node: String,
-    /// The node's incarnation when it said so.
+    /// The node's incarnation when it published the payload.
     pub incarnation: u64,
-    /// Rises with each change within an incarnation.
+    /// The number of the change within the incarnation.
     pub counter: u64,
-    /// Bytes that only the caller understands.
+    /// The payload, which only the caller interprets.
     pub payload: Vec<u8>,
 }
 
 impl NodeMetadata {
-    /// Of two registers of one node the greater is the newer.
+    /// Returns the sort key of the register: of two registers of one node, the one with the greater key is newer.
     pub(crate) fn order(&self) -> (u64, u64) {
         (self.incarnation, self.counter)
     }
@@ -55,17 +55,17 @@
         let counter = input.u64()?;
         let length = usize::from(input.u16()?);
         if length > MAX_METADATA {
-            return TooLongSnafu { what: "facts", length, largest: MAX_METADATA }.fail();
+            return TooLongSnafu { what: "the metadata of a node", length, largest: MAX_METADATA }.fail();
         }
         Ok(NodeMetadata { node, incarnation, counter, payload: input.take(length)?.to_vec() })
     }
 }
 
 impl Registry {
-    /// Tells all nodes something of this one, in the place of what it said before.
+    /// Publishes metadata of this node to all nodes and replaces the previous metadata.
     ///
     /// # Errors
-    /// Refuses more than [`MAX_METADATA`] bytes.
+    /// Returns an error if the payload is longer than [`MAX_METADATA`] bytes.
     pub fn set_metadata(&mut self, now: Instant, payload: Vec<u8>) -> Result<(), MetadataTooLarge> {
         if payload.len() > MAX_METADATA {
             return Err(MetadataTooLarge { length: payload.len() });
@@ -87,7 +87,7 @@
         self.output.events.push(Event::MetadataChanged { node });
     }
 
-    /// Metadata counts in the digest while its node lives.
+    /// Updates the digest for the metadata of a node, which counts as live while the node is live.
     pub(crate) fn update_metadata_digest(&mut self, node: &str) {
         let Some(node_metadata) = self.node_metadata.get(node) else {
             return;
--- a/crates/registry/src/placement.rs
+++ b/crates/registry/src/placement.rs
@@ -1,21 +1,22 @@
-//! Which edge node an executor should call.
+//! Placement: selects the edge node to which an executor sends its heartbeats.
 
 use crate::{Class, Member, MemberState, hash};
 use std::net::SocketAddrV4;
 
-/// The node with the highest hash together with the executor, among the live edge nodes that serve `controller` in
-/// its zone, or in all zones if its own has none. So load is even, and a node that comes or goes moves only its share.
+/// Returns the `controller` address of the node that wins rendezvous hashing for the executor `id`. Candidates are the
+/// live edge nodes that serve `controller` in the zone of the executor, or in all zones if its own has none. This
+/// spreads the load evenly, and a node that joins or leaves moves only its share of the executors.
 pub(crate) fn heartbeat_target<'a>(
     id: &str,
     zone: &str,
     members: impl Iterator<Item = &'a Member>,
 ) -> Option<SocketAddrV4> {
-    let executor = hash::of_bytes(id.as_bytes());
+    let executor_hash = hash::of_bytes(id.as_bytes());
     members
         .filter(|member| member.class == Class::Edge)
         .filter(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
         .filter_map(|member| {
-            let rank = (member.zone == zone, hash::of_pair(executor, member.id().0));
+            let rank = (member.zone == zone, hash::of_pair(executor_hash, member.id().0));
             Some((rank, member.control?))
         })
         .max()
--- a/crates/registry/src/queries.rs
+++ b/crates/registry/src/queries.rs
@@ -1,4 +1,4 @@
-//! What callers may ask the registry. Nothing here changes it.
+//! Read-only queries of the registry for its callers.
 
 use crate::event::Generation;
 use crate::member::{Member, NodeId};
@@ -8,82 +8,85 @@
 use std::net::SocketAddrV4;
 
 impl Registry {
-    /// All nodes in the order of their names, this one and those that are dead for a while too.
+    /// Returns all nodes in the order of their names, including this node and dead nodes that are still remembered.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|entry| &entry.member)
     }
 
-    /// The nodes that run as far as is known, this one among them.
+    /// Returns the nodes that run as far as is known, including this node.
     pub fn live_members(&self) -> impl Iterator<Item = &Member> {
         self.members().filter(|member| member.serves())
     }
 
-    /// The node of this name.
+    /// Returns the node with this name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         Some(&self.members.get(name)?.member)
     }
 
-    /// Since when this node holds the node of this name for what it is now.
+    /// Returns when the register of the node with this name last changed on this node.
     pub fn state_since(&self, name: &str) -> Option<Instant> {
         Some(self.members.get(name)?.changed)
     }
 
-    /// The node with this disk; of two the one that runs, then the later one.
+    /// Returns the node with this disk identity. Of several such nodes, a running one comes first, then the one with
+    /// the highest incarnation.
     pub fn member_by_replica(&self, replica: u64) -> Option<&Member> {
         self.members()
             .filter(|member| member.replica == Some(replica))
             .max_by_key(|member| (member.serves(), member.incarnation))
     }
 
-    /// This node.
+    /// Returns the register of this node.
     pub fn own_member(&self) -> &Member {
-        // The own register is put in at the start and never taken out.
+        // The own register is inserted at the start and never removed.
         &self.members[&self.own_name].member
     }
 
-    /// All executors in the order of their ids, also those that are unresponsive or gone for a while.
+    /// Returns all executors in the order of their ids, including those that are unresponsive or gone and not yet
+    /// expired.
     pub fn executors(&self) -> impl Iterator<Item = &Executor> {
         self.executors.iter()
     }
 
-    /// The executors of one service.
+    /// Returns the executors of one service.
     pub fn executors_of(&self, service: &str) -> impl Iterator<Item = &Executor> {
         self.executors().filter(move |executor| executor.report.service == service)
     }
 
-    /// The executor with this id.
+    /// Returns the executor with this id.
     pub fn executor(&self, id: &str) -> Option<&Executor> {
         self.executors.get(id)
     }
 
-    /// What the nodes say of themselves, also those that are dead for a while.
+    /// Returns the metadata of all nodes, including dead nodes that are still remembered.
     pub fn node_metadata(&self) -> impl Iterator<Item = &NodeMetadata> {
         self.node_metadata.values()
     }
 
-    /// What the node of this name says of itself.
+    /// Returns the metadata of the node with this name.
     pub fn metadata_of(&self, name: &str) -> Option<&NodeMetadata> {
         self.node_metadata.get(name)
     }
 
-    /// Counters that rise whenever something changes.
+    /// Returns the counters that increase whenever a set of registers changes.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// The version of the configuration that this node has; 0 for none.
+    /// Returns the version of the configuration that this node has, or 0 if it has none.
     pub fn configuration_version(&self) -> u64 {
         self.configuration_version
     }
 
-    /// The internal addresses to which this node forwards the relays of the node `origin`: its children in the tree
-    /// of relays that is rooted there.
+    /// Returns the internal addresses to which this node forwards the relays of the node with the name `origin`: its
+    /// children in the relay tree that is rooted at that node.
     pub fn relay_children(&self, origin: &str) -> Vec<SocketAddrV4> {
         self.children(NodeId::of(origin))
     }
 
-    /// As [`Registry::relay_children`], by the id of the node; nothing where no live node has it.
+    /// Returns the same as [`Registry::relay_children`] for the node with the id `origin`, or `None` if no live node
+    /// has this id.
     pub fn relay_children_of(&self, origin: NodeId) -> Option<Vec<SocketAddrV4>> {
-        self.member_of(origin).filter(|entry| entry.member.serves()).map(|_| self.children(origin))
+        self.member_by_id(origin).filter(|entry| entry.member.serves()).map(|_| self.children(origin))
     }
 }
--- a/crates/registry/src/register.rs
+++ b/crates/registry/src/register.rs
@@ -1,22 +1,22 @@
-//! What nodes publish: a register of one of the sets, and its key.
+//! A published register of any kind, and its key.
 
 use crate::codec::{Reader, Wire, Writer};
 use crate::error::{DecodeError, UnknownVariantSnafu};
 use crate::hash;
 use crate::{Executor, Member, NodeId, NodeMetadata};
 
-/// One register.
+/// A register of any kind.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Register {
-    /// A node.
+    /// The register of a node.
     Member(Member),
-    /// An executor.
+    /// The register of an executor.
     Executor(Executor),
-    /// What a node says of itself.
+    /// The metadata of a node.
     NodeMetadata(NodeMetadata),
 }
 
-/// What a register is found by.
+/// The key of a register: its kind, and the name of the node or the id of the executor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Key {
     Member(String),
@@ -54,14 +54,14 @@
         }
     }
 
-    /// The hash of its binary form.
+    /// Returns the hash of the encoded register.
     pub(crate) fn hash(&self) -> u64 {
         let mut out = Writer::default();
         self.write(&mut out);
         hash::of_bytes(&out.bytes)
     }
 
-    /// The length of its binary form, in bytes.
+    /// Returns the length of the encoded register, in bytes.
     pub(crate) fn length(&self) -> usize {
         let mut out = Writer::default();
         self.write(&mut out);
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,8 +1,8 @@
-//! The state machine: its state, and how calls and messages reach the modules that handle them.
+//! The [`Registry`] state machine: its fields, and the dispatch of calls and messages to the modules that handle them.
 //!
-//! Each module adds its methods to [`Registry`] and owns the fields named after it; the others reach them through its
-//! methods. Every call that may change something starts with [`Registry::begin_step`], and what it wants sent or known
-//! is gathered in the output.
+//! Each module adds its methods to [`Registry`] and owns the fields named after it; other modules use these fields
+//! through the methods of the owner. Every call that may change the state starts with [`Registry::begin_step`] and
+//! collects the messages and events that it produces in the output.
 
 use crate::confirmation::Confirmations;
 use crate::deferred_death::DeferredDeaths;
@@ -26,11 +26,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
 
-/// A process that was not called for so long beyond what it asked for has been frozen: its own silence must not
-/// count as that of others.
+/// A process whose tick is late by more than this duration was frozen: the time in which it received nothing must not
+/// count as silence of other nodes.
 const FREEZE_THRESHOLD: Duration = Duration::from_millis(600);
 
-/// Who is there, as one node knows it.
+/// The members, executors and node metadata that one node knows.
 pub struct Registry {
     pub(crate) timings: Timings,
     pub(crate) losses: Losses,
@@ -40,7 +40,7 @@
     pub(crate) own_address: SocketAddrV4,
     pub(crate) configuration_version: u64,
     pub(crate) members: BTreeMap<String, MemberEntry>,
-    pub(crate) by_address: HashMap<SocketAddrV4, String>,
+    pub(crate) names_by_address: HashMap<SocketAddrV4, String>,
     pub(crate) node_metadata: BTreeMap<String, NodeMetadata>,
     pub(crate) executors: Executors,
     pub(crate) digest: Digest,
@@ -58,7 +58,8 @@
 }
 
 impl Registry {
-    /// A node that has just started and knows only itself and its seeds. Equal seeds of chance give equal runs.
+    /// Creates the registry of a node that has just started and knows only itself and its seed nodes. The parameter
+    /// `seed` initializes the random number generator: equal values give equal runs.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Registry {
         let Settings { mut member, seeds, timings, losses } = settings;
         member.state = MemberState::Alive;
@@ -72,7 +73,7 @@
             own_address,
             configuration_version: 0,
             members: BTreeMap::new(),
-            by_address: HashMap::new(),
+            names_by_address: HashMap::new(),
             node_metadata: BTreeMap::new(),
             executors: Executors::new(now),
             digest: Digest::new(),
@@ -96,7 +97,7 @@
         registry
     }
 
-    /// Takes a message in from the node at the internal address `from`.
+    /// Handles a message from the node at the internal address `from`.
     pub fn receive(&mut self, now: Instant, from: SocketAddrV4, message: Message) {
         self.begin_step(now);
         if from == self.own_address {
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Does what is due. To be called at [`Registry::next_wake`], and any time before.
+    /// Runs the timers that are due. The caller calls this at [`Registry::next_wake`], and may call it earlier.
     pub fn tick(&mut self, now: Instant) {
         self.begin_step(now);
         self.tick_joining(now);
@@ -133,7 +134,7 @@
         self.expected_wake = self.next_wake();
     }
 
-    /// When something is due next.
+    /// Returns the time at which the next timer is due.
     pub fn next_wake(&self) -> Instant {
         let wakes = [
             self.joining.next_wake(),
@@ -148,28 +149,29 @@
         wakes.into_iter().flatten().min().unwrap_or(self.expected_wake)
     }
 
-    /// What has come up since the last call: to be taken after each call that changes something.
+    /// Takes the messages and events since the last call of this method. The caller calls it after each call that
+    /// changes the registry.
     pub fn take_output(&mut self) -> Output {
         std::mem::take(&mut self.output)
     }
 
-    /// Says what may be lost at once, as the operator has changed it.
+    /// Sets the losses that the core tolerates, after the operator has changed them.
     pub fn set_losses(&mut self, losses: Losses) {
         self.losses = losses;
     }
 
-    /// Says which configuration this node has. Its heartbeats carry the version on.
+    /// Sets the version of the configuration that this node has, which its heartbeats carry.
     pub fn set_configuration_version(&mut self, version: u64) {
         self.configuration_version = version;
     }
 
-    /// Says that this node was asked to stop. It still serves, but executors are sent elsewhere.
+    /// Announces that this node was asked to stop. It still serves requests, but executors are directed to other nodes.
     pub fn leave(&mut self, now: Instant) {
         self.begin_step(now);
         self.change_own_state(now, MemberState::Leaving);
     }
 
-    /// Says that this node stops now: to be called once, last.
+    /// Announces that this node stops now. The caller calls this once, as the last call.
     pub fn left(&mut self, now: Instant) {
         self.begin_step(now);
         self.change_own_state(now, MemberState::Left);
@@ -196,7 +198,7 @@
         })
     }
 
-    /// The register of a key as it is published.
+    /// Returns the register of a key as this node publishes it.
     pub(crate) fn register(&self, key: &Key) -> Option<Register> {
         match key {
             Key::Member(name) => Some(Register::Member(self.member(name)?.clone())),
@@ -205,13 +207,13 @@
         }
     }
 
-    /// To be called before anything changes.
+    /// Prepares a change of the state: detects a freeze of this process and records the digest before the change.
     pub(crate) fn begin_step(&mut self, now: Instant) {
         self.detect_freeze(now);
         self.repairs.record(now, self.digest.total());
     }
 
-    /// After a freeze all waits begin anew.
+    /// Restarts or postpones all timeouts if this process was frozen.
     fn detect_freeze(&mut self, now: Instant) {
         let late = now.since(self.expected_wake);
         if late > FREEZE_THRESHOLD {
--- a/crates/registry/src/relay.rs
+++ b/crates/registry/src/relay.rs
@@ -1,8 +1,8 @@
-//! How updates reach all nodes: down a tree of relays that is rooted at their origin. Each node forwards a relay once.
+//! Relaying: updates reach all nodes down a relay tree that is rooted at their origin. Each node forwards a relay once.
 
 use crate::member::NodeId;
 use crate::members::Source;
-use crate::message::{Message, REGISTERS_PER_MESSAGE, Relay};
+use crate::message::{Message, REGISTER_BYTES_PER_MESSAGE, Relay};
 use crate::register::{Key, Register};
 use crate::registry::Registry;
 use grebeusher_time::{Duration, DurationExt, Instant};
@@ -10,20 +10,21 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
 
-/// From how many origins forwarded messages are remembered.
+/// The number of origins above which the windows of unknown nodes are removed.
 const MAX_ORIGINS: usize = 2_048;
 
-/// A register that a repair brought is announced after a random delay of at most this, unless a relay has brought it by
-/// then. So mostly one node announces it, however many were repaired.
+/// A register that came by a repair is announced after a random delay of at most this duration, unless it has come by a
+/// relay before. So usually one node announces it, however many nodes were repaired.
 const MAX_FORWARD_DELAY: Duration = Duration::from_millis(100);
 
-/// Forwards that are due within this duration share a relay.
+/// Registers whose announcements are due within this duration share a relay.
 const FORWARD_BATCH_WINDOW: Duration = Duration::from_millis(30);
 
-/// How many registers wait to be forwarded at most; the others spread by repair alone.
-const MAX_FORWARDED: usize = 1_024;
+/// The largest number of registers that wait to be announced after a repair; others spread by repair alone.
+const MAX_PENDING_FORWARDS: usize = 1_024;
 
-/// The messages of one origin that were forwarded: the highest number and, in bits, those just below it.
+/// The relays of one origin that were forwarded: the highest sequence number, and a bit mask of the numbers from it
+/// downwards, with the highest number in the lowest bit.
 struct SequenceWindow {
     incarnation: u64,
     highest: u64,
@@ -31,7 +32,7 @@
 }
 
 impl SequenceWindow {
-    /// Whether the message was not forwarded before. What lies below the window counts as forwarded.
+    /// Records a relay and returns whether it was not forwarded before. Numbers below the window count as forwarded.
     fn admit(&mut self, incarnation: u64, sequence: u64) -> bool {
         if incarnation < self.incarnation {
             return false;
@@ -41,18 +42,19 @@
             return true;
         }
         if sequence > self.highest {
-            let postpone = u32::try_from(sequence - self.highest).unwrap_or(u32::MAX);
-            self.forwarded = self.forwarded.checked_shl(postpone).unwrap_or(0) | 1;
+            let shift = u32::try_from(sequence - self.highest).unwrap_or(u32::MAX);
+            self.forwarded = self.forwarded.checked_shl(shift).unwrap_or(0) | 1;
             self.highest = sequence;
             return true;
         }
-        let Some(bit) = u32::try_from(self.highest - sequence).ok().and_then(|back| 1_u128.checked_shl(back))
+        let Some(bit) =
+            u32::try_from(self.highest - sequence).ok().and_then(|distance| 1_u128.checked_shl(distance))
         else {
             return false;
         };
-        let incoming = self.forwarded & bit == 0;
+        let is_new = self.forwarded & bit == 0;
         self.forwarded |= bit;
-        incoming
+        is_new
     }
 }
 
@@ -62,13 +64,13 @@
     windows: HashMap<NodeId, SequenceWindow>,
     sequence: u64,
     pending_updates: BTreeSet<Key>,
-    flush: Option<Instant>,
+    next_flush: Option<Instant>,
     pending_forwards: BTreeMap<Key, Instant>,
 }
 
 impl Relays {
     pub(crate) fn next_wake(&self) -> Option<Instant> {
-        self.pending_forwards.values().copied().chain(self.flush).min()
+        self.pending_forwards.values().copied().chain(self.next_flush).min()
     }
 
     fn admit(&mut self, relay: &Relay) -> bool {
@@ -82,15 +84,15 @@
 }
 
 impl Registry {
-    /// Announces a register to all nodes, batched with other changes.
+    /// Announces the register of `key` to all nodes, batched with other changes.
     pub(crate) fn announce(&mut self, now: Instant, key: Key) {
         self.relays.pending_updates.insert(key);
-        self.relays.flush.get_or_insert(now + self.timings.batch);
+        self.relays.next_flush.get_or_insert(now + self.timings.batch);
     }
 
-    /// Announces a register that a repair brought, unless another node does so first.
+    /// Schedules the announcement of a register that came by a repair, unless another node announces it first.
     pub(crate) fn schedule_forward(&mut self, now: Instant, key: Key) {
-        if self.relays.pending_forwards.len() < MAX_FORWARDED {
+        if self.relays.pending_forwards.len() < MAX_PENDING_FORWARDS {
             let wait = Duration::from_nanos(self.random.random_range(0..=MAX_FORWARD_DELAY.nanos()));
             self.relays.pending_forwards.entry(key).or_insert(now + wait);
         }
@@ -100,28 +102,28 @@
         if self.relays.pending_forwards.values().all(|due| *due > now) {
             return;
         }
-        let soon = now + FORWARD_BATCH_WINDOW;
+        let batch_end = now + FORWARD_BATCH_WINDOW;
         let pending = std::mem::take(&mut self.relays.pending_forwards);
         let (due, pending): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            pending.into_iter().partition(|(_, due)| *due <= soon);
+            pending.into_iter().partition(|(_, due)| *due <= batch_end);
         self.relays.pending_forwards = pending;
         self.relays.pending_updates.extend(due.into_keys());
-        self.relays.flush = Some(now);
+        self.relays.next_flush = Some(now);
     }
 
     pub(crate) fn tick_relays(&mut self, now: Instant) {
         self.tick_forwards(now);
-        if self.relays.flush.is_some_and(|flush| flush <= now) {
+        if self.relays.next_flush.is_some_and(|at| at <= now) {
             self.flush_updates();
         }
         if self.relays.windows.len() > MAX_ORIGINS {
-            let known = &self.digest;
-            self.relays.windows.retain(|origin, _| known.key(origin.0).is_some());
+            let digest = &self.digest;
+            self.relays.windows.retain(|origin, _| digest.key(origin.0).is_some());
         }
     }
 
     pub(crate) fn flush_updates(&mut self) {
-        self.relays.flush = None;
+        self.relays.next_flush = None;
         let keys: Vec<Key> = std::mem::take(&mut self.relays.pending_updates).into_iter().collect();
         for registers in self.registers_in_messages(&keys) {
             let relay = self.new_relay(false, registers);
@@ -129,28 +131,28 @@
         }
     }
 
-    /// A message of this node with the next number.
+    /// Creates a relay of this node with the next sequence number.
     pub(crate) fn new_relay(&mut self, confirm: bool, registers: Vec<Register>) -> Relay {
         self.relays.sequence += 1;
         let incarnation = self.own_member().incarnation;
         Relay { origin: self.own_id, incarnation, sequence: self.relays.sequence, confirm, registers }
     }
 
-    /// The registers of some keys, in parts that fit in a message each.
+    /// Returns the registers of the keys, in batches that each fit in a message.
     pub(crate) fn registers_in_messages(&self, keys: &[Key]) -> Vec<Vec<Register>> {
         let mut batches = Vec::new();
-        let (mut part, mut length) = (Vec::new(), 0);
+        let (mut batch, mut length) = (Vec::new(), 0);
         for register in keys.iter().filter_map(|key| self.register(key)) {
-            let more = register.length();
-            if length + more > REGISTERS_PER_MESSAGE && !part.is_empty() {
-                batches.push(std::mem::take(&mut part));
+            let register_length = register.length();
+            if length + register_length > REGISTER_BYTES_PER_MESSAGE && !batch.is_empty() {
+                batches.push(std::mem::take(&mut batch));
                 length = 0;
             }
-            length += more;
-            part.push(register);
+            length += register_length;
+            batch.push(register);
         }
-        if !part.is_empty() {
-            batches.push(part);
+        if !batch.is_empty() {
+            batches.push(batch);
         }
         batches
     }
@@ -179,7 +181,7 @@
             }
         }
         if relay.confirm {
-            let origin = self.member_of(relay.origin).map_or(from, |entry| entry.member.address);
+            let origin = self.member_by_id(relay.origin).map_or(from, |entry| entry.member.address);
             let Relay { incarnation, sequence, .. } = relay;
             self.send(origin, Message::Confirm { incarnation, sequence });
         }
@@ -188,25 +190,25 @@
         }
     }
 
-    /// Merges a register of any kind.
+    /// Merges a register of any kind that came from `source`.
     pub(crate) fn merge(&mut self, now: Instant, register: Register, source: Source) {
         match register {
             Register::Member(member) => self.merge_member(now, member, source),
             Register::Executor(executor) => {
                 self.merge_executor(now, executor);
             }
-            Register::NodeMetadata(node_metadata) => self.merge_facts(node_metadata),
+            Register::NodeMetadata(node_metadata) => self.merge_metadata(node_metadata),
         }
     }
 
-    fn merge_facts(&mut self, node_metadata: crate::NodeMetadata) {
-        // Metadata without their node would never be forgotten; they come again by repair.
-        let known = self.members.contains_key(&node_metadata.node) && node_metadata.node != self.own_name;
-        let newer = self
+    fn merge_metadata(&mut self, node_metadata: crate::NodeMetadata) {
+        // Metadata of an unknown node would never be removed. It comes again by a repair once the node is known.
+        let is_known = self.members.contains_key(&node_metadata.node) && node_metadata.node != self.own_name;
+        let is_newer = self
             .node_metadata
             .get(&node_metadata.node)
-            .is_none_or(|held| held.order() < node_metadata.order());
-        if known && newer {
+            .is_none_or(|current| current.order() < node_metadata.order());
+        if is_known && is_newer {
             self.put_metadata(node_metadata);
         }
     }
--- a/crates/registry/src/report.rs
+++ b/crates/registry/src/report.rs
@@ -7,49 +7,49 @@
 use std::net::SocketAddrV4;
 use tinyjson::JsonValue;
 
-/// The largest body that is read, in bytes.
+/// The largest length of a body that is parsed, in bytes.
 pub const MAX_REPORT: usize = 64 * 1024;
 
-/// How deep a body may nest; the parser goes a call deeper for each level.
-const DEEPEST: usize = 16;
+/// The largest nesting depth of a body; the parser recurses once per level.
+const MAX_DEPTH: usize = 16;
 
-/// The largest whole number that JSON carries exactly.
-const MAX_NUMBER: f64 = 9_007_199_254_740_992.0;
+/// The largest integer up to which JSON numbers, read as `f64`, represent all integers exactly: 2^53.
+const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
-/// One heartbeat of an executor. It is also what the nodes publish of the executor, in [`crate::Executor::report`].
+/// A heartbeat of an executor. Nodes publish it as part of the executor's register, in [`crate::Executor::report`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeartbeatReport {
-    /// The `instance_id`, from the path of the call; the key of the register.
+    /// The `instance_id` from the path of the call, which is the key of the register.
     pub id: String,
-    /// The service that it runs.
+    /// The name of the service that the executor runs.
     pub service: String,
-    /// Where it takes requests.
+    /// The address at which the executor accepts requests.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The availability zone of the executor.
     pub zone: String,
-    /// How many requests it works on at once.
+    /// The number of requests that the executor processes concurrently.
     pub slot_count: u32,
-    /// The version of its software.
+    /// The version of the executor's software.
     pub config_version: String,
-    /// `prefill`, `decode` or `both`; empty if it names none.
+    /// The stage `prefill`, `decode` or `both`, or an empty text if the executor names none.
     pub pipeline_stage: String,
-    /// `up` or `draining`; gone only in the register of an executor that has deregistered.
+    /// The state: `up` or `draining` in a heartbeat; gone only in the register of an executor that has deregistered.
     pub state: ExecutorState,
-    /// How much longer it is warming up at the time of the call, in ms.
+    /// The remaining warm-up time at the time of the call, in ms.
     pub cold_left_ms: u64,
-    /// Rises with every call.
+    /// The number of the call, which increases with every call of the executor.
     pub call_seq: u64,
-    /// The models that it holds, at most 16.
+    /// The models that the executor holds, at most 16.
     pub models: Vec<Model>,
 }
 
 type Fields = HashMap<String, JsonValue>;
 
 impl HeartbeatReport {
-    /// Reads the body of a call whose path names `id`. Unknown fields are ignored.
+    /// Parses the body of a call whose path contains `id`. Unknown fields are ignored.
     ///
     /// # Errors
-    /// Says what is wrong with a body that is no heartbeat.
+    /// Returns an error if the body is not a valid heartbeat.
     pub fn parse(id: &str, body: &[u8]) -> Result<HeartbeatReport, ReportError> {
         if body.len() > MAX_REPORT {
             return TooLargeSnafu { length: body.len() }.fail();
@@ -77,7 +77,7 @@
 
 fn read_object(body: &[u8]) -> Result<Fields, ReportError> {
     let text = std::str::from_utf8(body).or_else(|_| NotJsonSnafu.fail())?;
-    if !grebeusher_json_depth::is_shallow(body, DEEPEST) {
+    if !grebeusher_json_depth::is_shallow(body, MAX_DEPTH) {
         return NotJsonSnafu.fail();
     }
     match text.parse::<JsonValue>() {
@@ -110,7 +110,7 @@
 
 fn whole_number(value: &JsonValue) -> Option<u64> {
     match value {
-        JsonValue::Number(number) if (0.0..=MAX_NUMBER).contains(number) => Some(*number as u64),
+        JsonValue::Number(number) if (0.0..=MAX_EXACT_INTEGER).contains(number) => Some(*number as u64),
         _ => None,
     }
 }
--- a/crates/registry/src/ring.rs
+++ b/crates/registry/src/ring.rs
@@ -1,9 +1,9 @@
-//! The live members in the order of their hashes: who watches whom, and the trees of relays.
+//! The live members in the order of their ids. The ring determines which node watches which, and the relay trees.
 
 use crate::{Member, NodeId};
 use std::net::SocketAddrV4;
 
-/// A live member's place.
+/// A live member in the ring.
 #[derive(Clone, Debug)]
 pub(crate) struct RingMember {
     pub(crate) id: NodeId,
@@ -11,7 +11,7 @@
     pub(crate) address: SocketAddrV4,
 }
 
-/// All live members, this node among them.
+/// All live members including this node, sorted by id.
 #[derive(Default)]
 pub(crate) struct Ring {
     ring_members: Vec<RingMember>,
@@ -19,11 +19,11 @@
 }
 
 impl Ring {
-    /// Follows the register of a node: takes it in, moves it or leaves it out.
+    /// Updates the ring after a change of the register of a node: inserts, replaces or removes the node.
     pub(crate) fn update(&mut self, member: &Member, own: NodeId) {
         let id = member.id();
         let ring_member = RingMember { id, name: member.name.clone(), address: member.address };
-        match (self.find(id), member.serves() || id == own) {
+        match (self.index_of(id), member.serves() || id == own) {
             (Ok(index), true) => self.ring_members[index] = ring_member,
             (Ok(index), false) => {
                 self.ring_members.remove(index);
@@ -31,10 +31,10 @@
             (Err(index), true) => self.ring_members.insert(index, ring_member),
             (Err(_), false) => {}
         }
-        self.own_index = self.find(own).unwrap_or(0);
+        self.own_index = self.index_of(own).unwrap_or(0);
     }
 
-    fn find(&self, id: NodeId) -> Result<usize, usize> {
+    fn index_of(&self, id: NodeId) -> Result<usize, usize> {
         self.ring_members.binary_search_by_key(&id, |ring_member| ring_member.id)
     }
 
@@ -42,7 +42,7 @@
         self.ring_members.len()
     }
 
-    /// All live members but this node.
+    /// Returns all live members except this node.
     pub(crate) fn others(&self) -> impl Iterator<Item = &RingMember> {
         self.ring_members
             .iter()
@@ -51,41 +51,42 @@
             .map(|(_, ring_member)| ring_member)
     }
 
-    /// The live member at this index among [`Ring::others`].
+    /// Returns the live member at this index of [`Ring::others`].
     pub(crate) fn other(&self, index: usize) -> Option<&RingMember> {
         self.ring_members.get(if index < self.own_index { index } else { index + 1 })
     }
 
-    /// The next `count` members after this node: those who watch it.
+    /// Returns the next `count` members after this node, which watch it.
     pub(crate) fn successors(&self, count: usize) -> impl Iterator<Item = &RingMember> {
         let length = self.ring_members.len();
         (1..length.min(count + 1)).map(move |step| &self.ring_members[(self.own_index + step) % length])
     }
 
-    /// A member that stands a power of two after this node, beyond the next `near`: another one each `turn`, and all of
-    /// them by turns. What each forwards to those reaches all in about as many steps as there are such members, over
-    /// links that stay the same.
-    pub(crate) fn far(&self, near: usize, turn: usize) -> Option<&RingMember> {
+    /// Returns a member whose distance after this node is a power of two greater than `successor_count`. Successive
+    /// values of `round` select all such members in turn. If each node passes updates on to these members, an update
+    /// reaches all nodes in about as many steps as a node has such members, over links that stay the same.
+    pub(crate) fn long_range_peer(&self, successor_count: usize, round: usize) -> Option<&RingMember> {
         let length = self.ring_members.len();
-        let first = (near + 1).next_power_of_two();
+        let first = (successor_count + 1).next_power_of_two();
         let steps = std::iter::successors(Some(first), |step| step.checked_mul(2));
         let count = steps.take_while(|step| *step < length).count();
-        let step = first << (turn % count.max(1));
+        let step = first << (round % count.max(1));
         (count > 0).then(|| &self.ring_members[(self.own_index + step) % length])
     }
 
-    /// The `count` members before this node, nearest first: those whom it watches.
+    /// Returns the `count` members before this node, nearest first, which this node watches.
     pub(crate) fn predecessors(&self, count: usize) -> impl Iterator<Item = &RingMember> {
         let length = self.ring_members.len();
         (1..length.min(count + 1))
             .map(move |step| &self.ring_members[(self.own_index + length - step) % length])
     }
 
-    /// To whom this node forwards what `origin` tells: with the places counted from the origin, those from
-    /// `fan_out * i + 1` on are the children of `i`. An origin that is not in the ring stands where it would.
+    /// Returns the nodes to which this node forwards the relays of `origin`. With positions counted along the ring from
+    /// the origin, the children of position `i` are the `fan_out` positions from `fan_out * i + 1` on. An origin that
+    /// is not in the ring has the position at which it would be inserted.
     pub(crate) fn children(&self, origin: NodeId, fan_out: usize) -> impl Iterator<Item = &RingMember> {
         let length = self.ring_members.len();
-        let (base, total) = match self.find(origin) {
+        let (base, total) = match self.index_of(origin) {
             Ok(index) => (index, length),
             Err(index) => (index + length - 1, length + 1),
         };
--- a/crates/registry/src/settings.rs
+++ b/crates/registry/src/settings.rs
@@ -4,34 +4,34 @@
 use grebeusher_time::{Duration, DurationExt};
 use std::net::SocketAddrV4;
 
-/// The bounds in time and number. All nodes should have the same.
+/// Intervals, timeouts and counts of the protocol. All nodes should have the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timings {
-    /// Between two heartbeats of a node.
+    /// The time between two heartbeats of a node.
     pub heartbeat: Duration,
-    /// How long a node may be unresponsive before it is asked directly and by way of others.
+    /// How long a watcher receives nothing from a node before it probes the node directly and through other nodes.
     pub suspect_after: Duration,
-    /// How long a node may be unresponsive before it is dead.
+    /// How long a watcher receives nothing from a node before it declares the node dead.
     pub dead_after: Duration,
     /// How many nodes watch each node.
     pub watchers: usize,
-    /// How many nodes each node forwards a relay to.
+    /// To how many nodes each node forwards a relay.
     pub fan_out: usize,
-    /// Between two attempts at a seed that has not answered.
+    /// The time between two join messages to a seed that has not answered.
     pub join_retry: Duration,
-    /// How long updates wait for more to share their message.
+    /// How long an update waits for further updates that are sent in the same message.
     pub batch: Duration,
-    /// The same for what a call waits for.
+    /// How long an update for which the call of an executor waits is held back for further updates in the same message.
     pub urgent_batch: Duration,
-    /// Between two attempts at a node that has not confirmed.
+    /// The time between two messages of a confirmed broadcast to a node that has not confirmed it.
     pub confirm_retry: Duration,
-    /// How long a call waits at most for all to confirm.
-    pub confirm_bound: Duration,
-    /// Between two heartbeats of an executor (`heartbeat_ms`).
+    /// The longest time that a call waits for all nodes to confirm the broadcast.
+    pub confirm_timeout: Duration,
+    /// The time between two heartbeats of an executor (`heartbeat_ms`).
     pub executor_heartbeat: Duration,
-    /// How long an executor that is unresponsive or gone is shown.
+    /// How long an executor that is unresponsive or gone stays listed.
     pub executor_retention: Duration,
-    /// How long the dead and gone are remembered, so that late updates of them are known for what they are.
+    /// How long tombstones of dead nodes and removed executors are kept, so that late updates do not bring these back.
     pub tombstone_retention: Duration,
 }
 
@@ -47,7 +47,7 @@
             batch: Duration::from_millis(40),
             urgent_batch: Duration::from_millis(4),
             confirm_retry: Duration::from_millis(120),
-            confirm_bound: Duration::from_millis(700),
+            confirm_timeout: Duration::from_millis(700),
             executor_heartbeat: Duration::from_millis(1_200),
             executor_retention: Duration::from_millis(60_000),
             tombstone_retention: Duration::from_millis(600_000),
@@ -56,37 +56,39 @@
 }
 
 impl Timings {
-    /// How long an executor may miss its heartbeats before it is called unresponsive: three of them and a little more.
+    /// Returns how long an executor may send no heartbeat before it is unresponsive: three heartbeat intervals and
+    /// 300 ms.
     pub fn executor_timeout(&self) -> Duration {
         self.executor_heartbeat.scaled(3.0) + Duration::from_millis(300)
     }
 
-    /// The same for one that is known from the disk only, since the start: two heartbeats. One that had
-    /// said that it leaves calls no more, and a loss of all power has the whole tier forget what it said; by the time that
-    /// nodes count as in touch again (`contact_ms`) nothing may be sent there.
+    /// Returns the timeout, counted from the start of this node, of an executor that is known only from the disk: two
+    /// heartbeat intervals. An executor that announced its drain sends no more heartbeats, and after a power failure of
+    /// all nodes no node knows of the announcement. Therefore nothing may be sent to such an executor any more by the
+    /// time at which nodes count as in contact again (`contact_ms`).
     pub fn restored_executor_timeout(&self) -> Duration {
         self.executor_heartbeat.scaled(2.0)
     }
 }
 
-/// The settings of a registry, given at its start.
+/// The settings of a registry, passed in at its start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The node itself. Its state is set to alive.
+    /// The register of the node itself. The registry sets its state to alive.
     pub member: Member,
-    /// The internal addresses of the seeds; the node's own may be among them.
+    /// The internal addresses of the seeds; the address of the node itself may be among them.
     pub seeds: Vec<SocketAddrV4>,
-    /// The bounds.
+    /// The intervals, timeouts and counts of the protocol.
     pub timings: Timings,
-    /// What may be lost at once.
+    /// The losses that the core tolerates.
     pub losses: Losses,
 }
 
-/// What of the core may be lost at once while all promises hold: machines, or whole zones.
+/// The losses that the core tolerates at the same time while all guarantees hold: machines, or whole zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Losses {
-    /// Machines of the core.
+    /// The number of machines of the core.
     pub machines: usize,
-    /// Zones.
+    /// The number of zones.
     pub zones: usize,
 }
--- a/crates/registry/src/transfer.rs
+++ b/crates/registry/src/transfer.rs
@@ -1,29 +1,29 @@
-//! Transfers: registers that another node lacks go to it in one message where they fit, and at a bounded rate where
-//! they don't.
+//! Transfers: registers that another node lacks are sent to it in one message if they fit, and otherwise in several
+//! messages at a bounded rate.
 
-use crate::message::{Message, REGISTERS_PER_MESSAGE};
+use crate::message::{Message, REGISTER_BYTES_PER_MESSAGE};
 use crate::register::Key;
 use crate::registry::Registry;
 use grebeusher_time::{Duration, Instant};
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
 
-/// How many transfers wait at most; what does not fit is asked for again.
+/// The largest number of waiting transfers; the registers of a transfer that is dropped are requested again.
 const MAX_TRANSFERS: usize = 64;
 
-/// Between two batches of messages of the transfers that wait.
+/// The time between two batches of messages of the waiting transfers.
 const TRANSFER_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How many messages of a transfer are sent in a batch.
+/// The number of messages that are sent in a batch.
 const TRANSFER_BATCH: usize = 4;
 
-/// The registers that one node has still to be sent.
+/// The keys of the registers that have still to be sent to one node.
 struct Transfer {
     to: SocketAddrV4,
     keys: VecDeque<Key>,
 }
 
-/// The transfers that are under way, served in turn.
+/// The transfers in progress, served in round-robin order.
 pub(crate) struct Transfers {
     queue: VecDeque<Transfer>,
     next_batch: Instant,
@@ -44,7 +44,7 @@
 }
 
 impl Registry {
-    /// Sends registers that fit in a message at once, and more of them at a pace.
+    /// Sends the registers of the keys immediately if they fit in one message, and otherwise at a bounded rate.
     pub(crate) fn transfer(&mut self, now: Instant, to: SocketAddrV4, keys: Vec<Key>) {
         if keys.is_empty() {
             return;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends one message of the transfer that has waited longest.
+    /// Sends one message of the transfer that has waited longest, and requeues the transfer if registers are left.
     fn continue_transfer(&mut self) {
         let Some(Transfer { to, mut keys }) = self.transfers.queue.pop_front() else {
             return;
@@ -76,7 +76,7 @@
                 continue;
             };
             length += register.length();
-            if length > REGISTERS_PER_MESSAGE && !registers.is_empty() {
+            if length > REGISTER_BYTES_PER_MESSAGE && !registers.is_empty() {
                 keys.push_front(key);
                 break;
             }
--- a/crates/registry/src/watch.rs
+++ b/crates/registry/src/watch.rs
@@ -1,6 +1,6 @@
 //! Watches: each node is watched by the members that follow it in the ring, as in SWIM. A watched node that is
-//! unresponsive is probed directly and through other nodes; it is declared dead only after some node has answered, so
-//! that the fault is not this node's own link.
+//! unresponsive is probed directly and through other nodes; it is declared dead only after some node has answered a
+//! probe, because otherwise the fault may be the own link of this node.
 
 use crate::member::{MemberState, NodeId};
 use crate::members::MemberEntry;
@@ -14,41 +14,41 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// Between two questions after a node that is unresponsive.
+/// The time between two probes of an unresponsive node.
 const INDIRECT_PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How many rounds of questions somebody must have answered before the one in question is dead. In the first the
-/// question to it may have been lost in a network partition that has just healed.
+/// How many probes some node must have answered before the probed node is declared dead. The ping to the probed node in
+/// the first probe may have been lost in a network partition that has just healed.
 const MIN_ANSWERED_PROBES: u32 = 2;
 
-/// How many other nodes are asked to ping a unresponsive one: its link to this node may be all that fails.
+/// How many other nodes are asked to ping an unresponsive node: perhaps only its link to this node has failed.
 const INDIRECT_PROBERS: usize = 3;
 
-/// How much later each further watcher declares a node dead, so that mostly one announces it.
+/// The time by which each further watcher declares a node dead later, so that usually a single watcher announces it.
 const DEATH_STAGGER: Duration = Duration::from_millis(100);
 
-/// How long after a change of the ring the watches are checked, so that changes that come together share a check.
+/// The time between a change of the ring and the check of the watches, so that simultaneous changes share one check.
 const WATCH_BATCH_DELAY: Duration = Duration::from_millis(1);
 
-/// What this node, as a watcher, knows of one member.
+/// The state that this node, as a watcher, keeps about one member.
 pub(crate) struct Watch {
     name: String,
-    /// Silence counts from here at the earliest.
+    /// The earliest time from which silence of the member counts.
     pub(crate) since: Instant,
-    /// When the probe in flight was sent.
+    /// When the probe in flight was sent, if there is one.
     probed_at: Option<Instant>,
-    /// How many probes some node answered, so that the fault is not this node's own link.
+    /// How many probes some node answered, which shows that the fault is not the own link of this node.
     answered_probes: u32,
-    /// How many probes were sent since the last contact.
+    /// How many probes were sent since the last contact with the member.
     probes: u32,
-    /// Nearest first: how far the watched node stands before this one.
+    /// The distance of the watched node before this one in the ring, 0 for the direct predecessor.
     rank: u64,
 }
 
-/// What follows from one check of a watched node.
+/// The result of one check of a watched node.
 struct WatchCheck {
     action: WatchAction,
-    /// When it has to be checked again, if nothing else happens.
+    /// When the node has to be checked again, if nothing else happens.
     next: Option<Instant>,
 }
 
@@ -63,7 +63,7 @@
     id: NodeId,
     name: String,
     address: SocketAddrV4,
-    /// How many probes it has had, this one included.
+    /// How many probes were sent to the node since the last contact, including this one.
     probes: u32,
 }
 
@@ -101,7 +101,7 @@
         WatchCheck { action, next: Some(next) }
     }
 
-    /// Begins a probe, unless one is in flight.
+    /// Starts a probe, unless one is in flight.
     fn start_probe(&mut self, now: Instant) -> WatchAction {
         if self.probed_at.is_some() {
             return WatchAction::Wait;
@@ -111,11 +111,11 @@
         WatchAction::Probe
     }
 
-    /// Ends a probe that has lasted long enough, and counts it if anybody answered.
+    /// Ends a probe that has lasted for [`INDIRECT_PROBE_INTERVAL`], and counts it if any node has answered since.
     fn finish_probe(&mut self, now: Instant, last_pong: Option<Instant>) {
         if let Some(probed_at) =
             self.probed_at.take_if(|probed_at| now.since(*probed_at) >= INDIRECT_PROBE_INTERVAL)
-            && last_pong.is_some_and(|answer| answer >= probed_at)
+            && last_pong.is_some_and(|last_pong| last_pong >= probed_at)
         {
             self.answered_probes += 1;
         }
@@ -123,15 +123,15 @@
 }
 
 impl Registry {
-    /// Follows a change of the ring: watches exactly the members that precede this node.
+    /// Updates the watches after a change of the ring, so that exactly the members that precede this node are watched.
     pub(crate) fn update_watches(&mut self, now: Instant) {
         let mut previous = std::mem::take(&mut self.liveness.watches);
         let mut watches = BTreeMap::new();
         for (rank, ring_member) in self.ring.predecessors(self.timings.watchers).enumerate() {
             let known = self.members.get(&ring_member.name).map(|entry| entry.changed);
-            // A node that has long been a member is watched now because another died; perhaps it died too.
-            let long_known = known.is_some_and(|changed| now.since(changed) > self.timings.dead_after);
-            let since = if long_known { now - self.timings.suspect_after } else { now };
+            // A node that has been a member for long is newly watched because another node died; it may have died too.
+            let is_long_known = known.is_some_and(|changed| now.since(changed) > self.timings.dead_after);
+            let since = if is_long_known { now - self.timings.suspect_after } else { now };
             let mut watch = previous.remove(&ring_member.id).unwrap_or_else(|| Watch {
                 name: ring_member.name.clone(),
                 since,
@@ -180,19 +180,21 @@
             self.set_suspect(&name, true);
         }
         self.send(address, Message::Ping { asker: None });
-        // Nodes with recent contact are likely on this side of a network partition; others fill up the rest.
+        // Nodes with recent contact are likely on this side of a network partition; other nodes are asked only if there
+        // are too few of them.
         let others = self.ring.others().filter(|ring_member| ring_member.id != id);
-        let (near, far): (Vec<&RingMember>, Vec<&RingMember>) = others.partition(|ring_member| {
-            let last_contact = self.members.get(&ring_member.name).and_then(|entry| entry.last_contact);
-            last_contact.is_some_and(|contact| now.since(contact) < self.timings.suspect_after)
-        });
-        let mut probers: Vec<SocketAddrV4> = near
+        let (recently_heard, unheard): (Vec<&RingMember>, Vec<&RingMember>) =
+            others.partition(|ring_member| {
+                let last_contact = self.members.get(&ring_member.name).and_then(|entry| entry.last_contact);
+                last_contact.is_some_and(|contact| now.since(contact) < self.timings.suspect_after)
+            });
+        let mut probers: Vec<SocketAddrV4> = recently_heard
             .iter()
             .map(|ring_member| ring_member.address)
             .choose_multiple(&mut self.random, INDIRECT_PROBERS);
-        let more = INDIRECT_PROBERS - probers.len();
+        let missing = INDIRECT_PROBERS - probers.len();
         probers.extend(
-            far.iter().map(|ring_member| ring_member.address).choose_multiple(&mut self.random, more),
+            unheard.iter().map(|ring_member| ring_member.address).choose_multiple(&mut self.random, missing),
         );
         for prober in probers {
             self.send(prober, Message::PingFor(id));
@@ -210,10 +212,10 @@
     }
 
     pub(crate) fn receive_ping_for(&mut self, from: SocketAddrV4, subject: NodeId) {
-        let asker = self.by_address.get(&from).map(|name| NodeId::of(name));
-        // The asker learns at least that this node receives its messages.
+        let asker = self.names_by_address.get(&from).map(|name| NodeId::of(name));
+        // This pong shows the asker at least that this node receives its messages.
         self.send(from, Message::Pong { subject: self.own_id, asker: None });
-        let Some(address) = self.member_of(subject).map(|entry| entry.member.address) else {
+        let Some(address) = self.member_by_id(subject).map(|entry| entry.member.address) else {
             return;
         };
         if asker.is_some() && address != self.own_address {
@@ -223,14 +225,14 @@
 
     pub(crate) fn receive_pong(&mut self, now: Instant, subject: NodeId, asker: Option<NodeId>) {
         if let Some(asker) = asker.filter(|asker| *asker != self.own_id) {
-            let address = self.member_of(asker).map(|entry| entry.member.address);
+            let address = self.member_by_id(asker).map(|entry| entry.member.address);
             if let Some(address) = address {
                 self.send(address, Message::Pong { subject, asker: Some(asker) });
             }
             return;
         }
         self.liveness.last_pong = Some(now);
-        let Some(name) = self.member_of(subject).map(|entry| entry.member.name.clone()) else {
+        let Some(name) = self.member_by_id(subject).map(|entry| entry.member.name.clone()) else {
             return;
         };
         if let Some(entry) = self.members.get_mut(&name) {
