--- a/crates/registry/tests/cost.rs
+++ b/crates/registry/tests/cost.rs
@@ -1,4 +1,5 @@
-//! What the registry costs: messages and bytes at rest do not grow with the fleet, and the dead are not called much.
+//! The costs of the registry: the message rate at rest does not grow with the fleet, and dead nodes are probed at a
+//! bounded rate.
 
 mod fleet;
 
@@ -7,9 +8,10 @@
 use grebeusher_time::Duration;
 use rstest::rstest;
 
-/// The share of the link that a node may use for control, in bytes a second, both ways together.
-const MAX_BYTES: u64 = 12_000;
+/// The largest traffic of a node's registry, sent and received together, in bytes per second.
+const MAX_BYTES_PER_SECOND: u64 = 12_000;
 
+/// Returns the most messages and bytes per second that a node sent and received together in the last `seconds`.
 fn busiest(fleet: &Fleet, seconds: u64) -> (u64, u64) {
     let messages =
         fleet.nodes.iter().map(|node| node.sent.messages + node.received.messages).max().unwrap_or(0);
@@ -28,10 +30,10 @@
     fleet.run(Duration::from_millis(10_000));
     let (messages, bytes) = busiest(&fleet, 10);
     println!(
-        "{count} nodes at rest: {messages} messages and {bytes} bytes a second in and out at the busiest"
+        "{count} nodes at rest: {messages} messages and {bytes} bytes per second in and out at the busiest"
     );
-    assert!(messages <= 26, "{messages} messages a second");
-    assert!(bytes <= 2_000, "{bytes} bytes a second");
+    assert!(messages <= 26, "{messages} messages per second");
+    assert!(bytes <= 2_000, "{bytes} bytes per second");
 }
 
 #[rstest]
@@ -58,29 +60,29 @@
     fleet.run(Duration::from_millis(3_000));
     assert!(fleet.all_show_same_executors());
     fleet.reset_traffic();
-    // Each beats on at its node; some end and others start.
-    let (mut beat, mut round) = (reports.clone(), 0);
+    // Each executor continues its heartbeats at its node, while some executors deregister and others start.
+    let (mut latest, mut round) = (reports.clone(), 0);
     for step in 0..50 {
         for number in (step % 12..executors).step_by(12) {
-            beat[number] = next(&beat[number]);
-            fleet.heartbeat(number % edges, &beat[number].clone());
+            latest[number] = next(&latest[number]);
+            fleet.heartbeat(number % edges, &latest[number].clone());
         }
         for _ in 0..changes_per_second / 4 {
             if step % 5 == 0 {
                 round += 1;
                 fleet.deregister(round % edges, &format!("i-{round:08x}"));
-                let mut fresh = report(&format!("n-{round:08x}"), round);
-                fresh.address.set_port(30_000 + round as u16);
-                fleet.heartbeat(round % edges, &fresh);
+                let mut started = report(&format!("n-{round:08x}"), round);
+                started.address.set_port(30_000 + round as u16);
+                fleet.heartbeat(round % edges, &started);
             }
         }
         fleet.run(Duration::from_millis(100));
     }
     let (messages, bytes) = busiest(&fleet, 10);
     println!(
-        "{count} nodes, {executors} executors: {messages} messages and {bytes} bytes a second at the busiest"
+        "{count} nodes, {executors} executors: {messages} messages and {bytes} bytes per second at the busiest"
     );
-    assert!(bytes <= MAX_BYTES, "{bytes} bytes a second");
+    assert!(bytes <= MAX_BYTES_PER_SECOND, "{bytes} bytes per second");
     fleet.run(Duration::from_millis(2_000));
     assert!(fleet.all_show_same_executors());
 }
@@ -95,16 +97,16 @@
     fleet.assert_all_agree();
     fleet.reset_traffic();
     fleet.run(Duration::from_millis(10_000));
-    let calls: u64 = fleet.nodes.iter().map(|node| node.to_nobody).sum();
-    println!("{dead} dead of {count}: {calls} calls to nobody in 10 s");
-    assert!(calls as usize <= dead * 50 + 20, "{calls} calls");
-    assert!(calls as usize >= dead * 25, "only {calls} calls");
+    let messages_to_dead: u64 = fleet.nodes.iter().map(|node| node.sent_to_dead).sum();
+    println!("{dead} dead nodes of {count}: {messages_to_dead} messages to dead nodes in 10 s");
+    assert!(messages_to_dead as usize <= dead * 50 + 20, "{messages_to_dead} messages");
+    assert!(messages_to_dead as usize >= dead * 25, "only {messages_to_dead} messages");
     fleet.run(Duration::from_millis(30_000));
     fleet.reset_traffic();
     fleet.run(Duration::from_millis(10_000));
-    let calls: u64 = fleet.nodes.iter().map(|node| node.to_nobody).sum();
-    println!("{dead} long dead of {count}: {calls} calls to nobody in 10 s");
-    assert!(calls as usize <= dead * 14 + 10, "{calls} calls");
+    let messages_to_dead: u64 = fleet.nodes.iter().map(|node| node.sent_to_dead).sum();
+    println!("{dead} long dead nodes of {count}: {messages_to_dead} messages to dead nodes in 10 s");
+    assert!(messages_to_dead as usize <= dead * 14 + 10, "{messages_to_dead} messages");
 }
 
 #[test]
@@ -126,7 +128,7 @@
     fleet.start(50);
     let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_show_same_executors);
     let received = fleet.nodes[50].received;
-    println!("a newcomer had 2,200 executors after {took:?}, by {received:?}");
+    println!("a new node had 2,200 executors after {took:?}, having received {received:?}");
     assert!(took.is_some_and(|took| took <= Duration::from_millis(1_500)), "took {took:?}");
     assert!(received.bytes < 500_000, "{received:?}");
 }
@@ -150,7 +152,7 @@
     );
 }
 
-/// Not a test of time, as machines differ: says what it measures.
+/// Prints the measured processor time. It asserts nothing, because machines differ.
 #[test]
 fn the_processor_time_of_a_node_among_many() {
     let mut fleet = Fleet::converged(78, 1);
@@ -165,7 +167,7 @@
 #[case(14)]
 #[case(360)]
 fn relay_load_is_even_across_nodes(#[case] count: usize) {
-    // Given a settled fleet in which each node tells all others something once
+    // Given a converged fleet in which each node sends one relay to all others,
     let fleet = Fleet::converged(count, 1);
     let ids: Vec<_> = fleet.registry(0).members().map(grebeusher_registry::Member::id).collect();
     assert_eq!(ids.len(), count);
@@ -174,12 +176,12 @@
         ids.iter().copied().map(children).sum()
     };
     let sent: Vec<usize> = (0..count).map(sent).collect();
-    // Then each message reaches each other node once
+    // then each relay reaches each other node once,
     assert_eq!(sent.iter().sum::<usize>(), count * (count - 1));
-    // And no node sends much more than comes in
-    let most = sent.into_iter().max().expect("a node");
-    println!("{count} nodes: the busiest sends {most}");
-    assert!(most <= count + count / 4, "{most}");
-    // And for a node that is not there nothing is passed on
+    // and no node sends many more messages than it receives,
+    let max_sent = sent.into_iter().max().expect("a node");
+    println!("{count} nodes: the busiest sends {max_sent} messages");
+    assert!(max_sent <= count + count / 4, "{max_sent}");
+    // and there are no children for the relays of an unknown node.
     assert_eq!(fleet.registry(0).relay_children_of(NodeId(7)), None);
 }
--- a/crates/registry/tests/drains.rs
+++ b/crates/registry/tests/drains.rs
@@ -1,4 +1,5 @@
-//! Drains: a call is answered when all in touch have it, or after a bound; and what was answered is not forgotten.
+//! Drains: a call is acknowledged once all reachable nodes have confirmed it, or at a deadline, and an acknowledged
+//! drain is never lost.
 
 mod fleet;
 
@@ -15,19 +16,19 @@
     fleet.running().into_iter().all(|index| state_at(fleet, index, id) == Some(state))
 }
 
-/// A fleet with one executor that all know.
-fn with_executor(count: usize, seed: u64) -> (Fleet, HeartbeatReport) {
+/// Creates a fleet with one executor that all nodes know.
+fn fleet_with_executor(count: usize, seed: u64) -> (Fleet, HeartbeatReport) {
     let mut fleet = Fleet::converged(count, seed);
     let first = report("i-1", 0);
     assert_eq!(fleet.heartbeat(4, &first).answer, Answer::Now);
     let took = fleet.run_until(Duration::from_millis(500), |fleet| all_show(fleet, "i-1", ExecutorState::Up));
-    assert!(took.is_some(), "not all know the executor");
+    assert!(took.is_some(), "some node does not know the executor");
     (fleet, first)
 }
 
 #[rstest]
 fn a_drain_reaches_all_before_its_answer(#[values(14, 78, 360)] count: usize) {
-    let (mut fleet, first) = with_executor(count, 1);
+    let (mut fleet, first) = fleet_with_executor(count, 1);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
     assert!(!fleet.is_acknowledged(5, answer));
     let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, answer));
@@ -38,24 +39,24 @@
 
 #[rstest]
 fn a_drain_reaches_all_before_its_answer_on_bad_links(#[values(1, 2, 3, 4, 5)] seed: u64) {
-    let (mut fleet, first) = with_executor(14, seed);
+    let (mut fleet, first) = fleet_with_executor(14, seed);
     fleet.links.loss = 0.2;
-    fleet.links.doubled = 0.2;
+    fleet.links.duplicated = 0.2;
     fleet.links.longest = Duration::from_millis(40);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
     let took = fleet.run_until(Duration::from_millis(690), |fleet| fleet.is_acknowledged(5, answer));
-    assert!(took.is_some(), "not answered before the bound");
+    assert!(took.is_some(), "not answered before the deadline");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
 }
 
 #[test]
 fn a_deregistration_reaches_all_before_its_answer() {
-    let (mut fleet, first) = with_executor(14, 2);
+    let (mut fleet, first) = fleet_with_executor(14, 2);
     let drain = fleet.heartbeat(5, &draining(&first)).answer;
-    // The end comes while the drain is still being told, and must not be answered with it.
-    let end = fleet.deregister(5, "i-1");
-    assert!(matches!(end, Answer::WhenAcknowledged(_)));
-    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, end));
+    // The deregistration comes while the drain is still being broadcast, and must not be answered together with it.
+    let deregistration = fleet.deregister(5, "i-1");
+    assert!(matches!(deregistration, Answer::WhenAcknowledged(_)));
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, deregistration));
     assert!(took.is_some(), "not answered");
     assert!(fleet.is_acknowledged(5, drain));
     assert!(all_show(&fleet, "i-1", ExecutorState::Gone));
@@ -64,31 +65,31 @@
 
 #[test]
 fn a_deregistration_during_a_drain_is_broadcast_separately() {
-    let (mut fleet, first) = with_executor(14, 2);
+    let (mut fleet, first) = fleet_with_executor(14, 2);
     fleet.heartbeat(5, &draining(&first));
     fleet.run(Duration::from_millis(5));
-    let end = fleet.deregister(5, "i-1");
-    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, end));
+    let deregistration = fleet.deregister(5, "i-1");
+    let took = fleet.run_until(Duration::from_millis(600), |fleet| fleet.is_acknowledged(5, deregistration));
     assert!(took.is_some(), "not answered");
     assert!(all_show(&fleet, "i-1", ExecutorState::Gone));
 }
 
 #[test]
 fn a_node_that_does_not_know_the_executor_broadcasts_its_deregistration() {
-    let (mut fleet, _) = with_executor(14, 2);
+    let (mut fleet, _) = fleet_with_executor(14, 2);
     fleet.kill(6);
     fleet.run(Duration::from_millis(100));
     fleet.start(6);
-    let end = fleet.deregister(6, "i-1");
-    assert!(matches!(end, Answer::WhenAcknowledged(_)));
+    let deregistration = fleet.deregister(6, "i-1");
+    assert!(matches!(deregistration, Answer::WhenAcknowledged(_)));
     let took =
         fleet.run_until(Duration::from_millis(2_000), |fleet| all_show(fleet, "i-1", ExecutorState::Gone));
-    assert!(took.is_some(), "not all know the end");
+    assert!(took.is_some(), "some node does not know of the deregistration");
 }
 
 #[test]
 fn a_drain_is_answered_at_the_deadline_and_reaches_an_unresponsive_node_later() {
-    let (mut fleet, first) = with_executor(14, 3);
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
     let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_acknowledged(5, answer));
@@ -101,13 +102,13 @@
     fleet.heal();
     let took = fleet
         .run_until(Duration::from_millis(1_000), |fleet| all_show(fleet, "i-1", ExecutorState::Draining));
-    println!("the node that was cut off knew {took:?} after the heal");
+    println!("the node that was cut off knew of the drain {took:?} after the links were restored");
     assert!(took.is_some(), "the node that was cut off does not learn of the drain");
 }
 
 #[test]
 fn a_dead_node_is_not_waited_for() {
-    let (mut fleet, first) = with_executor(14, 3);
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     fleet.kill(9);
     fleet.run(Duration::from_millis(2_500));
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
@@ -120,7 +121,7 @@
     #[values(14, 78)] count: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let (mut fleet, first) = with_executor(count, seed);
+    let (mut fleet, first) = fleet_with_executor(count, seed);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
     fleet
@@ -136,7 +137,7 @@
 
 #[test]
 fn a_lost_first_message_is_recovered_by_retries() {
-    let (mut fleet, first) = with_executor(14, 3);
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     fleet.cut_off(&[9]);
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
     fleet.run(Duration::from_millis(20));
@@ -148,16 +149,19 @@
 
 #[test]
 fn a_drain_is_broadcast_again_after_its_node_died() {
-    let (mut fleet, first) = with_executor(14, 3);
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     let drain = draining(&first);
     fleet.heartbeat(5, &drain);
     fleet.run(Duration::from_millis(5));
     fleet.kill(5);
     let answer = fleet.heartbeat(6, &next(&drain)).answer;
-    assert!(matches!(answer, Answer::WhenAcknowledged(_)), "answered though nobody knows who has it");
+    assert!(
+        matches!(answer, Answer::WhenAcknowledged(_)),
+        "answered although this node does not know which nodes have the drain"
+    );
     fleet.run_until(Duration::from_millis(710), |fleet| fleet.is_acknowledged(6, answer)).expect("an answer");
     assert!(all_show(&fleet, "i-1", ExecutorState::Draining));
-    // Later heartbeats need not wait again, also when nothing is under way any more.
+    // Later heartbeats do not wait again, even after the broadcast is over.
     assert_eq!(fleet.heartbeat(6, &next(&next(&drain))).answer, Answer::Now);
     fleet.run(Duration::from_millis(3_000));
     assert_eq!(fleet.heartbeat(6, &next(&next(&next(&drain)))).answer, Answer::Now);
@@ -165,25 +169,26 @@
 
 #[test]
 fn a_repeated_call_waits_for_the_same_broadcast() {
-    let (mut fleet, first) = with_executor(14, 3);
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     fleet.cut_off(&[9]);
     let drain = draining(&first);
-    let one = fleet.heartbeat(5, &drain).answer;
+    let first_answer = fleet.heartbeat(5, &drain).answer;
     fleet.run(Duration::from_millis(300));
-    let two = fleet.heartbeat(5, &next(&drain)).answer;
+    let second_answer = fleet.heartbeat(5, &next(&drain)).answer;
     fleet.run(Duration::from_millis(390));
-    assert!(!fleet.is_acknowledged(5, one) && !fleet.is_acknowledged(5, two));
+    assert!(!fleet.is_acknowledged(5, first_answer) && !fleet.is_acknowledged(5, second_answer));
     fleet.run(Duration::from_millis(20));
-    assert!(fleet.is_acknowledged(5, one) && fleet.is_acknowledged(5, two));
+    assert!(fleet.is_acknowledged(5, first_answer) && fleet.is_acknowledged(5, second_answer));
 }
 
 #[test]
 fn a_drain_never_goes_back() {
-    let (mut fleet, first) = with_executor(14, 3);
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     let drain = draining(&first);
     fleet.heartbeat(5, &drain);
     fleet.run(Duration::from_millis(200));
-    // A call that says up, whether late or not, at a node that knows and at one that just started.
+    // A call with the state `up` must not undo the drain, whether the call is late or not, at a node that knows of the
+    // drain and at a node that has just started.
     fleet.kill(7);
     fleet.start(7);
     for index in [4, 7] {
@@ -202,7 +207,7 @@
 
 #[test]
 fn a_late_call_that_drains_still_counts() {
-    let (mut fleet, first) = with_executor(14, 3);
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     fleet.heartbeat(4, &HeartbeatReport { call_seq: 9, ..first.clone() });
     let late = HeartbeatReport { call_seq: 3, ..draining(&first) };
     let answer = fleet.heartbeat(4, &late).answer;
@@ -231,8 +236,8 @@
     assert!(took.is_some_and(|took| took <= Duration::from_millis(100)), "took {took:?}");
     let reached = reports.iter().all(|report| all_show(&fleet, &report.id, ExecutorState::Draining));
     assert!(reached);
-    let most = fleet.nodes.iter().map(|node| node.received.messages).max().unwrap_or(0);
-    assert!(most < 600, "{most} messages to one node");
+    let max_messages = fleet.nodes.iter().map(|node| node.received.messages).max().unwrap_or(0);
+    assert!(max_messages < 600, "{max_messages} messages were received by one node");
 }
 
 #[test]
@@ -247,17 +252,21 @@
     assert!(fleet.is_acknowledged(0, answer));
 }
 
-/// Calls of an executor that leaves go to a node, again and again for some seconds; whether one was acknowledged.
-fn is_ever_acknowledged(fleet: &mut Fleet, index: usize, first: &HeartbeatReport, ends: bool) -> bool {
+/// Repeats the call of an executor that drains or deregisters for up to 9 s at one node. Returns whether a call was
+/// acknowledged.
+fn is_ever_acknowledged(fleet: &mut Fleet, index: usize, first: &HeartbeatReport, deregisters: bool) -> bool {
     let mut call = draining(first);
     for _ in 0..10 {
-        let answer =
-            if ends { fleet.deregister(index, &first.id) } else { fleet.heartbeat(index, &call).answer };
+        let answer = if deregisters {
+            fleet.deregister(index, &first.id)
+        } else {
+            fleet.heartbeat(index, &call).answer
+        };
         fleet.run(Duration::from_millis(900));
         if fleet.is_acknowledged(index, answer) {
             return true;
         }
-        assert!(fleet.is_rejected(index, answer), "a call is left without an answer");
+        assert!(fleet.is_rejected(index, answer), "a call was neither acknowledged nor rejected");
         call = next(&call);
     }
     false
@@ -271,9 +280,10 @@
 fn the_minority_side_of_a_network_partition_acknowledges_no_drain(
     #[case] side: &[usize],
     #[case] machines: usize,
-    #[values(false, true)] ends: bool,
+    #[values(false, true)] deregisters: bool,
 ) {
-    // Given a fleet of which so many machines of the core may be lost, and nodes that are cut off with that many at most,
+    // Given a fleet that tolerates the loss of `machines` machines of the core, and a network partition whose minority
+    // side has at most as many of them,
     let mut fleet = Fleet::new(22, 4);
     fleet.tolerate(Losses { machines, zones: 0 });
     fleet.start_all(Duration::from_millis(300));
@@ -282,45 +292,46 @@
     fleet.heartbeat(side[0], &first);
     fleet.run(Duration::from_millis(500));
     fleet.cut_off(side);
-    // when an executor leaves there, also once they hold all others for dead, then that is never acknowledged,
-    assert!(!is_ever_acknowledged(&mut fleet, side[0], &first, ends));
-    // as the others can't know of it; and it is as soon as they do.
+    // when an executor drains on the minority side, even after this side has declared all other nodes dead, then the
+    // call is never acknowledged,
+    assert!(!is_ever_acknowledged(&mut fleet, side[0], &first, deregisters));
+    // because the majority cannot know of it. Once the partition heals, the call is acknowledged.
     fleet.heal();
-    assert!(is_ever_acknowledged(&mut fleet, side[0], &first, ends));
+    assert!(is_ever_acknowledged(&mut fleet, side[0], &first, deregisters));
 }
 
 #[test]
 fn an_unacknowledged_drain_is_broadcast_again() {
-    // Given a node that was cut off while it told of a drain, for longer than it insists,
-    let (mut fleet, first) = with_executor(14, 3);
+    // Given a node that was cut off while it broadcast a drain, for longer than it resends the broadcast,
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     fleet.cut_off(&[5]);
     let drain = draining(&first);
     fleet.heartbeat(5, &drain);
     fleet.run(Duration::from_millis(4_000));
-    // when the call comes again, then it waits again: nobody has confirmed anything.
+    // when the call is repeated, then it waits again, because no node has confirmed the drain.
     let answer = fleet.heartbeat(5, &next(&drain)).answer;
     assert!(matches!(answer, Answer::WhenAcknowledged(_)), "{answer:?}");
 }
 
 #[test]
 fn a_new_node_alone_acknowledges_no_drain() {
-    // Given a node that knows nobody yet, when an executor leaves there,
-    let (mut fleet, first) = with_executor(14, 3);
+    // Given a node that has just started and knows no other node, when an executor drains there,
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     fleet.kill(6);
     fleet.run(Duration::from_millis(2_500));
     fleet.cut_off(&[6]);
     fleet.start(6);
-    // then that is not acknowledged.
+    // then the call is not acknowledged.
     assert!(!is_ever_acknowledged(&mut fleet, 6, &first, false));
 }
 
 #[test]
 fn a_drain_is_acknowledged_under_the_tolerated_losses() {
     // Given a fleet with one machine of the core down and one edge node cut off,
-    let (mut fleet, first) = with_executor(14, 3);
+    let (mut fleet, first) = fleet_with_executor(14, 3);
     fleet.kill(2);
     fleet.cut_off(&[13]);
-    // when an executor leaves, then its call is acknowledged when the bound is over.
+    // when an executor drains, then its call is acknowledged at the deadline.
     let answer = fleet.heartbeat(5, &draining(&first)).answer;
     let took = fleet.run_until(Duration::from_millis(1_000), |fleet| fleet.is_acknowledged(5, answer));
     assert!(took.is_some_and(|took| took <= Duration::from_millis(710)), "took {took:?}");
--- a/crates/registry/tests/executors.rs
+++ b/crates/registry/tests/executors.rs
@@ -1,4 +1,4 @@
-//! Executors: their heartbeats, where they are sent, silence, late calls and addresses that are used again.
+//! Executors: their heartbeats and the nodes that receive these, missing heartbeats, late calls, and reused addresses.
 
 mod fleet;
 
@@ -9,18 +9,21 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-/// A little over three heartbeats.
-const SILENCE: Duration = Duration::from_millis(3 * 1_200 + 300);
+/// The timeout of an executor: three heartbeat intervals and 300 ms.
+const EXECUTOR_TIMEOUT: Duration = Duration::from_millis(3 * 1_200 + 300);
 
 fn shown(fleet: &Fleet, index: usize, id: &str) -> Option<Executor> {
     fleet.registry(index).executor(id).cloned()
 }
 
-fn all_show(fleet: &Fleet, id: &str, is: impl Fn(&Executor) -> bool) -> bool {
-    fleet.running().into_iter().all(|index| shown(fleet, index, id).is_some_and(|executor| is(&executor)))
+fn all_show(fleet: &Fleet, id: &str, condition: impl Fn(&Executor) -> bool) -> bool {
+    fleet
+        .running()
+        .into_iter()
+        .all(|index| shown(fleet, index, id).is_some_and(|executor| condition(&executor)))
 }
 
-/// Has an executor beat at one node for a while.
+/// Sends heartbeats of an executor to one node at the usual interval.
 fn send_heartbeats(fleet: &mut Fleet, index: usize, last: &mut HeartbeatReport, times: usize) {
     for _ in 0..times {
         fleet.run(Duration::from_millis(1_200));
@@ -73,11 +76,13 @@
     fleet.heartbeat(4, &last);
     let late = next(&last);
     send_heartbeats(&mut fleet, 4, &mut last, 4);
-    // Plain heartbeats are not told, so the other node takes the late call for news.
+    // Heartbeats without changes are not published, so the other node accepts the late call as newer.
     fleet.heartbeat(9, &late);
     fleet.run(Duration::from_millis(500));
-    let owner = fleet.nodes[4].name.clone();
-    assert!(all_show(&fleet, "i-1", |executor| executor.reporter == owner && executor.report.call_seq == 5));
+    let reporter = fleet.nodes[4].name.clone();
+    assert!(
+        all_show(&fleet, "i-1", |executor| executor.reporter == reporter && executor.report.call_seq == 5)
+    );
 }
 
 #[rstest]
@@ -86,15 +91,15 @@
 fn heartbeats_are_shared_evenly_among_the_edge_nodes_of_a_zone(#[case] count: usize) {
     let mut fleet = Fleet::converged(count, 1);
     let mut load: BTreeMap<SocketAddrV4, usize> = BTreeMap::new();
-    let edges = count - count / 8;
+    let edge_count = count - count / 8;
     for number in 0..400 {
         let mut first = report(&format!("i-{number}"), 1);
         first.address.set_port(9_000 + number as u16);
-        let target = fleet.heartbeat(number % edges, &first).heartbeat_target.expect("a target");
+        let target = fleet.heartbeat(number % edge_count, &first).heartbeat_target.expect("a target");
         *load.entry(target).or_default() += 1;
     }
     let in_zone: Vec<SocketAddrV4> =
-        (0..edges).filter(|index| zone(*index) == zone(1)).map(control).collect();
+        (0..edge_count).filter(|index| zone(*index) == zone(1)).map(control).collect();
     assert!(load.keys().all(|target| in_zone.contains(target)));
     let mean = 400 / in_zone.len();
     for target in in_zone {
@@ -127,7 +132,7 @@
 }
 
 #[test]
-fn all_edge_nodes_stand_in_for_a_zone_without_any() {
+fn an_executor_in_a_zone_without_edge_nodes_uses_those_of_other_zones() {
     let mut fleet = Fleet::converged(14, 1);
     let first = HeartbeatReport { zone: "elsewhere".to_owned(), ..report("i-1", 0) };
     assert!(fleet.heartbeat(0, &first).heartbeat_target.is_some());
@@ -139,7 +144,7 @@
     let mut last = report("i-1", 0);
     fleet.heartbeat(4, &last);
     send_heartbeats(&mut fleet, 4, &mut last, 3);
-    fleet.run(SILENCE.saturating_sub(Duration::from_millis(100)));
+    fleet.run(EXECUTOR_TIMEOUT.saturating_sub(Duration::from_millis(100)));
     assert!(all_show(&fleet, "i-1", |executor| !executor.unresponsive));
     fleet.run(Duration::from_millis(900));
     assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
@@ -152,13 +157,13 @@
 fn an_executor_whose_reporter_died_is_unresponsive_unless_another_node_hears_it() {
     let mut fleet = Fleet::converged(14, 1);
     let lost = report("i-1", 0);
-    let mut moves = report("i-2", 0);
-    moves.address.set_port(8_081);
+    let mut moving = report("i-2", 0);
+    moving.address.set_port(8_081);
     fleet.heartbeat(4, &lost);
-    fleet.heartbeat(4, &moves);
+    fleet.heartbeat(4, &moving);
     fleet.run(Duration::from_millis(200));
     fleet.kill(4);
-    send_heartbeats(&mut fleet, 6, &mut moves, 6);
+    send_heartbeats(&mut fleet, 6, &mut moving, 6);
     assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
     assert!(all_show(&fleet, "i-2", |executor| !executor.unresponsive));
 }
@@ -204,7 +209,7 @@
     fleet.run(Duration::from_millis(500));
     fleet.deregister(4, "i-2");
     fleet.run(Duration::from_millis(30_000));
-    // A node that starts late is brought the silent one, and forgets it with the others.
+    // A node that starts later receives the unresponsive executor, and removes it when the others do.
     fleet.kill(7);
     fleet.start(7);
     fleet.run(Duration::from_millis(40_000));
@@ -214,8 +219,8 @@
     fleet.reset_traffic();
     fleet.run(Duration::from_millis(5_000));
     let bytes = fleet.nodes.iter().map(|node| node.sent.bytes + node.received.bytes).max().unwrap_or(0) / 5;
-    assert!(bytes < 1_200, "{bytes} bytes a second over what is forgotten");
-    // A call that was under way for all this time brings nobody back from the end; a new one from silence does.
+    assert!(bytes < 1_200, "{bytes} bytes per second because of expired executors");
+    // A delayed call does not bring back a deregistered executor; a new call does bring back an unresponsive one.
     fleet.heartbeat(6, &next(&ended));
     fleet.heartbeat(6, &next(&report("i-1", 0)));
     fleet.run(Duration::from_millis(500));
@@ -229,17 +234,18 @@
     let mut crashed = report("i-1", 0);
     fleet.heartbeat(4, &crashed);
     send_heartbeats(&mut fleet, 4, &mut crashed, 1);
-    let mut heir = report("i-2", 0);
-    heir.service = "wuno96b".to_owned();
-    fleet.heartbeat(9, &heir);
+    let mut successor = report("i-2", 0);
+    successor.service = "wuno96b".to_owned();
+    fleet.heartbeat(9, &successor);
     fleet.run(Duration::from_millis(200));
     assert!(
         all_show(&fleet, "i-2", |executor| !executor.unresponsive && executor.report.service == "wuno96b")
     );
-    // The owner has heard the former later than what was told; its silence is a matter of the missing heartbeats then.
+    // The reporter of the former executor has received a later call than the published one, so that executor becomes
+    // unresponsive only by its missing heartbeats.
     fleet.run(Duration::from_millis(4_500));
     assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
-    fleet.heartbeat(9, &next(&heir));
+    fleet.heartbeat(9, &next(&successor));
     fleet.run(Duration::from_millis(200));
     assert!(all_show(&fleet, "i-2", |executor| !executor.unresponsive));
 }
@@ -263,9 +269,9 @@
     fleet.run(Duration::from_millis(200));
     fleet.cut_off(&[9]);
     fleet.heartbeat(4, &draining(&first));
-    // On the far side a later call still says up.
-    let far = HeartbeatReport { call_seq: 40, ..first.clone() };
-    fleet.heartbeat(9, &far);
+    // On the other side of the partition a later call still has the state `up`.
+    let later_call = HeartbeatReport { call_seq: 40, ..first.clone() };
+    fleet.heartbeat(9, &later_call);
     fleet.run(Duration::from_millis(1_000));
     fleet.heal();
     fleet.run(Duration::from_millis(1_500));
@@ -274,27 +280,28 @@
     assert!(fleet.all_show_same_executors());
 }
 
-/// A fleet whose nodes all restart, the first of them with what it had kept of an executor.
+/// Creates a fleet whose nodes have all restarted, one of them with its stored hint of an executor.
 fn restarted_with_a_hint() -> (Fleet, HeartbeatReport) {
     let mut fleet = Fleet::converged(14, 1);
     let first = report("i-1", 0);
     fleet.heartbeat(4, &first);
     fleet.run(Duration::from_millis(200));
-    let kept = fleet.registry(4).executors_hint();
+    let hint = fleet.registry(4).executors_hint();
     (0..14).for_each(|index| fleet.kill(index));
     (0..14).for_each(|index| fleet.start(index));
     let now = fleet.now;
-    fleet.with(4, |registry| registry.restore_executors(now, &kept)).expect("what was kept can be read");
+    fleet.with(4, |registry| registry.restore_executors(now, &hint)).expect("the stored hint is valid");
     (fleet, first)
 }
 
 #[test]
 fn an_executor_that_is_only_restored_is_not_relied_on_until_nodes_are_in_contact() {
-    // Given a tier that has lost all power, with an executor on a disk which had meanwhile said that it leaves,
+    // Given a fleet after a power failure of all nodes, and an executor in a stored hint that may have announced its
+    // drain after the hint was written,
     let (mut fleet, _) = restarted_with_a_hint();
     fleet.run(Duration::from_millis(2_000));
     assert!(shown(&fleet, 4, "i-1").is_some_and(|executor| !executor.unresponsive));
-    // when it does not call again, then nothing is sent to it by the time that nodes count as in touch.
+    // when it sends no heartbeat, then it is unresponsive by the time at which nodes count as in contact again.
     fleet.run(Duration::from_millis(1_000));
     assert!(fleet.registry(4).is_only_restored("i-1"));
     assert!(all_show(&fleet, "i-1", |executor| executor.unresponsive));
--- a/crates/registry/tests/fleet/mod.rs
+++ b/crates/registry/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of registries in virtual time, with links that lose, double, reorder and cut, and nodes that freeze,
-//! die, restart and are replaced.
+//! A fleet of registries in virtual time, with links that lose, duplicate, reorder and cut off messages, and nodes that
+//! freeze, die, restart and are replaced.
 #![allow(dead_code)]
 
 use grebeusher_registry::{
@@ -15,15 +15,17 @@
 
 pub const PORT: u16 = 7_660;
 
-/// What a link does to messages.
+/// The delays and faults of all links.
 #[derive(Clone, Copy, Debug)]
 pub struct Links {
+    /// The shortest delay of a message.
     pub shortest: Duration,
+    /// The longest delay of a message.
     pub longest: Duration,
     /// The share of messages that are lost.
     pub loss: f64,
-    /// The share that comes twice.
-    pub doubled: f64,
+    /// The share of messages that arrive twice.
+    pub duplicated: f64,
 }
 
 impl Default for Links {
@@ -32,7 +34,7 @@
             shortest: Duration::from_millis(1),
             longest: Duration::from_millis(6),
             loss: 0.0,
-            doubled: 0.0,
+            duplicated: 0.0,
         }
     }
 }
@@ -50,7 +52,7 @@
     pub frozen: bool,
     pub sent: Traffic,
     pub received: Traffic,
-    pub to_nobody: u64,
+    pub sent_to_dead: u64,
     pub acknowledged: BTreeMap<CallToken, Instant>,
     pub rejected: BTreeMap<CallToken, Instant>,
     pub events: Vec<(Instant, Event)>,
@@ -74,7 +76,7 @@
     cut: BTreeSet<(usize, usize)>,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
     scheduled_events: BTreeMap<u64, Scheduled>,
-    next: u64,
+    next_event_id: u64,
     seed: u64,
 }
 
@@ -113,7 +115,7 @@
 }
 
 impl Fleet {
-    /// `count` nodes, the last eighth of class storage, none of them started.
+    /// Creates `count` nodes, the last eighth of them of class storage. None of them is started.
     pub fn new(count: usize, seed: u64) -> Fleet {
         let seeds = [0, 1, 2];
         let nodes = (0..count).map(|index| Node::new(settings(index, &seeds, count - count / 8))).collect();
@@ -125,12 +127,12 @@
             cut: BTreeSet::new(),
             queue: BinaryHeap::new(),
             scheduled_events: BTreeMap::new(),
-            next: 0,
+            next_event_id: 0,
             seed,
         }
     }
 
-    /// A fleet whose nodes all started within 0.3 s and have had time to settle.
+    /// Creates a fleet whose nodes all started within 0.3 s and know each other.
     pub fn converged(count: usize, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(count, seed);
         fleet.start_all(Duration::from_millis(300));
@@ -167,10 +169,10 @@
         node.wake = None;
         node.acknowledged.clear();
         node.rejected.clear();
-        self.follow(index);
+        self.process_output(index);
     }
 
-    /// Starts a node anew under a clock that went back.
+    /// Restarts a node whose clock was set back.
     pub fn start_with_clock_behind(&mut self, index: usize) {
         self.nodes[index].settings.member.incarnation -= 60_000_000;
         self.start(index);
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Loses all that `from` sends to `to`.
+    /// Drops all messages from `from` to `to`.
     pub fn cut_one_way(&mut self, from: usize, to: usize) {
         self.cut.insert((from, to));
     }
@@ -231,7 +233,7 @@
         self.now = until;
     }
 
-    /// Runs until `done` holds, looked at every 5 ms; how long that took, or `None` after `within`.
+    /// Runs until `done` returns true, checked every 5 ms. Returns the time that this took, or `None` after `within`.
     pub fn run_until(&mut self, within: Duration, mut done: impl FnMut(&Fleet) -> bool) -> Option<Duration> {
         let start = self.now;
         while !done(self) {
@@ -247,11 +249,11 @@
         self.nodes[index].registry.as_ref().expect("the node runs")
     }
 
-    /// Calls a registry and does what follows.
+    /// Calls a registry and processes its output.
     pub fn with<T>(&mut self, index: usize, call: impl FnOnce(&mut Registry) -> T) -> T {
         let registry = self.nodes[index].registry.as_mut().expect("the node runs");
         let result = call(registry);
-        self.follow(index);
+        self.process_output(index);
         result
     }
 
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Whether a call was answered without an acknowledgement.
+    /// Returns whether a call ended without an acknowledgement.
     pub fn is_rejected(&self, index: usize, answer: Answer) -> bool {
         match answer {
             Answer::Now => false,
@@ -282,17 +284,17 @@
         }
     }
 
-    /// Says what may be lost at once, to nodes that start from now on.
+    /// Sets the tolerated losses of nodes that start from now on.
     pub fn tolerate(&mut self, losses: Losses) {
         self.nodes.iter_mut().for_each(|node| node.settings.losses = losses);
     }
 
-    /// The nodes that run.
+    /// Returns the indexes of the running nodes.
     pub fn running(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|index| self.nodes[*index].registry.is_some()).collect()
     }
 
-    /// The names that a node holds for live.
+    /// Returns the names of the nodes that a node considers live.
     pub fn live(&self, index: usize) -> BTreeSet<String> {
         self.registry(index).live_members().map(|member| member.name.clone()).collect()
     }
@@ -303,7 +305,7 @@
         self.running().into_iter().all(|index| self.live(index) == running)
     }
 
-    /// Whether all that run show the same executors.
+    /// Returns whether all running nodes list the same executors.
     pub fn all_show_same_executors(&self) -> bool {
         let shown = |index| -> Vec<Executor> { self.registry(index).executors().cloned().collect() };
         let running = self.running();
@@ -320,11 +322,11 @@
                 .map(|other| self.nodes[other].name.as_str())
                 .filter(|name| !live.contains(*name))
                 .collect();
-            assert!(missing.is_empty(), "{} misses {missing:?}", self.nodes[index].name);
+            assert!(missing.is_empty(), "{} does not consider {missing:?} live", self.nodes[index].name);
             assert_eq!(
                 live.len(),
                 self.running().len(),
-                "{} holds too many for live",
+                "{} considers too many nodes live",
                 self.nodes[index].name
             );
         }
@@ -334,15 +336,15 @@
         for node in &mut self.nodes {
             node.sent = Traffic::default();
             node.received = Traffic::default();
-            node.to_nobody = 0;
+            node.sent_to_dead = 0;
             node.events.clear();
         }
     }
 
     fn schedule(&mut self, at: Instant, scheduled: Scheduled) {
-        self.next += 1;
-        self.scheduled_events.insert(self.next, scheduled);
-        self.queue.push(Reverse((at, self.next)));
+        self.next_event_id += 1;
+        self.scheduled_events.insert(self.next_event_id, scheduled);
+        self.queue.push(Reverse((at, self.next_event_id)));
     }
 
     fn dispatch(&mut self, scheduled: Scheduled) {
@@ -358,7 +360,7 @@
                 self.with(index, |registry| registry.tick(now));
             }
             Scheduled::Arrive { from, to, message } => {
-                let Some(index) = self.at(to) else {
+                let Some(index) = self.node_at(to) else {
                     return;
                 };
                 if self.nodes[index].frozen {
@@ -372,22 +374,22 @@
         }
     }
 
-    /// The running node at an address.
-    fn at(&self, address: SocketAddrV4) -> Option<usize> {
+    /// Returns the index of the running node at an address.
+    fn node_at(&self, address: SocketAddrV4) -> Option<usize> {
         let [_, _, high, low] = address.ip().octets();
         let index = (usize::from(high) * 250 + usize::from(low)).checked_sub(1)?;
         self.nodes.get(index).filter(|node| node.address == address && node.registry.is_some()).map(|_| index)
     }
 
-    fn follow(&mut self, index: usize) {
+    fn process_output(&mut self, index: usize) {
         let now = self.now;
         let node = &mut self.nodes[index];
         let Some(registry) = &mut node.registry else {
             return;
         };
-        let converged = registry.take_completed_calls(now);
-        node.acknowledged.extend(converged.acknowledged.into_iter().map(|token| (token, now)));
-        node.rejected.extend(converged.rejected.into_iter().map(|token| (token, now)));
+        let completed = registry.take_completed_calls(now);
+        node.acknowledged.extend(completed.acknowledged.into_iter().map(|token| (token, now)));
+        node.rejected.extend(completed.rejected.into_iter().map(|token| (token, now)));
         let output = registry.take_output();
         node.events.extend(output.events.into_iter().map(|event| (now, event)));
         let wake = registry.next_wake().max(now + Duration::from_nanos(1));
@@ -396,20 +398,20 @@
             self.schedule(wake, Scheduled::Wake(index));
         }
         for (to, message) in output.messages {
-            self.post(index, to, message);
+            self.send(index, to, message);
         }
     }
 
-    fn post(&mut self, index: usize, to: SocketAddrV4, message: Message) {
+    fn send(&mut self, index: usize, to: SocketAddrV4, message: Message) {
         let bytes = message.encode();
         assert!(bytes.len() <= grebeusher_registry::MAX_MESSAGE, "a message of {} bytes", bytes.len());
         let node = &mut self.nodes[index];
         node.sent.messages += 1;
         node.sent.bytes += bytes.len() as u64;
         let from = node.address;
-        let receiver = self.at(to);
+        let receiver = self.node_at(to);
         if receiver.is_none() {
-            self.nodes[index].to_nobody += 1;
+            self.nodes[index].sent_to_dead += 1;
         }
         let Some(receiver) = receiver else {
             return;
@@ -417,8 +419,8 @@
         if self.cut.contains(&(index, receiver)) || self.random.random_bool(self.links.loss) {
             return;
         }
-        let times = 1 + usize::from(self.random.random_bool(self.links.doubled));
-        for _ in 0..times {
+        let copies = 1 + usize::from(self.random.random_bool(self.links.duplicated));
+        for _ in 0..copies {
             let delay = Duration::from_nanos(
                 self.random.random_range(self.links.shortest.nanos()..=self.links.longest.nanos()),
             );
@@ -436,7 +438,7 @@
             frozen: false,
             sent: Traffic::default(),
             received: Traffic::default(),
-            to_nobody: 0,
+            sent_to_dead: 0,
             acknowledged: BTreeMap::new(),
             rejected: BTreeMap::new(),
             events: Vec::new(),
@@ -447,14 +449,14 @@
         }
     }
 
-    /// How often this node saw another die.
+    /// Returns how many deaths of other nodes this node saw.
     pub fn deaths_seen(&self) -> usize {
         let dead = |event: &Event| matches!(event, Event::MemberChanged { state: MemberState::Dead, .. });
         self.events.iter().filter(|(_, event)| dead(event)).count()
     }
 }
 
-/// The first call of an executor in the zone of the node `index`.
+/// Returns the first call of an executor in the zone of the node `index`.
 pub fn report(id: &str, index: usize) -> HeartbeatReport {
     HeartbeatReport {
         id: id.to_owned(),
@@ -471,7 +473,7 @@
     }
 }
 
-/// The next call of the same executor.
+/// Returns the next call of the same executor.
 pub fn next(report: &HeartbeatReport) -> HeartbeatReport {
     HeartbeatReport { call_seq: report.call_seq + 1, ..report.clone() }
 }
--- a/crates/registry/tests/heartbeat_reports.rs
+++ b/crates/registry/tests/heartbeat_reports.rs
@@ -1,4 +1,4 @@
-//! Bodies of heartbeats: what is read, and what is answered with 400.
+//! Bodies of heartbeats: which are accepted, and which are rejected with status 400.
 
 use grebeusher_registry::{ExecutorState, HeartbeatReport, MAX_REPORT, ReportError};
 use proptest::prelude::*;
@@ -69,7 +69,7 @@
     assert_eq!(HeartbeatReport::parse("i-1", deep.as_bytes()), Err(ReportError::NotJson));
     let large = vec![b' '; MAX_REPORT + 1];
     assert_eq!(HeartbeatReport::parse("i-1", &large), Err(ReportError::TooLarge { length: large.len() }));
-    // Brackets in texts do not count.
+    // Brackets inside strings do not count as nesting.
     let quoted = BODY.replacen("\"both\"", "\"[[[[[[[[[[[[[[[[[[[[[[[[\\\"[[[\"", 1);
     assert!(HeartbeatReport::parse("i-1", quoted.as_bytes()).is_ok());
 }
--- a/crates/registry/tests/network_partitions.rs
+++ b/crates/registry/tests/network_partitions.rs
@@ -1,4 +1,4 @@
-//! Trouble: deaths, cuts both ways and one way, freezes, and how the nodes find together again.
+//! Failures: deaths of nodes, network partitions, one-way link failures and freezes, and the recovery from them.
 
 mod fleet;
 
@@ -51,7 +51,7 @@
     }
     fleet.run(Duration::from_millis(500));
     fleet.cut_off(side);
-    // Both sides learn things that the other does not.
+    // Each side gets changes that the other side does not receive.
     for number in 0..20 {
         let mut first = report(&format!("i-{number}"), number);
         first.address.set_port(9_000 + number as u16);
@@ -73,10 +73,16 @@
             })
         })
     };
-    let told = fleet.run_until(Duration::from_millis(3_000), drained);
+    let drains_took = fleet.run_until(Duration::from_millis(3_000), drained);
     let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_know_all);
-    println!("{count} nodes, {} cut off for {length} ms: drains {told:?}, members {took:?} more", side.len());
-    assert!(told.is_some_and(|took| took <= Duration::from_millis(1_000)), "drains known after {told:?}");
+    println!(
+        "{count} nodes, {} cut off for {length} ms: drains {drains_took:?}, members {took:?} more",
+        side.len()
+    );
+    assert!(
+        drains_took.is_some_and(|took| took <= Duration::from_millis(1_000)),
+        "drains known after {drains_took:?}"
+    );
     assert!(took.is_some_and(|took| took <= Duration::from_millis(600)), "members known after {took:?}");
     fleet.run(Duration::from_millis(4_000));
     fleet.assert_all_agree();
@@ -94,9 +100,9 @@
     assert_eq!(fleet.heartbeat(5, &report("i-1", 5)).heartbeat_target, None);
     fleet.heal();
     let took = fleet.run_until(Duration::from_millis(1_000), Fleet::all_know_all);
-    assert!(took.is_some(), "they do not know each other");
+    assert!(took.is_some(), "the nodes do not know each other");
     fleet.run(Duration::from_millis(5_000));
-    // The others saw it die once; it saw nobody die, also when their answers came again.
+    // The other nodes saw the isolated node die once. It saw no death itself, even after the links were restored.
     for (index, node) in fleet.nodes.iter().enumerate() {
         assert_eq!(node.deaths_seen(), usize::from(index != 5), "{}", node.name);
     }
@@ -112,13 +118,13 @@
     fleet.run(length);
     fleet.thaw(5);
     let took = fleet.run_until(Duration::from_millis(1_000), Fleet::all_know_all);
-    assert!(took.is_some(), "it is not known again");
+    assert!(took.is_some(), "the node is not known again");
     fleet.run(Duration::from_millis(3_000));
     fleet.assert_all_agree();
     let own = fleet.nodes[5].name.clone();
-    let others_died = |(_, event): &&(_, Event)| matches!(event, Event::MemberChanged { name, state: MemberState::Dead } if *name != own);
+    let other_death = |(_, event): &&(_, Event)| matches!(event, Event::MemberChanged { name, state: MemberState::Dead } if *name != own);
     let false_deaths: usize =
-        fleet.nodes.iter().map(|node| node.events.iter().filter(others_died).count()).sum();
+        fleet.nodes.iter().map(|node| node.events.iter().filter(other_death).count()).sum();
     assert_eq!(false_deaths, 0);
 }
 
@@ -151,13 +157,13 @@
 fn indirect_probes_keep_a_node_alive_that_one_watcher_cannot_reach() {
     let mut fleet = Fleet::converged(14, 4);
     fleet.reset_traffic();
-    // Some of these watch it.
+    // Some of the nodes that do not receive its messages are its watchers.
     for to in (0..14).filter(|to| *to != 5) {
         fleet.cut_one_way(5, to);
         fleet.run(Duration::from_millis(5_000));
         fleet.heal();
         let deaths: usize = fleet.nodes.iter().map(fleet::Node::deaths_seen).sum();
-        assert_eq!(deaths, 0, "called dead as {to} did not hear it");
+        assert_eq!(deaths, 0, "declared dead because node {to} did not receive its messages");
         fleet.run(Duration::from_millis(500));
     }
 }
@@ -182,7 +188,7 @@
     assert!(most <= 1, "a node saw {most} deaths");
     fleet.heal();
     let took = fleet.run_until(Duration::from_millis(1_000), Fleet::all_know_all);
-    assert!(took.is_some(), "it is not known again");
+    assert!(took.is_some(), "the node is not known again");
 }
 
 #[rstest]
@@ -207,7 +213,7 @@
     fleet.start_all(Duration::from_millis(300));
     let took = fleet
         .run_until(Duration::from_millis(1_500), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
-    assert!(took.is_some(), "they do not know each other");
+    assert!(took.is_some(), "the nodes do not know each other");
 }
 
 #[test]
@@ -218,20 +224,20 @@
     fleet.run(Duration::from_millis(4_000));
     fleet.start(7);
     let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_know_all);
-    assert!(took.is_some(), "it is not found");
+    assert!(took.is_some(), "the restarted node is not found");
 }
 
 #[test]
 fn a_false_death_is_refuted() {
     let mut fleet = Fleet::converged(14, 2);
-    let mut said = fleet.registry(0).member(&fleet.nodes[5].name).cloned().expect("a member");
-    said.state = MemberState::Dead;
+    let mut claim = fleet.registry(0).member(&fleet.nodes[5].name).cloned().expect("a member");
+    claim.state = MemberState::Dead;
     let (now, from) = (fleet.now, fleet.nodes[1].address);
-    let message = grebeusher_registry::Message::Registers(vec![grebeusher_registry::Register::Member(said)]);
+    let message = grebeusher_registry::Message::Registers(vec![grebeusher_registry::Register::Member(claim)]);
     fleet.with(0, |registry| registry.receive(now, from, message));
     fleet.run(Duration::from_millis(2_000));
     fleet.assert_all_agree();
-    // It was asked before it was believed.
+    // Node 0 waited for the refutation before it applied the reported death.
     assert!(fleet.nodes[0].deaths_seen() == 0);
 }
 
@@ -250,7 +256,7 @@
     assert!(fleet.running().into_iter().all(|index| state(&fleet, index) == Some(MemberState::Left)));
     fleet.start(5);
     let took = fleet.run_until(Duration::from_millis(1_000), Fleet::all_know_all);
-    assert!(took.is_some(), "its next life is not known");
+    assert!(took.is_some(), "its next incarnation is not known");
 }
 
 #[test]
@@ -264,16 +270,16 @@
         fleet.run(Duration::from_millis(2_800));
     }
     let own = fleet.nodes[5].name.clone();
-    let died =
+    let any_death =
         |(_, event): &&(_, Event)| matches!(event, Event::MemberChanged { state: MemberState::Dead, .. });
-    let it_died = |(_, event): &&(_, Event)| matches!(event, Event::MemberChanged { name, state: MemberState::Dead } if *name == own);
+    let own_death = |(_, event): &&(_, Event)| matches!(event, Event::MemberChanged { name, state: MemberState::Dead } if *name == own);
     for node in &fleet.nodes {
-        let (all, its) =
-            (node.events.iter().filter(died).count(), node.events.iter().filter(it_died).count());
-        assert!(its <= 5, "{} saw it die {its} times", node.name);
-        assert_eq!(all, its, "{} saw others die that were never in trouble", node.name);
+        let (all_deaths, own_deaths) =
+            (node.events.iter().filter(any_death).count(), node.events.iter().filter(own_death).count());
+        assert!(own_deaths <= 5, "{} saw it die {own_deaths} times", node.name);
+        assert_eq!(all_deaths, own_deaths, "{} saw deaths of nodes that were never cut off", node.name);
     }
-    // In calm times trust comes back.
+    // After a while without false deaths the death timeout is back to normal.
     fleet.run(Duration::from_millis(25_000));
     fleet.kill(5);
     let took = fleet.run_until(Duration::from_millis(4_000), Fleet::all_know_all);
--- a/crates/registry/tests/node_metadata.rs
+++ b/crates/registry/tests/node_metadata.rs
@@ -1,4 +1,4 @@
-//! Facts of nodes and versions of the configuration, as they are told along.
+//! Metadata of nodes, and versions of the configuration in heartbeats.
 
 mod fleet;
 
@@ -8,10 +8,10 @@
 
 fn metadata_on_all_nodes(fleet: &Fleet, node: usize) -> Vec<Option<Vec<u8>>> {
     let name = &fleet.nodes[node].name;
-    let of = |index: usize| {
+    let metadata_on = |index: usize| {
         fleet.registry(index).metadata_of(name).map(|node_metadata| node_metadata.payload.clone())
     };
-    fleet.running().into_iter().map(of).collect()
+    fleet.running().into_iter().map(metadata_on).collect()
 }
 
 #[test]
@@ -21,7 +21,7 @@
         let now = fleet.now;
         fleet.with(5, |registry| registry.set_metadata(now, payload.clone())).expect("small enough");
         fleet.run(Duration::from_millis(200));
-        assert!(metadata_on_all_nodes(&fleet, 5).iter().all(|held| held.as_ref() == Some(&payload)));
+        assert!(metadata_on_all_nodes(&fleet, 5).iter().all(|stored| stored.as_ref() == Some(&payload)));
     }
     let now = fleet.now;
     let refused = fleet.with(5, |registry| registry.set_metadata(now, vec![0; MAX_METADATA + 1]));
@@ -42,7 +42,7 @@
     let now = fleet.now;
     fleet.with(5, |registry| registry.set_metadata(now, b"new".to_vec())).expect("small enough");
     fleet.run(Duration::from_millis(1_500));
-    assert!(metadata_on_all_nodes(&fleet, 5).iter().all(|held| held.as_deref() == Some(b"new")));
+    assert!(metadata_on_all_nodes(&fleet, 5).iter().all(|stored| stored.as_deref() == Some(b"new")));
 }
 
 #[test]
@@ -54,7 +54,7 @@
     fleet.run(Duration::from_millis(800));
     fleet.heal();
     fleet.run(Duration::from_millis(1_000));
-    assert!(metadata_on_all_nodes(&fleet, 5).iter().all(|held| held.as_deref() == Some(b"one")));
+    assert!(metadata_on_all_nodes(&fleet, 5).iter().all(|stored| stored.as_deref() == Some(b"one")));
 }
 
 #[test]
@@ -65,10 +65,11 @@
     });
     fleet.reset_traffic();
     fleet.run(Duration::from_millis(900));
-    let behind = |index: usize| {
-        let is = |(_, event): &&(_, Event)| matches!(event, Event::ConfigurationBehind { version: 7, .. });
-        fleet.nodes[index].events.iter().filter(is).count()
+    let event_count = |index: usize| {
+        let is_behind =
+            |(_, event): &&(_, Event)| matches!(event, Event::ConfigurationBehind { version: 7, .. });
+        fleet.nodes[index].events.iter().filter(is_behind).count()
     };
-    assert!((1..=5).contains(&behind(9)), "{} events", behind(9));
-    assert!((0..14).filter(|index| *index != 9).all(|index| behind(index) == 0));
+    assert!((1..=5).contains(&event_count(9)), "{} events", event_count(9));
+    assert!((0..14).filter(|index| *index != 9).all(|index| event_count(index) == 0));
 }
--- a/crates/registry/tests/stable_bytes.rs
+++ b/crates/registry/tests/stable_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes written by earlier versions that this one must read and write unchanged: messages between nodes, the executors
-//! remembered on the disk, and the hashes in both.
+//! Bytes written by earlier versions that this version must read and write unchanged: messages between nodes, the
+//! executors hint on the disk, and the hashes in both.
 
 use grebeusher_registry::{
     Class, Executor, ExecutorState, Heartbeat, HeartbeatReport, Losses, MAX_MESSAGE, MAX_METADATA, Member,
@@ -12,7 +12,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 const NOW: Instant = Instant(1_000_000_000);
-/// The lists of buckets of a message have so many entries, no more and no fewer.
+/// The exact number of bucket hashes in a message.
 const BUCKETS: usize = 64;
 
 fn hex(bytes: &[u8]) -> String {
@@ -136,7 +136,7 @@
     Registry::new(settings, 1, NOW)
 }
 
-/// The first byte of each kind of message. A kind that is added needs its number here and its bytes below.
+/// Returns the first byte of each kind of message. A new kind needs its number here and its bytes below.
 fn first_byte(message: &Message) -> u8 {
     match message {
         Message::Join(_) => 0,
@@ -325,7 +325,7 @@
 )]
 #[case::facts_of_nothing(Register::NodeMetadata(NodeMetadata { payload: Vec::new(), ..node_metadata() }), "0206656467652d31030000000000000004000000000000000000")]
 fn a_register_keeps_its_bytes(#[case] register: Register, #[case] pinned: &str) {
-    // A message of one register: its own head is three bytes.
+    // The message contains one register; the header of the message is three bytes long.
     let message = Message::Registers(vec![register.clone()]);
     assert_eq!(hex(&message.encode()[..3]), "0b0100");
     assert_eq!(hex(&message.encode()[3..]), pinned);
@@ -354,7 +354,7 @@
         22110200056c617267650900000000000000086772c3b6c39f6572ffffffffffffffff06656467652d3103692d320173\
         0a0000080100017a0100000000000100000000000000000200000000000000000006656467652d31";
     let mut told = registry();
-    // Given a node that was told of executors, of which one has gone and one is silent,
+    // Given a node that has received executors, one of which is gone and one unresponsive,
     let executors = [
         executor(),
         bare_executor(ExecutorState::Draining, false),
@@ -363,9 +363,9 @@
     ];
     let registers = executors.iter().cloned().map(Register::Executor).collect();
     told.receive(NOW, address(1, 7_660), Message::Registers(registers));
-    // then it remembers the others as earlier versions did,
+    // then it encodes the others in the hint like earlier versions,
     assert_eq!(hex(&told.executors_hint()), pinned);
-    // and a later process reads and writes them as they were.
+    // and a later process reads the hint and writes it unchanged.
     let mut later = registry();
     assert_eq!(later.restore_executors(NOW, &bytes(pinned)), Ok(2));
     assert_eq!(later.executors().collect::<Vec<_>>(), [&executors[0], &executors[1]]);
@@ -387,7 +387,7 @@
     assert_eq!(NodeId::of(name), NodeId(id));
 }
 
-/// What a node with one register of each kind answers to a message of another node.
+/// Returns the answers of a node with one register of each kind to a message of another node.
 fn answers(message: Message) -> Vec<Message> {
     let mut registry = registry();
     let peer = address(1, 7_660);
@@ -405,7 +405,7 @@
 
 #[test]
 fn all_versions_find_and_compare_registers_by_the_same_hashes() {
-    // Given another node whose parts all differ, then all registers are listed by the hashes of their keys and contents.
+    // Given a peer whose buckets all differ, then all registers are listed with the hashes of their keys and contents.
     let listed = answers(Message::Buckets(vec![1; BUCKETS]));
     let pinned = "\
         09ffffffffffffffff0500734216c3f025882ff76aa64a0dff65afa91a41d75eb37659e73ef6dbd1beafd6ca47ed061b\
@@ -416,7 +416,7 @@
 
 #[test]
 fn all_versions_sum_up_registers_in_the_same_digest() {
-    // Given a node that tells another digest, then the answer carries the sum over all that lives.
+    // Given a peer whose digest differs, then the answer carries the combined hash of all live registers.
     let asked = Heartbeat {
         node: edge().id(),
         incarnation: edge().incarnation,
@@ -439,7 +439,8 @@
     assert_eq!(MAX_METADATA, 512);
 }
 
-/// A node among four others, all of which take heartbeats of executors; it passes on to two nodes at most.
+/// Creates a node that knows four others, all of which accept heartbeats of executors. Each node forwards a relay to at
+/// most two nodes.
 fn node_among_others() -> Registry {
     let control = Some(address(3, 8_146));
     let own = Member { name: "edge-3".to_owned(), address: address(3, 7_660), control, ..edge() };
--- a/crates/registry/tests/start.rs
+++ b/crates/registry/tests/start.rs
@@ -1,4 +1,4 @@
-//! Starts: in any order, with seeds that are late or down, again, and many at once.
+//! Starts of nodes: in any order, with seeds that are late or down, after restarts, and many at once.
 
 mod fleet;
 
@@ -8,7 +8,7 @@
 use rstest::rstest;
 
 #[rstest]
-fn everyone_knows_everyone_soon_after_a_joint_start(
+fn all_nodes_know_each_other_soon_after_a_joint_start(
     #[values(14, 78, 360)] count: usize,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -26,12 +26,12 @@
 #[case::seeds_apart(&[0, 3, 4, 5, 6, 1, 7, 8, 9, 10, 11, 12, 13, 2])]
 fn the_order_of_starts_does_not_matter(#[case] order: &[usize]) {
     let mut fleet = Fleet::new(14, 7);
-    for (place, index) in order.iter().enumerate() {
-        fleet.start_in(*index, Duration::from_millis(place as u64 * 23));
+    for (position, index) in order.iter().enumerate() {
+        fleet.start_in(*index, Duration::from_millis(position as u64 * 23));
     }
     let took = fleet
         .run_until(Duration::from_millis(1_500), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
-    assert!(took.is_some(), "they do not know each other");
+    assert!(took.is_some(), "the nodes do not know each other");
 }
 
 #[rstest]
@@ -41,7 +41,7 @@
         fleet.start(index);
     }
     let took = fleet.run_until(Duration::from_millis(1_500), Fleet::all_know_all);
-    assert!(took.is_some(), "they do not know each other");
+    assert!(took.is_some(), "the nodes do not know each other");
 }
 
 #[test]
@@ -52,19 +52,19 @@
     assert!((3..6).all(|index| !fleet.registry(index).is_joined()));
     fleet.start(1);
     let took = fleet.run_until(Duration::from_millis(400), Fleet::all_know_all);
-    assert!(took.is_some(), "they do not know each other");
+    assert!(took.is_some(), "the nodes do not know each other");
 }
 
 #[rstest]
-fn starts_hold_on_links_that_lose_double_and_reorder(#[values(1, 2, 3, 4)] seed: u64) {
+fn starts_succeed_on_links_that_lose_duplicate_and_reorder(#[values(1, 2, 3, 4)] seed: u64) {
     let mut fleet = Fleet::new(14, seed);
     fleet.links.loss = 0.1;
-    fleet.links.doubled = 0.1;
+    fleet.links.duplicated = 0.1;
     fleet.links.longest = Duration::from_millis(60);
     fleet.start_all(Duration::from_millis(300));
     let took = fleet
         .run_until(Duration::from_millis(3_000), |fleet| fleet.running().len() == 14 && fleet.all_know_all());
-    assert!(took.is_some(), "they do not know each other");
+    assert!(took.is_some(), "the nodes do not know each other");
 }
 
 #[rstest]
@@ -83,7 +83,7 @@
                 fleet.registry(*index).member(&name).is_some_and(|member| member.incarnation > before)
             })
     });
-    assert!(took.is_some(), "its new life is not known");
+    assert!(took.is_some(), "its new incarnation is not known");
     assert!(!fleet.registry(5).own_member().bootstrap);
 }
 
@@ -100,7 +100,7 @@
             fleet.registry(*index).member(&name).is_some_and(|member| member.incarnation > before)
         })
     });
-    assert!(took.is_some(), "its older life hides the new one");
+    assert!(took.is_some(), "its previous incarnation hides the new one");
     fleet.run(Duration::from_millis(3_000));
     fleet.assert_all_agree();
 }
@@ -115,7 +115,7 @@
     let index = fleet.add(replacement);
     fleet.start(index);
     let took = fleet.run_until(Duration::from_millis(3_000), Fleet::all_know_all);
-    assert!(took.is_some(), "the replacement is not known, or its predecessor still lives");
+    assert!(took.is_some(), "the replacement is not known, or the replaced node is still live");
     assert_eq!(fleet.registry(0).member(&former).map(|member| member.state), Some(MemberState::Dead));
     assert_eq!(fleet.registry(0).member_by_replica(15).map(|member| member.address), Some(address(14)));
 }
@@ -137,22 +137,22 @@
     assert!(took.is_some_and(|took| took <= Duration::from_millis(1_500)), "took {took:?}");
     fleet.run(Duration::from_millis(3_000));
     fleet.assert_all_agree();
-    let most =
+    let max_messages =
         fleet.nodes.iter().map(|node| node.sent.messages.max(node.received.messages)).max().unwrap_or(0);
-    let most_bytes =
+    let max_bytes =
         fleet.nodes.iter().map(|node| node.sent.bytes.max(node.received.bytes)).max().unwrap_or(0);
-    println!("the busiest node had {most} messages and {most_bytes} bytes one way");
-    assert!(most < 1_200, "{most} messages");
-    assert!(most_bytes < 400_000, "{most_bytes} bytes");
+    println!("the busiest node sent or received {max_messages} messages and {max_bytes} bytes");
+    assert!(max_messages < 1_200, "{max_messages} messages");
+    assert!(max_bytes < 400_000, "{max_bytes} bytes");
 }
 
 #[test]
 fn a_duplicated_relay_is_forwarded_once() {
     let mut fleet = Fleet::converged(78, 4);
     let sent = |fleet: &Fleet| -> u64 { fleet.nodes.iter().map(|node| node.sent.messages).sum() };
-    let mut told = Vec::new();
-    for doubled in [0.0, 1.0] {
-        fleet.links.doubled = doubled;
+    let mut message_counts = Vec::new();
+    for duplicated in [0.0, 1.0] {
+        fleet.links.duplicated = duplicated;
         fleet.reset_traffic();
         let start = sent(&fleet);
         for payload in 0..20 {
@@ -160,7 +160,7 @@
             fleet.with(5, |registry| registry.set_metadata(now, vec![payload])).expect("small enough");
             fleet.run(Duration::from_millis(60));
         }
-        told.push(sent(&fleet) - start);
+        message_counts.push(sent(&fleet) - start);
     }
-    assert!(told[1] < told[0] + told[0] / 3, "{told:?} messages");
+    assert!(message_counts[1] < message_counts[0] + message_counts[0] / 3, "{message_counts:?} messages");
 }
--- a/crates/registry/tests/wire.rs
+++ b/crates/registry/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages: their binary form, and bytes that are none.
+//! Messages: their binary encoding, and the rejection of invalid bytes.
 
 use grebeusher_registry::{
     Class, DecodeError, Executor, ExecutorState, Heartbeat, HeartbeatReport, Losses, MAX_MESSAGE, Member,
@@ -182,14 +182,15 @@
         message in messages(), at in any::<prop::sample::Index>(), bits in 1..=255_u8,
     ) {
         let mut bytes = message.encode();
-        let place = at.index(bytes.len());
-        prop_assert!(Message::decode(&bytes[..place]).is_err());
-        bytes[place] ^= bits;
+        let position = at.index(bytes.len());
+        prop_assert!(Message::decode(&bytes[..position]).is_err());
+        bytes[position] ^= bits;
         let _ = Message::decode(&bytes);
         let _ = Message::deserialize_bin(&bytes);
     }
 
-    /// Whatever comes, from whomever, in whatever order: the registry stands and keeps its bounds.
+    /// Whatever messages arrive, from any sender and in any order: the registry does not panic and its messages keep
+    /// their size limit.
     #[test]
     fn any_message_sequence_is_accepted(
         messages in proptest::collection::vec((messages(), 0..4_u8, 0..900_u64), 0..80),
@@ -210,32 +211,33 @@
         prop_assert!(registry.own_member().serves());
     }
 
-    /// Two nodes that hear the same registers in different orders hold the same.
+    /// Two nodes that receive the same registers in different orders have the same state.
     #[test]
     fn registers_merge_in_any_order(
         registers in proptest::collection::vec(executors(), 1..12), order in any::<u64>(),
     ) {
         use rand::{SeedableRng, seq::SliceRandom};
-        let mut other = registers.clone();
-        other.shuffle(&mut rand_pcg::Pcg64Mcg::seed_from_u64(order));
-        let hold = |registers: Vec<Executor>| -> Vec<Executor> {
+        let mut shuffled = registers.clone();
+        shuffled.shuffle(&mut rand_pcg::Pcg64Mcg::seed_from_u64(order));
+        let merge_all = |registers: Vec<Executor>| -> Vec<Executor> {
             let mut registry = registry();
             let from = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 2), 7_660);
             for mut executor in registers {
-                // Not of this node, which has its own view of what it hears itself.
+                // The reporter is another node, because a node prefers its own observations of executors that it
+                // reports.
                 executor.reporter = "b".to_owned();
                 let message = Message::Registers(vec![Register::Executor(executor)]);
                 registry.receive(Instant(1_000_000_000), from, message);
             }
             registry.executors().cloned().collect()
         };
-        prop_assert_eq!(hold(registers), hold(other));
+        prop_assert_eq!(merge_all(registers), merge_all(shuffled));
     }
 }
 
 #[test]
 fn oversized_length_prefixes_are_rejected() {
-    // A list of 65,535 registers in a message of a few bytes.
+    // The message claims a list of 65,535 registers in a few bytes.
     assert_eq!(
         Message::decode(&[11, 255, 255, 0]).err().map(|error| error.to_string().contains("65535")),
         Some(true)
