--- a/crates/tier/src/batch/items.rs
+++ b/crates/tier/src/batch/items.rs
@@ -270,12 +270,13 @@
             CallEvent::Data(bytes) => self.handle_response_data(key, bytes),
             CallEvent::End => self.handle_response_end(key),
             CallEvent::Failed(failure) => {
-                let (attempt_outcome, run_outcome) = match failure {
+                // The outcome of the attempt, for the gateway, and that of the run, for the runner.
+                let outcomes = match failure {
                     CallFailure::NeverSent => (AttemptOutcome::NeverSent, RunOutcome::NotExecuted),
                     CallFailure::BeforeHead => (AttemptOutcome::BrokenBeforeHead, RunOutcome::Broken),
                     CallFailure::MidBody => (AttemptOutcome::BrokenMidStream, RunOutcome::Broken),
                 };
-                self.finish_run(key, attempt_outcome, run_outcome);
+                self.finish_run(key, outcomes.0, outcomes.1);
             }
         }
     }
--- a/crates/tier/src/batch/load_report.rs
+++ b/crates/tier/src/batch/load_report.rs
@@ -38,7 +38,7 @@
     /// now.
     pub fn take_due(&mut self, now: Instant, partition: u8, load: PartitionLoad) -> Option<BatchLoad> {
         let is_due =
-            self.last_reported.get(&partition).is_none_or(|&last| now >= last + LOAD_REPORT_INTERVAL);
+            self.last_reported.get(&partition).is_none_or(|last| now >= *last + LOAD_REPORT_INTERVAL);
         if load == PartitionLoad::default() || !is_due {
             return None;
         }
--- a/crates/tier/src/control/retire.rs
+++ b/crates/tier/src/control/retire.rs
@@ -241,8 +241,9 @@
         remaining
     }
 
-    /// Replies whether the data of the partition has left the node. The reply is `Done` if it has, and an answer with status
-    /// 202 if it has not or 404 if there is no such node.
+    /// Replies whether the data of the partition has left the node. The reply is `Done` if it has, which
+    /// [`PartitionVerdict::of`] treats like status 200, and an answer with status 202 if it has not yet or 404 if there is
+    /// no such node.
     pub(crate) fn show_retire_at_leader(&mut self, waiter: Waiter, number: u8, node: &str) {
         let Some(index) = self.led_index(number, waiter) else { return };
         let is_retiring = self.partitions[index].retiring_nodes().iter().any(|retiring| retiring == node);
