--- a/crates/node-config/src/error.rs
+++ b/crates/node-config/src/error.rs
@@ -1,78 +1,78 @@
-//! What is wrong with a file of settings, in one line: the key, what was expected, and what stands there.
+//! Errors of reading settings. Each is displayed on one line with the key, the expected value and the value found.
 
 use snafu::Snafu;
 use std::io;
 use std::path::PathBuf;
 
-/// Why settings are refused.
+/// The reason why settings are rejected.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigError {
-    /// The settings as a whole are no object.
+    /// The top-level value of the settings is not a JSON object.
     #[snafu(display("expected an object, found {found}"))]
     NotAnObject {
-        /// What stands there.
+        /// The JSON text of the value found, truncated if it is long.
         found: String,
     },
-    /// A key is missing, of the wrong type, out of range or an unknown word.
+    /// A required key is missing, or its value has the wrong type, is out of range or is not one of the known words.
     #[snafu(display("{key}: expected {expected}, found {found}"))]
     InvalidValue {
-        /// The keys that lead to the value, joined by dots.
+        /// The path of keys to the value, joined by dots.
         key: String,
-        /// What would be accepted.
+        /// A description of the values that are accepted.
         expected: String,
-        /// What stands there.
+        /// The JSON text of the value found, truncated if it is long.
         found: String,
     },
-    /// The deployment's settings inside a node's file are wrong.
+    /// The `settings` object in a node's file is invalid.
     #[snafu(display("settings.{source}"))]
     DeploymentSettings {
-        /// What is wrong, by a key below `settings`.
+        /// The error, whose key is relative to `settings`.
         #[snafu(source(from(ConfigError, Box::new)))]
         source: Box<ConfigError>,
     },
-    /// A text is no TOML.
+    /// The text is not valid TOML.
     #[snafu(display("{source}"), context(false))]
     NotToml {
-        /// What the parser says.
+        /// The parser's error.
         source: toml::de::Error,
     },
-    /// A value of a TOML file is not of the type that its key has, or a key is unknown.
+    /// A value in a TOML file has the wrong type, or its key is unknown.
     #[snafu(display("{key}: {reason}"))]
     TomlValue {
-        /// The keys that lead to the value, joined by dots.
+        /// The path of keys to the value, joined by dots.
         key: String,
-        /// What the parser says.
+        /// The message of the parser's error.
         reason: String,
     },
-    /// A plan for maintenance contradicts itself.
+    /// A maintenance plan contradicts itself.
     #[snafu(display("{reason}"))]
     InvalidPlan {
-        /// The key and what was expected.
+        /// The offending key and the expected value.
         reason: String,
     },
-    /// A file can't be read.
+    /// The file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
     UnreadableFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// A file is no JSON.
+    /// The file is not valid JSON.
     #[snafu(display("{}: not JSON: {source}", path.display()))]
     NotJson {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the parser says.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// What a file holds is wrong.
+    /// The content of the file is invalid.
     #[snafu(display("{}: {source}", path.display()))]
     InvalidFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// The error in the content.
         #[snafu(source(from(ConfigError, Box::new)))]
         source: Box<ConfigError>,
     },
--- a/crates/node-config/src/fleet.rs
+++ b/crates/node-config/src/fleet.rs
@@ -1,5 +1,5 @@
-//! How the nodes of a fleet behave together, in a file of the operators' own (`deploy/fleet.toml`): TOML, read and checked as
-//! a whole. Without the file each node is alone.
+//! Settings that all nodes of a fleet share, read from the operators' TOML file `deploy/fleet.toml`. The whole file is
+//! checked when it is read. Without the file each node works alone.
 
 use crate::error::ConfigError;
 use crate::toml_file::{check, check_range, parse, read_file};
@@ -9,113 +9,115 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The shortest secret, in bytes.
-const MIN_SECRET: u64 = 8;
+/// The minimum length of the fleet's secret in bytes.
+const MIN_SECRET_BYTES: u64 = 8;
 
-/// What the operators' file says of a fleet.
+/// The content of the operators' fleet file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSettings {
-    /// What is promised of executors.
+    /// Behaviour of the executors that the nodes may rely on.
     #[serde(default)]
     pub executors: ExecutorPromises,
-    /// How the nodes find each other; without it each is alone.
+    /// How the nodes find each other. Without this section each node works alone.
     #[serde(rename = "fellows")]
     pub peers: Option<PeerSettings>,
-    /// Which nodes vote on what the fleet agrees on.
+    /// The nodes that vote on the fleet's shared decisions.
     #[serde(rename = "keepers")]
     pub voters: Option<VoterSettings>,
-    /// What the fleet may spend.
+    /// The request budgets that the whole fleet shares.
     pub budgets: Option<BudgetSettings>,
-    /// Whether machines are taken out by plans.
+    /// Settings of planned maintenance. Without this section maintenance plans are off.
     pub maintenance: Option<MaintenanceSettings>,
 }
 
-/// Planned maintenance: machines are taken out in an order that the voters agree on.
+/// Settings of planned maintenance, in which machines are taken out of service in an order that the voters agree on.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MaintenanceSettings {
-    /// How long a node may go on sending without hearing from the voters, in milliseconds. Default 10,000.
-    #[serde(default = "permission_ms")]
+    /// How long a node may keep sending to executors without hearing from the voters, in milliseconds. Default 10,000.
+    #[serde(default = "default_permission_ms")]
     permission_ms: u64,
 }
 
-fn permission_ms() -> u64 {
+fn default_permission_ms() -> u64 {
     10_000
 }
 
 impl MaintenanceSettings {
-    /// How long a node may go on sending without hearing from the voters.
+    /// Returns how long a node may keep sending to executors without hearing from the voters.
     pub fn permission(&self) -> Duration {
         Duration::from_millis(self.permission_ms)
     }
 }
 
-/// The nodes that vote on what the fleet agrees on.
+/// The nodes that vote on the fleet's shared decisions.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VoterSettings {
-    /// The numbers of three or five nodes, the same at all nodes. One is enough where its loss may stop everything.
+    /// The numbers of the voting nodes, usually three or five; all nodes must have the same list. A single voter is enough
+    /// where its loss may stop the fleet.
     pub nodes: Vec<u32>,
 }
 
-/// What the whole fleet may spend.
+/// The request budgets that the whole fleet shares.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetSettings {
-    /// How long a share may be used after it was asked for, in milliseconds. Default 2,000.
-    #[serde(default = "lease_ms")]
+    /// How long a node may use its share of a budget after asking for it, in milliseconds. Default 2,000.
+    #[serde(default = "default_lease_ms")]
     lease_ms: u64,
-    /// The edition of this list, which grows with each change: the voters go by the newest that any node has read. Default 1.
-    #[serde(default = "first_edition")]
+    /// The version of this list, which the operators increase with each change. The voters use the newest version that any
+    /// node has read. Default 1.
+    #[serde(default = "default_edition")]
     pub edition: u64,
-    /// The budgets.
+    /// The list of budgets.
     pub of: Vec<Budget>,
 }
 
-fn first_edition() -> u64 {
+fn default_edition() -> u64 {
     1
 }
 
-fn lease_ms() -> u64 {
+fn default_lease_ms() -> u64 {
     2000
 }
 
-/// A limit on requests, or on what they are sent beyond their first attempts.
+/// A limit on the number of requests in a window, or on the number of their further attempts after the first.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Its name. Default: its tariff, its customer and `further`, as far as they are given.
+    /// The name of the budget. By default it joins the tariff, the customer and the word `further`, as far as set.
     name: Option<String>,
-    /// Only requests of this tariff.
+    /// The tariff to which the budget is restricted, if any.
     pub tariff: Option<String>,
-    /// Only requests of this customer.
+    /// The customer to whom the budget is restricted, if any.
     pub customer: Option<String>,
-    /// Whether further attempts of these requests are limited, in place of the requests.
+    /// Whether the budget limits further attempts of the requests in place of the requests themselves.
     #[serde(default)]
     pub further: bool,
-    /// How many in any window, at all nodes together.
+    /// The number of requests or attempts that all nodes together may send in any window.
     pub units: u32,
     /// The length of a window in milliseconds. Default 1,000.
-    #[serde(default = "second_ms")]
+    #[serde(default = "default_window_ms")]
     pub window_ms: u64,
-    /// What each node has without asking, taken off the total. Default 0.
+    /// The number of units per window that each node may use without asking; it is subtracted from the total. Default 0.
     #[serde(default)]
     pub floor: u32,
-    /// For how many nodes the floor is set aside.
+    /// The number of nodes for which the floor is reserved. Default 0.
     #[serde(default)]
     pub nodes: u32,
 }
 
-fn second_ms() -> u64 {
+fn default_window_ms() -> u64 {
     1000
 }
 
 impl Budget {
-    /// Its name, given or derived.
+    /// Returns the configured name, or the default derived from the other keys.
     pub fn name(&self) -> String {
-        let named = self.name.clone();
-        named.unwrap_or_else(|| {
+        let configured_name = self.name.clone();
+        configured_name.unwrap_or_else(|| {
             let parts = [self.tariff.as_deref(), self.customer.as_deref(), self.further.then_some("further")];
             parts.into_iter().flatten().collect::<Vec<_>>().join(" ")
         })
@@ -123,48 +125,48 @@
 }
 
 impl BudgetSettings {
-    /// How long a share may be used after it was asked for.
+    /// Returns how long a node may use its share of a budget after asking for it.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 }
 
-/// How the nodes find and know each other.
+/// How the nodes of a fleet find and authenticate each other.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
-    /// The name of the fleet; messages of another one are dropped.
+    /// The name of the fleet. Messages from another fleet are dropped.
     pub fleet: String,
-    /// The secret of its nodes.
+    /// The secret that the nodes of the fleet share.
     pub secret: String,
-    /// The UDP port, at the address of the listener for clients. Default 7946.
-    #[serde(default = "port")]
+    /// The UDP port for messages between nodes, on the IP address of the client listener. Default 7946.
+    #[serde(default = "default_port")]
     pub port: u16,
-    /// Where others reach this node, if not there.
+    /// The address at which other nodes reach this one, if it differs from the client listener's address and `port`.
     pub known_as: Option<SocketAddr>,
-    /// Nodes that are asked first. Some of them are enough, and they may be down.
+    /// The nodes that this one contacts first. A part of the fleet is enough, and some of them may be down.
     pub contacts: Vec<SocketAddr>,
 }
 
-fn port() -> u16 {
-    7946 // the usual one of protocols of this kind
+fn default_port() -> u16 {
+    7946 // the usual port of gossip membership protocols
 }
 
-/// What is promised of executors beyond the deployment's settings.
+/// Behaviour of the executors that the nodes may rely on, in addition to the deployment's settings.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExecutorPromises {
-    /// Whether a recall takes work that waits out of the queue.
+    /// Whether cancelling an attempt removes work that still waits from the executor's queue.
     #[serde(default)]
     pub recalls_stop_waiting: bool,
 }
 
 impl FleetSettings {
-    /// Reads and checks what a file holds.
+    /// Parses and checks the content of a fleet file.
     ///
     /// # Errors
-    /// The text is no TOML, a key is unknown or of the wrong type, a value is out of range, or a section lacks another one
-    /// that it rests on.
+    /// The text is not valid TOML, a key is unknown, a value has the wrong type or is out of range, or a section is present
+    /// without another section that it requires.
     pub fn read(text: &str) -> Result<FleetSettings, ConfigError> {
         let fleet: FleetSettings = parse(text)?;
         fleet.peers.as_ref().map_or(Ok(()), PeerSettings::check)?;
@@ -183,10 +185,10 @@
         Ok(fleet)
     }
 
-    /// Reads and checks a file.
+    /// Reads and checks a fleet file.
     ///
     /// # Errors
-    /// The file can't be read, or what it holds is wrong.
+    /// The file can't be read, or its content is invalid.
     pub fn of_file(path: &Path) -> Result<FleetSettings, ConfigError> {
         read_file(path, FleetSettings::read)
     }
@@ -195,7 +197,7 @@
 impl PeerSettings {
     fn check(&self) -> Result<(), ConfigError> {
         check_range("fellows.fleet, its length", self.fleet.len() as u64, 1..=64)?;
-        check_range("fellows.secret, its length", self.secret.len() as u64, MIN_SECRET..=1024)?;
+        check_range("fellows.secret, its length", self.secret.len() as u64, MIN_SECRET_BYTES..=1024)?;
         check_range("fellows.contacts, how many", self.contacts.len() as u64, 1..=64)
     }
 }
@@ -203,10 +205,10 @@
 impl VoterSettings {
     fn check(&self) -> Result<(), ConfigError> {
         let distinct = self.nodes.iter().collect::<BTreeSet<_>>().len();
-        let odd = matches!(self.nodes.len(), 1 | 3 | 5 | 7);
+        let allowed_count = matches!(self.nodes.len(), 1 | 3 | 5 | 7);
         let found = format!("{:?}", self.nodes);
         let expected = "1, 3, 5 or 7 different numbers";
-        check(odd && distinct == self.nodes.len(), "keepers.nodes", expected, &found)
+        check(allowed_count && distinct == self.nodes.len(), "keepers.nodes", expected, &found)
     }
 }
 
@@ -217,25 +219,25 @@
         let mut names = BTreeSet::new();
         for (index, budget) in self.of.iter().enumerate() {
             let key = format!("budgets.of[{index}]");
-            check(budget.limits_something(), &key, "tariff, customer or further", "none")?;
+            check(budget.has_criterion(), &key, "tariff, customer or further", "none")?;
             let name = budget.name();
             let found = format!("{name:?}");
             check(names.insert(name), &format!("{key}.name"), "another than before", &found)?;
-            budget.check_numbers(&key)?;
+            budget.check_values(&key)?;
         }
         Ok(())
     }
 }
 
 impl Budget {
-    fn limits_something(&self) -> bool {
+    fn has_criterion(&self) -> bool {
         self.further || self.tariff.is_some() || self.customer.is_some()
     }
 
-    fn check_numbers(&self, key: &str) -> Result<(), ConfigError> {
+    fn check_values(&self, key: &str) -> Result<(), ConfigError> {
         check_range(&format!("{key}.units"), self.units.into(), 1..=100_000_000)?;
         check_range(&format!("{key}.window_ms"), self.window_ms, 10..=3_600_000)?;
-        let floors = u64::from(self.floor) * u64::from(self.nodes);
-        check_range(&format!("{key}, floor times nodes"), floors, 0..=self.units.into())
+        let reserved_units = u64::from(self.floor) * u64::from(self.nodes);
+        check_range(&format!("{key}, floor times nodes"), reserved_units, 0..=self.units.into())
     }
 }
--- a/crates/node-config/src/frontends.rs
+++ b/crates/node-config/src/frontends.rs
@@ -1,5 +1,5 @@
-//! Further listeners of a node, in a file of the operators' own (`deploy/fronts.toml`): TOML, read and checked as a whole.
-//! Without the file there are none.
+//! Settings of a node's optional front ends, read from the operators' TOML file `deploy/fronts.toml`. The whole file is
+//! checked when it is read. Without the file a node has none of them.
 
 use crate::error::ConfigError;
 use crate::toml_file::{check, check_range, parse, read_file};
@@ -8,144 +8,144 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The further listeners of a node.
+/// The optional front ends of a node; an absent section turns its front end off.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FrontendSettings {
-    /// The listener of Faktory clients and workers.
+    /// The listener for Faktory clients and workers.
     pub faktory: Option<FaktorySettings>,
-    /// The log of jobs that outlive the process.
+    /// The log that keeps jobs across restarts of the process.
     #[serde(rename = "ledger")]
     pub job_log: Option<JobLogSettings>,
-    /// The listeners of other balancers' health checks.
+    /// The listeners for health checks by other load balancers.
     #[serde(rename = "checks")]
     pub health_checks: Option<HealthCheckSettings>,
 }
 
-/// Where other balancers ask whether the node should get traffic.
+/// The addresses at which other load balancers check whether the node should receive traffic.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HealthCheckSettings {
-    /// For agent checks: a line of text on connecting.
+    /// The listener for agent checks, which answers each connection with a line of text.
     pub agent: Option<SocketAddr>,
-    /// For HTTP health calls.
+    /// The listener for HTTP health checks.
     pub health: Option<SocketAddr>,
-    /// Checks that are answered in a second at each address; the others wait. Default 200.
-    #[serde(default = "per_s")]
+    /// The number of checks that are answered per second at each address; further ones wait. Default 200.
+    #[serde(default = "default_checks_per_s")]
     per_s: u64,
 }
 
-fn per_s() -> u64 {
-    200 // twenty balancers that ask ten times a second
+fn default_checks_per_s() -> u64 {
+    200 // enough for twenty load balancers that check ten times a second
 }
 
 impl HealthCheckSettings {
-    /// The time between two checks that are answered, at least.
+    /// Returns the minimum time between two answered checks at an address.
     pub fn min_interval(&self) -> Duration {
         Duration::from_seconds(1.0 / self.per_s as f64)
     }
 
-    /// How many addresses there are.
+    /// Returns the number of configured addresses.
     pub fn count(&self) -> usize {
         usize::from(self.agent.is_some()) + usize::from(self.health.is_some())
     }
 }
 
-/// The log of jobs that outlive the process.
+/// The log that keeps jobs across restarts of the process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobLogSettings {
-    /// The folder of the log, on a disk that lasts; of this node alone.
+    /// The directory of the log. It must be on a persistent disk, and no other node may use it.
     pub folder: PathBuf,
-    /// How long the answer to a job can be asked for, in seconds. Default 600.
-    #[serde(default = "keep_answers_s")]
+    /// How long a job's result can be queried, in seconds. Default 600.
+    #[serde(default = "default_keep_answers_s")]
     keep_answers_s: u64,
-    /// How many jobs there may be, answered ones that are kept among them. Default 10,000.
-    #[serde(default = "max_jobs", rename = "most_jobs")]
+    /// The maximum number of jobs in the log, including completed jobs whose results are kept. Default 10,000.
+    #[serde(default = "default_max_jobs", rename = "most_jobs")]
     max_jobs: u64,
 }
 
-fn keep_answers_s() -> u64 {
+fn default_keep_answers_s() -> u64 {
     600
 }
-fn max_jobs() -> u64 {
+fn default_max_jobs() -> u64 {
     10_000
 }
 
 impl JobLogSettings {
-    /// How long the answer to a job can be asked for.
+    /// Returns how long a job's result can be queried.
     pub fn answer_ttl(&self) -> Duration {
         Duration::from_millis(self.keep_answers_s * 1000)
     }
 
-    /// How many jobs there may be.
+    /// Returns the maximum number of jobs in the log.
     pub fn max_jobs(&self) -> usize {
         self.max_jobs as usize
     }
 }
 
-/// Where clients push jobs and workers fetch them by the Faktory work protocol.
+/// The listener at which clients push jobs and workers fetch them by the Faktory work protocol.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaktorySettings {
-    /// Where it listens.
+    /// The address on which it listens.
     pub listen: SocketAddr,
-    /// What clients and workers must know, if anything.
+    /// The password that clients and workers must present, if any.
     pub password: Option<String>,
-    /// Descriptors that are reserved for it. Default 64.
-    #[serde(default = "max_connections", rename = "most_connections")]
+    /// The number of file descriptors reserved for its connections. Default 64.
+    #[serde(default = "default_max_connections", rename = "most_connections")]
     max_connections: u64,
-    /// How long a job waits for its worker's next fetch before it goes elsewhere, in milliseconds. Default 500.
-    #[serde(default = "fetch_timeout_ms", rename = "fetched_within_ms")]
+    /// How long a job waits for the chosen worker's next fetch before it goes to another, in milliseconds. Default 500.
+    #[serde(default = "default_fetch_timeout_ms", rename = "fetched_within_ms")]
     fetch_timeout_ms: u64,
-    /// How long a worker may go without a heartbeat before it counts as gone, in seconds. Default 60.
-    #[serde(default = "heartbeat_timeout_s", rename = "silent_after_s")]
+    /// The time without a heartbeat after which a worker is considered gone, in seconds. Default 60.
+    #[serde(default = "default_heartbeat_timeout_s", rename = "silent_after_s")]
     heartbeat_timeout_s: u64,
-    /// How long a worker may have a job that does not say so, in seconds. Default 1,800.
-    #[serde(default = "reservation_s", rename = "reserve_for_s")]
+    /// How long a worker may hold a job that sets no reservation time itself, in seconds. Default 1,800.
+    #[serde(default = "default_reservation_s", rename = "reserve_for_s")]
     reservation_s: u64,
 }
 
-fn max_connections() -> u64 {
+fn default_max_connections() -> u64 {
     64
 }
-fn fetch_timeout_ms() -> u64 {
+fn default_fetch_timeout_ms() -> u64 {
     500
 }
-fn heartbeat_timeout_s() -> u64 {
-    60 // workers send a heartbeat every 15 s: three were missed
+fn default_heartbeat_timeout_s() -> u64 {
+    60 // workers send a heartbeat every 15 s, so three were missed
 }
-fn reservation_s() -> u64 {
-    1800 // the default of the protocol
+fn default_reservation_s() -> u64 {
+    1800 // the default of the Faktory protocol
 }
 
 impl FaktorySettings {
-    /// Descriptors that are reserved for it.
+    /// Returns the number of file descriptors reserved for its connections.
     pub fn max_connections(&self) -> usize {
         self.max_connections as usize
     }
 
-    /// How long a job waits for its worker's next fetch.
+    /// Returns how long a job waits for the chosen worker's next fetch.
     pub fn fetch_timeout(&self) -> Duration {
         Duration::from_millis(self.fetch_timeout_ms)
     }
 
-    /// How long a worker may go without a heartbeat.
+    /// Returns the time without a heartbeat after which a worker is considered gone.
     pub fn heartbeat_timeout(&self) -> Duration {
         Duration::from_millis(self.heartbeat_timeout_s * 1000)
     }
 
-    /// How long a worker may have a job that does not say so.
+    /// Returns how long a worker may hold a job that sets no reservation time itself.
     pub fn reservation(&self) -> Duration {
         Duration::from_millis(self.reservation_s * 1000)
     }
 }
 
 impl FrontendSettings {
-    /// Reads and checks what a file holds.
+    /// Parses and checks the content of a front-end file.
     ///
     /// # Errors
-    /// The text is no TOML, a key is unknown or of the wrong type, or a value is out of range.
+    /// The text is not valid TOML, a key is unknown, or a value has the wrong type or is out of range.
     pub fn read(text: &str) -> Result<FrontendSettings, ConfigError> {
         let settings: FrontendSettings = parse(text)?;
         settings.faktory.as_ref().map_or(Ok(()), FaktorySettings::check)?;
@@ -154,10 +154,10 @@
         Ok(settings)
     }
 
-    /// Reads and checks a file.
+    /// Reads and checks a front-end file.
     ///
     /// # Errors
-    /// The file can't be read, or what it holds is wrong.
+    /// The file can't be read, or its content is invalid.
     pub fn of_file(path: &Path) -> Result<FrontendSettings, ConfigError> {
         read_file(path, FrontendSettings::read)
     }
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings of the older program, read and checked: what a deployment promises ([`DeploymentSettings`], the same object on the
-//! users' bench and on sockets), the file of a node ([`node_settings`]), and the operators' files for further listeners
-//! ([`frontends`]), for nodes that know of each other ([`fleet`]) and for planned maintenance ([`plan`]).
+//! Reads and checks the settings of the older program: the properties of a deployment ([`DeploymentSettings`], the same
+//! object on the users' bench and on real sockets), the file of a node ([`node_settings`]), and the operators' files for
+//! optional front ends ([`frontends`]), for nodes that work together ([`fleet`]) and for planned maintenance ([`plan`]).
 //!
-//! Keys and values are those of the users' and operators' pages; this is the one place where they are translated to the
-//! names of the code. What is wrong is a [`ConfigError`], which names the key and what was expected.
+//! Keys and values are those that the users' and operators' documentation gives. Only this crate translates them to the
+//! names that the code uses. An invalid setting is reported as a [`ConfigError`], which names the key and the expected value.
 //!
 //! ```
 //! use grebeusher_node_config::DeploymentSettings;
@@ -34,82 +34,82 @@
 use object::Object;
 use serde_json::Value;
 
-/// How the list of executors reaches a node (`registry_mode`).
+/// The way in which the list of executors reaches a node (`registry_mode`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistryMode {
-    /// It is sent to every node (`automatic`).
+    /// The list is sent to every node (`automatic`).
     Automatic,
-    /// A node has to ask for it (`subscribe`).
+    /// A node has to ask for the list (`subscribe`).
     Subscribe,
 }
 
-/// How executors report their load (`report.via`).
+/// The way in which executors report their load (`report.via`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportTransport {
-    /// In the answers to work (`piggyback`).
+    /// Executors add a load report to their answers to work (`piggyback`).
     Piggyback,
-    /// In answers to probes (`pull`).
+    /// Executors send a load report in answer to a probe (`pull`).
     Pull,
-    /// Not at all (`silent`).
+    /// Executors send no load reports (`silent`).
     Silent,
 }
 
-/// What a deployment promises, checked. Tariffs, customers, zones and kinds are referred to elsewhere by their index in
-/// these lists.
+/// The checked settings of a deployment. Other code refers to tariffs, customers, zones and kinds by their index in these
+/// lists.
 #[derive(Clone, Debug)]
 pub struct DeploymentSettings {
-    /// The tariffs' names, by index.
+    /// The names of the tariffs, by index.
     pub tariff_names: Vec<String>,
-    /// The customers' names, by index.
+    /// The names of the customers, by index.
     pub customer_names: Vec<String>,
-    /// The zones' names, by index.
+    /// The names of the zones, by index.
     pub zones: Vec<String>,
-    /// The kinds of executors, by index.
+    /// The names of the kinds of executors, by index.
     pub kinds: Vec<String>,
-    /// How the list of executors comes.
+    /// The way in which the list of executors reaches this node. Default [`RegistryMode::Subscribe`].
     pub registry_mode: RegistryMode,
-    /// Whether nodes may send each other messages.
+    /// Whether the deployment lets nodes send each other messages.
     pub peers: bool,
-    /// Whether executors are probed for their load: only where it is reported in no other way.
+    /// Whether nodes probe executors for their load, which they do only where probes are the sole source of load reports.
     pub probes: bool,
-    /// How long an executor keeps an idle connection at least. Default 15 s.
+    /// The minimum time for which an executor keeps an idle connection open. Default 15 s.
     pub idle: Duration,
-    /// How long connecting to an executor may take. Default 250 ms.
+    /// The time limit for connecting to an executor. Default 250 ms.
     pub connect_timeout: Duration,
-    /// The fields of a load report, in the order in which their values come.
+    /// The names of the fields of a load report, in the order of their values.
     pub report_fields: Vec<String>,
-    /// Which of them the decisions use.
+    /// The positions of the report fields that dispatch decisions use.
     pub places: ReportLayout,
     tariffs: Vec<RequestClass>,
     attempt_policy: AttemptPolicy,
     slow_start: SlowStart,
-    starts: bool,
-    progress: Option<Duration>,
-    quotas: Vec<f64>,
-    node: u64,
-    nodes: u64,
-    zone: usize,
+    reports_starts: bool,
+    progress_interval: Option<Duration>,
+    customer_quotas: Vec<f64>,
+    node_index: u64,
+    node_count: u64,
+    zone_index: usize,
 }
 
-/// Used where a file does not say: the users' servers close idle connections after 15 s at the earliest, and a
-/// connection that takes longer than the other never comes up.
-const IDLE: Duration = Duration::from_millis(15_000);
-const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// The default of `conn_idle_ns`: the users' servers close idle connections after 15 s at the earliest.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(15_000);
+/// The default of `dial_timeout_ns`: a connection that is not established after 250 ms never is.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl DeploymentSettings {
     /// Reads and checks the settings.
     ///
     /// # Errors
-    /// A key is missing, of the wrong type, out of range or an unknown word.
+    /// A required key is missing, or a value has the wrong type, is out of range or is not one of the known words.
     #[expect(clippy::too_many_lines, reason = "one line for each setting")]
     pub fn read(settings: &Value) -> Result<DeploymentSettings, ConfigError> {
         let root = Object::root(settings)?;
-        let (caps, family, report) =
+        let (capabilities, family_info, report) =
             (root.object("caps")?, root.object("family_info")?, root.object("report")?);
         let (zones, kinds) = (root.texts("zones")?, root.texts("kinds")?);
         let tariffs = root.objects("tariffs")?;
         let tenants = root.objects("tenants")?;
-        let reports = report
+        let report_transport = report
             .word(
                 "via",
                 &[
@@ -120,35 +120,35 @@
             )?
             .unwrap_or(ReportTransport::Piggyback);
         let report_fields = report.texts("fields")?;
-        let tells_free_slots = family.text("report_x0")? == Some("free slots");
+        let x0_is_free_slots = family_info.text("report_x0")? == Some("free slots");
         let registry_mode = root.word(
             "registry_mode",
             &[("automatic", RegistryMode::Automatic), ("subscribe", RegistryMode::Subscribe)],
         )?;
-        let retry_after = caps.flag("retry_after")?;
+        let retry_after = capabilities.flag("retry_after")?;
         let max_retry_after =
-            if retry_after { Some(caps.required_duration("max_retry_after_ns")?) } else { None };
-        let nodes = root.count("fleet_size", 1..=u64::MAX)?.unwrap_or(1);
-        let zone = root.count("az", 0..=(zones.len().max(1) as u64 - 1))?.unwrap_or(0);
+            if retry_after { Some(capabilities.required_duration("max_retry_after_ns")?) } else { None };
+        let node_count = root.count("fleet_size", 1..=u64::MAX)?.unwrap_or(1);
+        let zone_index = root.count("az", 0..=(zones.len().max(1) as u64 - 1))?.unwrap_or(0);
         Ok(DeploymentSettings {
-            tariff_names: names(&tariffs)?,
-            customer_names: names(&tenants)?,
+            tariff_names: read_names(&tariffs)?,
+            customer_names: read_names(&tenants)?,
             registry_mode: registry_mode.unwrap_or(RegistryMode::Subscribe),
-            peers: caps.flag("peers")?,
-            // The design probes where reports come in no other way.
-            probes: caps.flag("may_probe")? && reports == ReportTransport::Pull,
-            idle: caps.duration("conn_idle_ns")?.unwrap_or(IDLE),
-            connect_timeout: caps
+            peers: capabilities.flag("peers")?,
+            // Nodes probe executors only where load reports come in no other way.
+            probes: capabilities.flag("may_probe")? && report_transport == ReportTransport::Pull,
+            idle: capabilities.duration("conn_idle_ns")?.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            connect_timeout: capabilities
                 .duration("dial_timeout_ns")?
                 .filter(|timeout| timeout.nanos() > 0)
-                .unwrap_or(CONNECT_TIMEOUT),
-            places: ReportLayout::of(&report_fields, tells_free_slots),
+                .unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            places: ReportLayout::of(&report_fields, x0_is_free_slots),
             report_fields,
-            tariffs: read_tariffs(&root, &family, &tariffs, kinds.len())?,
+            tariffs: read_tariffs(&root, &family_info, &tariffs, kinds.len())?,
             attempt_policy: AttemptPolicy {
-                max_attempts: caps.count("most_allocations", 1..=1000)?.unwrap_or(1) as usize,
-                hedging: caps.flag("second_copies")?,
-                cancellation: caps.flag("cancelling")?,
+                max_attempts: capabilities.count("most_allocations", 1..=1000)?.unwrap_or(1) as usize,
+                hedging: capabilities.flag("second_copies")?,
+                cancellation: capabilities.flag("cancelling")?,
                 cancel_dequeues: false,
                 deadline_error: root.object("contract")?.duration("deadline_error_ns")?.unwrap_or_default(),
                 retry_budget: read_retry_budget(&root.object("contract")?)?,
@@ -156,94 +156,103 @@
                 max_retry_after,
             },
             slow_start: read_slow_start(&root.object("contract")?)?,
-            starts: family.flag("tells_start")?,
-            progress: family.duration("progress_ns")?.filter(|pace| pace.nanos() > 0),
-            quotas: quotas(&tenants)?,
-            node: root.count("me", 0..=nodes - 1)?.unwrap_or(0),
-            nodes,
-            zone: zone as usize,
+            reports_starts: family_info.flag("tells_start")?,
+            progress_interval: family_info.duration("progress_ns")?.filter(|interval| interval.nanos() > 0),
+            customer_quotas: read_quotas(&tenants)?,
+            node_index: root.count("me", 0..=node_count - 1)?.unwrap_or(0),
+            node_count,
+            zone_index: zone_index as usize,
             zones,
             kinds,
         })
     }
 
-    /// The longest that any client waits.
+    /// Returns the longest deadline of all tariffs.
     pub fn longest_patience(&self) -> Duration {
         self.tariffs.iter().map(|tariff| tariff.deadline).max().unwrap_or_default()
     }
 
-    /// How long the clients of a tariff wait.
+    /// Returns how long the clients of a tariff wait for an answer.
     pub fn deadline(&self, tariff: usize) -> Duration {
         self.tariffs[tariff].deadline
     }
 
-    /// The place of a customer by its name; one behind all for who names none, or one that is not known. Guards against
-    /// strangers who use up the share of the first.
+    /// Returns the index of a customer by its name. An absent or unknown name gives the index after the last customer, so
+    /// that such requests don't use up the quota of the first customer.
     pub fn customer(&self, name: Option<&str>) -> usize {
-        let known = name.and_then(|name| self.customer_names.iter().position(|known| known == name));
-        known.unwrap_or(self.customer_names.len())
+        let index =
+            name.and_then(|name| self.customer_names.iter().position(|known_name| known_name == name));
+        index.unwrap_or(self.customer_names.len())
     }
 
-    /// How often executors tell of what runs, if they do.
+    /// Returns the interval at which executors report the progress of running work, or `None` if they don't.
     pub fn progress(&self) -> Option<Duration> {
-        self.progress
+        self.progress_interval
     }
 
-    /// The zone in which the node stands, by its place.
+    /// Returns the index of the zone in which the node runs.
     pub fn zone(&self) -> usize {
-        self.zone
+        self.zone_index
     }
 
-    /// Its name; none where no zones are named.
+    /// Returns the name of the node's zone, or an empty string if the settings name no zones.
     pub fn zone_name(&self) -> &str {
-        self.zones.get(self.zone).map_or("", String::as_str)
+        self.zones.get(self.zone_index).map_or("", String::as_str)
     }
 
-    /// The node's number, and how many there are.
+    /// Returns the node's index in the fleet and the number of nodes.
     pub fn place(&self) -> (u64, u64) {
-        (self.node, self.nodes)
+        (self.node_index, self.node_count)
     }
 
-    /// Whether a tariff is binding, by its place.
+    /// Returns whether the work of the tariff at an index is non-idempotent.
     pub fn is_binding(&self, tariff: usize) -> bool {
         self.tariffs[tariff].effect == Effect::NonIdempotent
     }
 
-    /// Whether executors may be asked to give up a job that they took.
+    /// Returns whether executors may be asked to cancel work that they accepted.
     pub fn recalls(&self) -> bool {
         self.attempt_policy.cancellation
     }
 
-    /// Whether two allocations of one unit may be out at once.
+    /// Returns whether a request may have two attempts running at once (hedging).
     pub fn second_copies(&self) -> bool {
         self.attempt_policy.hedging
     }
 
-    /// What the operators promise of their executors: that a recall takes work that waits out of the queue.
+    /// Sets whether cancelling an attempt removes waiting work from the executor's queue, as the operators' fleet file says.
+    /// It has no effect where the deployment does not allow cancellation.
     pub fn recalls_stop(&mut self, stop: bool) {
         self.attempt_policy.cancel_dequeues = stop && self.attempt_policy.cancellation;
     }
 
-    /// A dispatcher that acts through `host` under this settings. `asks_list`: the list comes only to those who ask
-    /// on this wire; `talks`: words between nodes have a form on it.
-    pub fn dispatcher<H: Host>(&self, host: H, seed: u64, asks_list: bool, talks: bool) -> Dispatcher<H> {
-        Dispatcher::new(host, seed, self.node, self.nodes, self.tariffs.clone())
+    /// Creates a dispatcher with these settings that acts through `host`. `must_subscribe` says that the protocol in use
+    /// sends the executor list only to nodes that ask for it, and `has_peer_messages` that it can carry messages between nodes.
+    pub fn dispatcher<H: Host>(
+        &self,
+        host: H,
+        seed: u64,
+        must_subscribe: bool,
+        has_peer_messages: bool,
+    ) -> Dispatcher<H> {
+        Dispatcher::new(host, seed, self.node_index, self.node_count, self.tariffs.clone())
             .with_attempt_policy(self.attempt_policy)
             .with_slow_start(self.slow_start)
             .with_signals(ExecutorSignals {
-                must_watch_executors: asks_list,
+                must_watch_executors: must_subscribe,
                 may_probe: self.probes,
-                reports_starts: self.starts,
-                progress_interval: self.progress,
+                reports_starts: self.reports_starts,
+                progress_interval: self.progress_interval,
             })
-            .with_customer_quotas(&self.quotas)
-            .with_load_sharing(self.peers && talks)
-            .with_zone(self.zone)
+            .with_customer_quotas(&self.customer_quotas)
+            .with_load_sharing(self.peers && has_peer_messages)
+            .with_zone(self.zone_index)
     }
 }
 
-/// The share of each customer, and none for who is not among them, where there are some.
-fn quotas(tenants: &[Object]) -> Result<Vec<f64>, ConfigError> {
+/// Reads each customer's quota in requests per second, unlimited by default. If there are customers, a last quota of zero is
+/// added for requests from anyone else.
+fn read_quotas(tenants: &[Object]) -> Result<Vec<f64>, ConfigError> {
     let quota = |tenant: &Object| Ok(tenant.number("quota_per_s", 0.0..=f64::MAX)?.unwrap_or(f64::INFINITY));
     let mut quotas = tenants.iter().map(quota).collect::<Result<Vec<f64>, ConfigError>>()?;
     if !quotas.is_empty() {
@@ -252,11 +261,11 @@
     Ok(quotas)
 }
 
-fn names(parts: &[Object]) -> Result<Vec<String>, ConfigError> {
-    parts.iter().map(|part| Ok(part.text("name")?.unwrap_or_default().to_owned())).collect()
+fn read_names(objects: &[Object]) -> Result<Vec<String>, ConfigError> {
+    objects.iter().map(|object| Ok(object.text("name")?.unwrap_or_default().to_owned())).collect()
 }
 
-/// The effect of a tariff's work, before its group and memory span are read.
+/// The effect of a tariff's work, without the deduplication scope and window (`group` and `memory_span_ns`).
 #[derive(Clone, Copy)]
 enum EffectKind {
     Idempotent,
@@ -266,23 +275,23 @@
 
 fn read_tariffs(
     root: &Object,
-    family: &Object,
+    family_info: &Object,
     tariffs: &[Object],
-    kinds: usize,
+    kind_count: usize,
 ) -> Result<Vec<RequestClass>, ConfigError> {
     if tariffs.is_empty() {
         return Err(root.invalid("tariffs", "a list of at least one tariff"));
     }
-    let stretches = family.one_each("class_stretch", tariffs.len(), 0.0..=1e6)?;
-    let most = if kinds == 0 { 1e6 } else { kinds as f64 - 1.0 };
-    let only_kinds = family.one_each("class_kind", tariffs.len(), -1.0..=most)?;
-    let at = |list: &Option<Vec<f64>>, at: usize| list.as_ref().map(|list| list[at]);
-    let words = [
+    let stretches = family_info.numbers_per_tariff("class_stretch", tariffs.len(), 0.0..=1e6)?;
+    let max_kind = if kind_count == 0 { 1e6 } else { kind_count as f64 - 1.0 };
+    let required_kinds = family_info.numbers_per_tariff("class_kind", tariffs.len(), -1.0..=max_kind)?;
+    let value_at = |list: &Option<Vec<f64>>, index: usize| list.as_ref().map(|list| list[index]);
+    let effects = [
         ("read_like", EffectKind::Idempotent),
         ("idempotency_key", EffectKind::Keyed),
         ("non_idempotent", EffectKind::NonIdempotent),
     ];
-    let groups = [
+    let scopes = [
         ("all", DeduplicationScope::All),
         ("zone", DeduplicationScope::Zone),
         ("cell", DeduplicationScope::Cell),
@@ -290,38 +299,39 @@
     tariffs
         .iter()
         .enumerate()
-        .map(|(place, tariff)| {
-            // A wrong group is refused also where none is needed.
-            tariff.word("group", &groups)?;
-            let effect = match tariff.required_word("effect", &words)? {
+        .map(|(index, tariff)| {
+            // An invalid group is rejected even where the effect needs none.
+            tariff.word("group", &scopes)?;
+            let effect = match tariff.required_word("effect", &effects)? {
                 EffectKind::Idempotent => Effect::Idempotent,
                 EffectKind::NonIdempotent => Effect::NonIdempotent,
                 EffectKind::Keyed => Effect::Keyed {
-                    scope: tariff.required_word("group", &groups)?,
+                    scope: tariff.required_word("group", &scopes)?,
                     deduplication_window: tariff.required_duration("memory_span_ns")?,
                 },
             };
-            let stretch = tariff.number("aim_stretch", 0.0..=1e6)?.or(at(&stretches, place));
+            let stretch = tariff.number("aim_stretch", 0.0..=1e6)?.or(value_at(&stretches, index));
             Ok(RequestClass {
                 effect,
                 latency_objective: tariff.required_duration("quoted_time_ns")?,
                 stretch: stretch.unwrap_or(0.0),
                 deadline: tariff.required_duration("patience_ns")?,
                 value: tariff.number("earnings", 0.0..=f64::MAX)?.unwrap_or(1.0),
-                kind: at(&only_kinds, place).filter(|&kind| kind >= 0.0).map(|kind| kind as usize),
+                kind: value_at(&required_kinds, index).filter(|&kind| kind >= 0.0).map(|kind| kind as usize),
             })
         })
         .collect()
 }
 
-/// The budget of further allocations, where there is one: all of it must be told.
+/// Reads the budget for further attempts. It is off without `budget_span_ns`; with it the other keys are required.
 fn read_retry_budget(contract: &Object) -> Result<Option<RetryBudget>, ConfigError> {
     let Some(window) = contract.duration("budget_span_ns")? else { return Ok(None) };
     let base = contract.required_number("extra_free", 0.0..=1e9)?;
     Ok(Some(RetryBudget { window, base, ratio: contract.required_number("further_ratio", 0.0..=1e3)? }))
 }
 
-/// What is promised of cold executors must be told: nobody can keep to what is not known.
+/// Reads the limits on the load of newly started executors. Most have no default because a node can't keep to limits that
+/// it does not know.
 fn read_slow_start(contract: &Object) -> Result<SlowStart, ConfigError> {
     Ok(SlowStart {
         initial_share: contract.required_number("cold_share", 0.0..=1.0)?,
@@ -333,12 +343,12 @@
     })
 }
 
-const UTILISATION: &str = "load_share";
-const FREE_SLOTS: &str = "x0";
-/// The fields of a load report that the decisions use.
-pub const USED_REPORT_FIELDS: [&str; 2] = [UTILISATION, FREE_SLOTS];
+const UTILISATION_FIELD: &str = "load_share";
+const FREE_SLOTS_FIELD: &str = "x0";
+/// The names of the load report fields that dispatch decisions use.
+pub const USED_REPORT_FIELDS: [&str; 2] = [UTILISATION_FIELD, FREE_SLOTS_FIELD];
 
-/// Which places of a load report hold the values that the decisions use.
+/// The positions in a load report of the values that dispatch decisions use.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportLayout {
     utilisation: Option<usize>,
@@ -346,15 +356,15 @@
 }
 
 impl ReportLayout {
-    fn of(fields: &[String], tells_free_slots: bool) -> ReportLayout {
-        let place = |name: &str| fields.iter().position(|field| field == name);
+    fn of(fields: &[String], x0_is_free_slots: bool) -> ReportLayout {
+        let position = |name: &str| fields.iter().position(|field| field == name);
         ReportLayout {
-            utilisation: place(UTILISATION),
-            free_slots: place(FREE_SLOTS).filter(|_| tells_free_slots),
+            utilisation: position(UTILISATION_FIELD),
+            free_slots: position(FREE_SLOTS_FIELD).filter(|_| x0_is_free_slots),
         }
     }
 
-    /// The report, from a look-up of its values by place.
+    /// Builds a load report; `value` returns the reported value at a position.
     pub fn report(&self, value: impl Fn(usize) -> Option<f64>) -> LoadReport {
         LoadReport {
             utilisation: self.utilisation.and_then(&value),
--- a/crates/node-config/src/node_settings.rs
+++ b/crates/node-config/src/node_settings.rs
@@ -1,5 +1,5 @@
-//! The file of a node, named by `GW_CONFIG`: its addresses, its limits, the list of executors that it had last, and the
-//! settings of the deployment.
+//! Reads a node's JSON file, whose path is in the environment variable `GW_CONFIG`. The file holds the node's addresses, its
+//! resource limits, the last executor list that it received, and the settings of the deployment.
 
 use crate::DeploymentSettings;
 use crate::error::{
@@ -12,52 +12,52 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The fewest descriptors that a node can work with.
-const MIN_SOCKETS: u64 = 32;
+/// The minimum number of file descriptors that a node needs.
+const MIN_DESCRIPTORS: u64 = 32;
 
-/// What a node reads at its start.
+/// The settings that a node reads at startup.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Its name.
+    /// The name of the node.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address on which the node listens for clients.
     pub listen: SocketAddr,
-    /// Where the staff call, if the node has such an address.
+    /// The address on which the node listens for the operators' requests, if any.
     pub console: Option<SocketAddr>,
-    /// The service that knows the list of executors.
+    /// The address of the discovery service, which provides the list of executors.
     pub discovery: SocketAddr,
-    /// The seed of all that is left to chance; new with each start.
+    /// The seed of the random number generators; it differs at each start.
     pub seed: u64,
-    /// How many descriptors it may hold, where the file says so.
+    /// The maximum number of file descriptors that the node may hold open, if the file sets one.
     pub sockets: Option<usize>,
-    /// How much memory it may take, in megabytes, where the file says so.
+    /// The maximum memory that the node may use, in megabytes, if the file sets one.
     pub memory_mb: Option<f64>,
-    /// The list as this node last had it, in discovery's form.
+    /// The last executor list that this node received, in the JSON format of the discovery service.
     pub known: Value,
-    /// What the deployment promises.
+    /// The settings of the deployment.
     pub settings: DeploymentSettings,
 }
 
-/// Reads a file as JSON, whatever it holds.
+/// Reads a file as JSON without checking its keys.
 ///
 /// # Errors
-/// The file can't be read or is no JSON.
+/// The file can't be read or is not valid JSON.
 pub fn file(path: &Path) -> Result<Value, ConfigError> {
     let text = std::fs::read(path).context(UnreadableFileSnafu { path })?;
     serde_json::from_slice(&text).context(NotJsonSnafu { path })
 }
 
 impl NodeSettings {
-    /// Reads and checks what a node's file holds.
+    /// Checks the content of a node's file and converts it to settings.
     ///
     /// # Errors
-    /// A key is missing, of the wrong type, out of range or an unknown word.
+    /// A required key is missing, or a value has the wrong type, is out of range or is not one of the known words.
     pub fn read(node: &Value) -> Result<NodeSettings, ConfigError> {
         let root = Object::root(node)?;
         let limits = root.object("limits")?;
-        let digits = root.text("seed")?.unwrap_or("0");
+        let seed_hex = root.text("seed")?.unwrap_or("0");
         let seed =
-            u64::from_str_radix(digits, 16).map_err(|_| root.invalid("seed", "up to 16 hex digits"))?;
+            u64::from_str_radix(seed_hex, 16).map_err(|_| root.invalid("seed", "up to 16 hex digits"))?;
         check_known_list(&root.object("known")?)?;
         let settings = read_deployment_settings(&root)?;
         Ok(NodeSettings {
@@ -66,7 +66,7 @@
             console: address(&root, "console")?,
             discovery: required_address(&root, "discovery")?,
             seed,
-            sockets: limits.count("sockets", MIN_SOCKETS..=u64::MAX)?.map(|sockets| sockets as usize),
+            sockets: limits.count("sockets", MIN_DESCRIPTORS..=u64::MAX)?.map(|sockets| sockets as usize),
             memory_mb: limits.number("memory_mb", 1.0..=1e9)?,
             known: root.get("known").cloned().unwrap_or_else(|| Value::Object(Default::default())),
             settings,
@@ -76,7 +76,7 @@
     /// Reads and checks a node's file.
     ///
     /// # Errors
-    /// The file can't be read, or what it holds is wrong.
+    /// The file can't be read, or its content is invalid.
     pub fn of_file(path: &Path) -> Result<NodeSettings, ConfigError> {
         NodeSettings::read(&file(path)?).context(InvalidFileSnafu { path })
     }
@@ -85,7 +85,7 @@
 fn read_deployment_settings(root: &Object) -> Result<DeploymentSettings, ConfigError> {
     let settings = root.get("settings").ok_or_else(|| root.invalid("settings", "an object"))?;
     let settings = DeploymentSettings::read(settings).context(DeploymentSettingsSnafu)?;
-    // Clients name the tariff of what they submit.
+    // Each tariff needs a name because clients submit work by the tariff's name.
     if settings.tariff_names.iter().any(String::is_empty) {
         let found = "one without";
         return InvalidValueSnafu { key: "settings.tariffs", expected: "a name for each", found }.fail();
@@ -93,7 +93,7 @@
     Ok(settings)
 }
 
-/// The list is read again by discovery's client; what could not be one is refused at the start.
+/// Rejects at startup a `known` value that can't be an executor list. The discovery client parses the list in full later.
 fn check_known_list(known: &Object) -> Result<(), ConfigError> {
     known.count("generation", 0..=u64::MAX)?;
     known.flag("reset")?;
--- a/crates/node-config/src/toml_file.rs
+++ b/crates/node-config/src/toml_file.rs
@@ -1,4 +1,4 @@
-//! What the operators' TOML files have in common: how they are read, and how an error names its place.
+//! Helpers for the operators' TOML files: they read and check values and report errors by key and file.
 
 use crate::error::{ConfigError, InvalidFileSnafu, InvalidValueSnafu, TomlValueSnafu, UnreadableFileSnafu};
 use serde::de::DeserializeOwned;
@@ -6,7 +6,7 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// A TOML text as a value of a type.
+/// Parses a TOML text; an error names the key at which parsing failed.
 pub(crate) fn parse<T: DeserializeOwned>(text: &str) -> Result<T, ConfigError> {
     let document = toml::Deserializer::parse(text)?;
     serde_path_to_error::deserialize(document).map_err(|error| {
@@ -15,7 +15,7 @@
     })
 }
 
-/// What a file holds; an error names the file.
+/// Reads a file and parses its text with `read`; an error names the file.
 pub(crate) fn read_file<T>(
     path: &Path,
     read: impl Fn(&str) -> Result<T, ConfigError>,
@@ -24,7 +24,7 @@
     read(&text).context(InvalidFileSnafu { path })
 }
 
-/// Checks that a number lies in a range.
+/// Checks that the value of `key` lies within a range.
 pub(crate) fn check_range(key: &str, value: u64, range: RangeInclusive<u64>) -> Result<(), ConfigError> {
     if range.contains(&value) {
         return Ok(());
@@ -33,7 +33,7 @@
     InvalidValueSnafu { key, expected, found: value.to_string() }.fail()
 }
 
-/// Checks a rule that is no range.
+/// Reports `key` as invalid unless `holds` is true, for rules that are not ranges.
 pub(crate) fn check(holds: bool, key: &str, expected: &str, found: &str) -> Result<(), ConfigError> {
     if holds { Ok(()) } else { InvalidValueSnafu { key, expected, found }.fail() }
 }
