--- a/crates/node-config/tests/settings.rs
+++ b/crates/node-config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What the settings takes, and in which words it refuses the rest.
+//! Tests which settings are accepted, and with which errors invalid ones are rejected.
 
 use grebeusher_dispatch::time::DurationExt;
 use grebeusher_node_config::fleet::FleetSettings;
@@ -6,8 +6,8 @@
 use grebeusher_node_config::{DeploymentSettings, RegistryMode};
 use serde_json::{Value, json};
 
-/// The least that a settings must hold, for two tariffs.
-fn least() -> Value {
+/// Returns the smallest valid settings, with two tariffs.
+fn minimal_settings() -> Value {
     json!({"contract": {"cold_share": 0.15, "warm_within_ns": 24e9, "overload_factor": 2.5, "fall_ns": 1e9},
         "tariffs": [
             {"name": "a", "effect": "read_like", "quoted_time_ns": 4e8, "patience_ns": 1e10},
@@ -15,36 +15,39 @@
                 "quoted_time_ns": 4e8, "patience_ns": 1e10}]})
 }
 
-fn with(pointer: &str, value: Value) -> Value {
-    let mut settings = least();
-    let mut at = &mut settings;
+/// Returns the smallest valid settings with the value at a path of keys and indices replaced.
+fn with_value(pointer: &str, value: Value) -> Value {
+    let mut settings = minimal_settings();
+    let mut target = &mut settings;
     for key in pointer.split('/') {
-        at = match key.parse::<usize>() {
-            Ok(place) => &mut at[place],
-            Err(_) => &mut at[key],
+        target = match key.parse::<usize>() {
+            Ok(index) => &mut target[index],
+            Err(_) => &mut target[key],
         };
     }
-    *at = value;
+    *target = value;
     settings
 }
 
 #[test]
-fn what_is_absent_or_null_or_unheard_of_does_no_harm() {
-    for settings in [least(), with("caps", Value::Null), with("a_new_key", json!([1, "x"]))] {
-        let settings = DeploymentSettings::read(&settings).expect("it is whole");
+fn absent_null_and_unknown_keys_are_accepted() {
+    for settings in
+        [minimal_settings(), with_value("caps", Value::Null), with_value("a_new_key", json!([1, "x"]))]
+    {
+        let settings = DeploymentSettings::read(&settings).expect("the settings are valid");
         assert_eq!(settings.registry_mode, RegistryMode::Subscribe);
         assert!(!settings.peers && !settings.probes && !settings.recalls());
         assert!(
             settings.idle.nanos() > 0 && settings.connect_timeout.nanos() > 0,
-            "nothing falls silently to zero"
+            "an absent timeout must not default to zero"
         );
     }
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one line for each refusal")]
-fn each_wrong_setting_is_refused_by_its_key_and_what_was_expected() {
-    let wrong = [
+#[expect(clippy::too_many_lines, reason = "one entry for each invalid value")]
+fn each_invalid_setting_is_rejected_with_its_key_and_the_expected_value() {
+    let invalid = [
         ("caps/second_copies", json!("yes"), "caps.second_copies: expected true or false, found \"yes\""),
         ("caps/peers", json!(1), "caps.peers: expected true or false, found 1"),
         ("caps/may_probe", json!("no"), "caps.may_probe: expected true or false"),
@@ -107,20 +110,24 @@
         ),
         ("tenants", json!(["x"]), "tenants[0]: expected an object, found \"x\""),
     ];
-    for (key, value, expected) in wrong {
-        let what = DeploymentSettings::read(&with(key, value)).expect_err(key).to_string();
-        assert!(what.starts_with(expected), "{key}: {what}");
+    for (key, value, expected) in invalid {
+        let message = DeploymentSettings::read(&with_value(key, value)).expect_err(key).to_string();
+        assert!(message.starts_with(expected), "{key}: {message}");
     }
 }
 
 #[test]
-fn a_posting_is_refused_in_the_same_words() {
-    let posting = |key: &str, value: Value| {
-        let mut posting = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": least()});
-        posting[key] = value;
-        NodeSettings::read(&posting)
+fn an_invalid_node_file_is_rejected_with_the_same_errors() {
+    let read_node_file = |key: &str, value: Value| {
+        let mut node_file =
+            json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": minimal_settings()});
+        node_file[key] = value;
+        NodeSettings::read(&node_file)
     };
-    assert_eq!(posting("seed", json!("8c1f30d27a5be964")).expect("it is whole").seed, 0x8c1f_30d2_7a5b_e964);
+    assert_eq!(
+        read_node_file("seed", json!("8c1f30d27a5be964")).expect("the settings are valid").seed,
+        0x8c1f_30d2_7a5b_e964
+    );
     for (key, value, expected) in [
         ("listen", json!("here"), "listen: expected an address and a port, found \"here\""),
         ("console", json!(8100), "console: expected a text, found 8100"),
@@ -130,25 +137,27 @@
         ("limits", json!({"memory_mb": "2G"}), "limits.memory_mb: expected a number from 1"),
         ("known", json!({"instances": 5}), "known.instances: expected a list, found 5"),
         ("settings", Value::Null, "settings: expected an object, found nothing"),
-        ("settings", with("caps/peers", json!("x")), "settings.caps.peers: expected true or false"),
-        ("settings", with("tariffs/0/name", Value::Null), "settings.tariffs: expected a name for each"),
+        ("settings", with_value("caps/peers", json!("x")), "settings.caps.peers: expected true or false"),
+        ("settings", with_value("tariffs/0/name", Value::Null), "settings.tariffs: expected a name for each"),
     ] {
-        let what = posting(key, value).expect_err(key).to_string();
-        assert!(what.starts_with(expected), "{key}: {what}");
+        let message = read_node_file(key, value).expect_err(key).to_string();
+        assert!(message.starts_with(expected), "{key}: {message}");
     }
 }
 
 #[test]
-fn the_file_of_how_nodes_behave_together_is_read_whole_and_off_as_shipped() {
+fn invalid_fleet_files_are_rejected_and_the_shipped_one_disables_dequeuing() {
     let shipped = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/fleet.toml");
-    assert!(!FleetSettings::of_file(&shipped).expect("it is whole").executors.recalls_stop_waiting);
+    assert!(
+        !FleetSettings::of_file(&shipped).expect("the settings are valid").executors.recalls_stop_waiting
+    );
     assert!(
         FleetSettings::read("[executors]\nrecalls_stop_waiting = true")
-            .expect("it is whole")
+            .expect("the settings are valid")
             .executors
             .recalls_stop_waiting
     );
-    for (text, says) in [
+    for (text, expected) in [
         ("[executors]\nrecalls_stop_waiting = 1", "executors.recalls_stop_waiting: invalid type"),
         ("[executors]\nrecall_stops = true", "executors.recall_stops: unknown field"),
         (
@@ -161,16 +170,16 @@
         ("[fellows]\nfleet = \"a\"\nsecret = \"long enough\"\ncontacts = []", "fellows.contacts, how many"),
         ("[fellows]\nfleet = \"a\"\nsecret = \"long enough\"\ncontacts = [\"here\"]", "fellows.contacts[0]"),
     ] {
-        assert!(FleetSettings::read(text).is_err_and(|error| error.to_string().contains(says)));
+        assert!(FleetSettings::read(text).is_err_and(|error| error.to_string().contains(expected)));
     }
 }
 
 #[test]
-fn who_is_no_customer_takes_the_place_of_none() {
-    // Failure: a request that named an unknown customer, or none, was counted against the share of the first.
-    let settings = with("tenants", json!([{"name": "a", "quota_per_s": 5}, {"name": "b"}]));
-    let settings = DeploymentSettings::read(&settings).expect("it is whole");
+fn unknown_customers_get_the_index_after_the_last() {
+    // Guards against requests with an unknown customer or none being counted against the quota of the first customer.
+    let settings = with_value("tenants", json!([{"name": "a", "quota_per_s": 5}, {"name": "b"}]));
+    let settings = DeploymentSettings::read(&settings).expect("the settings are valid");
     assert_eq!([Some("a"), Some("b"), Some("c"), None].map(|name| settings.customer(name)), [0, 1, 2, 2]);
-    let without = DeploymentSettings::read(&least()).expect("it is whole");
-    assert_eq!(without.customer(Some("a")), 0, "where there are no shares nobody is beyond one");
+    let without_customers = DeploymentSettings::read(&minimal_settings()).expect("the settings are valid");
+    assert_eq!(without_customers.customer(Some("a")), 0, "without customers every request has index 0");
 }
--- a/crates/node-config/tests/stable_words.rs
+++ b/crates/node-config/tests/stable_words.rs
@@ -1,5 +1,5 @@
-//! Words of files written for earlier versions that this one must read unchanged, and the lines in which it refuses what is
-//! wrong in them.
+//! Tests that keys and values of files written for earlier versions are read unchanged, and that the errors for invalid
+//! ones keep their texts.
 
 use grebeusher_dispatch::time::Duration;
 use grebeusher_maintenance::{Plan, WhenLost};
@@ -10,13 +10,14 @@
 use serde_json::Value;
 use std::path::Path;
 
+/// Returns the fixture, a node's file with every key.
 fn config() -> Value {
-    serde_json::from_str(include_str!("data/config.json")).expect("it is JSON")
+    serde_json::from_str(include_str!("data/config.json")).expect("the text is valid JSON")
 }
 
-/// Each key of the file, with a value that is refused, and the line that says so.
+/// Keys of the node's file, each with an invalid value and the error that reports it.
 #[rustfmt::skip]
-const WRONG: &[(&str, &str, &str)] = &[
+const INVALID_VALUES: &[(&str, &str, &str)] = &[
     ("listen", r#"5"#, "listen: expected a text, found 5"),
     ("listen", r#""here""#, "listen: expected an address and a port, found \"here\""),
     ("console", r#""8100""#, "console: expected an address and a port, found \"8100\""),
@@ -82,9 +83,9 @@
     ("settings/tenants/0/quota_per_s", r#"-1"#, "settings.tenants[0].quota_per_s: expected a number from 0 on, found -1"),
 ];
 
-/// Each key that the file must hold, and the line that says that it does not.
+/// The required keys of the node's file, each with the error that reports its absence.
 #[rustfmt::skip]
-const MISSING: &[(&str, &str)] = &[
+const REQUIRED_KEYS: &[(&str, &str)] = &[
     ("listen", "listen: expected an address and a port, found nothing"),
     ("discovery", "discovery: expected an address and a port, found nothing"),
     ("settings", "settings: expected an object, found nothing"),
@@ -104,9 +105,9 @@
     ("settings/tariffs/1/patience_ns", "settings.tariffs[1].patience_ns: expected nanoseconds, a number above 0, found nothing"),
 ];
 
-/// Each key of the file, with another value that is taken.
+/// Keys of the node's file, each with a valid value other than the one in the fixture.
 #[rustfmt::skip]
-const OTHER: &[(&str, &str)] = &[
+const OTHER_VALUES: &[(&str, &str)] = &[
     ("listen", r#""127.0.0.1:1""#),
     ("console", r#""127.0.0.1:1""#),
     ("discovery", r#""127.0.0.1:1""#),
@@ -159,59 +160,64 @@
     ("settings/tenants/0/quota_per_s", r#"1"#),
 ];
 
-fn with(key: &str, value: &str) -> Value {
+/// Returns the fixture with the value of one key replaced by a JSON text.
+fn with_value(key: &str, value: &str) -> Value {
     let mut config = config();
-    let at = config.pointer_mut(&format!("/{key}")).unwrap_or_else(|| panic!("no {key}"));
-    *at = serde_json::from_str(value).expect("it is JSON");
+    let target = config.pointer_mut(&format!("/{key}")).unwrap_or_else(|| panic!("no {key}"));
+    *target = serde_json::from_str(value).expect("the text is valid JSON");
     config
 }
 
-fn without(key: &str) -> Value {
+/// Returns the fixture without one key.
+fn without_key(key: &str) -> Value {
     let mut config = config();
-    let (holder, name) = key.rsplit_once('/').unwrap_or(("", key));
-    let pointer = if holder.is_empty() { String::new() } else { format!("/{holder}") };
-    let holder = config.pointer_mut(&pointer).and_then(Value::as_object_mut);
-    assert!(holder.and_then(|holder| holder.remove(name)).is_some(), "no {key}");
+    let (parent, name) = key.rsplit_once('/').unwrap_or(("", key));
+    let pointer = if parent.is_empty() { String::new() } else { format!("/{parent}") };
+    let parent = config.pointer_mut(&pointer).and_then(Value::as_object_mut);
+    assert!(parent.and_then(|parent| parent.remove(name)).is_some(), "no {key}");
     config
 }
 
 #[test]
-fn a_wrong_value_of_each_key_is_refused_in_one_line() {
-    for (key, value, line) in WRONG {
-        let said = NodeSettings::read(&with(key, value)).map(drop).map_err(|error| error.to_string());
-        assert_eq!(said, Err((*line).to_owned()), "{key}");
+fn an_invalid_value_of_each_key_is_reported_in_one_line() {
+    for (key, value, line) in INVALID_VALUES {
+        let result = NodeSettings::read(&with_value(key, value)).map(drop).map_err(|error| error.to_string());
+        assert_eq!(result, Err((*line).to_owned()), "{key}");
     }
 }
 
 #[test]
-fn each_key_that_must_be_there_is_missed_in_one_line() {
-    for (key, line) in MISSING {
-        let said = NodeSettings::read(&without(key)).map(drop).map_err(|error| error.to_string());
-        assert_eq!(said, Err((*line).to_owned()), "{key}");
+fn a_missing_required_key_is_reported_in_one_line() {
+    for (key, line) in REQUIRED_KEYS {
+        let result = NodeSettings::read(&without_key(key)).map(drop).map_err(|error| error.to_string());
+        assert_eq!(result, Err((*line).to_owned()), "{key}");
     }
 }
 
 #[test]
-fn each_key_that_need_not_be_there_is_left_out_without_harm() {
-    for (key, _) in OTHER.iter().filter(|(key, _)| !MISSING.iter().any(|(due, _)| due == key)) {
-        // Where the zones or kinds are not named, nothing may refer to them.
-        let refers = |said: &String| said.starts_with("settings.az:") || said.starts_with("settings.me:");
-        let said = NodeSettings::read(&without(key)).map(drop).map_err(|error| error.to_string());
-        assert!(said.is_ok() || said.is_err_and(|said| refers(&said)), "{key}");
+fn each_optional_key_may_be_absent() {
+    for (key, _) in
+        OTHER_VALUES.iter().filter(|(key, _)| !REQUIRED_KEYS.iter().any(|(required, _)| required == key))
+    {
+        // Without the key of zones or the fleet's size, the fixture's zone or node index is out of range.
+        let is_index_error =
+            |message: &String| message.starts_with("settings.az:") || message.starts_with("settings.me:");
+        let result = NodeSettings::read(&without_key(key)).map(drop).map_err(|error| error.to_string());
+        assert!(result.is_ok() || result.is_err_and(|message| is_index_error(&message)), "{key}");
     }
 }
 
 #[test]
-fn the_value_of_each_key_is_taken_up() {
-    let read = |config: &Value| format!("{:?}", NodeSettings::read(config).expect("it is whole"));
-    let as_it_stands = read(&config());
-    for (key, value) in OTHER {
-        assert_ne!(read(&with(key, value)), as_it_stands, "{key}");
+fn the_value_of_each_key_changes_the_settings() {
+    let read = |config: &Value| format!("{:?}", NodeSettings::read(config).expect("the settings are valid"));
+    let unchanged = read(&config());
+    for (key, value) in OTHER_VALUES {
+        assert_ne!(read(&with_value(key, value)), unchanged, "{key}");
     }
 }
 
 #[test]
-fn each_word_that_stands_for_a_choice_is_known() {
+fn each_known_word_is_accepted() {
     for (key, words) in [
         ("settings/registry_mode", &["automatic", "subscribe"][..]),
         ("settings/report/via", &["piggyback", "pull", "silent"]),
@@ -219,22 +225,22 @@
         ("settings/tariffs/1/group", &["all", "zone", "cell"]),
     ] {
         for word in words {
-            assert!(NodeSettings::read(&with(key, &format!("{word:?}"))).is_ok(), "{key} {word}");
+            assert!(NodeSettings::read(&with_value(key, &format!("{word:?}"))).is_ok(), "{key} {word}");
         }
     }
 }
 
 #[test]
-fn a_complete_file_is_read_to_the_same_values() {
-    let posting = NodeSettings::read(&config()).expect("it is whole");
-    assert_eq!(posting.name, "n3");
-    assert_eq!(posting.listen.to_string(), "127.0.0.1:8100");
-    assert_eq!(posting.console.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:8101"));
-    assert_eq!(posting.discovery.to_string(), "127.0.0.1:8500");
-    assert_eq!(posting.seed, 0x8c1f_30d2_7a5b_e964);
-    assert_eq!((posting.sockets, posting.memory_mb), (Some(4096), Some(512.5)));
-    assert_eq!(posting.known, config()["known"]);
-    let settings = &posting.settings;
+fn a_complete_node_file_is_read_to_the_same_values() {
+    let node_settings = NodeSettings::read(&config()).expect("the settings are valid");
+    assert_eq!(node_settings.name, "n3");
+    assert_eq!(node_settings.listen.to_string(), "127.0.0.1:8100");
+    assert_eq!(node_settings.console.map(|address| address.to_string()).as_deref(), Some("127.0.0.1:8101"));
+    assert_eq!(node_settings.discovery.to_string(), "127.0.0.1:8500");
+    assert_eq!(node_settings.seed, 0x8c1f_30d2_7a5b_e964);
+    assert_eq!((node_settings.sockets, node_settings.memory_mb), (Some(4096), Some(512.5)));
+    assert_eq!(node_settings.known, config()["known"]);
+    let settings = &node_settings.settings;
     assert_eq!(settings.tariff_names, ["search", "order", "mail"]);
     assert_eq!(settings.customer_names, ["lime", "plum"]);
     assert_eq!(settings.zones, ["north", "south"]);
@@ -253,13 +259,13 @@
         [9000, 8000, 7000].map(Duration::from_millis)
     );
     assert_eq!([0, 1, 2].map(|tariff| settings.is_binding(tariff)), [false, false, true]);
-    let report = settings.places.report(|place| Some(place as f64));
+    let report = settings.places.report(|position| Some(position as f64));
     assert_eq!((report.utilisation, report.free_slots), (Some(1.0), Some(2.0)));
 }
 
 #[test]
-fn what_is_no_object_or_no_file_is_refused_in_one_line() {
-    let said = [
+fn non_objects_and_unreadable_files_are_reported_in_one_line() {
+    let results = [
         DeploymentSettings::read(&Value::Bool(true)).map(drop),
         NodeSettings::read(&Value::Bool(true)).map(drop),
         NodeSettings::of_file(Path::new("no-such-file")).map(drop),
@@ -269,37 +275,40 @@
         "expected an object, found true",
         "no-such-file: No such file or directory (os error 2)",
     ];
-    for (said, line) in said.into_iter().zip(lines) {
-        assert_eq!(said.map_err(|error| error.to_string()), Err(line.to_owned()));
+    for (result, line) in results.into_iter().zip(lines) {
+        assert_eq!(result.map_err(|error| error.to_string()), Err(line.to_owned()));
     }
 }
 
 #[test]
-fn a_complete_file_of_the_fleet_is_read_to_the_same_values() {
-    let fleet = FleetSettings::read(include_str!("data/fleet.toml")).expect("it is whole");
+fn a_complete_fleet_file_is_read_to_the_same_values() {
+    let fleet = FleetSettings::read(include_str!("data/fleet.toml")).expect("the settings are valid");
     assert!(fleet.executors.recalls_stop_waiting);
-    let fellows = fleet.peers.expect("it is there");
-    assert_eq!((&*fellows.fleet, &*fellows.secret, fellows.port), ("lipa", "what only the nodes know", 7947));
-    assert_eq!(fellows.known_as.map(|at| at.to_string()).as_deref(), Some("10.1.0.7:7946"));
-    let contacts: Vec<String> = fellows.contacts.iter().map(ToString::to_string).collect();
+    let peers = fleet.peers.expect("the section is present");
+    assert_eq!((&*peers.fleet, &*peers.secret, peers.port), ("lipa", "what only the nodes know", 7947));
+    assert_eq!(peers.known_as.map(|address| address.to_string()).as_deref(), Some("10.1.0.7:7946"));
+    let contacts: Vec<String> = peers.contacts.iter().map(ToString::to_string).collect();
     assert_eq!(contacts, ["10.1.0.1:7946", "10.1.0.2:7946"]);
-    assert_eq!(fleet.voters.expect("it is there").nodes, [0, 1, 2]);
-    let budgets = fleet.budgets.expect("it is there");
+    assert_eq!(fleet.voters.expect("the section is present").nodes, [0, 1, 2]);
+    let budgets = fleet.budgets.expect("the section is present");
     assert_eq!((budgets.lease(), budgets.edition, budgets.of.len()), (Duration::from_millis(2500), 9, 2));
-    let (one, other) = (&budgets.of[0], &budgets.of[1]);
-    assert_eq!((one.tariff.as_deref(), one.customer.as_deref()), (Some("search"), Some("lime")));
-    // Names the budget among the nodes, so that it must stay the same where the file gives it none.
-    assert_eq!((one.name(), one.further), ("search lime".to_owned(), false));
-    assert_eq!((one.units, one.window_ms, one.floor, one.nodes), (500, 1500, 2, 40));
-    assert_eq!((other.name(), other.further), ("sent again".to_owned(), true));
-    assert_eq!((other.units, other.window_ms, other.floor, other.nodes), (30, 1000, 0, 0));
-    assert_eq!(fleet.maintenance.expect("it is there").permission(), Duration::from_millis(12_000));
+    let (first, second) = (&budgets.of[0], &budgets.of[1]);
+    assert_eq!((first.tariff.as_deref(), first.customer.as_deref()), (Some("search"), Some("lime")));
+    // Nodes identify a budget to each other by its name, so the default name must not change between versions.
+    assert_eq!((first.name(), first.further), ("search lime".to_owned(), false));
+    assert_eq!((first.units, first.window_ms, first.floor, first.nodes), (500, 1500, 2, 40));
+    assert_eq!((second.name(), second.further), ("sent again".to_owned(), true));
+    assert_eq!((second.units, second.window_ms, second.floor, second.nodes), (30, 1000, 0, 0));
+    assert_eq!(
+        fleet.maintenance.expect("the section is present").permission(),
+        Duration::from_millis(12_000)
+    );
 }
 
 #[test]
-fn a_complete_file_of_fronts_is_read_to_the_same_values() {
-    let fronts = FrontendSettings::read(include_str!("data/fronts.toml")).expect("it is whole");
-    let faktory = fronts.faktory.expect("it is there");
+fn a_complete_front_end_file_is_read_to_the_same_values() {
+    let frontends = FrontendSettings::read(include_str!("data/fronts.toml")).expect("the settings are valid");
+    let faktory = frontends.faktory.expect("the section is present");
     assert_eq!(faktory.listen.to_string(), "127.0.0.1:7419");
     assert_eq!(faktory.password.as_deref(), Some("what clients know"));
     assert_eq!((faktory.max_connections(), faktory.fetch_timeout()), (65, Duration::from_millis(501)));
@@ -307,13 +316,13 @@
         (faktory.heartbeat_timeout(), faktory.reservation()),
         (Duration::from_millis(61_000), Duration::from_millis(1_801_000))
     );
-    let ledger = fronts.job_log.expect("it is there");
-    assert_eq!(ledger.folder, Path::new("/var/lib/grebeusher/n3"));
-    assert_eq!((ledger.answer_ttl(), ledger.max_jobs()), (Duration::from_millis(601_000), 10_001));
-    let checks = fronts.health_checks.expect("it is there");
-    assert_eq!(checks.agent.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:9001"));
-    assert_eq!(checks.health.map(|at| at.to_string()).as_deref(), Some("127.0.0.1:9002"));
-    assert_eq!(checks.min_interval(), Duration::from_millis(4));
+    let job_log = frontends.job_log.expect("the section is present");
+    assert_eq!(job_log.folder, Path::new("/var/lib/grebeusher/n3"));
+    assert_eq!((job_log.answer_ttl(), job_log.max_jobs()), (Duration::from_millis(601_000), 10_001));
+    let health_checks = frontends.health_checks.expect("the section is present");
+    assert_eq!(health_checks.agent.map(|address| address.to_string()).as_deref(), Some("127.0.0.1:9001"));
+    assert_eq!(health_checks.health.map(|address| address.to_string()).as_deref(), Some("127.0.0.1:9002"));
+    assert_eq!(health_checks.min_interval(), Duration::from_millis(4));
 }
 
 #[test]
@@ -343,23 +352,23 @@
         first: texts(&["s-3"]),
         without: vec![9],
     };
-    assert_eq!(plan::read(include_str!("data/plan.toml")).expect("it is complete"), expected);
-    let stops = include_str!("data/plan.toml").replace("\"go-on\"", "\"stop\"");
-    assert_eq!(plan::read(&stops).expect("it is complete").when_lost, WhenLost::Stop);
+    assert_eq!(plan::read(include_str!("data/plan.toml")).expect("the plan is valid"), expected);
+    let plan_text = include_str!("data/plan.toml").replace("\"go-on\"", "\"stop\"");
+    assert_eq!(plan::read(&plan_text).expect("the plan is valid").when_lost, WhenLost::Stop);
 }
 
 #[test]
-fn the_files_as_shipped_are_read() {
+fn the_shipped_files_are_accepted() {
     let shipped = |name: &str| Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(name);
     assert!(FleetSettings::of_file(&shipped("fleet.toml")).is_ok());
     assert!(FrontendSettings::of_file(&shipped("fronts.toml")).is_ok());
-    let text = std::fs::read_to_string(shipped("plan.toml")).expect("it is there");
+    let text = std::fs::read_to_string(shipped("plan.toml")).expect("the file is readable");
     assert!(plan::read(&text).is_ok());
 }
 
 #[test]
-fn unknown_keys_and_wrong_values_of_the_operators_files_are_refused_in_one_line() {
-    let said = [
+fn unknown_keys_and_invalid_values_in_operators_files_are_reported_in_one_line() {
+    let results = [
         FleetSettings::read("[budget]").map(drop),
         FleetSettings::read("[executors]\nrecalls_stop_waiting = 1").map(drop),
         FleetSettings::read("[fellows]\nfleet = \"a\"\nsecret = \"long enough\"").map(drop),
@@ -381,23 +390,23 @@
         ".: missing field `most_out`",
         "when_lost: unknown variant `go`, expected `stop` or `go-on`",
     ];
-    for (said, line) in said.into_iter().zip(lines) {
-        assert_eq!(said.map_err(|error| error.to_string()), Err(line.to_owned()));
+    for (result, line) in results.into_iter().zip(lines) {
+        assert_eq!(result.map_err(|error| error.to_string()), Err(line.to_owned()));
     }
 }
 
 #[test]
-fn the_file_by_which_it_is_built_and_started_has_the_same_keys() {
+fn the_file_that_says_how_to_build_and_start_the_balancer_has_the_same_keys() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/balancer.toml");
-    let text = std::fs::read_to_string(path).expect("it is there");
-    let file: toml::Table = toml::from_str(&text).expect("it is TOML");
-    let texts = ["build", "run", "sim"];
-    let lists = ["node", "packages", "policy"];
-    for key in texts {
+    let text = std::fs::read_to_string(path).expect("the file is readable");
+    let file: toml::Table = toml::from_str(&text).expect("the text is valid TOML");
+    let text_keys = ["build", "run", "sim"];
+    let list_keys = ["node", "packages", "policy"];
+    for key in text_keys {
         assert!(file[key].is_str(), "{key}");
     }
-    for key in lists {
+    for key in list_keys {
         assert!(file[key].as_array().is_some_and(|list| list.iter().all(toml::Value::is_str)), "{key}");
     }
-    assert_eq!(file.len(), texts.len() + lists.len());
+    assert_eq!(file.len(), text_keys.len() + list_keys.len());
 }
