--- a/crates/bench-adapter/src/startup.rs
+++ b/crates/bench-adapter/src/startup.rs
@@ -12,5 +12,5 @@
     let settings = DeploymentSettings::read(facts).map_err(|error| error.to_string())?;
     let must_watch_executors = settings.registry_mode == RegistryMode::Subscribe;
     let dispatcher = settings.dispatcher(WireHost(wire.clone()), seed, must_watch_executors, true);
-    Ok(Instance { dispatcher, wire, report_layout: settings.places })
+    Ok(Instance { dispatcher, wire, report_layout: settings.report_layout })
 }
--- a/crates/migrate/src/main.rs
+++ b/crates/migrate/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, ValueEnum};
 use grebeusher_migrate::{Shape, counterpart};
-use grebeusher_node_config::node_settings::file;
+use grebeusher_node_config::node_settings::read_json;
 use std::fs;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -85,7 +85,7 @@
         report_fields: line.report_fields,
         starts: line.starts.map(|starts| starts == Starts::Told),
     };
-    let posting = file(&old).map_err(|error| error.to_string())?;
+    let posting = read_json(&old).map_err(|error| error.to_string())?;
     let (posting, remarks) =
         counterpart(&posting, &shape).map_err(|what| format!("{}: {what}", old.display()))?;
     // By another name it is the same file all the same.
--- a/crates/node-config/src/lib.rs
+++ b/crates/node-config/src/lib.rs
@@ -73,13 +73,13 @@
     /// Whether nodes probe executors for their load, which they do only where probes are the sole source of load reports.
     pub probes: bool,
     /// The minimum time for which an executor keeps an idle connection open. Default 15 s.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The time limit for connecting to an executor. Default 250 ms.
     pub connect_timeout: Duration,
     /// The names of the fields of a load report, in the order of their values.
     pub report_fields: Vec<String>,
     /// The positions of the report fields that dispatch decisions use.
-    pub places: ReportLayout,
+    pub report_layout: ReportLayout,
     tariffs: Vec<RequestClass>,
     attempt_policy: AttemptPolicy,
     slow_start: SlowStart,
@@ -137,12 +137,12 @@
             peers: capabilities.flag("peers")?,
             // Nodes probe executors only where load reports come in no other way.
             probes: capabilities.flag("may_probe")? && report_transport == ReportTransport::Pull,
-            idle: capabilities.duration("conn_idle_ns")?.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            idle_timeout: capabilities.duration("conn_idle_ns")?.unwrap_or(DEFAULT_IDLE_TIMEOUT),
             connect_timeout: capabilities
                 .duration("dial_timeout_ns")?
                 .filter(|timeout| timeout.nanos() > 0)
                 .unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            places: ReportLayout::of(&report_fields, x0_is_free_slots),
+            report_layout: ReportLayout::of(&report_fields, x0_is_free_slots),
             report_fields,
             tariffs: read_tariffs(&root, &family_info, &tariffs, kinds.len())?,
             attempt_policy: AttemptPolicy {
@@ -168,7 +168,7 @@
     }
 
     /// Returns the longest deadline of all tariffs.
-    pub fn longest_patience(&self) -> Duration {
+    pub fn max_deadline(&self) -> Duration {
         self.tariffs.iter().map(|tariff| tariff.deadline).max().unwrap_or_default()
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Returns the interval at which executors report the progress of running work, or `None` if they don't.
-    pub fn progress(&self) -> Option<Duration> {
+    pub fn progress_interval(&self) -> Option<Duration> {
         self.progress_interval
     }
 
@@ -201,29 +201,29 @@
     }
 
     /// Returns the node's index in the fleet and the number of nodes.
-    pub fn place(&self) -> (u64, u64) {
+    pub fn node_index_and_count(&self) -> (u64, u64) {
         (self.node_index, self.node_count)
     }
 
     /// Returns whether the work of the tariff at an index is non-idempotent.
-    pub fn is_binding(&self, tariff: usize) -> bool {
+    pub fn is_non_idempotent(&self, tariff: usize) -> bool {
         self.tariffs[tariff].effect == Effect::NonIdempotent
     }
 
     /// Returns whether executors may be asked to cancel work that they accepted.
-    pub fn recalls(&self) -> bool {
+    pub fn allows_cancellation(&self) -> bool {
         self.attempt_policy.cancellation
     }
 
     /// Returns whether a request may have two attempts running at once (hedging).
-    pub fn second_copies(&self) -> bool {
+    pub fn allows_hedging(&self) -> bool {
         self.attempt_policy.hedging
     }
 
     /// Sets whether cancelling an attempt removes waiting work from the executor's queue, as the operators' fleet file says.
     /// It has no effect where the deployment does not allow cancellation.
-    pub fn recalls_stop(&mut self, stop: bool) {
-        self.attempt_policy.cancel_dequeues = stop && self.attempt_policy.cancellation;
+    pub fn set_cancel_dequeues(&mut self, enabled: bool) {
+        self.attempt_policy.cancel_dequeues = enabled && self.attempt_policy.cancellation;
     }
 
     /// Creates a dispatcher with these settings that acts through `host`. `must_subscribe` says that the protocol in use
--- a/crates/node-config/src/node_settings.rs
+++ b/crates/node-config/src/node_settings.rs
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// The file can't be read or is not valid JSON.
-pub fn file(path: &Path) -> Result<Value, ConfigError> {
+pub fn read_json(path: &Path) -> Result<Value, ConfigError> {
     let text = std::fs::read(path).context(UnreadableFileSnafu { path })?;
     serde_json::from_slice(&text).context(NotJsonSnafu { path })
 }
@@ -78,7 +78,7 @@
     /// # Errors
     /// The file can't be read, or its content is invalid.
     pub fn of_file(path: &Path) -> Result<NodeSettings, ConfigError> {
-        NodeSettings::read(&file(path)?).context(InvalidFileSnafu { path })
+        NodeSettings::read(&read_json(path)?).context(InvalidFileSnafu { path })
     }
 }
 
--- a/crates/node-config/tests/settings.rs
+++ b/crates/node-config/tests/settings.rs
@@ -36,9 +36,9 @@
     {
         let settings = DeploymentSettings::read(&settings).expect("the settings are valid");
         assert_eq!(settings.registry_mode, RegistryMode::Subscribe);
-        assert!(!settings.peers && !settings.probes && !settings.recalls());
+        assert!(!settings.peers && !settings.probes && !settings.allows_cancellation());
         assert!(
-            settings.idle.nanos() > 0 && settings.connect_timeout.nanos() > 0,
+            settings.idle_timeout.nanos() > 0 && settings.connect_timeout.nanos() > 0,
             "an absent timeout must not default to zero"
         );
     }
--- a/crates/node-config/tests/stable_words.rs
+++ b/crates/node-config/tests/stable_words.rs
@@ -247,19 +247,22 @@
     assert_eq!(settings.kinds, ["plain", "large"]);
     assert_eq!(settings.report_fields, ["tps", "load_share", "x0"]);
     assert_eq!(settings.registry_mode, RegistryMode::Automatic);
-    assert!(settings.peers && settings.probes && settings.recalls() && settings.second_copies());
+    assert!(settings.peers && settings.probes && settings.allows_cancellation() && settings.allows_hedging());
     assert_eq!(
-        (settings.idle, settings.connect_timeout),
+        (settings.idle_timeout, settings.connect_timeout),
         (Duration::from_millis(9000), Duration::from_millis(300))
     );
-    assert_eq!((settings.zone(), settings.zone_name(), settings.place()), (1, "south", (3, 40)));
-    assert_eq!(settings.progress(), Some(Duration::from_millis(1000)));
+    assert_eq!(
+        (settings.zone(), settings.zone_name(), settings.node_index_and_count()),
+        (1, "south", (3, 40))
+    );
+    assert_eq!(settings.progress_interval(), Some(Duration::from_millis(1000)));
     assert_eq!(
         [0, 1, 2].map(|tariff| settings.deadline(tariff)),
         [9000, 8000, 7000].map(Duration::from_millis)
     );
-    assert_eq!([0, 1, 2].map(|tariff| settings.is_binding(tariff)), [false, false, true]);
-    let report = settings.places.report(|position| Some(position as f64));
+    assert_eq!([0, 1, 2].map(|tariff| settings.is_non_idempotent(tariff)), [false, false, true]);
+    let report = settings.report_layout.report(|position| Some(position as f64));
     assert_eq!((report.utilisation, report.free_slots), (Some(1.0), Some(2.0)));
 }
 
--- a/crates/node/src/coordinator.rs
+++ b/crates/node/src/coordinator.rs
@@ -352,8 +352,8 @@
             job_log,
             peers: peers.clone(),
             class_names: settings.tariff_names.clone().into(),
-            can_cancel: settings.recalls(),
-            cancels_before_retry: settings.recalls() && !settings.second_copies(),
+            can_cancel: settings.allows_cancellation(),
+            cancels_before_retry: settings.allows_cancellation() && !settings.allows_hedging(),
         };
         Coordinator {
             counters: counters.clone(),
--- a/crates/node/src/process/node.rs
+++ b/crates/node/src/process/node.rs
@@ -182,7 +182,7 @@
             env::var_os(FLEET_VARIABLE).map(|path| FleetSettings::of_file(Path::new(&path))).transpose();
         let fleet = fleet.map_err(|error| error.to_string())?;
         if let Some(fleet) = &fleet {
-            settings_file.settings.recalls_stop(fleet.executors.recalls_stop_waiting);
+            settings_file.settings.set_cancel_dequeues(fleet.executors.recalls_stop_waiting);
         }
         let known = ExecutorListUpdate::deserialize(&settings_file.known)
             .map_err(|e| format!("{}: known: {e}", config_path.display()))?;
@@ -233,7 +233,7 @@
             console.map(Rc::new).map_err(|e| format!("console: {address}: {e}"))
         });
         let console = console.transpose()?;
-        let idle_connection_timeout = idle_connection_timeout(settings.idle);
+        let idle_connection_timeout = idle_connection_timeout(settings.idle_timeout);
         let timeouts = (settings.connect_timeout, idle_connection_timeout);
         let reserved_descriptors = Rc::new(ReservedDescriptors::open(clock));
         let others = vec![clients.clone() as Rc<dyn DescriptorHolder>, reserved_descriptors.clone()];
@@ -264,7 +264,7 @@
         });
         let checks = checks.transpose()?;
         let job_log = frontends.job_log.as_ref().map(|frontend| {
-            let job_log = JobLog::open(frontend, settings.progress(), clock).map(Rc::new);
+            let job_log = JobLog::open(frontend, settings.progress_interval(), clock).map(Rc::new);
             job_log.map_err(|e| format!("ledger.folder: {}: {e}", frontend.folder.display()))
         });
         let job_log = job_log.transpose()?;
@@ -272,7 +272,7 @@
         let peers = peers.map(|(fleet, peer_settings)| {
             let common_with_key = (PEERS, &poller, clock, &counters);
             let names = (&settings.tariff_names[..], &settings.customer_names[..]);
-            let (own, count) = settings.place();
+            let (own, count) = settings.node_index_and_count();
             let position = (own, count, settings.zone_name());
             let peers = Peers::start(
                 fleet,
@@ -326,7 +326,7 @@
         );
         let phase = Phase::Starting;
         let answer_time =
-            (settings.longest_patience().min(MAX_PATIENCE) + EXTRA_STOP_TIME).saturating_sub(STOP_MARGIN);
+            (settings.max_deadline().min(MAX_PATIENCE) + EXTRA_STOP_TIME).saturating_sub(STOP_MARGIN);
         Ok(Node {
             phase,
             name: settings_file.name.clone(),
--- a/crates/node/src/wire/clients.rs
+++ b/crates/node/src/wire/clients.rs
@@ -695,7 +695,7 @@
             target,
             headers: headers.passed_on(&OWN_HEADERS),
             body,
-            non_idempotent: self.settings.is_binding(class),
+            non_idempotent: self.settings.is_non_idempotent(class),
             scope: (class, arrival.customer),
             durable,
             faktory_job: None,
--- a/crates/node/src/wire/faktory.rs
+++ b/crates/node/src/wire/faktory.rs
@@ -493,7 +493,7 @@
             target: format!("/{}", job.queue),
             headers: String::new(),
             body: json.clone().into_bytes(),
-            non_idempotent: self.settings.is_binding(class),
+            non_idempotent: self.settings.is_non_idempotent(class),
             scope: (class, arrival.customer),
             durable: false,
             faktory_job: Some(FaktoryJob {
--- a/crates/node/src/wire/load.rs
+++ b/crates/node/src/wire/load.rs
@@ -15,7 +15,7 @@
 
 impl Reports {
     pub fn of(settings: &DeploymentSettings) -> Reports {
-        Reports { names: settings.report_fields.clone(), layout: settings.places }
+        Reports { names: settings.report_fields.clone(), layout: settings.report_layout }
     }
 
     pub fn object(&self, load: &Value) -> Option<LoadReport> {
