--- a/crates/volatile-raft/src/error.rs
+++ b/crates/volatile-raft/src/error.rs
@@ -1,39 +1,39 @@
-//! Errors of the calls to a [`Voter`](crate::Voter).
+//! Errors that are returned by a [`Voter`](crate::Voter).
 
 use snafu::Snafu;
 
-/// Why a command was not accepted.
+/// The reason why a voter rejected a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ProposeError {
     /// Another voter leads the group, or none does.
-    #[snafu(display("not the leader"))]
+    #[snafu(display("this voter is not the leader"))]
     NotLeader,
-    /// Too many commands wait to be proposed; retry later.
-    #[snafu(display("too many commands are pending"))]
+    /// Too many commands are waiting to be proposed; the caller may retry later.
+    #[snafu(display("too many commands are waiting to be proposed"))]
     Busy,
 }
 
-/// Why a datagram was dropped.
+/// The reason why a voter dropped a datagram.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ReceiveError {
-    /// It is not in the form of this crate.
-    #[snafu(display("not a datagram of a voter: {source}"))]
+    /// The datagram can't be decoded.
+    #[snafu(display("invalid voter datagram: {source}"))]
     Datagram {
-        /// What the decoder found.
+        /// The error of the postcard decoder.
         source: postcard::Error,
     },
-    /// It names no other voter as its sender.
-    #[snafu(display("from no peer: incarnation {incarnation:016x}"))]
+    /// The sender is this voter itself, or no voter has its index.
+    #[snafu(display("datagram sender is not another voter: incarnation {incarnation:016x}"))]
     UnknownSender {
-        /// The incarnation that it names.
+        /// The incarnation that the datagram names as its sender.
         incarnation: u64,
     },
-    /// The message that its fragments make up is not one of `raft`.
-    #[snafu(display("not a message of raft: {source}"))]
+    /// The message that was reassembled from fragments is not a Raft message.
+    #[snafu(display("invalid Raft message: {source}"))]
     Message {
-        /// What the decoder found.
+        /// The error of the protobuf decoder.
         source: protobuf::ProtobufError,
     },
 }
--- a/crates/volatile-raft/src/lib.rs
+++ b/crates/volatile-raft/src/lib.rs
@@ -1,23 +1,25 @@
-//! Raft among three or five voters without disks, over datagrams: a small replicated state that survives the loss of any
-//! minority of the voters. No I/O and no clock. The consensus itself is the crate `raft` (raft-rs).
+//! Raft among three or five voters without disks, over datagrams: a small replicated state that survives the loss of
+//! any minority of the voters. The crate does no I/O and reads no clock. The consensus itself is
+//! implemented by the crate `raft` (raft-rs).
 //!
 //! Each node that is a voter runs one [`Voter`] with a [`StateMachine`], and a [`Host`] that sends its datagrams. The
-//! caller passes on each datagram by [`Voter::receive`] and calls [`Voter::tick`] whenever [`Voter::next_wake`] says so.
-//! Commands go to the leader, by [`Voter::propose`]; their outcomes come back through the leader's host. The node
-//! (`grebeusher-node`) divides budgets and maintenance permits by it; `grebeusher-quorum` is the Raft with disks.
+//! caller passes each received datagram to [`Voter::receive`] and calls [`Voter::tick`] at the time that
+//! [`Voter::next_wake`] returns. Commands are proposed on the leader with [`Voter::propose`]; their outcomes are passed
+//! to the leader's host. `grebeusher-node` divides budgets and maintenance permits with this crate; `grebeusher-quorum`
+//! is the Raft implementation that persists its state on disk.
 //!
 //! # Invariants
 //!
-//! - **A restarted voter never votes under its former id.** Without a disk it has forgotten its votes, so each start is a
-//!   new incarnation, and the id in `raft` is that of the incarnation.
+//! - **A restarted voter never votes under its former id.** Without a disk it has lost its votes, so each start is a new
+//!   incarnation, whose id is the node id in raft-rs.
 //! - **A group has exactly one member for each voter**, also for voters that were absent when it was bootstrapped, so
-//!   that each quorum is a majority of all voters. The leader replaces the old incarnation of a voter by the new one
-//!   through a joint membership change.
-//! - **An incarnation belongs to one group for good.** To leave a group, the voter starts a new incarnation.
+//!   that each quorum is a majority of all voters. The leader replaces the old incarnation of a voter with the new
+//!   one through a joint membership change.
+//! - **An incarnation never changes its group.** To leave a group, the voter starts a new incarnation.
 //! - **Bootstrap.** When a majority of all voters has no state, the state is lost, and the first of these voters
-//!   bootstraps a new group. Two groups never commit in turns: each needs a majority of the voters, and a voter belongs
-//!   to one group at a time, to the later after the earlier. What the lost state has granted is still out, so a
-//!   [`StateMachine`] must start as one whose past is unknown.
+//!   bootstraps a new group. Two groups never commit alternately: each needs a majority of the voters, and a voter
+//!   belongs to one group at a time and never returns to an earlier one. Grants of the lost state may still be in use,
+//!   so [`StateMachine::bootstrapped`] must assume that any grants may have been issued before.
 //!
 //! # Example
 //!
@@ -86,19 +88,20 @@
 pub trait StateMachine: Clone + Serialize + DeserializeOwned {
     /// A change of the state.
     type Command: Serialize + DeserializeOwned;
-    /// What a command leads to.
+    /// The result of applied commands, which the leader passes to its host.
     type Outcome;
-    /// Applies committed commands, `elapsed` after the ones before. That is at most the time that really passed since
-    /// the commands were proposed.
+    /// Applies a batch of committed commands, `elapsed` after the previous batch. `elapsed` is at most the time that
+    /// has really passed since the previous batch was proposed.
     fn apply(&mut self, elapsed: Duration, commands: Vec<Self::Command>) -> Vec<Self::Outcome>;
-    /// Whether the passing of time alone changes the state, so that entries without commands are needed.
+    /// Whether the passing of time alone changes the state, so that the leader must also commit entries without
+    /// commands.
     fn depends_on_time(&self) -> bool;
-    /// A group starts with this state, by the clock of the voter that bootstraps it. Numbers that the state gives out
-    /// should start beyond any number of a group that was lost.
+    /// Prepares the state that a new group starts with; `at` is the time by the clock of the voter that bootstraps the
+    /// group. Numbers that the state assigns should start above any number that a lost group may have assigned.
     fn bootstrapped(&mut self, at: Instant);
 }
 
-/// Whether a voter's group is a new one.
+/// How a voter became a member of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupOrigin {
     /// This voter bootstrapped the group.
@@ -107,14 +110,14 @@
     Joined,
 }
 
-/// What a voter needs of the program that runs it.
+/// The functions that a voter calls in the program that runs it.
 pub trait Host<M: StateMachine> {
-    /// Sends a datagram to a voter, by its index; it may get lost.
+    /// Sends a datagram to the voter with this index; the datagram may get lost.
     fn send(&mut self, voter: usize, datagram: &[u8]);
-    /// The outcome of a command that was applied. Only the leader's host is notified.
+    /// Receives an outcome of applied commands. Only the leader's host is notified.
     fn applied(&mut self, outcome: M::Outcome);
-    /// This voter belongs to a group from now on.
+    /// Notifies the host that this voter has become a member of the group with this id.
     fn joined_group(&mut self, group: u64, origin: GroupOrigin);
-    /// A voter, by its index, leads the group in this term.
+    /// Notifies the host that the voter with this index leads the group in this term.
     fn leader_changed(&mut self, voter: usize, term: u64);
 }
--- a/crates/volatile-raft/src/voter/mod.rs
+++ b/crates/volatile-raft/src/voter/mod.rs
@@ -1,7 +1,7 @@
 //! One voter: its incarnation, the group that it belongs to, and its peers.
 //!
-//! `lifecycle` starts incarnations and groups, `membership` replaces incarnations of other voters, `replication` proposes
-//! batches and processes what `raft` wants done.
+//! `lifecycle` starts incarnations and groups, `membership` replaces incarnations of other voters, and `replication`
+//! proposes batches and processes each `Ready` of raft-rs.
 
 mod lifecycle;
 mod membership;
@@ -23,71 +23,76 @@
 use crate::peers::{Peer, Peers};
 use crate::storage::GroupStorage;
 use crate::{GroupOrigin, Host, StateMachine};
-use replication::GATHER_DURATION;
+use replication::BATCHING_DELAY;
 
-/// The largest number of voters. Each commit waits for a majority: seven already cost more than the loss of a third one
-/// would.
+/// The largest number of voters. Each commit waits for a majority: seven voters tolerate the loss of a third one,
+/// but the longer wait already costs more than that loss would.
 pub const MAX_VOTERS: usize = 7;
 
 /// A voter sends a hello at this interval.
 const HELLO_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The commands that wait to be proposed, at most.
+/// The number of commands that wait to be proposed, at most.
 const MAX_PENDING_COMMANDS: usize = 4096;
 
 /// One voter of a group without disks. See the [crate] for its invariants.
 pub struct Voter<M: StateMachine, H> {
     host: H,
-    voters: usize,
+    /// The number of voters, this one included.
+    voter_count: usize,
     index: usize,
     rng: Pcg32,
-    /// What a group starts with.
-    initial: M,
+    /// The state that a group starts with.
+    initial_state: M,
     incarnation: Incarnation,
     /// When the incarnation started.
     started_at: Instant,
     group: Option<Group<M>>,
     peers: Peers,
-    next_hello: Instant,
-    last_raft_tick: Instant,
-    pending: Vec<M::Command>,
+    next_hello_at: Instant,
+    last_raft_tick_at: Instant,
+    /// The commands that wait to be proposed.
+    pending_commands: Vec<M::Command>,
     last_message_id: u32,
 }
 
 impl<M: StateMachine, H: Host<M>> Voter<M, H> {
-    /// Starts the voter with this index among so many, which should be an odd number. `seed` must not have been that of
-    /// an earlier start. `initial` is the state that a group starts with.
+    /// Starts the voter with this index among `voter_count` voters, which should be an odd number. `seed` must differ
+    /// from that of any earlier start. `initial_state` is the state that a group starts with.
     ///
     /// # Panics
     ///
-    /// When there are more than [`MAX_VOTERS`] voters, or the index is not below their number.
-    pub fn new(now: Instant, index: usize, voters: usize, seed: u64, initial: M, host: H) -> Self {
-        assert!(index < voters && voters <= MAX_VOTERS, "voter {index} of {voters}");
+    /// Panics when there are more than [`MAX_VOTERS`] voters, or when the index is not below their number.
+    pub fn new(now: Instant, index: usize, voter_count: usize, seed: u64, initial_state: M, host: H) -> Self {
+        assert!(
+            index < voter_count && voter_count <= MAX_VOTERS,
+            "voter index {index} is not valid for {voter_count} voters"
+        );
         let mut voter = Voter {
             host,
-            voters,
+            voter_count,
             index,
             rng: Pcg32::seed_from_u64(seed),
-            initial,
+            initial_state,
             incarnation: Incarnation(0),
             started_at: now,
             group: None,
-            peers: Peers::new(index, voters),
-            next_hello: now,
-            last_raft_tick: now,
-            pending: Vec::new(),
+            peers: Peers::new(index, voter_count),
+            next_hello_at: now,
+            last_raft_tick_at: now,
+            pending_commands: Vec::new(),
             last_message_id: 0,
         };
         voter.start_incarnation(now);
         voter
     }
 
-    /// The host that the voter was created with.
+    /// Returns the host that the voter was created with.
     pub fn host(&mut self) -> &mut H {
         &mut self.host
     }
 
-    /// The leader, by its index, as far as this voter knows.
+    /// Returns the index of the leader, if this voter knows one.
     pub fn leader(&self) -> Option<usize> {
         let leader_id = self.group.as_ref()?.node.raft.leader_id;
         (leader_id != raft::INVALID_ID).then(|| Incarnation(leader_id).voter())
@@ -98,12 +103,13 @@
         self.group.as_ref().is_some_and(Group::is_leader)
     }
 
-    /// Reads the state as far as it is applied here; none if this voter belongs to no group.
+    /// Reads this voter's copy of the state, which may lag behind the committed one; returns none if this voter belongs
+    /// to no group.
     pub fn with_state<R>(&self, read: impl FnOnce(&M) -> R) -> Option<R> {
         self.group.as_ref().map(|group| read(&group.node.store().machine.borrow()))
     }
 
-    /// The group's id, and the index up to which its log is applied here.
+    /// Returns the group's id and this voter's applied index.
     pub fn applied(&self) -> Option<(u64, u64)> {
         self.group.as_ref().map(|group| (group.id, group.node.raft.raft_log.applied))
     }
@@ -112,20 +118,20 @@
     ///
     /// # Errors
     ///
-    /// When this voter is not the leader, or too many commands are pending.
+    /// Returns an error when this voter is not the leader, or when too many commands are waiting to be proposed.
     pub fn propose(&mut self, now: Instant, command: M::Command) -> Result<(), ProposeError> {
         ensure!(self.is_leader(), NotLeaderSnafu);
-        ensure!(self.pending.len() < MAX_PENDING_COMMANDS, BusySnafu);
-        self.pending.push(command);
+        ensure!(self.pending_commands.len() < MAX_PENDING_COMMANDS, BusySnafu);
+        self.pending_commands.push(command);
         self.propose_batches(now);
         Ok(())
     }
 
-    /// Processes a datagram of another voter.
+    /// Processes a datagram from another voter.
     ///
     /// # Errors
     ///
-    /// When nothing can be made of it; it is dropped then.
+    /// Returns an error when the datagram, its sender or the reassembled message is not valid; the datagram is dropped.
     pub fn receive(&mut self, now: Instant, datagram: &[u8]) -> Result<(), ReceiveError> {
         match postcard::from_bytes(datagram).context(DatagramSnafu)? {
             Datagram::Hello { incarnation, group } => {
@@ -151,45 +157,46 @@
         self.peers.record(now, incarnation).context(UnknownSenderSnafu { incarnation: incarnation.0 })
     }
 
-    /// Processes a message of `raft`. The first one makes an incarnation without a group join the sender's group.
+    /// Processes a Raft message. An incarnation without a group joins the sender's group on the first message.
     fn step(&mut self, now: Instant, group: u64, message: Message) {
-        // Others are for an earlier incarnation of this voter.
+        // A message with another receiver id is for an earlier incarnation of this voter.
         if message.to != self.incarnation.0 {
             return;
         }
         if self.group.is_none() {
-            let storage = GroupStorage::empty(self.initial.clone());
+            let storage = GroupStorage::empty(self.initial_state.clone());
             self.enter_group(now, group, storage, GroupOrigin::Joined);
         }
-        let Some(own) = self.group.as_mut().filter(|own| own.id == group) else { return };
-        // `raft` rejects messages that don't fit its state, such as responses of members that were removed.
-        let _ = own.node.step(message);
+        let Some(current) = self.group.as_mut().filter(|current| current.id == group) else { return };
+        // raft-rs rejects messages that don't fit its state, such as responses of removed members.
+        let _ = current.node.step(message);
         self.process_ready(now);
     }
 
-    /// When [`Voter::tick`] is due next.
+    /// Returns the time at which [`Voter::tick`] is due next.
     pub fn next_wake(&self) -> Instant {
-        let Some(group) = &self.group else { return self.next_hello };
-        let due = self.next_hello.min(self.last_raft_tick + TICK_INTERVAL);
-        let gathers = group.is_leader() && !self.pending.is_empty() && group.is_idle();
-        if gathers { due.min(group.last_applied_at + GATHER_DURATION) } else { due }
+        let Some(group) = &self.group else { return self.next_hello_at };
+        let due = self.next_hello_at.min(self.last_raft_tick_at + TICK_INTERVAL);
+        let awaits_batch = group.is_leader() && !self.pending_commands.is_empty() && group.has_applied_log();
+        if awaits_batch { due.min(group.last_applied_at + BATCHING_DELAY) } else { due }
     }
 
-    /// Does what is due: hellos, the timers of `raft`, lost snapshots, and batches.
+    /// Sends hellos, advances the timers of raft-rs, reports lost snapshots, and proposes batches, each when it is due.
     pub fn tick(&mut self, now: Instant) {
-        if now >= self.next_hello {
-            self.next_hello = now + HELLO_INTERVAL;
+        if now >= self.next_hello_at {
+            self.next_hello_at = now + HELLO_INTERVAL;
             self.send_hello();
             self.bootstrap_if_state_is_lost(now);
             self.restart_if_group_is_lost(now);
         }
         let Some(group) = &mut self.group else { return };
-        // A voter that was suspended does not make up for it: it would take all others for unresponsive at once.
-        if now.since(self.last_raft_tick) > TICK_INTERVAL.scaled(ELECTION_TICKS as f64) {
-            self.last_raft_tick = now - TICK_INTERVAL;
+        // After a suspension the missed ticks are skipped: otherwise the voter would take all others for unresponsive
+        // at once.
+        if now.since(self.last_raft_tick_at) > TICK_INTERVAL.scaled(ELECTION_TICKS as f64) {
+            self.last_raft_tick_at = now - TICK_INTERVAL;
         }
-        while self.last_raft_tick + TICK_INTERVAL <= now {
-            self.last_raft_tick = self.last_raft_tick + TICK_INTERVAL;
+        while self.last_raft_tick_at + TICK_INTERVAL <= now {
+            self.last_raft_tick_at = self.last_raft_tick_at + TICK_INTERVAL;
             group.node.tick();
         }
         group.report_lost_snapshots(now);
@@ -201,12 +208,12 @@
         let group = self.group.as_ref().map(|group| group.id);
         let hello = Datagram::Hello { incarnation: self.incarnation, group };
         let Ok(datagram) = postcard::to_allocvec(&hello) else { return };
-        for voter in (0..self.voters).filter(|voter| *voter != self.index) {
+        for voter in (0..self.voter_count).filter(|voter| *voter != self.index) {
             self.host.send(voter, &datagram);
         }
     }
 
     fn is_majority(&self, count: usize) -> bool {
-        2 * count > self.voters
+        2 * count > self.voter_count
     }
 }
--- a/crates/volatile-raft/src/voter/replication.rs
+++ b/crates/volatile-raft/src/voter/replication.rs
@@ -1,4 +1,4 @@
-//! Batches of commands, and the work that `raft` hands out: messages to send and entries to apply.
+//! Proposes commands in batches, and processes each `Ready` of raft-rs: messages to send and entries to apply.
 
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use protobuf::Message as _;
@@ -11,21 +11,26 @@
 use crate::incarnation::Incarnation;
 use crate::{Host, StateMachine};
 
-/// Where time alone changes the state, an entry is committed at this interval.
-const CLOCK_INTERVAL: Duration = Duration::from_millis(100);
+/// While time alone changes the state, the leader proposes a batch at least at this interval, if need be without
+/// commands.
+const TIME_ENTRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Commands that come within so long of the last entry go into one: a few round trips of one site, and little of what
-/// anybody waits. Otherwise voters on short round trips would be busy with an entry for each command.
-pub(super) const GATHER_DURATION: Duration = Duration::from_millis(2);
+/// The leader collects commands into one batch until this long after the previous batch, unless the batch is full
+/// before. The delay is a few round trips within one site, and a small part of the time that a caller waits. Without
+/// it, voters on short round trips would be busy with one entry for each command.
+pub(super) const BATCHING_DELAY: Duration = Duration::from_millis(2);
 
-/// The commands of one entry, at most: a larger entry takes many datagrams, and the loss of one loses all of them.
+/// The number of commands in one batch, at most: a larger entry takes many datagrams, and the loss of one of them loses
+/// the whole message.
 const MAX_BATCH_COMMANDS: usize = 40;
 
-/// Messages of more fragments than this, such as snapshots, are sent twice, as the loss of one fragment loses them.
+/// Messages of more fragments than this, such as snapshots, are sent twice, as the loss of one fragment loses the whole
+/// message.
 const MAX_FRAGMENTS_SENT_ONCE: u16 = 2;
 
 impl<M: StateMachine, H: Host<M>> Voter<M, H> {
-    /// Proposes batches, one at a time: each carries the time that passed since the one before was applied here.
+    /// Proposes the batches that are due, one at a time: each carries the time since `last_applied_at`, which the
+    /// previous batch sets once it is applied.
     pub(super) fn propose_batches(&mut self, now: Instant) {
         while let Some(data) = self.next_batch(now) {
             let Some(group) = &mut self.group else { return };
@@ -37,21 +42,23 @@
         }
     }
 
-    /// The next batch, if one is due on this leader.
+    /// Returns the next batch in encoded form, if this voter is the leader and a batch is due.
     fn next_batch(&mut self, now: Instant) -> Option<Vec<u8>> {
-        let group = self.group.as_ref().filter(|group| group.is_leader() && group.is_idle())?;
-        let since = now.since(group.last_applied_at);
-        let needs_clock = since >= CLOCK_INTERVAL && group.node.store().machine.borrow().depends_on_time();
-        let has_gathered = since >= GATHER_DURATION || self.pending.len() >= MAX_BATCH_COMMANDS;
-        if !has_gathered || (self.pending.is_empty() && !needs_clock) {
+        let group = self.group.as_ref().filter(|group| group.is_leader() && group.has_applied_log())?;
+        let elapsed = now.since(group.last_applied_at);
+        let needs_time_entry =
+            elapsed >= TIME_ENTRY_INTERVAL && group.node.store().machine.borrow().depends_on_time();
+        let is_batch_ready = elapsed >= BATCHING_DELAY || self.pending_commands.len() >= MAX_BATCH_COMMANDS;
+        if !is_batch_ready || (self.pending_commands.is_empty() && !needs_time_entry) {
             return None;
         }
-        let commands = self.pending.drain(..self.pending.len().min(MAX_BATCH_COMMANDS)).collect();
-        postcard::to_allocvec(&Batch { elapsed_us: since.nanos() / 1000, commands }).ok()
+        let commands =
+            self.pending_commands.drain(..self.pending_commands.len().min(MAX_BATCH_COMMANDS)).collect();
+        postcard::to_allocvec(&Batch { elapsed_us: elapsed.nanos() / 1000, commands }).ok()
     }
 
-    /// Processes what `raft` wants done until there is nothing more. The storage is memory, so persisting can't fail
-    /// other than by a fault of `raft` itself, and its results are dropped.
+    /// Processes each `Ready` of raft-rs until there is none. The storage is in memory, so writing to it fails only
+    /// through a fault in raft-rs itself, and the results of the writes are ignored.
     pub(super) fn process_ready(&mut self, now: Instant) {
         while let Some(group) = self.group.as_mut().filter(|group| group.node.has_ready()) {
             let (messages, committed) = persist_ready(group, now);
@@ -83,7 +90,7 @@
 
     fn send(&mut self, now: Instant, message: &Message) {
         let receiver = Incarnation(message.to).voter();
-        // A former incarnation of this voter may still be a member.
+        // A former incarnation of this voter may still be a member; messages to it are dropped.
         let Some(group) = self.group.as_mut().filter(|_| receiver != self.index) else { return };
         if message.get_msg_type() == MessageType::MsgSnapshot {
             group.snapshots_sent.insert(message.to, now);
@@ -106,7 +113,7 @@
     }
 }
 
-/// Writes a `Ready` of `raft` to the storage. Returns its messages and its committed entries.
+/// Writes a `Ready` of raft-rs to the storage. Returns the messages to send and the committed entries to apply.
 fn persist_ready<M: StateMachine>(group: &mut Group<M>, now: Instant) -> (Vec<Message>, Vec<Entry>) {
     let mut ready = group.node.ready();
     let mut messages = ready.take_messages();
@@ -121,12 +128,12 @@
         storage.set_hard_state(hard_state.clone());
     }
     messages.extend(ready.take_persisted_messages());
-    let mut light = group.node.advance(ready);
-    if let Some(index) = light.commit_index() {
+    let mut light_ready = group.node.advance(ready);
+    if let Some(index) = light_ready.commit_index() {
         group.node.mut_store().set_commit(index);
     }
-    messages.extend(light.take_messages());
-    committed.extend(light.take_committed_entries());
+    messages.extend(light_ready.take_messages());
+    committed.extend(light_ready.take_committed_entries());
     (messages, committed)
 }
 
@@ -139,14 +146,16 @@
     }
 }
 
-/// Applies the batch of an entry. The first entry of a leader's term is empty and has none.
+/// Applies the batch of an entry and returns its outcomes. The first entry of a leader's term is empty and has no
+/// batch.
 fn apply_batch<M: StateMachine>(group: &mut Group<M>, now: Instant, entry: &Entry) -> Vec<M::Outcome> {
     let Ok(batch) = postcard::from_bytes::<Batch<M::Command>>(&entry.data) else { return Vec::new() };
     let elapsed = Duration::from_nanos(batch.elapsed_us.saturating_mul(1000));
     let outcomes = group.node.store().machine.borrow_mut().apply(elapsed, batch.commands);
-    // The time of batches that follow each other without a pause must not be lost: that of an own batch counts from its
-    // proposal, before which everything that it answers was asked.
-    let own = group.pending_batch.take_if(|batch| batch.term == entry.term);
-    group.last_applied_at = own.map_or(now, |batch| batch.proposed_at);
+    // The time between the proposal of a batch and its application must not be lost when batches follow each other
+    // without a pause. After a batch that this voter proposed, the time is therefore counted from its proposal; all
+    // commands in it were issued before that.
+    let own_batch = group.pending_batch.take_if(|batch| batch.term == entry.term);
+    group.last_applied_at = own_batch.map_or(now, |batch| batch.proposed_at);
     outcomes
 }
