--- a/crates/volatile-raft/tests/scenarios.rs
+++ b/crates/volatile-raft/tests/scenarios.rs
@@ -1,5 +1,6 @@
-//! Scenarios of voters on a simulated network that loses, duplicates and delays datagrams and has network partitions. The
-//! histories of all voters are compared, and the budget that they divide is added up where it is spent.
+//! Simulates voters on a network that loses, duplicates and delays datagrams and has network partitions. The tests
+//! compare the command histories of all voters, and check that the nodes never spend more than the budget that the
+//! voters divide.
 
 use grebeusher_budgets::{Ask, Division, Entry, Grant, Holder, Purse, Whole, Wholes};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
@@ -14,32 +15,35 @@
 const LEASE: Duration = Duration::from_millis(2000);
 const WHOLE: Whole = Whole { units: 60, window_ms: 1000, floor: 0, nodes: 0 };
 
-/// The division, and its commands so far, which tell two histories apart.
+/// The replicated state: the division of the budget, and the ids of the applied commands, by which histories are
+/// compared.
 #[derive(Clone, Serialize, Deserialize)]
-struct Parts {
+struct DividedBudget {
     division: Division,
-    us: u64,
-    steps: Vec<u32>,
+    /// The elapsed time in microseconds, below one millisecond, that the division has not been given yet.
+    unapplied_us: u64,
+    /// The ids of the applied commands, in order.
+    command_ids: Vec<u32>,
 }
 
-impl Parts {
-    fn empty() -> Parts {
+impl DividedBudget {
+    fn empty() -> DividedBudget {
         let mut division = Division::new(LEASE, true);
         let wholes = Wholes { edition: 1, of: vec![(0, WHOLE)] };
         division.apply(&Entry { wholes: Some(wholes), ..Entry::default() });
-        Parts { division, us: 0, steps: Vec::new() }
+        DividedBudget { division, unapplied_us: 0, command_ids: Vec::new() }
     }
 }
 
-impl StateMachine for Parts {
+impl StateMachine for DividedBudget {
     type Command = Ask;
     type Outcome = Grant;
 
     fn apply(&mut self, elapsed: Duration, asks: Vec<Ask>) -> Vec<Grant> {
-        self.us += elapsed.nanos() / 1000;
-        let passed_ms = self.us / 1000;
-        self.us %= 1000;
-        self.steps.extend(asks.iter().map(|ask| ask.ask));
+        self.unapplied_us += elapsed.nanos() / 1000;
+        let passed_ms = self.unapplied_us / 1000;
+        self.unapplied_us %= 1000;
+        self.command_ids.extend(asks.iter().map(|request| request.ask));
         self.division.apply(&Entry { passed_ms, wholes: None, asks })
     }
 
@@ -54,10 +58,12 @@
 
 #[derive(Default)]
 struct Network {
-    /// Sender, receiver and datagram.
+    /// The datagrams sent in this millisecond, each with the indexes of its sender and receiver.
     sent: Vec<(usize, usize, Vec<u8>)>,
+    /// The grants that leaders sent and no node has received yet.
     grants: Vec<Grant>,
-    founded: u32,
+    /// The number of groups that were bootstrapped.
+    bootstrapped_groups: u32,
 }
 
 struct TestHost {
@@ -65,116 +71,134 @@
     network: Rc<RefCell<Network>>,
 }
 
-impl Host<Parts> for TestHost {
+impl Host<DividedBudget> for TestHost {
     fn send(&mut self, voter: usize, datagram: &[u8]) {
-        assert!(datagram.len() < 1200, "fits a datagram: {}", datagram.len());
+        assert!(datagram.len() < 1200, "a datagram of {} bytes is too long", datagram.len());
         self.network.borrow_mut().sent.push((self.index, voter, datagram.to_vec()));
     }
     fn applied(&mut self, grant: Grant) {
         self.network.borrow_mut().grants.push(grant);
     }
     fn joined_group(&mut self, _: u64, origin: GroupOrigin) {
-        self.network.borrow_mut().founded += u32::from(origin == GroupOrigin::Bootstrapped);
+        self.network.borrow_mut().bootstrapped_groups += u32::from(origin == GroupOrigin::Bootstrapped);
     }
     fn leader_changed(&mut self, _: usize, _: u64) {}
 }
 
-struct World {
-    now: u64,
+struct Simulation {
+    /// The simulated time in milliseconds.
+    now_ms: u64,
     network: Rc<RefCell<Network>>,
-    voters: Vec<Option<Voter<Parts, TestHost>>>,
-    frozen: Vec<bool>,
-    starts: u64,
+    /// The voters by index; none for a voter that is stopped.
+    voters: Vec<Option<Voter<DividedBudget, TestHost>>>,
+    /// Whether each voter is suspended.
+    suspended: Vec<bool>,
+    /// The seed of the most recently started voter; each start takes the next one.
+    last_seed: u64,
+    /// The datagrams under way, each with its arrival time in milliseconds and the index of its receiver.
     in_flight: Vec<(u64, usize, Vec<u8>)>,
-    /// The fraction of datagrams that is lost.
+    /// The fraction of datagrams that is lost; as many are duplicated.
     loss: f64,
-    /// The links that are cut, from sender to receiver.
+    /// The links that are cut and drop all datagrams, each as the indexes of sender and receiver.
     cut: Vec<(usize, usize)>,
     rng: Pcg32,
-    purses: Vec<Purse>,
-    spent: VecDeque<u64>,
-    total: u64,
-    /// The longest history of each group.
+    /// The share of the budget that each node holds.
+    shares: Vec<Purse>,
+    /// The times in milliseconds at which units were spent, within the last budget window.
+    spent_at_ms: VecDeque<u64>,
+    /// The number of units spent since the start.
+    total_spent: u64,
+    /// The longest known history of each group, by group id.
     histories: BTreeMap<u64, Vec<u32>>,
-    last_commit_at: u64,
-    longest_pause: u64,
+    /// The time in milliseconds at which a history last grew.
+    last_commit_at_ms: u64,
+    /// The longest time in milliseconds between two commits.
+    longest_pause_ms: u64,
 }
 
-impl World {
-    fn new(count: usize, seed: u64) -> World {
-        let mut world = World {
-            now: 0,
+impl Simulation {
+    fn new(voter_count: usize, seed: u64) -> Simulation {
+        let mut simulation = Simulation {
+            now_ms: 0,
             network: Rc::default(),
-            voters: (0..count).map(|_| None).collect(),
-            frozen: vec![false; count],
-            starts: seed * 1000,
+            voters: (0..voter_count).map(|_| None).collect(),
+            suspended: vec![false; voter_count],
+            last_seed: seed * 1000,
             in_flight: Vec::new(),
             loss: 0.0,
             cut: Vec::new(),
             rng: Pcg32::seed_from_u64(seed),
-            purses: Vec::new(),
-            spent: VecDeque::new(),
-            total: 0,
+            shares: Vec::new(),
+            spent_at_ms: VecDeque::new(),
+            total_spent: 0,
             histories: BTreeMap::new(),
-            last_commit_at: 0,
-            longest_pause: 0,
+            last_commit_at_ms: 0,
+            longest_pause_ms: 0,
         };
-        (0..count).for_each(|at| world.restart(at));
+        (0..voter_count).for_each(|index| simulation.restart(index));
         let holder = |number| Holder { number, generation: 1 };
-        world.purses = (0..5).map(|n| Purse::new(world.at(), holder(n), 0, &WHOLE, LEASE)).collect();
-        world
+        simulation.shares =
+            (0..5).map(|n| Purse::new(simulation.instant(), holder(n), 0, &WHOLE, LEASE)).collect();
+        simulation
     }
 
-    fn at(&self) -> Instant {
-        Instant(1_000_000_000_000) + Duration::from_millis(self.now)
+    fn instant(&self) -> Instant {
+        Instant(1_000_000_000_000) + Duration::from_millis(self.now_ms)
     }
 
-    /// Starts a voter, or kills and restarts it at once, with no state.
-    fn restart(&mut self, at: usize) {
-        self.starts += 1;
-        let hand = TestHost { index: at, network: self.network.clone() };
-        let voter = Voter::new(self.at(), at, self.voters.len(), self.starts, Parts::empty(), hand);
-        self.voters[at] = Some(voter);
-        self.frozen[at] = false;
+    /// Starts the voter with this index without state; a running one is killed first.
+    fn restart(&mut self, voter_index: usize) {
+        self.last_seed += 1;
+        let host = TestHost { index: voter_index, network: self.network.clone() };
+        let voter = Voter::new(
+            self.instant(),
+            voter_index,
+            self.voters.len(),
+            self.last_seed,
+            DividedBudget::empty(),
+            host,
+        );
+        self.voters[voter_index] = Some(voter);
+        self.suspended[voter_index] = false;
     }
 
     fn leader(&self) -> Option<usize> {
         (0..self.voters.len())
-            .find(|at| self.is_up(*at) && self.voters[*at].as_ref().is_some_and(Voter::is_leader))
+            .find(|index| self.is_up(*index) && self.voters[*index].as_ref().is_some_and(Voter::is_leader))
     }
 
-    fn is_up(&self, at: usize) -> bool {
-        self.voters[at].is_some() && !self.frozen[at]
+    fn is_up(&self, index: usize) -> bool {
+        self.voters[index].is_some() && !self.suspended[index]
     }
 
     fn run_for(&mut self, for_ms: u64) {
         for _ in 0..for_ms {
-            self.now += 1;
-            let at = self.at();
-            self.nodes_spend(at);
+            self.now_ms += 1;
+            let at = self.instant();
+            self.spend_and_request(at);
             let sent = std::mem::take(&mut self.network.borrow_mut().sent);
             for (from, to, datagram) in sent {
-                let times = match self.rng.random::<f64>() {
-                    lost if lost < self.loss || self.cut.contains(&(from, to)) => 0,
-                    twice if twice > 1.0 - self.loss => 2,
+                let copies = match self.rng.random::<f64>() {
+                    draw if draw < self.loss || self.cut.contains(&(from, to)) => 0,
+                    draw if draw > 1.0 - self.loss => 2,
                     _ => 1,
                 };
-                for _ in 0..times {
-                    let when = self.now + self.rng.random_range(1..8);
-                    self.in_flight.push((when, to, datagram.clone()));
+                for _ in 0..copies {
+                    let arrives_at_ms = self.now_ms + self.rng.random_range(1..8);
+                    self.in_flight.push((arrives_at_ms, to, datagram.clone()));
                 }
             }
-            let (come, late) = std::mem::take(&mut self.in_flight)
+            let (due, not_due) = std::mem::take(&mut self.in_flight)
                 .into_iter()
-                .partition(|(when, to, _)| *when <= self.now && !self.frozen[*to]);
-            self.in_flight = late;
-            for (_, to, datagram) in come {
+                .partition(|(arrives_at_ms, to, _)| *arrives_at_ms <= self.now_ms && !self.suspended[*to]);
+            self.in_flight = not_due;
+            for (_, to, datagram) in due {
                 if let Some(voter) = &mut self.voters[to] {
-                    voter.receive(at, &datagram).expect("a datagram of a peer");
+                    voter.receive(at, &datagram).expect("the datagram is valid");
                 }
             }
-            for (voter, is_frozen) in self.voters.iter_mut().zip(&self.frozen) {
-                if let Some(voter) = voter.as_mut().filter(|voter| !is_frozen && voter.next_wake() <= at) {
+            for (voter, is_suspended) in self.voters.iter_mut().zip(&self.suspended) {
+                if let Some(voter) = voter.as_mut().filter(|voter| !is_suspended && voter.next_wake() <= at) {
                     voter.tick(at);
                 }
             }
@@ -182,186 +206,205 @@
         }
     }
 
-    /// All voters of a group have the same history, as far as each has got.
+    /// Checks that the histories of all voters of a group agree as far as each of them goes.
     fn check_histories(&mut self) {
         for voter in self.voters.iter().flatten() {
             let Some((group, _)) = voter.applied() else { continue };
-            let steps = voter.with_state(|state| state.steps.clone()).expect("it has a group");
-            let known = self.histories.entry(group).or_default();
-            let both = known.len().min(steps.len());
-            assert_eq!(known[..both], steps[..both], "one history of {group:x}");
-            if steps.len() > known.len() {
-                *known = steps;
-                self.longest_pause = self.longest_pause.max(self.now - self.last_commit_at);
-                self.last_commit_at = self.now;
+            let command_ids = voter
+                .with_state(|state| state.command_ids.clone())
+                .expect("a voter with an applied index has a state");
+            let longest_history = self.histories.entry(group).or_default();
+            let common_length = longest_history.len().min(command_ids.len());
+            assert_eq!(
+                longest_history[..common_length],
+                command_ids[..common_length],
+                "histories of group {group:x} diverge"
+            );
+            if command_ids.len() > longest_history.len() {
+                *longest_history = command_ids;
+                self.longest_pause_ms = self.longest_pause_ms.max(self.now_ms - self.last_commit_at_ms);
+                self.last_commit_at_ms = self.now_ms;
             }
         }
     }
 
-    /// Five nodes together ask for more than the budget.
-    fn nodes_spend(&mut self, at: Instant) {
-        for node in 0..self.purses.len() {
-            if self.rng.random::<f64>() < 0.03 && self.purses[node].take(at) {
-                self.spent.push_back(self.now);
-                self.total += 1;
+    /// Lets five nodes spend and request units; together they would spend more than the budget. Checks that they don't.
+    fn spend_and_request(&mut self, at: Instant) {
+        for node in 0..self.shares.len() {
+            if self.rng.random::<f64>() < 0.03 && self.shares[node].take(at) {
+                self.spent_at_ms.push_back(self.now_ms);
+                self.total_spent += 1;
             }
-            // Any voter may be asked; one that does not lead knows who does.
-            if let Some(ask) = self.purses[node].ask(at)
+            // A real node may send the request to any voter, which redirects it to the leader.
+            if let Some(ask) = self.shares[node].ask(at)
                 && let Some(leader) = self.leader()
                 && let Some(voter) = &mut self.voters[leader]
             {
-                // A rejected ask is lost like any other; the node asks again.
+                // A rejected request counts as lost: the node repeats it.
                 let _ = voter.propose(at, ask);
             }
         }
         let grants = std::mem::take(&mut self.network.borrow_mut().grants);
         for grant in grants.into_iter().filter(|_| self.rng.random::<f64>() >= self.loss) {
-            self.purses[grant.holder.number as usize].granted(&grant);
+            self.shares[grant.holder.number as usize].granted(&grant);
         }
-        while self.spent.front().is_some_and(|at| self.now - at >= WHOLE.window_ms) {
-            self.spent.pop_front();
+        while self.spent_at_ms.front().is_some_and(|at| self.now_ms - at >= WHOLE.window_ms) {
+            self.spent_at_ms.pop_front();
         }
-        assert!(self.spent.len() <= WHOLE.units as usize, "{} spent at {}", self.spent.len(), self.now);
+        assert!(
+            self.spent_at_ms.len() <= WHOLE.units as usize,
+            "{} units spent within the window that ends at {} ms",
+            self.spent_at_ms.len(),
+            self.now_ms
+        );
     }
 
-    fn used(&mut self, for_ms: u64) -> f64 {
-        let before = self.total;
+    /// Runs the simulation and returns the fraction of the budget that the nodes spent in that time.
+    fn budget_usage(&mut self, for_ms: u64) -> f64 {
+        let before = self.total_spent;
         self.run_for(for_ms);
-        (self.total - before) as f64 / (for_ms as f64 / 1000.0) / f64::from(WHOLE.units)
+        (self.total_spent - before) as f64 / (for_ms as f64 / 1000.0) / f64::from(WHOLE.units)
     }
 }
 
 #[test]
 fn voters_that_start_together_bootstrap_one_group_and_divide() {
-    let mut world = World::new(3, 1);
-    world.run_for(6000);
-    assert_eq!(world.network.borrow().founded, 1);
-    assert!(world.used(2000) > 0.6);
+    let mut simulation = Simulation::new(3, 1);
+    simulation.run_for(6000);
+    assert_eq!(simulation.network.borrow().bootstrapped_groups, 1);
+    assert!(simulation.budget_usage(2000) > 0.6);
 }
 
 #[test]
 fn loss_of_the_leader_costs_seconds_and_no_committed_entry() {
-    let mut world = World::new(3, 2);
-    world.run_for(6000);
+    let mut simulation = Simulation::new(3, 2);
+    simulation.run_for(6000);
 
     for _ in 0..6 {
-        let leader = world.leader().expect("one leads");
-        // It is restarted at once, with no state: it must not vote under its former id.
-        world.restart(leader);
-        world.run_for(4000);
+        let leader = simulation.leader().expect("a voter is the leader");
+        // The leader restarts at once without state: it must not vote under its former id.
+        simulation.restart(leader);
+        simulation.run_for(4000);
     }
-    assert_eq!(world.network.borrow().founded, 1, "the state has gone on from keeper to keeper");
-    assert_eq!(world.histories.len(), 1);
-    assert!(world.used(2000) > 0.6);
-    assert!(world.longest_pause < 6000, "{} ms", world.longest_pause);
+    assert_eq!(
+        simulation.network.borrow().bootstrapped_groups,
+        1,
+        "the restarted voters joined the first group"
+    );
+    assert_eq!(simulation.histories.len(), 1);
+    assert!(simulation.budget_usage(2000) > 0.6);
+    assert!(simulation.longest_pause_ms < 6000, "no commit for {} ms", simulation.longest_pause_ms);
 }
 
 #[test]
 fn leader_suspended_past_the_leases_grants_nothing_that_counts() {
-    let mut world = World::new(3, 3);
-    world.run_for(6000);
+    let mut simulation = Simulation::new(3, 3);
+    simulation.run_for(6000);
     for _ in 0..4 {
-        let leader = world.leader().expect("one leads");
-        world.frozen[leader] = true;
-        world.run_for(5000);
-        world.frozen[leader] = false;
-        world.run_for(2000);
+        let leader = simulation.leader().expect("a voter is the leader");
+        simulation.suspended[leader] = true;
+        simulation.run_for(5000);
+        simulation.suspended[leader] = false;
+        simulation.run_for(2000);
     }
-    assert_eq!(world.network.borrow().founded, 1);
-    assert!(world.used(2000) > 0.6);
+    assert_eq!(simulation.network.borrow().bootstrapped_groups, 1);
+    assert!(simulation.budget_usage(2000) > 0.6);
 }
 
 #[test]
 fn without_a_majority_nothing_is_committed_and_nothing_is_lost() {
-    let mut world = World::new(3, 4);
-    world.run_for(6000);
-    world.cut = vec![(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)];
-    world.run_for(3000);
-    let before: usize = world.histories.values().map(Vec::len).sum();
-    world.run_for(3000);
-    assert_eq!(before, world.histories.values().map(Vec::len).sum::<usize>());
-    world.cut.clear();
-    world.run_for(4000);
-    assert_eq!(world.network.borrow().founded, 1);
-    assert!(world.used(2000) > 0.6);
+    let mut simulation = Simulation::new(3, 4);
+    simulation.run_for(6000);
+    simulation.cut = vec![(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)];
+    simulation.run_for(3000);
+    let before: usize = simulation.histories.values().map(Vec::len).sum();
+    simulation.run_for(3000);
+    assert_eq!(before, simulation.histories.values().map(Vec::len).sum::<usize>());
+    simulation.cut.clear();
+    simulation.run_for(4000);
+    assert_eq!(simulation.network.borrow().bootstrapped_groups, 1);
+    assert!(simulation.budget_usage(2000) > 0.6);
 }
 
 #[test]
 fn voter_that_only_sends_does_not_stop_the_others() {
-    let mut world = World::new(3, 5);
-    world.run_for(6000);
-    let leader = world.leader().expect("one leads");
-    world.cut = (0..3).map(|from| (from, leader)).collect();
-    world.run_for(4000);
-    assert!(world.used(3000) > 0.6, "the two others go on");
+    let mut simulation = Simulation::new(3, 5);
+    simulation.run_for(6000);
+    let leader = simulation.leader().expect("a voter is the leader");
+    simulation.cut = (0..3).map(|from| (from, leader)).collect();
+    simulation.run_for(4000);
+    assert!(simulation.budget_usage(3000) > 0.6, "the two other voters still commit");
 }
 
 #[test]
 fn new_group_after_loss_of_a_majority_waits_for_grants_that_are_out() {
-    let mut world = World::new(3, 6);
-    // Former fault: nodes compared grants with the numbers of the lost group, and ignored as many new ones.
-    world.run_for(25_000);
-    // Two of three at once: only the third knows what was granted, and it can commit nothing any more.
-    world.restart(0);
-    world.restart(1);
-    world.run_for(10_000);
-    assert_eq!(world.network.borrow().founded, 2);
-    assert!(world.used(2000) > 0.6, "and the third is with them");
+    let mut simulation = Simulation::new(3, 6);
+    // Guards against a fault in which nodes compared new grants with the numbers of the lost group, and ignored as
+    // many new grants as that group had numbered.
+    simulation.run_for(25_000);
+    // Two of three voters restart at once: only the third knows the grants, and it can't commit anything any more.
+    simulation.restart(0);
+    simulation.restart(1);
+    simulation.run_for(10_000);
+    assert_eq!(simulation.network.borrow().bootstrapped_groups, 2);
+    assert!(simulation.budget_usage(2000) > 0.6, "the budget is divided again");
 }
 
-/// Former fault: an incarnation that had just been added and the third voter each saw a group without a quorum. Neither could
-/// commit, neither restarted, and the voter without a group could not bootstrap one alone.
+/// Guards against a fault in which an incarnation that had just been added and the third voter were each in a group
+/// without a quorum: neither could commit, neither restarted, and the voter without a group could not bootstrap one
+/// alone.
 #[test]
 fn loss_of_two_voters_in_quick_succession_is_survived() {
-    // An incarnation is added shortly after its first hello: the second loss comes before, during and after that.
+    // An incarnation is added shortly after its first hello; the second loss comes before, during and after the
+    // addition.
     for after_ms in (0..80).step_by(8) {
-        let mut world = World::new(3, 40 + after_ms);
-        world.run_for(6000);
-        let leader = world.leader().expect("one leads");
-        world.restart((leader + 1) % 3);
-        world.run_for(after_ms);
-        world.restart(leader);
-        world.run_for(12_000);
-        assert!(world.used(2000) > 0.6, "{after_ms} ms after");
+        let mut simulation = Simulation::new(3, 40 + after_ms);
+        simulation.run_for(6000);
+        let leader = simulation.leader().expect("a voter is the leader");
+        simulation.restart((leader + 1) % 3);
+        simulation.run_for(after_ms);
+        simulation.restart(leader);
+        simulation.run_for(12_000);
+        assert!(simulation.budget_usage(2000) > 0.6, "second loss {after_ms} ms after the first");
     }
 }
 
 #[test]
 fn faults_never_spend_more_than_the_budget() {
     for seed in 1..=8 {
-        let mut world = World::new(if seed % 3 == 0 { 5 } else { 3 }, 100 + seed);
-        let count = world.voters.len();
-        world.loss = 0.1;
-        world.run_for(4000);
+        let mut simulation = Simulation::new(if seed % 3 == 0 { 5 } else { 3 }, 100 + seed);
+        let count = simulation.voters.len();
+        simulation.loss = 0.1;
+        simulation.run_for(4000);
         for _ in 0..16 {
-            let at = world.rng.random_range(0..count);
-            match world.rng.random_range(0..5) {
-                0 => world.restart(at),
-                1 => world.voters[at] = None,
-                2 => world.frozen[at] = !world.frozen[at],
-                3 => world.cut = (0..count).map(|from| (from, at)).collect(),
-                _ => world.cut = (0..count).flat_map(|other| [(at, other), (other, at)]).collect(),
+            let index = simulation.rng.random_range(0..count);
+            match simulation.rng.random_range(0..5) {
+                0 => simulation.restart(index),
+                1 => simulation.voters[index] = None,
+                2 => simulation.suspended[index] = !simulation.suspended[index],
+                3 => simulation.cut = (0..count).map(|from| (from, index)).collect(),
+                _ => simulation.cut = (0..count).flat_map(|peer| [(index, peer), (peer, index)]).collect(),
             }
-            let deliver = world.rng.random_range(100..2500);
-            world.run_for(deliver);
-            if world.rng.random::<f64>() < 0.4 {
-                world.cut.clear();
+            let duration_ms = simulation.rng.random_range(100..2500);
+            simulation.run_for(duration_ms);
+            if simulation.rng.random::<f64>() < 0.4 {
+                simulation.cut.clear();
                 (0..count)
-                    .filter(|at| world.voters[*at].is_none())
+                    .filter(|index| simulation.voters[*index].is_none())
                     .collect::<Vec<_>>()
                     .into_iter()
-                    .for_each(|at| world.restart(at));
-                world.frozen.fill(false);
+                    .for_each(|index| simulation.restart(index));
+                simulation.suspended.fill(false);
             }
         }
-        (world.loss, world.cut) = (0.0, Vec::new());
-        world.frozen.fill(false);
+        (simulation.loss, simulation.cut) = (0.0, Vec::new());
+        simulation.suspended.fill(false);
         (0..count)
-            .filter(|at| world.voters[*at].is_none())
+            .filter(|index| simulation.voters[*index].is_none())
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|at| world.restart(at));
-        world.run_for(12_000);
-        assert!(world.used(2000) > 0.6, "seed {seed}: all work again");
+            .for_each(|index| simulation.restart(index));
+        simulation.run_for(12_000);
+        assert!(simulation.budget_usage(2000) > 0.6, "seed {seed}: the voters don't recover");
     }
 }
--- a/crates/volatile-raft/tests/stable_bytes.rs
+++ b/crates/volatile-raft/tests/stable_bytes.rs
@@ -1,33 +1,37 @@
-//! Datagrams of earlier versions that this one must send and receive unchanged: voters of two versions form one group
-//! during an upgrade.
+//! Checks that this version sends and receives the datagrams of earlier versions unchanged: voters of two versions form
+//! one group during an upgrade.
 //!
-//! A datagram is a kind, then its fields in order: a hello is kind 0 with an incarnation and an optional group; a fragment is
-//! kind 1 with an incarnation, a group, a message id, its index, their count, and its bytes. The fragments make up a
-//! message of `raft`, in which snapshots and batches of commands are in the form of this crate.
+//! A datagram is encoded as its kind, followed by its fields in order. Kind 0 is a hello, with an incarnation and an
+//! optional group; kind 1 is a fragment, with an incarnation, a group, a message id, the fragment's index, the number
+//! of fragments, and the fragment's bytes. The fragments make up a message of raft-rs, in which this crate defines the
+//! encoding of snapshots and of batches of commands.
 //!
-//! The exchange between voters with fixed seeds is the same each time. Another version of `raft` or of the random number
-//! generator may make them send other datagrams: then those recorded here must still be received.
+//! The exchange between voters with fixed seeds is deterministic. Another version of raft-rs or of the random number
+//! generator may make the voters send other datagrams: they must still receive the datagrams recorded here.
 
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_volatile_raft::{GroupOrigin, Host, StateMachine, Voter};
 use serde::{Deserialize, Serialize};
 
-/// A state that records what was applied.
+/// A state that records the applied commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Steps {
-    founded: u64,
-    passed: Vec<u64>,
-    steps: Vec<Vec<u8>>,
+struct CommandRecord {
+    /// The time of the bootstrap in nanoseconds.
+    bootstrapped_at_ns: u64,
+    /// The elapsed time of each batch in nanoseconds.
+    elapsed_ns: Vec<u64>,
+    /// The applied commands, in order.
+    commands: Vec<Vec<u8>>,
 }
 
-impl StateMachine for Steps {
+impl StateMachine for CommandRecord {
     type Command = Vec<u8>;
     type Outcome = usize;
 
-    fn apply(&mut self, elapsed: Duration, steps: Vec<Vec<u8>>) -> Vec<usize> {
-        self.passed.push(elapsed.nanos());
-        self.steps.extend(steps);
-        vec![self.steps.len()]
+    fn apply(&mut self, elapsed: Duration, commands: Vec<Vec<u8>>) -> Vec<usize> {
+        self.elapsed_ns.push(elapsed.nanos());
+        self.commands.extend(commands);
+        vec![self.commands.len()]
     }
 
     fn depends_on_time(&self) -> bool {
@@ -35,14 +39,14 @@
     }
 
     fn bootstrapped(&mut self, at: Instant) {
-        self.founded = at.0;
+        self.bootstrapped_at_ns = at.0;
     }
 }
 
 #[derive(Default)]
 struct SentDatagrams(Vec<(usize, Vec<u8>)>);
 
-impl Host<Steps> for SentDatagrams {
+impl Host<CommandRecord> for SentDatagrams {
     fn send(&mut self, voter: usize, datagram: &[u8]) {
         self.0.push((voter, datagram.to_vec()));
     }
@@ -55,39 +59,40 @@
     Instant(1_000_000_000_000) + Duration::from_millis(ms)
 }
 
-/// A voter of three that starts; its incarnation and the group that it bootstraps come from the seed.
-fn voter(ms: u64, voter: usize, seed: u64) -> Voter<Steps, SentDatagrams> {
-    Voter::new(at(ms), voter, 3, seed, Steps::default(), SentDatagrams::default())
+/// Starts one of three voters; the seed determines its incarnation and the id of the group that it bootstraps.
+fn voter(ms: u64, voter: usize, seed: u64) -> Voter<CommandRecord, SentDatagrams> {
+    Voter::new(at(ms), voter, 3, seed, CommandRecord::default(), SentDatagrams::default())
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u32> = hex.chars().map(|c| c.to_digit(16).expect("a hex digit")).collect();
     digits.chunks(2).map(|pair| (pair[0] << 4 | pair[1]) as u8).collect()
 }
 
-/// The commands that are committed; the last takes more than one datagram.
-fn steps() -> Vec<Vec<u8>> {
+/// Returns the commands that the exchange commits; the last one takes more than one datagram.
+fn commands() -> Vec<Vec<u8>> {
     vec![b"one".to_vec(), Vec::new(), vec![0xfe; 1000]]
 }
 
 /// The seeds of the first voter, and of the second voter's earlier and later incarnations.
 const SEEDS: [u64; 3] = [7, 8, 9];
 
-/// The group that the first one bootstraps.
+/// The id of the group that the first voter bootstraps.
 const GROUP: u64 = 0xd219_3ac4_a388_049d;
 
 struct Exchange {
-    voters: [Voter<Steps, SentDatagrams>; 3],
-    /// What the first two sent to each other: "0" or "1" for the sender, then the datagram.
-    between_two: Vec<String>,
+    voters: [Voter<CommandRecord, SentDatagrams>; 3],
+    /// The datagrams between the first two voters, each as the sender's index ("0" or "1") and the bytes in
+    /// hexadecimal.
+    first_two_datagrams: Vec<String>,
 }
 
 impl Exchange {
-    /// Delivers datagrams until there are none.
+    /// Delivers datagrams, also those sent in response, until there are none.
     fn deliver(&mut self, ms: u64) {
         loop {
             let all = [0, 1, 2].map(|from| std::mem::take(&mut self.voters[from].host().0));
@@ -97,9 +102,9 @@
             for (from, datagrams) in all.into_iter().enumerate() {
                 for (to, datagram) in datagrams {
                     if from + to == 1 {
-                        self.between_two.push(format!("{from} {}", hex(&datagram)));
+                        self.first_two_datagrams.push(format!("{from} {}", encode_hex(&datagram)));
                     }
-                    self.voters[to].receive(at(ms), &datagram).expect("a datagram of a peer");
+                    self.voters[to].receive(at(ms), &datagram).expect("the datagram is valid");
                 }
             }
         }
@@ -113,14 +118,14 @@
     }
 }
 
-/// Three voters bootstrap a group and commit commands; then the second restarts with no state.
+/// Three voters bootstrap a group and commit commands; then the second voter restarts without state.
 fn exchange() -> Exchange {
     let voters = [voter(0, 0, SEEDS[0]), voter(0, 1, SEEDS[1]), voter(0, 2, 10)];
-    let mut exchange = Exchange { voters, between_two: Vec::new() };
+    let mut exchange = Exchange { voters, first_two_datagrams: Vec::new() };
     [0, 600, 1200].into_iter().for_each(|ms| exchange.tick(ms));
     assert!(exchange.voters[0].is_leader());
-    for (ms, step) in (1210..).step_by(10).zip(steps()) {
-        exchange.voters[0].propose(at(ms), step).expect("it leads");
+    for (ms, command) in (1210..).step_by(10).zip(commands()) {
+        exchange.voters[0].propose(at(ms), command).expect("the first voter is the leader");
         exchange.deliver(ms);
     }
     exchange.voters[1] = voter(1300, 1, SEEDS[2]);
@@ -128,38 +133,41 @@
     exchange
 }
 
-/// What the first two voters of an earlier version sent in that exchange.
+/// Returns the datagrams that the first two voters of an earlier version sent to each other in the same exchange.
 fn recorded_exchange() -> Vec<String> {
     include_str!("data/talk.txt").lines().map(str::to_owned).collect()
 }
 
 #[test]
 fn voters_send_what_earlier_versions_sent() {
-    assert_eq!(exchange().between_two, recorded_exchange());
+    assert_eq!(exchange().first_two_datagrams, recorded_exchange());
 }
 
-/// Given what a leader of an earlier version sent, when a voter of this one receives it, then it has what was committed.
-fn assert_catches_up(seed: u64, settled: u64) {
+/// Checks that a voter of this version has all committed commands once it has received the recorded datagrams of a
+/// leader of an earlier version.
+fn assert_catches_up(seed: u64, applied_index: u64) {
     let mut receiver = voter(0, 1, seed);
     for datagram in recorded_exchange().iter().filter_map(|line| line.strip_prefix("0 ")) {
-        receiver.receive(at(1200), &bytes_of(datagram)).unwrap_or_else(|error| panic!("{datagram}: {error}"));
+        receiver
+            .receive(at(1200), &decode_hex(datagram))
+            .unwrap_or_else(|error| panic!("{datagram}: {error}"));
     }
-    let state = receiver.with_state(Steps::clone).expect("it belongs to a group");
-    assert_eq!(state.steps, steps());
-    assert_eq!(state.passed, [Duration::from_millis(10).nanos(); 3]);
-    assert_eq!(state.founded, at(1200).0);
-    assert_eq!(receiver.applied(), Some((GROUP, settled)));
+    let state = receiver.with_state(CommandRecord::clone).expect("the receiver belongs to a group");
+    assert_eq!(state.commands, commands());
+    assert_eq!(state.elapsed_ns, [Duration::from_millis(10).nanos(); 3]);
+    assert_eq!(state.bootstrapped_at_ns, at(1200).0);
+    assert_eq!(receiver.applied(), Some((GROUP, applied_index)));
     assert_eq!(receiver.leader(), Some(0));
 }
 
 #[test]
-fn founding_member_follows_a_leader_of_an_earlier_version() {
-    // It receives the change that replaces it, and the end of that.
+fn bootstrapping_member_follows_a_leader_of_an_earlier_version() {
+    // The member also receives the two entries of the joint membership change that replaces it.
     assert_catches_up(SEEDS[1], 7);
 }
 
 #[test]
 fn later_incarnation_follows_a_leader_of_an_earlier_version() {
-    // It receives one more entry than the incarnation before it.
+    // The later incarnation receives one entry more than the earlier one.
     assert_catches_up(SEEDS[2], 8);
 }
