--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,22 +1,25 @@
-//! Machines are taken out for work one after the other, in an order that the nodes settle among themselves, with nothing lost.
-//! No I/O and no clock.
+//! Takes machines out for maintenance in an order that the nodes agree on, without losing work. Does no I/O
+//! and reads no clock.
 //!
-//! [`Works`] is what the keepers agree on: the plan, how far each machine is, and what every node may still do. It is a state
-//! machine over [`Step`]s; equal steps give equal states. [`Permission`] is one node's side: at which machines it may send
-//! nothing, and what to ask the keepers for.
+//! [`Works`] is the state that the voters replicate: the plan, the phase of each machine, and what each node
+//! may still do. It is a state machine over [`Step`]s: equal steps give equal states. [`Permission`] is the
+//! side of one node: which machines it may send nothing to, and what it requests of the voters.
 //!
-//! **Why nothing is sent to a machine that is out.** A node sends by a permission with an end. It asks for a new one five times
-//! as often as it ends, and gets with it the machines that are closed. A machine is closed by a decision with a number; it is
-//! out once every life of every node has either said, by a permission of that number or a later one, that it sends nothing
-//! there any more and has nothing in hand there, or had a permission that has run out, and as long again as a unit may run.
-//! The node counts its permission from when it asked and ends it early by the drift of clocks; the keepers count it from
-//! when it was settled, which is later. A node whose permission has run out keeps away from all machines that may have been
-//! closed meanwhile. Which these are it knows: a machine is announced to all before it can be closed, and whoever has not
-//! heard of the announcement holds it up, unless it has been without a permission for so long ([`LONG`]) that it keeps away
-//! from all machines of the plan. One that has just started sends nowhere until it has its first permission.
+//! **Why nothing is sent to a machine that is out.** A node sends under a permission that expires. It
+//! requests a new one five times per lease and receives the closed machines with it. A machine is closed by a
+//! numbered decision. It is out once every process of every node has either reported, under a permission of
+//! that decision or a later one, that it no longer sends there and has nothing in flight there, or had a
+//! permission that expired at least as long ago as a unit of work may run. The node counts its permission
+//! from the time of its request and ends it early by the clock drift; the voters count it from the commit,
+//! which is later. A node whose permission has expired avoids all machines that may have been closed
+//! meanwhile. It knows them: a machine is announced to all nodes before it can be closed, and a node that has
+//! not acknowledged the announcement delays the closing, unless it has been without a permission for so long
+//! ([`LONG`]) that it avoids all machines of the plan. A node that has just started sends nothing before its
+//! first permission.
 //!
-//! **A node's own machine** in a plan is sent to by clients alone, so only it has to say that it is through. From then on it sends to no
-//! executor, and nothing waits for it, until it hears that it is not to go any more.
+//! **A node's own machine** in a plan receives requests from clients only, so only that node has to report
+//! that it is drained. From then on it sends to no executor, and nothing waits for it, until it learns that
+//! it may stay.
 
 mod permission;
 mod plan;
@@ -29,6 +32,7 @@
     ZoneSeen, node_name,
 };
 
-/// A node that was without a permission for so many of them keeps away from all machines of the plan, and holds nothing up any
-/// more. A cut is over or a process back in a minute with permissions of ten seconds; longer ones are somebody's work.
+/// After this number of lease times without a permission a node avoids all machines of the plan and no longer
+/// delays it. With leases of ten seconds, that is a minute: a partition is over or a process restarted by
+/// then; longer outages need an operator.
 pub const LONG: u64 = 6;
--- a/crates/maintenance/src/permission.rs
+++ b/crates/maintenance/src/permission.rs
@@ -1,4 +1,4 @@
-//! One node's side: what it may not send to, and what to ask the keepers for.
+//! The permission of one node: which machines it may not send to, and what it requests of the voters.
 
 use crate::LONG;
 use crate::works::{Ask, Permit, Stage};
@@ -6,11 +6,13 @@
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use std::collections::BTreeMap;
 
-/// So often in a permission: several may get lost, and the next still comes in time.
+/// The number of requests per lease time: if several are lost, the next one still renews the permission in
+/// time.
 const ASKS: f64 = 5.0;
-/// While something is to be told, or staff look, and as long as no word has ever come.
+/// The time between requests while the node has something to report, while operators read the status, and
+/// before the first permission.
 const MIN_INTERVAL: Duration = Duration::from_millis(200);
-/// Asks whose answer may still come.
+/// The most requests whose answers are still accepted.
 const OPEN_ASKS: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -18,13 +20,13 @@
     holder: Holder,
     zone: String,
     socket: u64,
-    /// What its own machine is called, as a hash.
+    /// The hash of the name of this node's own machine.
     own: u64,
     lease: Duration,
     asked: BTreeMap<u32, Instant>,
     next_ask: u32,
     asked_at: Option<Instant>,
-    /// The ask whose answer is gone by, and when that was asked.
+    /// The sequence number of the request whose answer is in force, and the time of that request.
     by: Option<(u32, Instant)>,
     number: u64,
     machines: Vec<(u64, Stage)>,
@@ -34,7 +36,9 @@
 }
 
 impl Permission {
-    /// `socket`: where this node listens for the others, and `own`: what its own machine is called, as hashes.
+    /// Creates the permission of a node that sends nothing before its first permit. `socket` is the hash of
+    /// the address at which this node listens for the others, and `own` the hash of the name of its own
+    /// machine.
     pub fn new(holder: Holder, (socket, own): (u64, u64), lease: Duration) -> Permission {
         Permission {
             holder,
@@ -54,30 +58,31 @@
         }
     }
 
-    /// The zone in which this node stands.
+    /// Sets the zone of this node.
     pub fn standing_in(mut self, zone: &str) -> Permission {
         self.zone = zone.to_owned();
         self
     }
 
-    /// Whether this node has ever had a word, without which it sends nowhere.
+    /// Whether this node has ever received a permit; it sends nothing before.
     pub fn has_word(&self) -> bool {
         self.by.is_some()
     }
 
-    /// The number of the decision that it goes by.
+    /// The number of the latest decision that this node follows.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// When its permission ends, and when it has been without one for long.
+    /// When the permission expires, and when this node has been without one for a long time ([`LONG`]).
     fn ends(&self) -> Option<(Instant, Instant)> {
         let (_, asked) = self.by?;
         let lasts = self.lease.scaled(1.0 - DRIFT);
         Some((asked + lasts, asked + lasts.scaled((1 + LONG) as f64)))
     }
 
-    /// What may have been closed as of now, by the hashes of names: at these nothing may be sent.
+    /// The hashes of the names of the machines that may have been closed by `now`; nothing may be sent to
+    /// them.
     pub fn closed(&self, now: Instant) -> impl Iterator<Item = u64> {
         let from = match self.ends() {
             Some((ends, _)) if now < ends => Stage::Closed,
@@ -87,27 +92,28 @@
         self.machines.iter().filter(move |(_, stage)| *stage >= from).map(|(machine, _)| *machine)
     }
 
-    /// Whether this node is itself to go, by the last word that it has.
+    /// Whether this node itself is to be drained, by the latest permit that it received.
     pub fn goes(&self) -> bool {
         self.machines.contains(&(self.own, Stage::Closed))
     }
 
-    /// The machines of the plan that are not done, in their order.
+    /// The machines of the plan that are not done, in the order of the plan.
     pub fn machines(&self) -> &[(u64, Stage)] {
         &self.machines
     }
 
-    /// As long after this node stopped waiting for a unit it may still run, and counts as in hand.
+    /// The time for which a unit may still run after this node stopped waiting for it, and counts as in
+    /// flight.
     pub fn longest_unit(&self) -> Duration {
         self.longest_unit
     }
 
-    /// How long ago the last word that this node goes by was asked for.
+    /// The time since the request for the permit in force.
     pub fn for_long(&self, now: Instant) -> Duration {
         self.by.map_or(Duration::from_nanos(0), |(_, asked)| now.since(asked))
     }
 
-    /// When what is closed may be more than before, if nothing is heard.
+    /// The next time at which more machines may have to be treated as closed if no permit arrives.
     pub fn changes_at(&self, now: Instant) -> Option<Instant> {
         let (ends, long) = self.ends()?;
         [ends, long].into_iter().find(|at| *at > now)
@@ -120,8 +126,8 @@
         self.nudged_at.map_or(due, |at| due.min(at.max(asked + MIN_INTERVAL.scaled(0.25))))
     }
 
-    /// Something was decided that this node should hear of: it asks within a moment that is its own. Guards against all nodes
-    /// asking at once, of whom whoever leads could hear no more than its socket holds.
+    /// Schedules a request soon after a decision, after a delay that depends on this node. Guards against all
+    /// nodes sending requests at once, of which the leader could receive no more than its socket buffers.
     pub fn nudged(&mut self, now: Instant) {
         let own = self.socket.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         let wait = Duration::from_nanos(own % MIN_INTERVAL.nanos());
@@ -129,12 +135,15 @@
         self.nudged_at = Some(self.nudged_at.map_or(at, |before| before.min(at)));
     }
 
-    /// Something is to be told or known soon: work in hand at a closed machine has ended, or staff look.
+    /// Shortens the time to the next request: work in flight at a closed machine has ended, or operators read
+    /// the status.
     pub fn hurry(&mut self) {
         self.hurries = true;
     }
 
-    /// What to ask the keepers now, if anything. `in_hand`: at each of `machines`, how much work this node has out there.
+    /// Returns the next request to the voters if one is due. `in_hand` returns the number of units that this
+    /// node has in flight at a machine; the pairs are the units accepted and rejected since the start, and
+    /// whether this node is drained and whether operators read its status.
     pub fn ask(
         &mut self,
         now: Instant,
@@ -153,7 +162,7 @@
         (self.asked_at, self.nudged_at) = (Some(now), None);
         let held = self.machines.iter().map(|(machine, stage)| (*machine, *stage, in_hand(*machine)));
         let held: Vec<(u64, Stage, u16)> = held.filter(|(.., units)| *units > 0).collect();
-        // Whoever waits for this node to be through has to hear of it at once.
+        // The voters wait for this node to have nothing in flight there, and have to learn of it at once.
         self.hurries = held.iter().any(|(_, stage, _)| *stage == Stage::Closed);
         let in_hand = held.into_iter().map(|(machine, _, units)| (machine, units)).collect();
         let closed = |(machine, stage): &&(u64, Stage)| *stage == Stage::Closed && *machine != self.own;
@@ -173,14 +182,16 @@
         })
     }
 
-    /// A permission came; whether what is closed may be different by it. One that is older than what is gone by says nothing.
+    /// Handles a permit and returns whether the closed machines may have changed. A permit for an older
+    /// request than the one in force is ignored.
     pub fn granted(&mut self, permit: &Permit) -> bool {
         let asked = self.asked.remove(&permit.ask).filter(|_| permit.holder == self.holder);
         let Some(asked) = asked.filter(|asked| self.by.is_none_or(|(_, by)| by < *asked)) else {
             return false;
         };
         let Some(machines) = &permit.machines else {
-            // Nothing has changed since what this node knew when it asked, unless it has heard something else meanwhile.
+            // The voters confirm the decision that this node knew when it sent the request; that holds unless
+            // the node has received another one meanwhile.
             if permit.number == self.number {
                 self.by = Some((permit.ask, asked));
             }
@@ -188,7 +199,7 @@
         };
         self.by = Some((permit.ask, asked));
         self.longest_unit = Duration::from_millis(permit.longest_unit_s.saturating_mul(1000));
-        // What is new to this node has to be told as known.
+        // A decision that is new to this node has to be acknowledged soon.
         self.hurries |= self.number != permit.number;
         self.number = permit.number;
         self.machines = machines.clone();
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -1,17 +1,17 @@
-//! What staff hand in.
+//! The maintenance plan that operators submit.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt::Display;
 
-/// What becomes of the rest when a machine does not come back.
+/// What happens to the other machines of the plan if one does not come back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WhenLost {
-    /// Nothing further is taken out before staff say so.
+    /// No further machine is taken out until operators resume the plan.
     #[default]
     Stop,
-    /// It counts as out from then on.
+    /// The plan continues, and the lost machine counts as out.
     GoOn,
 }
 
@@ -19,59 +19,63 @@
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     pub name: String,
-    /// Names of executors, each as the list has it.
+    /// The names of the executors to take out, as in the executor list.
     #[serde(default)]
     pub machines: Vec<String>,
-    /// All that are listed in these zones or of these kinds as well; made names by the node that takes the plan in.
+    /// Adds all listed executors of these zones or of the kinds in `of_kinds`; the node that accepts the plan
+    /// replaces both by names.
     #[serde(default)]
     pub of_zones: Vec<String>,
     #[serde(default)]
     pub of_kinds: Vec<String>,
-    /// The zone of each, as the list has it; filled in by the node that takes the plan in.
+    /// The zone of each of `machines`, as in the executor list; filled in by the node that accepts the plan.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Numbers of nodes whose own machines are to go out as well.
+    /// The numbers of the nodes whose own machines are taken out as well.
     #[serde(default)]
     pub nodes: Vec<u32>,
-    /// Of these at once, counting those that are down beside the plan; and how many must stay.
+    /// The most nodes that may be out at once, counting those that are down outside the plan; `least_nodes`
+    /// is the number of nodes that must stay in service.
     #[serde(default = "one")]
     pub most_nodes_out: u32,
     #[serde(default)]
     pub least_nodes: u32,
-    /// Of nodes in each zone, by the zones in which they say that they stand; as many as in all without it.
+    /// The most nodes that may be out at once in each zone, by the zones that the nodes report. The default
+    /// is no limit by zone.
     #[serde(default = "any")]
     pub most_nodes_out_a_zone: u32,
-    /// At once, counting those that are down beside the plan.
+    /// The most executors that may be out at once, counting those that are down outside the plan.
     pub most_out: u32,
-    /// In each zone; as many as in all without it.
+    /// The most executors that may be out at once in each zone. The default is no limit by zone.
     #[serde(default = "any")]
     pub most_out_a_zone: u32,
-    /// Back and not yet warm, at once; twice as many as may be out without it.
+    /// The most executors that may be back and not yet warm at once. The default is twice `most_out`.
     #[serde(default)]
     pub most_cold: Option<u32>,
-    /// Executors that must stay ready.
+    /// The number of executors that must stay ready.
     pub least_ready: u32,
-    /// How long work in hand may take to end. What takes longer keeps its machine, which is left for staff.
+    /// The longest time in seconds for work in flight to end. A machine whose work takes longer is opened
+    /// again and left to the operators.
     pub drain_within_s: u64,
-    /// How long the work on a machine may take.
+    /// The longest time in seconds that the maintenance of one machine may take.
     pub work_within_s: u64,
-    /// How long one that is back is cold.
+    /// The time in seconds for which a machine that is back counts as cold.
     #[serde(default)]
     pub warm_s: u64,
-    /// The longest that a work unit may run of which no node tells any more.
+    /// The longest time in seconds that a work unit may run once no node reports it any more.
     pub longest_unit_s: u64,
     #[serde(default)]
     pub when_lost: WhenLost,
-    /// Whether it goes on by itself when what stopped it is over.
+    /// Whether a plan that stopped itself resumes by itself once the reason is gone.
     #[serde(default)]
     pub goes_on: bool,
-    /// The part of the work turned back over five seconds at which it stops.
+    /// The share of the work rejected within five seconds above which the plan stops itself.
     #[serde(default = "tenth")]
     pub most_turned_back: f64,
-    /// Machines that go first, in this order.
+    /// The machines to take out first, in this order.
     #[serde(default)]
     pub first: Vec<String>,
-    /// Numbers of nodes that staff know to be down.
+    /// The numbers of the nodes that operators know to be down.
     #[serde(default)]
     pub without: Vec<u32>,
 }
@@ -88,7 +92,8 @@
     0.1
 }
 
-/// More than any fleet has: a longer one is for several plans, and does not fit what is sent of it.
+/// The most machines and nodes in a plan. No fleet has as many; a longer plan has to be split, because its
+/// messages would be too large to send.
 const MAX_MACHINES: usize = 500;
 
 fn wrong(key: &str, expected: &str, found: &dyn Display) -> Result<(), String> {
@@ -96,7 +101,7 @@
 }
 
 impl Plan {
-    /// Whether it can be gone by; the error names the key, what was expected and what was found.
+    /// Checks the plan. An error names the key, what was expected and what was found.
     pub fn check(&self) -> Result<(), String> {
         let count = self.machines.len() + self.nodes.len();
         if count == 0 || count > MAX_MACHINES {
@@ -105,7 +110,7 @@
         self.check_terms()
     }
 
-    /// The same as long as it is not known which machines it means.
+    /// Checks all but the number of machines, for a plan whose zones and kinds are not yet replaced by names.
     pub fn check_terms(&self) -> Result<(), String> {
         let count = self.machines.len();
         if self.name.is_empty() || self.name.len() > 100 {
@@ -126,7 +131,7 @@
         if let Some(at) = self.nodes.iter().position(|node| !nodes.insert(node)) {
             return wrong(&format!("nodes[{at}]"), "each node once", &self.nodes[at]);
         }
-        // Nobody else serves the clients of a node that is sent away.
+        // No other node serves the clients of a node that is drained.
         if !self.nodes.is_empty() && (self.least_nodes == 0 || self.most_nodes_out == 0) {
             return wrong("least_nodes, most_nodes_out", "1 at least where there are nodes", &0);
         }
--- a/crates/maintenance/src/works.rs
+++ b/crates/maintenance/src/works.rs
@@ -1,4 +1,4 @@
-//! The plan and how far each machine is, as the keepers agree on it.
+//! The maintenance state that the voters replicate: the plan and the phase of each machine.
 
 mod messages;
 mod nodes;
@@ -19,20 +19,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Machine {
     name: String,
-    /// The number of the node that it is; none for executors.
+    /// The number of the node whose machine this is; `None` for executors.
     node: Option<u32>,
     hash: u64,
     zone: String,
     phase: Phase,
     since_ms: u64,
-    /// Of the decision that brought it there.
+    /// The number of the decision that brought the machine into this phase.
     number: u64,
-    /// Whether the list has been heard of it since the plan began. Guards against a start that was always there being taken
-    /// for a new one.
+    /// Whether the executor list has been seen with this machine since the plan began. Guards against an old
+    /// start being taken for a new one.
     seen: bool,
     ready: bool,
     started_ms: u64,
-    /// The decision that closed it, and the start that it had then.
+    /// The number of the decision that closed the machine; `closed_start_ms` is the start of the machine at
+    /// that time.
     closed_by: u64,
     closed_start_ms: u64,
     why: String,
@@ -40,14 +41,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Sender {
-    /// The newest that was heard of it.
+    /// The sequence number of the newest request of this process.
     ask: u32,
     until_ms: u64,
     socket: u64,
-    /// Another life has its socket, so it is dead.
+    /// Whether another process of the node uses the same socket, so this one is dead.
     dead: bool,
     knows: u64,
-    /// By the hash of the machine.
+    /// The units in flight at each machine, by the hash of its name.
     in_hand: BTreeMap<u64, u16>,
     through: bool,
     units: u64,
@@ -55,7 +56,7 @@
 }
 
 impl Sender {
-    /// It sends nothing there any more, and has nothing there.
+    /// Whether this process no longer sends to the machine and has nothing in flight there.
     fn is_through(&self, machine: &Machine) -> bool {
         self.knows >= machine.closed_by && !self.in_hand.contains_key(&machine.hash)
     }
@@ -64,9 +65,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 enum Standing {
     Runs,
-    /// By staff.
+    /// Paused by operators.
     Paused,
-    /// By itself, and why.
+    /// The plan stopped itself, for this reason.
     Stopped(String),
     Withdrawn,
     Over,
@@ -77,50 +78,53 @@
     plan: Plan,
     standing: Standing,
     began_ms: u64,
-    /// Executors that were away as it began, by zone: not this plan's.
+    /// The number of executors in each zone that were already down when the plan began; they don't count
+    /// against the plan.
     away_before: BTreeMap<String, u32>,
     machines: Vec<Machine>,
-    /// What holds the next machine up, if anything.
+    /// What the next machine waits for, or empty.
     waits_for: String,
-    /// When a reason to stop was last seen.
+    /// The time at which a reason to stop was last seen.
     hurt_ms: Option<u64>,
 }
 
-/// What the keepers agree on. The clock is that of the steps, and runs no faster than any keeper's.
+/// The replicated maintenance state. Its clock is the sum of the times passed with the steps, and runs no
+/// faster than the clock of any voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Works {
     clock_ms: u64,
     permission_ms: u64,
-    /// How many nodes there are: each may send until it has said otherwise.
+    /// The number of nodes of the fleet; each may send until it has reported otherwise.
     nodes: u32,
-    /// The numbers of those nodes that agree on this.
+    /// The numbers of the nodes that are voters.
     keepers: Vec<u32>,
     number: u64,
-    /// As it begins nobody gets a permission before all nodes have said what they keep closed, or this is over: an earlier
-    /// state may have been lost.
+    /// Until this time no permits are granted unless all nodes have reported what they keep closed: an
+    /// earlier state may have been lost.
     quiet_until_ms: u64,
     heard: BTreeSet<u32>,
     senders: BTreeMap<Holder, Sender>,
-    /// Where each node stands, also while it is away.
+    /// The zone of each node, also while the node is down.
     node_zones: BTreeMap<u32, String>,
-    /// Machines that an earlier plan has left closed, and the start that they had.
+    /// The machines that an earlier plan left closed, by the hashes of their names, and their start at that
+    /// time.
     orphans: BTreeMap<u64, Option<u64>>,
     view: View,
-    /// Units and those turned back at all nodes, as time goes on: what was there by then.
+    /// Samples of the time in milliseconds, and of the units accepted and rejected at all nodes until then.
     tides: Vec<(u64, u64, u64)>,
     told: (u64, u64),
     plans: Option<Plans>,
-    /// Answers to commands, the newest last.
+    /// The answers to commands by the ID of the command, the newest last.
     answers: Vec<(u64, String)>,
 }
 
-/// What turned back and taken in says over.
+/// The time window over which the share of rejected units is measured.
 const TIDE_MS: u64 = 5000;
-/// Answers that are kept for those who ask again.
+/// The number of answers kept for commands that are sent again.
 const ANSWERS: usize = 16;
 
 impl Works {
-    /// Nothing is planned. Permissions last so long; so many nodes may send.
+    /// Creates a state without a plan, for permissions of this lease time and this number of nodes.
     pub fn empty(permission: Duration, nodes: u32, keepers: &[u32]) -> Works {
         let permission_ms = permission.nanos() / 1_000_000;
         Works {
@@ -142,36 +146,36 @@
         }
     }
 
-    /// Whether time alone moves it on.
+    /// Whether the passing of time alone can change the state.
     pub fn waits(&self) -> bool {
         self.plans.as_ref().is_some_and(|plans| plans.standing != Standing::Over)
     }
 
-    /// The machines of which whoever leads should say how they are listed, by the hashes of their names.
+    /// The hashes of the names of the machines whose list entries the leader has to report.
     pub fn watched(&self) -> impl Iterator<Item = u64> {
         let machines = self.plans.iter().flat_map(|plans| &plans.machines);
         let planned = machines.filter(|machine| machine.node.is_none()).map(|machine| machine.hash);
         planned.chain(self.orphans.keys().copied())
     }
 
-    /// What the list said last.
+    /// The last report of the executor list.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// How far each machine of the plan is, by its name.
+    /// The phase of each machine of the plan, with the name of the machine.
     pub fn phases(&self) -> impl Iterator<Item = (&str, Phase)> {
         self.plans.iter().flat_map(|plans| &plans.machines).map(|m| (m.name.as_str(), m.phase))
     }
 
-    /// Nobody may send to this machine and nobody has anything there: the number of the decision by which it is out. Whoever
-    /// works on it does so once for each.
+    /// Returns the number of the decision by which this machine is out, if it is: no node may send there and
+    /// none has anything in flight there. An agent works on the machine once for each such number.
     pub fn out(&self, name: &str) -> Option<u64> {
         let mut machines = self.plans.iter().flat_map(|plans| &plans.machines);
         machines.find(|m| m.name == name && m.phase == Phase::Out).map(|m| m.number)
     }
 
-    /// These steps were settled, so many milliseconds after the ones before; what comes of them.
+    /// Applies committed steps, `passed_ms` after the ones before, and returns the outcomes.
     pub fn apply(&mut self, passed_ms: u64, steps: Vec<Step>, hash: fn(&str) -> u64) -> Vec<Outcome> {
         self.clock_ms += passed_ms;
         let mut outcomes = Vec::new();
@@ -201,13 +205,13 @@
     }
 
     fn hears(&mut self, ask: &Ask) {
-        // One that is out sends nothing before it hears that it may: it is no sender that anything waits for.
+        // A node that is out sends nothing before it learns that it may, so nothing waits for it as a sender.
         let is_out = |machine: &Machine| {
             machine.node == Some(ask.holder.number) && matches!(machine.phase, Phase::Out | Phase::Lost)
         };
         let out = self.plans.iter().flat_map(|plans| &plans.machines).any(is_out);
-        // One ask may overtake another: what the older one says is not true any more. Guards against work that was sent since, and
-        // against a node that was through and has been taken back.
+        // Requests may be reordered; an older one is outdated. Guards against missing work that was sent
+        // since, and against counting a node as drained that has been taken back.
         let overtaken = |sender: &Sender| sender.ask.wrapping_sub(ask.ask) < u32::MAX / 2;
         if (out && ask.through) || self.senders.get(&ask.holder).is_some_and(overtaken) {
             return;
@@ -217,7 +221,8 @@
         if self.node_zones.get(&ask.holder.number) != Some(&ask.zone) {
             self.node_zones.insert(ask.holder.number, ask.zone.clone());
         }
-        // What an asker keeps closed and nobody here knows of was closed by a state that is lost.
+        // If a node keeps a machine closed that is not known as closed here, it was closed by a state that is
+        // lost.
         if ask.knows > self.number {
             let stages = self.stages(None);
             let lost = ask.closed.iter().filter(|machine| !stages.iter().any(|(own, _)| own == *machine));
@@ -233,7 +238,8 @@
         let in_hand = ask.in_hand.iter().copied().collect();
         self.told.0 += units.saturating_sub(units_before);
         self.told.1 += turned_back.saturating_sub(back_before);
-        // Two lives never have one socket: who comes back in the stead of one that died must not wait for the dead one's time.
+        // Two live processes never have the same socket. The process that replaces a dead one must not wait
+        // for the permission of the dead one to expire.
         let Holder { number, generation } = ask.holder;
         let earlier = Holder { number, generation: 0 }..Holder { number, generation };
         let died =
@@ -331,7 +337,7 @@
     }
 
     fn begins(&mut self, plan: Plan, hash: fn(&str) -> u64) {
-        // What an earlier plan has left closed stays closed until it is back.
+        // Machines that an earlier plan left closed stay closed until they are back.
         let left = self.plans.iter().flat_map(|plans| &plans.machines);
         let left = left.filter(|machine| machine.phase == Phase::Lost && machine.node.is_none());
         let left: Vec<_> = left.map(|machine| (machine.hash, Some(machine.closed_start_ms))).collect();
@@ -385,7 +391,7 @@
         well
     }
 
-    /// A withdrawn plan lets be what waits and gives back what drains.
+    /// Withdraws the plan from machines that wait, and opens those that drain.
     fn gives_back(&mut self) {
         let clock_ms = self.clock_ms;
         self.number += 1;
@@ -398,7 +404,8 @@
         }
     }
 
-    /// Lives that may neither send nor have anything out are forgotten; the number stays known.
+    /// Removes processes that may neither send nor have anything in flight; the numbers of their nodes stay
+    /// in `heard`.
     fn tidies(&mut self) {
         let longest_ms = self.plans.as_ref().map_or(0, |plans| plans.plan.longest_unit_s * 1000);
         let clock_ms = self.clock_ms;
@@ -408,7 +415,7 @@
         while self.tides.get(1).is_some_and(|(at, ..)| clock_ms - at >= TIDE_MS) {
             self.tides.remove(0);
         }
-        // Many steps in a moment are one.
+        // Samples less than this time apart are merged into one.
         const FINE_MS: u64 = 250;
         let last = self.tides.len() - 1;
         if last >= 2 && clock_ms - self.tides[last - 2].0 < FINE_MS {
@@ -416,8 +423,8 @@
         }
     }
 
-    /// What nodes are told: all that is not done, in the plan's order, and what earlier plans have left.
-    /// Of nodes' own machines each is told of its own.
+    /// The stages that a permit carries: all machines that are not done, in the order of the plan, and those
+    /// that earlier plans left closed. Of the nodes' own machines, each node receives only its own.
     fn stages(&self, node: Option<u32>) -> Vec<(u64, Stage)> {
         let stage = |machine: &Machine| {
             let stage = match machine.phase {
--- a/crates/maintenance/src/works/messages.rs
+++ b/crates/maintenance/src/works/messages.rs
@@ -1,33 +1,35 @@
-//! What the keepers are told and what they answer, and how far a machine can be.
+//! The messages between nodes and voters, and the phases of a machine.
 
 use super::Shown;
 use crate::plan::Plan;
 use grebeusher_budgets::Holder;
 use serde::{Deserialize, Serialize};
 
-/// A node asks to send on, and says what it has done.
+/// A node's request to renew its permission, with a report of what it has done.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ask {
     pub holder: Holder,
-    /// The zone in which it stands.
+    /// The zone of the node.
     pub zone: String,
     pub ask: u32,
-    /// Where it listens for the others, as a hash: a socket that no other process has while this one lives.
+    /// The hash of the address at which the node listens for the others; no other live process has it.
     pub socket: u64,
-    /// The number of the decision that it goes by: it sends nothing to what that closed.
+    /// The number of the decision that the node follows: it sends nothing to machines closed by it.
     pub knows: u64,
-    /// Work that it has out at machines of the plan that are not done, by the hashes of their names. Not by their places in what
-    /// it was told: those are of its decision, and what it says must be understood whatever was decided since.
+    /// The units in flight at each machine of the plan that is not done, by the hash of the machine's name.
+    /// Not by the position in the permit: positions depend on the decision, and the report has to be
+    /// understood whatever was decided since.
     pub in_hand: Vec<(u64, u16)>,
-    /// What it keeps closed, by the hashes of names: known here too, unless the state was lost.
+    /// The hashes of the names of the machines that the node keeps closed. The voters know of them too,
+    /// unless their state was lost.
     pub closed: Vec<u64>,
-    /// It is itself to go, and is through: its clients are sent away, it has nothing in hand and no part of a budget, and sends nothing
-    /// before it hears that it may stay.
+    /// Whether the node is to be drained itself, and is drained: its clients are sent away, it has nothing in
+    /// flight and no share of a budget, and it sends nothing before it learns that it may stay.
     pub through: bool,
-    /// Since its start: units taken in, and those that were turned back.
+    /// The units accepted since the node started; `turned_back` counts those that were rejected.
     pub units: u64,
     pub turned_back: u64,
-    /// Staff look at this node.
+    /// Whether operators read the plan's status at this node.
     pub shows: bool,
 }
 
@@ -35,30 +37,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
     Waiting,
-    /// It may be closed from now on.
+    /// The machine may be closed from now on.
     Next,
-    /// Nothing may be sent there.
+    /// Nothing may be sent to the machine.
     Closed,
 }
 
-/// What an ask was answered with.
+/// The answer to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Permit {
     pub holder: Holder,
     pub ask: u32,
     pub number: u64,
-    /// The machines that are not done, by the hashes of their names; none where the asker knows of the same decision.
+    /// The machines that are not done, by the hashes of their names; `None` if the node already knows the
+    /// latest decision.
     pub machines: Option<Vec<(u64, Stage)>>,
-    /// The longest that a unit may run of which no node tells any more: as long it counts as in hand.
+    /// The longest time in seconds that a unit may run once no node reports it; it counts as in flight for
+    /// that time.
     pub longest_unit_s: u64,
     pub shown: Option<Shown>,
 }
 
-/// What the list says, at the node that leads.
+/// A report of the executor list as seen by the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct View {
     pub zones: Vec<ZoneSeen>,
-    /// Machines of the plan and such that an earlier plan has left closed.
+    /// The machines of the plan and those that an earlier plan left closed.
     pub machines: Vec<Seen>,
 }
 
@@ -73,7 +77,8 @@
 pub struct Seen {
     pub machine: u64,
     pub ready: bool,
-    /// Which start, as its machine counts: only compared with itself.
+    /// The start time by the clock of the machine, in milliseconds; only compared with other starts of the
+    /// same machine.
     pub started_ms: u64,
 }
 
@@ -82,9 +87,10 @@
     Submit(Box<Plan>),
     Pause,
     Resume,
-    /// Whoever looks at the machine has seen nothing run or wait there since the decision of this number, which made it quiet.
+    /// The agent of the machine has seen nothing run or wait there since the decision of this number, which
+    /// brought the machine into the quiet phase.
     Idle(String, u64),
-    /// What waits is let be, what drains is given back; what is out is waited for.
+    /// Skips the machines that wait, opens those that drain, and waits for those that are out.
     Withdraw,
 }
 
@@ -92,11 +98,11 @@
 pub enum Step {
     Asks(Ask),
     Sees(View),
-    /// A command of the staff with a name of its own, under which it is answered, and done once however often it comes.
+    /// An operator command with an ID, under which it is answered, and applied once however often it is sent.
     Says(u64, Command),
 }
 
-/// Something moved on; for the log of whoever leads.
+/// A change of the plan or of a machine, for the leader's log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Moved {
     pub number: u64,
@@ -109,25 +115,27 @@
     Moved(Moved),
 }
 
-/// How far a machine is.
+/// The phase of a machine in the plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
     Waiting,
-    /// All nodes are told that it may be closed.
+    /// The nodes are told that the machine may be closed.
     Next,
-    /// Nothing new is sent there.
+    /// Nothing new is sent to the machine.
     Draining,
-    /// Nobody may send there any more, but a life that ended may have left something that runs: until as long has passed as a
-    /// unit may run, or whoever looks at the machine has seen since that nothing does.
+    /// No node may send there any more, but a process that ended may have left work running. The phase lasts
+    /// for the longest time that a unit may run, or until the machine's agent reports that nothing runs
+    /// there.
     Quiet,
-    /// Nobody sends there or has anything there: it may be worked on.
+    /// No node sends there or has anything in flight there: maintenance of the machine may begin.
     Out,
-    /// Back by a new start, and cold.
+    /// The machine is back by a new start, and cold.
     Back,
     Done,
-    /// It keeps its work and is open again: left for staff.
+    /// The machine keeps its work and is open again; it is left to the operators.
     Left,
-    /// It did not come back in time: left for staff, and closed until it does.
+    /// The machine did not come back in time. It is left to the operators, and stays closed until it comes
+    /// back.
     Lost,
 }
--- a/crates/maintenance/src/works/nodes.rs
+++ b/crates/maintenance/src/works/nodes.rs
@@ -1,11 +1,12 @@
-//! The nodes' own machines in a plan. A node that is to go sends its clients away, ends what it has in hand, gives its parts of budgets
-//! back and says so itself: nobody else sends to it, so nobody else is waited for. From then on it sends nothing, and is no sender that
-//! anything else waits for, until it asks for a permission again.
+//! Maintenance of the nodes' own machines. A node that is to be drained sends its clients away, ends its work
+//! in flight, returns its shares of budgets and reports that itself: no other node sends to it, so nothing
+//! waits for other nodes. From then on it sends nothing, and nothing waits for it as a sender, until it
+//! requests a permission again.
 
 use super::{Machine, Phase, Plans, Works, is_closed};
 use crate::plan::Plan;
 
-/// What the machine of a node is called in a plan.
+/// The name of a node's machine in a plan.
 pub fn node_name(number: u32) -> String {
     format!("node {number}")
 }
@@ -16,7 +17,7 @@
 }
 
 impl Works {
-    /// Whether the fleet has the nodes of a plan.
+    /// Checks that the fleet has the nodes of a plan.
     pub(super) fn has_nodes(&self, plan: &Plan) -> Result<(), String> {
         match plan.nodes.iter().position(|node| *node >= self.nodes) {
             Some(at) => {
@@ -27,19 +28,19 @@
         }
     }
 
-    /// Whether this node has a permission, in whatever life.
+    /// Whether any process of this node has a permission that has not expired.
     fn is_there(&self, node: u32) -> bool {
         let own = self.senders.iter().filter(|(holder, _)| holder.number == node);
         own.into_iter().any(|(_, sender)| !sender.dead && sender.until_ms > self.clock_ms)
     }
 
-    /// The zone of a machine: of an executor by the list, of a node by its own word.
+    /// The zone of a machine: for an executor by the executor list, for a node as it reports itself.
     pub(super) fn zone_of<'a>(&'a self, machine: &'a Machine) -> &'a str {
         let of_node = |node: u32| self.node_zones.get(&node).map_or("", String::as_str);
         machine.node.map_or(&machine.zone, of_node)
     }
 
-    /// Nodes of a zone that are down beside the plan, and that staff did not know to be.
+    /// The number of nodes in a zone that are down outside the plan and that operators did not name as down.
     pub(super) fn nodes_away(&self, plans: &Plans, zone: &str) -> u32 {
         let own = self.node_zones.iter().filter(|(_, own)| *own == zone).map(|(node, _)| *node);
         let away =
@@ -47,13 +48,13 @@
         own.filter(away).count() as u32
     }
 
-    /// The newest life of a node, as it counts them; 0 before any was heard.
+    /// The generation of the newest process of a node, or 0 before any was heard of.
     fn life(&self, node: u32) -> u64 {
         let own = self.senders.keys().filter(|holder| holder.number == node);
         own.map(|holder| holder.generation).max().unwrap_or(0)
     }
 
-    /// Takes in what is known of the plan's nodes, as the list does for executors.
+    /// Updates the plan's nodes from their requests, as the executor list does for executors.
     pub(super) fn sees_nodes(&self, machines: &mut [Machine]) {
         for machine in machines {
             let Some(node) = machine.node else { continue };
@@ -63,26 +64,27 @@
         }
     }
 
-    /// It has said, knowing that it is to go, that it has nothing left.
+    /// Whether the node has reported, after it learned that it is to be drained, that it has nothing left.
     pub(super) fn is_through(&self, machine: &Machine) -> bool {
         let own = self.senders.iter().filter(|(holder, _)| Some(holder.number) == machine.node);
-        // An earlier life is over: what it had in hand went with it.
+        // An earlier process has ended, and its work in flight with it.
         let newest = own.max_by_key(|(holder, _)| holder.generation);
         newest.is_some_and(|(_, sender)| sender.through && sender.knows >= machine.closed_by)
     }
 
-    /// A node that is out may send nothing any more before it asks again: nothing waits for it.
+    /// Removes the processes of a node that is out: it sends nothing before its next permission, so nothing
+    /// waits for it.
     pub(super) fn forgets(&mut self, node: u32) {
         self.senders.retain(|holder, _| holder.number != node);
     }
 
-    /// What stands against sending this node away now.
+    /// Returns the reason why this node may not be drained now, if any.
     pub(super) fn bars_node(&self, plans: &Plans, machine: &Machine, node: u32) -> Option<String> {
         let Plan { most_nodes_out, most_nodes_out_a_zone, least_nodes, without, .. } = &plans.plan;
         if !machine.ready {
             return Some(format!("{}, which is not there", machine.name));
         }
-        // Those that staff know to be down count as well: whoever serves in their stead bears it.
+        // Nodes that operators named as down do not count as out: those that replace them carry their load.
         let (mut out, mut stay) = (0, 0);
         for other in 0..self.nodes {
             let serves = self.is_there(other) && !goes(plans, other);
@@ -92,7 +94,8 @@
         if out >= *most_nodes_out {
             return Some(format!("{out} nodes are out or down, {most_nodes_out} may be"));
         }
-        // The fronts of a zone send to its own nodes first: those that stay bear what the others did.
+        // The frontends of a zone send to the nodes of their own zone first, so the remaining nodes of the
+        // zone carry the load of the drained ones.
         let zone = self.zone_of(machine);
         let closed = plans.machines.iter().filter(|m| m.node.is_some() && is_closed(m.phase));
         let in_zone =
@@ -107,7 +110,8 @@
         if !self.keepers.contains(&node) {
             return None;
         }
-        // Keepers go one at a time, and the next when the one before has been back for as long as it takes to be warm.
+        // Voters are drained one at a time, and the next one only after the one before has been back for the
+        // warm-up time.
         let is_back = |keeper: u32| {
             let own = plans.machines.iter().find(|m| m.node == Some(keeper));
             self.is_there(keeper) && own.is_none_or(|m| !is_closed(m.phase) && m.phase != Phase::Back)
--- a/crates/maintenance/src/works/progress.rs
+++ b/crates/maintenance/src/works/progress.rs
@@ -1,4 +1,5 @@
-//! How the machines of a plan move on: what holds each up, which goes next, and when the plan stops by itself.
+//! The progress of the machines of a plan: what delays each, which one is next, and when the plan stops
+//! itself.
 
 use super::{Machine, Moved, Outcome, Phase, Plans, Sender, Standing, TIDE_MS, Works, ZoneSeen, is_closed};
 use crate::LONG;
@@ -6,14 +7,15 @@
 use grebeusher_budgets::Holder;
 use std::collections::BTreeMap;
 
-/// Fewer units than this in a tide say nothing.
+/// The least number of units in the window from which the share of rejected units is judged.
 const FEW: u64 = 50;
-/// What stopped it has been over for so long before it goes on by itself.
+/// The time without a reason to stop after which a stopped plan resumes by itself.
 const CALM_MS: u64 = 5000;
 
 impl Works {
-    /// Nodes that have not heard of a decision and may still act as if it were not there. `long`: even one whose permission
-    /// is over may, as long as it does not keep away from all machines.
+    /// Returns a node that may not know of a decision and may act as if it had not been made. A node whose
+    /// permission has expired counts too, until it has been without one for so long ([`LONG`]) that it avoids
+    /// all machines of the plan.
     fn unaware(&self, plan: &Plan, number: u64) -> Option<u32> {
         let without = |node: &u32| plan.without.contains(node);
         let unheard = (0..self.nodes).find(|node| !self.heard.contains(node) && !without(node));
@@ -24,7 +26,7 @@
         unheard.or_else(|| Some(self.senders.iter().find(late)?.0.number))
     }
 
-    /// A node that may still send to a closed machine, or may have work there.
+    /// Returns a node that may still send to a closed machine, or may have work in flight there.
     pub(super) fn holds_up(&self, plan: &Plan, machine: &Machine) -> Option<u32> {
         let longest_ms = plan.longest_unit_s * 1000;
         let holds = |(_, sender): &(&Holder, &Sender)| {
@@ -33,7 +35,7 @@
         Some(self.senders.iter().find(holds)?.0.number)
     }
 
-    /// A node that may still send to a closed machine, or knows of something there.
+    /// Returns a node that may still send to a closed machine, or reports work in flight there.
     fn may_send(&self, machine: &Machine) -> Option<u32> {
         let may = |(_, sender): &(&Holder, &Sender)| {
             !sender.is_through(machine) && !sender.dead && sender.until_ms > self.clock_ms
@@ -41,7 +43,7 @@
         Some(self.senders.iter().find(may)?.0.number)
     }
 
-    /// Executors that are away beside the plan and what was away before it, in each zone.
+    /// The number of executors in each zone that went down since the plan began, outside the plan.
     fn away(&self, plans: &Plans) -> BTreeMap<String, u32> {
         let by_plan = |zone: &str| {
             let own = plans
@@ -58,7 +60,7 @@
         self.view.zones.iter().map(away).collect()
     }
 
-    /// A reason to take nothing further out.
+    /// Returns a reason to stop the plan, if there is one.
     fn hurts(&self, plans: &Plans) -> Option<String> {
         if let Some((_, units, back)) = self.tides.first() {
             let (units, back) = (self.told.0 - units, self.told.1 - back);
@@ -116,14 +118,15 @@
         outcomes.push(Outcome::Moved(Moved { number: self.number, what }));
     }
 
-    /// A machine moves on by what is known of it.
+    /// Moves a machine to its next phase if what is known of it allows that.
     fn moves(&mut self, plans: &mut Plans, at: usize, outcomes: &mut Vec<Outcome>) {
         let Plans { plan, standing, machines, .. } = plans;
         let machine = &machines[at];
         let for_ms = self.clock_ms - machine.since_ms;
         let back = machine.ready && machine.started_ms > machine.closed_start_ms;
         let (phase, why) = match machine.phase {
-            // It died or was taken away, and is back by itself: nothing that was sent is there any more.
+            // The machine died or was removed and came back by itself: nothing that was sent to it is there
+            // any more.
             Phase::Draining | Phase::Quiet if back => {
                 (Phase::Back, "back by a new start while it drained".to_owned())
             }
@@ -153,7 +156,7 @@
             _ => return,
         };
         if phase == Phase::Lost && plan.when_lost == WhenLost::Stop && *standing == Standing::Runs {
-            // By staff only: what is lost does not come back by waiting.
+            // Only operators resume the plan: a lost machine does not come back by waiting.
             *standing = Standing::Paused;
         }
         self.goes(&mut machines[at], phase, why, outcomes);
@@ -181,9 +184,9 @@
             (phase, self.clock_ms, self.number, why);
     }
 
-    /// Announces the next machines, and closes such as all have heard of, as far as the limits allow.
+    /// Announces the next machines, and closes those that all nodes know of, as far as the limits allow.
     fn takes(&mut self, plans: &mut Plans, outcomes: &mut Vec<Outcome>) {
-        // What bars one kind does not hold up the other.
+        // A limit that delays executors does not delay nodes, and the reverse.
         for of_nodes in [false, true] {
             let waits_for = self.takes_of(plans, of_nodes, outcomes);
             if !waits_for.is_empty() && !plans.waits_for.is_empty() {
@@ -193,7 +196,7 @@
         }
     }
 
-    /// The same for executors or for nodes; what it waits for.
+    /// Announces and closes either executors or nodes; returns what the next machine waits for.
     fn takes_of(&mut self, plans: &mut Plans, of_nodes: bool, outcomes: &mut Vec<Outcome>) -> String {
         let most = if of_nodes { plans.plan.most_nodes_out } else { plans.plan.most_out };
         loop {
@@ -220,8 +223,9 @@
         }
     }
 
-    /// Which of those in a phase goes first: as staff insist, then where the zone has gone longest without, then by least work
-    /// in hand. Of announced ones only such whose zone has room, if any has.
+    /// Returns the index of the machine of this phase that is next: first by the operators' order, then
+    /// machines of zones with room, then voters last, then by the fewest machines taken from the zone so far,
+    /// then by the least work in flight.
     fn first_of(&self, plans: &Plans, phase: Phase, of_nodes: bool) -> Option<usize> {
         let own = |machine: &Machine| machine.phase == phase && machine.node.is_some() == of_nodes;
         let all = plans.machines.iter().enumerate().filter(|(_, machine)| own(machine));
@@ -249,14 +253,15 @@
                 .filter_map(|s| s.in_hand.get(&machine.hash))
                 .map(|n| u32::from(*n))
                 .sum();
-            // Of nodes keepers go last: while one is away the loss of another costs more than that of any other node.
+            // Voters are drained last among the nodes: while a voter is down, losing another one costs more
+            // than losing any other node.
             let keeps = machine.node.is_some_and(|node| self.keepers.contains(&node));
             (insisted, full, keeps, taken, held, *at)
         };
         all.min_by_key(rank).map(|(at, _)| at)
     }
 
-    /// What stands against closing a machine now.
+    /// Returns the reason why this executor may not be closed now, if any.
     fn bars(&self, plans: &Plans, at: usize) -> Option<String> {
         let (plan, machine) = (&plans.plan, &plans.machines[at]);
         let executors = || plans.machines.iter().filter(|m| m.node.is_none());
@@ -282,7 +287,7 @@
         if cold >= plan.most_cold() {
             return Some(format!("{cold} are back and cold, {} may be", plan.most_cold()));
         }
-        // Closed ones that the list still calls ready do nothing.
+        // Closed executors that the list still reports as ready serve nothing.
         let ready: u32 = self.view.zones.iter().map(|zone| zone.ready).sum();
         let closed = executors().filter(|m| m.ready && is_closed(m.phase)).count() as u32;
         let stay = ready.saturating_sub(closed + u32::from(machine.ready));
--- a/crates/maintenance/src/works/shown.rs
+++ b/crates/maintenance/src/works/shown.rs
@@ -1,10 +1,10 @@
-//! The state in words and figures, for staff.
+//! The status of the plan for operators.
 
 use super::{Machine, Phase, Standing, Works};
 use serde::{Deserialize, Serialize};
 
 impl Works {
-    /// The state in words and figures.
+    /// Returns the status of the plan for operators.
     pub fn shown(&self) -> Shown {
         let Some(plans) = &self.plans else {
             let standing = "none".to_owned();
@@ -46,14 +46,14 @@
     }
 }
 
-/// What staff see.
+/// The status of the plan as operators read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Shown {
-    /// Of the last decision.
+    /// The number of the last decision.
     pub number: u64,
     pub plan: String,
     pub standing: String,
-    /// What it waits for or was stopped by.
+    /// What the plan waits for, or why it stopped.
     pub why: String,
     pub for_s: u64,
     pub machines: Vec<ShownMachine>,
