--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -23,11 +23,11 @@
 
 mod permission;
 mod plan;
-mod works;
+mod state;
 
 pub use permission::Permission;
 pub use plan::{Plan, WhenLost};
-pub use works::{
+pub use state::{
     Ask, Command, Moved, Outcome, Permit, Phase, Seen, Shown, ShownMachine, Stage, Step, View, Works,
     ZoneSeen, node_name,
 };
--- a/crates/maintenance/src/permission.rs
+++ b/crates/maintenance/src/permission.rs
@@ -1,19 +1,19 @@
 //! The permission of one node: which machines it may not send to, and what it requests of the voters.
 
 use crate::LONG;
-use crate::works::{Ask, Permit, Stage};
+use crate::state::{Ask, Permit, Stage};
 use grebeusher_budgets::{DRIFT, Holder};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use std::collections::BTreeMap;
 
 /// The number of requests per lease time: if several are lost, the next one still renews the permission in
 /// time.
-const ASKS: f64 = 5.0;
+const REQUESTS_PER_LEASE: f64 = 5.0;
 /// The time between requests while the node has something to report, while operators read the status, and
 /// before the first permission.
-const MIN_INTERVAL: Duration = Duration::from_millis(200);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 /// The most requests whose answers are still accepted.
-const OPEN_ASKS: usize = 8;
+const MAX_OPEN_REQUESTS: usize = 8;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Permission {
@@ -21,40 +21,40 @@
     zone: String,
     socket: u64,
     /// The hash of the name of this node's own machine.
-    own: u64,
+    own_machine: u64,
     lease: Duration,
-    asked: BTreeMap<u32, Instant>,
-    next_ask: u32,
-    asked_at: Option<Instant>,
+    open_requests: BTreeMap<u32, Instant>,
+    next_sequence: u32,
+    requested_at: Option<Instant>,
     /// The sequence number of the request whose answer is in force, and the time of that request.
-    by: Option<(u32, Instant)>,
+    in_force: Option<(u32, Instant)>,
     number: u64,
     machines: Vec<(u64, Stage)>,
     longest_unit: Duration,
-    hurries: bool,
-    nudged_at: Option<Instant>,
+    is_urgent: bool,
+    request_soon_at: Option<Instant>,
 }
 
 impl Permission {
     /// Creates the permission of a node that sends nothing before its first permit. `socket` is the hash of
-    /// the address at which this node listens for the others, and `own` the hash of the name of its own
+    /// the address at which this node listens for the others, and `own_machine` the hash of the name of its own
     /// machine.
-    pub fn new(holder: Holder, (socket, own): (u64, u64), lease: Duration) -> Permission {
+    pub fn new(holder: Holder, (socket, own_machine): (u64, u64), lease: Duration) -> Permission {
         Permission {
             holder,
             zone: String::new(),
             socket,
-            own,
+            own_machine,
             lease,
-            asked: BTreeMap::new(),
-            next_ask: 0,
-            asked_at: None,
-            by: None,
+            open_requests: BTreeMap::new(),
+            next_sequence: 0,
+            requested_at: None,
+            in_force: None,
             number: 0,
             machines: Vec::new(),
             longest_unit: Duration::from_nanos(0),
-            hurries: false,
-            nudged_at: None,
+            is_urgent: false,
+            request_soon_at: None,
         }
     }
 
@@ -66,7 +66,7 @@
 
     /// Whether this node has ever received a permit; it sends nothing before.
     pub fn has_word(&self) -> bool {
-        self.by.is_some()
+        self.in_force.is_some()
     }
 
     /// The number of the latest decision that this node follows.
@@ -75,16 +75,16 @@
     }
 
     /// When the permission expires, and when this node has been without one for a long time ([`LONG`]).
-    fn ends(&self) -> Option<(Instant, Instant)> {
-        let (_, asked) = self.by?;
+    fn expiry(&self) -> Option<(Instant, Instant)> {
+        let (_, requested) = self.in_force?;
         let lasts = self.lease.scaled(1.0 - DRIFT);
-        Some((asked + lasts, asked + lasts.scaled((1 + LONG) as f64)))
+        Some((requested + lasts, requested + lasts.scaled((1 + LONG) as f64)))
     }
 
     /// The hashes of the names of the machines that may have been closed by `now`; nothing may be sent to
     /// them.
     pub fn closed(&self, now: Instant) -> impl Iterator<Item = u64> {
-        let from = match self.ends() {
+        let from = match self.expiry() {
             Some((ends, _)) if now < ends => Stage::Closed,
             Some((_, long)) if now < long => Stage::Next,
             _ => Stage::Waiting,
@@ -94,7 +94,7 @@
 
     /// Whether this node itself is to be drained, by the latest permit that it received.
     pub fn goes(&self) -> bool {
-        self.machines.contains(&(self.own, Stage::Closed))
+        self.machines.contains(&(self.own_machine, Stage::Closed))
     }
 
     /// The machines of the plan that are not done, in the order of the plan.
@@ -110,35 +110,36 @@
 
     /// The time since the request for the permit in force.
     pub fn for_long(&self, now: Instant) -> Duration {
-        self.by.map_or(Duration::from_nanos(0), |(_, asked)| now.since(asked))
+        self.in_force.map_or(Duration::from_nanos(0), |(_, requested)| now.since(requested))
     }
 
     /// The next time at which more machines may have to be treated as closed if no permit arrives.
     pub fn changes_at(&self, now: Instant) -> Option<Instant> {
-        let (ends, long) = self.ends()?;
+        let (ends, long) = self.expiry()?;
         [ends, long].into_iter().find(|at| *at > now)
     }
 
     pub fn next_due(&self) -> Instant {
-        let Some(asked) = self.asked_at else { return Instant(0) };
-        let hurries = self.hurries || self.by.is_none();
-        let due = asked + if hurries { MIN_INTERVAL } else { self.lease.scaled(1.0 / ASKS) };
-        self.nudged_at.map_or(due, |at| due.min(at.max(asked + MIN_INTERVAL.scaled(0.25))))
+        let Some(requested) = self.requested_at else { return Instant(0) };
+        let is_urgent = self.is_urgent || self.in_force.is_none();
+        let due = requested
+            + if is_urgent { MIN_REQUEST_INTERVAL } else { self.lease.scaled(1.0 / REQUESTS_PER_LEASE) };
+        self.request_soon_at.map_or(due, |at| due.min(at.max(requested + MIN_REQUEST_INTERVAL.scaled(0.25))))
     }
 
     /// Schedules a request soon after a decision, after a delay that depends on this node. Guards against all
     /// nodes sending requests at once, of which the leader could receive no more than its socket buffers.
     pub fn nudged(&mut self, now: Instant) {
-        let own = self.socket.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        let wait = Duration::from_nanos(own % MIN_INTERVAL.nanos());
+        let delay_hash = self.socket.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
+        let wait = Duration::from_nanos(delay_hash % MIN_REQUEST_INTERVAL.nanos());
         let at = now + wait;
-        self.nudged_at = Some(self.nudged_at.map_or(at, |before| before.min(at)));
+        self.request_soon_at = Some(self.request_soon_at.map_or(at, |before| before.min(at)));
     }
 
     /// Shortens the time to the next request: work in flight at a closed machine has ended, or operators read
     /// the status.
     pub fn hurry(&mut self) {
-        self.hurries = true;
+        self.is_urgent = true;
     }
 
     /// Returns the next request to the voters if one is due. `in_hand` returns the number of units that this
@@ -154,24 +155,25 @@
         if now < self.next_due() {
             return None;
         }
-        self.next_ask = self.next_ask.wrapping_add(1);
-        self.asked.insert(self.next_ask, now);
-        while self.asked.len() > OPEN_ASKS {
-            self.asked.pop_first();
+        self.next_sequence = self.next_sequence.wrapping_add(1);
+        self.open_requests.insert(self.next_sequence, now);
+        while self.open_requests.len() > MAX_OPEN_REQUESTS {
+            self.open_requests.pop_first();
         }
-        (self.asked_at, self.nudged_at) = (Some(now), None);
-        let held = self.machines.iter().map(|(machine, stage)| (*machine, *stage, in_hand(*machine)));
-        let held: Vec<(u64, Stage, u16)> = held.filter(|(.., units)| *units > 0).collect();
+        (self.requested_at, self.request_soon_at) = (Some(now), None);
+        let busy = self.machines.iter().map(|(machine, stage)| (*machine, *stage, in_hand(*machine)));
+        let busy: Vec<(u64, Stage, u16)> = busy.filter(|(.., units)| *units > 0).collect();
         // The voters wait for this node to have nothing in flight there, and have to learn of it at once.
-        self.hurries = held.iter().any(|(_, stage, _)| *stage == Stage::Closed);
-        let in_hand = held.into_iter().map(|(machine, _, units)| (machine, units)).collect();
-        let closed = |(machine, stage): &&(u64, Stage)| *stage == Stage::Closed && *machine != self.own;
+        self.is_urgent = busy.iter().any(|(_, stage, _)| *stage == Stage::Closed);
+        let in_hand = busy.into_iter().map(|(machine, _, units)| (machine, units)).collect();
+        let closed =
+            |(machine, stage): &&(u64, Stage)| *stage == Stage::Closed && *machine != self.own_machine;
         let closed = self.machines.iter().filter(closed);
         Some(Ask {
             holder: self.holder,
             zone: self.zone.clone(),
             socket: self.socket,
-            ask: self.next_ask,
+            ask: self.next_sequence,
             knows: self.number,
             in_hand,
             closed: closed.map(|(machine, _)| *machine).collect(),
@@ -185,22 +187,24 @@
     /// Handles a permit and returns whether the closed machines may have changed. A permit for an older
     /// request than the one in force is ignored.
     pub fn granted(&mut self, permit: &Permit) -> bool {
-        let asked = self.asked.remove(&permit.ask).filter(|_| permit.holder == self.holder);
-        let Some(asked) = asked.filter(|asked| self.by.is_none_or(|(_, by)| by < *asked)) else {
+        let requested = self.open_requests.remove(&permit.ask).filter(|_| permit.holder == self.holder);
+        let Some(requested) =
+            requested.filter(|requested| self.in_force.is_none_or(|(_, in_force)| in_force < *requested))
+        else {
             return false;
         };
         let Some(machines) = &permit.machines else {
             // The voters confirm the decision that this node knew when it sent the request; that holds unless
             // the node has received another one meanwhile.
             if permit.number == self.number {
-                self.by = Some((permit.ask, asked));
+                self.in_force = Some((permit.ask, requested));
             }
             return true;
         };
-        self.by = Some((permit.ask, asked));
+        self.in_force = Some((permit.ask, requested));
         self.longest_unit = Duration::from_millis(permit.longest_unit_s.saturating_mul(1000));
         // A decision that is new to this node has to be acknowledged soon.
-        self.hurries |= self.number != permit.number;
+        self.is_urgent |= self.number != permit.number;
         self.number = permit.number;
         self.machines = machines.clone();
         true
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -42,12 +42,12 @@
     pub least_nodes: u32,
     /// The most nodes that may be out at once in each zone, by the zones that the nodes report. The default
     /// is no limit by zone.
-    #[serde(default = "any")]
+    #[serde(default = "unlimited")]
     pub most_nodes_out_a_zone: u32,
     /// The most executors that may be out at once, counting those that are down outside the plan.
     pub most_out: u32,
     /// The most executors that may be out at once in each zone. The default is no limit by zone.
-    #[serde(default = "any")]
+    #[serde(default = "unlimited")]
     pub most_out_a_zone: u32,
     /// The most executors that may be back and not yet warm at once. The default is twice `most_out`.
     #[serde(default)]
@@ -80,7 +80,7 @@
     pub without: Vec<u32>,
 }
 
-fn any() -> u32 {
+fn unlimited() -> u32 {
     u32::MAX
 }
 
@@ -96,7 +96,7 @@
 /// messages would be too large to send.
 const MAX_MACHINES: usize = 500;
 
-fn wrong(key: &str, expected: &str, found: &dyn Display) -> Result<(), String> {
+fn invalid(key: &str, expected: &str, found: &dyn Display) -> Result<(), String> {
     Err(format!("{key}: expected {expected}, found {found}"))
 }
 
@@ -105,7 +105,7 @@
     pub fn check(&self) -> Result<(), String> {
         let count = self.machines.len() + self.nodes.len();
         if count == 0 || count > MAX_MACHINES {
-            return wrong("machines and nodes, how many", &format!("1 to {MAX_MACHINES}"), &count);
+            return invalid("machines and nodes, how many", &format!("1 to {MAX_MACHINES}"), &count);
         }
         self.check_terms()
     }
@@ -114,38 +114,38 @@
     pub fn check_terms(&self) -> Result<(), String> {
         let count = self.machines.len();
         if self.name.is_empty() || self.name.len() > 100 {
-            return wrong("name", "1 to 100 bytes", &self.name.len());
+            return invalid("name", "1 to 100 bytes", &self.name.len());
         }
-        let mut different = BTreeSet::new();
-        if let Some(at) = self.machines.iter().position(|name| !different.insert(name)) {
-            return wrong(&format!("machines[{at}]"), "each machine once", &self.machines[at]);
+        let mut distinct = BTreeSet::new();
+        if let Some(at) = self.machines.iter().position(|name| !distinct.insert(name)) {
+            return invalid(&format!("machines[{at}]"), "each machine once", &self.machines[at]);
         }
         let named = self.of_zones.is_empty() && self.of_kinds.is_empty();
-        if let Some(at) = self.first.iter().position(|name| named && !different.contains(name)) {
-            return wrong(&format!("first[{at}]"), "one of machines", &self.first[at]);
+        if let Some(at) = self.first.iter().position(|name| named && !distinct.contains(name)) {
+            return invalid(&format!("first[{at}]"), "one of machines", &self.first[at]);
         }
         if self.zones.len() > count || (!self.zones.is_empty() && self.zones.len() < count) {
-            return wrong("zones, how many", &format!("none or {count}"), &self.zones.len());
+            return invalid("zones, how many", &format!("none or {count}"), &self.zones.len());
         }
         let mut nodes = BTreeSet::new();
         if let Some(at) = self.nodes.iter().position(|node| !nodes.insert(node)) {
-            return wrong(&format!("nodes[{at}]"), "each node once", &self.nodes[at]);
+            return invalid(&format!("nodes[{at}]"), "each node once", &self.nodes[at]);
         }
         // No other node serves the clients of a node that is drained.
         if !self.nodes.is_empty() && (self.least_nodes == 0 || self.most_nodes_out == 0) {
-            return wrong("least_nodes, most_nodes_out", "1 at least where there are nodes", &0);
+            return invalid("least_nodes, most_nodes_out", "1 at least where there are nodes", &0);
         }
         if self.most_nodes_out_a_zone == 0 {
-            return wrong("most_nodes_out_a_zone", "1 at least", &0);
+            return invalid("most_nodes_out_a_zone", "1 at least", &0);
         }
         if let Some(at) = self.nodes.iter().position(|node| self.without.contains(node)) {
-            return wrong(&format!("nodes[{at}]"), "one that is not down", &self.nodes[at]);
+            return invalid(&format!("nodes[{at}]"), "one that is not down", &self.nodes[at]);
         }
         if self.most_out == 0 || self.most_out_a_zone == 0 || self.most_cold == Some(0) {
-            return wrong("most_out, most_out_a_zone, most_cold", "1 at least", &0);
+            return invalid("most_out, most_out_a_zone, most_cold", "1 at least", &0);
         }
         if !(0.0..=1.0).contains(&self.most_turned_back) {
-            return wrong("most_turned_back", "0 to 1", &self.most_turned_back);
+            return invalid("most_turned_back", "0 to 1", &self.most_turned_back);
         }
         const DAY_S: u64 = 86_400;
         let spans = [
@@ -156,7 +156,7 @@
         ];
         for (key, found, least) in spans {
             if !(least..=DAY_S).contains(&found) {
-                return wrong(key, &format!("{least} to {DAY_S}"), &found);
+                return invalid(key, &format!("{least} to {DAY_S}"), &found);
             }
         }
         Ok(())
--- a/crates/maintenance/src/works.rs
+++ b/crates/maintenance/src/state.rs
@@ -3,11 +3,11 @@
 mod messages;
 mod nodes;
 mod progress;
-mod shown;
+mod status;
 
 pub use messages::{Ask, Command, Moved, Outcome, Permit, Phase, Seen, Stage, Step, View, ZoneSeen};
 pub use nodes::node_name;
-pub use shown::{Shown, ShownMachine};
+pub use status::{Shown, ShownMachine};
 
 use crate::LONG;
 use crate::plan::Plan;
@@ -43,10 +43,10 @@
 struct Sender {
     /// The sequence number of the newest request of this process.
     ask: u32,
-    until_ms: u64,
+    expires_ms: u64,
     socket: u64,
     /// Whether another process of the node uses the same socket, so this one is dead.
-    dead: bool,
+    is_dead: bool,
     knows: u64,
     /// The units in flight at each machine, by the hash of its name.
     in_hand: BTreeMap<u64, u16>,
@@ -57,35 +57,35 @@
 
 impl Sender {
     /// Whether this process no longer sends to the machine and has nothing in flight there.
-    fn is_through(&self, machine: &Machine) -> bool {
+    fn is_drained(&self, machine: &Machine) -> bool {
         self.knows >= machine.closed_by && !self.in_hand.contains_key(&machine.hash)
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-enum Standing {
-    Runs,
+enum PlanState {
+    Running,
     /// Paused by operators.
     Paused,
     /// The plan stopped itself, for this reason.
     Stopped(String),
     Withdrawn,
-    Over,
+    Finished,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Plans {
+struct ActivePlan {
     plan: Plan,
-    standing: Standing,
-    began_ms: u64,
+    state: PlanState,
+    started_at_ms: u64,
     /// The number of executors in each zone that were already down when the plan began; they don't count
     /// against the plan.
-    away_before: BTreeMap<String, u32>,
+    down_before: BTreeMap<String, u32>,
     machines: Vec<Machine>,
     /// What the next machine waits for, or empty.
-    waits_for: String,
+    waiting_for: String,
     /// The time at which a reason to stop was last seen.
-    hurt_ms: Option<u64>,
+    stop_reason_seen_ms: Option<u64>,
 }
 
 /// The replicated maintenance state. Its clock is the sum of the times passed with the steps, and runs no
@@ -97,65 +97,65 @@
     /// The number of nodes of the fleet; each may send until it has reported otherwise.
     nodes: u32,
     /// The numbers of the nodes that are voters.
-    keepers: Vec<u32>,
+    voters: Vec<u32>,
     number: u64,
     /// Until this time no permits are granted unless all nodes have reported what they keep closed: an
     /// earlier state may have been lost.
-    quiet_until_ms: u64,
-    heard: BTreeSet<u32>,
+    no_permits_until_ms: u64,
+    heard_nodes: BTreeSet<u32>,
     senders: BTreeMap<Holder, Sender>,
     /// The zone of each node, also while the node is down.
     node_zones: BTreeMap<u32, String>,
     /// The machines that an earlier plan left closed, by the hashes of their names, and their start at that
     /// time.
-    orphans: BTreeMap<u64, Option<u64>>,
+    left_closed: BTreeMap<u64, Option<u64>>,
     view: View,
     /// Samples of the time in milliseconds, and of the units accepted and rejected at all nodes until then.
-    tides: Vec<(u64, u64, u64)>,
-    told: (u64, u64),
-    plans: Option<Plans>,
+    load_samples: Vec<(u64, u64, u64)>,
+    total_counts: (u64, u64),
+    active: Option<ActivePlan>,
     /// The answers to commands by the ID of the command, the newest last.
     answers: Vec<(u64, String)>,
 }
 
 /// The time window over which the share of rejected units is measured.
-const TIDE_MS: u64 = 5000;
+const REJECTION_WINDOW_MS: u64 = 5000;
 /// The number of answers kept for commands that are sent again.
-const ANSWERS: usize = 16;
+const MAX_KEPT_ANSWERS: usize = 16;
 
 impl Works {
     /// Creates a state without a plan, for permissions of this lease time and this number of nodes.
-    pub fn empty(permission: Duration, nodes: u32, keepers: &[u32]) -> Works {
+    pub fn empty(permission: Duration, nodes: u32, voters: &[u32]) -> Works {
         let permission_ms = permission.nanos() / 1_000_000;
         Works {
             clock_ms: 0,
             permission_ms,
             nodes,
-            keepers: keepers.to_vec(),
+            voters: voters.to_vec(),
             number: 0,
-            quiet_until_ms: permission_ms / 2,
-            heard: BTreeSet::new(),
+            no_permits_until_ms: permission_ms / 2,
+            heard_nodes: BTreeSet::new(),
             senders: BTreeMap::new(),
             node_zones: BTreeMap::new(),
-            orphans: BTreeMap::new(),
+            left_closed: BTreeMap::new(),
             view: View::default(),
-            tides: Vec::new(),
-            told: (0, 0),
-            plans: None,
+            load_samples: Vec::new(),
+            total_counts: (0, 0),
+            active: None,
             answers: Vec::new(),
         }
     }
 
     /// Whether the passing of time alone can change the state.
     pub fn waits(&self) -> bool {
-        self.plans.as_ref().is_some_and(|plans| plans.standing != Standing::Over)
+        self.active.as_ref().is_some_and(|active| active.state != PlanState::Finished)
     }
 
     /// The hashes of the names of the machines whose list entries the leader has to report.
     pub fn watched(&self) -> impl Iterator<Item = u64> {
-        let machines = self.plans.iter().flat_map(|plans| &plans.machines);
+        let machines = self.active.iter().flat_map(|active| &active.machines);
         let planned = machines.filter(|machine| machine.node.is_none()).map(|machine| machine.hash);
-        planned.chain(self.orphans.keys().copied())
+        planned.chain(self.left_closed.keys().copied())
     }
 
     /// The last report of the executor list.
@@ -165,13 +165,13 @@
 
     /// The phase of each machine of the plan, with the name of the machine.
     pub fn phases(&self) -> impl Iterator<Item = (&str, Phase)> {
-        self.plans.iter().flat_map(|plans| &plans.machines).map(|m| (m.name.as_str(), m.phase))
+        self.active.iter().flat_map(|active| &active.machines).map(|m| (m.name.as_str(), m.phase))
     }
 
     /// Returns the number of the decision by which this machine is out, if it is: no node may send there and
     /// none has anything in flight there. An agent works on the machine once for each such number.
     pub fn out(&self, name: &str) -> Option<u64> {
-        let mut machines = self.plans.iter().flat_map(|plans| &plans.machines);
+        let mut machines = self.active.iter().flat_map(|active| &active.machines);
         machines.find(|m| m.name == name && m.phase == Phase::Out).map(|m| m.number)
     }
 
@@ -183,41 +183,42 @@
         for step in steps {
             match step {
                 Step::Asks(ask) => {
-                    self.hears(&ask);
+                    self.receive_request(&ask);
                     asks.push(ask);
                 }
-                Step::Sees(view) => self.sees(view),
-                Step::Says(name, command) => self.told_to(name, command, hash, &mut outcomes),
+                Step::Sees(view) => self.update_view(view),
+                Step::Says(name, command) => self.apply_command(name, command, hash, &mut outcomes),
             }
         }
-        self.tidies();
-        if let Some(mut plans) = self.plans.take() {
-            self.sees_nodes(&mut plans.machines);
-            self.plans = Some(plans);
+        self.remove_expired();
+        if let Some(mut active) = self.active.take() {
+            self.update_nodes(&mut active.machines);
+            self.active = Some(active);
         }
-        self.moves_on(&mut outcomes);
-        let quiet = self.clock_ms < self.quiet_until_ms && (self.heard.len() as u32) < self.nodes;
-        if !quiet {
-            let permits = asks.into_iter().map(|ask| Outcome::Permit(self.permits(ask)));
+        self.advance(&mut outcomes);
+        let withholds_permits =
+            self.clock_ms < self.no_permits_until_ms && (self.heard_nodes.len() as u32) < self.nodes;
+        if !withholds_permits {
+            let permits = asks.into_iter().map(|ask| Outcome::Permit(self.permit_for(ask)));
             outcomes.extend(permits.collect::<Vec<_>>());
         }
         outcomes
     }
 
-    fn hears(&mut self, ask: &Ask) {
+    fn receive_request(&mut self, ask: &Ask) {
         // A node that is out sends nothing before it learns that it may, so nothing waits for it as a sender.
         let is_out = |machine: &Machine| {
             machine.node == Some(ask.holder.number) && matches!(machine.phase, Phase::Out | Phase::Lost)
         };
-        let out = self.plans.iter().flat_map(|plans| &plans.machines).any(is_out);
+        let out = self.active.iter().flat_map(|active| &active.machines).any(is_out);
         // Requests may be reordered; an older one is outdated. Guards against missing work that was sent
         // since, and against counting a node as drained that has been taken back.
-        let overtaken = |sender: &Sender| sender.ask.wrapping_sub(ask.ask) < u32::MAX / 2;
-        if (out && ask.through) || self.senders.get(&ask.holder).is_some_and(overtaken) {
+        let is_outdated = |sender: &Sender| sender.ask.wrapping_sub(ask.ask) < u32::MAX / 2;
+        if (out && ask.through) || self.senders.get(&ask.holder).is_some_and(is_outdated) {
             return;
         }
-        let until_ms = self.clock_ms + self.permission_ms;
-        self.heard.insert(ask.holder.number);
+        let expires_ms = self.clock_ms + self.permission_ms;
+        self.heard_nodes.insert(ask.holder.number);
         if self.node_zones.get(&ask.holder.number) != Some(&ask.zone) {
             self.node_zones.insert(ask.holder.number, ask.zone.clone());
         }
@@ -229,31 +230,33 @@
             let lost: Vec<u64> = lost.copied().collect();
             if !lost.is_empty() {
                 self.number = self.number.max(ask.knows) + 1;
-                self.orphans.extend(lost.into_iter().map(|machine| (machine, None)));
+                self.left_closed.extend(lost.into_iter().map(|machine| (machine, None)));
             }
         }
         let Ask { knows, units, turned_back, .. } = *ask;
         let before = self.senders.get(&ask.holder).map(|sender| (sender.units, sender.turned_back));
         let (units_before, back_before) = before.unwrap_or_default();
         let in_hand = ask.in_hand.iter().copied().collect();
-        self.told.0 += units.saturating_sub(units_before);
-        self.told.1 += turned_back.saturating_sub(back_before);
+        self.total_counts.0 += units.saturating_sub(units_before);
+        self.total_counts.1 += turned_back.saturating_sub(back_before);
         // Two live processes never have the same socket. The process that replaces a dead one must not wait
         // for the permission of the dead one to expire.
         let Holder { number, generation } = ask.holder;
         let earlier = Holder { number, generation: 0 }..Holder { number, generation };
-        let died =
-            self.senders.range_mut(earlier).filter(|(_, sender)| sender.socket == ask.socket && !sender.dead);
-        died.for_each(|(_, sender)| {
-            (sender.dead, sender.until_ms) = (true, sender.until_ms.min(self.clock_ms));
+        let dead_processes = self
+            .senders
+            .range_mut(earlier)
+            .filter(|(_, sender)| sender.socket == ask.socket && !sender.is_dead);
+        dead_processes.for_each(|(_, sender)| {
+            (sender.is_dead, sender.expires_ms) = (true, sender.expires_ms.min(self.clock_ms));
         });
         self.senders.insert(
             ask.holder,
             Sender {
                 ask: ask.ask,
-                until_ms,
+                expires_ms,
                 socket: ask.socket,
-                dead: false,
+                is_dead: false,
                 knows,
                 in_hand,
                 through: ask.through,
@@ -263,15 +266,15 @@
         );
     }
 
-    fn sees(&mut self, view: View) {
-        let machines = self.plans.iter_mut().flat_map(|plans| &mut plans.machines);
+    fn update_view(&mut self, view: View) {
+        let machines = self.active.iter_mut().flat_map(|active| &mut active.machines);
         for machine in machines {
             if let Some(seen) = view.machines.iter().find(|seen| seen.machine == machine.hash) {
                 (machine.seen, machine.ready, machine.started_ms) = (true, seen.ready, seen.started_ms);
             }
         }
         let mut back = Vec::new();
-        for (machine, start) in &mut self.orphans {
+        for (machine, start) in &mut self.left_closed {
             match view.machines.iter().find(|seen| seen.machine == *machine) {
                 Some(seen) if start.is_some_and(|start| seen.ready && seen.started_ms > start) => {
                     back.push(*machine);
@@ -281,68 +284,74 @@
             }
         }
         for machine in &back {
-            self.orphans.remove(machine);
+            self.left_closed.remove(machine);
         }
         self.number += u64::from(!back.is_empty());
         self.view = view;
     }
 
-    fn told_to(&mut self, name: u64, command: Command, hash: fn(&str) -> u64, outcomes: &mut Vec<Outcome>) {
+    fn apply_command(
+        &mut self,
+        name: u64,
+        command: Command,
+        hash: fn(&str) -> u64,
+        outcomes: &mut Vec<Outcome>,
+    ) {
         if self.answers.iter().any(|(known, _)| *known == name) {
             return;
         }
-        let under_way = self.plans.as_ref().filter(|plans| plans.standing != Standing::Over);
-        let answer = match (command, under_way.is_some()) {
-            (Command::Submit(plan), false) => match plan.check().and_then(|()| self.has_nodes(&plan)) {
+        let unfinished = self.active.as_ref().filter(|active| active.state != PlanState::Finished);
+        let answer = match (command, unfinished.is_some()) {
+            (Command::Submit(plan), false) => match plan.check().and_then(|()| self.check_nodes(&plan)) {
                 Err(wrong) => format!("refused: {wrong}"),
                 Ok(()) => {
                     let count = plan.machines.len() + plan.nodes.len();
                     let answer = format!("taken: {}, {count} machines", plan.name);
-                    self.begins(*plan, hash);
+                    self.start_plan(*plan, hash);
                     answer
                 }
             },
             (Command::Submit(_), true) => {
-                let name = under_way.map_or("", |plans| plans.plan.name.as_str());
+                let name = unfinished.map_or("", |active| active.plan.name.as_str());
                 format!("refused: the plan {name:?} is under way")
             }
             (_, false) => "refused: no plan is under way".to_owned(),
-            (Command::Idle(machine, number), true) => match self.is_idle(&machine, number, outcomes) {
+            (Command::Idle(machine, number), true) => match self.set_idle(&machine, number, outcomes) {
                 true => format!("{machine} is out"),
                 false => format!("refused: {machine} was not made quiet by decision {number}"),
             },
             (command, true) => {
-                let (standing, said) = match command {
-                    Command::Pause => (Standing::Paused, "paused"),
-                    Command::Withdraw => (Standing::Withdrawn, "withdrawn"),
-                    _ => (Standing::Runs, "goes on"),
+                let (state, said) = match command {
+                    Command::Pause => (PlanState::Paused, "paused"),
+                    Command::Withdraw => (PlanState::Withdrawn, "withdrawn"),
+                    _ => (PlanState::Running, "goes on"),
                 };
-                let withdraws = standing == Standing::Withdrawn;
+                let is_withdrawal = state == PlanState::Withdrawn;
                 let was_withdrawn =
-                    self.plans.as_ref().is_some_and(|plans| plans.standing == Standing::Withdrawn);
-                if let Some(plans) = self.plans.as_mut().filter(|_| !was_withdrawn) {
-                    (plans.standing, plans.hurt_ms) = (standing, None);
+                    self.active.as_ref().is_some_and(|active| active.state == PlanState::Withdrawn);
+                if let Some(active) = self.active.as_mut().filter(|_| !was_withdrawn) {
+                    (active.state, active.stop_reason_seen_ms) = (state, None);
                 }
-                if withdraws {
-                    self.gives_back();
+                if is_withdrawal {
+                    self.open_unfinished();
                 }
                 if was_withdrawn { "refused: it was withdrawn".to_owned() } else { said.to_owned() }
             }
         };
         outcomes.push(Outcome::Moved(Moved { number: self.number, what: answer.clone() }));
         self.answers.push((name, answer));
-        if self.answers.len() > ANSWERS {
+        if self.answers.len() > MAX_KEPT_ANSWERS {
             self.answers.remove(0);
         }
     }
 
-    fn begins(&mut self, plan: Plan, hash: fn(&str) -> u64) {
+    fn start_plan(&mut self, plan: Plan, hash: fn(&str) -> u64) {
         // Machines that an earlier plan left closed stay closed until they are back.
-        let left = self.plans.iter().flat_map(|plans| &plans.machines);
+        let left = self.active.iter().flat_map(|active| &active.machines);
         let left = left.filter(|machine| machine.phase == Phase::Lost && machine.node.is_none());
         let left: Vec<_> = left.map(|machine| (machine.hash, Some(machine.closed_start_ms))).collect();
-        self.orphans.extend(left);
-        let away = |zone: &ZoneSeen| (zone.zone.clone(), zone.listed.saturating_sub(zone.ready));
+        self.left_closed.extend(left);
+        let down = |zone: &ZoneSeen| (zone.zone.clone(), zone.listed.saturating_sub(zone.ready));
         let machine = |name: String, zone: String, node: Option<u32>| Machine {
             hash: hash(&name),
             name,
@@ -365,38 +374,38 @@
             plan.nodes.iter().map(|node| machine(nodes::node_name(*node), String::new(), Some(*node)));
         let machines: Vec<Machine> = executors.chain(nodes).collect();
         for machine in &machines {
-            self.orphans.remove(&machine.hash);
+            self.left_closed.remove(&machine.hash);
         }
         self.number += 1;
-        self.plans = Some(Plans {
-            standing: Standing::Runs,
-            began_ms: self.clock_ms,
-            away_before: self.view.zones.iter().map(away).collect(),
+        self.active = Some(ActivePlan {
+            state: PlanState::Running,
+            started_at_ms: self.clock_ms,
+            down_before: self.view.zones.iter().map(down).collect(),
             machines,
-            waits_for: "a word of the list".to_owned(),
-            hurt_ms: None,
+            waiting_for: "a word of the list".to_owned(),
+            stop_reason_seen_ms: None,
             plan,
         });
     }
 
-    fn is_idle(&mut self, name: &str, number: u64, outcomes: &mut Vec<Outcome>) -> bool {
-        let Some(mut plans) = self.plans.take() else { return false };
-        let machine = plans.machines.iter_mut().find(|m| m.name == name);
+    fn set_idle(&mut self, name: &str, number: u64, outcomes: &mut Vec<Outcome>) -> bool {
+        let Some(mut active) = self.active.take() else { return false };
+        let machine = active.machines.iter_mut().find(|m| m.name == name);
         let machine = machine.filter(|m| m.phase == Phase::Quiet && m.number == number);
-        let well = machine.is_some();
+        let is_accepted = machine.is_some();
         if let Some(machine) = machine {
-            self.goes(machine, Phase::Out, "seen idle".to_owned(), outcomes);
+            self.set_phase(machine, Phase::Out, "seen idle".to_owned(), outcomes);
         }
-        self.plans = Some(plans);
-        well
+        self.active = Some(active);
+        is_accepted
     }
 
     /// Withdraws the plan from machines that wait, and opens those that drain.
-    fn gives_back(&mut self) {
+    fn open_unfinished(&mut self) {
         let clock_ms = self.clock_ms;
         self.number += 1;
         let number = self.number;
-        for machine in self.plans.iter_mut().flat_map(|plans| &mut plans.machines) {
+        for machine in self.active.iter_mut().flat_map(|active| &mut active.machines) {
             if matches!(machine.phase, Phase::Waiting | Phase::Next | Phase::Draining | Phase::Quiet) {
                 (machine.phase, machine.since_ms, machine.number) = (Phase::Left, clock_ms, number);
                 machine.why = "the plan was withdrawn".to_owned();
@@ -405,21 +414,21 @@
     }
 
     /// Removes processes that may neither send nor have anything in flight; the numbers of their nodes stay
-    /// in `heard`.
-    fn tidies(&mut self) {
-        let longest_ms = self.plans.as_ref().map_or(0, |plans| plans.plan.longest_unit_s * 1000);
+    /// in `heard_nodes`.
+    fn remove_expired(&mut self) {
+        let longest_ms = self.active.as_ref().map_or(0, |active| active.plan.longest_unit_s * 1000);
         let clock_ms = self.clock_ms;
         let over_ms = (LONG + 1) * self.permission_ms + longest_ms;
-        self.senders.retain(|_, sender| sender.until_ms + over_ms > clock_ms);
-        self.tides.push((clock_ms, self.told.0, self.told.1));
-        while self.tides.get(1).is_some_and(|(at, ..)| clock_ms - at >= TIDE_MS) {
-            self.tides.remove(0);
+        self.senders.retain(|_, sender| sender.expires_ms + over_ms > clock_ms);
+        self.load_samples.push((clock_ms, self.total_counts.0, self.total_counts.1));
+        while self.load_samples.get(1).is_some_and(|(at, ..)| clock_ms - at >= REJECTION_WINDOW_MS) {
+            self.load_samples.remove(0);
         }
         // Samples less than this time apart are merged into one.
-        const FINE_MS: u64 = 250;
-        let last = self.tides.len() - 1;
-        if last >= 2 && clock_ms - self.tides[last - 2].0 < FINE_MS {
-            self.tides.remove(last - 1);
+        const MIN_SAMPLE_INTERVAL_MS: u64 = 250;
+        let last = self.load_samples.len() - 1;
+        if last >= 2 && clock_ms - self.load_samples[last - 2].0 < MIN_SAMPLE_INTERVAL_MS {
+            self.load_samples.remove(last - 1);
         }
     }
 
@@ -435,15 +444,15 @@
             };
             Some((machine.hash, stage))
         };
-        let machines = self.plans.iter().flat_map(|plans| &plans.machines);
+        let machines = self.active.iter().flat_map(|active| &active.machines);
         let planned = machines.filter(|m| m.node.is_none() || m.node == node).filter_map(stage);
-        planned.chain(self.orphans.keys().map(|machine| (*machine, Stage::Closed))).collect()
+        planned.chain(self.left_closed.keys().map(|machine| (*machine, Stage::Closed))).collect()
     }
 
-    fn permits(&self, ask: Ask) -> Permit {
+    fn permit_for(&self, ask: Ask) -> Permit {
         let Ask { holder, ask, knows, shows, .. } = ask;
         let machines = (knows != self.number).then(|| self.stages(Some(holder.number)));
-        let longest_unit_s = self.plans.as_ref().map_or(0, |plans| plans.plan.longest_unit_s);
+        let longest_unit_s = self.active.as_ref().map_or(0, |active| active.plan.longest_unit_s);
         Permit {
             holder,
             ask,
--- a/crates/maintenance/src/works/nodes.rs
+++ b/crates/maintenance/src/state/nodes.rs
@@ -3,7 +3,7 @@
 //! waits for other nodes. From then on it sends nothing, and nothing waits for it as a sender, until it
 //! requests a permission again.
 
-use super::{Machine, Phase, Plans, Works, is_closed};
+use super::{ActivePlan, Machine, Phase, Works, is_closed};
 use crate::plan::Plan;
 
 /// The name of a node's machine in a plan.
@@ -12,13 +12,13 @@
 }
 
 /// Whether the plan has closed this node.
-fn goes(plans: &Plans, node: u32) -> bool {
-    plans.machines.iter().any(|m| m.node == Some(node) && is_closed(m.phase))
+fn is_node_closed(active: &ActivePlan, node: u32) -> bool {
+    active.machines.iter().any(|m| m.node == Some(node) && is_closed(m.phase))
 }
 
 impl Works {
     /// Checks that the fleet has the nodes of a plan.
-    pub(super) fn has_nodes(&self, plan: &Plan) -> Result<(), String> {
+    pub(super) fn check_nodes(&self, plan: &Plan) -> Result<(), String> {
         match plan.nodes.iter().position(|node| *node >= self.nodes) {
             Some(at) => {
                 let (count, found) = (self.nodes, plan.nodes[at]);
@@ -29,9 +29,9 @@
     }
 
     /// Whether any process of this node has a permission that has not expired.
-    fn is_there(&self, node: u32) -> bool {
+    fn has_permission(&self, node: u32) -> bool {
         let own = self.senders.iter().filter(|(holder, _)| holder.number == node);
-        own.into_iter().any(|(_, sender)| !sender.dead && sender.until_ms > self.clock_ms)
+        own.into_iter().any(|(_, sender)| !sender.is_dead && sender.expires_ms > self.clock_ms)
     }
 
     /// The zone of a machine: for an executor by the executor list, for a node as it reports itself.
@@ -41,31 +41,34 @@
     }
 
     /// The number of nodes in a zone that are down outside the plan and that operators did not name as down.
-    pub(super) fn nodes_away(&self, plans: &Plans, zone: &str) -> u32 {
+    pub(super) fn nodes_down(&self, active: &ActivePlan, zone: &str) -> u32 {
         let own = self.node_zones.iter().filter(|(_, own)| *own == zone).map(|(node, _)| *node);
-        let away =
-            |node: &u32| !self.is_there(*node) && !plans.plan.without.contains(node) && !goes(plans, *node);
-        own.filter(away).count() as u32
+        let down = |node: &u32| {
+            !self.has_permission(*node)
+                && !active.plan.without.contains(node)
+                && !is_node_closed(active, *node)
+        };
+        own.filter(down).count() as u32
     }
 
     /// The generation of the newest process of a node, or 0 before any was heard of.
-    fn life(&self, node: u32) -> u64 {
+    fn newest_generation(&self, node: u32) -> u64 {
         let own = self.senders.keys().filter(|holder| holder.number == node);
         own.map(|holder| holder.generation).max().unwrap_or(0)
     }
 
     /// Updates the plan's nodes from their requests, as the executor list does for executors.
-    pub(super) fn sees_nodes(&self, machines: &mut [Machine]) {
+    pub(super) fn update_nodes(&self, machines: &mut [Machine]) {
         for machine in machines {
             let Some(node) = machine.node else { continue };
-            machine.ready = self.is_there(node);
+            machine.ready = self.has_permission(node);
             machine.seen |= machine.ready;
-            machine.started_ms = machine.started_ms.max(self.life(node));
+            machine.started_ms = machine.started_ms.max(self.newest_generation(node));
         }
     }
 
     /// Whether the node has reported, after it learned that it is to be drained, that it has nothing left.
-    pub(super) fn is_through(&self, machine: &Machine) -> bool {
+    pub(super) fn is_drained(&self, machine: &Machine) -> bool {
         let own = self.senders.iter().filter(|(holder, _)| Some(holder.number) == machine.node);
         // An earlier process has ended, and its work in flight with it.
         let newest = own.max_by_key(|(holder, _)| holder.generation);
@@ -74,20 +77,25 @@
 
     /// Removes the processes of a node that is out: it sends nothing before its next permission, so nothing
     /// waits for it.
-    pub(super) fn forgets(&mut self, node: u32) {
+    pub(super) fn remove_processes(&mut self, node: u32) {
         self.senders.retain(|holder, _| holder.number != node);
     }
 
     /// Returns the reason why this node may not be drained now, if any.
-    pub(super) fn bars_node(&self, plans: &Plans, machine: &Machine, node: u32) -> Option<String> {
-        let Plan { most_nodes_out, most_nodes_out_a_zone, least_nodes, without, .. } = &plans.plan;
+    pub(super) fn node_blocking_reason(
+        &self,
+        active: &ActivePlan,
+        machine: &Machine,
+        node: u32,
+    ) -> Option<String> {
+        let Plan { most_nodes_out, most_nodes_out_a_zone, least_nodes, without, .. } = &active.plan;
         if !machine.ready {
             return Some(format!("{}, which is not there", machine.name));
         }
         // Nodes that operators named as down do not count as out: those that replace them carry their load.
         let (mut out, mut stay) = (0, 0);
         for other in 0..self.nodes {
-            let serves = self.is_there(other) && !goes(plans, other);
+            let serves = self.has_permission(other) && !is_node_closed(active, other);
             out += u32::from(!serves && !without.contains(&other));
             stay += u32::from(serves && other != node);
         }
@@ -97,9 +105,9 @@
         // The frontends of a zone send to the nodes of their own zone first, so the remaining nodes of the
         // zone carry the load of the drained ones.
         let zone = self.zone_of(machine);
-        let closed = plans.machines.iter().filter(|m| m.node.is_some() && is_closed(m.phase));
+        let closed = active.machines.iter().filter(|m| m.node.is_some() && is_closed(m.phase));
         let in_zone =
-            closed.filter(|m| self.zone_of(m) == zone).count() as u32 + self.nodes_away(plans, zone);
+            closed.filter(|m| self.zone_of(m) == zone).count() as u32 + self.nodes_down(active, zone);
         if in_zone >= *most_nodes_out_a_zone {
             let most = most_nodes_out_a_zone;
             return Some(format!("{in_zone} nodes of zone {zone} are out or down, {most} may be"));
@@ -107,16 +115,16 @@
         if stay < *least_nodes {
             return Some(format!("{stay} nodes would stay, {least_nodes} must"));
         }
-        if !self.keepers.contains(&node) {
+        if !self.voters.contains(&node) {
             return None;
         }
         // Voters are drained one at a time, and the next one only after the one before has been back for the
         // warm-up time.
-        let is_back = |keeper: u32| {
-            let own = plans.machines.iter().find(|m| m.node == Some(keeper));
-            self.is_there(keeper) && own.is_none_or(|m| !is_closed(m.phase) && m.phase != Phase::Back)
+        let is_back = |voter: u32| {
+            let own = active.machines.iter().find(|m| m.node == Some(voter));
+            self.has_permission(voter) && own.is_none_or(|m| !is_closed(m.phase) && m.phase != Phase::Back)
         };
-        let other = self.keepers.iter().find(|keeper| **keeper != node && !is_back(**keeper));
-        other.map(|keeper| format!("node {keeper}, a keeper that is not back"))
+        let other = self.voters.iter().find(|voter| **voter != node && !is_back(**voter));
+        other.map(|voter| format!("node {voter}, a keeper that is not back"))
     }
 }
--- a/crates/maintenance/src/works/shown.rs
+++ b/crates/maintenance/src/state/status.rs
@@ -1,12 +1,12 @@
 //! The status of the plan for operators.
 
-use super::{Machine, Phase, Standing, Works};
+use super::{Machine, Phase, PlanState, Works};
 use serde::{Deserialize, Serialize};
 
 impl Works {
     /// Returns the status of the plan for operators.
     pub fn shown(&self) -> Shown {
-        let Some(plans) = &self.plans else {
+        let Some(active) = &self.active else {
             let standing = "none".to_owned();
             return Shown {
                 number: self.number,
@@ -15,12 +15,12 @@
                 ..Shown::default()
             };
         };
-        let (standing, why) = match &plans.standing {
-            Standing::Runs => ("runs", plans.waits_for.clone()),
-            Standing::Paused => ("paused", String::new()),
-            Standing::Stopped(why) => ("stopped", why.clone()),
-            Standing::Withdrawn => ("withdrawn", String::new()),
-            Standing::Over => ("over", String::new()),
+        let (standing, why) = match &active.state {
+            PlanState::Running => ("runs", active.waiting_for.clone()),
+            PlanState::Paused => ("paused", String::new()),
+            PlanState::Stopped(why) => ("stopped", why.clone()),
+            PlanState::Withdrawn => ("withdrawn", String::new()),
+            PlanState::Finished => ("over", String::new()),
         };
         let machine = |m: &Machine| ShownMachine {
             name: m.name.clone(),
@@ -29,18 +29,18 @@
             number: m.number,
             why: match m.phase {
                 Phase::Draining => self
-                    .holds_up(&plans.plan, m)
+                    .delaying_node(&active.plan, m)
                     .map_or_else(String::new, |node| format!("waits for node {node}")),
                 _ => m.why.clone(),
             },
         };
         Shown {
             number: self.number,
-            plan: plans.plan.name.clone(),
+            plan: active.plan.name.clone(),
             standing: standing.to_owned(),
             why,
-            for_s: (self.clock_ms - plans.began_ms) / 1000,
-            machines: plans.machines.iter().map(machine).collect(),
+            for_s: (self.clock_ms - active.started_at_ms) / 1000,
+            machines: active.machines.iter().map(machine).collect(),
             answers: self.answers.clone(),
         }
     }
