--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -1,7 +1,7 @@
 //! What staff say to a fleet of nodes, by the console of any of them.
 
 use clap::{Parser, Subcommand};
-use grebeusher_maintenance::{Phase, Shown};
+use grebeusher_maintenance::{Phase, PlanStatus};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
 #[derive(Deserialize)]
 struct Seen {
     age_ms: Option<u64>,
-    shown: Option<Shown>,
+    shown: Option<PlanStatus>,
 }
 
 struct Console {
@@ -109,7 +109,7 @@
     }
 
     /// The plan as the keepers know it now.
-    fn shown(&self) -> Result<Shown, Wrong> {
+    fn shown(&self) -> Result<PlanStatus, Wrong> {
         let began = Instant::now();
         loop {
             let seen = self.seen()?;
@@ -231,7 +231,7 @@
     }
 }
 
-fn plan_in_words(shown: &Shown) -> String {
+fn plan_in_words(shown: &PlanStatus) -> String {
     if shown.plan.is_empty() {
         return "no plan has been handed in".to_owned();
     }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,7 +1,7 @@
 //! Takes machines out for maintenance in an order that the nodes agree on, without losing work. Does no I/O
 //! and reads no clock.
 //!
-//! [`Works`] is the state that the voters replicate: the plan, the phase of each machine, and what each node
+//! [`MaintenanceState`] is the state that the voters replicate: the plan, the phase of each machine, and what each node
 //! may still do. It is a state machine over [`Step`]s: equal steps give equal states. [`Permission`] is the
 //! side of one node: which machines it may send nothing to, and what it requests of the voters.
 //!
@@ -14,7 +14,7 @@
 //! which is later. A node whose permission has expired avoids all machines that may have been closed
 //! meanwhile. It knows them: a machine is announced to all nodes before it can be closed, and a node that has
 //! not acknowledged the announcement delays the closing, unless it has been without a permission for so long
-//! ([`LONG`]) that it avoids all machines of the plan. A node that has just started sends nothing before its
+//! ([`LONG_ABSENCE_LEASES`]) that it avoids all machines of the plan. A node that has just started sends nothing before its
 //! first permission.
 //!
 //! **A node's own machine** in a plan receives requests from clients only, so only that node has to report
@@ -28,11 +28,11 @@
 pub use permission::Permission;
 pub use plan::{Plan, WhenLost};
 pub use state::{
-    Ask, Command, Moved, Outcome, Permit, Phase, Seen, Shown, ShownMachine, Stage, Step, View, Works,
-    ZoneSeen, node_name,
+    Command, ListView, MachineStatus, MachineView, MaintenanceState, Outcome, Permit, PermitRequest, Phase,
+    PlanChange, PlanStatus, Stage, Step, ZoneView, node_name,
 };
 
 /// After this number of lease times without a permission a node avoids all machines of the plan and no longer
 /// delays it. With leases of ten seconds, that is a minute: a partition is over or a process restarted by
 /// then; longer outages need an operator.
-pub const LONG: u64 = 6;
+pub const LONG_ABSENCE_LEASES: u64 = 6;
--- a/crates/maintenance/src/permission.rs
+++ b/crates/maintenance/src/permission.rs
@@ -1,7 +1,7 @@
 //! The permission of one node: which machines it may not send to, and what it requests of the voters.
 
-use crate::LONG;
-use crate::state::{Ask, Permit, Stage};
+use crate::LONG_ABSENCE_LEASES;
+use crate::state::{Permit, PermitRequest, Stage};
 use grebeusher_budgets::{DRIFT, Holder};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 pub struct Permission {
     holder: Holder,
     zone: String,
-    socket: u64,
+    socket_hash: u64,
     /// The hash of the name of this node's own machine.
     own_machine: u64,
     lease: Duration,
@@ -30,20 +30,20 @@
     in_force: Option<(u32, Instant)>,
     number: u64,
     machines: Vec<(u64, Stage)>,
-    longest_unit: Duration,
+    max_unit_time: Duration,
     is_urgent: bool,
     request_soon_at: Option<Instant>,
 }
 
 impl Permission {
-    /// Creates the permission of a node that sends nothing before its first permit. `socket` is the hash of
+    /// Creates the permission of a node that sends nothing before its first permit. `socket_hash` is the hash of
     /// the address at which this node listens for the others, and `own_machine` the hash of the name of its own
     /// machine.
-    pub fn new(holder: Holder, (socket, own_machine): (u64, u64), lease: Duration) -> Permission {
+    pub fn new(holder: Holder, (socket_hash, own_machine): (u64, u64), lease: Duration) -> Permission {
         Permission {
             holder,
             zone: String::new(),
-            socket,
+            socket_hash,
             own_machine,
             lease,
             open_requests: BTreeMap::new(),
@@ -52,20 +52,20 @@
             in_force: None,
             number: 0,
             machines: Vec::new(),
-            longest_unit: Duration::from_nanos(0),
+            max_unit_time: Duration::from_nanos(0),
             is_urgent: false,
             request_soon_at: None,
         }
     }
 
     /// Sets the zone of this node.
-    pub fn standing_in(mut self, zone: &str) -> Permission {
+    pub fn with_zone(mut self, zone: &str) -> Permission {
         self.zone = zone.to_owned();
         self
     }
 
     /// Whether this node has ever received a permit; it sends nothing before.
-    pub fn has_word(&self) -> bool {
+    pub fn has_permit(&self) -> bool {
         self.in_force.is_some()
     }
 
@@ -74,11 +74,11 @@
         self.number
     }
 
-    /// When the permission expires, and when this node has been without one for a long time ([`LONG`]).
+    /// When the permission expires, and when this node has been without one for a long time ([`LONG_ABSENCE_LEASES`]).
     fn expiry(&self) -> Option<(Instant, Instant)> {
         let (_, requested) = self.in_force?;
         let lasts = self.lease.scaled(1.0 - DRIFT);
-        Some((requested + lasts, requested + lasts.scaled((1 + LONG) as f64)))
+        Some((requested + lasts, requested + lasts.scaled((1 + LONG_ABSENCE_LEASES) as f64)))
     }
 
     /// The hashes of the names of the machines that may have been closed by `now`; nothing may be sent to
@@ -93,7 +93,7 @@
     }
 
     /// Whether this node itself is to be drained, by the latest permit that it received.
-    pub fn goes(&self) -> bool {
+    pub fn is_own_machine_closed(&self) -> bool {
         self.machines.contains(&(self.own_machine, Stage::Closed))
     }
 
@@ -104,22 +104,22 @@
 
     /// The time for which a unit may still run after this node stopped waiting for it, and counts as in
     /// flight.
-    pub fn longest_unit(&self) -> Duration {
-        self.longest_unit
+    pub fn max_unit_time(&self) -> Duration {
+        self.max_unit_time
     }
 
     /// The time since the request for the permit in force.
-    pub fn for_long(&self, now: Instant) -> Duration {
+    pub fn permit_age(&self, now: Instant) -> Duration {
         self.in_force.map_or(Duration::from_nanos(0), |(_, requested)| now.since(requested))
     }
 
     /// The next time at which more machines may have to be treated as closed if no permit arrives.
-    pub fn changes_at(&self, now: Instant) -> Option<Instant> {
+    pub fn next_closing_at(&self, now: Instant) -> Option<Instant> {
         let (ends, long) = self.expiry()?;
         [ends, long].into_iter().find(|at| *at > now)
     }
 
-    pub fn next_due(&self) -> Instant {
+    pub fn next_request_at(&self) -> Instant {
         let Some(requested) = self.requested_at else { return Instant(0) };
         let is_urgent = self.is_urgent || self.in_force.is_none();
         let due = requested
@@ -129,8 +129,8 @@
 
     /// Schedules a request soon after a decision, after a delay that depends on this node. Guards against all
     /// nodes sending requests at once, of which the leader could receive no more than its socket buffers.
-    pub fn nudged(&mut self, now: Instant) {
-        let delay_hash = self.socket.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
+    pub fn request_soon(&mut self, now: Instant) {
+        let delay_hash = self.socket_hash.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         let wait = Duration::from_nanos(delay_hash % MIN_REQUEST_INTERVAL.nanos());
         let at = now + wait;
         self.request_soon_at = Some(self.request_soon_at.map_or(at, |before| before.min(at)));
@@ -138,21 +138,21 @@
 
     /// Shortens the time to the next request: work in flight at a closed machine has ended, or operators read
     /// the status.
-    pub fn hurry(&mut self) {
+    pub fn request_urgently(&mut self) {
         self.is_urgent = true;
     }
 
-    /// Returns the next request to the voters if one is due. `in_hand` returns the number of units that this
+    /// Returns the next request to the voters if one is due. `in_flight` returns the number of units that this
     /// node has in flight at a machine; the pairs are the units accepted and rejected since the start, and
     /// whether this node is drained and whether operators read its status.
-    pub fn ask(
+    pub fn next_request(
         &mut self,
         now: Instant,
-        in_hand: impl Fn(u64) -> u16,
-        (units, turned_back): (u64, u64),
-        (through, shows): (bool, bool),
-    ) -> Option<Ask> {
-        if now < self.next_due() {
+        in_flight: impl Fn(u64) -> u16,
+        (units, rejected): (u64, u64),
+        (is_drained, wants_status): (bool, bool),
+    ) -> Option<PermitRequest> {
+        if now < self.next_request_at() {
             return None;
         }
         self.next_sequence = self.next_sequence.wrapping_add(1);
@@ -161,33 +161,33 @@
             self.open_requests.pop_first();
         }
         (self.requested_at, self.request_soon_at) = (Some(now), None);
-        let busy = self.machines.iter().map(|(machine, stage)| (*machine, *stage, in_hand(*machine)));
+        let busy = self.machines.iter().map(|(machine, stage)| (*machine, *stage, in_flight(*machine)));
         let busy: Vec<(u64, Stage, u16)> = busy.filter(|(.., units)| *units > 0).collect();
         // The voters wait for this node to have nothing in flight there, and have to learn of it at once.
         self.is_urgent = busy.iter().any(|(_, stage, _)| *stage == Stage::Closed);
-        let in_hand = busy.into_iter().map(|(machine, _, units)| (machine, units)).collect();
+        let in_flight = busy.into_iter().map(|(machine, _, units)| (machine, units)).collect();
         let closed =
             |(machine, stage): &&(u64, Stage)| *stage == Stage::Closed && *machine != self.own_machine;
         let closed = self.machines.iter().filter(closed);
-        Some(Ask {
+        Some(PermitRequest {
             holder: self.holder,
             zone: self.zone.clone(),
-            socket: self.socket,
-            ask: self.next_sequence,
-            knows: self.number,
-            in_hand,
+            socket_hash: self.socket_hash,
+            sequence: self.next_sequence,
+            known_decision: self.number,
+            in_flight,
             closed: closed.map(|(machine, _)| *machine).collect(),
-            through,
+            is_drained,
             units,
-            turned_back,
-            shows,
+            rejected,
+            wants_status,
         })
     }
 
     /// Handles a permit and returns whether the closed machines may have changed. A permit for an older
     /// request than the one in force is ignored.
-    pub fn granted(&mut self, permit: &Permit) -> bool {
-        let requested = self.open_requests.remove(&permit.ask).filter(|_| permit.holder == self.holder);
+    pub fn receive_permit(&mut self, permit: &Permit) -> bool {
+        let requested = self.open_requests.remove(&permit.sequence).filter(|_| permit.holder == self.holder);
         let Some(requested) =
             requested.filter(|requested| self.in_force.is_none_or(|(_, in_force)| in_force < *requested))
         else {
@@ -197,12 +197,12 @@
             // The voters confirm the decision that this node knew when it sent the request; that holds unless
             // the node has received another one meanwhile.
             if permit.number == self.number {
-                self.in_force = Some((permit.ask, requested));
+                self.in_force = Some((permit.sequence, requested));
             }
             return true;
         };
-        self.in_force = Some((permit.ask, requested));
-        self.longest_unit = Duration::from_millis(permit.longest_unit_s.saturating_mul(1000));
+        self.in_force = Some((permit.sequence, requested));
+        self.max_unit_time = Duration::from_millis(permit.longest_unit_s.saturating_mul(1000));
         // A decision that is new to this node has to be acknowledged soon.
         self.is_urgent |= self.number != permit.number;
         self.number = permit.number;
--- a/crates/maintenance/src/state.rs
+++ b/crates/maintenance/src/state.rs
@@ -5,11 +5,13 @@
 mod progress;
 mod status;
 
-pub use messages::{Ask, Command, Moved, Outcome, Permit, Phase, Seen, Stage, Step, View, ZoneSeen};
+pub use messages::{
+    Command, ListView, MachineView, Outcome, Permit, PermitRequest, Phase, PlanChange, Stage, Step, ZoneView,
+};
 pub use nodes::node_name;
-pub use status::{Shown, ShownMachine};
+pub use status::{MachineStatus, PlanStatus};
 
-use crate::LONG;
+use crate::LONG_ABSENCE_LEASES;
 use crate::plan::Plan;
 use grebeusher_budgets::Holder;
 use grebeusher_dispatch::time::{Duration, DurationExt};
@@ -42,23 +44,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 struct Sender {
     /// The sequence number of the newest request of this process.
-    ask: u32,
+    sequence: u32,
     expires_ms: u64,
-    socket: u64,
+    socket_hash: u64,
     /// Whether another process of the node uses the same socket, so this one is dead.
     is_dead: bool,
-    knows: u64,
+    known_decision: u64,
     /// The units in flight at each machine, by the hash of its name.
-    in_hand: BTreeMap<u64, u16>,
-    through: bool,
+    in_flight: BTreeMap<u64, u16>,
+    is_drained: bool,
     units: u64,
-    turned_back: u64,
+    rejected: u64,
 }
 
 impl Sender {
     /// Whether this process no longer sends to the machine and has nothing in flight there.
     fn is_drained(&self, machine: &Machine) -> bool {
-        self.knows >= machine.closed_by && !self.in_hand.contains_key(&machine.hash)
+        self.known_decision >= machine.closed_by && !self.in_flight.contains_key(&machine.hash)
     }
 }
 
@@ -91,7 +93,7 @@
 /// The replicated maintenance state. Its clock is the sum of the times passed with the steps, and runs no
 /// faster than the clock of any voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Works {
+pub struct MaintenanceState {
     clock_ms: u64,
     permission_ms: u64,
     /// The number of nodes of the fleet; each may send until it has reported otherwise.
@@ -109,7 +111,7 @@
     /// The machines that an earlier plan left closed, by the hashes of their names, and their start at that
     /// time.
     left_closed: BTreeMap<u64, Option<u64>>,
-    view: View,
+    view: ListView,
     /// Samples of the time in milliseconds, and of the units accepted and rejected at all nodes until then.
     load_samples: Vec<(u64, u64, u64)>,
     total_counts: (u64, u64),
@@ -123,11 +125,11 @@
 /// The number of answers kept for commands that are sent again.
 const MAX_KEPT_ANSWERS: usize = 16;
 
-impl Works {
+impl MaintenanceState {
     /// Creates a state without a plan, for permissions of this lease time and this number of nodes.
-    pub fn empty(permission: Duration, nodes: u32, voters: &[u32]) -> Works {
+    pub fn new(permission: Duration, nodes: u32, voters: &[u32]) -> MaintenanceState {
         let permission_ms = permission.nanos() / 1_000_000;
-        Works {
+        MaintenanceState {
             clock_ms: 0,
             permission_ms,
             nodes,
@@ -138,7 +140,7 @@
             senders: BTreeMap::new(),
             node_zones: BTreeMap::new(),
             left_closed: BTreeMap::new(),
-            view: View::default(),
+            view: ListView::default(),
             load_samples: Vec::new(),
             total_counts: (0, 0),
             active: None,
@@ -147,19 +149,19 @@
     }
 
     /// Whether the passing of time alone can change the state.
-    pub fn waits(&self) -> bool {
+    pub fn changes_with_time(&self) -> bool {
         self.active.as_ref().is_some_and(|active| active.state != PlanState::Finished)
     }
 
     /// The hashes of the names of the machines whose list entries the leader has to report.
-    pub fn watched(&self) -> impl Iterator<Item = u64> {
+    pub fn watched_machines(&self) -> impl Iterator<Item = u64> {
         let machines = self.active.iter().flat_map(|active| &active.machines);
         let planned = machines.filter(|machine| machine.node.is_none()).map(|machine| machine.hash);
         planned.chain(self.left_closed.keys().copied())
     }
 
     /// The last report of the executor list.
-    pub fn view(&self) -> &View {
+    pub fn view(&self) -> &ListView {
         &self.view
     }
 
@@ -170,7 +172,7 @@
 
     /// Returns the number of the decision by which this machine is out, if it is: no node may send there and
     /// none has anything in flight there. An agent works on the machine once for each such number.
-    pub fn out(&self, name: &str) -> Option<u64> {
+    pub fn out_decision(&self, name: &str) -> Option<u64> {
         let mut machines = self.active.iter().flat_map(|active| &active.machines);
         machines.find(|m| m.name == name && m.phase == Phase::Out).map(|m| m.number)
     }
@@ -182,12 +184,12 @@
         let mut asks = Vec::new();
         for step in steps {
             match step {
-                Step::Asks(ask) => {
+                Step::PermitRequest(ask) => {
                     self.receive_request(&ask);
                     asks.push(ask);
                 }
-                Step::Sees(view) => self.update_view(view),
-                Step::Says(name, command) => self.apply_command(name, command, hash, &mut outcomes),
+                Step::View(view) => self.update_view(view),
+                Step::Command(name, command) => self.apply_command(name, command, hash, &mut outcomes),
             }
         }
         self.remove_expired();
@@ -205,7 +207,7 @@
         outcomes
     }
 
-    fn receive_request(&mut self, ask: &Ask) {
+    fn receive_request(&mut self, ask: &PermitRequest) {
         // A node that is out sends nothing before it learns that it may, so nothing waits for it as a sender.
         let is_out = |machine: &Machine| {
             machine.node == Some(ask.holder.number) && matches!(machine.phase, Phase::Out | Phase::Lost)
@@ -213,8 +215,8 @@
         let out = self.active.iter().flat_map(|active| &active.machines).any(is_out);
         // Requests may be reordered; an older one is outdated. Guards against missing work that was sent
         // since, and against counting a node as drained that has been taken back.
-        let is_outdated = |sender: &Sender| sender.ask.wrapping_sub(ask.ask) < u32::MAX / 2;
-        if (out && ask.through) || self.senders.get(&ask.holder).is_some_and(is_outdated) {
+        let is_outdated = |sender: &Sender| sender.sequence.wrapping_sub(ask.sequence) < u32::MAX / 2;
+        if (out && ask.is_drained) || self.senders.get(&ask.holder).is_some_and(is_outdated) {
             return;
         }
         let expires_ms = self.clock_ms + self.permission_ms;
@@ -224,21 +226,21 @@
         }
         // If a node keeps a machine closed that is not known as closed here, it was closed by a state that is
         // lost.
-        if ask.knows > self.number {
+        if ask.known_decision > self.number {
             let stages = self.stages(None);
             let lost = ask.closed.iter().filter(|machine| !stages.iter().any(|(own, _)| own == *machine));
             let lost: Vec<u64> = lost.copied().collect();
             if !lost.is_empty() {
-                self.number = self.number.max(ask.knows) + 1;
+                self.number = self.number.max(ask.known_decision) + 1;
                 self.left_closed.extend(lost.into_iter().map(|machine| (machine, None)));
             }
         }
-        let Ask { knows, units, turned_back, .. } = *ask;
-        let before = self.senders.get(&ask.holder).map(|sender| (sender.units, sender.turned_back));
+        let PermitRequest { known_decision, units, rejected, .. } = *ask;
+        let before = self.senders.get(&ask.holder).map(|sender| (sender.units, sender.rejected));
         let (units_before, back_before) = before.unwrap_or_default();
-        let in_hand = ask.in_hand.iter().copied().collect();
+        let in_flight = ask.in_flight.iter().copied().collect();
         self.total_counts.0 += units.saturating_sub(units_before);
-        self.total_counts.1 += turned_back.saturating_sub(back_before);
+        self.total_counts.1 += rejected.saturating_sub(back_before);
         // Two live processes never have the same socket. The process that replaces a dead one must not wait
         // for the permission of the dead one to expire.
         let Holder { number, generation } = ask.holder;
@@ -246,27 +248,27 @@
         let dead_processes = self
             .senders
             .range_mut(earlier)
-            .filter(|(_, sender)| sender.socket == ask.socket && !sender.is_dead);
+            .filter(|(_, sender)| sender.socket_hash == ask.socket_hash && !sender.is_dead);
         dead_processes.for_each(|(_, sender)| {
             (sender.is_dead, sender.expires_ms) = (true, sender.expires_ms.min(self.clock_ms));
         });
         self.senders.insert(
             ask.holder,
             Sender {
-                ask: ask.ask,
+                sequence: ask.sequence,
                 expires_ms,
-                socket: ask.socket,
+                socket_hash: ask.socket_hash,
                 is_dead: false,
-                knows,
-                in_hand,
-                through: ask.through,
+                known_decision,
+                in_flight,
+                is_drained: ask.is_drained,
                 units,
-                turned_back,
+                rejected,
             },
         );
     }
 
-    fn update_view(&mut self, view: View) {
+    fn update_view(&mut self, view: ListView) {
         let machines = self.active.iter_mut().flat_map(|active| &mut active.machines);
         for machine in machines {
             if let Some(seen) = view.machines.iter().find(|seen| seen.machine == machine.hash) {
@@ -338,7 +340,7 @@
                 if was_withdrawn { "refused: it was withdrawn".to_owned() } else { said.to_owned() }
             }
         };
-        outcomes.push(Outcome::Moved(Moved { number: self.number, what: answer.clone() }));
+        outcomes.push(Outcome::PlanChange(PlanChange { number: self.number, what: answer.clone() }));
         self.answers.push((name, answer));
         if self.answers.len() > MAX_KEPT_ANSWERS {
             self.answers.remove(0);
@@ -351,7 +353,7 @@
         let left = left.filter(|machine| machine.phase == Phase::Lost && machine.node.is_none());
         let left: Vec<_> = left.map(|machine| (machine.hash, Some(machine.closed_start_ms))).collect();
         self.left_closed.extend(left);
-        let down = |zone: &ZoneSeen| (zone.zone.clone(), zone.listed.saturating_sub(zone.ready));
+        let down = |zone: &ZoneView| (zone.zone.clone(), zone.listed.saturating_sub(zone.ready));
         let machine = |name: String, zone: String, node: Option<u32>| Machine {
             hash: hash(&name),
             name,
@@ -418,7 +420,7 @@
     fn remove_expired(&mut self) {
         let longest_ms = self.active.as_ref().map_or(0, |active| active.plan.longest_unit_s * 1000);
         let clock_ms = self.clock_ms;
-        let over_ms = (LONG + 1) * self.permission_ms + longest_ms;
+        let over_ms = (LONG_ABSENCE_LEASES + 1) * self.permission_ms + longest_ms;
         self.senders.retain(|_, sender| sender.expires_ms + over_ms > clock_ms);
         self.load_samples.push((clock_ms, self.total_counts.0, self.total_counts.1));
         while self.load_samples.get(1).is_some_and(|(at, ..)| clock_ms - at >= REJECTION_WINDOW_MS) {
@@ -449,17 +451,17 @@
         planned.chain(self.left_closed.keys().map(|machine| (*machine, Stage::Closed))).collect()
     }
 
-    fn permit_for(&self, ask: Ask) -> Permit {
-        let Ask { holder, ask, knows, shows, .. } = ask;
-        let machines = (knows != self.number).then(|| self.stages(Some(holder.number)));
+    fn permit_for(&self, ask: PermitRequest) -> Permit {
+        let PermitRequest { holder, sequence, known_decision, wants_status, .. } = ask;
+        let machines = (known_decision != self.number).then(|| self.stages(Some(holder.number)));
         let longest_unit_s = self.active.as_ref().map_or(0, |active| active.plan.longest_unit_s);
         Permit {
             holder,
-            ask,
+            sequence,
             number: self.number,
             machines,
             longest_unit_s,
-            shown: shows.then(|| self.shown()),
+            plan_status: wants_status.then(|| self.status()),
         }
     }
 }
--- a/crates/maintenance/src/state/messages.rs
+++ b/crates/maintenance/src/state/messages.rs
@@ -1,36 +1,36 @@
 //! The messages between nodes and voters, and the phases of a machine.
 
-use super::Shown;
+use super::PlanStatus;
 use crate::plan::Plan;
 use grebeusher_budgets::Holder;
 use serde::{Deserialize, Serialize};
 
 /// A node's request to renew its permission, with a report of what it has done.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PermitRequest {
     pub holder: Holder,
     /// The zone of the node.
     pub zone: String,
-    pub ask: u32,
+    pub sequence: u32,
     /// The hash of the address at which the node listens for the others; no other live process has it.
-    pub socket: u64,
+    pub socket_hash: u64,
     /// The number of the decision that the node follows: it sends nothing to machines closed by it.
-    pub knows: u64,
+    pub known_decision: u64,
     /// The units in flight at each machine of the plan that is not done, by the hash of the machine's name.
     /// Not by the position in the permit: positions depend on the decision, and the report has to be
     /// understood whatever was decided since.
-    pub in_hand: Vec<(u64, u16)>,
+    pub in_flight: Vec<(u64, u16)>,
     /// The hashes of the names of the machines that the node keeps closed. The voters know of them too,
     /// unless their state was lost.
     pub closed: Vec<u64>,
     /// Whether the node is to be drained itself, and is drained: its clients are sent away, it has nothing in
     /// flight and no share of a budget, and it sends nothing before it learns that it may stay.
-    pub through: bool,
-    /// The units accepted since the node started; `turned_back` counts those that were rejected.
+    pub is_drained: bool,
+    /// The units accepted since the node started; `rejected` counts those that were rejected.
     pub units: u64,
-    pub turned_back: u64,
+    pub rejected: u64,
     /// Whether operators read the plan's status at this node.
-    pub shows: bool,
+    pub wants_status: bool,
 }
 
 /// How close a machine of the plan is to being taken out.
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Permit {
     pub holder: Holder,
-    pub ask: u32,
+    pub sequence: u32,
     pub number: u64,
     /// The machines that are not done, by the hashes of their names; `None` if the node already knows the
     /// latest decision.
@@ -55,26 +55,26 @@
     /// The longest time in seconds that a unit may run once no node reports it; it counts as in flight for
     /// that time.
     pub longest_unit_s: u64,
-    pub shown: Option<Shown>,
+    pub plan_status: Option<PlanStatus>,
 }
 
 /// A report of the executor list as seen by the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct View {
-    pub zones: Vec<ZoneSeen>,
+pub struct ListView {
+    pub zones: Vec<ZoneView>,
     /// The machines of the plan and those that an earlier plan left closed.
-    pub machines: Vec<Seen>,
+    pub machines: Vec<MachineView>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct ZoneSeen {
+pub struct ZoneView {
     pub zone: String,
     pub listed: u32,
     pub ready: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Seen {
+pub struct MachineView {
     pub machine: u64,
     pub ready: bool,
     /// The start time by the clock of the machine, in milliseconds; only compared with other starts of the
@@ -96,15 +96,15 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Step {
-    Asks(Ask),
-    Sees(View),
+    PermitRequest(PermitRequest),
+    View(ListView),
     /// An operator command with an ID, under which it is answered, and applied once however often it is sent.
-    Says(u64, Command),
+    Command(u64, Command),
 }
 
 /// A change of the plan or of a machine, for the leader's log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Moved {
+pub struct PlanChange {
     pub number: u64,
     pub what: String,
 }
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Outcome {
     Permit(Permit),
-    Moved(Moved),
+    PlanChange(PlanChange),
 }
 
 /// The phase of a machine in the plan.
--- a/crates/maintenance/src/state/nodes.rs
+++ b/crates/maintenance/src/state/nodes.rs
@@ -3,7 +3,7 @@
 //! waits for other nodes. From then on it sends nothing, and nothing waits for it as a sender, until it
 //! requests a permission again.
 
-use super::{ActivePlan, Machine, Phase, Works, is_closed};
+use super::{ActivePlan, Machine, MaintenanceState, Phase, is_closed};
 use crate::plan::Plan;
 
 /// The name of a node's machine in a plan.
@@ -16,7 +16,7 @@
     active.machines.iter().any(|m| m.node == Some(node) && is_closed(m.phase))
 }
 
-impl Works {
+impl MaintenanceState {
     /// Checks that the fleet has the nodes of a plan.
     pub(super) fn check_nodes(&self, plan: &Plan) -> Result<(), String> {
         match plan.nodes.iter().position(|node| *node >= self.nodes) {
@@ -72,7 +72,7 @@
         let own = self.senders.iter().filter(|(holder, _)| Some(holder.number) == machine.node);
         // An earlier process has ended, and its work in flight with it.
         let newest = own.max_by_key(|(holder, _)| holder.generation);
-        newest.is_some_and(|(_, sender)| sender.through && sender.knows >= machine.closed_by)
+        newest.is_some_and(|(_, sender)| sender.is_drained && sender.known_decision >= machine.closed_by)
     }
 
     /// Removes the processes of a node that is out: it sends nothing before its next permission, so nothing
--- a/crates/maintenance/src/state/progress.rs
+++ b/crates/maintenance/src/state/progress.rs
@@ -2,10 +2,10 @@
 //! itself.
 
 use super::{
-    ActivePlan, Machine, Moved, Outcome, Phase, PlanState, REJECTION_WINDOW_MS, Sender, Works, ZoneSeen,
-    is_closed,
+    ActivePlan, Machine, MaintenanceState, Outcome, Phase, PlanChange, PlanState, REJECTION_WINDOW_MS,
+    Sender, ZoneView, is_closed,
 };
-use crate::LONG;
+use crate::LONG_ABSENCE_LEASES;
 use crate::plan::{Plan, WhenLost};
 use grebeusher_budgets::Holder;
 use std::collections::BTreeMap;
@@ -15,16 +15,16 @@
 /// The time without a reason to stop after which a stopped plan resumes by itself.
 const RESUME_AFTER_MS: u64 = 5000;
 
-impl Works {
+impl MaintenanceState {
     /// Returns a node that may not know of a decision and may act as if it had not been made. A node whose
-    /// permission has expired counts too, until it has been without one for so long ([`LONG`]) that it avoids
+    /// permission has expired counts too, until it has been without one for so long ([`LONG_ABSENCE_LEASES`]) that it avoids
     /// all machines of the plan.
     fn unaware_node(&self, plan: &Plan, number: u64) -> Option<u32> {
         let without = |node: &u32| plan.without.contains(node);
         let silent_node = (0..self.nodes).find(|node| !self.heard_nodes.contains(node) && !without(node));
-        let long_ms = LONG * self.permission_ms;
+        let long_ms = LONG_ABSENCE_LEASES * self.permission_ms;
         let late = |(_, sender): &(&Holder, &Sender)| {
-            !sender.is_dead && sender.knows < number && sender.expires_ms + long_ms > self.clock_ms
+            !sender.is_dead && sender.known_decision < number && sender.expires_ms + long_ms > self.clock_ms
         };
         silent_node.or_else(|| Some(self.senders.iter().find(late)?.0.number))
     }
@@ -55,7 +55,7 @@
                 .filter(|m| m.node.is_none() && m.zone == zone && !m.ready && is_closed(m.phase));
             own.count() as u32
         };
-        let down = |zone: &ZoneSeen| {
+        let down = |zone: &ZoneView| {
             let before = active.down_before.get(&zone.zone).copied().unwrap_or(0);
             let down = zone.listed.saturating_sub(zone.ready).saturating_sub(by_plan(&zone.zone));
             (zone.zone.clone(), down.saturating_sub(before))
@@ -76,7 +76,7 @@
                 ));
             }
         }
-        let lost = |zone: &&ZoneSeen| {
+        let lost = |zone: &&ZoneView| {
             let executors = active.machines.iter().filter(|m| m.node.is_none() && is_closed(m.phase));
             let planned = executors.filter(|m| m.zone == zone.zone).count();
             zone.listed > 1 && zone.ready == 0 && zone.listed > planned as u32
@@ -96,7 +96,7 @@
         if active.state != PlanState::Finished && active.machines.iter().all(is_finished) {
             active.state = PlanState::Finished;
             let what = format!("the plan {:?} is over", active.plan.name);
-            outcomes.push(Outcome::Moved(Moved { number: self.number, what }));
+            outcomes.push(Outcome::PlanChange(PlanChange { number: self.number, what }));
         }
         active.waiting_for.clear();
         if active.state == PlanState::Running {
@@ -122,7 +122,7 @@
             }
             _ => return,
         };
-        outcomes.push(Outcome::Moved(Moved { number: self.number, what }));
+        outcomes.push(Outcome::PlanChange(PlanChange { number: self.number, what }));
     }
 
     /// Moves a machine to its next phase if what is known of it allows that.
@@ -188,7 +188,7 @@
             machine.phase,
             if why.is_empty() { "" } else { ", " }
         );
-        outcomes.push(Outcome::Moved(Moved { number: self.number, what }));
+        outcomes.push(Outcome::PlanChange(PlanChange { number: self.number, what }));
         (machine.phase, machine.since_ms, machine.number, machine.why) =
             (phase, self.clock_ms, self.number, why);
     }
@@ -266,7 +266,7 @@
             let units_in_flight: u32 = self
                 .senders
                 .values()
-                .filter_map(|s| s.in_hand.get(&machine.hash))
+                .filter_map(|s| s.in_flight.get(&machine.hash))
                 .map(|n| u32::from(*n))
                 .sum();
             // Voters are drained last among the nodes: while a voter is down, losing another one costs more
--- a/crates/maintenance/src/state/status.rs
+++ b/crates/maintenance/src/state/status.rs
@@ -1,18 +1,18 @@
 //! The status of the plan for operators.
 
-use super::{Machine, Phase, PlanState, Works};
+use super::{Machine, MaintenanceState, Phase, PlanState};
 use serde::{Deserialize, Serialize};
 
-impl Works {
+impl MaintenanceState {
     /// Returns the status of the plan for operators.
-    pub fn shown(&self) -> Shown {
+    pub fn status(&self) -> PlanStatus {
         let Some(active) = &self.active else {
             let standing = "none".to_owned();
-            return Shown {
+            return PlanStatus {
                 number: self.number,
                 standing,
                 answers: self.answers.clone(),
-                ..Shown::default()
+                ..PlanStatus::default()
             };
         };
         let (standing, why) = match &active.state {
@@ -22,7 +22,7 @@
             PlanState::Withdrawn => ("withdrawn", String::new()),
             PlanState::Finished => ("over", String::new()),
         };
-        let machine = |m: &Machine| ShownMachine {
+        let machine = |m: &Machine| MachineStatus {
             name: m.name.clone(),
             phase: m.phase,
             for_s: (self.clock_ms - m.since_ms) / 1000,
@@ -34,7 +34,7 @@
                 _ => m.why.clone(),
             },
         };
-        Shown {
+        PlanStatus {
             number: self.number,
             plan: active.plan.name.clone(),
             standing: standing.to_owned(),
@@ -48,7 +48,7 @@
 
 /// The status of the plan as operators read it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct PlanStatus {
     /// The number of the last decision.
     pub number: u64,
     pub plan: String,
@@ -56,12 +56,12 @@
     /// What the plan waits for, or why it stopped.
     pub why: String,
     pub for_s: u64,
-    pub machines: Vec<ShownMachine>,
+    pub machines: Vec<MachineStatus>,
     pub answers: Vec<(u64, String)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownMachine {
+pub struct MachineStatus {
     pub name: String,
     pub phase: Phase,
     pub for_s: u64,
--- a/crates/maintenance/tests/stories.rs
+++ b/crates/maintenance/tests/stories.rs
@@ -4,8 +4,8 @@
 use grebeusher_budgets::Holder;
 use grebeusher_dispatch::time::{Duration, Instant};
 use grebeusher_maintenance::{
-    Ask, Command, Outcome, Permission, Permit, Phase, Plan, Seen, Shown, Step, View, WhenLost, Works,
-    ZoneSeen, node_name,
+    Command, ListView, MachineView, MaintenanceState, Outcome, Permission, Permit, PermitRequest, Phase,
+    Plan, PlanStatus, Step, WhenLost, ZoneView, node_name,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -75,12 +75,12 @@
 
 /// Nodes before machines, with keepers that agree.
 struct World {
-    works: Works,
+    maintenance: MaintenanceState,
     settled: u64,
     now: u64,
     nodes: Vec<Option<Node>>,
     machines: Vec<Machine>,
-    asks: Vec<(u64, Ask)>,
+    asks: Vec<(u64, PermitRequest)>,
     permits: Vec<(u64, Permit)>,
     commands: Vec<Step>,
     loss: f64,
@@ -104,7 +104,7 @@
             by: None,
         };
         let mut world = World {
-            works: Works::empty(PERMISSION, nodes as u32, &[]),
+            maintenance: MaintenanceState::new(PERMISSION, nodes as u32, &[]),
             settled: 0,
             now: 0,
             nodes: (0..nodes).map(|_| None).collect(),
@@ -134,7 +134,7 @@
 
     fn says(&mut self, command: Command) {
         let name = self.chance.random();
-        self.commands.push(Step::Says(name, command));
+        self.commands.push(Step::Command(name, command));
     }
 
     fn submits(&mut self, plan: Plan) {
@@ -143,22 +143,22 @@
         self.pass(100);
     }
 
-    fn view(&self) -> View {
+    fn view(&self) -> ListView {
         let zone = |at: usize, zone: &str| {
             let own =
                 || self.machines.iter().enumerate().filter(|(machine, _)| machine % 3 == at).map(|(_, m)| m);
-            ZoneSeen {
+            ZoneView {
                 zone: zone.to_owned(),
                 listed: own().count() as u32,
                 ready: own().filter(|m| m.up).count() as u32,
             }
         };
-        let seen = |(at, m): (usize, &Machine)| Seen {
+        let seen = |(at, m): (usize, &Machine)| MachineView {
             machine: hash(&name(at)),
             ready: m.up,
             started_ms: m.started,
         };
-        View {
+        ListView {
             zones: ZONES.iter().enumerate().map(|(at, name)| zone(at, name)).collect(),
             machines: self.machines.iter().enumerate().map(seen).collect(),
         }
@@ -179,7 +179,7 @@
                     .as_mut()
                     .filter(|n| now >= n.frozen_until && now >= n.cut_until)
                 {
-                    node.permission.granted(&permit);
+                    node.permission.receive_permit(&permit);
                 }
             }
             self.machines_work();
@@ -202,13 +202,13 @@
             let holder = Holder { number: number as u32, generation: node.life };
             // Sends wherever it may.
             let to = self.chance.random_range(0..self.machines.len());
-            if node.permission.has_word()
+            if node.permission.has_permit()
                 && self.chance.random::<f64>() < 0.05
                 && !node.permission.closed(at).any(|machine| machine == hash(&name(to)))
                 && self.machines[to].up
             {
                 assert!(
-                    self.works.out(&name(to)).is_none(),
+                    self.maintenance.out_decision(&name(to)).is_none(),
                     "node {number} sends to {to}, which is out, at {now}"
                 );
                 let ends = now + self.chance.random_range(1..1500);
@@ -216,11 +216,11 @@
                 self.sent += 1;
             }
             let machines = &self.machines;
-            let in_hand = |machine: u64| {
+            let in_flight = |machine: u64| {
                 let of = machines.iter().enumerate().find(|(at, _)| hash(&name(*at)) == machine);
                 of.map_or(0, |(_, m)| m.units.iter().filter(|(_, of)| *of == holder).count() as u16)
             };
-            if let Some(ask) = node.permission.ask(at, in_hand, (0, 0), (false, false))
+            if let Some(ask) = node.permission.next_request(at, in_flight, (0, 0), (false, false))
                 && now >= node.cut_until
             {
                 for when in self.way() {
@@ -235,9 +235,9 @@
         let (come, late): (Vec<_>, Vec<_>) = self.asks.drain(..).partition(|(when, _)| *when <= now);
         self.asks = late;
         let mut steps = std::mem::take(&mut self.commands);
-        steps.push(Step::Sees(self.view()));
-        steps.extend(come.into_iter().map(|(_, ask)| Step::Asks(ask)));
-        let outcomes = self.works.apply(now - self.settled, steps, hash);
+        steps.push(Step::View(self.view()));
+        steps.extend(come.into_iter().map(|(_, ask)| Step::PermitRequest(ask)));
+        let outcomes = self.maintenance.apply(now - self.settled, steps, hash);
         self.settled = now;
         for outcome in outcomes {
             match outcome {
@@ -246,7 +246,7 @@
                         self.permits.push((when, permit.clone()));
                     }
                 }
-                Outcome::Moved(moved) => self.moved.push(moved.what),
+                Outcome::PlanChange(moved) => self.moved.push(moved.what),
             }
         }
     }
@@ -257,8 +257,8 @@
         for (at, machine) in self.machines.iter_mut().enumerate() {
             machine.units.retain(|(ends, _)| *ends > now);
             match machine.worked_until {
-                None if machine.up && self.works.out(&name(at)) > machine.by => {
-                    machine.by = self.works.out(&name(at));
+                None if machine.up && self.maintenance.out_decision(&name(at)) > machine.by => {
+                    machine.by = self.maintenance.out_decision(&name(at));
                     (machine.up, machine.worked_until) = (false, Some(now + 1000));
                     self.outs += 1;
                 }
@@ -272,8 +272,9 @@
 
     /// From outside: nothing is under way where the machine is out, and no more are out than may be.
     fn looks(&self) {
-        let out: Vec<usize> =
-            (0..self.machines.len()).filter(|at| self.works.out(&name(*at)).is_some()).collect();
+        let out: Vec<usize> = (0..self.machines.len())
+            .filter(|at| self.maintenance.out_decision(&name(*at)).is_some())
+            .collect();
         for &at in &out {
             assert!(
                 self.machines[at].units.is_empty(),
@@ -291,12 +292,12 @@
         }
     }
 
-    fn shown(&self) -> Shown {
-        self.works.shown()
+    fn shown(&self) -> PlanStatus {
+        self.maintenance.status()
     }
 
     fn count(&self, phase: Phase) -> usize {
-        self.works.phases().filter(|(_, own)| *own == phase).count()
+        self.maintenance.phases().filter(|(_, own)| *own == phase).count()
     }
 
     /// Passes time until the plan is over; how long that took.
@@ -363,7 +364,7 @@
 #[test]
 fn nodes_that_were_never_there_are_named() {
     let mut world = World::new(10, 6, 4);
-    world.works = Works::empty(PERMISSION, 11, &[]);
+    world.maintenance = MaintenanceState::new(PERMISSION, 11, &[]);
     world.settled = world.now;
     world.pass(3000);
     world.submits(plan(6));
@@ -402,13 +403,13 @@
     let mut world = World::new(6, 9, 6);
     world.submits(plan(9));
     world.pass(1000);
-    let phases: Vec<Phase> = world.works.phases().map(|(_, phase)| phase).collect();
+    let phases: Vec<Phase> = world.maintenance.phases().map(|(_, phase)| phase).collect();
     world.keepers_down = true;
     world.pass(8000);
     let sent = world.sent;
     world.pass(1000);
     assert!(world.sent > sent + 50, "those keep away from the next ones only");
-    assert_eq!(phases, world.works.phases().map(|(_, phase)| phase).collect::<Vec<_>>());
+    assert_eq!(phases, world.maintenance.phases().map(|(_, phase)| phase).collect::<Vec<_>>());
     world.keepers_down = false;
     world.until_over(60_000);
 }
@@ -475,7 +476,7 @@
     // Another plan may be handed in; back late, the machine is open again.
     world.submits(Plan { machines: vec![name(0)], zones: vec![ZONES[0].to_owned()], ..plan(1) });
     world.pass(200);
-    assert!(world.works.watched().any(|machine| machine == hash("e2")));
+    assert!(world.maintenance.watched_machines().any(|machine| machine == hash("e2")));
     world.machines[2].never_back = false;
     world.pass(3000);
     let node = world.nodes[0].as_ref().expect("it is there");
@@ -499,46 +500,46 @@
 /// with a unit that ran.
 #[test]
 fn what_a_node_has_in_hand_counts_whatever_was_decided_since_it_heard() {
-    let mut works = Works::empty(PERMISSION, 1, &[]);
+    let mut maintenance = MaintenanceState::new(PERMISSION, 1, &[]);
     let holder = Holder { number: 0, generation: 1 };
-    let seen = |at: usize, started_ms| Seen { machine: hash(&name(at)), ready: true, started_ms };
-    let zones = vec![ZoneSeen { zone: "north".to_owned(), listed: 2, ready: 2 }];
+    let seen = |at: usize, started_ms| MachineView { machine: hash(&name(at)), ready: true, started_ms };
+    let zones = vec![ZoneView { zone: "north".to_owned(), listed: 2, ready: 2 }];
     let view = |starts: [u64; 2]| {
-        Step::Sees(View { zones: zones.clone(), machines: vec![seen(0, starts[0]), seen(1, starts[1])] })
+        Step::View(ListView { zones: zones.clone(), machines: vec![seen(0, starts[0]), seen(1, starts[1])] })
     };
-    let ask = |works: &mut Works, ask, knows, in_hand| {
-        let ask = Ask {
+    let ask = |maintenance: &mut MaintenanceState, ask, known_decision, in_flight| {
+        let ask = PermitRequest {
             zone: String::new(),
             holder,
-            socket: 1,
-            ask,
-            knows,
-            in_hand,
+            socket_hash: 1,
+            sequence: ask,
+            known_decision,
+            in_flight,
             closed: Vec::new(),
-            through: false,
+            is_drained: false,
             units: 0,
-            turned_back: 0,
-            shows: false,
+            rejected: 0,
+            wants_status: false,
         };
-        let outcomes = works.apply(20, vec![Step::Asks(ask)], hash);
+        let outcomes = maintenance.apply(20, vec![Step::PermitRequest(ask)], hash);
         let number = outcomes.into_iter().find_map(|outcome| match outcome {
             Outcome::Permit(permit) => Some(permit.number),
-            Outcome::Moved(_) => None,
+            Outcome::PlanChange(_) => None,
         });
         number.expect("it is permitted")
     };
     let plan = Plan { most_out_a_zone: 3, zones: vec!["north".to_owned(); 2], ..plan(2) };
     let plan = Plan { least_ready: 0, ..plan };
-    works.apply(20, vec![Step::Says(1, Command::Submit(Box::new(plan))), view([1, 1])], hash);
-    let next = ask(&mut works, 1, 0, Vec::new());
-    let closed = ask(&mut works, 2, next, Vec::new());
-    assert!(works.phases().all(|(_, phase)| phase == Phase::Draining));
+    maintenance.apply(20, vec![Step::Command(1, Command::Submit(Box::new(plan))), view([1, 1])], hash);
+    let next = ask(&mut maintenance, 1, 0, Vec::new());
+    let closed = ask(&mut maintenance, 2, next, Vec::new());
+    assert!(maintenance.phases().all(|(_, phase)| phase == Phase::Draining));
     // Something else is decided, and a unit was sent before the node heard that both are closed.
-    works.apply(20, vec![view([1, 2])], hash);
-    let last = ask(&mut works, 3, closed, vec![(hash("e0"), 1)]);
-    assert!(last > closed && works.out("e0").is_none(), "{:?}", works.shown());
-    ask(&mut works, 4, last, Vec::new());
-    assert!(works.out("e0").is_some(), "{:?}", works.shown());
+    maintenance.apply(20, vec![view([1, 2])], hash);
+    let last = ask(&mut maintenance, 3, closed, vec![(hash("e0"), 1)]);
+    assert!(last > closed && maintenance.out_decision("e0").is_none(), "{:?}", maintenance.status());
+    ask(&mut maintenance, 4, last, Vec::new());
+    assert!(maintenance.out_decision("e0").is_some(), "{:?}", maintenance.status());
 }
 
 /// Guards against a plan that waits for the longest unit at each machine while nodes die: whoever looks at it knows.
@@ -559,11 +560,11 @@
     let at: usize = quiet.name[1..].parse().expect("a place");
     world.says(Command::Idle(quiet.name.clone(), quiet.number - 1));
     world.pass(40);
-    assert!(world.works.out(&quiet.name).is_none(), "that was seen too early");
+    assert!(world.maintenance.out_decision(&quiet.name).is_none(), "that was seen too early");
     assert!(world.machines[at].units.is_empty());
     world.says(Command::Idle(quiet.name.clone(), quiet.number));
     world.pass(40);
-    assert!(world.works.out(&quiet.name).is_some() || !world.machines[at].up);
+    assert!(world.maintenance.out_decision(&quiet.name).is_some() || !world.machines[at].up);
 }
 
 #[test]
@@ -589,12 +590,12 @@
     }
     world.pass(1000);
     let out: Vec<usize> = (0..6).filter(|at| !world.machines[*at].up).collect();
-    world.works = Works::empty(PERMISSION, 8, &[]);
+    world.maintenance = MaintenanceState::new(PERMISSION, 8, &[]);
     world.settled = world.now;
     world.begins(0);
     world.pass(4000);
     for node in world.nodes.iter().flatten() {
-        assert!(node.permission.has_word());
+        assert!(node.permission.has_permit());
         assert!(out.iter().all(|at| node.permission.closed(ms(world.now)).any(|m| m == hash(&name(*at)))));
     }
 }
@@ -658,7 +659,7 @@
 struct State {
     now: u64,
     settled: u64,
-    works: Works,
+    maintenance: MaintenanceState,
     permissions: Vec<Permission>,
     lives: Vec<u64>,
     asked: usize,
@@ -705,17 +706,17 @@
     fn asks(&mut self, at: usize) -> Option<()> {
         let holder = Holder { number: at as u32, generation: self.lives[at] };
         let units = &self.units;
-        let in_hand = |_| units.iter().filter(|(of, _)| *of == holder).count() as u16;
+        let in_flight = |_| units.iter().filter(|(of, _)| *of == holder).count() as u16;
         // Asked as often as may be: when it is due plays no part in what must hold.
         let mut permission = self.permissions[at].clone();
-        permission.hurry();
-        let ask = permission.ask(ms(self.now), in_hand, (0, 0), (false, false))?;
+        permission.request_urgently();
+        let ask = permission.next_request(ms(self.now), in_flight, (0, 0), (false, false))?;
         self.permissions[at] = permission;
-        let outcomes = self.works.apply(self.now - self.settled, vec![Step::Asks(ask)], hash);
+        let outcomes = self.maintenance.apply(self.now - self.settled, vec![Step::PermitRequest(ask)], hash);
         self.settled = self.now;
         let permits = outcomes.into_iter().filter_map(|outcome| match outcome {
             Outcome::Permit(permit) => Some(permit),
-            Outcome::Moved(_) => None,
+            Outcome::PlanChange(_) => None,
         });
         self.permits.extend(permits);
         self.asked += 1;
@@ -728,15 +729,15 @@
     type Action = Does;
 
     fn init_states(&self) -> Vec<State> {
-        let mut works = Works::empty(PERMISSION, self.nodes as u32, &[]);
-        let view = View {
-            zones: vec![ZoneSeen { zone: "north".to_owned(), listed: 2, ready: 2 }],
-            machines: vec![Seen { machine: hash("e0"), ready: true, started_ms: 1 }],
+        let mut maintenance = MaintenanceState::new(PERMISSION, self.nodes as u32, &[]);
+        let view = ListView {
+            zones: vec![ZoneView { zone: "north".to_owned(), listed: 2, ready: 2 }],
+            machines: vec![MachineView { machine: hash("e0"), ready: true, started_ms: 1 }],
         };
         let mut state = State {
             now: 0,
             settled: 0,
-            works: works.clone(),
+            maintenance: maintenance.clone(),
             permissions: (0..self.nodes).map(|at| self.permission(at, 0)).collect(),
             lives: vec![0; self.nodes],
             asked: 0,
@@ -745,13 +746,13 @@
         };
         // All have their first word, and know of the plan by it.
         let plan = Plan { longest_unit_s: 2, zones: vec!["north".to_owned()], ..plan(1) };
-        works.apply(0, vec![Step::Says(1, Command::Submit(Box::new(plan))), Step::Sees(view)], hash);
-        state.works = works;
+        maintenance.apply(0, vec![Step::Command(1, Command::Submit(Box::new(plan))), Step::View(view)], hash);
+        state.maintenance = maintenance;
         for at in 0..self.nodes {
             let _ = state.asks(at);
         }
         for permit in std::mem::take(&mut state.permits) {
-            state.permissions[permit.holder.number as usize].granted(&permit);
+            state.permissions[permit.holder.number as usize].receive_permit(&permit);
         }
         state.asked = 0;
         vec![state]
@@ -772,7 +773,7 @@
                 does.push(Does::Dies(at));
             }
         }
-        if state.units.is_empty() && state.works.phases().all(|(_, phase)| phase == Phase::Quiet) {
+        if state.units.is_empty() && state.maintenance.phases().all(|(_, phase)| phase == Phase::Quiet) {
             does.push(Does::Looks);
         }
         for at in 0..state.permits.len() {
@@ -788,18 +789,19 @@
                 let now = s.now;
                 s.units.retain(|(_, until)| *until > now);
                 let passed = s.now - s.settled;
-                s.works.apply(passed, Vec::new(), hash);
+                s.maintenance.apply(passed, Vec::new(), hash);
                 s.settled = s.now;
             }
             Does::Asks(at) => s.asks(at)?,
             Does::Hears(at) => {
                 let permit = s.permits.remove(at);
-                s.permissions[permit.holder.number as usize].granted(&permit);
+                s.permissions[permit.holder.number as usize].receive_permit(&permit);
             }
             Does::Loses(at) => drop(s.permits.remove(at)),
             Does::Sends(at) => {
                 let permission = &s.permissions[at];
-                if !permission.has_word() || permission.closed(ms(s.now)).any(|machine| machine == hash("e0"))
+                if !permission.has_permit()
+                    || permission.closed(ms(s.now)).any(|machine| machine == hash("e0"))
                 {
                     return None;
                 }
@@ -807,9 +809,9 @@
                 s.units.push((holder, s.now + 2 * TICK));
             }
             Does::Looks => {
-                let number = s.works.shown().machines[0].number;
-                let step = Step::Says(1000 + number, Command::Idle(name(0), number));
-                s.works.apply(0, vec![step], hash);
+                let number = s.maintenance.status().machines[0].number;
+                let step = Step::Command(1000 + number, Command::Idle(name(0), number));
+                s.maintenance.apply(0, vec![step], hash);
             }
             Does::Dies(at) => {
                 s.lives[at] += 1;
@@ -822,9 +824,9 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("nothing under way at what is out", |_, s: &State| {
-                s.works.out("e0").is_none() || s.units.is_empty()
+                s.maintenance.out_decision("e0").is_none() || s.units.is_empty()
             }),
-            Property::sometimes("it is out", |_, s: &State| s.works.out("e0").is_some()),
+            Property::sometimes("it is out", |_, s: &State| s.maintenance.out_decision("e0").is_some()),
         ]
     }
 }
@@ -846,14 +848,14 @@
         let mut world = World::new(5, 6, 77);
         world.submits(plan(6));
         world.pass(3000);
-        (world.works, world.moved)
+        (world.maintenance, world.moved)
     };
     assert_eq!(play(), play());
 }
 
 /// The nodes of a fleet whose own machines go: each says that it is through a moment after it has heard, unless it hangs.
 struct Away {
-    works: Works,
+    maintenance: MaintenanceState,
     now: u64,
     nodes: Vec<Option<(Permission, u64)>>,
     /// Since when it knows that it is to go; and since when it is gone.
@@ -867,9 +869,9 @@
 
 impl Away {
     fn new(nodes: usize) -> Away {
-        let works = Works::empty(PERMISSION, nodes as u32, &KEEPERS);
+        let maintenance = MaintenanceState::new(PERMISSION, nodes as u32, &KEEPERS);
         let mut away = Away {
-            works,
+            maintenance,
             now: 0,
             nodes: vec![None; nodes],
             going: vec![None; nodes],
@@ -885,32 +887,37 @@
     fn begins(&mut self, at: usize) {
         let holder = Holder { number: at as u32, generation: self.now + 1 };
         let names = (at as u64 + (self.now << 8), hash(&node_name(at as u32)));
-        let permission = Permission::new(holder, names, PERMISSION).standing_in(["north", "south"][at % 2]);
+        let permission = Permission::new(holder, names, PERMISSION).with_zone(["north", "south"][at % 2]);
         self.nodes[at] = Some((permission, self.now + 1));
         (self.going[at], self.gone[at]) = (None, None);
     }
 
     fn says(&mut self, name: u64, command: Command) {
-        self.works.apply(0, vec![Step::Says(name, command)], hash);
+        self.maintenance.apply(0, vec![Step::Command(name, command)], hash);
     }
 
     fn pass(&mut self, for_ms: u64) {
         for _ in 0..for_ms / 20 {
             self.now += 20;
             let now = self.now;
-            let mut asks = vec![Step::Sees(View { zones: vec![ZoneSeen::default()], machines: Vec::new() })];
+            let mut asks =
+                vec![Step::View(ListView { zones: vec![ZoneView::default()], machines: Vec::new() })];
             for at in 0..self.nodes.len() {
                 let Some((permission, _)) = &mut self.nodes[at] else { continue };
-                self.going[at] = permission.goes().then(|| self.going[at].unwrap_or(now));
-                let through =
+                self.going[at] = permission.is_own_machine_closed().then(|| self.going[at].unwrap_or(now));
+                let is_drained =
                     self.going[at].is_some_and(|since| now >= since + 500) && self.hangs != Some(at);
-                asks.extend(permission.ask(ms(now), |_| 0, (0, 0), (through, false)).map(Step::Asks));
+                asks.extend(
+                    permission
+                        .next_request(ms(now), |_| 0, (0, 0), (is_drained, false))
+                        .map(Step::PermitRequest),
+                );
             }
-            for outcome in self.works.apply(20, asks, hash) {
+            for outcome in self.maintenance.apply(20, asks, hash) {
                 if let Outcome::Permit(permit) = outcome
                     && let Some((permission, _)) = &mut self.nodes[permit.holder.number as usize]
                 {
-                    permission.granted(&permit);
+                    permission.receive_permit(&permit);
                 }
             }
             self.work();
@@ -921,7 +928,7 @@
     fn work(&mut self) {
         for at in 0..self.nodes.len() {
             match self.gone[at] {
-                None if self.works.out(&node_name(at as u32)).is_some() => {
+                None if self.maintenance.out_decision(&node_name(at as u32)).is_some() => {
                     assert!(self.going[at].is_some(), "node {at} is out and has not heard that it is to go");
                     (self.nodes[at], self.gone[at]) = (None, Some(self.now));
                     self.order.push(at);
@@ -935,7 +942,7 @@
     }
 
     fn is_over(&self) -> bool {
-        self.works.shown().standing == "over"
+        self.maintenance.status().standing == "over"
     }
 }
 
@@ -952,8 +959,8 @@
     for _ in 0..600 {
         away.pass(100);
     }
-    assert!(away.is_over(), "{:?}", away.works.shown());
-    assert_eq!(away.works.phases().filter(|(_, phase)| *phase == Phase::Done).count(), 8);
+    assert!(away.is_over(), "{:?}", away.maintenance.status());
+    assert_eq!(away.maintenance.phases().filter(|(_, phase)| *phase == Phase::Done).count(), 8);
     // Two are announced at once, so that the last of the others may go beside the first keeper.
     assert!(away.order[..4].iter().all(|at| *at >= 3), "{:?}", away.order);
 }
@@ -974,13 +981,15 @@
             300 => {
                 let out = away.order.iter().filter(|at| **at % 2 == 1).count();
                 assert!(out <= 1, "south has lost one beside the plan: {:?}", away.order);
-                assert!(away.works.shown().why.contains("nodes of zone south are out or down, 1 may be"));
+                assert!(
+                    away.maintenance.status().why.contains("nodes of zone south are out or down, 1 may be")
+                );
                 away.begins(9);
             }
             _ => {}
         }
     }
-    assert!(away.is_over(), "{:?}", away.works.shown());
+    assert!(away.is_over(), "{:?}", away.maintenance.status());
     assert_eq!(away.order.len(), 6);
 }
 
@@ -990,51 +999,55 @@
     away.hangs = Some(4);
     away.says(1, Command::Submit(Box::new(Plan { drain_within_s: 5, ..nodes(&[4, 5]) })));
     away.pass(20_000);
-    let phases: Vec<Phase> = away.works.phases().map(|(_, phase)| phase).collect();
+    let phases: Vec<Phase> = away.maintenance.phases().map(|(_, phase)| phase).collect();
     assert_eq!((phases, away.order.as_slice()), (vec![Phase::Left, Phase::Done], &[5][..]));
-    assert!(away.nodes[4].as_ref().is_some_and(|(permission, _)| !permission.goes()), "it may stay");
+    assert!(
+        away.nodes[4].as_ref().is_some_and(|(permission, _)| !permission.is_own_machine_closed()),
+        "it may stay"
+    );
     away.says(2, Command::Submit(Box::new(nodes(&[4, 6]))));
     away.pass(400);
     away.says(3, Command::Withdraw);
     away.pass(3000);
-    assert!(away.nodes.iter().flatten().all(|(permission, _)| !permission.goes()));
+    assert!(away.nodes.iter().flatten().all(|(permission, _)| !permission.is_own_machine_closed()));
 }
 
 /// Guards against a node that is taken for through by a word that another has overtaken: it was taken back meanwhile and sends.
 #[test]
 fn what_a_node_said_before_is_nothing_once_it_has_said_something_newer() {
-    let mut works = Works::empty(PERMISSION, 2, &[]);
-    let asks = |number: u32, ask, knows, through| {
-        let (in_hand, closed) = (Vec::new(), Vec::new());
+    let mut maintenance = MaintenanceState::new(PERMISSION, 2, &[]);
+    let asks = |number: u32, ask, known_decision, is_drained| {
+        let (in_flight, closed) = (Vec::new(), Vec::new());
         let holder = Holder { number, generation: 1 };
-        let (socket, units, turned_back, shows) = (u64::from(number), 0, 0, false);
+        let (socket_hash, units, rejected, wants_status) = (u64::from(number), 0, 0, false);
         let zone = String::new();
-        Step::Asks(Ask {
+        Step::PermitRequest(PermitRequest {
             holder,
             zone,
-            ask,
-            socket,
-            knows,
-            in_hand,
+            sequence: ask,
+            socket_hash,
+            known_decision,
+            in_flight,
             closed,
-            through,
+            is_drained,
             units,
-            turned_back,
-            shows,
+            rejected,
+            wants_status,
         })
     };
     let plan = Plan { least_nodes: 1, ..nodes(&[0]) };
-    works.apply(2000, vec![asks(0, 1, 0, false), asks(1, 1, 0, false)], hash);
-    works.apply(0, vec![Step::Says(1, Command::Submit(Box::new(plan.clone())))], hash);
-    let phase = |works: &Works| works.phases().map(|(_, phase)| phase).collect::<Vec<_>>();
-    assert_eq!(phase(&works), [Phase::Draining]);
-    let knows = works.shown().number;
-    works.apply(10, vec![asks(0, 3, knows, false), asks(0, 2, knows, true)], hash);
-    assert_eq!(phase(&works), [Phase::Draining], "what overtook it says otherwise");
-    works.apply(10, vec![asks(0, 4, knows - 1, true)], hash);
-    assert_eq!(phase(&works), [Phase::Draining], "it was through with something else");
-    works.apply(10, vec![asks(0, 5, knows, true)], hash);
-    assert_eq!(phase(&works), [Phase::Out]);
+    maintenance.apply(2000, vec![asks(0, 1, 0, false), asks(1, 1, 0, false)], hash);
+    maintenance.apply(0, vec![Step::Command(1, Command::Submit(Box::new(plan.clone())))], hash);
+    let phase =
+        |maintenance: &MaintenanceState| maintenance.phases().map(|(_, phase)| phase).collect::<Vec<_>>();
+    assert_eq!(phase(&maintenance), [Phase::Draining]);
+    let known_decision = maintenance.status().number;
+    maintenance.apply(10, vec![asks(0, 3, known_decision, false), asks(0, 2, known_decision, true)], hash);
+    assert_eq!(phase(&maintenance), [Phase::Draining], "what overtook it says otherwise");
+    maintenance.apply(10, vec![asks(0, 4, known_decision - 1, true)], hash);
+    assert_eq!(phase(&maintenance), [Phase::Draining], "it was through with something else");
+    maintenance.apply(10, vec![asks(0, 5, known_decision, true)], hash);
+    assert_eq!(phase(&maintenance), [Phase::Out]);
 }
 
 #[test]
@@ -1043,7 +1056,7 @@
         let mut away = Away::new(6);
         away.says(1, Command::Submit(Box::new(nodes)));
         away.pass(1000);
-        let shown = away.works.shown();
+        let shown = away.maintenance.status();
         shown.answers.last().map(|(_, said)| said.clone()).unwrap_or_default() + "; " + &shown.why
     };
     assert_eq!(said(nodes(&[6])), "refused: nodes[0]: expected a number below 6, found 6; ");
--- a/crates/node/src/coordinator.rs
+++ b/crates/node/src/coordinator.rs
@@ -23,7 +23,7 @@
 use grebeusher_dispatch::{Arrival, AttemptOutcome, ExecutorStatus, ListUpdate, ListedExecutor, LoadReport};
 use grebeusher_faktory::reservations;
 use grebeusher_job_log::book::{Due, Job};
-use grebeusher_maintenance::{Plan, Seen, View, ZoneSeen};
+use grebeusher_maintenance::{ListView, MachineView, Plan, ZoneView};
 use grebeusher_node_config::DeploymentSettings;
 use grebeusher_transport::alarms::Alarms;
 use serde::{Deserialize, Serialize};
@@ -440,12 +440,12 @@
 
     /// What maintenance needs to know of the list: the executors of each zone, and the state of the `watched` ones, which
     /// are given by the hashes of their names.
-    pub fn maintenance_view(&self, watched: impl Iterator<Item = u64>) -> View {
-        let mut zones: BTreeMap<usize, ZoneSeen> = BTreeMap::new();
+    pub fn maintenance_view(&self, watched: impl Iterator<Item = u64>) -> ListView {
+        let mut zones: BTreeMap<usize, ZoneView> = BTreeMap::new();
         for known in self.known.values() {
-            let zone = zones.entry(known.zone).or_insert_with(|| ZoneSeen {
+            let zone = zones.entry(known.zone).or_insert_with(|| ZoneView {
                 zone: self.zones.get(known.zone).cloned().unwrap_or_default(),
-                ..ZoneSeen::default()
+                ..ZoneView::default()
             });
             zone.listed += 1;
             zone.ready += u32::from(known.status == ExecutorStatus::Ready);
@@ -453,9 +453,9 @@
         let seen = |machine: u64| {
             let known = self.known.get(&machine)?;
             let started_ms = known.listed_start.map_or(0, |at| at.0 / 1_000_000);
-            Some(Seen { machine, ready: known.status == ExecutorStatus::Ready, started_ms })
+            Some(MachineView { machine, ready: known.status == ExecutorStatus::Ready, started_ms })
         };
-        View { zones: zones.into_values().collect(), machines: watched.filter_map(seen).collect() }
+        ListView { zones: zones.into_values().collect(), machines: watched.filter_map(seen).collect() }
     }
 
     /// Replaces the zones and kinds that a plan names by the names of their executors, and fills in the zone of each
--- a/crates/node/src/state/replicated_state.rs
+++ b/crates/node/src/state/replicated_state.rs
@@ -3,14 +3,14 @@
 use grebeusher_budgets::{Ask, Division, Entry, Grant, Wholes};
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
-use grebeusher_maintenance::{self as maintenance, Moved, Permit, Works};
+use grebeusher_maintenance::{self as maintenance, MaintenanceState, Permit, PlanChange};
 use grebeusher_volatile_raft::StateMachine;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReplicatedState {
     budgets: Division,
-    pub maintenance: Works,
+    pub maintenance: MaintenanceState,
     /// Microseconds of elapsed time that are not yet applied, as the parts count whole milliseconds.
     remainder_us: u64,
 }
@@ -30,7 +30,7 @@
     BudgetGrant(Grant),
     Permit(Permit),
     /// The maintenance plan has made progress.
-    Moved(Moved),
+    PlanChange(PlanChange),
 }
 
 impl Outcome {
@@ -39,7 +39,7 @@
         match self {
             Outcome::BudgetGrant(grant) => Some(grant.holder.number),
             Outcome::Permit(permit) => Some(permit.holder.number),
-            Outcome::Moved(_) => None,
+            Outcome::PlanChange(_) => None,
         }
     }
 }
@@ -47,7 +47,7 @@
 impl ReplicatedState {
     /// The initial state of a new Raft group. Grants of an earlier group that was lost may still be in use, so no
     /// share is granted before their leases have expired.
-    pub fn empty(fleet_budgets: Wholes, lease: Duration, maintenance: Works) -> ReplicatedState {
+    pub fn empty(fleet_budgets: Wholes, lease: Duration, maintenance: MaintenanceState) -> ReplicatedState {
         let mut budgets = Division::new(lease, true);
         budgets.apply(&Entry { wholes: Some(fleet_budgets), ..Entry::default() });
         ReplicatedState { budgets, maintenance, remainder_us: 0 }
@@ -76,13 +76,13 @@
         let maintenance_outcomes =
             self.maintenance.apply(passed_ms, steps, fixed_hash).into_iter().map(|outcome| match outcome {
                 maintenance::Outcome::Permit(permit) => Outcome::Permit(permit),
-                maintenance::Outcome::Moved(moved) => Outcome::Moved(moved),
+                maintenance::Outcome::PlanChange(change) => Outcome::PlanChange(change),
             });
         grants.into_iter().map(Outcome::BudgetGrant).chain(maintenance_outcomes).collect()
     }
 
     fn depends_on_time(&self) -> bool {
-        self.maintenance.waits() || self.budgets.waits()
+        self.maintenance.changes_with_time() || self.budgets.waits()
     }
 
     fn bootstrapped(&mut self, at: Instant) {
--- a/crates/node/src/wire/peers.rs
+++ b/crates/node/src/wire/peers.rs
@@ -12,7 +12,9 @@
 use grebeusher_budgets::{Holder, Wholes};
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
-use grebeusher_maintenance::{self as maintenance, Command, Permission, Permit, Shown, Works, node_name};
+use grebeusher_maintenance::{
+    self as maintenance, Command, MaintenanceState, Permission, Permit, PlanStatus, node_name,
+};
 use grebeusher_membership::{ExecutorObservation, Host, LiveMember, Member, Membership};
 use grebeusher_node_config::fleet;
 use polling::{Event, Poller};
@@ -256,7 +258,7 @@
     next_nudge_at: Cell<Option<Instant>>,
     /// When operators last read the status of the plan, and the latest status with the time of its arrival.
     viewed_at: Cell<Option<Instant>>,
-    plan_status: RefCell<Option<(Instant, Shown)>>,
+    plan_status: RefCell<Option<(Instant, PlanStatus)>>,
 }
 
 impl Peers {
@@ -311,7 +313,7 @@
         let name_hashes = (fixed_hash(&at.to_string()), fixed_hash(&node_name(member.number)));
         let maintenance = fleet.maintenance.as_ref().map(|_| MaintenanceAgent {
             is_drained: Cell::new(false),
-            permission: RefCell::new(Permission::new(holder, name_hashes, permission).standing_in(zone)),
+            permission: RefCell::new(Permission::new(holder, name_hashes, permission).with_zone(zone)),
             closed_changes_at: Cell::new(None),
             list_viewed_at: Cell::new(now),
             next_nudge_at: Cell::new(None),
@@ -326,7 +328,7 @@
             let initial_state = ReplicatedState::empty(
                 fleet_budgets,
                 lease,
-                Works::empty(permission, count as u32, &voters.nodes),
+                MaintenanceState::new(permission, count as u32, &voters.nodes),
             );
             let voter_group =
                 VoterGroup::new(now, &voters.nodes, member.number, seed ^ now.0, initial_state, &peer_socket);
@@ -452,12 +454,14 @@
 
     /// Whether this node may send to executors: with maintenance it needs a permission of the voters first.
     pub fn may_send(&self) -> bool {
-        self.maintenance.as_ref().is_none_or(|maintenance| maintenance.permission.borrow().has_word())
+        self.maintenance.as_ref().is_none_or(|maintenance| maintenance.permission.borrow().has_permit())
     }
 
     /// Whether this node's own machine is to be taken out for maintenance.
     pub fn is_to_leave(&self) -> bool {
-        self.maintenance.as_ref().is_some_and(|maintenance| maintenance.permission.borrow().goes())
+        self.maintenance
+            .as_ref()
+            .is_some_and(|maintenance| maintenance.permission.borrow().is_own_machine_closed())
     }
 
     /// This node is to be taken out, and its clients have been sent elsewhere. Once nothing that it sent may still be
@@ -467,7 +471,7 @@
         else {
             return;
         };
-        let max_run_time = maintenance.permission.borrow().longest_unit();
+        let max_run_time = maintenance.permission.borrow().max_unit_time();
         let holds_grants = self
             .budget_shares
             .as_ref()
@@ -478,7 +482,7 @@
         {
             info!("maintenance: this node is drained and may be taken out");
             maintenance.is_drained.set(true);
-            maintenance.permission.borrow_mut().hurry();
+            maintenance.permission.borrow_mut().request_urgently();
             maintenance.apply_closed(self.clock.now(), coordinator);
         }
     }
@@ -500,14 +504,16 @@
         let now = self.clock.now();
         maintenance.check_permission(now, coordinator);
         if let Some(ask) = maintenance.next_ask(now, coordinator, &self.peer_socket.counters) {
-            voter_group.borrow_mut().submit(now, StateCommand::Maintenance(maintenance::Step::Asks(ask)));
+            voter_group
+                .borrow_mut()
+                .submit(now, StateCommand::Maintenance(maintenance::Step::PermitRequest(ask)));
         }
         if voter_group.borrow_mut().take_plan_moved() && maintenance.next_nudge_at.get().is_none() {
             maintenance.next_nudge_at.set(Some(now + NUDGE_INTERVAL));
         }
         if maintenance.next_nudge_at.get().is_some_and(|at| at <= now) {
             maintenance.next_nudge_at.set(None);
-            maintenance.permission.borrow_mut().nudged(now);
+            maintenance.permission.borrow_mut().request_soon(now);
             self.peer_socket
                 .addresses
                 .borrow()
@@ -518,13 +524,13 @@
             return;
         }
         let seen = voter_group.borrow().with_leading_state(|state| {
-            (state.maintenance.view().clone(), state.maintenance.watched().collect::<Vec<u64>>())
+            (state.maintenance.view().clone(), state.maintenance.watched_machines().collect::<Vec<u64>>())
         });
         let Some((seen, watched)) = seen else { return };
         maintenance.list_viewed_at.set(now);
         let view = coordinator.maintenance_view(watched.into_iter());
         if view != seen {
-            voter_group.borrow_mut().submit(now, StateCommand::Maintenance(maintenance::Step::Sees(view)));
+            voter_group.borrow_mut().submit(now, StateCommand::Maintenance(maintenance::Step::View(view)));
         }
     }
 
@@ -532,14 +538,14 @@
     /// out once.
     pub fn submit_command(&self, name: u64, command: Command) {
         if let Some(voter_group) = &self.voter_group {
-            let offset = StateCommand::Maintenance(maintenance::Step::Says(name, command));
+            let offset = StateCommand::Maintenance(maintenance::Step::Command(name, command));
             voter_group.borrow_mut().submit(self.clock.now(), offset);
         }
     }
 
     /// The status of the plan, and milliseconds since it arrived; the inner `None` if none has arrived yet, the outer
     /// if maintenance is not configured.
-    pub fn plan_status(&self) -> Option<Option<(u64, Shown)>> {
+    pub fn plan_status(&self) -> Option<Option<(u64, PlanStatus)>> {
         let maintenance = self.maintenance.as_ref()?;
         let now = self.clock.now();
         maintenance.viewed_at.set(Some(now));
@@ -639,7 +645,7 @@
             Some((NUDGE, _)) => self
                 .maintenance
                 .as_ref()
-                .map(|maintenance| maintenance.permission.borrow_mut().nudged(self.clock.now()))
+                .map(|maintenance| maintenance.permission.borrow_mut().request_soon(self.clock.now()))
                 .is_some(),
             Some((kind @ (VOTER | COMMAND | OUTCOME), body)) => {
                 let voter_group = self.voter_group.as_ref();
@@ -756,7 +762,7 @@
 impl MaintenanceAgent {
     fn next_timeout(&self, is_leader: bool) -> Option<Instant> {
         let next_view = is_leader.then(|| self.list_viewed_at.get() + VIEW_INTERVAL);
-        let next_ask_at = Some(self.permission.borrow().next_due());
+        let next_ask_at = Some(self.permission.borrow().next_request_at());
         [next_view, next_ask_at, self.closed_changes_at.get(), self.next_nudge_at.get()]
             .into_iter()
             .flatten()
@@ -765,7 +771,7 @@
 
     fn check_permission(&self, now: Instant, coordinator: &mut Coordinator) {
         if self.closed_changes_at.get().is_some_and(|at| now >= at) {
-            let for_s = self.permission.borrow().for_long(now).seconds();
+            let for_s = self.permission.borrow().permit_age(now).seconds();
             warn!(
                 for_s,
                 "maintenance: no permission of the voters for {for_s:.1} s; sending nothing to machines of the plan"
@@ -776,8 +782,8 @@
 
     fn apply_closed(&self, now: Instant, coordinator: &mut Coordinator) {
         let permission = self.permission.borrow();
-        self.closed_changes_at.set(permission.changes_at(now));
-        coordinator.set_closed_executors(match permission.has_word() && !self.is_drained.get() {
+        self.closed_changes_at.set(permission.next_closing_at(now));
+        coordinator.set_closed_executors(match permission.has_permit() && !self.is_drained.get() {
             true => ClosedExecutors::Only(permission.closed(now).collect()),
             false => ClosedExecutors::All,
         });
@@ -788,28 +794,33 @@
         now: Instant,
         coordinator: &mut Coordinator,
         counters: &Counters,
-    ) -> Option<maintenance::Ask> {
+    ) -> Option<maintenance::PermitRequest> {
         let mut permission = self.permission.borrow_mut();
         let is_viewed = self.viewed_at.get().is_some_and(|at| now.since(at) < VIEWER_TIMEOUT);
         if is_viewed {
-            permission.hurry();
+            permission.request_urgently();
         }
-        if permission.next_due() > now {
+        if permission.next_request_at() > now {
             return None;
         }
-        let outstanding = coordinator.outstanding_by_executor(permission.longest_unit());
+        let outstanding = coordinator.outstanding_by_executor(permission.max_unit_time());
         let request_counts = (counters.units.total(), counters.turned_back.total());
         let report = (self.is_drained.get(), is_viewed);
-        permission.ask(now, |machine| outstanding.get(&machine).copied().unwrap_or(0), request_counts, report)
+        permission.next_request(
+            now,
+            |machine| outstanding.get(&machine).copied().unwrap_or(0),
+            request_counts,
+            report,
+        )
     }
 
     fn permit_received(&self, now: Instant, mut permit: Permit, coordinator: &mut Coordinator) {
-        if let Some(plan_status) = permit.shown.take() {
+        if let Some(plan_status) = permit.plan_status.take() {
             *self.plan_status.borrow_mut() = Some((now, plan_status));
         }
-        let changed = self.permission.borrow_mut().granted(&permit);
+        let changed = self.permission.borrow_mut().receive_permit(&permit);
         if changed {
-            self.is_drained.set(self.is_drained.get() && self.permission.borrow().goes());
+            self.is_drained.set(self.is_drained.get() && self.permission.borrow().is_own_machine_closed());
             self.apply_closed(now, coordinator);
         }
     }
--- a/crates/node/src/wire/voter_group.rs
+++ b/crates/node/src/wire/voter_group.rs
@@ -33,7 +33,7 @@
 
     fn applied(&mut self, outcome: Outcome) {
         match (outcome.node(), &outcome) {
-            (_, Outcome::Moved(decision)) => {
+            (_, Outcome::PlanChange(decision)) => {
                 info!(
                     decision = decision.number,
                     "maintenance: decision {}: {}", decision.number, decision.what
--- a/crates/node/tests/stable_bytes.rs
+++ b/crates/node/tests/stable_bytes.rs
@@ -4,8 +4,8 @@
 use grebeusher_budgets::{self as budgets, Division, Entry, Grant, Holder, Whole, Wholes};
 use grebeusher_dispatch::time::Duration;
 use grebeusher_maintenance::{
-    Ask, Command, Moved, Outcome, Permit, Phase, Plan, Seen, Shown, ShownMachine, Stage, Step, View,
-    WhenLost, Works, ZoneSeen,
+    Command, ListView, MachineStatus, MachineView, MaintenanceState, Outcome, Permit, PermitRequest, Phase,
+    Plan, PlanChange, PlanStatus, Stage, Step, WhenLost, ZoneView,
 };
 use grebeusher_membership::ExecutorObservation;
 use serde::Serialize;
@@ -63,26 +63,26 @@
     Wholes { edition: 3, of: vec![(0x8c1f_30d2_7a5b_e964, whole)] }
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> PermitRequest {
+    PermitRequest {
         holder: HOLDER,
         zone: "north".to_owned(),
-        ask: 13,
-        socket: 14,
-        knows: 15,
-        in_hand: vec![(16, 300)],
+        sequence: 13,
+        socket_hash: 14,
+        known_decision: 15,
+        in_flight: vec![(16, 300)],
         closed: vec![17],
-        through: true,
+        is_drained: true,
         units: 1000,
-        turned_back: 18,
-        shows: true,
+        rejected: 18,
+        wants_status: true,
     }
 }
 
-fn view() -> View {
-    View {
-        zones: vec![ZoneSeen { zone: "north".to_owned(), listed: 300, ready: 299 }],
-        machines: vec![Seen { machine: 16, ready: true, started_ms: 1_700_000_000_000 }],
+fn view() -> ListView {
+    ListView {
+        zones: vec![ZoneView { zone: "north".to_owned(), listed: 300, ready: 299 }],
+        machines: vec![MachineView { machine: 16, ready: true, started_ms: 1_700_000_000_000 }],
     }
 }
 
@@ -115,14 +115,14 @@
 }
 
 fn permit() -> Permit {
-    let shown_machine = ShownMachine {
+    let shown_machine = MachineStatus {
         name: "s-0".to_owned(),
         phase: Phase::Draining,
         for_s: 300,
         number: 43,
         why: "work".to_owned(),
     };
-    let shown = Shown {
+    let shown = PlanStatus {
         number: 44,
         plan: "new kernel".to_owned(),
         standing: "runs".to_owned(),
@@ -133,11 +133,11 @@
     };
     Permit {
         holder: HOLDER,
-        ask: 13,
+        sequence: 13,
         number: 44,
         machines: Some(vec![(16, Stage::Waiting), (17, Stage::Next), (18, Stage::Closed)]),
         longest_unit_s: 32,
-        shown: Some(shown),
+        plan_status: Some(shown),
     }
 }
 
@@ -190,13 +190,13 @@
         assert_bytes(&command, pinned);
     }
     let steps = [
-        (Step::Asks(ask()), "000787d095ffbc31056e6f7274680d0e0f0110ac02011101e8071201"),
-        (Step::Sees(view()), "0101056e6f727468ac02ab0201100180d095ffbc31"),
-        (Step::Says(300, Command::Pause), "02ac0201"),
+        (Step::PermitRequest(ask()), "000787d095ffbc31056e6f7274680d0e0f0110ac02011101e8071201"),
+        (Step::View(view()), "0101056e6f727468ac02ab0201100180d095ffbc31"),
+        (Step::Command(300, Command::Pause), "02ac0201"),
     ];
     for (step, pinned) in steps {
         match step {
-            Step::Asks(_) | Step::Sees(_) | Step::Says(..) => {}
+            Step::PermitRequest(_) | Step::View(_) | Step::Command(..) => {}
         }
         assert_bytes(&step, pinned);
     }
@@ -205,17 +205,17 @@
 
 #[test]
 fn each_maintenance_outcome_is_as_it_was() {
-    let moved = Moved { number: 44, what: "s-0 is out".to_owned() };
+    let moved = PlanChange { number: 44, what: "s-0 is out".to_owned() };
     let outcomes = [
         (
             Outcome::Permit(permit()),
             "000787d095ffbc310d2c010310001101120220012c0a6e6577206b65726e656c0472756e73076e6f7468696e67ad020103732d3002ac022b04776f726b012d03796573",
         ),
-        (Outcome::Moved(moved), "012c0a732d30206973206f7574"),
+        (Outcome::PlanChange(moved), "012c0a732d30206973206f7574"),
     ];
     for (outcome, pinned) in outcomes {
         match outcome {
-            Outcome::Permit(_) | Outcome::Moved(_) => {}
+            Outcome::Permit(_) | Outcome::PlanChange(_) => {}
         }
         assert_bytes(&outcome, pinned);
     }
@@ -248,15 +248,25 @@
 
 #[test]
 fn the_maintenance_state_is_as_it_was() {
-    let mut works = Works::empty(Duration::from_millis(10_000), 40, &[0, 1, 2]);
-    assert_bytes(&works, "00904e28030001020088270000000000000000000000");
+    let mut maintenance = MaintenanceState::new(Duration::from_millis(10_000), 40, &[0, 1, 2]);
+    assert_bytes(&maintenance, "00904e28030001020088270000000000000000000000");
     let named = Plan { of_zones: Vec::new(), of_kinds: Vec::new(), ..plan() };
-    let steps =
-        vec![Step::Sees(view()), Step::Asks(ask()), Step::Says(300, Command::Submit(Box::new(named)))];
-    works.apply(7000, steps, length);
-    works.apply(70_000, vec![Step::Asks(Ask { ask: 14, ..ask() }), Step::Says(301, Command::Pause)], length);
+    let steps = vec![
+        Step::View(view()),
+        Step::PermitRequest(ask()),
+        Step::Command(300, Command::Submit(Box::new(named))),
+    ];
+    maintenance.apply(7000, steps, length);
+    maintenance.apply(
+        70_000,
+        vec![
+            Step::PermitRequest(PermitRequest { sequence: 14, ..ask() }),
+            Step::Command(301, Command::Pause),
+        ],
+        length,
+    );
     assert_bytes(
-        &works,
+        &maintenance,
         "c8d904904e28030001021588270107010787d095ffbc310ed8a7050e000f0110ac0201e807120107056e6f72746801110001056e6f727468ac02ab0201100180d095ffbc3102d836e80712c8d904e80712e80712010a6e6577206b65726e656c0203732d3003732d33000002056e6f72746805736f757468020304021e0507060104083c901c1f2001019a9999999999a93f0103732d33010901d83601056e6f727468010403732d300003056e6f72746801d8361300010000000003732d33000305736f75746801d83612000100000000066e6f646520330103060001d83614000000000000066e6f646520340104060001d83615000000000000000002ac021d74616b656e3a206e6577206b65726e656c2c2034206d616368696e6573ad0206706175736564",
     );
 }
@@ -293,7 +303,7 @@
     let observations =
         [(0x8c1f_30d2_7a5b_e964_u64, 1_700_000_003_000_u64, true), (7, 1_700_000_004_000, false)]
             .map(|(executor, at_ms, gone)| ExecutorObservation { executor, at_ms, gone });
-    let moved = Moved { number: 44, what: "s-0 is out".to_owned() };
+    let moved = PlanChange { number: 44, what: "s-0 is out".to_owned() };
     // The membership message of a node that has just started.
     let join_message = bytes("0120010db80000000000000000000000078a3e0282d095ffbc3100000a0100018a3e000006");
     let estimates = (vec![(0.25_f32, 0.5_f32)], vec![("plain".to_owned(), (1.5_f32, 2.5_f32, 3.0_f32))]);
@@ -335,7 +345,7 @@
         ),
         (
             "a command: maintenance",
-            datagram(4, &encoded(&(true, from, 2u8, Step::Asks(ask())))),
+            datagram(4, &encoded(&(true, from, 2u8, Step::PermitRequest(ask())))),
             "0304b22b4cbfe6f0d2c921fe69290025f3610107007f0000010902000787d095ffbc31056e6f7274680d0e0f0110ac02011101e8071201",
         ),
         (
@@ -412,8 +422,9 @@
         let folder = std::env::temp_dir().join(format!("grebeusher-bytes-{}-{number}", process::id()));
         std::fs::create_dir(&folder).expect("a new folder");
         let folder = Folder(folder);
-        let datagram_address =
-            UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("a free port");
+        let datagram_address = UdpSocket::bind("127.0.0.1:0")
+            .and_then(|socket_hash| socket_hash.local_addr())
+            .expect("a free port");
         let fleet = format!(
             "[fellows]\nfleet = {FLEET:?}\nsecret = {SECRET:?}\nport = {}\nknown_as = {KNOWN_AS:?}\n\
              contacts = [{NOWHERE:?}]\n[keepers]\nnodes = {voters}\n[maintenance]\n\
@@ -485,8 +496,8 @@
 #[test]
 fn a_node_reads_each_kind_of_datagram_as_it_was() {
     let node = Node::start("[0, 1, 2]");
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let send = |datagram: &[u8]| socket.send_to(datagram, node.datagrams).expect("the datagram is sent");
+    let socket_hash = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    let send = |datagram: &[u8]| socket_hash.send_to(datagram, node.datagrams).expect("the datagram is sent");
     let mut sent = 0;
     for (name, _, pinned) in datagrams() {
         send(&bytes(pinned));
@@ -511,20 +522,20 @@
 /// The bodies of datagrams that the node sends to node 0, by kind, until there is one of each wanted kind; of commands,
 /// one of each variant.
 fn received_from(node: &Node, expected: &[(u8, Option<u8>)]) -> BTreeMap<(u8, Option<u8>), Vec<u8>> {
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    socket.set_read_timeout(Some(TIMEOUT)).expect("a timeout is set");
-    let own = socket.local_addr().expect("an address");
+    let socket_hash = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    socket_hash.set_read_timeout(Some(TIMEOUT)).expect("a timeout is set");
+    let own = socket_hash.local_addr().expect("an address");
     let node_address: SocketAddr = KNOWN_AS.parse().expect("an address");
     // A membership message by which the node learns that node 0 is at this address.
     let join_message = (own, 0u32, 1_700_000_000_000_u64, 0u16, (node_address, 0u32, 0u64), 6u8);
-    socket.send_to(&datagram(1, &encoded(&join_message)), node.datagrams).expect("the datagram is sent");
-    socket.send_to(&datagram(8, &encoded(&own)), node.datagrams).expect("the datagram is sent");
+    socket_hash.send_to(&datagram(1, &encoded(&join_message)), node.datagrams).expect("the datagram is sent");
+    socket_hash.send_to(&datagram(8, &encoded(&own)), node.datagrams).expect("the datagram is sent");
     let mut received = BTreeMap::new();
     let mut buffer = [0; 2048];
     let started = Instant::now();
     while expected.iter().any(|expected| !received.contains_key(expected)) {
         assert!(started.elapsed() < TIMEOUT, "only these arrived: {:?}", received.keys());
-        let (length, _) = socket.recv_from(&mut buffer).expect("the node sends a datagram");
+        let (length, _) = socket_hash.recv_from(&mut buffer).expect("the node sends a datagram");
         let (kind, body) = (buffer[1], &buffer[18..length]);
         assert_eq!(hex(&buffer[..length]), hex(&datagram(kind, body)), "the tag is as it was");
         let variant = (kind == 4).then(|| {
@@ -558,7 +569,7 @@
     let body = &received[&(4, Some(2))];
     let step: MaintenanceMessage = postcard::from_bytes(body).expect("the body is a command");
     assert_eq!((hex(&encoded(&step)), step.0, step.1), (hex(body), true, (1, node_address)));
-    assert!(matches!(step.3, Step::Asks(ask) if ask.holder.number == 1 && ask.zone == "a"));
+    assert!(matches!(step.3, Step::PermitRequest(ask) if ask.holder.number == 1 && ask.zone == "a"));
     assert_eq!(
         received[&(2, None)][..4],
         [0, 0, 0, 1],
