--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,18 +1,18 @@
-//! What the whole fleet may spend within any window of a stated length, divided among its nodes: never more than the whole,
-//! whatever fails. No I/O and no clock.
+//! Divides the budgets of a fleet among its nodes by leases. All nodes together never spend more of a budget in any window than
+//! its limit, whatever fails. This crate does no I/O and reads no clock.
 //!
-//! [`Division`] is what the keepers agree on: who holds how many units of which budget, and until when. It is a state machine
-//! over entries; equal entries give equal states. [`Purse`] is one node's side of one budget: it says what may be spent now, and
-//! what to ask the keepers for.
+//! [`Division`] is the state that the voters replicate: which node holds how many units of which budget, and until when. It is a
+//! state machine over entries; equal entries give equal states. [`LocalQuota`] is one node's side of one budget: it says what may
+//! be spent now, and what to request from the voters.
 //!
-//! Why the sum holds. A unit that is granted may be spent once in a window by its holder while the lease lasts. The holder
-//! counts the lease from when it asked, and ends it early by [`DRIFT`]; the keepers count it from when the grant was settled,
-//! which is later. A unit comes back by the holder's word that it spends it no more, by which it goes from when it says so, or as
-//! the lease is over. As far as it may have been spent just before it rests until that has left the window, and counts as held. What
-//! nodes may spend without asking, their floor, is taken off beforehand for as many nodes as there may ever be.
+//! Why the limit holds: a granted unit may be spent once in a window by its holder while the lease lasts. The holder counts the
+//! lease from the time of its request, and ends it early by [`DRIFT`]; the voters count it from the commit of the grant, which is
+//! later. A unit becomes free when the holder reports that it no longer spends it, which the holder obeys from the time of the
+//! report, or when the lease expires. If it may have been spent recently, it counts as held until that has left the window. The
+//! floors, which nodes may spend without a request, are subtracted beforehand for the largest number of nodes that may exist.
 
 mod division;
-mod purse;
+mod local_quota;
 
-pub use division::{Ask, Division, Entry, Grant, Holder, Key, Whole, Wholes};
-pub use purse::{DRIFT, Purse, WAITS};
+pub use division::{BudgetKey, Division, Entry, FleetBudget, FleetBudgets, Grant, GrantRequest, Holder};
+pub use local_quota::{DRIFT, GRANT_WAIT, LocalQuota};
--- a/crates/node/src/coordinator.rs
+++ b/crates/node/src/coordinator.rs
@@ -558,7 +558,7 @@
         let spends = |peers: &Rc<dyn PeerMessenger>| peers.try_spend(BudgetUse::Request, content.scope);
         if self.host.peers.as_ref().is_some_and(|peers| !spends(peers)) {
             // The leader of the voters may still grant a share.
-            let until = self.host.clock.now() + grebeusher_budgets::WAITS;
+            let until = self.host.clock.now() + grebeusher_budgets::GRANT_WAIT;
             return self.awaiting_budget.push_back((until, request, content, *arrival));
         }
         self.submit(request, content, arrival);
--- a/crates/node/src/state/budget_shares.rs
+++ b/crates/node/src/state/budget_shares.rs
@@ -1,6 +1,6 @@
 //! This node's shares of the fleet's budgets.
 
-use grebeusher_budgets::{Ask, Grant, Holder, Key, Purse, Whole, Wholes};
+use grebeusher_budgets::{BudgetKey, FleetBudget, FleetBudgets, Grant, GrantRequest, Holder, LocalQuota};
 use grebeusher_dispatch::time::Instant;
 use grebeusher_node_config::fleet::{Budget, BudgetSettings};
 
@@ -22,8 +22,8 @@
     class: Option<usize>,
     /// The index of the only customer that the budget counts; `None` if it counts all.
     customer: Option<usize>,
-    key: Key,
-    purse: Purse,
+    key: BudgetKey,
+    quota: LocalQuota,
 }
 
 impl BudgetShare {
@@ -44,17 +44,17 @@
     granted_edition: u64,
 }
 
-fn fleet_budget(budget: &Budget) -> Whole {
-    Whole { units: budget.units, window_ms: budget.window_ms, floor: budget.floor, nodes: budget.nodes }
+fn fleet_budget(budget: &Budget) -> FleetBudget {
+    FleetBudget { units: budget.units, window_ms: budget.window_ms, floor: budget.floor, nodes: budget.nodes }
 }
 
 /// The budgets of these settings, for the whole fleet.
-pub fn fleet_budgets(settings: &BudgetSettings) -> Wholes {
+pub fn fleet_budgets(settings: &BudgetSettings) -> FleetBudgets {
     let budgets = settings.of.iter().map(|budget| {
-        let whole = fleet_budget(budget);
-        (whole.key(&budget.name(), settings.lease()), whole)
+        let definition = fleet_budget(budget);
+        (definition.key(&budget.name(), settings.lease()), definition)
     });
-    Wholes { edition: settings.edition, of: budgets.collect() }
+    FleetBudgets { edition: settings.edition, of: budgets.collect() }
 }
 
 impl BudgetShares {
@@ -93,17 +93,18 @@
         };
         let mut shares = Vec::new();
         for (at, budget) in settings.of.iter().enumerate() {
-            let whole = fleet_budget(budget);
-            let key = whole.key(&budget.name(), settings.lease());
+            let definition = fleet_budget(budget);
+            let key = definition.key(&budget.name(), settings.lease());
             let kept = previous.iter().position(|share| share.key == key).map(|at| previous.swap_remove(at));
-            let purse = kept.map(|share| share.purse);
+            let quota = kept.map(|share| share.quota);
             shares.push(BudgetShare {
                 name: budget.name(),
                 budget_use: if budget.further { BudgetUse::FurtherAttempt } else { BudgetUse::Request },
                 class: find("tariff", at, &self.class_names, &budget.tariff)?,
                 customer: find("customer", at, &self.customer_names, &budget.customer)?,
                 key,
-                purse: purse.unwrap_or_else(|| Purse::new(now, self.holder, key, &whole, settings.lease())),
+                quota: quota
+                    .unwrap_or_else(|| LocalQuota::new(now, self.holder, key, &definition, settings.lease())),
             });
         }
         Ok(shares)
@@ -127,25 +128,25 @@
         Ok(())
     }
 
-    fn counting_purses(
+    fn counting_quotas(
         &mut self,
         budget_use: BudgetUse,
         scope: BudgetScope,
-    ) -> impl Iterator<Item = &mut Purse> {
+    ) -> impl Iterator<Item = &mut LocalQuota> {
         self.shares
             .iter_mut()
             .filter(move |share| share.counts(budget_use, scope))
-            .map(|share| &mut share.purse)
+            .map(|share| &mut share.quota)
     }
 
     /// Spends one unit of each budget that counts this, or of none of them if one has no unit left.
     pub fn try_spend(&mut self, now: Instant, budget_use: BudgetUse, scope: BudgetScope) -> bool {
-        let allowed = self.counting_purses(budget_use, scope).all(|purse| purse.has_one(now));
+        let allowed = self.counting_quotas(budget_use, scope).all(|quota| quota.has_unit(now));
         // If one budget is used up, the others keep their unit, and only those that are used up record the refusal, by
-        // which they ask for more.
-        for purse in self.counting_purses(budget_use, scope) {
-            if allowed || !purse.has_one(now) {
-                purse.take(now);
+        // which they request more.
+        for quota in self.counting_quotas(budget_use, scope) {
+            if allowed || !quota.has_unit(now) {
+                quota.try_spend(now);
             }
         }
         allowed
@@ -153,31 +154,31 @@
 
     /// Spends like [`Self::try_spend`], for a request that was refused before and has waited for a grant.
     pub fn try_spend_after_wait(&mut self, now: Instant, budget_use: BudgetUse, scope: BudgetScope) -> bool {
-        let allowed = self.counting_purses(budget_use, scope).all(|purse| purse.has_one(now));
+        let allowed = self.counting_quotas(budget_use, scope).all(|quota| quota.has_unit(now));
         if allowed {
-            self.counting_purses(budget_use, scope).for_each(|purse| _ = purse.take_after_all(now));
+            self.counting_quotas(budget_use, scope).for_each(|quota| _ = quota.try_spend_after_wait(now));
         }
         allowed
     }
 
     pub fn next_timeout(&self, now: Instant) -> Option<Instant> {
-        self.shares.iter().filter_map(|share| share.purse.next_due(now)).min()
+        self.shares.iter().filter_map(|share| share.quota.next_due(now)).min()
     }
 
     /// Whether this node holds units that were granted to it, beyond its floors.
     pub fn holds_grants(&self, now: Instant) -> bool {
-        self.shares.iter().any(|share| share.purse.holds(now) > 0)
+        self.shares.iter().any(|share| share.quota.granted_units(now) > 0)
     }
 
-    /// The asks that are now due to be sent to the voters.
-    pub fn due_asks(&mut self, now: Instant) -> Vec<Ask> {
-        self.shares.iter_mut().filter_map(|share| share.purse.ask(now)).collect()
+    /// The requests that are now due to be sent to the voters.
+    pub fn due_requests(&mut self, now: Instant) -> Vec<GrantRequest> {
+        self.shares.iter_mut().filter_map(|share| share.quota.next_request(now)).collect()
     }
 
     pub fn apply_grant(&mut self, grant: &Grant) {
         self.granted_edition = self.granted_edition.max(grant.edition);
         if let Some(share) = self.shares.iter_mut().find(|share| share.key == grant.budget) {
-            share.purse.granted(grant);
+            share.quota.apply_grant(grant);
         }
     }
 
@@ -188,15 +189,16 @@
     }
 
     /// The fleet's budgets by this node's settings, for voters that still apply an older edition.
-    pub fn fleet_budgets(&self) -> Wholes {
+    pub fn fleet_budgets(&self) -> FleetBudgets {
         fleet_budgets(&self.settings)
     }
 
     /// For each budget: its name, the units that this node may spend in a window now, and the units that it spent in the
     /// latest window.
     pub fn usage(&mut self, now: Instant) -> Vec<(String, u32, usize)> {
-        let usage =
-            |share: &mut BudgetShare| (share.name.clone(), share.purse.part(now), share.purse.spent(now));
+        let usage = |share: &mut BudgetShare| {
+            (share.name.clone(), share.quota.allowance(now), share.quota.spent(now))
+        };
         self.shares.iter_mut().map(usage).collect()
     }
 }
--- a/crates/node/src/state/replicated_state.rs
+++ b/crates/node/src/state/replicated_state.rs
@@ -1,6 +1,6 @@
 //! The state machine that the voters of the fleet replicate with Raft: the shares of budgets and the maintenance plan.
 
-use grebeusher_budgets::{Ask, Division, Entry, Grant, Wholes};
+use grebeusher_budgets::{Division, Entry, FleetBudgets, Grant, GrantRequest};
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_maintenance::{self as maintenance, Moved, Permit, Works};
@@ -17,10 +17,10 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StateCommand {
-    /// A node asks for a share of a budget.
-    BudgetAsk(Ask),
+    /// A node requests a share of a budget.
+    BudgetRequest(GrantRequest),
     /// The budgets of a node's file, which replace those of an older edition.
-    Budgets(Wholes),
+    Budgets(FleetBudgets),
     Maintenance(maintenance::Step),
 }
 
@@ -47,9 +47,9 @@
 impl ReplicatedState {
     /// The initial state of a new Raft group. Grants of an earlier group that was lost may still be in use, so no
     /// share is granted before their leases have expired.
-    pub fn empty(fleet_budgets: Wholes, lease: Duration, maintenance: Works) -> ReplicatedState {
+    pub fn empty(fleet_budgets: FleetBudgets, lease: Duration, maintenance: Works) -> ReplicatedState {
         let mut budgets = Division::new(lease, true);
-        budgets.apply(&Entry { wholes: Some(fleet_budgets), ..Entry::default() });
+        budgets.apply(&Entry { budgets: Some(fleet_budgets), ..Entry::default() });
         ReplicatedState { budgets, maintenance, remainder_us: 0 }
     }
 }
@@ -61,20 +61,23 @@
     fn apply(&mut self, elapsed: Duration, commands: Vec<StateCommand>) -> Vec<Outcome> {
         let elapsed_us = self.remainder_us + elapsed.nanos() / 1000;
         self.remainder_us = elapsed_us % 1000;
-        let passed_ms = elapsed_us / 1000;
-        let (mut asks, mut steps, mut wholes) = (Vec::new(), Vec::new(), None);
+        let elapsed_ms = elapsed_us / 1000;
+        let (mut requests, mut steps, mut budgets) = (Vec::new(), Vec::new(), None);
         for command in commands {
             match command {
-                StateCommand::BudgetAsk(ask) => asks.push(ask),
+                StateCommand::BudgetRequest(request) => requests.push(request),
                 StateCommand::Budgets(newer) => {
-                    wholes = wholes.into_iter().chain([newer]).max_by_key(|wholes: &Wholes| wholes.edition);
+                    budgets = budgets
+                        .into_iter()
+                        .chain([newer])
+                        .max_by_key(|budgets: &FleetBudgets| budgets.edition);
                 }
                 StateCommand::Maintenance(step) => steps.push(step),
             }
         }
-        let grants = self.budgets.apply(&Entry { passed_ms, wholes, asks });
+        let grants = self.budgets.apply(&Entry { elapsed_ms, budgets, requests });
         let maintenance_outcomes =
-            self.maintenance.apply(passed_ms, steps, fixed_hash).into_iter().map(|outcome| match outcome {
+            self.maintenance.apply(elapsed_ms, steps, fixed_hash).into_iter().map(|outcome| match outcome {
                 maintenance::Outcome::Permit(permit) => Outcome::Permit(permit),
                 maintenance::Outcome::Moved(moved) => Outcome::Moved(moved),
             });
@@ -82,10 +85,10 @@
     }
 
     fn depends_on_time(&self) -> bool {
-        self.maintenance.waits() || self.budgets.waits()
+        self.maintenance.waits() || self.budgets.depends_on_time()
     }
 
     fn bootstrapped(&mut self, at: Instant) {
-        self.budgets.numbers_beyond(at.0 / 1000);
+        self.budgets.raise_grant_number(at.0 / 1000);
     }
 }
--- a/crates/node/src/wire/peers.rs
+++ b/crates/node/src/wire/peers.rs
@@ -9,7 +9,7 @@
 use crate::state::counters::Counters;
 use crate::state::replicated_state::{Outcome, ReplicatedState, StateCommand};
 use crate::wire::voter_group::VoterGroup;
-use grebeusher_budgets::{Holder, Wholes};
+use grebeusher_budgets::{FleetBudgets, Holder};
 use grebeusher_dispatch::ids::fixed_hash;
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_maintenance::{self as maintenance, Command, Permission, Permit, Shown, Works, node_name};
@@ -320,7 +320,7 @@
         });
         let voter_group = voters.map(|voters| {
             let (fleet_budgets, lease) = budgets.map_or_else(
-                || (Wholes::default(), Duration::from_nanos(0)),
+                || (FleetBudgets::default(), Duration::from_nanos(0)),
                 |settings| (budget_shares::fleet_budgets(settings), settings.lease()),
             );
             let initial_state = ReplicatedState::empty(
@@ -570,8 +570,8 @@
             return;
         };
         let now = self.clock.now();
-        for ask in budget_shares.borrow_mut().due_asks(now) {
-            voter_group.borrow_mut().submit(now, StateCommand::BudgetAsk(ask));
+        for request in budget_shares.borrow_mut().due_requests(now) {
+            voter_group.borrow_mut().submit(now, StateCommand::BudgetRequest(request));
         }
     }
 
--- a/crates/node/src/wire/voter_group.rs
+++ b/crates/node/src/wire/voter_group.rs
@@ -3,7 +3,7 @@
 
 use crate::state::replicated_state::{Outcome, ReplicatedState, StateCommand};
 use crate::wire::peers::{COMMAND, OUTCOME, PeerSocket, VOTER};
-use grebeusher_budgets::{Ask, Grant};
+use grebeusher_budgets::{Grant, GrantRequest};
 use grebeusher_dispatch::time::Instant;
 use grebeusher_volatile_raft::{GroupOrigin, Host, Voter};
 use std::mem;
@@ -136,9 +136,19 @@
             return self.forward(now, self.peer_socket.own, command, true);
         }
         self.unanswered += 1;
-        if let StateCommand::BudgetAsk(Ask { budget, wants, keeps, ask, .. }) = &command {
+        if let StateCommand::BudgetRequest(GrantRequest {
+            budget, wanted_units, kept_units, request, ..
+        }) = &command
+        {
             let (to, unanswered) = (self.voters[self.asked_voter], self.unanswered);
-            debug!(budget, wants, keeps, ask, unanswered, "voters: asking node {to} for {wants} units");
+            debug!(
+                budget,
+                wants = wanted_units,
+                keeps = kept_units,
+                ask = request,
+                unanswered,
+                "voters: asking node {to} for {wanted_units} units"
+            );
         }
         if self.unanswered > MAX_UNANSWERED {
             (self.asked_voter, self.unanswered) = ((self.asked_voter + 1) % self.voters.len(), 0);
@@ -178,8 +188,14 @@
                 if index < self.voters.len() {
                     (self.asked_voter, self.unanswered) = (index, 0);
                 }
-                if let Outcome::BudgetGrant(Grant { budget, number, units, ask, .. }) = &outcome {
-                    debug!(budget, grant = number, units, ask, "voters: grant {number} of {units} units");
+                if let Outcome::BudgetGrant(Grant { budget, number, units, request, .. }) = &outcome {
+                    debug!(
+                        budget,
+                        grant = number,
+                        units,
+                        ask = request,
+                        "voters: grant {number} of {units} units"
+                    );
                 }
                 self.outcomes.push(outcome);
                 true
--- a/crates/node/tests/stable_bytes.rs
+++ b/crates/node/tests/stable_bytes.rs
@@ -1,7 +1,7 @@
 //! Bytes that earlier versions have written, and that this version must read and write unchanged: the datagrams between
 //! nodes, and the replicated state of the voters.
 
-use grebeusher_budgets::{self as budgets, Division, Entry, Grant, Holder, Whole, Wholes};
+use grebeusher_budgets::{self as budgets, Division, Entry, FleetBudget, FleetBudgets, Grant, Holder};
 use grebeusher_dispatch::time::Duration;
 use grebeusher_maintenance::{
     Ask, Command, Moved, Outcome, Permit, Phase, Plan, Seen, Shown, ShownMachine, Stage, Step, View,
@@ -40,27 +40,27 @@
 
 const HOLDER: Holder = Holder { number: 7, generation: 1_700_000_000_007 };
 
-fn budget_ask() -> budgets::Ask {
-    budgets::Ask {
+fn budget_request() -> budgets::GrantRequest {
+    budgets::GrantRequest {
         holder: HOLDER,
         budget: 0x8c1f_30d2_7a5b_e964,
-        wants: 300,
-        adopted: 41,
-        keeps: 5,
+        wanted_units: 300,
+        adopted_grant: 41,
+        kept_units: 5,
         spent: 6,
-        leaves_ms: 900,
-        waits_ms: 800,
-        ask: 12,
+        spent_expiry_ms: 900,
+        remaining_wait_ms: 800,
+        request: 12,
     }
 }
 
 fn grant() -> Grant {
-    Grant { holder: HOLDER, budget: 0x8c1f_30d2_7a5b_e964, ask: 12, number: 42, units: 299, edition: 3 }
+    Grant { holder: HOLDER, budget: 0x8c1f_30d2_7a5b_e964, request: 12, number: 42, units: 299, edition: 3 }
 }
 
-fn wholes() -> Wholes {
-    let whole = Whole { units: 500, window_ms: 1500, floor: 2, nodes: 40 };
-    Wholes { edition: 3, of: vec![(0x8c1f_30d2_7a5b_e964, whole)] }
+fn fleet_budgets() -> FleetBudgets {
+    let budget = FleetBudget { units: 500, window_ms: 1500, floor: 2, nodes: 40 };
+    FleetBudgets { edition: 3, of: vec![(0x8c1f_30d2_7a5b_e964, budget)] }
 }
 
 fn ask() -> Ask {
@@ -144,11 +144,11 @@
 #[test]
 fn the_messages_about_budgets_are_as_they_were() {
     assert_bytes(&HOLDER, "0787d095ffbc31");
-    assert_bytes(&budget_ask(), "0787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c");
+    assert_bytes(&budget_request(), "0787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c");
     assert_bytes(&grant(), "0787d095ffbc31e4d2efd2a79acc8f8c010c2aab0203");
-    assert_bytes(&wholes(), "0301e4d2efd2a79acc8f8c01f403dc0b0228");
+    assert_bytes(&fleet_budgets(), "0301e4d2efd2a79acc8f8c01f403dc0b0228");
     assert_bytes(
-        &Entry { passed_ms: 300, wholes: Some(wholes()), asks: vec![budget_ask()] },
+        &Entry { elapsed_ms: 300, budgets: Some(fleet_budgets()), requests: vec![budget_request()] },
         "ac02010301e4d2efd2a79acc8f8c01f403dc0b0228010787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c",
     );
     assert_bytes(&Entry::default(), "000000");
@@ -157,12 +157,12 @@
 #[test]
 fn the_budget_state_is_as_it_was() {
     let mut division = Division::new(Duration::from_millis(2000), true);
-    division.numbers_beyond(40);
+    division.raise_grant_number(40);
     assert_bytes(&division, "00d00f28d00f0000");
-    division.apply(&Entry { wholes: Some(wholes()), ..Entry::default() });
-    division.apply(&Entry { passed_ms: 5000, asks: vec![budget_ask()], ..Entry::default() });
-    let ask = budgets::Ask { ask: 13, adopted: 42, ..budget_ask() };
-    division.apply(&Entry { passed_ms: 5000, asks: vec![ask], ..Entry::default() });
+    division.apply(&Entry { budgets: Some(fleet_budgets()), ..Entry::default() });
+    division.apply(&Entry { elapsed_ms: 5000, requests: vec![budget_request()], ..Entry::default() });
+    let request = budgets::GrantRequest { request: 13, adopted_grant: 42, ..budget_request() };
+    division.apply(&Entry { elapsed_ms: 5000, requests: vec![request], ..Entry::default() });
     assert_bytes(
         &division,
         "904ed00f2abb1b0301e4d2efd2a79acc8f8c01a403eb0b010787d095ffbc31012aac02e05d010787d095ffbc31ac02e05d00000000",
@@ -325,12 +325,12 @@
         ),
         (
             "a command: a budget ask",
-            datagram(4, &encoded(&(true, from, 0u8, budget_ask()))),
+            datagram(4, &encoded(&(true, from, 0u8, budget_request()))),
             "030477419987687d6f3ec200e95c5bce76d20107007f00000109000787d095ffbc31e4d2efd2a79acc8f8c01ac022905068407a0060c",
         ),
         (
             "a command: budgets",
-            datagram(4, &encoded(&(false, from, 1u8, wholes()))),
+            datagram(4, &encoded(&(false, from, 1u8, fleet_budgets()))),
             "0304e0c23a3a3e63be397de5e04f01c8cfda0007007f00000109010301e4d2efd2a79acc8f8c01f403dc0b0228",
         ),
         (
--- a/crates/volatile-raft/tests/scenarios.rs
+++ b/crates/volatile-raft/tests/scenarios.rs
@@ -1,7 +1,9 @@
 //! Scenarios of voters on a simulated network that loses, duplicates and delays datagrams and has network partitions. The
 //! histories of all voters are compared, and the budget that they divide is added up where it is spent.
 
-use grebeusher_budgets::{Ask, Division, Entry, Grant, Holder, Purse, Whole, Wholes};
+use grebeusher_budgets::{
+    Division, Entry, FleetBudget, FleetBudgets, Grant, GrantRequest, Holder, LocalQuota,
+};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_volatile_raft::{GroupOrigin, Host, StateMachine, Voter};
 use rand::{Rng, SeedableRng};
@@ -12,7 +14,7 @@
 use std::rc::Rc;
 
 const LEASE: Duration = Duration::from_millis(2000);
-const WHOLE: Whole = Whole { units: 60, window_ms: 1000, floor: 0, nodes: 0 };
+const BUDGET: FleetBudget = FleetBudget { units: 60, window_ms: 1000, floor: 0, nodes: 0 };
 
 /// The division, and its commands so far, which tell two histories apart.
 #[derive(Clone, Serialize, Deserialize)]
@@ -25,22 +27,22 @@
 impl Parts {
     fn empty() -> Parts {
         let mut division = Division::new(LEASE, true);
-        let wholes = Wholes { edition: 1, of: vec![(0, WHOLE)] };
-        division.apply(&Entry { wholes: Some(wholes), ..Entry::default() });
+        let budgets = FleetBudgets { edition: 1, of: vec![(0, BUDGET)] };
+        division.apply(&Entry { budgets: Some(budgets), ..Entry::default() });
         Parts { division, us: 0, steps: Vec::new() }
     }
 }
 
 impl StateMachine for Parts {
-    type Command = Ask;
+    type Command = GrantRequest;
     type Outcome = Grant;
 
-    fn apply(&mut self, elapsed: Duration, asks: Vec<Ask>) -> Vec<Grant> {
+    fn apply(&mut self, elapsed: Duration, requests: Vec<GrantRequest>) -> Vec<Grant> {
         self.us += elapsed.nanos() / 1000;
-        let passed_ms = self.us / 1000;
+        let elapsed_ms = self.us / 1000;
         self.us %= 1000;
-        self.steps.extend(asks.iter().map(|ask| ask.ask));
-        self.division.apply(&Entry { passed_ms, wholes: None, asks })
+        self.steps.extend(requests.iter().map(|request| request.request));
+        self.division.apply(&Entry { elapsed_ms, budgets: None, requests })
     }
 
     fn depends_on_time(&self) -> bool {
@@ -48,7 +50,7 @@
     }
 
     fn bootstrapped(&mut self, at: Instant) {
-        self.division.numbers_beyond(at.0 / 1000);
+        self.division.raise_grant_number(at.0 / 1000);
     }
 }
 
@@ -91,7 +93,7 @@
     /// The links that are cut, from sender to receiver.
     cut: Vec<(usize, usize)>,
     rng: Pcg32,
-    purses: Vec<Purse>,
+    quotas: Vec<LocalQuota>,
     spent: VecDeque<u64>,
     total: u64,
     /// The longest history of each group.
@@ -112,7 +114,7 @@
             loss: 0.0,
             cut: Vec::new(),
             rng: Pcg32::seed_from_u64(seed),
-            purses: Vec::new(),
+            quotas: Vec::new(),
             spent: VecDeque::new(),
             total: 0,
             histories: BTreeMap::new(),
@@ -121,7 +123,7 @@
         };
         (0..count).for_each(|at| world.restart(at));
         let holder = |number| Holder { number, generation: 1 };
-        world.purses = (0..5).map(|n| Purse::new(world.at(), holder(n), 0, &WHOLE, LEASE)).collect();
+        world.quotas = (0..5).map(|n| LocalQuota::new(world.at(), holder(n), 0, &BUDGET, LEASE)).collect();
         world
     }
 
@@ -198,36 +200,36 @@
         }
     }
 
-    /// Five nodes together ask for more than the budget.
+    /// Five nodes together request more than the budget.
     fn nodes_spend(&mut self, at: Instant) {
-        for node in 0..self.purses.len() {
-            if self.rng.random::<f64>() < 0.03 && self.purses[node].take(at) {
+        for node in 0..self.quotas.len() {
+            if self.rng.random::<f64>() < 0.03 && self.quotas[node].try_spend(at) {
                 self.spent.push_back(self.now);
                 self.total += 1;
             }
             // Any voter may be asked; one that does not lead knows who does.
-            if let Some(ask) = self.purses[node].ask(at)
+            if let Some(request) = self.quotas[node].next_request(at)
                 && let Some(leader) = self.leader()
                 && let Some(voter) = &mut self.voters[leader]
             {
-                // A rejected ask is lost like any other; the node asks again.
-                let _ = voter.propose(at, ask);
+                // A rejected request is lost like any other; the node repeats it.
+                let _ = voter.propose(at, request);
             }
         }
         let grants = std::mem::take(&mut self.network.borrow_mut().grants);
         for grant in grants.into_iter().filter(|_| self.rng.random::<f64>() >= self.loss) {
-            self.purses[grant.holder.number as usize].granted(&grant);
+            self.quotas[grant.holder.number as usize].apply_grant(&grant);
         }
-        while self.spent.front().is_some_and(|at| self.now - at >= WHOLE.window_ms) {
+        while self.spent.front().is_some_and(|at| self.now - at >= BUDGET.window_ms) {
             self.spent.pop_front();
         }
-        assert!(self.spent.len() <= WHOLE.units as usize, "{} spent at {}", self.spent.len(), self.now);
+        assert!(self.spent.len() <= BUDGET.units as usize, "{} spent at {}", self.spent.len(), self.now);
     }
 
     fn used(&mut self, for_ms: u64) -> f64 {
         let before = self.total;
         self.run_for(for_ms);
-        (self.total - before) as f64 / (for_ms as f64 / 1000.0) / f64::from(WHOLE.units)
+        (self.total - before) as f64 / (for_ms as f64 / 1000.0) / f64::from(BUDGET.units)
     }
 }
 
