--- a/crates/fleet/src/main.rs
+++ b/crates/fleet/src/main.rs
@@ -1,4 +1,4 @@
-//! What staff say to a fleet of nodes, by the console of any of them.
+//! The command line tool with which operators control and inspect a fleet of nodes, through the console of any node.
 
 use clap::{Parser, Subcommand};
 use grebeusher_maintenance::{Phase, Shown};
@@ -11,13 +11,13 @@
 use std::{fs, thread};
 use ureq::Agent;
 
-/// How long the keepers may take to answer before they are said not to: a change of who leads is over by then.
+/// How long to wait for an answer of the voters. An election of a new leader is over by then.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// What is shown may be so old, and no older.
-const FRESH_MS: u64 = 1500;
+/// The greatest age, in milliseconds, of a state of the plan that is shown.
+const MAX_AGE_MS: u64 = 1500;
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// A command that has no answer is said again, under the same name.
-const AGAIN: Duration = Duration::from_secs(1);
+/// The interval at which a command without an answer is sent again, under the same name.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Says and asks things of a fleet of nodes, by the console of any of them.
 #[derive(Parser)]
@@ -26,7 +26,7 @@
     version,
     after_help = "Exit codes: 0 done, 1 refused, 2 no such call, 3 no answer of the node or of the keepers."
 )]
-struct Line {
+struct CommandLine {
     /// The console of a node.
     #[arg(long, global = true, env = "GREBEUSHER_AT", default_value = "127.0.0.1:7990")]
     at: SocketAddr,
@@ -34,14 +34,14 @@
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
-    asks: Asks,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Asks {
+enum Command {
     /// Plans by which machines are taken out for work.
     #[command(subcommand)]
-    Plan(OfPlan),
+    Plan(PlanCommand),
     /// The other nodes that this one knows of.
     Members,
     /// This node's parts of the fleet's budgets.
@@ -49,7 +49,7 @@
 }
 
 #[derive(Subcommand)]
-enum OfPlan {
+enum PlanCommand {
     /// Reads a plan and says what is wrong with it; asks nobody.
     Check { file: PathBuf },
     /// Hands a plan to the keepers.
@@ -66,14 +66,14 @@
     Withdraw,
 }
 
-/// Why a call did not end well.
-enum Wrong {
+/// Why a call failed.
+enum CallError {
     Refused(String),
     NoAnswer(String),
 }
 
 #[derive(Deserialize)]
-struct Seen {
+struct FleetStatus {
     age_ms: Option<u64>,
     shown: Option<Shown>,
 }
@@ -84,42 +84,50 @@
 }
 
 impl Console {
-    fn get(&self, path: &str) -> Result<String, Wrong> {
-        let got = self.agent.get(format!("http://{}{path}", self.at)).call();
-        self.told(got)
+    fn get(&self, path: &str) -> Result<String, CallError> {
+        let response = self.agent.get(format!("http://{}{path}", self.at)).call();
+        self.read_response(response)
     }
 
-    fn post(&self, path: &str, body: &str) -> Result<String, Wrong> {
-        let got = self.agent.post(format!("http://{}{path}", self.at)).send(body);
-        self.told(got)
+    fn post(&self, path: &str, body: &str) -> Result<String, CallError> {
+        let response = self.agent.post(format!("http://{}{path}", self.at)).send(body);
+        self.read_response(response)
     }
 
-    fn told(&self, got: Result<ureq::http::Response<ureq::Body>, ureq::Error>) -> Result<String, Wrong> {
+    fn read_response(
+        &self,
+        response: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
+    ) -> Result<String, CallError> {
         let no_answer =
-            |e: ureq::Error| Wrong::NoAnswer(format!("no answer of the node at {}: {e}", self.at));
-        let mut got = got.map_err(no_answer)?;
-        let text = got.body_mut().read_to_string().map_err(no_answer)?;
-        if got.status().is_success() { Ok(text) } else { Err(Wrong::Refused(text.trim().to_owned())) }
+            |e: ureq::Error| CallError::NoAnswer(format!("no answer of the node at {}: {e}", self.at));
+        let mut response = response.map_err(no_answer)?;
+        let text = response.body_mut().read_to_string().map_err(no_answer)?;
+        if response.status().is_success() {
+            Ok(text)
+        } else {
+            Err(CallError::Refused(text.trim().to_owned()))
+        }
     }
 
-    fn seen(&self) -> Result<Seen, Wrong> {
+    fn fleet_status(&self) -> Result<FleetStatus, CallError> {
         let text = self.get("/fleet")?;
         serde_json::from_str(&text)
-            .map_err(|e| Wrong::NoAnswer(format!("what the node says is not understood: {e}")))
+            .map_err(|e| CallError::NoAnswer(format!("what the node says is not understood: {e}")))
     }
 
-    /// The plan as the keepers know it now.
-    fn shown(&self) -> Result<Shown, Wrong> {
-        let began = Instant::now();
+    /// The state of the plan that the voters have now.
+    fn shown(&self) -> Result<Shown, CallError> {
+        let started = Instant::now();
         loop {
-            let seen = self.seen()?;
-            if let (Some(shown), Some(..=FRESH_MS)) = (seen.shown, seen.age_ms) {
+            let fleet_status = self.fleet_status()?;
+            if let (Some(shown), Some(..=MAX_AGE_MS)) = (fleet_status.shown, fleet_status.age_ms) {
                 return Ok(shown);
             }
-            if began.elapsed() > TIMEOUT {
-                let since =
-                    seen.age_ms.map_or("it started".to_owned(), |ms| format!("{:.1} s ago", ms as f64 / 1e3));
-                return Err(Wrong::NoAnswer(format!(
+            if started.elapsed() > TIMEOUT {
+                let since = fleet_status
+                    .age_ms
+                    .map_or("it started".to_owned(), |ms| format!("{:.1} s ago", ms as f64 / 1e3));
+                return Err(CallError::NoAnswer(format!(
                     "the node at {} has had no word of the keepers since {since}: fewer than most of them are there, or they are cut off from it",
                     self.at
                 )));
@@ -128,43 +136,43 @@
         }
     }
 
-    /// Says something until the keepers have answered it; what they answered.
-    fn says(&self, what: &str, body: &str) -> Result<String, Wrong> {
+    /// Sends a command until the voters have answered it, and returns their answer.
+    fn send_command(&self, command: &str, body: &str) -> Result<String, CallError> {
         let name: u64 = rand::random();
-        let began = Instant::now();
-        let mut said: Option<Instant> = None;
-        while began.elapsed() < TIMEOUT {
-            if said.is_none_or(|at| at.elapsed() > AGAIN) {
-                self.post(&format!("/fleet/{what}?name={name}"), body)?;
-                said = Some(Instant::now());
+        let started = Instant::now();
+        let mut sent_at: Option<Instant> = None;
+        while started.elapsed() < TIMEOUT {
+            if sent_at.is_none_or(|at| at.elapsed() > RETRY_INTERVAL) {
+                self.post(&format!("/fleet/{command}?name={name}"), body)?;
+                sent_at = Some(Instant::now());
             }
-            let answers = self.seen()?.shown.map(|shown| shown.answers).unwrap_or_default();
-            if let Some((_, answer)) = answers.into_iter().find(|(own, _)| *own == name) {
+            let answers = self.fleet_status()?.shown.map(|shown| shown.answers).unwrap_or_default();
+            if let Some((_, answer)) = answers.into_iter().find(|(answered, _)| *answered == name) {
                 let refused = answer.starts_with("refused");
-                return if refused { Err(Wrong::Refused(answer)) } else { Ok(answer) };
+                return if refused { Err(CallError::Refused(answer)) } else { Ok(answer) };
             }
             thread::sleep(POLL_INTERVAL);
         }
-        Err(Wrong::NoAnswer("the keepers have not answered: fewer than most of them are there, or they are cut off. It may still be done".to_owned()))
+        Err(CallError::NoAnswer("the keepers have not answered: fewer than most of them are there, or they are cut off. It may still be done".to_owned()))
     }
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
+    let line = CommandLine::parse();
     let agent = Agent::config_builder()
         .http_status_as_error(false)
         .timeout_global(Some(Duration::from_secs(5)))
         .build();
     let console = Console { at: line.at, agent: agent.into() };
-    let (answer, code) = match asked(&line.asks, &console) {
+    let (answer, code) = match run(&line.command, &console) {
         Ok(answer) => (answer, 0),
-        Err(Wrong::Refused(why)) => (json!({"refused": why}), 1),
-        Err(Wrong::NoAnswer(why)) => (json!({"no_answer": why}), 3),
+        Err(CallError::Refused(why)) => (json!({"refused": why}), 1),
+        Err(CallError::NoAnswer(why)) => (json!({"no_answer": why}), 3),
     };
     if line.json {
         println!("{answer}");
     } else if code == 0 {
-        println!("{}", in_words(&line.asks, &answer));
+        println!("{}", as_text(&line.command, &answer));
     } else {
         let why = answer.as_object().and_then(|why| why.values().next()).and_then(Value::as_str);
         eprintln!("{}", why.unwrap_or_default());
@@ -172,28 +180,30 @@
     ExitCode::from(code)
 }
 
-fn asked(asks: &Asks, console: &Console) -> Result<Value, Wrong> {
+fn run(command: &Command, console: &Console) -> Result<Value, CallError> {
     let read = |file: &PathBuf| {
         let text =
-            fs::read_to_string(file).map_err(|e| Wrong::Refused(format!("{}: {e}", file.display())))?;
+            fs::read_to_string(file).map_err(|e| CallError::Refused(format!("{}: {e}", file.display())))?;
         grebeusher_node_config::plan::read(&text)
-            .map_err(|e| Wrong::Refused(format!("{}: {e}", file.display())))?;
+            .map_err(|e| CallError::Refused(format!("{}: {e}", file.display())))?;
         Ok(text)
     };
-    Ok(match asks {
-        Asks::Plan(OfPlan::Check { file }) => {
+    Ok(match command {
+        Command::Plan(PlanCommand::Check { file }) => {
             json!({"said": format!("{} can be gone by", read(file).map(|_| file.display())?)})
         }
-        Asks::Plan(OfPlan::Submit { file }) => json!({"said": console.says("submit", &read(file)?)?}),
-        Asks::Plan(OfPlan::Pause) => json!({"said": console.says("pause", "")?}),
-        Asks::Plan(OfPlan::Resume) => json!({"said": console.says("resume", "")?}),
-        Asks::Plan(OfPlan::Idle { machine, decision }) => {
-            json!({"said": console.says("idle", &format!("{machine} {decision}"))?})
+        Command::Plan(PlanCommand::Submit { file }) => {
+            json!({"said": console.send_command("submit", &read(file)?)?})
+        }
+        Command::Plan(PlanCommand::Pause) => json!({"said": console.send_command("pause", "")?}),
+        Command::Plan(PlanCommand::Resume) => json!({"said": console.send_command("resume", "")?}),
+        Command::Plan(PlanCommand::Idle { machine, decision }) => {
+            json!({"said": console.send_command("idle", &format!("{machine} {decision}"))?})
         }
-        Asks::Plan(OfPlan::Withdraw) => json!({"said": console.says("withdraw", "")?}),
-        Asks::Plan(OfPlan::Show) => json!(console.shown()?),
-        Asks::Members => serde_json::from_str(&console.get("/fleet/members")?).unwrap_or_default(),
-        Asks::Budgets => {
+        Command::Plan(PlanCommand::Withdraw) => json!({"said": console.send_command("withdraw", "")?}),
+        Command::Plan(PlanCommand::Show) => json!(console.shown()?),
+        Command::Members => serde_json::from_str(&console.get("/fleet/members")?).unwrap_or_default(),
+        Command::Budgets => {
             let figures = console.get("/stats")?;
             let own = figures.lines().filter_map(|line| line.strip_prefix("node.budget.")?.split_once(':'));
             let figure = |(name, rest): (&str, &str)| {
@@ -205,12 +215,12 @@
     })
 }
 
-fn in_words(asks: &Asks, answer: &Value) -> String {
-    match asks {
-        Asks::Plan(OfPlan::Show) => serde_json::from_value(answer.clone())
-            .map_or_else(|e| e.to_string(), |shown| plan_in_words(&shown)),
-        Asks::Plan(_) => answer["said"].as_str().unwrap_or_default().to_owned(),
-        Asks::Members => {
+fn as_text(command: &Command, answer: &Value) -> String {
+    match command {
+        Command::Plan(PlanCommand::Show) => serde_json::from_value(answer.clone())
+            .map_or_else(|e| e.to_string(), |shown| plan_as_text(&shown)),
+        Command::Plan(_) => answer["said"].as_str().unwrap_or_default().to_owned(),
+        Command::Members => {
             let leader = answer["leader"].as_u64().map_or("unknown".to_owned(), |node| node.to_string());
             let members = answer["members"].as_array().cloned().unwrap_or_default();
             let mut lines =
@@ -221,7 +231,7 @@
             }));
             lines.join("\n")
         }
-        Asks::Budgets => {
+        Command::Budgets => {
             let parts = answer.as_object().cloned().unwrap_or_default();
             if parts.is_empty() {
                 return "this node has no budgets of the fleet".to_owned();
@@ -231,7 +241,7 @@
     }
 }
 
-fn plan_in_words(shown: &Shown) -> String {
+fn plan_as_text(shown: &Shown) -> String {
     if shown.plan.is_empty() {
         return "no plan has been handed in".to_owned();
     }
