--- a/crates/migrate/src/main.rs
+++ b/crates/migrate/src/main.rs
@@ -1,7 +1,7 @@
-//! Reads a node's posting of the old shape and writes its counterpart for the new one.
+//! The command line tool that converts a node's configuration to a new kind of deployment.
 
 use clap::{Parser, ValueEnum};
-use grebeusher_migrate::{Shape, counterpart};
+use grebeusher_migrate::{Deployment, convert};
 use grebeusher_node_config::node_settings::file;
 use std::fs;
 use std::io::{self, Write};
@@ -59,13 +59,13 @@
     Untold,
 }
 
-/// Writes the whole text or nothing: into a file beside the target, which then takes its name.
-fn write_whole(old: &Path, new: &Path, replace: bool, text: &str) -> Result<(), String> {
+/// Writes the text atomically: into a temporary file in the same folder, which is then renamed to the target.
+fn write_atomically(old: &Path, new: &Path, replace: bool, text: &str) -> Result<(), String> {
     let failed = |e: io::Error| format!("{}: {e}", new.display());
     let folder = new.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     let mut beside = NamedTempFile::new_in(folder).map_err(failed)?;
     beside.write_all(text.as_bytes()).map_err(failed)?;
-    // Whoever may read the old one may read the new one.
+    // The new file has the permissions of the old one.
     fs::metadata(old)
         .and_then(|old| fs::set_permissions(beside.path(), old.permissions()))
         .map_err(failed)?;
@@ -76,7 +76,7 @@
 
 fn migrate(line: CommandLine) -> Result<(), String> {
     let CommandLine { old, new, dry_run, replace, .. } = line;
-    let shape = Shape {
+    let deployment = Deployment {
         list_unasked: line.list == List::Unasked,
         probes: line.probes,
         peers: line.peers,
@@ -85,10 +85,10 @@
         report_fields: line.report_fields,
         starts: line.starts.map(|starts| starts == Starts::Told),
     };
-    let posting = file(&old).map_err(|error| error.to_string())?;
-    let (posting, remarks) =
-        counterpart(&posting, &shape).map_err(|what| format!("{}: {what}", old.display()))?;
-    // By another name it is the same file all the same.
+    let configuration = file(&old).map_err(|error| error.to_string())?;
+    let (configuration, remarks) =
+        convert(&configuration, &deployment).map_err(|what| format!("{}: {what}", old.display()))?;
+    // Compares the files and not the paths, because a link to the old file is the same file.
     if new.exists() && same_file::is_same_file(&old, &new).map_err(|e| format!("{}: {e}", new.display()))? {
         return Err(format!("{} is the old configuration itself: it is never overwritten", new.display()));
     }
@@ -96,7 +96,7 @@
         return Err(format!("{} is there already: --replace replaces it", new.display()));
     }
     if !dry_run {
-        write_whole(&old, &new, replace, &format!("{posting:#}\n"))?;
+        write_atomically(&old, &new, replace, &format!("{configuration:#}\n"))?;
     }
     let list: String = remarks.iter().map(|remark| format!("{remark}\n")).collect();
     io::stdout().write_all(list.as_bytes()).map_err(|e| format!("the list could not be written: {e}"))
--- a/crates/migrate/tests/stories.rs
+++ b/crates/migrate/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command as an operator runs it, in a folder of the story's own.
+//! Tests of the command line tool as an operator runs it, each in a temporary directory of its own.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 use std::process::{Command, Output};
 use tempfile::TempDir;
 
-fn posting() -> Value {
+fn configuration() -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964", "note": [1],
         "limits": {"sockets": 1024, "a_new_limit": 3},
         "known": {"generation": 41, "reset": true, "instances": [
@@ -23,48 +23,48 @@
             "tariffs": [{"name": "search", "effect": "read_like", "quoted_time_ns": 4e8, "patience_ns": 10e9}]}})
 }
 
-struct Folder(TempDir);
+struct TestDir(TempDir);
 
-impl Folder {
-    /// With one file in it.
-    fn with(name: &str, text: &str) -> Folder {
-        let folder = Folder(TempDir::new().expect("a folder"));
-        folder.put(name, text);
-        folder
+impl TestDir {
+    /// A temporary directory with one file in it.
+    fn with(name: &str, text: &str) -> TestDir {
+        let dir = TestDir(TempDir::new().expect("a temporary directory is created"));
+        dir.put(name, text);
+        dir
     }
 
-    fn of(posting: &Value) -> Folder {
-        Folder::with("old.json", &posting.to_string())
+    fn of(configuration: &Value) -> TestDir {
+        TestDir::with("old.json", &configuration.to_string())
     }
 
     fn put(&self, name: &str, text: &str) {
-        fs::write(self.0.path().join(name), text).expect("it is written");
+        fs::write(self.0.path().join(name), text).expect("the file is written");
     }
 
     fn migrate(&self, line: &str) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_grebeusher-migrate"));
-        command.current_dir(self.0.path()).args(line.split(' ')).output().expect("it runs")
+        command.current_dir(self.0.path()).args(line.split(' ')).output().expect("the tool runs")
     }
 
     fn files(&self) -> BTreeMap<String, String> {
-        let entries = fs::read_dir(self.0.path()).expect("the folder is there");
+        let entries = fs::read_dir(self.0.path()).expect("the directory is readable");
         let paths = entries.map(|entry| entry.expect("an entry").path());
         let name = |path: &std::path::Path| path.file_name().expect("a name").to_string_lossy().into_owned();
         paths.map(|path| (name(&path), fs::read_to_string(path).expect("text"))).collect()
     }
 
     fn json(&self, name: &str) -> Value {
-        serde_json::from_str(&self.files()[name]).expect("it is JSON")
+        serde_json::from_str(&self.files()[name]).expect("the file is JSON")
     }
 }
 
-fn said(output: &Output) -> String {
+fn stdout_of(output: &Output) -> String {
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     String::from_utf8(output.stdout.clone()).expect("text")
 }
 
-/// One plain line, and a failure.
-fn refused(output: &Output) -> String {
+/// Asserts that the command failed with a single line of text, and returns that line.
+fn error_line(output: &Output) -> String {
     assert!(!output.status.success());
     let text = String::from_utf8(output.stderr.clone()).expect("text");
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -75,10 +75,10 @@
     "old.json new.json --zones a,d --zone d --peers --report-fields depth,load_share --starts untold";
 
 #[test]
-fn the_counterpart_holds_what_the_new_shape_needs_and_all_the_rest_untouched() {
-    let folder = Folder::of(&posting());
-    let list = said(&folder.migrate(ALL));
-    let mut new = posting();
+fn the_new_configuration_has_the_required_changes_and_no_others() {
+    let dir = TestDir::of(&configuration());
+    let list = stdout_of(&dir.migrate(ALL));
+    let mut new = configuration();
     new["settings"]["registry_mode"] = json!("automatic");
     new["settings"]["zones"] = json!(["a", "d"]);
     new["settings"]["caps"]["may_probe"] = json!(false);
@@ -89,8 +89,8 @@
     new["settings"]["contract"].as_object_mut().expect("an object").remove("ask_every_ns");
     new["known"]["generation"] = json!(0);
     new["known"]["instances"].as_array_mut().expect("a list").pop();
-    assert_eq!(folder.json("new.json"), new);
-    assert_eq!(folder.json("old.json"), posting());
+    assert_eq!(dir.json("new.json"), new);
+    assert_eq!(dir.json("old.json"), configuration());
     for line in [
         "settings.registry_mode: changed: subscribe to automatic",
         "settings.registry_mode: not carried over: automatic",
@@ -110,50 +110,50 @@
         "known.instances: dropped: s-1",
         "known.generation: changed: 41 to 0",
     ] {
-        assert!(list.lines().any(|said| said.starts_with(line)), "{line} is missing in:\n{list}");
+        assert!(list.lines().any(|printed| printed.starts_with(line)), "{line} is missing in:\n{list}");
     }
     assert_eq!(list.lines().count(), 17, "{list}");
 }
 
 #[test]
-fn a_dry_run_says_the_same_and_leaves_the_folder_as_it_was() {
-    let folder = Folder::of(&posting());
-    let before = folder.files();
-    let dry = said(&folder.migrate(&format!("{ALL} --dry-run")));
-    assert_eq!(folder.files(), before);
-    assert_eq!(said(&folder.migrate(ALL)), dry);
+fn a_dry_run_prints_the_same_and_changes_no_file() {
+    let dir = TestDir::of(&configuration());
+    let before = dir.files();
+    let dry = stdout_of(&dir.migrate(&format!("{ALL} --dry-run")));
+    assert_eq!(dir.files(), before);
+    assert_eq!(stdout_of(&dir.migrate(ALL)), dry);
 }
 
 #[test]
-fn one_zone_needs_no_naming_of_the_nodes_own() {
-    let folder = Folder::of(&posting());
-    said(&folder.migrate("old.json new.json --zones only"));
-    let new = folder.json("new.json");
+fn a_single_new_zone_is_the_zone_of_the_node() {
+    let dir = TestDir::of(&configuration());
+    stdout_of(&dir.migrate("old.json new.json --zones only"));
+    let new = dir.json("new.json");
     assert_eq!((&new["settings"]["zones"], &new["settings"]["az"]), (&json!(["only"]), &json!(0)));
 }
 
 #[test]
-fn an_existing_target_is_replaced_only_when_asked_and_the_old_one_never() {
-    let folder = Folder::of(&posting());
-    folder.put("new.json", "mine");
-    assert!(refused(&folder.migrate("old.json new.json")).contains("--replace"));
-    assert_eq!(folder.files()["new.json"], "mine");
-    said(&folder.migrate("old.json new.json --replace"));
-    assert_eq!(folder.json("new.json")["settings"]["registry_mode"], "automatic");
-    fs::hard_link(folder.0.path().join("old.json"), folder.0.path().join("link.json")).expect("a link");
+fn an_existing_target_is_replaced_only_on_request_and_the_old_file_never() {
+    let dir = TestDir::of(&configuration());
+    dir.put("new.json", "mine");
+    assert!(error_line(&dir.migrate("old.json new.json")).contains("--replace"));
+    assert_eq!(dir.files()["new.json"], "mine");
+    stdout_of(&dir.migrate("old.json new.json --replace"));
+    assert_eq!(dir.json("new.json")["settings"]["registry_mode"], "automatic");
+    fs::hard_link(dir.0.path().join("old.json"), dir.0.path().join("link.json")).expect("a link");
     for target in ["old.json", "./old.json", "link.json"] {
-        let what = refused(&folder.migrate(&format!("old.json {target} --replace")));
-        assert!(what.contains("never overwritten"), "{what}");
-        assert_eq!(folder.json("old.json"), posting());
+        let message = error_line(&dir.migrate(&format!("old.json {target} --replace")));
+        assert!(message.contains("never overwritten"), "{message}");
+        assert_eq!(dir.json("old.json"), configuration());
     }
 }
 
 #[test]
-fn bad_input_gets_one_plain_line_and_nothing_is_written() {
+fn invalid_input_is_reported_in_one_line_and_nothing_is_written() {
     let changed = |change: fn(&mut Value)| {
-        let mut posting = posting();
-        change(&mut posting);
-        posting.to_string()
+        let mut configuration = configuration();
+        change(&mut configuration);
+        configuration.to_string()
     };
     let cases = [
         ("{", "not JSON".to_owned()),
@@ -168,13 +168,13 @@
         (&changed(|p| p["discovery"] = json!("there")), "discovery: expected an address".to_owned()),
     ];
     for (text, expected) in cases {
-        let folder = Folder::with("old.json", text);
-        let before = folder.files();
-        let what = refused(&folder.migrate("old.json new.json"));
-        assert!(what.contains(&expected), "{what}");
-        assert_eq!(folder.files(), before);
+        let dir = TestDir::with("old.json", text);
+        let before = dir.files();
+        let message = error_line(&dir.migrate("old.json new.json"));
+        assert!(message.contains(&expected), "{message}");
+        assert_eq!(dir.files(), before);
     }
-    let folder = Folder::of(&posting());
+    let dir = TestDir::of(&configuration());
     for (line, expected) in [
         ("none.json new.json", "none.json"),
         ("old.json new.json --zones x,y", "name its new zone by --zone"),
@@ -182,8 +182,8 @@
         ("old.json new.json --zone a", "--zones"),
         ("old.json nowhere/new.json", "nowhere/new.json"),
     ] {
-        let what = refused(&folder.migrate(line));
-        assert!(what.contains(expected), "{line}: {what}");
-        assert_eq!(folder.files().len(), 1);
+        let message = error_line(&dir.migrate(line));
+        assert!(message.contains(expected), "{line}: {message}");
+        assert_eq!(dir.files().len(), 1);
     }
 }
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -6,7 +6,7 @@
 mod faktory;
 
 use fake::*;
-use grebeusher_migrate::{Shape, counterpart};
+use grebeusher_migrate::{Deployment, convert};
 use serde_json::json;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -935,13 +935,13 @@
     settings["zones"] = json!(["a", "b", "c"]);
     settings["caps"]["may_probe"] = json!(true);
     settings["report"]["via"] = json!("pull");
-    let shape = Shape {
+    let deployment = Deployment {
         list_unasked: true,
         peers: true,
         zones: vec!["a".to_owned()],
         report_fields: vec!["depth".to_owned(), "load_share".to_owned()],
         starts: Some(false),
-        ..Shape::default()
+        ..Deployment::default()
     };
     let world = World::with_changed_config(
         &[&executor_listener],
@@ -949,7 +949,7 @@
         json!({"sockets": 1024}),
         1024,
         |config| {
-            let (config, remarks) = counterpart(&config, &shape).expect("the settings can be migrated");
+            let (config, remarks) = convert(&config, &deployment).expect("the settings can be migrated");
             assert!(remarks.iter().any(|remark| remark.key == "settings.caps.may_probe"));
             config
         },
