--- a/crates/volatile-raft/tests/scenarios.rs
+++ b/crates/volatile-raft/tests/scenarios.rs
@@ -2,7 +2,9 @@
 //! compare the command histories of all voters, and check that the nodes never spend more than the budget that the
 //! voters divide.
 
-use grebeusher_budgets::{Ask, Division, Entry, Grant, Holder, Purse, Whole, Wholes};
+use grebeusher_budgets::{
+    Division, Entry, FleetBudget, FleetBudgets, Grant, GrantRequest, Holder, LocalQuota,
+};
 use grebeusher_dispatch::time::{Duration, DurationExt, Instant};
 use grebeusher_volatile_raft::{GroupOrigin, Host, StateMachine, Voter};
 use rand::{Rng, SeedableRng};
@@ -13,7 +15,7 @@
 use std::rc::Rc;
 
 const LEASE: Duration = Duration::from_millis(2000);
-const WHOLE: Whole = Whole { units: 60, window_ms: 1000, floor: 0, nodes: 0 };
+const BUDGET: FleetBudget = FleetBudget { units: 60, window_ms: 1000, floor: 0, nodes: 0 };
 
 /// The replicated state: the division of the budget, and the ids of the applied commands, by which histories are
 /// compared.
@@ -29,22 +31,22 @@
 impl DividedBudget {
     fn empty() -> DividedBudget {
         let mut division = Division::new(LEASE, true);
-        let wholes = Wholes { edition: 1, of: vec![(0, WHOLE)] };
-        division.apply(&Entry { wholes: Some(wholes), ..Entry::default() });
+        let budgets = FleetBudgets { edition: 1, of: vec![(0, BUDGET)] };
+        division.apply(&Entry { budgets: Some(budgets), ..Entry::default() });
         DividedBudget { division, unapplied_us: 0, command_ids: Vec::new() }
     }
 }
 
 impl StateMachine for DividedBudget {
-    type Command = Ask;
+    type Command = GrantRequest;
     type Outcome = Grant;
 
-    fn apply(&mut self, elapsed: Duration, asks: Vec<Ask>) -> Vec<Grant> {
+    fn apply(&mut self, elapsed: Duration, requests: Vec<GrantRequest>) -> Vec<Grant> {
         self.unapplied_us += elapsed.nanos() / 1000;
-        let passed_ms = self.unapplied_us / 1000;
+        let elapsed_ms = self.unapplied_us / 1000;
         self.unapplied_us %= 1000;
-        self.command_ids.extend(asks.iter().map(|request| request.ask));
-        self.division.apply(&Entry { passed_ms, wholes: None, asks })
+        self.command_ids.extend(requests.iter().map(|request| request.request));
+        self.division.apply(&Entry { elapsed_ms, budgets: None, requests })
     }
 
     fn depends_on_time(&self) -> bool {
@@ -52,7 +54,7 @@
     }
 
     fn bootstrapped(&mut self, at: Instant) {
-        self.division.numbers_beyond(at.0 / 1000);
+        self.division.raise_grant_number(at.0 / 1000);
     }
 }
 
@@ -103,7 +105,7 @@
     cut: Vec<(usize, usize)>,
     rng: Pcg32,
     /// The share of the budget that each node holds.
-    shares: Vec<Purse>,
+    quotas: Vec<LocalQuota>,
     /// The times in milliseconds at which units were spent, within the last budget window.
     spent_at_ms: VecDeque<u64>,
     /// The number of units spent since the start.
@@ -128,7 +130,7 @@
             loss: 0.0,
             cut: Vec::new(),
             rng: Pcg32::seed_from_u64(seed),
-            shares: Vec::new(),
+            quotas: Vec::new(),
             spent_at_ms: VecDeque::new(),
             total_spent: 0,
             histories: BTreeMap::new(),
@@ -137,8 +139,8 @@
         };
         (0..voter_count).for_each(|index| simulation.restart(index));
         let holder = |number| Holder { number, generation: 1 };
-        simulation.shares =
-            (0..5).map(|n| Purse::new(simulation.instant(), holder(n), 0, &WHOLE, LEASE)).collect();
+        simulation.quotas =
+            (0..5).map(|n| LocalQuota::new(simulation.instant(), holder(n), 0, &BUDGET, LEASE)).collect();
         simulation
     }
 
@@ -230,29 +232,29 @@
 
     /// Lets five nodes spend and request units; together they would spend more than the budget. Checks that they don't.
     fn spend_and_request(&mut self, at: Instant) {
-        for node in 0..self.shares.len() {
-            if self.rng.random::<f64>() < 0.03 && self.shares[node].take(at) {
+        for node in 0..self.quotas.len() {
+            if self.rng.random::<f64>() < 0.03 && self.quotas[node].try_spend(at) {
                 self.spent_at_ms.push_back(self.now_ms);
                 self.total_spent += 1;
             }
             // A real node may send the request to any voter, which redirects it to the leader.
-            if let Some(ask) = self.shares[node].ask(at)
+            if let Some(request) = self.quotas[node].next_request(at)
                 && let Some(leader) = self.leader()
                 && let Some(voter) = &mut self.voters[leader]
             {
                 // A rejected request counts as lost: the node repeats it.
-                let _ = voter.propose(at, ask);
+                let _ = voter.propose(at, request);
             }
         }
         let grants = std::mem::take(&mut self.network.borrow_mut().grants);
         for grant in grants.into_iter().filter(|_| self.rng.random::<f64>() >= self.loss) {
-            self.shares[grant.holder.number as usize].granted(&grant);
+            self.quotas[grant.holder.number as usize].apply_grant(&grant);
         }
-        while self.spent_at_ms.front().is_some_and(|at| self.now_ms - at >= WHOLE.window_ms) {
+        while self.spent_at_ms.front().is_some_and(|at| self.now_ms - at >= BUDGET.window_ms) {
             self.spent_at_ms.pop_front();
         }
         assert!(
-            self.spent_at_ms.len() <= WHOLE.units as usize,
+            self.spent_at_ms.len() <= BUDGET.units as usize,
             "{} units spent within the window that ends at {} ms",
             self.spent_at_ms.len(),
             self.now_ms
@@ -263,7 +265,7 @@
     fn budget_usage(&mut self, for_ms: u64) -> f64 {
         let before = self.total_spent;
         self.run_for(for_ms);
-        (self.total_spent - before) as f64 / (for_ms as f64 / 1000.0) / f64::from(WHOLE.units)
+        (self.total_spent - before) as f64 / (for_ms as f64 / 1000.0) / f64::from(BUDGET.units)
     }
 }
 
