--- a/crates/sizing/src/lib.rs
+++ b/crates/sizing/src/lib.rs
@@ -8,7 +8,7 @@
 //! * [`CutOffs`]: the bounds that make summed work proportional to capacity, and the lane of a size;
 //! * [`lanes_in_order`], [`lanes_by_hash`], [`lanes_by_share`]: the lane of each executor, the same on every node;
 //! * [`weight`], [`weights`], [`pick`]: the weighted pick inside a lane;
-//! * [`fixed_hash`], [`mixed`], [`rendezvous`]: hashes that are the same in every process.
+//! * [`fixed_hash`], [`mix64`], [`rendezvous`]: hashes that are the same in every process.
 //!
 //! The tier uses it through `grebeusher-gateway`, and the node through `grebeusher-dispatch`. Where the two differ the caller
 //! chooses: [`BoundaryRule`] for cut-offs, [`Remainder`] for lanes. The files that the node uses (`cut_offs.rs`, `places.rs`,
