--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! The tunable parameters of routing. The defaults were tuned with the simulation in `tests/simulation.rs`.
+//! The parameters of routing, with their defaults.
 
 use grebeusher_time::Duration;
 
--- a/crates/node/src/wire/peers.rs
+++ b/crates/node/src/wire/peers.rs
@@ -191,7 +191,7 @@
         info!(
             fellow = number,
             start = generation,
-            "node {number} joined at {address}, generation {generation}"
+            "node {number} is there, at {address}, start {generation}"
         );
         self.peer_socket.counters.fellows_came.increment();
         self.newcomers.borrow_mut().push(member.number);
@@ -203,7 +203,7 @@
 
     fn member_down(&mut self, member: Member) {
         let Member { number, generation, .. } = member;
-        info!(fellow = number, start = generation, "node {number} left or failed, generation {generation}");
+        info!(fellow = number, start = generation, "node {number} is gone, start {generation}");
         self.peer_socket.counters.fellows_went.increment();
         let mut addresses = self.peer_socket.addresses.borrow_mut();
         if addresses.get(&member.number) == Some(&member.address) {
